--- a/benchmarks/mixed.py
+++ b/benchmarks/mixed.py
@@ -152,7 +152,9 @@
         kernel.limit(f"p{number}", 256)
         net = network(kernel, f"p{number}", loop, lambda: kernel.now + 1.7e9)
         proxy = Proxy(config, net)
-        listener = Listener(proxy, config.client_sockets, config.value_room, net, config.limits)
+        listener = Listener(
+            proxy, config.client_sockets, config.client_memory_bytes, net, config.limits
+        )
         port = listener.start(config.listen).port
         proxies.append((proxy, listener))
         crowds.append(Crowd(port, 4, seed=seed * PROXIES + number, keys=2_000))
--- a/limebridge/daemon_commands.py
+++ b/limebridge/daemon_commands.py
@@ -12,7 +12,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from violetroute.config import ConfigError, load, load_ours
+from violetroute.config import ConfigError, load, load_operator_files
 
 from . import effect
 
@@ -48,7 +48,7 @@
     path = str(operator) if operator is not None else None
     try:
         if path is not None and not environment.get("PROXY_CONFIG"):
-            ours, plan = load_ours(path)
+            ours, plan = load_operator_files(path)
             told = effect.of_operator(ours, path, None if plan is None else len(plan.nodes))
         else:
             told = effect.of_configuration(load(environment, path))
--- a/limebridge/effect.py
+++ b/limebridge/effect.py
@@ -41,7 +41,7 @@
         "discovery": f"{config.discovery.host}:{config.discovery.port}",
         "client connections": config.client_sockets,
         "node connections": config.upstream_sockets,
-        "room for values, KiB": config.value_room // 1024,
+        "room for values, KiB": config.client_memory_bytes // 1024,
         "known nodes": len(config.known.entries),
         "classes": [
             f"{c.name} ({c.effect.value}, {c.deadline:g} ms)" for c in config.settings.classes
--- a/limebridge/experiments/plan.py
+++ b/limebridge/experiments/plan.py
@@ -17,7 +17,7 @@
 from limebridge.rehearsal.scenario import Scenario, shipped
 from limebridge.rehearsal.vary import AT_SIZE, named_scenario, varied
 from violetroute.config import ConfigError
-from violetroute.config.tables import read_toml, typed
+from violetroute.config.tables import read_toml, to_struct
 
 BUILD, SCENARIO, POLICY, HERE = "build", "scenario", "policy.", "."
 MEASURES = {  # by name: whether more is better, and what it says
@@ -110,7 +110,7 @@
     for key in ("name", "text"):
         if key in raw:
             raise ConfigError(f"{path}: {key}: it is the file's own")
-    made = typed(raw, Experiment, str(path))
+    made = to_struct(raw, Experiment, str(path))
     made = msgspec.structs.replace(made, name=path.stem, text=path.read_text())
     _check(made, str(path))
     return made
@@ -134,7 +134,7 @@
     for key, levels in made.factors.items():
         ranged = made.design.kind in ("latin", "sobol") and isinstance(levels, dict)
         if ranged:
-            found = typed(levels, Range, f"{path}: [factors] {key}")
+            found = to_struct(levels, Range, f"{path}: [factors] {key}")
             if not found.low < found.high:
                 raise ConfigError(f"{path}: [factors] {key}: from has to be below to")
         elif not isinstance(levels, list) or not levels:
--- a/limebridge/experiments/worker.py
+++ b/limebridge/experiments/worker.py
@@ -23,7 +23,7 @@
 from limebridge.rehearsal.report import plain
 from limebridge.rehearsal.scenario import Scenario, check
 from violetroute.config import ConfigError
-from violetroute.config.tables import typed
+from violetroute.config.tables import to_struct
 
 from .plan import digest
 
@@ -112,7 +112,7 @@
     """What came of a job: never an exception."""
     began = time.monotonic()
     try:
-        scenario = typed(job["scenario"], Scenario, "scenario")
+        scenario = to_struct(job["scenario"], Scenario, "scenario")
         check(scenario, "scenario")
         with patched(job["constants"]):
             told = play(scenario, job["seed"]) | {"scenario": digest(job["scenario"])}
--- a/limebridge/faults/plan.py
+++ b/limebridge/faults/plan.py
@@ -15,7 +15,7 @@
 import msgspec
 import tomli_w
 
-from violetroute.config.tables import read_toml, typed
+from violetroute.config.tables import read_toml, to_struct
 
 Kind = Literal[
     # to a process
@@ -161,7 +161,7 @@
 
 
 def read_as(path: Path, kind: type[P]) -> P:
-    return typed(read_toml(str(path)), kind, str(path))
+    return to_struct(read_toml(str(path)), kind, str(path))
 
 
 def dump(plan: msgspec.Struct) -> str:
--- a/limebridge/placement/fleet.py
+++ b/limebridge/placement/fleet.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from violetroute.config import ConfigError
-from violetroute.config.tables import names, read_toml, typed
+from violetroute.config.tables import check_names, read_toml, to_struct
 
 Share = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
 Above0 = Annotated[float, msgspec.Meta(gt=0.0, le=1e9)]
@@ -154,7 +154,7 @@
 
 def parse_fleet(raw: dict[str, Any], path: str) -> Fleet:
     """`raw` as tomllib gives it, checked whole; `path` is for the error's text."""
-    fleet = typed(raw, Fleet, path)
+    fleet = to_struct(raw, Fleet, path)
     _refers(fleet, path)
     _bounds(fleet, path)
     return fleet
@@ -168,8 +168,8 @@
     if not machines:
         raise ConfigError(f"{path}: [nodes]: at least one is needed")
     for place, node in enumerate(fleet.nodes, 1):
-        names([node.site], fleet.sites, path, f"nodes[{place}] site", "site")
-        names([node.kind], fleet.kinds, path, f"nodes[{place}] kind", "kind")
+        check_names([node.site], fleet.sites, path, f"nodes[{place}] site", "site")
+        check_names([node.kind], fleet.kinds, path, f"nodes[{place}] kind", "kind")
     seen: set[str] = set()
     for node in machines:
         if node.name in seen:
@@ -183,9 +183,9 @@
         if loss.name in called:
             raise ConfigError(f"{path}: [{table}] name: {loss.name} is there twice")
         called.add(loss.name)
-        names(filter(None, [loss.site]), fleet.sites, path, f"{table} site", "site")
-        names(filter(None, [loss.kind]), fleet.kinds, path, f"{table} kind", "kind")
-        names(loss.nodes, seen, path, f"{table} nodes", "node")
+        check_names(filter(None, [loss.site]), fleet.sites, path, f"{table} site", "site")
+        check_names(filter(None, [loss.kind]), fleet.kinds, path, f"{table} kind", "kind")
+        check_names(loss.nodes, seen, path, f"{table} nodes", "node")
 
 
 def _bounds(fleet: Fleet, path: str) -> None:
--- a/limebridge/rehearsal/scenario.py
+++ b/limebridge/rehearsal/scenario.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from violetroute.config import ConfigError, Operator
-from violetroute.config.tables import read_toml, typed
+from violetroute.config.tables import read_toml, to_struct
 
 from .trace import read
 
@@ -248,7 +248,7 @@
     if "name" in raw:
         raise ConfigError(f"{path}: name: it is the file's")
     try:
-        scenario = typed(raw, Scenario, str(path))
+        scenario = to_struct(raw, Scenario, str(path))
     except ConfigError as error:
         raise ConfigError(f"{error}{_near(str(error))}") from None
     check(scenario, str(path))
--- a/limebridge/rehearsal/vary.py
+++ b/limebridge/rehearsal/vary.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from violetroute.config import ConfigError
-from violetroute.config.tables import typed
+from violetroute.config.tables import to_struct
 
 from .scenario import Scenario, check, load, shipped
 
@@ -42,7 +42,7 @@
         if table != msgspec.to_builtins(getattr(type(scenario.operator)(), name))
     }
     path = f"{scenario.name} with {', '.join(f'{k}={v}' for k, v in changes.items())}"
-    made = typed(raw, Scenario, path)
+    made = to_struct(raw, Scenario, path)
     check(made, path)
     return made
 
--- a/limebridge/scale/measure_connections.py
+++ b/limebridge/scale/measure_connections.py
@@ -70,7 +70,7 @@
         self.charge, self.done, self.request = 0, False, None
         self.served = False
 
-    def left(self) -> bool:
+    def client_left(self) -> bool:
         return False
 
     def finish(self, *parts: bytes | bytearray) -> None:
--- a/limebridge/scale/target.py
+++ b/limebridge/scale/target.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from violetroute.config import ConfigError
-from violetroute.config.tables import read_toml, typed
+from violetroute.config.tables import read_toml, to_struct
 
 SECONDS_PER_DAY = 86_400.0
 TARGET_FILE = Path(__file__).with_name("target.toml")
@@ -69,7 +69,7 @@
     ConfigError with one line that names the key when it can't be used.
     """
     name = str(path or TARGET_FILE)
-    target = typed(read_toml(name), _File, name).target
+    target = to_struct(read_toml(name), _File, name).target
     _check_counts(target, name)
     return target
 
--- a/limebridge/virtual/process.py
+++ b/limebridge/virtual/process.py
@@ -101,7 +101,7 @@
             metered: Any = Metered(self.proxy._balancer, self.meter)
             self.proxy._balancer = self.proxy._arrivals.balancer = metered
         self.listener = Listener(
-            self.proxy, config.client_sockets, config.value_room, net, config.limits
+            self.proxy, config.client_sockets, config.client_memory_bytes, net, config.limits
         )
         listen = Address(config.listen.host, port or config.listen.port)
         self.state = "up"
--- a/tests/limebridge/virtual/test_virtual.py
+++ b/tests/limebridge/virtual/test_virtual.py
@@ -107,7 +107,7 @@
         config = parse(raw)
         net = SocketNetwork(loop, make=kernel.maker("proxy"), clock=lambda: kernel.now)
         proxy = Proxy(config, net)
-        listener = Listener(proxy, config.client_sockets, config.value_room, net)
+        listener = Listener(proxy, config.client_sockets, config.client_memory_bytes, net)
         port = listener.start(config.listen).port
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         answers = []
--- a/tests/planted/left_unseen.py
+++ b/tests/planted/left_unseen.py
@@ -4,4 +4,4 @@
 
 
 def plant():
-    ClientConnection.left = lambda self: False
+    ClientConnection.client_left = lambda self: False
--- a/tests/support/rig.py
+++ b/tests/support/rig.py
@@ -94,7 +94,7 @@
         net = SocketNetwork(asyncio.get_running_loop(), self.turns)
         self.proxy = Proxy(self.config, net)
         self.listener = Listener(
-            self.proxy, self.config.client_sockets, self.config.value_room, net
+            self.proxy, self.config.client_sockets, self.config.client_memory_bytes, net
         )
         self.port = self.listener.start(self.config.listen).port
         return self
--- a/tests/violetroute/clients/test_crossings.py
+++ b/tests/violetroute/clients/test_crossings.py
@@ -351,11 +351,11 @@
             raise RuntimeError("a fault of ours")
 
         first = next(iter(here.listener._unread))
-        first.left = fault
+        first.client_left = fault
         await asyncio.sleep(0.2)
         clients[1][1].close()
         clients[0][1].close()
-        del first.left
+        del first.client_left
         await here.until(lambda: not here.listener.connections, GONE)
 
     scene(part, sockets=1024)
--- a/tests/violetroute/config/test_configuration.py
+++ b/tests/violetroute/config/test_configuration.py
@@ -15,7 +15,14 @@
 from limebridge.cli import app
 from tests.support.paths import ROOT
 from tests.support.rig import SETTINGS, configuration
-from violetroute.config import Config, ConfigError, Operator, load, restart_needed, until_restart
+from violetroute.config import (
+    Config,
+    ConfigError,
+    Operator,
+    effective_operator,
+    load,
+    restart_needed,
+)
 from violetroute.config.operator import load_operator, parse_operator
 from violetroute.config.tables import LARGEST
 
@@ -182,7 +189,7 @@
     ours = loaded(tmp_path, raw, "[limits]\nclient_share = 0.75\nvalue_share = 0.2")
     assert (plain.client_sockets, plain.upstream_sockets) == (110, 90)
     assert (ours.client_sockets, ours.upstream_sockets) == (150, 50)
-    assert ours.value_room == plain.value_room // 2 == 20 * 1024 * 1024
+    assert ours.client_memory_bytes == plain.client_memory_bytes // 2 == 20 * 1024 * 1024
 
 
 def test_what_needs_a_restart_is_said() -> None:
@@ -195,11 +202,11 @@
 def test_what_needs_a_restart_holds_as_it_was_and_the_rest_is_new() -> None:
     running = parse_operator({"fleet": {"store": "folder", "folder": "/lease"}}, "f")
     file = parse_operator({"limits": {"client_share": 0.6, "depth": 5}}, "f")
-    holds = until_restart(running, file)
+    holds = effective_operator(running, file)
     assert holds.fleet == running.fleet and holds.limits.depth == 5
     assert holds.limits.client_share == running.limits.client_share
     assert restart_needed(holds, file) == restart_needed(running, file)
-    assert until_restart(running, running) == running
+    assert effective_operator(running, running) == running
 
 
 def test_check_says_what_follows_or_refuses_with_2(tmp_path: Path) -> None:
--- a/tests/violetroute/fleet/test_fleet_guards.py
+++ b/tests/violetroute/fleet/test_fleet_guards.py
@@ -41,7 +41,7 @@
 from violetroute.fleet.table import FleetTable
 from violetroute.ledger.accounts import Book
 from violetroute.ledger.periods import Periods
-from violetroute.placement import Keeper, PlacementTable, Plan
+from violetroute.placement import PlacementTable, Plan, PlanManager
 from violetroute.placement import keeper as placement
 from violetroute.transport import Address
 from violetroute.transport.sockets import SocketNetwork
@@ -360,7 +360,7 @@
     path.write_bytes(msgspec.json.encode(Plan(1, 0.0, {"a": 1.0}, fence=1)))
     load = placement.load_plan
     monkeypatch.setattr(placement, "load_plan", lambda of: reads.append(1) or load(of))
-    keeper = Keeper(loop, lambda: 0.0, lambda sizes: None)
+    keeper = PlanManager(loop, lambda: 0.0, lambda sizes: None)
     keeper.take(None, PlacementTable(file=str(path), every_s=0.001))
     loop.run_until_complete(asyncio.sleep(3.0))
     assert len(reads) == 1 and keeper._plan is not None
--- a/tests/violetroute/placement/test_placement.py
+++ b/tests/violetroute/placement/test_placement.py
@@ -23,9 +23,9 @@
 from violetroute.config import ConfigError, load
 from violetroute.config.operator import parse_operator
 from violetroute.membership import stable_hash
-from violetroute.placement import Keeper, Like, PlacementTable, Plan, Ramp, load_plan
-from violetroute.placement.keeper import STEP
+from violetroute.placement import ListedNode, PlacementTable, Plan, PlanManager, Ramp, load_plan
 from violetroute.placement.plan import sizes as sizes_of
+from violetroute.placement.plan_manager import STEP
 from violetroute.placement.ramp import moved, parts
 
 Sizes = dict[int, float]
@@ -82,7 +82,7 @@
         self.loop = VirtualLoop(kernel)
         self.said: list[Sizes] = []
         self.events: list[str] = []
-        self.keeper = Keeper(self.loop, lambda: 7200.0, self._sizes)
+        self.keeper = PlanManager(self.loop, lambda: 7200.0, self._sizes)
 
     def _sizes(self, sizes: Mapping[int, float]) -> None:
         self.said.append({round(n): round(s, 4) for n, s in sizes.items()})
@@ -90,7 +90,7 @@
     def listed(self, *names: str, whole: bool = True, gone: tuple[str, ...] = ()) -> None:
         self.keeper.listed(
             whole,
-            [(int(n[1:]), Like(n, "a", "old" if int(n[1:]) < 5 else "fast")) for n in names],
+            [(int(n[1:]), ListedNode(n, "a", "old" if int(n[1:]) < 5 else "fast")) for n in names],
             gone,
         )
 
@@ -301,8 +301,8 @@
     loop = VirtualLoop(Kernel())
     table = PlacementTable(file="-", seen=str(tmp_path / "seen"))
 
-    def keeper() -> Keeper:
-        return Keeper(loop, lambda: 0.0, lambda sizes: None)
+    def keeper() -> PlanManager:
+        return PlanManager(loop, lambda: 0.0, lambda sizes: None)
 
     one = keeper()
     one.take(published(4, 7), table)
@@ -329,7 +329,7 @@
     path = tmp_path / "plan.json"
     table = PlacementTable(file=str(path), every_s=1.0)
     path.write_bytes(msgspec.json.encode(published(1)))
-    keeper = Keeper(loop, lambda: 0.0, lambda sizes: None)
+    keeper = PlanManager(loop, lambda: 0.0, lambda sizes: None)
     keeper.take(load_plan(str(path)), table)
     path.write_bytes(msgspec.json.encode(published(2)))
     loop.run_until_complete(asyncio.sleep(1.1))
@@ -405,7 +405,7 @@
     def lines(count: int) -> int:
         names = [f"s-{number}" for number in range(count)]
         plan = Plan(1, 0.0, dict.fromkeys(names, 1.0 / count))
-        listed = [Like(name, "a", "m") for name in names]
+        listed = [ListedNode(name, "a", "m") for name in names]
         return lines_run(lambda: sizes_of(plan, listed))
 
     assert lines(2000) <= 15 * lines(200)
--- a/violetroute/__main__.py
+++ b/violetroute/__main__.py
@@ -13,7 +13,7 @@
 from . import logs
 from .clients import Listener
 from .cluster import Dialect
-from .config import Config, ConfigError, LogTable, load, restart_needed, until_restart
+from .config import Config, ConfigError, LogTable, effective_operator, load, restart_needed
 from .logs import Logs
 from .proxy import Proxy
 from .transport.lines import LineWriter
@@ -46,7 +46,7 @@
         self.listener = Listener(
             self.proxy,
             config.client_sockets,
-            config.value_room,
+            config.client_memory_bytes,
             net,
             config.limits,
             _dialect(config),
@@ -103,7 +103,7 @@
         fixed += restart_needed(before.operator, config.operator)
         if fixed:
             logs.event("config.restart_needed", keys=",".join(fixed))
-        config = replace(config, operator=until_restart(before.operator, config.operator))
+        config = replace(config, operator=effective_operator(before.operator, config.operator))
         self.config = config
         self._log_handler.configure(config.operator.log)
         self.listener.limits = config.limits
--- a/violetroute/arrivals.py
+++ b/violetroute/arrivals.py
@@ -33,7 +33,7 @@
         self.balancer, self._refusals = balancer, refusals
         self.classes: Mapping[str, RequestClass] = {}  # may be replaced at any time
 
-    def turned_away(self, command: Command, taken: int, waited: float) -> bytes | None:
+    def rejection(self, command: Command, taken: int, waited: float) -> bytes | None:
         """The refusal of a command, or None: then its wait counts from when it was sent.
 
         `taken`: commands taken from the same connection in this turn.  `waited`: seconds for which
--- a/violetroute/clients/answers.py
+++ b/violetroute/clients/answers.py
@@ -10,12 +10,12 @@
     from .connection import ClientConnection
 
 
-class Taker(Protocol):
+class RequestHandler(Protocol):
     """What clients know of the proxy."""
 
-    def turned_away(self, command: resp.Command, taken: int, waited: float) -> bytes | None: ...
+    def rejection(self, command: resp.Command, taken: int, waited: float) -> bytes | None: ...
     def take(self, command: resp.Command, answer: Answer) -> None: ...
-    def gone(self, answer: Answer) -> None: ...
+    def client_gone(self, answer: Answer) -> None: ...
 
 
 class Answer:
@@ -30,9 +30,9 @@
         self.done = False
         self.request: object = None  # the proxy's own mark
 
-    def left(self) -> bool:
+    def client_left(self) -> bool:
         """Whether its client has gone by now, asked of the kernel."""
-        return self._connection.left()
+        return self._connection.client_left()
 
     def finish(self, *parts: bytes | bytearray) -> None:
         """The whole answer; it is written when its turn has come."""
--- a/violetroute/clients/connection.py
+++ b/violetroute/clients/connection.py
@@ -86,7 +86,7 @@
         self._stream = None
         self._release_written()
         self._release_all()
-        self._listener.left(self)
+        self._listener.connection_lost(self)
 
     def drained(self) -> None:
         self._release_written()
@@ -94,7 +94,7 @@
             self.lingers_since = self._loop.time()  # only now can the client have seen the end
         self.flush()
 
-    def left(self) -> bool:
+    def client_left(self) -> bool:
         """Whether the client has gone, asked of the kernel: also where its end stands unread."""
         return self._stream is None or self._stream.closing or self._stream.peer_ended()
 
@@ -111,7 +111,7 @@
         for answer in answers:
             answer.drop()
             if not answer.done:
-                self._listener.taker.gone(answer)
+                self._listener.taker.client_gone(answer)
             answer.request = None
 
     # --- commands ---
@@ -168,7 +168,7 @@
             return
         taker, answer = self._listener.taker, None
         waited = self._read_delay.waited(self._loop.time())
-        if waited > LATE and self.left():
+        if waited > LATE and self.client_left():
             self.ended()  # found by exploration: read in the second turn after a pause
             return
         try:
@@ -176,7 +176,7 @@
             if dialect is not None and (moved := dialect.moved(command.key)) is not None:
                 self._owe().finish(moved)
                 return
-            refusal = taker.turned_away(command, self._taken_now(), waited)
+            refusal = taker.rejection(command, self._taken_now(), waited)
             if refusal is not None:  # in an overload of our own, so it must cost next to nothing
                 self._refuse(refusal)
                 return
--- a/violetroute/clients/listener.py
+++ b/violetroute/clients/listener.py
@@ -10,7 +10,7 @@
 from violetroute.config.operator import Limits
 from violetroute.transport import Address, Door, Network
 
-from .answers import Taker
+from .answers import RequestHandler
 from .budget import Budget
 from .connection import ClientConnection
 
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        taker: Taker,
+        taker: RequestHandler,
         slots: int,
         room: int,
         net: Network,
@@ -221,13 +221,13 @@
             self.loop.call_later(LEAVERS, self._look_for_leavers) if self._unread else None
         )
         for connection in list(self._unread):
-            if connection.left():
+            if connection.client_left():
                 connection.ended()
 
     def lingering(self, connection: ClientConnection) -> None:
         self._move(connection, self._lingering)
 
-    def left(self, connection: ClientConnection) -> None:
+    def connection_lost(self, connection: ClientConnection) -> None:
         self._unread.pop(connection, None)
         if connection.state is not None:
             del connection.state[connection]
--- a/violetroute/cluster/redirects.py
+++ b/violetroute/cluster/redirects.py
@@ -25,7 +25,7 @@
 class Redirect:
     """`address` is None where it makes no sense; `slot` is -1 then too."""
 
-    asks: bool
+    is_ask: bool
     slot: int
     address: Address | None
 
@@ -60,7 +60,7 @@
 
     def learn(self, redirect: Redirect) -> None:
         """Take in a redirection; ASK and those that make no sense teach nothing."""
-        if redirect.address is not None and not redirect.asks:
+        if redirect.address is not None and not redirect.is_ask:
             self._owner[redirect.slot] = redirect.address
 
     def served(self, key: bytes, address: Address | None) -> None:
--- a/violetroute/config/__init__.py
+++ b/violetroute/config/__init__.py
@@ -1,8 +1,8 @@
 """What the daemon is told: the platform's PROXY_* and JSON, and the operator's own file."""
 
 from .errors import ConfigError
-from .operator import Limits, LogTable, Operator, restart_needed, until_restart
-from .platform import Config, load, load_ours, parse
+from .operator import Limits, LogTable, Operator, effective_operator, restart_needed
+from .platform import Config, load, load_operator_files, parse
 
 __all__ = [
     "Config",
@@ -10,9 +10,9 @@
     "Limits",
     "LogTable",
     "Operator",
+    "effective_operator",
     "load",
-    "load_ours",
+    "load_operator_files",
     "parse",
     "restart_needed",
-    "until_restart",
 ]
--- a/violetroute/config/operator.py
+++ b/violetroute/config/operator.py
@@ -27,7 +27,7 @@
 from violetroute.transport import parse_address
 
 from .errors import ConfigError
-from .tables import names, read_toml, typed
+from .tables import check_names, read_toml, to_struct
 
 Share = Annotated[float, msgspec.Meta(ge=0.05, le=0.95)]
 Seconds = Annotated[float, msgspec.Meta(ge=0.01, le=3600.0)]
@@ -45,7 +45,7 @@
 
 def check_log(table: LogTable, path: str) -> None:
     """ConfigError names the key of `[log]` that can't be meant."""
-    names(table.events, EVENTS, path, "log.events", "event")
+    check_names(table.events, EVENTS, path, "log.events", "event")
 
 
 class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -98,7 +98,7 @@
 
 
 # A table as tomllib gives it, the whole file being one: before it is checked it may hold any keys,
-# and values of any type that TOML has.  `typed` makes a record of it.
+# and values of any type that TOML has.  `to_struct` makes a record of it.
 TomlTable = dict[str, object]
 
 # The file's tables in, the tables to check out.
@@ -115,7 +115,7 @@
 
 def parse_operator(raw: TomlTable, path: str) -> Operator:
     """`raw` as tomllib gives it; `path` is for the error's text."""
-    operator = typed(raw, Operator, path)
+    operator = to_struct(raw, Operator, path)
     check_log(operator.log, path)
     for agent in operator.consul.agents:
         try:
@@ -255,7 +255,7 @@
 def restart_needed(before: Operator, now: Operator) -> list[str]:
     """Keys and tables that differ and are taken on at the next start only.
 
-    `before` is what the process runs: see `until_restart`.
+    `before` is what the process runs: see `effective_operator`.
     """
     keys = [
         f"limits.{key}"
@@ -276,7 +276,7 @@
     ]
 
 
-def until_restart(before: Operator, now: Operator) -> Operator:
+def effective_operator(before: Operator, now: Operator) -> Operator:
     """What a process that runs `before` has in force of the file `now`.
 
     A table that `restart_needed` names stays whole as it was, even if the file has it no more; of
--- a/violetroute/config/platform.py
+++ b/violetroute/config/platform.py
@@ -176,7 +176,7 @@
         return max(1, self.sockets - RESERVED_SOCKETS - self.upstream_sockets)
 
     @property
-    def value_room(self) -> int:
+    def client_memory_bytes(self) -> int:
         """Bytes of values and answers that all clients together may keep in memory."""
         room = (self.memory_mb - PROCESS_MB) * self.limits.value_share * 1024 * 1024
         return max(LEAST_VALUES, int(room))
@@ -204,7 +204,7 @@
     if not path:
         raise ConfigError("PROXY_CONFIG is not set")
     operator = operator or env.get("LIMEBRIDGE_OPERATOR") or None
-    ours, plan = load_ours(operator, merged)
+    ours, plan = load_operator_files(operator, merged)
     try:
         raw = _read(path) if with_known else _read_without_known(path)
         config = replace(_config(raw, env, ours, operator), plan=plan)
@@ -230,7 +230,7 @@
         raise ConfigError(f"{operator}: [cluster] {error}") from error
 
 
-def load_ours(
+def load_operator_files(
     operator: str | None, merged: MergeTables | None = None
 ) -> tuple[Operator, Plan | None]:
     """The operator's file alone, with the files that it names.  ConfigError as `load`."""
--- a/violetroute/config/tables.py
+++ b/violetroute/config/tables.py
@@ -33,7 +33,7 @@
         raise ConfigError(f"{path}: {one_line(error)}") from error
 
 
-def typed(raw: Mapping[str, Any], struct: type[T], path: str) -> T:
+def to_struct(raw: Mapping[str, Any], struct: type[T], path: str) -> T:
     """`raw` as a `struct`.  ConfigError with file, table and key, and the near name if any."""
     _known(raw, struct, path, "")
     try:
@@ -43,7 +43,9 @@
         raise ConfigError(f"{path}: {f'[{table}] ' if table else ''}{key}: {text}") from error
 
 
-def names(used: Iterable[str], there_are: Iterable[str], path: str, table: str, kind: str) -> None:
+def check_names(
+    used: Iterable[str], there_are: Iterable[str], path: str, table: str, kind: str
+) -> None:
     """ConfigError for a name that there is not, with the one that was likely meant."""
     known = list(there_are)
     for name in used:
@@ -74,7 +76,7 @@
 
 def _known(raw: Mapping[str, Any], struct: type[msgspec.Struct], path: str, table: str) -> None:
     fields = {field.encode_name: field for field in msgspec.structs.fields(struct)}
-    names(raw, fields, path, table, "key" if table else "table")
+    check_names(raw, fields, path, table, "key" if table else "table")
     for key, value in raw.items():
         place = f"{table}.{key}" if table else key
         for more, each, inner in _inner(fields[key].type, value):
--- a/violetroute/distribution/configuration.py
+++ b/violetroute/distribution/configuration.py
@@ -18,7 +18,7 @@
 
 from violetroute.config import ConfigError
 from violetroute.config.operator import Operator, TomlTable
-from violetroute.config.tables import typed
+from violetroute.config.tables import to_struct
 from violetroute.error_text import one_line
 
 from .configuration_change import ConfigurationChange
@@ -161,7 +161,7 @@
     if local:
         raise TableRefusedError(f"[{name}] {local[0]}: is set by each machine's own file")
     try:
-        typed({name: table}, Operator, "published")
+        to_struct({name: table}, Operator, "published")
     except ConfigError as error:
         raise TableRefusedError(str(error)) from None
     return table
--- a/violetroute/distribution/control_file.py
+++ b/violetroute/distribution/control_file.py
@@ -8,7 +8,7 @@
 
 from violetroute.config import ConfigError, LogTable
 from violetroute.config.operator import check_fleet, check_log
-from violetroute.config.tables import read_toml, typed
+from violetroute.config.tables import read_toml, to_struct
 from violetroute.fleet.table import FleetTable
 from violetroute.ledger.table import LedgerTable
 from violetroute.sharing.table import read_keys
@@ -73,7 +73,7 @@
 
 def load_control_file(path: str) -> ControlFile:
     """ConfigError, one line that names the file and the key."""
-    file = typed(read_toml(path), ControlFile, path)
+    file = to_struct(read_toml(path), ControlFile, path)
     try:
         _check(file)
     except ValueError as error:
--- a/violetroute/listing.py
+++ b/violetroute/listing.py
@@ -18,7 +18,7 @@
 
 from . import logs
 from .membership import Entry, Listing, Places, as_member, stable_hash
-from .placement import Keeper, Like
+from .placement import ListedNode, PlanManager
 from .upstream import Pool
 
 SLICE = 16  # nodes that one turn brings into service: about 2 ms of CPU
@@ -162,10 +162,10 @@
         logs.event("membership.changed", left=len(step.left), joining=joining, serving=serving)
 
 
-def tell_placement(step: Step, whole: bool, keeper: Keeper) -> None:
+def tell_placement(step: Step, whole: bool, keeper: PlanManager) -> None:
     """Tell the placement plan which nodes serve, and which do not any more.
 
     `whole`: it is the first list of all.
     """
-    nodes = ((number, Like(e.instance, e.zone, e.kind)) for number, e in step.serving)
+    nodes = ((number, ListedNode(e.instance, e.zone, e.kind)) for number, e in step.serving)
     keeper.listed(whole, nodes, step.left)
--- a/violetroute/placement/__init__.py
+++ b/violetroute/placement/__init__.py
@@ -1,7 +1,7 @@
 """Shares worked out ahead: the plan's file, and how the daemon takes it on (`[placement]`)."""
 
-from .keeper import Keeper
-from .plan import Like, PlacementTable, Plan, load_plan
+from .plan import ListedNode, PlacementTable, Plan, load_plan
+from .plan_manager import PlanManager
 from .ramp import Ramp
 
-__all__ = ["Keeper", "Like", "PlacementTable", "Plan", "Ramp", "load_plan"]
+__all__ = ["ListedNode", "PlacementTable", "Plan", "PlanManager", "Ramp", "load_plan"]
--- a/violetroute/placement/plan.py
+++ b/violetroute/placement/plan.py
@@ -67,7 +67,7 @@
         return sum(share > 0.0 for share in self.nodes.values())
 
 
-class Like(msgspec.Struct, frozen=True):
+class ListedNode(msgspec.Struct, frozen=True):
     """What a plan goes by."""
 
     name: str
@@ -97,14 +97,14 @@
         raise ValueError(f"{path}: {key}{text}") from error
 
 
-def sizes(plan: Plan, listed: Iterable[Like]) -> dict[str, float]:
+def sizes(plan: Plan, listed: Iterable[ListedNode]) -> dict[str, float]:
     """The size of each listed node that the plan knows the like of."""
     found = ((node.name, plan.share(node.name, node.site, node.kind)) for node in listed)
     even = plan.even  # costs a look at each node of the plan
     return {name: share * even for name, share in found if share is not None}
 
 
-def unfit(plan: Plan, listed: Mapping[str, Like], least_match: float) -> str:
+def unfit(plan: Plan, listed: Mapping[str, ListedNode], least_match: float) -> str:
     """Why a plan is not for these nodes; empty when it is.
 
     Guards against the plan of another fleet, or one from before most nodes were replaced: its
--- a/violetroute/placement/keeper.py
+++ b/violetroute/placement/plan_manager.py
@@ -8,7 +8,7 @@
 from violetroute import logs
 
 from .plan import (
-    Like,
+    ListedNode,
     PlacementTable,
     Plan,
     changed,
@@ -24,24 +24,23 @@
 LOOKS = 0.1  # s at least between two looks at the plan's file
 
 
-class Keeper:
+class PlanManager:
     """One plan at a time, or none.
 
-    `tell_sizes` is called with sizes by node id whenever they change, and with nothing when no
-    plan holds.  `clock` is the wall's, in seconds.  One timer at most, while sizes are on their
-    way; `close` ends it.
+    `on_sizes_changed` receives the sizes by node id whenever they change, and an empty mapping when
+    no plan is in force.  `clock` returns Unix seconds.  `close` cancels the timers.
     """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         clock: Callable[[], float],
-        tell_sizes: Callable[[Mapping[int, float]], None],
+        on_sizes_changed: Callable[[Mapping[int, float]], None],
     ) -> None:
-        self._loop, self._clock, self._tell_sizes = loop, clock, tell_sizes
+        self._loop, self._clock, self._on_sizes_changed = loop, clock, on_sizes_changed
         self._plan: Plan | None = None
         self._table = PlacementTable()
-        self._listed: dict[str, Like] = {}
+        self._listed: dict[str, ListedNode] = {}
         self._ids: dict[str, int] = {}
         self._ramp = Ramp(self._table.moved_per_s)
         self._told: dict[int, float] = {}
@@ -74,7 +73,9 @@
         if not first:
             self._aim()
 
-    def listed(self, whole: bool, here: Iterable[tuple[int, Like]], gone: Iterable[str]) -> None:
+    def listed(
+        self, whole: bool, here: Iterable[tuple[int, ListedNode]], gone: Iterable[str]
+    ) -> None:
         """News of the list: the nodes that serve, by id and name, and the names that do not."""
         first = not self._listed
         if whole:
@@ -191,4 +192,4 @@
             self._ramp.jump({})
         if self._ramp.now != self._told:
             self._told = dict(self._ramp.now)
-            self._tell_sizes(self._told)
+            self._on_sizes_changed(self._told)
--- a/violetroute/proxy.py
+++ b/violetroute/proxy.py
@@ -38,7 +38,7 @@
 from .listing import ListApplier, log_step, tell_placement
 from .membership import Listing, Membership, Places, stable_hash
 from .parts import Parts
-from .placement import Keeper
+from .placement import PlanManager
 from .pulse import Pulse
 from .refusals import Refusals
 from .requests import FAILED, OpenRequest, fault, refusal, time_for
@@ -76,12 +76,12 @@
             loop, self._turns, self.clock, self._balancer, self.parts, self._refusals
         )
         self._arrivals.classes = self._classes
-        self.turned_away = self._arrivals.turned_away  # called once for each command
+        self.rejection = self._arrivals.rejection  # called once for each command
         self._pool = Pool.of(self, net, config)
         self._slots = SlotMap()
         self._lists = ListApplier(loop, self.places, self._pool, self.clock, self._tell_members)
         self._watch = Membership(self, net, config.discovery, config.operator, self.clock)
-        self._placement = Keeper(loop, net.wall, self._tell_sizes)
+        self._placement = PlanManager(loop, net.wall, self._tell_sizes)
         self._placement.take(config.plan, config.operator.placement)
         self._tell_list(self._watch.known(config.known), ListKind.CACHED)
 
@@ -161,7 +161,7 @@
         )
         self._forget(request)  # it may have been refused at once
 
-    def gone(self, answer: Answer) -> None:
+    def client_gone(self, answer: Answer) -> None:
         """The client has gone away: nothing more is owed, sent or written."""
         request = answer.request
         if not isinstance(request, OpenRequest) or request.answered:
@@ -338,7 +338,7 @@
         return (
             request is not None
             and request.may_begin(attempt, self.clock())
-            and not (self._turns.late(self._loop.time()) and request.answer.left())
+            and not (self._turns.late(self._loop.time()) and request.answer.client_left())
         )
 
     def _timer(self, label: int) -> None:
--- a/violetroute/resp/replies.py
+++ b/violetroute/resp/replies.py
@@ -12,7 +12,7 @@
 class Reply:
     """Reads one reply."""
 
-    __slots__ = ("_item", "_text", "extras", "line", "value", "whole")
+    __slots__ = ("_item", "_text", "complete", "extras", "line", "value")
 
     def __init__(self) -> None:
         self._item = -1  # which of the array's items is being read
@@ -20,18 +20,18 @@
         self.value: bytes | bytearray = bytearray()
         self.extras: list[bytes | None] = []  # how it went, the load report
         self.line: Line | None = None
-        self.whole = False
+        self.complete = False
 
     @property
-    def untouched(self) -> bool:
+    def is_empty(self) -> bool:
         return self._item < 0
 
-    def served(self, value: bytes, how: bytes, report: bytes | None) -> None:
+    def set_served(self, value: bytes, how: bytes, report: bytes | None) -> None:
         """Take a whole reply in one go."""
-        self.value, self.extras, self.whole = value, [how, report], True
+        self.value, self.extras, self.complete = value, [how, report], True
 
     @property
-    def valued(self) -> bool:
+    def has_value(self) -> bool:
         """The value is whole: what follows only tells how it went."""
         return self._item > 0
 
@@ -39,7 +39,7 @@
         """Take one token."""
         match token:
             case Line(kind) if self._item < 0 and kind == "-":
-                self.line, self.whole = token, True
+                self.line, self.complete = token, True
             case Array(3) if self._item < 0:
                 self._item = 0
             case Bulk() if self._item == 0:
@@ -62,7 +62,7 @@
     def _extra(self, text: bytes | None) -> None:
         self.extras.append(text)
         self._item += 1
-        self.whole = len(self.extras) == 2
+        self.complete = len(self.extras) == 2
 
 
 def parse_report(text: bytes | None) -> dict[str, float] | None:
--- a/violetroute/upstream/connection.py
+++ b/violetroute/upstream/connection.py
@@ -71,7 +71,7 @@
         except resp.ProtocolError:
             self._spoilt()
         # What answers ASKING is no beginning of the answer: that may take its time.
-        begun = not (self._asking or (self._reply.untouched and self._decoder.idle))
+        begun = not (self._asking or (self._reply.is_empty and self._decoder.idle))
         if self.attempt is not None and self._patience is None and begun:
             self._patience = self._pool.loop.call_later(self._pool.limits.reply_s, self._spoilt)
 
@@ -125,13 +125,13 @@
             if not isinstance(token, resp.Line) or token.kind != "+":
                 raise resp.ProtocolError("ASKING is not answered with a simple string")
             self._asking = False
-        if self._reply.untouched and (served := self._decoder.reply()) is not None:
-            self._reply.served(*served)
+        if self._reply.is_empty and (served := self._decoder.reply()) is not None:
+            self._reply.set_served(*served)
             self._complete()
             return
         while self.attempt is not None and (token := self._decoder.next()) is not None:
             self._reply.take(token)
-            if self._reply.whole:
+            if self._reply.complete:
                 self._complete()
 
     def _spoilt(self) -> None:
@@ -146,7 +146,7 @@
         """
         if self.attempt is None:
             return
-        if self.handed_over and self._reply.valued:
+        if self.handed_over and self._reply.has_value:
             self._complete(clean=False)
         else:
             self._break(Result.SPOILT)
@@ -177,7 +177,7 @@
             redirect = parse_redirect(reply.line.text, self.node.address)
             if redirect is not None:
                 self._pool.sink.attempt_ended(
-                    attempt, Result.ASKED if redirect.asks else Result.MOVED, redirect=redirect
+                    attempt, Result.ASKED if redirect.is_ask else Result.MOVED, redirect=redirect
                 )
                 return
             if word in NOT_RUN:
