--- a/tests/planted/budget_leak.py
+++ b/tests/planted/budget_leak.py
@@ -4,4 +4,4 @@
 
 
 def plant():
-    Answer.drop = lambda self: self._held.clear()
+    Answer.drop = lambda self: self._unwritten.clear()
--- a/tests/planted/pause_forgotten.py
+++ b/tests/planted/pause_forgotten.py
@@ -4,4 +4,4 @@
 
 
 def plant():
-    ReadDelay.waited = lambda self, now: 0.0
+    ReadDelay.delay = lambda self, now: 0.0
--- a/tests/planted/window_forgotten.py
+++ b/tests/planted/window_forgotten.py
@@ -4,4 +4,4 @@
 
 
 def plant():
-    read_delay.CLOSED = 0
+    read_delay.WINDOW_DIVISOR = 0
--- a/tests/planted_in_soaks/drain_cuts.py
+++ b/tests/planted_in_soaks/drain_cuts.py
@@ -5,7 +5,7 @@
 
 def plant():
     async def cut(self, within):
-        for connection in [*self._serving, *self._idle, *self._partial, *self._silent]:
+        for connection in [*self._serving, *self._idle, *self._partial, *self._awaiting_first_byte]:
             connection.abort()
 
     Listener.drain = cut
--- a/tests/violetroute/clients/test_clients.py
+++ b/tests/violetroute/clients/test_clients.py
@@ -26,7 +26,7 @@
     soon,
     until,
 )
-from violetroute.clients.listener import ACCEPT_PAUSE, IDLE_LEAST
+from violetroute.clients.listener import ACCEPT_RETRY_INTERVAL, MIN_IDLE_TIME
 
 
 def play(part: Callable[..., Awaitable[None]], *nodes: Any, **limits: Any) -> None:
@@ -350,7 +350,7 @@
     await until(
         lambda: (
             list(rig.listener._idle)
-            and rig.listener.loop.time() - next(iter(rig.listener._idle)).since > IDLE_LEAST
+            and rig.listener.loop.time() - next(iter(rig.listener._idle)).since > MIN_IDLE_TIME
         )
     )
     writer.write(b"".join(commands))  # into the kernel at once, no turn of the loop in between
@@ -368,13 +368,13 @@
             listener._idle_limit = 0
             listener._trim_idle()
         elif close == "give way":
-            assert not listener._give_way()
+            assert not listener._evict_one()
         elif close == "overstay":
             listener._slots, listener.limits = (
                 1,
-                msgspec.structs.replace(listener.limits, idle_s=IDLE_LEAST),
+                msgspec.structs.replace(listener.limits, idle_s=MIN_IDLE_TIME),
             )
-            next(iter(listener._idle)).look(listener.loop.time())
+            next(iter(listener._idle)).check_timeouts(listener.loop.time())
         else:
             drained = asyncio.create_task(listener.drain(5.0))
         assert await read_answer(reader) == b"value of id1"
@@ -392,15 +392,15 @@
         writer.write(get(1))
         await until(lambda: rig.proxy.open_requests)
         connection = next(iter(rig.listener._serving))
-        ends = rig.listener._accept_the_rest
+        ends = rig.listener._accept_backlog
 
         def cut() -> None:  # what comes in the very turn in which the grace ends
             writer.write(get(2))
             ends()
 
-        rig.listener._accept_the_rest = cut  # type: ignore[method-assign]
+        rig.listener._accept_backlog = cut  # type: ignore[method-assign]
         drained = asyncio.create_task(rig.listener.drain(5.0))
-        await until(lambda: connection.last)
+        await until(lambda: connection.draining)
         assert rig.proxy.open_requests == 2
         served.set()
         assert [await read_answer(reader) for _ in range(2)] == [b"id1", b"id2"]
@@ -409,19 +409,19 @@
     play(part)
 
 
-@pytest.mark.parametrize("last_call", [False, True])
-def test_an_answer_in_a_drain_does_not_close_on_the_next_command(last_call: bool) -> None:
+@pytest.mark.parametrize("drain", [False, True])
+def test_an_answer_in_a_drain_does_not_close_on_the_next_command(drain: bool) -> None:
     # Nodes' answers come first in a turn: the command behind is still to be read in it.
     async def part(rig: Rig, node: CacheNode) -> None:
         listener = rig.listener
         reader, writer = await asked_unread(rig)
         connection = next(iter(listener._idle))
         listener.draining = True
-        if last_call:  # whoever went on asking would never come to an end
-            listener._accept_the_rest()
+        if drain:  # whoever went on asking would never come to an end
+            listener._accept_backlog()
         writer.write(get(1))
-        listener.idle(connection)  # as after the answer before
-        if not last_call:
+        listener.mark_idle(connection)  # as after the answer before
+        if not drain:
             assert await read_answer(reader) == b"value of id1"
         assert await closed(reader) == b""
 
@@ -436,7 +436,7 @@
         connection = next(iter(rig.listener._partial))
         connection.since -= rig.listener.limits.command_s
         writer.write(b".")
-        assert rig.listener._give_way()
+        assert rig.listener._evict_one()
         assert await closed(reader) == b""
 
     play(part)
@@ -468,16 +468,16 @@
         listener, loop = rig.listener, asyncio.get_running_loop()
         asking = asyncio.create_task(rig.ask(get(1)))
         await until(lambda: rig.proxy.open_requests)
-        listener._slots, looks, gives = 1, [], listener._give_way
+        listener._slots, looks, gives = 1, [], listener._evict_one
 
         def looked() -> bool:
             looks.append(loop.time())
             return gives()
 
-        listener._give_way = looked  # type: ignore[method-assign]
+        listener._evict_one = looked  # type: ignore[method-assign]
         second = asyncio.create_task(rig.ask(command(b"PING")))
         await until(lambda: len(looks) > 3)
-        assert looks[3] - looks[0] > 2 * ACCEPT_PAUSE  # and not at each poll
+        assert looks[3] - looks[0] > 2 * ACCEPT_RETRY_INTERVAL  # and not at each poll
         answer.set()
         assert await soon(asking) == [b"id1"] and await soon(second) == [b"+PONG"]
 
--- a/tests/violetroute/clients/test_crossings.py
+++ b/tests/violetroute/clients/test_crossings.py
@@ -76,7 +76,7 @@
             writer.write(get(1) + get(2))
         else:
             writer.write(put(1, value=b"v" * 60_000)[:30_000])
-        await here.until(lambda: here.listener._unread)
+        await here.until(lambda: here.listener._paused)
         assert here.proxy.open_requests == (128 if held_by == "depth" else 0)
         if end == "closes":
             writer.close()
@@ -87,10 +87,10 @@
         assert here.loop.time() - left_at <= GONE / 2
         await here.until(lambda: not here.proxy.open_requests, GONE / 2)
         await asyncio.sleep(3.0)
-        assert late(here, left_at) == [] and not here.listener._unread
+        assert late(here, left_at) == [] and not here.listener._paused
         if held_by != "depth":
             budget.release(budget._size)
-        assert budget.used == 0 and here.listener._leaving is None
+        assert budget.used == 0 and here.listener._departure_timer is None
 
     scene(part, sockets=1024)
 
@@ -101,10 +101,10 @@
             _, writer = await rig.client()
             for number in range(300):
                 writer.write(get(number))
-            await until(lambda: rig.listener._unread and rig.proxy.open_requests == 128)
+            await until(lambda: rig.listener._paused and rig.proxy.open_requests == 128)
             writer.close()
             await until(lambda: not rig.listener.connections and not rig.proxy.open_requests)
-            assert not rig.listener._unread and rig.listener.budget.used == 0
+            assert not rig.listener._paused and rig.listener.budget.used == 0
 
     asyncio.run(play())
 
@@ -275,7 +275,7 @@
         connection = next(iter(here.listener._serving))
         assert connection._decoder.unread
         stopped = asyncio.ensure_future(here.process.term())
-        await here.until(lambda: connection.last)
+        await here.until(lambda: connection.draining)
         writer.write(get(1000))  # crosses the close: its client asks again elsewhere
         answers = [await read_answer(reader) for _ in range(170)]  # some of them refused
         served = [b"id%d" % n for n in range(170) if answers[n] == b"value of id%d" % n]
@@ -296,7 +296,7 @@
         await here.until(lambda: here.begun)
         connection = next(iter(here.listener._serving))
         stopped = asyncio.ensure_future(here.process.term())
-        await here.until(lambda: connection.last)
+        await here.until(lambda: connection.draining)
         writer.close()
         await here.until(lambda: not here.proxy.open_requests, GONE)
         assert await stopped
@@ -321,7 +321,7 @@
         stopped = asyncio.ensure_future(here.process.term())
         for _ in range(5):
             assert len(await read_answer(reader)) == 60_000
-        await here.until(lambda: connection.lingers_since)
+        await here.until(lambda: connection.lingering_since)
         assert connection._stream.unsent
         await asyncio.sleep(2.0)  # the client takes its time
         assert len(await read_answer(reader)) == 60_000
@@ -345,12 +345,12 @@
         for place, (_, writer) in enumerate(clients):
             for number in range(200):
                 writer.write(get(1000 * place + number))
-        await here.until(lambda: len(here.listener._unread) == 2)
+        await here.until(lambda: len(here.listener._paused) == 2)
 
         def fault() -> bool:
             raise RuntimeError("a fault of ours")
 
-        first = next(iter(here.listener._unread))
+        first = next(iter(here.listener._paused))
         first.client_left = fault
         await asyncio.sleep(0.2)
         clients[1][1].close()
--- a/tests/violetroute/clients/test_read_delay.py
+++ b/tests/violetroute/clients/test_read_delay.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from violetroute.clients.read_delay import REOPENS, ReadDelay
+from violetroute.clients.read_delay import WINDOW_REOPEN_TIME, ReadDelay
 
 BUFFER = 64 * 1024
 
@@ -18,10 +18,10 @@
     lost: float = 0.0,
 ) -> float:
     """What the command read then may have stood, in s."""
-    read_delay.reads(turn, now, lost)
-    age = read_delay.waited(now)
+    read_delay.begin_read(turn, now, lost)
+    age = read_delay.delay(now)
     if read_delay.marked:
-        read_delay.has_read(count, now, emptied, BUFFER)
+        read_delay.end_read(count, now, emptied, BUFFER)
     return age
 
 
@@ -51,7 +51,7 @@
     read_delay = ReadDelay()
     read(read_delay, 5, 10.0, BUFFER // 4, lost=0.8)
     assert read(read_delay, 6, 10.01) == pytest.approx(0.81)
-    assert read(read_delay, 7, 10.0 + REOPENS) == 0.0
+    assert read(read_delay, 7, 10.0 + WINDOW_REOPEN_TIME) == 0.0
 
 
 def test_two_pauses_count_from_the_first_while_not_all_is_read() -> None:
@@ -65,7 +65,7 @@
 def test_what_is_not_read_for_want_of_room_stands_since_then() -> None:
     read_delay = ReadDelay()
     read(read_delay, 5, 10.0)
-    read_delay.stops_reading(10.2)
+    read_delay.pause_reading(10.2)
     assert read(read_delay, 9, 10.9) == pytest.approx(0.7)
     assert read(read_delay, 10, 10.9) == 0.0
 
@@ -73,16 +73,16 @@
 def test_who_sends_more_than_is_read_is_not_old_for_good() -> None:
     read_delay = ReadDelay()
     read(read_delay, 5, 10.0, lost=0.5, count=BUFFER, emptied=False)
-    read_delay.stops_reading(10.05)
+    read_delay.pause_reading(10.05)
     now = 10.05
     for turn in range(6, 60):  # each time it stops again, and something is always left
         now += 0.02
         age = read(read_delay, turn, now, 16_384, emptied=False)
-        read_delay.stops_reading(now)
-    assert age <= 3 * REOPENS
+        read_delay.pause_reading(now)
+    assert age <= 3 * WINDOW_REOPEN_TIME
 
 
 def test_a_command_that_waits_here_behind_others_ages_too() -> None:
     read_delay = ReadDelay()
     read(read_delay, 5, 10.0)
-    assert read_delay.waited(10.3) == pytest.approx(0.3)
+    assert read_delay.delay(10.3) == pytest.approx(0.3)
--- a/tests/violetroute/test_own_load.py
+++ b/tests/violetroute/test_own_load.py
@@ -304,7 +304,7 @@
     async def part() -> None:
         async with Rig(CacheNode(), turns=Late(9.0)) as rig:
             connection = ClientConnection(rig.listener)
-            rig.listener._taken += 1  # as if it had been accepted
+            rig.listener._slots_used += 1  # as if it had been accepted
             stream = Unread(connection)
             connection.joined(stream)  # type: ignore[arg-type]
             for number in range(10 * rig.config.limits.depth):
--- a/violetroute/clients/__init__.py
+++ b/violetroute/clients/__init__.py
@@ -1,4 +1,4 @@
-"""Clients: the listener, connections, their budget, the order of answers."""
+"""Client side of the proxy: listener, connections, memory budget and ordered answers."""
 
 from .answers import Answer, RequestHandler
 from .budget import Budget
--- a/violetroute/clients/answers.py
+++ b/violetroute/clients/answers.py
@@ -1,4 +1,4 @@
-"""The order of answers: each command's place in its connection."""
+"""Answers to pipelined commands, written in the order in which the commands arrived."""
 
 from __future__ import annotations
 
@@ -11,52 +11,61 @@
 
 
 class RequestHandler(Protocol):
-    """What clients know of the proxy."""
+    """The proxy as the client connections use it."""
 
-    def rejection(self, command: resp.Command, taken: int, waited: float) -> bytes | None: ...
-    def take(self, command: resp.Command, answer: Answer) -> None: ...
-    def client_gone(self, answer: Answer) -> None: ...
+    def rejection(self, command: resp.Command, taken: int, waited: float) -> bytes | None:
+        """The error line for a command that is not admitted, or None.
+
+        `taken`: requests accepted from this connection in this loop turn.  `waited`: seconds for
+        which the command may have been unread.
+        """
+
+    def take(self, command: resp.Command, answer: Answer) -> None:
+        """Accept a request; `answer.finish` is called once.  CommandError if it is invalid."""
+
+    def client_gone(self, answer: Answer) -> None:
+        """The client has left: the request of this answer is no longer needed."""
 
 
 class Answer:
-    """The place of one command's answer in its connection's order."""
+    """The answer to one command, in its position among the answers of its connection."""
 
-    __slots__ = ("_connection", "_held", "charge", "done", "request")
+    __slots__ = ("_connection", "_unwritten", "charge", "done", "request")
 
     def __init__(self, connection: ClientConnection) -> None:
         self._connection = connection
-        self._held: list[bytes | bytearray] = []  # what could not yet be written
-        self.charge = 0  # bytes that its command holds of the budget
+        self._unwritten: list[bytes | bytearray] = []  # finished before it could be written
+        self.charge = 0  # bytes of the budget that its command holds
         self.done = False
-        self.request: object = None  # the proxy's own mark
+        self.request: object = None  # the proxy's record of the request
 
     def client_left(self) -> bool:
-        """Whether its client has gone by now, asked of the kernel."""
+        """Whether the client has closed the connection, checked in the kernel."""
         return self._connection.client_left()
 
     def finish(self, *parts: bytes | bytearray) -> None:
-        """The whole answer; it is written when its turn has come."""
+        """Set the complete answer; it is written once all earlier answers have been."""
         self.done = True
-        self.request = None  # no cycle: its memory is free without the collector's help
+        self.request = None  # breaks the cycle, so no garbage collection is needed to free it
         self._free()
         if self._connection.write_now(self, parts):
             return
         self._connection.budget.hold(sum(map(len, parts)))
-        self._held.extend(parts)
+        self._unwritten.extend(parts)
         self._connection.flush()
 
     def _free(self) -> None:
         charge, self.charge = self.charge, 0
         self._connection.budget.release(charge)
 
-    def take_held(self) -> bytes | bytearray:
-        """What is to be written, as its turn has come."""
-        data = self._held[0] if len(self._held) == 1 else b"".join(self._held)
-        self._held.clear()
+    def take_unwritten(self) -> bytes | bytearray:
+        """Return and clear the data that waited for the earlier answers."""
+        data = self._unwritten[0] if len(self._unwritten) == 1 else b"".join(self._unwritten)
+        self._unwritten.clear()
         return data
 
     def drop(self) -> None:
-        """The connection has ended: nothing is written any more."""
+        """Return all budget bytes; the connection has ended."""
         self._free()
-        self._connection.budget.release(sum(map(len, self._held)))
-        self._held.clear()
+        self._connection.budget.release(sum(map(len, self._unwritten)))
+        self._unwritten.clear()
--- a/violetroute/clients/assembly.py
+++ b/violetroute/clients/assembly.py
@@ -1,4 +1,4 @@
-"""The command at hand, put together from the tokens of its connection."""
+"""Assembles commands from the RESP tokens of a connection."""
 
 from __future__ import annotations
 
@@ -6,51 +6,54 @@
 
 from violetroute import resp
 
-from .budget import SMALL, Budget
+from .budget import UNBUDGETED_ARGUMENT, Budget
 
-ARGUMENTS = 16  # of a command; the protocol's have five at most
+MAX_ARGUMENTS = 16  # of a command; the longest known command has five
 
 
-class Assembly:
-    """One command at a time.  What it holds of the budget is its own until `hand_over`.
+class CommandAssembler:
+    """Assembles one command at a time; owns its budget bytes until `transfer_charge`.
 
-    It does not know its connection, which is given with each call: a cycle would keep both, and
-    those that an accept makes for nobody, until the collector's turn.
+    The connection is an argument of each call instead of an attribute: a reference cycle would keep
+    both objects until a garbage collection, and likewise each connection object that is created for
+    an accept without a client.
     """
 
-    __slots__ = ("_args", "_body", "_budget", "_charge", "awaited", "missing")
+    __slots__ = ("_args", "_body", "_budget", "_charge", "awaited_bytes", "missing_arguments")
 
     def __init__(self, budget: Budget) -> None:
         self._budget = budget
-        self.missing = 0  # arguments that it still lacks; 0 between commands
+        self.missing_arguments = 0  # of the current command; 0 between commands
         self._args: list[bytes | bytearray] = []
         self._body: bytearray | None = None
-        self._charge = 0  # bytes, in the budget
-        self.awaited = 0  # bytes that it waits for in the budget
+        self._charge = 0  # bytes of the budget that the command holds
+        self.awaited_bytes = 0  # bytes of the budget that it waits for
 
     @property
-    def holds(self) -> bool:
+    def charged(self) -> bool:
+        """Whether the current command holds bytes of the budget."""
         return self._charge > 0
 
     def take(
-        self, token: resp.Token, who: Hashable, granted: Callable[[], None]
+        self, token: resp.Token, owner: Hashable, granted: Callable[[], None]
     ) -> list[bytes | bytearray] | None:
-        """The arguments once they are all there.  ProtocolError: it is no command.
+        """Add a token; returns the arguments once they are complete.
 
-        `granted` is told when the budget has room for what is awaited, and calls `grant`.
+        `granted` is called when the budget has room for `awaited_bytes`; it has to call `grant`.
+        Raises ProtocolError if the tokens are not a command.
         """
         match token:
             case resp.Array(length):
-                if self.missing or not 0 < length <= ARGUMENTS:
+                if self.missing_arguments or not 0 < length <= MAX_ARGUMENTS:
                     raise resp.ProtocolError("not a command")
-                self.missing = length
-            case resp.Bulk(length) if self.missing:
+                self.missing_arguments = length
+            case resp.Bulk(length) if self.missing_arguments:
                 self._body = bytearray()
-                if length > SMALL:
-                    if self._budget.reserve(who, length, granted):
+                if length > UNBUDGETED_ARGUMENT:
+                    if self._budget.reserve(owner, length, granted):
                         self._charge += length
                     else:
-                        self.awaited = length
+                        self.awaited_bytes = length
             case resp.Piece(data, last) if self._body is not None:
                 if last and not self._body:
                     self._args.append(data)
@@ -60,8 +63,8 @@
                         self._args.append(self._body)
                 if last:
                     self._body = None
-                    self.missing -= 1
-                    if not self.missing:
+                    self.missing_arguments -= 1
+                    if not self.missing_arguments:
                         args, self._args = self._args, []
                         return args
             case _:
@@ -69,16 +72,17 @@
         return None
 
     def grant(self) -> None:
-        self._charge += self.awaited
-        self.awaited = 0
+        """Take over the bytes that the budget has reserved for this command."""
+        self._charge += self.awaited_bytes
+        self.awaited_bytes = 0
 
-    def hand_over(self) -> int:
-        """Bytes of the budget that the command held and another owner holds from now on."""
+    def transfer_charge(self) -> int:
+        """Return the budget bytes of the command; the caller owns them from now on."""
         charge, self._charge = self._charge, 0
         return charge
 
-    def drop(self, who: Hashable) -> None:
-        """Its connection has ended."""
-        self._budget.forget(who)
-        self._budget.release(self.hand_over())
+    def drop(self, owner: Hashable) -> None:
+        """Discard the command and release its budget; its connection has ended."""
+        self._budget.cancel_wait(owner)
+        self._budget.release(self.transfer_charge())
         self._body = None
--- a/violetroute/clients/connection.py
+++ b/violetroute/clients/connection.py
@@ -1,4 +1,4 @@
-"""One client: framing, answers in order, back-pressure, its own end."""
+"""One client connection: framing, ordered answers, back-pressure and closing."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from violetroute.transport.loop_lag import LATE
 
 from .answers import Answer
-from .assembly import Assembly
-from .budget import OVERHEAD
+from .assembly import CommandAssembler
+from .budget import REQUEST_OVERHEAD
 from .read_delay import ReadDelay
 
 if TYPE_CHECKING:
     from .listener import Listener
 
-READ_SIZE = 16 * 1024  # bytes read at once, into a buffer that all connections share
-LINGER = 0.5  # s to let the client read and close first, or a reset would eat the answer
+READ_SIZE = 16 * 1024  # bytes of one read, into a buffer that all connections share
+LINGER_TIME = 0.5  # s for the client to read and close first; a reset could lose the last answer
 
-_shared = memoryview(bytearray(READ_SIZE))
+_read_buffer = memoryview(bytearray(READ_SIZE))
 
 
 class ClientConnection:
-    """One client: takes commands as they come, gives the answers in their order."""
+    """The handler of a client stream: reads commands, writes the answers in the same order."""
 
     def __init__(self, listener: Listener) -> None:
         self._listener = listener
@@ -35,54 +35,57 @@
         self._stream: Stream | None = None
         self._decoder = resp.Decoder()
         self._answers: deque[Answer] = deque()
-        self._assembly = Assembly(self.budget)
+        self._assembly = CommandAssembler(self.budget)
         self._reading_paused = False
         self._pumping = self._flushing = False
-        self._batch: list[bytes | bytearray] = []  # answers to be written in one go
-        self._turn = self._taken = 0  # the loop's turn, and requests that it gave us
+        self._batch: list[bytes | bytearray] = []  # answers for one combined write
+        self._loop_turn = self._taken_in_turn = 0  # a turn, and requests accepted in it
         self._session: Session | None = None  # of the cluster dialect
         self._read_delay = ReadDelay()
-        self.last = False  # reads no more; answers what it has read and ends
-        self.ending = False  # takes no further command and ends after what it owes
-        self.lingers_since = 0.0
-        self.state: dict[ClientConnection, None] | None = None  # where the listener has it
-        self.since = 0.0  # of its present state: silent, in part, idle
-        self.mistakes = 0  # in a row
+        self.draining = False  # answers what it has read, then ends
+        self.ending = False  # takes no further command; ends after the pending answers
+        self.lingering_since = 0.0
+        self.state: dict[ClientConnection, None] | None = None  # its set in the listener
+        self.since = 0.0  # start of its current state
+        self.consecutive_errors = 0  # invalid commands in a row
         self._unsent, self._unsent_since = 0, 0.0
-        self._written = 0  # bytes that the kernel has not yet taken, in the budget
+        self._written = 0  # bytes charged to the budget that the kernel has not yet taken
 
     # --- stream ---
-    def joined(self, stream: Stream) -> None:
+    def accepted(self, stream: Stream) -> None:
+        """The connection was accepted as `stream`; it may have waited in the backlog."""
         self._stream = stream
         turns, now = self._listener.turns, self._loop.time()
         self._read_delay.accepted(turns.count, now - max(turns.lost, turns.stood(now)))
-        self._listener.joined(self)
+        self._listener.connection_accepted(self)
 
     def opened(self) -> None:
-        """Only told of connections that we ask for."""
+        """Not called: only outgoing connections are opened."""
 
     def buffer(self) -> memoryview:
-        return _shared
+        return _read_buffer
 
     def received(self, count: int) -> None:
+        """Decode the bytes and run the commands that are complete."""
         if self.ending:
-            return  # what crosses our close goes unread, but their close must be seen
+            return  # input after our close is discarded; reading only detects the client's close
         turns = self._listener.turns
-        self._read_delay.reads(turns.count, self._loop.time(), turns.lost)
-        self._decoder.feed(_shared[:count])
+        self._read_delay.begin_read(turns.count, self._loop.time(), turns.lost)
+        self._decoder.feed(_read_buffer[:count])
         self._pump()
         if self._read_delay.marked and self._stream is not None:
-            self._read_delay.has_read(
+            self._read_delay.end_read(
                 count, self._loop.time(), count < READ_SIZE, self._stream.receive_buffer()
             )
 
     def ended(self) -> None:
-        """A client that closes has gone away; what was written to it may still reach it."""
+        """The client closed its side, so it has left.  Written data may still reach it."""
         self._release_all()
         if self._stream is not None:
             self._stream.close()
 
     def lost(self, error: OSError | None) -> None:
+        """The stream is closed: release everything and leave the listener."""
         self._stream = None
         self._release_written()
         self._release_all()
@@ -90,12 +93,12 @@
 
     def drained(self) -> None:
         self._release_written()
-        if self.lingers_since:
-            self.lingers_since = self._loop.time()  # only now can the client have seen the end
+        if self.lingering_since:
+            self.lingering_since = self._loop.time()  # the client can see our close only now
         self.flush()
 
     def client_left(self) -> bool:
-        """Whether the client has gone, asked of the kernel: also where its end stands unread."""
+        """Whether the client has closed, checked in the kernel, even behind unread input."""
         return self._stream is None or self._stream.closing or self._stream.peer_ended()
 
     def _release_written(self) -> None:
@@ -103,29 +106,29 @@
         self.budget.release(written)
 
     def _release_all(self) -> None:
-        """Nobody waits any more: everything that it held is given back."""
+        """The client has left: drop its answers and return all their budget bytes."""
         self.ending = True
-        self._listener.reads(self, True)
+        self._listener.set_reading(self, True)
         self._assembly.drop(self)
         answers, self._answers = self._answers, deque()
         for answer in answers:
             answer.drop()
             if not answer.done:
-                self._listener.taker.client_gone(answer)
+                self._listener.handler.client_gone(answer)
             answer.request = None
 
     # --- commands ---
     def _pump(self) -> None:
         if self._pumping:
-            return  # an answer given at once has led back here
-        if self._decoder.idle:  # an answer has been written and nothing else was asked
-            self.settle()
+            return  # reentrant: an answer that was given at once
+        if self._decoder.idle:  # an answer was written and no input is left
+            self.update_state()
             return
         self._pumping = True
         try:
-            while not self.ending and not self._assembly.awaited:
-                if not self._assembly.missing:
-                    if self._crowded:
+            while not self.ending and not self._assembly.awaited_bytes:
+                if not self._assembly.missing_arguments:
+                    if self._at_capacity:
                         break
                     args = self._decoder.command()
                     if args is not None:
@@ -136,129 +139,131 @@
                 token = self._decoder.next()
                 if token is None:
                     break
-                whole = self._assembly.take(token, self, self._granted)
+                whole = self._assembly.take(token, self, self._budget_granted)
                 if whole is not None:
                     self._command(whole)
         except resp.ProtocolError as error:
-            self._put_answer().finish(b"-ERR %b\r\n" % str(error).encode())
+            self._new_answer().finish(b"-ERR %b\r\n" % str(error).encode())
             self.end_after_answers()
         finally:
             self._pumping = False
             batch, self._batch = self._batch, []
             if batch:
-                self._put(*batch)
-        self.settle()
+                self._write(*batch)
+        self.update_state()
 
     @property
-    def _crowded(self) -> bool:
+    def _at_capacity(self) -> bool:
         return len(self._answers) >= self._listener.limits.depth or self.budget.full
 
-    def _granted(self) -> None:
+    def _budget_granted(self) -> None:
         self._assembly.grant()
-        self.since = self._loop.time()  # it was we who made it wait
+        self.since = self._loop.time()  # the proxy caused the wait: restart the client's time limit
         self._loop.call_soon(self._pump)
 
     def _command(self, args: list[bytes | bytearray] | list[bytes], head: bytes = b"") -> None:
         dialect = self._listener.dialect
         if dialect is not None:
-            if self._said(dialect, args):
+            if self._answer_dialect(dialect, args):
                 return
         elif len(args) == 1 and bytes(args[0]).upper() == b"PING":
-            self._owe().finish(b"+PONG\r\n")
+            self._new_charged_answer().finish(b"+PONG\r\n")
             return
-        taker, answer = self._listener.taker, None
-        waited = self._read_delay.waited(self._loop.time())
-        if waited > LATE and self.client_left():
+        handler, answer = self._listener.handler, None
+        delay = self._read_delay.delay(self._loop.time())
+        if delay > LATE and self.client_left():
             self.ended()  # found by exploration: read in the second turn after a pause
             return
         try:
             command = resp.parse_command(args, head)
             if dialect is not None and (moved := dialect.moved(command.key)) is not None:
-                self._owe().finish(moved)
+                self._new_charged_answer().finish(moved)
                 return
-            refusal = taker.rejection(command, self._taken_now(), waited)
-            if refusal is not None:  # in an overload of our own, so it must cost next to nothing
+            refusal = handler.rejection(command, self._requests_this_turn(), delay)
+            if refusal is not None:  # often in an overload of this process: must be cheap
                 self._refuse(refusal)
                 return
-            answer = self._owe()
-            taker.take(command, answer)
+            answer = self._new_charged_answer()
+            handler.take(command, answer)
         except resp.CommandError as error:
-            # Well framed, so an honest mistake is answered and no more.  Who makes nothing
-            # but mistakes is shut out: else a flood of them costs as much as its sender likes.
+            # The framing is intact, so an invalid command only gets an error.  A connection that
+            # sends nothing else is closed: the cost of a flood of them would have no bound.
             text = b"-ERR %b\r\n" % str(error).encode()
-            (answer if answer is not None else self._owe()).finish(text)
-            self.mistakes += 1
-            if self.mistakes >= self._listener.limits.mistakes:
+            (answer if answer is not None else self._new_charged_answer()).finish(text)
+            self.consecutive_errors += 1
+            if self.consecutive_errors >= self._listener.limits.mistakes:
                 self.end_after_answers()
         else:
-            self._taken += 1
-            self.mistakes = 0
+            self._taken_in_turn += 1
+            self.consecutive_errors = 0
 
-    def _said(self, dialect: Dialect, args: Sequence[bytes | bytearray]) -> bool:
-        """Whether it was about the connection or the cluster, and is answered."""
+    def _answer_dialect(self, dialect: Dialect, args: Sequence[bytes | bytearray]) -> bool:
+        """Answer a command about the connection or the cluster; False if it is a request."""
         if self._session is None:
             self._session = dialect.session()
         said = dialect.answer(self._session, args)
         if said is None:
             return False
-        self._owe().finish(said)
+        self._new_charged_answer().finish(said)
         if self._session.ends:
             self.end_after_answers()
         return True
 
-    def _taken_now(self) -> int:
-        """Requests that this connection was given in this turn of the loop."""
+    def _requests_this_turn(self) -> int:
+        """Requests accepted from this connection in the current loop turn."""
         turn = self._listener.turns.count
-        if turn != self._turn:
-            self._turn, self._taken = turn, 0
-        return self._taken
+        if turn != self._loop_turn:
+            self._loop_turn, self._taken_in_turn = turn, 0
+        return self._taken_in_turn
 
     def _refuse(self, refusal: bytes) -> None:
-        # To who does not read it waits in its turn: only so do depth and the budget bound it.
-        if self._answers or self._assembly.holds or self._stream is None or self._stream.unsent:
-            self._owe().finish(refusal)
+        # Queued if the client does not read: only so do depth and the budget bound rejections.
+        if self._answers or self._assembly.charged or self._stream is None or self._stream.unsent:
+            self._new_charged_answer().finish(refusal)
         else:
-            self._put(refusal)
+            self._write(refusal)
 
-    def _owe(self) -> Answer:
-        """The place of an answer, with what its command holds of the budget."""
-        answer = self._put_answer()
-        answer.charge += self._assembly.hand_over()
+    def _new_charged_answer(self) -> Answer:
+        """Append an answer that takes over the budget bytes of the current command."""
+        answer = self._new_answer()
+        answer.charge += self._assembly.transfer_charge()
         return answer
 
-    def _put_answer(self) -> Answer:
+    def _new_answer(self) -> Answer:
         answer = Answer(self)
-        answer.charge = OVERHEAD
-        self.budget.hold(OVERHEAD)
+        answer.charge = REQUEST_OVERHEAD
+        self.budget.hold(REQUEST_OVERHEAD)
         self._answers.append(answer)
         return answer
 
-    def settle(self) -> None:
-        """Read or not, and tell the listener in which state this connection is."""
+    def update_state(self) -> None:
+        """Pause or resume reading, and update the state that the listener keeps."""
         stream = self._stream
-        if stream is None or stream.closing or self.lingers_since or self._pumping:
+        if stream is None or stream.closing or self.lingering_since or self._pumping:
             return
-        held_up = self._assembly.awaited > 0 or (not self._assembly.missing and self._crowded)
-        # What is sent on a connection that is about to end goes unread: its sender asks again.
-        pause = held_up or self._decoder.unread > READ_SIZE or self.ending or self.last
+        held_up = self._assembly.awaited_bytes > 0 or (
+            not self._assembly.missing_arguments and self._at_capacity
+        )
+        # Input on a connection that is about to end stays unread: its client retries.
+        pause = held_up or self._decoder.unread > READ_SIZE or self.ending or self.draining
         if pause != self._reading_paused:
             self._reading_paused = pause
             if pause:
-                self._read_delay.stops_reading(self._loop.time())
+                self._read_delay.pause_reading(self._loop.time())
             (stream.pause if pause else stream.resume)()
-            self._listener.reads(self, not pause)
+            self._listener.set_reading(self, not pause)
         if self._answers:
-            self._listener.serving(self)
-        elif self.ending or (self.last and not held_up):
+            self._listener.mark_serving(self)
+        elif self.ending or (self.draining and not held_up):
             self.end()
-        elif self._assembly.missing or not self._decoder.idle:
-            self._listener.in_part(self)
+        elif self._assembly.missing_arguments or not self._decoder.idle:
+            self._listener.mark_partial(self)
         else:
-            self._listener.idle(self)
+            self._listener.mark_idle(self)
 
     # --- answers ---
     def write_now(self, answer: Answer, parts: tuple[bytes | bytearray, ...]) -> bool:
-        """The usual case: its turn has come and the client takes what is written."""
+        """Write the next answer at once; False if it has to be queued."""
         stream = self._stream
         if (
             stream is None
@@ -270,15 +275,15 @@
         ):
             return False
         self._answers.popleft()
-        self._put(*parts)
+        self._write(*parts)
         if self._answers:
-            self.flush()  # what had come before its turn
+            self.flush()  # later answers that were already finished
         if not self._pumping:
             self._pump()
         return True
 
-    def _put(self, *parts: bytes | bytearray) -> None:
-        """Write, or keep for the one write of all that is answered while commands are read."""
+    def _write(self, *parts: bytes | bytearray) -> None:
+        """Write, or collect for one combined write while commands are being decoded."""
         if self._pumping:
             self._batch.extend(parts)
             return
@@ -290,7 +295,7 @@
             self._written = stream.unsent
 
     def flush(self) -> None:
-        """Write what has come, in order, as far as the client takes it."""
+        """Write the finished answers in order, until the kernel stops taking data."""
         stream = self._stream
         if stream is None or self._flushing:
             return
@@ -299,76 +304,75 @@
         while self._answers and not stream.unsent and not stream.closing:
             if not self._answers[0].done:
                 break
-            data = self._answers.popleft().take_held()
+            data = self._answers.popleft().take_unwritten()
             self.budget.release(len(data))
-            self._put(data)
+            self._write(data)
             moved = True
         self._flushing = False
         if moved and not self._pumping:
             self._pump()
 
     def end_after_answers(self) -> None:
-        """What follows in what it sends is nothing, or cannot be told apart any more."""
+        """Take no further command, as after QUIT or broken framing; end after the answers."""
         self.ending = True
-        self.settle()
+        self.update_state()
 
-    def last_call(self) -> None:
-        """Read no more; answer whatever has been read whole, and end."""
-        self.last = True
+    def drain(self) -> None:
+        """Read no more, answer the commands that were read completely, and end."""
+        self.draining = True
         self._pump()
 
     def end(self) -> None:
-        """Close between requests; the client's own close, or some time, makes it final.
+        """Half-close between requests; the client's close or LINGER_TIME completes it.
 
-        Closing outright with unread input would reset the connection, and the answer
-        that was just written could be lost with it.
+        A full close with unread input would reset the connection and could lose the last answer.
         """
         stream = self._stream
-        if stream is None or stream.closing or self.lingers_since:
+        if stream is None or stream.closing or self.lingering_since:
             return
         self.ending = True
-        self.lingers_since = self._loop.time()
-        self._listener.lingering(self)
+        self.lingering_since = self._loop.time()
+        self._listener.mark_lingering(self)
         stream.end()
-        if self._reading_paused:  # after the shutdown: what is read from here on was never taken
+        if self._reading_paused:  # after the half-close: input from now on is discarded
             self._reading_paused = False
             stream.resume()
-            self._listener.reads(self, True)
+            self._listener.set_reading(self, True)
 
-    def asked_meanwhile(self) -> bool:
-        """Whether something of the client's stands unread, for which this loop had no time yet.
+    def has_unread_input(self) -> bool:
+        """Whether input of the client is in the kernel that the loop has not read yet.
 
-        Guards against closing on a request.  By our own clock a connection is idle until its
-        bytes are read, and in an overload that is many milliseconds after they came: those were
-        ended as idle in the turn that would have read them, and so was the next connection on
-        which the client asked again.  Should also catch what comes while the process stands
-        still.  Harm: one system call more for each close.
+        Without this check, a connection was closed as idle in the turn that would have read its
+        request: in an overload, input is read many milliseconds after it arrived.  The connection
+        on which the client retried was closed the same way.  It also covers input that arrives
+        during a pause of the process.  Cost: one system call for each close.
         """
         stream = self._stream
         return (
             stream is not None
             and not stream.closing
-            and not self.lingers_since
+            and not self.lingering_since
             and not stream.quiet()
         )
 
-    def give_way(self) -> bool:
-        """Free the slot now, but never by throwing away what the client has yet to take."""
+    def try_evict(self) -> bool:
+        """Free the slot; False if the client still has to take written data."""
         stream = self._stream
         if stream is None or stream.closing:
             return False
-        if not self.lingers_since and stream.unsent:
+        if not self.lingering_since and stream.unsent:
             self.end()
             return False
         stream.abort()
         return True
 
     def abort(self) -> None:
+        """Close at once, discarding unsent answers."""
         if self._stream is not None:
             self._stream.abort()
 
-    def look(self, now: float) -> None:
-        """Called now and then: end what waits for nothing that will come."""
+    def check_timeouts(self, now: float) -> None:
+        """End the connection if a time limit has passed; called every SWEEP_INTERVAL."""
         stream = self._stream
         if stream is None:
             return
@@ -378,16 +382,16 @@
         elif now - self._unsent_since > self._listener.limits.reader_s:
             stream.abort()
             return
-        if self.lingers_since:
-            if now - self.lingers_since > LINGER and not unsent:
+        if self.lingering_since:
+            if now - self.lingering_since > LINGER_TIME and not unsent:
                 stream.abort()
         elif self._reading_paused:
             self._pump()
-        elif self._answers or self._assembly.awaited:
-            pass  # it is we who make it wait
-        elif self._assembly.missing or not self._decoder.idle:
+        elif self._answers or self._assembly.awaited_bytes:
+            pass  # the proxy makes the client wait
+        elif self._assembly.missing_arguments or not self._decoder.idle:
             if now - self.since > self._listener.limits.command_s:
-                self._put_answer().finish(b"-ERR half a command\r\n")
+                self._new_answer().finish(b"-ERR half a command\r\n")
                 self.end_after_answers()
-        elif self._listener.overstays(self, now) and not self.asked_meanwhile():
+        elif self._listener.idle_expired(self, now) and not self.has_unread_input():
             self.end()
--- a/violetroute/clients/listener.py
+++ b/violetroute/clients/listener.py
@@ -1,4 +1,4 @@
-"""The listener: accepts while a slot is free, and finds who must give way when none is."""
+"""The client listener: accepts connections, and evicts one when no slot is free."""
 
 from __future__ import annotations
 
@@ -14,135 +14,147 @@
 from .budget import Budget
 from .connection import ClientConnection
 
-BACKLOG = 4096  # connections that the kernel holds while no slot is free
-ACCEPT_AT_ONCE = 32  # connections taken in one turn, so that the others get theirs
-ACCEPT_PAUSE = 0.05  # s until the listener looks again when nothing could give way
-LEAVERS = 0.04  # s between looks for the end of clients that are not read: 0.1 s are allowed
-SWEEP = 0.25  # s between looks at what waits for something
-CROWD_PATIENCE = 0.15  # s for a first byte when no slot is left: a real client asks at once
-GIVE_WAY_LOOKS = 8  # connections of a state looked at in one turn for one that gives way
-IDLE_LEAST = 0.2  # s that an idle one keeps its slot when others want it
-ACCEPT_AFTER_TERM = 0.55  # s; new connections come for 0.4 s, and all must be taken by 0.7 s
-UNREAD_AFTER_TERM = 0.15  # s more to read what stood unread by then
+BACKLOG = 4096  # connections that the kernel queues while no slot is free
+MAX_ACCEPTS_PER_TURN = 32  # leaves time in the turn for open connections
+ACCEPT_RETRY_INTERVAL = 0.05  # s until the next accept when no connection could be evicted
+DEPARTURE_CHECK_INTERVAL = 0.04  # s; a client's departure must be noticed within 0.1 s
+SWEEP_INTERVAL = 0.25  # s between checks of all connections for expired time limits
+FIRST_BYTE_TIMEOUT_WHEN_FULL = 0.15  # s; a real client sends a command at once
+MAX_EVICTION_CANDIDATES = 8  # connections checked per state in one turn
+MIN_IDLE_TIME = 0.2  # s for which an idle connection keeps its slot when others need one
+ACCEPT_AFTER_TERM = 0.55  # s; new ones arrive for 0.4 s and must be accepted within 0.7 s
+UNREAD_AFTER_TERM = 0.15  # s more to read the input that is unread by then
 DEFAULTS = Limits()
 
 
 class Listener:
-    """Accepts while a slot is free, and finds who must give way when none is."""
+    """Accepts client connections and enforces their slots, time limits and shared budget.
+
+    `slots`: maximum number of connections.  `budget_bytes`: memory that they may use together.
+    """
 
     def __init__(
         self,
-        taker: RequestHandler,
+        handler: RequestHandler,
         slots: int,
-        room: int,
+        budget_bytes: int,
         net: Network,
         limits: Limits = DEFAULTS,
         dialect: Dialect | None = None,
     ) -> None:
-        self.taker, self._net, self._slots = taker, net, slots
+        self.handler, self._net, self._slots = handler, net, slots
         self.loop, self.turns = net.loop, net.turns
-        self.limits = limits  # may be replaced at any time, but for its shares of the slots
+        self.limits = limits  # replaceable at any time; `idle_share` has no effect then
         self.dialect = dialect  # may be replaced at any time
         self._idle_limit = max(1, int(slots * limits.idle_share))
-        self.budget = Budget(room)
+        self.budget = Budget(budget_bytes)
         self.draining = False
-        self._door: Door | None = None
-        self._opening: asyncio.TimerHandle | None = None  # when it looks again
-        self._taken = 0  # slots, from accept until the stream is lost
-        # Each connection stands in one of these, oldest first.
-        self._silent: dict[ClientConnection, None] = {}
+        self._server_socket: Door | None = None
+        self._accept_timer: asyncio.TimerHandle | None = None  # set while accepting is paused
+        self._slots_used = 0  # from accept until the stream is lost
+        # Each connection is in one of these, longest in its state first.
+        self._awaiting_first_byte: dict[ClientConnection, None] = {}
         self._partial: dict[ClientConnection, None] = {}
         self._idle: dict[ClientConnection, None] = {}
         self._serving: dict[ClientConnection, None] = {}
         self._lingering: dict[ClientConnection, None] = {}
-        self._states = (self._silent, self._partial, self._idle, self._serving, self._lingering)
-        self._unread: dict[ClientConnection, None] = {}  # not read for now
-        self._leaving: asyncio.TimerHandle | None = None  # while there are such
-        self._ended = asyncio.Event()
-        self._sweeping: asyncio.TimerHandle | None = None
+        self._states = (
+            self._awaiting_first_byte,
+            self._partial,
+            self._idle,
+            self._serving,
+            self._lingering,
+        )
+        self._paused: dict[ClientConnection, None] = {}  # connections that are not read
+        self._departure_timer: asyncio.TimerHandle | None = None  # set while `_paused` is checked
+        self._all_closed = asyncio.Event()
+        self._sweep_timer: asyncio.TimerHandle | None = None
 
     def start(self, address: Address) -> Address:
-        """Listen; returns where.  OSError when that can't be."""
-        self._door = self._net.listen(address, BACKLOG, self._accept)
-        self._door.watch(True)
-        self._sweeping = self.loop.call_later(SWEEP, self._sweep)
-        return self._door.address
+        """Listen and return the bound address.  Raises OSError."""
+        self._server_socket = self._net.listen(address, BACKLOG, self._accept)
+        self._server_socket.watch(True)
+        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
+        return self._server_socket.address
 
     @property
     def connections(self) -> int:
-        return self._taken
+        """The number of open connections."""
+        return self._slots_used
 
     # --- accepting ---
-    def _accept_again(self) -> None:
-        self._opening = None
-        if self._door is not None:
-            self._door.watch(True)
+    def _resume_accepting(self) -> None:
+        self._accept_timer = None
+        if self._server_socket is not None:
+            self._server_socket.watch(True)
 
-    def _accept_later(self) -> None:
-        if self._door is not None and self._opening is None:
-            self._door.watch(False)
-            self._opening = self.loop.call_later(ACCEPT_PAUSE, self._accept_again)
+    def _pause_accepting(self) -> None:
+        if self._server_socket is not None and self._accept_timer is None:
+            self._server_socket.watch(False)
+            self._accept_timer = self.loop.call_later(ACCEPT_RETRY_INTERVAL, self._resume_accepting)
 
     def _accept(self) -> None:
-        for _ in range(ACCEPT_AT_ONCE):
-            if self._taken >= self._slots:
-                if not self._give_way():
-                    self._accept_later()
-                return  # the slot is free once the loop has closed that connection
+        for _ in range(MAX_ACCEPTS_PER_TURN):
+            if self._slots_used >= self._slots:
+                if not self._evict_one():
+                    self._pause_accepting()
+                return  # the slot becomes free once the loop has closed that connection
             if not self._accept_one():
                 return
 
     def _accept_one(self) -> bool:
-        assert self._door is not None
+        assert self._server_socket is not None
         connection = ClientConnection(self)
         try:
-            stream = self._door.accept(connection)
-        except OSError as error:  # descriptors or memory of the whole machine ran out
+            stream = self._server_socket.accept(connection)
+        except OSError as error:  # no descriptors or memory left
             logs.event("clients.accept_failed", reason=str(error))
-            self._accept_later()
+            self._pause_accepting()
             return False
         if stream is None:
             return False
-        self._taken += 1
-        connection.joined(stream)
+        self._slots_used += 1
+        connection.accepted(stream)
         return True
 
-    def _give_way(self) -> bool:
-        """Free one slot, never that of a request that is being served.
+    def _evict_one(self) -> bool:
+        """Evict one connection that has no request in progress; False if there is none.
 
-        The longest in each state goes first, and those that cost nobody an answer before
-        those that might.  Guards against crowds that say nothing, say half, or asked once
-        and stay.  Harm: a client whose first byte needs longer than CROWD_PATIENCE is shut
-        out for as long as there is a crowd.
+        The connections longest in a state go first, and states in which no answer can be lost go
+        before those in which one might.  This protects against many connections that send nothing,
+        send half a command, or stay open after a request.  Cost: while all slots are taken, a
+        client whose first byte needs longer than FIRST_BYTE_TIMEOUT_WHEN_FULL is locked out.
         """
         now = self.loop.time()
-        for state, patience in (
+        for state, min_age in (
             (self._lingering, 0.1),
             (self._idle, self.limits.idle_s),
-            (self._silent, CROWD_PATIENCE),
+            (self._awaiting_first_byte, FIRST_BYTE_TIMEOUT_WHEN_FULL),
             (self._partial, self.limits.command_s),
-            (self._idle, IDLE_LEAST),
+            (self._idle, MIN_IDLE_TIME),
         ):
-            for connection in list(islice(state, GIVE_WAY_LOOKS)):
-                if now - connection.since < patience:
+            for connection in list(islice(state, MAX_EVICTION_CANDIDATES)):
+                if now - connection.since < min_age:
                     break
-                if state is not self._partial and connection.asked_meanwhile():
-                    self._not_idle(connection, now)
-                elif connection.give_way():
+                if state is not self._partial and connection.has_unread_input():
+                    self._requeue(connection, now)
+                elif connection.try_evict():
                     return True
                 else:
                     break
         return False
 
-    def overstays(self, connection: ClientConnection, now: float) -> bool:
-        """Whether one that owes and is owed nothing has had its time."""
-        waited = now - connection.since
-        if connection.state is self._silent:
-            return waited > self.limits.first_byte_s
-        return self._taken > self.limits.crowd_share * self._slots and waited > self.limits.idle_s
+    def idle_expired(self, connection: ClientConnection, now: float) -> bool:
+        """Whether a connection without a command or pending answer has been idle for too long."""
+        delay = now - connection.since
+        if connection.state is self._awaiting_first_byte:
+            return delay > self.limits.first_byte_s
+        return (
+            self._slots_used > self.limits.crowd_share * self._slots and delay > self.limits.idle_s
+        )
 
     # --- states ---
-    def _move(self, connection: ClientConnection, state: dict[ClientConnection, None]) -> None:
+    def _set_state(self, connection: ClientConnection, state: dict[ClientConnection, None]) -> None:
         if connection.state is state:
             return
         if connection.state is not None:
@@ -151,139 +163,157 @@
         state[connection] = None
         connection.since = self.loop.time()
 
-    def joined(self, connection: ClientConnection) -> None:
-        self._move(connection, self._silent)
+    def connection_accepted(self, connection: ClientConnection) -> None:
+        """A new connection, of which no byte has been received."""
+        self._set_state(connection, self._awaiting_first_byte)
 
-    def serving(self, connection: ClientConnection) -> None:
-        self._move(connection, self._serving)
+    def mark_serving(self, connection: ClientConnection) -> None:
+        """The connection has pending answers."""
+        self._set_state(connection, self._serving)
 
-    def in_part(self, connection: ClientConnection) -> None:
-        self._move(connection, self._partial)
+    def mark_partial(self, connection: ClientConnection) -> None:
+        """A part of a command was received."""
+        self._set_state(connection, self._partial)
 
-    def idle(self, connection: ClientConnection) -> None:
+    def mark_idle(self, connection: ClientConnection) -> None:
+        """All commands are answered; ends the connection in a drain."""
         if self.draining:
-            # Answers of nodes come first in a turn, so the next command may stand there unread. It
-            # is read, answered, and the connection ends then; once nobody new is taken, at once.
-            if self._door is None or not connection.asked_meanwhile():
+            # A turn handles replies of nodes first, so the client's next command may be unread. It
+            # is read and answered before the connection ends, unless accepting has stopped.
+            if self._server_socket is None or not connection.has_unread_input():
                 connection.end()
         else:
-            if connection.state is self._idle:  # was answered at once: idle from now on anew
+            if (
+                connection.state is self._idle
+            ):  # answered within the turn: its idle time starts again
                 del self._idle[connection]
                 connection.state = None
-            self._move(connection, self._idle)
+            self._set_state(connection, self._idle)
             self._trim_idle()
 
     def _trim_idle(self) -> None:
-        """End the longest idle beyond their share.
+        """End the connections that are idle for longest, above `idle_share` of the slots.
 
-        Guards against clients that ask once and keep their connection: they used up what
-        their front may hold open, and the others had none left to ask on while slots were
-        free here.  Should also keep memory down.  Harm: a large and steady pool of quiet
-        clients opens anew what it could have kept.
+        Some clients send one request and keep the connection open.  With a connection limit in
+        front of the proxy, such clients used it up, and others could not connect although slots
+        were free here.  It also limits memory.  Cost: a large, steady pool of quiet clients
+        reconnects more often.
         """
         over = len(self._idle) - self._idle_limit
         if over <= 0:
             return
         now = self.loop.time()
         for connection in list(islice(self._idle, over)):
-            if now - connection.since < IDLE_LEAST:
+            if now - connection.since < MIN_IDLE_TIME:
                 break
-            if connection.asked_meanwhile():
-                self._not_idle(connection, now)
+            if connection.has_unread_input():
+                self._requeue(connection, now)
             else:
                 connection.end()
 
-    def _not_idle(self, connection: ClientConnection, now: float) -> None:
-        """It has asked and will be read: last in its row, so that nobody looks at it again."""
+    def _requeue(self, connection: ClientConnection, now: float) -> None:
+        """Move a connection with unread input to the end of its state: it will be read."""
         connection.since = now
         if connection.state is not None:
             del connection.state[connection]
             connection.state[connection] = None
 
-    def reads(self, connection: ClientConnection, on: bool) -> None:
-        """Whether this connection is read.  While it is not, nothing tells of its client's end."""
+    def set_reading(self, connection: ClientConnection, on: bool) -> None:
+        """Note whether this connection is read.  While it is not, no event reports its end."""
         if on:
-            self._unread.pop(connection, None)
+            self._paused.pop(connection, None)
         else:
-            self._unread[connection] = None
-            if self._leaving is None:
-                self._leaving = self.loop.call_later(LEAVERS, self._look_for_leavers)
-
-    def _look_for_leavers(self) -> None:
-        """End those whose client has gone, though what it had sent before stands unread.
-
-        Guards against sending on what waits for a retry, a connection or room after its client
-        has left: the end stands behind what is not read, or in a window that is closed (only
-        there it is not seen).  Harm: a system call for each of these in each LEAVERS seconds.
+            self._paused[connection] = None
+            if self._departure_timer is None:
+                self._departure_timer = self.loop.call_later(
+                    DEPARTURE_CHECK_INTERVAL, self._close_departed
+                )
+
+    def _close_departed(self) -> None:
+        """End the paused connections whose client has left.
+
+        Requests that wait for a retry, a node connection or budget must not be sent after their
+        client has left, but its FIN is queued behind unread input.  Not detected: a FIN that a
+        closed window holds back at the client.  Cost: a system call for each paused connection in
+        each DEPARTURE_CHECK_INTERVAL.
         """
-        # First, as the sweep does: a fault over one must not end the looks for the others.
-        self._leaving = (
-            self.loop.call_later(LEAVERS, self._look_for_leavers) if self._unread else None
+        # Set the timer first: an exception for one connection must not stop further checks.
+        self._departure_timer = (
+            self.loop.call_later(DEPARTURE_CHECK_INTERVAL, self._close_departed)
+            if self._paused
+            else None
         )
-        for connection in list(self._unread):
+        for connection in list(self._paused):
             if connection.client_left():
                 connection.ended()
 
-    def lingering(self, connection: ClientConnection) -> None:
-        self._move(connection, self._lingering)
+    def mark_lingering(self, connection: ClientConnection) -> None:
+        """The connection is half-closed and waits for the client's close."""
+        self._set_state(connection, self._lingering)
 
     def connection_lost(self, connection: ClientConnection) -> None:
-        self._unread.pop(connection, None)
+        """The connection is closed: free its slot."""
+        self._paused.pop(connection, None)
         if connection.state is not None:
             del connection.state[connection]
             connection.state = None
-        self._taken -= 1
-        if not self._taken:
-            self._ended.set()
+        self._slots_used -= 1
+        if not self._slots_used:
+            self._all_closed.set()
 
     def _sweep(self) -> None:
-        self._sweeping = self.loop.call_later(SWEEP, self._sweep)
+        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
         now = self.loop.time()
         for state in self._states:
             for connection in list(state):
-                connection.look(now)
+                connection.check_timeouts(now)
         self._trim_idle()
 
     # --- draining ---
     async def drain(self, longest: float) -> None:
-        """Go on accepting for a while, answer what was taken, close between requests."""
+        """Drain after SIGTERM: accept for a while, answer the accepted requests, close the rest.
+
+        Connections still open `longest` seconds after accepting has ended are aborted.
+        """
         self.draining = True
         for connection in list(self._idle):
-            if not connection.asked_meanwhile():  # else it ends with its answer
+            if not connection.has_unread_input():  # otherwise it ends after its answer
                 connection.end()
         await asyncio.sleep(ACCEPT_AFTER_TERM)
-        self._accept_the_rest()
-        for connection in [*self._silent, *self._partial]:
-            if not connection.asked_meanwhile():  # else with its answer, or when it has overstayed
-                connection.last_call()
+        self._accept_backlog()
+        for connection in [*self._awaiting_first_byte, *self._partial]:
+            if (
+                not connection.has_unread_input()
+            ):  # otherwise it ends after its answer or time limit
+                connection.drain()
         for connection in list(self._serving):
-            if connection.asked_meanwhile():  # behind what is being served: taken as well
-                self.loop.call_later(UNREAD_AFTER_TERM, connection.last_call)
+            if connection.has_unread_input():  # commands behind the current ones: answered too
+                self.loop.call_later(UNREAD_AFTER_TERM, connection.drain)
             else:
-                connection.last_call()
-        self._ended.clear()
-        if self._taken:
+                connection.drain()
+        self._all_closed.clear()
+        if self._slots_used:
             try:
                 async with asyncio.timeout(longest):
-                    await self._ended.wait()
+                    await self._all_closed.wait()
             except TimeoutError:
-                logs.event("clients.left_open", count=self._taken)
+                logs.event("clients.left_open", count=self._slots_used)
                 for state in self._states:
                     for connection in list(state):
                         connection.abort()
-        for timer in (self._sweeping, self._leaving):
+        for timer in (self._sweep_timer, self._departure_timer):
             if timer is not None:
                 timer.cancel()
 
-    def _accept_the_rest(self) -> None:
-        """What waits in the backlog would be reset when the door closes."""
-        if self._opening is not None:
-            self._opening.cancel()
-        if self._door is None:
+    def _accept_backlog(self) -> None:
+        """Accept all of the backlog and stop listening: a close would reset what it holds."""
+        if self._accept_timer is not None:
+            self._accept_timer.cancel()
+        if self._server_socket is None:
             return
-        while self._taken < self._slots and self._accept_one():
+        while self._slots_used < self._slots and self._accept_one():
             pass
-        if self._opening is not None:
-            self._opening.cancel()
-        self._door.close()
-        self._door = None
+        if self._accept_timer is not None:
+            self._accept_timer.cancel()
+        self._server_socket.close()
+        self._server_socket = None
--- a/violetroute/clients/read_delay.py
+++ b/violetroute/clients/read_delay.py
@@ -1,67 +1,82 @@
-"""Since when what a connection reads may have stood unread.  Pure.
-
-Beyond what the loop's own turn tells, three things make a request older than the turn that reads
-it.  All were found by exploration, as answers after their clients' time:
-
-- it came before its connection was accepted;
-- it came in a pause of the process;
-- it came while this connection was not read, for want of room or because it asks too deep.
-
-Whatever stood then is marked until it has been read.  That all has been read is not told by a read
-that leaves nothing: where much stood, the window was closed, and the sender's kernel kept the rest,
-which comes a way and back later.  Weighed: SO_TIMESTAMP tells when a segment arrived here, which
-for the rest is after the pause; the sender's own time is in no segment that can be believed.  So
-the mark stays for `REOPENS` after the first read that left nothing, and what is not known is taken
-for old: its client asks again, which does no harm.  Who goes on sending more than we read is not
-marked for good: with a whole buffer read, and the sender's kernel given its time, the mark moves on
-to when reading stopped last.
+"""Estimates how long the data that a connection reads may have been unread.  Pure.
+
+The event loop's own lag is measured elsewhere.  Three more causes make a request older than the
+loop turn that reads it; exploring event orders found each as an answer after its client's timeout:
+
+- it arrived before its connection was accepted;
+- it arrived during a pause of the process;
+- it arrived while this connection was not read, because the budget or its depth was exhausted.
+
+Such data is marked with a start time until it has been read.  A read that empties the receive
+buffer does not prove that: if much data was waiting, the TCP window was closed and the sender's
+kernel holds the rest, which arrives a round trip later.  SO_TIMESTAMP does not help: it gives the
+arrival time at this host, which for the rest is after the pause, and no segment carries a
+trustworthy sending time.  So the mark stays for `WINDOW_REOPEN_TIME` after the first read that
+emptied the buffer, and data of unknown age counts as old: its client retries, which does no harm.
+
+A client that always sends more than is read does not stay marked for good.  Once a full receive
+buffer has been read and the sender's kernel had `WINDOW_REOPEN_TIME`, the mark moves on to the time
+at which reading last stopped.
 """
 
 from __future__ import annotations
 
-REOPENS = 0.1  # s from an open window until what the sender kept has come; a way is 3 ms
-CLOSED = 4  # parts of the receive buffer; one of them unread may have closed the window: small
-#             segments take several times their bytes of it
+# s from reopening the TCP window until data in the sender's kernel has come; one way takes 3 ms
+WINDOW_REOPEN_TIME = 0.1
+# One part of so many of the receive buffer, unread, may have closed the TCP window: small segments
+# occupy several times their size.
+WINDOW_DIVISOR = 4
 
 
 class ReadDelay:
-    """How long data of one connection may have waited.  Times are the loop's, in s."""
-
-    __slots__ = ("_accepted", "_clears_at", "_moves_at", "_next", "_read", "_read_at", "_since")
+    """The possible read delay of one connection.  Times are seconds of the loop's clock."""
+
+    __slots__ = (
+        "_accepted",
+        "_advance_at",
+        "_clear_at",
+        "_next_since",
+        "_read",
+        "_read_at",
+        "_since",
+    )
 
     def __init__(self) -> None:
-        self._accepted = -1  # the turn, until something was read
-        self._since: float | None = None  # what is read next may have stood since then
-        self._next = 0.0  # what comes after a window of that may have stood since then
-        self._read = 0  # bytes since the mark was made, or moved on
-        self._moves_at: float | None = None  # s, not before; None until something was read since
-        self._clears_at: float | None = None
-        self._read_at = 0.0  # when the last bytes came in
+        self._accepted = -1  # turn of the accept; -1 once something was read
+        self._since: float | None = None  # the next data read may be unread since then
+        # The same for the data that follows one receive buffer of marked data.
+        self._next_since = 0.0
+        self._read = 0  # bytes since the mark was set or moved on
+        # Earliest time at which the mark may move on; None until data was read under it.
+        self._advance_at: float | None = None
+        self._clear_at: float | None = None
+        self._read_at = 0.0  # time of the last read
 
     @property
     def marked(self) -> bool:
-        """Whether `has_read` has to be told."""
+        """Whether `end_read` has to be called after a read."""
         return self._since is not None
 
     def accepted(self, turn: int, since: float) -> None:
-        """Accepted in this turn; it may have waited for that since then."""
+        """The connection was accepted in this turn; it may have been waiting since `since`."""
         self._accepted = turn
         self._mark(since)
 
-    def stops_reading(self, now: float) -> None:
-        """From now on what comes stands, until it is read again."""
-        self._clears_at = None
+    def pause_reading(self, now: float) -> None:
+        """Reading stops: from now on data stays unread until `begin_read`."""
+        self._clear_at = None
         if self._since is None:
             self._mark(now)
         else:
-            self._next = now
+            self._next_since = now
 
-    def reads(self, turn: int, now: float, lost: float) -> None:
-        """About to read; `lost`: seconds since a pause began that ended with this turn, else 0."""
+    def begin_read(self, turn: int, now: float, lost: float) -> None:
+        """Before a read.  `lost`: seconds since the start of a pause that ended with this turn; 0
+        without one.
+        """
         if self._since is not None and (
-            (self._clears_at is not None and now >= self._clears_at)
-            or turn > self._accepted + 1 >= 1
-        ):  # it has come since it was accepted
+            (self._clear_at is not None and now >= self._clear_at) or turn > self._accepted + 1 >= 1
+        ):  # the second case: the data arrived after the accept
             self._since = None
         if lost and (self._since is None or now - lost < self._since):
             self._mark(now - lost)
@@ -69,23 +84,26 @@
         self._read_at = now
 
     def _mark(self, since: float) -> None:
-        self._since = self._next = since
-        self._read, self._clears_at, self._moves_at = 0, None, None
+        self._since = self._next_since = since
+        self._read, self._clear_at, self._advance_at = 0, None, None
+
+    def end_read(self, count: int, now: float, emptied: bool, buffer: int) -> None:
+        """After a read of `count` bytes.  `emptied`: none are left to read.
 
-    def has_read(self, count: int, now: float, emptied: bool, buffer: int) -> None:
-        """So many bytes, and whether none are left; `buffer`: bytes that the kernel keeps."""
+        `buffer`: size of the kernel's receive buffer in bytes.
+        """
         self._read += count
-        if emptied and self._read * CLOSED < buffer:
+        if emptied and self._read * WINDOW_DIVISOR < buffer:
             self._since = None
-        elif emptied and self._clears_at is None:
-            self._clears_at = now + REOPENS
-        if self._moves_at is None:
-            self._moves_at = now + REOPENS
-        elif self._read > buffer and now >= self._moves_at and self._since is not None:
-            self._since, self._next, self._read = self._next, now, 0
-            self._moves_at = now + REOPENS
-
-    def waited(self, now: float) -> float:
-        """Seconds for which the command at hand may have stood, in the kernel or here."""
+        elif emptied and self._clear_at is None:
+            self._clear_at = now + WINDOW_REOPEN_TIME
+        if self._advance_at is None:
+            self._advance_at = now + WINDOW_REOPEN_TIME
+        elif self._read > buffer and now >= self._advance_at and self._since is not None:
+            self._since, self._next_since, self._read = self._next_since, now, 0
+            self._advance_at = now + WINDOW_REOPEN_TIME
+
+    def delay(self, now: float) -> float:
+        """Seconds for which the current command may have waited, in the kernel or here."""
         since = self._read_at if self._since is None else min(self._since, self._read_at)
         return now - since if since else 0.0
