--- a/tests/violetroute/clients/test_clients.py
+++ b/tests/violetroute/clients/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients that are usual, hasty, rude, silent or gone, over loopback sockets."""
+"""Client connections over loopback sockets: pipelining, errors, limits, departures and drains."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from violetroute.clients.listener import ACCEPT_RETRY_INTERVAL, MIN_IDLE_TIME
 
 
-def play(part: Callable[..., Awaitable[None]], *nodes: Any, **limits: Any) -> None:
+def run_case(part: Callable[..., Awaitable[None]], *nodes: Any, **limits: Any) -> None:
     async def run() -> None:
         built = [node() if callable(node) else node for node in nodes or (CacheNode,)]
         async with Rig(*built, **limits) as rig:
@@ -38,19 +38,19 @@
     stall_free_loop.run(run())
 
 
-def held() -> tuple[asyncio.Event, Behaviour]:
-    """A node that answers, with the id, once the event is set."""
+def delayed_answer() -> tuple[asyncio.Event, Behaviour]:
+    """A node behaviour that answers with the id once the event is set."""
     event = asyncio.Event()
 
-    async def late(words: list[bytes], writer: asyncio.StreamWriter) -> None:
+    async def answer_late(words: list[bytes], writer: asyncio.StreamWriter) -> None:
         await event.wait()
         writer.write(reply(words[2]))
 
-    return event, late
+    return event, answer_late
 
 
-async def closed(reader: asyncio.StreamReader) -> bytes:
-    """What comes until the proxy closes, by an end or a reset."""
+async def read_until_closed(reader: asyncio.StreamReader) -> bytes:
+    """All data until the proxy closes the connection, by FIN or reset."""
     data = b""
     try:
         while piece := await soon(reader.read(4096)):
@@ -75,7 +75,7 @@
         answers = await rig.ask(*map(get, range(10)), command(b"PING"), put(11))
         assert answers == [*(b"id%d" % n for n in range(10)), b"+PONG", b"id11"]
 
-    play(part)
+    run_case(part)
 
 
 def test_a_client_that_closes_frees_its_request_and_its_node() -> None:
@@ -86,20 +86,20 @@
         _, writer = await rig.client()
         writer.write(get(1))
         await until(lambda: node.commands)
-        writer.write_eof()  # the protocol knows no half-open client: it has gone
+        writer.write_eof()  # the protocol has no half-open clients: it has left
         await until(lambda: not node.open and not rig.proxy.open_requests)
 
-    play(part)
+    run_case(part)
 
 
-def test_nothing_is_sent_for_a_client_that_has_gone() -> None:
-    # Taken out, this guard was missed by every test: the request lived on to its deadline,
-    # and each failure of an attempt made the proxy send it anew.
+def test_nothing_is_sent_for_a_client_that_has_left() -> None:
+    # Without this check no other test fails: the request stayed open until its deadline, and each
+    # failed attempt was retried.
     async def part(rig: Rig, node: CacheNode) -> None:
-        held = asyncio.Event()
+        release = asyncio.Event()
 
         async def breaks(words: list[bytes], writer: asyncio.StreamWriter) -> None:
-            await held.wait()
+            await release.wait()
             writer.transport.abort()
 
         node.behaviour = breaks
@@ -108,17 +108,17 @@
         await until(lambda: node.commands)
         writer.close()
         await until(lambda: not rig.listener.connections)
-        assert not rig.proxy.open_requests, "it is told at once, not found out at the deadline"
-        held.set()
+        assert not rig.proxy.open_requests, "the request must end at once, not at its deadline"
+        release.set()
         await until(lambda: not node.open)
         node.behaviour = serves
         assert await rig.ask(get(2)) == [b"value of id2"]
         assert [words[2] for words in node.commands] == [b"id1", b"id2"]
 
-    play(part)
+    run_case(part)
 
 
-BAD = {
+BROKEN_FRAMING = {
     "noise": b"\x00\xff\x17\x80" * 8,
     "endless line": b"*" + b"1" * 5000,
     "endless status": b"+" + b"x" * 5000,
@@ -137,20 +137,20 @@
 }
 
 
-@pytest.mark.parametrize("name", BAD)
-def test_what_cannot_be_read_is_answered_and_closed_at_once(name: str) -> None:
-    # An endless line was read to 8 KiB, and noise with no line end kept for 15 s.
+@pytest.mark.parametrize("name", BROKEN_FRAMING)
+def test_broken_framing_is_answered_and_closed_at_once(name: str) -> None:
+    # An endless line was read up to 8 KiB, and noise without a line end was kept for 15 s.
     async def part(rig: Rig, node: CacheNode) -> None:
         reader, writer = await rig.client()
-        writer.write(get(1) + BAD[name])
-        data = await closed(reader)
+        writer.write(get(1) + BROKEN_FRAMING[name])
+        data = await read_until_closed(reader)
         assert data.startswith(bulk(b"value of id1") + b"-ERR ") and data.endswith(b"\r\n")
         writer.close()
 
-    play(part)
+    run_case(part)
 
 
-SENSELESS = {
+INVALID_COMMANDS = {
     "class": get(1, cls=b"nothing"),
     "wait": command(b"OBJ.GET", b"k", b"i", b"c=lookup,d=soon"),
     "blank wait": command(b"OBJ.GET", b"k", b"i", b"c=lookup,d=1_0"),
@@ -164,28 +164,28 @@
 }
 
 
-@pytest.mark.parametrize("name", SENSELESS)
-def test_senseless_commands_are_answered_and_reach_no_node(name: str) -> None:
+@pytest.mark.parametrize("name", INVALID_COMMANDS)
+def test_invalid_commands_are_answered_and_reach_no_node(name: str) -> None:
     async def part(rig: Rig, node: CacheNode) -> None:
-        answers = await rig.ask(SENSELESS[name], get(7))
+        answers = await rig.ask(INVALID_COMMANDS[name], get(7))
         assert answers[0].startswith(b"-ERR ") and answers[1] == b"value of id7"
         assert [words[2] for words in node.commands] == [b"id7"]
 
-    play(part)
+    run_case(part)
 
 
-def test_nothing_but_mistakes_ends_the_connection() -> None:
+def test_too_many_invalid_commands_in_a_row_end_the_connection() -> None:
     async def part(rig: Rig, node: CacheNode) -> None:
         reader, writer = await rig.client()
-        writer.write(SENSELESS["class"] * 500)
-        assert 0 < (await closed(reader)).count(b"-ERR") < 500
+        writer.write(INVALID_COMMANDS["class"] * 500)
+        assert 0 < (await read_until_closed(reader)).count(b"-ERR") < 500
         writer.close()
 
-    play(part)
+    run_case(part)
 
 
-def test_the_id_of_an_open_request_is_turned_away() -> None:
-    # It went on to a node, which can't tell the two apart, and could be served.
+def test_the_id_of_an_open_request_is_rejected() -> None:
+    # It was sent to a node, which cannot tell the two requests apart, and could be served.
     async def part(rig: Rig, node: CacheNode) -> None:
         go = asyncio.Event()
 
@@ -200,35 +200,35 @@
         assert (await rig.ask(get(1)))[0].startswith(b"-ERR")
         go.set()
         assert await read_answer(reader) == b"mine"
-        assert await rig.ask(get(1)) == [b"mine"]  # it is free again
+        assert await rig.ask(get(1)) == [b"mine"]  # the id is free again
         assert len(node.commands) == 2
         writer.close()
 
-    play(part)
+    run_case(part)
 
 
-def test_a_silent_crowd_at_the_limit_keeps_nobody_out() -> None:
+def test_connections_without_data_at_the_limit_lock_nobody_out() -> None:
     async def part(rig: Rig, node: CacheNode) -> None:
         crowd = [await rig.client() for _ in range(2 * rig.config.client_sockets)]
         assert await rig.ask(get(1)) == [b"value of id1"]
-        for reader, writer in crowd:  # and each is closed by itself
-            assert await closed(reader) == b""
+        for reader, writer in crowd:  # each is closed without further input
+            assert await read_until_closed(reader) == b""
             writer.close()
 
-    play(part, sockets=80)
+    run_case(part, sockets=80)
 
 
-def test_half_a_command_is_ended_in_bounded_time() -> None:
+def test_a_partial_command_is_ended_in_bounded_time() -> None:
     async def part(rig: Rig, node: CacheNode) -> None:
         reader, writer = await rig.client()
         writer.write(get(1)[:-5])
-        assert (await closed(reader)).startswith(b"-ERR")
+        assert (await read_until_closed(reader)).startswith(b"-ERR")
         writer.close()
 
-    play(part)
+    run_case(part)
 
 
-def test_connections_that_asked_once_and_stay_make_room() -> None:
+def test_idle_connections_are_evicted_for_new_ones() -> None:
     async def part(rig: Rig, node: CacheNode) -> None:
         stay = []
         for number in range(3 * rig.config.client_sockets):
@@ -239,48 +239,48 @@
         for writer in stay:
             writer.close()
 
-    play(part, sockets=80)
+    run_case(part, sockets=80)
 
 
-def test_ids_and_connections_that_are_ever_new_leave_nothing_behind() -> None:
+def test_new_ids_and_connections_leak_no_objects() -> None:
     async def part(rig: Rig, node: CacheNode) -> None:
-        async def spell(start: int) -> None:
+        async def send_requests(start: int) -> None:
             for number in range(start, start + 60):
                 await rig.ask(
                     get(number, key=b"key%d" % (number % 60)),
                     put(number + 100_000),
-                    SENSELESS["class"],
+                    INVALID_COMMANDS["class"],
                 )
             await until(lambda: not rig.listener.connections and not rig.proxy.open_requests)
             node.commands.clear()
-            for writer in list(node.open):  # how many are kept is no leak
+            for writer in list(node.open):  # connections kept for reuse are no leak
                 writer.close()
             await until(lambda: not node.open)
 
         def objects() -> int:
             gc.collect()
-            # A timer that was called off, with its context, stays with the loop until it is due.
+            # A cancelled timer stays in the loop, with its context, until it is due.
             return sum(
                 not isinstance(o, Context)
                 and not (isinstance(o, asyncio.TimerHandle) and o.cancelled())
                 for o in gc.get_objects()
             )
 
-        await spell(0)  # the module learns the keys
-        await spell(1_000)
+        await send_requests(0)  # the balancer learns the keys
+        await send_requests(1_000)
         before = objects()
-        await spell(2_000)
-        # Not one object for two of 120 requests, once the last connections have ended.
+        await send_requests(2_000)
+        # Fewer than one object per two of the 120 requests, once the connections have ended.
         await until(lambda: objects() < before + 60)
 
-    play(part)
+    run_case(part)
 
 
-def test_values_that_do_not_fit_wait_for_room() -> None:
+def test_values_that_do_not_fit_wait_for_the_budget() -> None:
     async def part(rig: Rig, node: CacheNode) -> None:
         value = b"x" * 64 * 1024
         clients = []
-        for number in range(40):  # 2.5 MB where 1 MB has room
+        for number in range(40):  # 2.5 MB for a budget of 1 MB
             reader, writer = await rig.client()
             writer.write(put(number, value)[:-10])
             clients.append((reader, writer, put(number, value)[-10:]))
@@ -292,11 +292,11 @@
             assert (await read_answer(reader)).startswith((b"value", b"-ERR half"))
             writer.close()
 
-    play(part, memory_mb=20)
+    run_case(part, memory_mb=20)
 
 
-def test_clients_that_do_not_read_hold_a_bounded_amount() -> None:
-    # What waited in the transports' own buffers was counted nowhere.
+def test_clients_that_do_not_read_use_bounded_memory() -> None:
+    # Data in the transports' own buffers was not charged to the budget.
     async def part(rig: Rig, node: CacheNode) -> None:
         async def large(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             writer.write(reply(b"x" * 60_000))
@@ -311,19 +311,20 @@
         await until(lambda: rig.listener.budget.full)
         quiet = len(node.commands)
         await asyncio.sleep(0.5)
-        # Whatever the module lets in: one value for each connection to nodes (45% of what is not
-        # kept back of 256) may be on its way when the budget is full.
+        # Independent of admission: one value per node connection (45% of the sockets that are not
+        # reserved, of 256) may be under way when the budget is full.
         assert rig.listener.budget.used < 1024 * 1024 + 100 * 64 * 1024
         assert len(node.commands) < 20 * 300 and len(node.commands) - quiet < 300
         for writer in clients:
             writer.transport.abort()
         await until(lambda: rig.listener.budget.used == 0)
 
-    play(part, memory_mb=20)
+    run_case(part, memory_mb=20)
 
 
-def test_those_that_asked_once_leave_the_others_something_to_ask_on() -> None:
-    # A front that may hold so many open had none left: all were idle, and slots were free.
+def test_idle_connections_above_their_share_are_closed() -> None:
+    # A client with a connection limit had no connection left: all were idle, although the proxy
+    # had free slots.
     async def part(rig: Rig, node: CacheNode) -> None:
         stay = []
         for number in range(rig.config.client_sockets // 2):
@@ -331,19 +332,19 @@
             writer.write(get(number))
             await read_answer(reader)
             stay.append((reader, writer))
-        assert await closed(stay[0][0]) == b""
+        assert await read_until_closed(stay[0][0]) == b""
         await until(lambda: rig.listener.connections <= rig.config.client_sockets // 4)
         for _, writer in stay:
             writer.close()
 
-    play(part, sockets=128)
+    run_case(part, sockets=128)
 
 
-async def asked_unread(
+async def idle_with_unread(
     rig: Rig,
     *commands: bytes,
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """A connection that has been idle, whose next commands stand unread in the kernel."""
+    """A connection that has been idle and whose next commands are unread in the kernel."""
     reader, writer = await rig.client()
     writer.write(command(b"PING"))
     assert await read_answer(reader) == b"+PONG"
@@ -353,23 +354,23 @@
             and rig.listener.loop.time() - next(iter(rig.listener._idle)).since > MIN_IDLE_TIME
         )
     )
-    writer.write(b"".join(commands))  # into the kernel at once, no turn of the loop in between
+    writer.write(b"".join(commands))  # into the kernel at once, without a loop turn in between
     return reader, writer
 
 
-@pytest.mark.parametrize("close", ["trim", "give way", "overstay", "drain"])
+@pytest.mark.parametrize("close", ["trim", "evict", "idle time", "drain"])
 def test_a_connection_with_an_unread_request_is_not_closed_as_idle(close: str) -> None:
-    # Lost at the CPU limit: a turn that lasted longer than a connection may be idle ended it
-    # before it came to the bytes that stood there.
+    # At the CPU limit requests were lost: after a turn longer than the idle time, a connection was
+    # closed before its unread bytes were read.
     async def part(rig: Rig, node: CacheNode) -> None:
         listener = rig.listener
-        reader, _ = await asked_unread(rig, get(1))
+        reader, _ = await idle_with_unread(rig, get(1))
         if close == "trim":
             listener._idle_limit = 0
             listener._trim_idle()
-        elif close == "give way":
+        elif close == "evict":
             assert not listener._evict_one()
-        elif close == "overstay":
+        elif close == "idle time":
             listener._slots, listener.limits = (
                 1,
                 msgspec.structs.replace(listener.limits, idle_s=MIN_IDLE_TIME),
@@ -379,22 +380,22 @@
             drained = asyncio.create_task(listener.drain(5.0))
         assert await read_answer(reader) == b"value of id1"
         if close == "drain":
-            assert await closed(reader) == b""
+            assert await read_until_closed(reader) == b""
             await soon(drained)
 
-    play(part)
+    run_case(part)
 
 
-def test_commands_unread_at_the_end_of_the_drains_grace_are_answered() -> None:
+def test_commands_unread_when_a_drain_stops_accepting_are_answered() -> None:
     async def part(rig: Rig, node: CacheNode) -> None:
-        served, node.behaviour = held()
+        served, node.behaviour = delayed_answer()
         reader, writer = await rig.client()
         writer.write(get(1))
         await until(lambda: rig.proxy.open_requests)
         connection = next(iter(rig.listener._serving))
         ends = rig.listener._accept_backlog
 
-        def cut() -> None:  # what comes in the very turn in which the grace ends
+        def cut() -> None:  # arrives in the turn in which accepting ends
             writer.write(get(2))
             ends()
 
@@ -406,29 +407,29 @@
         assert [await read_answer(reader) for _ in range(2)] == [b"id1", b"id2"]
         await soon(drained)
 
-    play(part)
+    run_case(part)
 
 
 @pytest.mark.parametrize("drain", [False, True])
 def test_an_answer_in_a_drain_does_not_close_on_the_next_command(drain: bool) -> None:
-    # Nodes' answers come first in a turn: the command behind is still to be read in it.
+    # A turn handles replies of nodes first: the next command is read later in the same turn.
     async def part(rig: Rig, node: CacheNode) -> None:
         listener = rig.listener
-        reader, writer = await asked_unread(rig)
+        reader, writer = await idle_with_unread(rig)
         connection = next(iter(listener._idle))
         listener.draining = True
-        if drain:  # whoever went on asking would never come to an end
+        if drain:  # otherwise a client that keeps sending would never be closed
             listener._accept_backlog()
         writer.write(get(1))
-        listener.mark_idle(connection)  # as after the answer before
+        listener.mark_idle(connection)  # as after the previous answer
         if not drain:
             assert await read_answer(reader) == b"value of id1"
-        assert await closed(reader) == b""
+        assert await read_until_closed(reader) == b""
 
-    play(part)
+    run_case(part)
 
 
-def test_one_that_always_has_something_unread_still_ends_half_said() -> None:
+def test_a_partial_command_with_unread_input_can_be_evicted() -> None:
     async def part(rig: Rig, node: CacheNode) -> None:
         reader, writer = await rig.client()
         writer.write(b"*4\r\n$7\r\nOBJ")
@@ -437,12 +438,12 @@
         connection.since -= rig.listener.limits.command_s
         writer.write(b".")
         assert rig.listener._evict_one()
-        assert await closed(reader) == b""
+        assert await read_until_closed(reader) == b""
 
-    play(part)
+    run_case(part)
 
 
-def test_a_reader_that_takes_nothing_loses_its_connection() -> None:
+def test_a_client_that_reads_nothing_is_disconnected() -> None:
     async def part(rig: Rig, node: CacheNode) -> None:
         async def large(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             writer.write(reply(b"x" * 60_000))
@@ -457,14 +458,14 @@
         )
         stuck = rig.listener.loop.time()
         await until(lambda: not rig.listener.connections)
-        assert rig.listener.loop.time() - stuck > 0.7  # and not at the first look
+        assert rig.listener.loop.time() - stuck > 0.7  # not at the first check
 
-    play(part)
+    run_case(part)
 
 
-def test_with_no_slot_free_the_door_is_looked_at_now_and_then() -> None:
+def test_without_a_free_slot_accepting_is_retried_at_intervals() -> None:
     async def part(rig: Rig, node: CacheNode) -> None:
-        answer, node.behaviour = held()
+        answer, node.behaviour = delayed_answer()
         listener, loop = rig.listener, asyncio.get_running_loop()
         asking = asyncio.create_task(rig.ask(get(1)))
         await until(lambda: rig.proxy.open_requests)
@@ -477,14 +478,14 @@
         listener._evict_one = looked  # type: ignore[method-assign]
         second = asyncio.create_task(rig.ask(command(b"PING")))
         await until(lambda: len(looks) > 3)
-        assert looks[3] - looks[0] > 2 * ACCEPT_RETRY_INTERVAL  # and not at each poll
+        assert looks[3] - looks[0] > 2 * ACCEPT_RETRY_INTERVAL  # not at each poll
         answer.set()
         assert await soon(asking) == [b"id1"] and await soon(second) == [b"+PONG"]
 
-    play(part)
+    run_case(part)
 
 
-def test_one_that_has_just_been_answered_is_not_ended_for_its_share() -> None:
+def test_a_just_answered_connection_is_not_trimmed() -> None:
     async def part(rig: Rig, node: CacheNode) -> None:
         reader, writer = await rig.client()
         for _ in range(2):
@@ -494,4 +495,4 @@
             rig.listener._trim_idle()
             assert rig.listener._idle and not rig.listener._lingering
 
-    play(part)
+    run_case(part)
--- a/tests/violetroute/clients/test_crossings.py
+++ b/tests/violetroute/clients/test_crossings.py
@@ -1,6 +1,7 @@
-"""Two events in either order, at a client's connection: its end against all that may be under way.
+"""Races at a client connection: two events in either order, mostly its end and work in progress.
 
-On the virtual network, where the order is exact.  docs/design/crossings.md has the whole table.
+They run on the virtual network, where the order is exact.  docs/design/crossings.md has the whole
+table.
 """
 
 from __future__ import annotations
@@ -20,23 +21,23 @@
 from violetroute.clients.connection import ClientConnection
 from violetroute.upstream import Attempt
 
-EARLY_MS = 100.0  # by which a repeat has to be decided, so that its bounds are still far away
-TRIES = 10  # on a machine that is too slow for that
-GONE = 0.1  # s after which nothing more begins for a client that has left
+EARLY_DECISION_MS = 100.0  # a retry has to be decided within it, to be far from its time limits
+MAX_TRIES = 10  # attempts, for a machine that is too slow for that
+DEPARTURE_LIMIT = 0.1  # s after which nothing may be sent for a client that has left
 
 
 async def never(words: list[bytes], writer: asyncio.StreamWriter) -> None:
     """A node that takes commands and answers none."""
 
 
-def late(here: Scene, left_at: float) -> list[tuple[float, int, bytes]]:
-    return [each for each in here.begun if each[0] > left_at + GONE]
+def begun_late(here: Scene, left_at: float) -> list[tuple[float, int, bytes]]:
+    return [each for each in here.begun if each[0] > left_at + DEPARTURE_LIMIT]
 
 
 # --- a client's end ---------------------------------------------------------------------
 @pytest.mark.parametrize("caps", [{}, {"caps": NO_CANCEL}], ids=["may cancel", "may not"])
 @pytest.mark.parametrize("left_first", [True, False])
-def test_what_waits_for_a_connection_is_not_sent_once_its_client_has_left(
+def test_a_request_waiting_for_a_connection_is_not_sent_once_its_client_has_left(
     caps: dict[str, Any], left_first: bool
 ) -> None:
     async def part(here: Scene) -> None:
@@ -58,12 +59,12 @@
 
 @pytest.mark.parametrize("end", ["closes", "resets"])
 @pytest.mark.parametrize("held_by", ["depth", "budget", "half a value"])
-def test_a_client_that_leaves_while_it_is_not_read_has_left(end: str, held_by: str) -> None:
-    # Found by reading: its end stands behind what is not read, and nobody asked for it.  Requests
-    # that it had made went on being sent, tried again and counted up to their deadlines.
+def test_a_departure_is_noticed_while_the_client_is_not_read(end: str, held_by: str) -> None:
+    # Found by code review: the client's FIN is queued behind unread input and was not checked for.
+    # Its requests were still sent, retried and counted until their deadlines.
     async def part(here: Scene) -> None:
         here.nodes[0].behaviour = never
-        # A connect of 1 s, so that each of them waits for its connection as the client leaves.
+        # A connect takes 1 s, so that each request waits for one when the client leaves.
         here.kernel.link(here.nodes[0].port).latency = 0.45
         budget = here.listener.budget
         if held_by != "depth":
@@ -84,10 +85,10 @@
             writer.transport.abort()
         left_at = here.loop.time()
         await here.until(lambda: not here.listener.connections)
-        assert here.loop.time() - left_at <= GONE / 2
-        await here.until(lambda: not here.proxy.open_requests, GONE / 2)
+        assert here.loop.time() - left_at <= DEPARTURE_LIMIT / 2
+        await here.until(lambda: not here.proxy.open_requests, DEPARTURE_LIMIT / 2)
         await asyncio.sleep(3.0)
-        assert late(here, left_at) == [] and not here.listener._paused
+        assert begun_late(here, left_at) == [] and not here.listener._paused
         if held_by != "depth":
             budget.release(budget._size)
         assert budget.used == 0 and here.listener._departure_timer is None
@@ -95,8 +96,8 @@
     scene(part, sockets=1024)
 
 
-def test_so_it_does_on_real_sockets() -> None:
-    async def play() -> None:
+def test_a_departure_is_noticed_while_not_read_on_real_sockets() -> None:
+    async def run() -> None:
         async with Rig(CacheNode(never), sockets=1024) as rig:
             _, writer = await rig.client()
             for number in range(300):
@@ -106,13 +107,13 @@
             await until(lambda: not rig.listener.connections and not rig.proxy.open_requests)
             assert not rig.listener._paused and rig.listener.budget.used == 0
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 @pytest.mark.parametrize("left", [True, False])
-def test_a_process_that_stood_asks_whether_the_client_is_still_there(left: bool) -> None:
-    # Nodes come first in a turn: the connection that came up in the pause would be written to
-    # before the client's end, which came in the same pause, is read.
+def test_after_a_pause_the_client_is_checked_before_sending(left: bool) -> None:
+    # A turn handles nodes first.  A node connection that was established during the pause would be
+    # written to before the client's end, which arrived in the same pause, is read.
     async def part(here: Scene) -> None:
         here.kernel.link(here.nodes[0].port).latency = 0.2
         _, writer = await here.client()
@@ -127,9 +128,10 @@
     scene(part)
 
 
-def test_a_connection_that_has_ended_is_free_without_the_collector() -> None:
-    # Found on `soak`: 3 MB more, since a command in pieces and its connection knew each other.
-    async def play() -> None:
+def test_an_ended_connection_is_freed_without_garbage_collection() -> None:
+    # Found by `soak`: 3 MB more memory, since a partial command and its connection referred to each
+    # other.
+    async def run() -> None:
         async with Rig(CacheNode()) as rig:
 
             def held() -> int:
@@ -145,64 +147,67 @@
                     await read_answer(reader)
                     writer.close()
                 await until(lambda: not rig.listener.connections)
-                await until(lambda: held() == before)  # nor those made for nobody in an accept
+                await until(lambda: held() == before)  # also those of accepts without a client
             finally:
                 gc.enable()
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-# --- the time, and the window of a keyed one ---------------------------------------------
+# --- deadlines, and the delivery window of a keyed request ---
 @dataclass
-class Repeat:
-    """One request whose first attempt broke, by the clock of the proxy (ms)."""
+class Retry:
+    """One request whose first attempt failed.  Times are milliseconds of the proxy's clock."""
 
-    sends: int  # commands whose first byte the proxy's streams took
-    arrived: int  # commands that a node has read
+    sends: int  # commands of which a stream of the proxy took the first byte
+    arrived: int  # commands that a node read
     answered_at: float
-    attempts: list[tuple[float, Attempt]]  # when the module decided on each
-    asked: list[tuple[float, bool]]  # for the repeat: when it was asked for, and whether it may go
+    attempts: list[tuple[float, Attempt]]  # each with the time of the decision
+    checked: list[tuple[float, bool]]  # checks of the retry: time and result of `may_send`
 
     keyed: bool
 
     @property
     def bound(self) -> float:
-        """By which the repeat has to be sent."""
-        repeat = self.attempts[1][1]
-        return repeat.deliver_by if self.keyed else repeat.wait_until
+        """The time by which the retry has to be sent."""
+        retry = self.attempts[1][1]
+        return retry.deliver_by if self.keyed else retry.wait_until
 
     def is_forced(self, window_ms: float) -> bool:
-        """Whether the repeat was decided while nearly all of its window was left.
+        """Whether the retry was decided while nearly all of its window was left.
 
-        Else the machine was slow before the process stood: the proxy took that time off the
-        window, or decided on no repeat.
+        Otherwise the machine was slow before the pause: the proxy subtracted that time from the
+        window, or did not retry.
         """
         if len(self.attempts) != 2:
             return False
         (first_at, _), (decided_at, _) = self.attempts
-        return decided_at - first_at < EARLY_MS and self.bound - first_at > window_ms - EARLY_MS
+        return (
+            decided_at - first_at < EARLY_DECISION_MS
+            and self.bound - first_at > window_ms - EARLY_DECISION_MS
+        )
 
     def check(self, window_ms: float) -> None:
-        """It is sent if, and only if, its time was not over when it was asked for."""
+        """The retry is sent if, and only if, its time was not over when `may_send` was called."""
         first_at, bound = self.attempts[0][0], self.bound
         assert bound - first_at <= window_ms
-        if self.asked:
-            ((asked_at, allowed),) = self.asked
-            assert allowed == (asked_at < bound)
-        else:  # its connection came up after the timer that gave it up
+        if self.checked:
+            ((checked_at, allowed),) = self.checked
+            assert allowed == (checked_at < bound)
+        else:  # its connection was established after the timer had given it up
             allowed = False
             assert self.answered_at >= bound - 1.0
         assert self.sends == 1 + allowed
         assert self.arrived <= self.sends
 
 
-async def repeat_after_a_stall(stands: float, words: bytes, keyed: bool) -> Repeat:
-    """Both nodes break each connection; the process stands once the second one is asked for."""
+async def retry_after_a_stall(stall_s: float, words: bytes, keyed: bool) -> Retry:
+    """Both nodes break each connection; the process stalls after it has begun the second one."""
 
-    async def breaks(words: list[bytes], writer: asyncio.StreamWriter) -> None:
+    async def resets(words: list[bytes], writer: asyncio.StreamWriter) -> None:
         writer.transport.abort()
 
-    nodes, times = [CacheNode(breaks), CacheNode(breaks)], SendTimes()
+    nodes, times = [CacheNode(resets), CacheNode(resets)], SendTimes()
     classes = [each | {"keyTtlMs": 400.0} for each in SETTINGS["classes"]]
     async with Rig(*nodes, classes=classes) as rig:
         proxy, ports = rig.proxy, {node.port for node in nodes}
@@ -210,74 +215,74 @@
         pool, net, opened = proxy._pool, proxy._pool._net, 0
         connect, send, may_send = net.connect, pool.send, proxy.may_send
         attempts: list[tuple[float, Attempt]] = []
-        asked: list[tuple[float, bool]] = []
+        checked: list[tuple[float, bool]] = []
 
         def stalls(*arguments: Any, **more: Any) -> Any:
             nonlocal opened
             stream = connect(*arguments, **more)
             opened += arguments[0].port in ports
             if opened == 2:
-                time.sleep(stands)
+                time.sleep(stall_s)
             return stream
 
-        def notes(attempt: Attempt) -> None:
+        def records_send(attempt: Attempt) -> None:
             attempts.append((attempt.sent_at, attempt))
             send(attempt)
 
-        def asks(attempt: Attempt) -> bool:
+        def records_check(attempt: Attempt) -> bool:
             allowed = may_send(attempt)
             if len(attempts) == 2 and attempt is attempts[1][1]:
-                asked.append((proxy._time.latest, allowed))  # the time by which it was decided
+                checked.append((proxy._time.latest, allowed))  # the time that `may_send` used
             return allowed
 
         net.connect = stalls  # type: ignore[method-assign]
-        pool.send = notes  # type: ignore[method-assign]
-        proxy.may_send = asks  # type: ignore[method-assign]
+        pool.send = records_send  # type: ignore[method-assign]
+        proxy.may_send = records_check  # type: ignore[method-assign]
         reader, writer = await rig.client()
         writer.write(words)
         await read_answer(reader)
         arrived = sum(len(node.commands) for node in nodes)
-        return Repeat(times.sends, arrived, proxy.clock(), attempts, asked, keyed)
+        return Retry(times.sends, arrived, proxy.clock(), attempts, checked, keyed)
 
 
-@pytest.mark.parametrize("stands", [0.0, 0.3, 0.7])
+@pytest.mark.parametrize("stall_s", [0.0, 0.3, 0.7])
 @pytest.mark.parametrize("cls", [b"optout", b"lookup"])
-def test_a_repeat_that_waited_past_its_window_or_its_time_is_not_sent(
-    stands: float, cls: bytes
-) -> None:
-    # Found by reading: after a stall the loop gives sockets their turn ahead of timers, so the
-    # connection that had come up was written to and only then the window found to be over.  On the
-    # real loop, whose order that is; the process stands right after it has asked for a connection.
-    # How long the repeat waited in fact is read from the proxy's clock.
+def test_a_retry_past_its_window_or_deadline_is_not_sent(stall_s: float, cls: bytes) -> None:
+    # Found by code review: after a stall the loop handles sockets before timers, so the established
+    # connection was written to before the timer found that the window was over.  The test needs the
+    # real loop, which has this order; the process stalls right after it has begun to connect.  The
+    # time that the retry waited is read from the proxy's clock.
     keyed = cls == b"optout"
     window_ms = 400.0 if keyed else 500.0
     words = put(1) if keyed else get(1, wait=int(window_ms))
-    for _ in range(TRIES):
-        repeat = asyncio.run(repeat_after_a_stall(stands, words, keyed))
-        if repeat.is_forced(window_ms):
+    for _ in range(MAX_TRIES):
+        retry = asyncio.run(retry_after_a_stall(stall_s, words, keyed))
+        if retry.is_forced(window_ms):
             break
-    assert repeat.is_forced(window_ms), "the window is too short, or the machine too slow each time"
-    repeat.check(window_ms)
-    if stands * 1000.0 > window_ms:
-        assert repeat.sends == 1
+    assert retry.is_forced(window_ms), "the window is too short, or the machine too slow each time"
+    retry.check(window_ms)
+    if stall_s * 1000.0 > window_ms:
+        assert retry.sends == 1
 
 
 # --- SIGTERM ------------------------------------------------------------------------------
-def test_what_has_been_read_by_the_last_call_is_answered_and_nothing_else_is_sent_on() -> None:
-    # Found by reading: of commands that stood read but not yet begun, behind those that a
-    # connection may have open at once, a drain answered none.
+def test_a_drain_answers_what_was_read_and_sends_nothing_else() -> None:
+    # Found by code review: a drain answered none of the commands that were read but not started,
+    # behind as many as a connection may have open at once.
     async def part(here: Scene) -> None:
-        here.kernel.link(here.nodes[0].port).latency = 0.35  # answers come after the last call
+        here.kernel.link(
+            here.nodes[0].port
+        ).latency = 0.35  # answers arrive after the drain has begun
         reader, writer = await here.client()
-        for number in range(170):  # 128 of them are begun; all come in one read of 16 KiB
+        for number in range(170):  # 128 of them are started; all arrive in one read of 16 KiB
             writer.write(get(number))
         await here.until(lambda: here.proxy.open_requests == 128)
         connection = next(iter(here.listener._serving))
         assert connection._decoder.unread
         stopped = asyncio.ensure_future(here.process.term())
         await here.until(lambda: connection.draining)
-        writer.write(get(1000))  # crosses the close: its client asks again elsewhere
-        answers = [await read_answer(reader) for _ in range(170)]  # some of them refused
+        writer.write(get(1000))  # races with the close: its client retries elsewhere
+        answers = [await read_answer(reader) for _ in range(170)]  # some are refused
         served = [b"id%d" % n for n in range(170) if answers[n] == b"value of id%d" % n]
         assert all(answer.startswith((b"value", b"-BUSY")) for answer in answers)
         assert await reader.read() == b""
@@ -288,7 +293,7 @@
     scene(part, sockets=1024)
 
 
-def test_a_client_that_leaves_after_the_last_call_has_left() -> None:
+def test_a_departure_is_noticed_during_a_drain() -> None:
     async def part(here: Scene) -> None:
         here.nodes[0].behaviour = never
         _, writer = await here.client()
@@ -298,15 +303,15 @@
         stopped = asyncio.ensure_future(here.process.term())
         await here.until(lambda: connection.draining)
         writer.close()
-        await here.until(lambda: not here.proxy.open_requests, GONE)
+        await here.until(lambda: not here.proxy.open_requests, DEPARTURE_LIMIT)
         assert await stopped
 
     scene(part)
 
 
-def test_an_answer_that_was_taken_late_has_its_time_to_be_read_before_the_connection_ends() -> None:
-    # The time to read and close counts from when the client can see the end, not from when it was
-    # decided: behind a closed window that is much later, and a reset then eats the answer.
+def test_the_linger_time_starts_when_the_kernel_has_taken_the_answer() -> None:
+    # The linger time counts from when the client can see the close, not from the decision to close:
+    # behind a closed window that is much later, and an early reset would lose the answer.
     async def part(here: Scene) -> None:
         async def large(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             value = b"v" * 60_000
@@ -327,7 +332,7 @@
         assert len(await read_answer(reader)) == 60_000
         await here.until(lambda: not connection._stream.unsent)  # the kernels have the rest
         await asyncio.sleep(0.3)
-        writer.write(b"x" * 100)  # to who has closed it would be answered with a reset
+        writer.write(b"x" * 100)  # a closed socket would answer this with a reset
         for _ in range(2):
             assert len(await read_answer(reader)) == 60_000
         assert await reader.read() == b""
@@ -337,7 +342,7 @@
     scene(part)
 
 
-def test_a_fault_over_one_that_is_not_read_leaves_the_others_looked_at() -> None:
+def test_a_fault_of_one_paused_connection_leaves_the_others_checked() -> None:
     async def part(here: Scene) -> None:
         here.nodes[0].behaviour = never
         here.loop.set_exception_handler(lambda loop, context: None)
@@ -356,6 +361,6 @@
         clients[1][1].close()
         clients[0][1].close()
         del first.client_left
-        await here.until(lambda: not here.listener.connections, GONE)
+        await here.until(lambda: not here.listener.connections, DEPARTURE_LIMIT)
 
     scene(part, sockets=1024)
--- a/tests/violetroute/clients/test_read_delay.py
+++ b/tests/violetroute/clients/test_read_delay.py
@@ -1,4 +1,4 @@
-"""Since when what is read may have stood: each way to be older than the turn that reads it."""
+"""The estimated read delay: each cause for data to be older than the turn that reads it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     emptied: bool = True,
     lost: float = 0.0,
 ) -> float:
-    """What the command read then may have stood, in s."""
+    """The estimated delay of the command that is read, in seconds."""
     read_delay.begin_read(turn, now, lost)
     age = read_delay.delay(now)
     if read_delay.marked:
@@ -25,29 +25,29 @@
     return age
 
 
-def test_what_comes_in_its_turn_has_not_stood() -> None:
+def test_data_read_in_its_turn_has_no_delay() -> None:
     read_delay = ReadDelay()
     read_delay.accepted(4, 9.99)
     assert read(read_delay, 6, 10.5) == 0.0
     assert read(read_delay, 7, 10.6) == 0.0
 
 
-def test_what_came_before_the_accept_has_stood_since() -> None:
+def test_data_from_before_the_accept_counts_from_then() -> None:
     read_delay = ReadDelay()
     read_delay.accepted(4, 9.0)
     assert read(read_delay, 5, 10.0) == 1.0
-    assert read(read_delay, 6, 10.0) == 0.0  # the first read left nothing
+    assert read(read_delay, 6, 10.0) == 0.0  # the first read emptied the buffer
 
 
-def test_a_pause_marks_all_that_is_read_until_nothing_is_left() -> None:
+def test_a_pause_marks_all_data_until_the_buffer_is_empty() -> None:
     read_delay = ReadDelay()
     assert read(read_delay, 5, 10.0, 16_384, emptied=False, lost=0.8) == pytest.approx(0.8)
     assert read(read_delay, 6, 10.01, 300) == pytest.approx(0.81)
 
 
-def test_behind_a_window_that_was_closed_more_is_to_come_from_then() -> None:
-    # Found by exploration: a read that left nothing passed for the last of the pause, though the
-    # sender's kernel had kept the rest for want of a window.
+def test_data_behind_a_closed_window_counts_from_the_pause() -> None:
+    # Found by exploration: a read that emptied the buffer was taken for the last data of the pause,
+    # although the sender's kernel held the rest behind a closed window.
     read_delay = ReadDelay()
     read(read_delay, 5, 10.0, BUFFER // 4, lost=0.8)
     assert read(read_delay, 6, 10.01) == pytest.approx(0.81)
@@ -62,7 +62,7 @@
     assert read(read_delay, 8, 11.0, lost=0.3) == pytest.approx(0.3)
 
 
-def test_what_is_not_read_for_want_of_room_stands_since_then() -> None:
+def test_data_not_read_for_lack_of_budget_counts_from_then() -> None:
     read_delay = ReadDelay()
     read(read_delay, 5, 10.0)
     read_delay.pause_reading(10.2)
@@ -70,19 +70,19 @@
     assert read(read_delay, 10, 10.9) == 0.0
 
 
-def test_who_sends_more_than_is_read_is_not_old_for_good() -> None:
+def test_a_client_that_sends_more_than_is_read_is_not_marked_for_good() -> None:
     read_delay = ReadDelay()
     read(read_delay, 5, 10.0, lost=0.5, count=BUFFER, emptied=False)
     read_delay.pause_reading(10.05)
     now = 10.05
-    for turn in range(6, 60):  # each time it stops again, and something is always left
+    for turn in range(6, 60):  # reading stops again each time, and some data is always left
         now += 0.02
         age = read(read_delay, turn, now, 16_384, emptied=False)
         read_delay.pause_reading(now)
     assert age <= 3 * WINDOW_REOPEN_TIME
 
 
-def test_a_command_that_waits_here_behind_others_ages_too() -> None:
+def test_a_command_waiting_behind_others_gains_delay() -> None:
     read_delay = ReadDelay()
     read(read_delay, 5, 10.0)
     assert read_delay.delay(10.3) == pytest.approx(0.3)
