--- a/tests/violetroute/cluster/test_cluster.py
+++ b/tests/violetroute/cluster/test_cluster.py
@@ -1,4 +1,4 @@
-"""The cluster dialect towards clients: slots, words, framing, and clients that others wrote."""
+"""Redis Cluster towards clients: slots, commands, encoding, and the redis-py client."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 HERE = Address("127.0.0.1", 7000)
 
 
-def made(table: ClusterTable, name: str = "n0", listen: Address = HERE) -> Topology:
+def make_topology(table: ClusterTable, name: str = "n0", listen: Address = HERE) -> Topology:
     found = topology(table, name, listen)
     assert found is not None
     return found
@@ -52,23 +52,23 @@
     st.binary(max_size=40)
     | st.lists(st.sampled_from([b"{", b"}", b"a", b"bc"]), max_size=8).map(b"".join)
 )
-def test_slots_are_those_of_a_client_that_others_wrote(key: bytes) -> None:
+def test_slots_equal_those_of_redis_py(key: bytes) -> None:
     assert key_slot(key) == redis_slot(key)
 
 
 @pytest.mark.parametrize(
-    ("table", "said"),
+    ("table", "expected"),
     [
-        (several(("n0", 1, ("0-8191",)), ("n1", 2, ("8191-16383",))), "slot 8191 belongs to two"),
+        (several(("n0", 1, ("0-8191",)), ("n1", 2, ("8191-16383",))), "slot 8191 has two owners"),
         (
             several(("n0", 1, ("0-8191",)), ("n1", 2, ("8193-16383",))),
-            "slot 8192 belongs to nobody",
+            "slot 8192 has no owner",
         ),
         (several(("n1", 1, ("0-16383",))), "'n0', is not among them"),
-        (several(("n0", 1, ("0-16384",))), "does not lie within 0-16383"),
-        (several(("n0", 1, ("5-3",))), "does not lie within"),
-        (several(("n0", 1, ("a-b",))), "no range of slots"),
-        (several(("n0", 1, ("0-8191",)), ("n0", 2, ("8192-16383",))), "twice"),
+        (several(("n0", 1, ("0-16384",))), "is not within 0-16383"),
+        (several(("n0", 1, ("5-3",))), "is not within"),
+        (several(("n0", 1, ("a-b",))), "not a range of slots"),
+        (several(("n0", 1, ("0-8191",)), ("n0", 2, ("8192-16383",))), "duplicate name"),
         (
             ClusterTable("several", proxies=(ClusterProxy("n0", "a.name:1", ("0-16383",)),)),
             "n0: addr",
@@ -76,10 +76,10 @@
         (ClusterTable("one", announce="here"), "announce: "),
     ],
 )
-def test_a_wrong_table_is_one_line_that_names_its_key(table: ClusterTable, said: str) -> None:
+def test_a_wrong_table_is_one_line_that_names_its_key(table: ClusterTable, expected: str) -> None:
     with pytest.raises(ValueError, match=r"^(proxies|announce): ") as raised:
         topology(table, "n0", HERE)
-    assert said in str(raised.value) and "\n" not in str(raised.value)
+    assert expected in str(raised.value) and "\n" not in str(raised.value)
 
 
 def test_a_wrong_table_ends_the_start_with_its_key(tmp_path: Any) -> None:
@@ -91,29 +91,33 @@
         load({"PROXY_CONFIG": str(config)}, str(operator))
 
 
-def test_where_it_listens_everywhere_the_host_is_the_one_that_was_asked() -> None:
-    assert made(ClusterTable("one"), listen=Address("0.0.0.0", 5)).slots() == [
-        [0, SLOTS - 1, [b"", 5, made(ClusterTable("one")).parts[0].id.encode(), []]]
+def test_a_wildcard_listen_address_is_reported_as_an_empty_host() -> None:
+    assert make_topology(ClusterTable("one"), listen=Address("0.0.0.0", 5)).slots() == [
+        [0, SLOTS - 1, [b"", 5, make_topology(ClusterTable("one")).members[0].id.encode(), []]]
     ]
-    assert made(ClusterTable("one", announce="10.0.0.1:9")).parts[0].address.port == 9
+    assert make_topology(ClusterTable("one", announce="10.0.0.1:9")).members[0].address.port == 9
 
 
-def test_a_key_of_another_proxy_is_moved_or_served_as_the_table_says() -> None:
+def test_a_key_of_another_proxy_is_moved_or_served_as_configured() -> None:
     key = next(b"k%d" % n for n in itertools.count() if key_slot(b"k%d" % n) > 8191)
-    assert Dialect(made(HALVES)).moved(key) == b"-MOVED %d 127.0.0.1:7001\r\n" % key_slot(key)
-    assert Dialect(made(HALVES, "n1")).moved(key) is None
+    assert Dialect(make_topology(HALVES)).moved_reply(
+        key
+    ) == b"-MOVED %d 127.0.0.1:7001\r\n" % key_slot(key)
+    assert Dialect(make_topology(HALVES, "n1")).moved_reply(key) is None
     assert (
         Dialect(
-            made(several(("n0", 7000, ("0-8191",)), ("n1", 7001, ("8192-16383",)), foreign="serve"))
-        ).moved(key)
+            make_topology(
+                several(("n0", 7000, ("0-8191",)), ("n1", 7001, ("8192-16383",)), foreign="serve")
+            )
+        ).moved_reply(key)
         is None
     )
-    assert Dialect(made(ClusterTable("one"))).moved(key) is None
+    assert Dialect(make_topology(ClusterTable("one"))).moved_reply(key) is None
 
 
-# --- words ---
-def say(*words: bytes, dialect: Dialect | None = None, session: Any = None) -> bytes:
-    dialect = dialect or Dialect(made(HALVES))
+# --- commands ---
+def answer_to(*words: bytes, dialect: Dialect | None = None, session: Any = None) -> bytes:
+    dialect = dialect or Dialect(make_topology(HALVES))
     answer = dialect.answer(session or dialect.session(), words)
     assert answer is not None
     return answer
@@ -159,18 +163,18 @@
         (b"QUIT", b"+OK\r\n"),
     ],
 )
-def test_words_are_the_standards(words: bytes, answer: bytes) -> None:
-    assert say(*words.split()) == answer
+def test_answers_equal_those_of_redis(words: bytes, answer: bytes) -> None:
+    assert answer_to(*words.split()) == answer
 
 
-def test_a_refused_hello_changes_nothing_and_a_good_one_all_that_it_says() -> None:
-    dialect = Dialect(made(HALVES))
+def test_a_rejected_hello_changes_nothing_and_a_valid_one_takes_effect() -> None:
+    dialect = Dialect(make_topology(HALVES))
     session = dialect.session()
-    say(b"HELLO", b"3", b"SETNAME", b"a b", dialect=dialect, session=session)
+    answer_to(b"HELLO", b"3", b"SETNAME", b"a b", dialect=dialect, session=session)
     assert (session.version, session.name) == (2, b"")
-    assert say(b"HELLO", b"3", b"SETNAME", b"x", dialect=dialect, session=session)[:1] == b"%"
+    assert answer_to(b"HELLO", b"3", b"SETNAME", b"x", dialect=dialect, session=session)[:1] == b"%"
     assert (session.version, session.name) == (3, b"x")
-    say(b"RESET", dialect=dialect, session=session)
+    answer_to(b"RESET", dialect=dialect, session=session)
     assert (session.version, session.name) == (2, b"")
 
 
@@ -198,24 +202,24 @@
         max_size=16,
     )
 )
-def test_whatever_is_asked_is_one_whole_answer(words: list[bytes]) -> None:
-    dialect = Dialect(made(HALVES))
+def test_any_command_gets_exactly_one_answer(words: list[bytes]) -> None:
+    dialect = Dialect(make_topology(HALVES))
     answer = dialect.answer(dialect.session(), words)
     assert answer is None or (answer.endswith(b"\r\n") and answer[:1] in b"+-:$*%_")
     if answer is not None and answer.startswith(b"-"):
         assert answer.count(b"\r\n") == 1
 
 
-def test_maps_are_flat_in_the_older_protocol_and_null_has_its_own_form() -> None:
+def test_maps_are_flat_in_resp2_and_resp3_has_its_own_null() -> None:
     assert encode({b"a": 1}, 2) == b"*2\r\n$1\r\na\r\n:1\r\n"
     assert encode({b"a": None}, 3) == b"%1\r\n$1\r\na\r\n_\r\n"
     with pytest.raises(TypeError):
         encode(1.5, 3)
 
 
-# --- clients that others wrote ---
+# --- redis-py ---
 def cluster(part: Callable[[list[Rig]], Awaitable[None]], count: int = 2) -> None:
-    """`count` proxies that share the slots, before one fleet of nodes."""
+    """Run with `count` proxies that share the slots, in front of the same nodes."""
 
     async def run() -> None:
         nodes = [await CacheNode(serves).start() for _ in range(3)]
@@ -229,17 +233,17 @@
                 )
             )
             for number, rig in enumerate(rigs):
-                rig.listener.dialect = Dialect(made(table, f"n{number}"))
+                rig.listener.dialect = Dialect(make_topology(table, f"n{number}"))
             await part(rigs)
 
     asyncio.run(run())
 
 
-def test_a_proxy_alone_is_a_node_that_owns_all_slots() -> None:
+def test_a_single_proxy_owns_all_slots() -> None:
     async def part(rigs: list[Rig]) -> None:
         (rig,) = rigs
         rig.listener.dialect = Dialect(
-            made(ClusterTable("one"), listen=Address("127.0.0.1", rig.port))
+            make_topology(ClusterTable("one"), listen=Address("127.0.0.1", rig.port))
         )
 
         def drive() -> None:
@@ -266,10 +270,10 @@
                 "OBJ.GET", f"k{number}", f"id{number}", "c=lookup,t=x,d=5000"
             )
             assert value == b"value of id%d" % number
-        # The proxies change places: the client's map is wrong now, and MOVED mends it.
+        # The proxies swap their slots: the client's slot map is outdated, and MOVED corrects it.
         swapped = several(("n0", rigs[0].port, ("8192-16383",)), ("n1", rigs[1].port, ("0-8191",)))
         for number, rig in enumerate(rigs):
-            rig.listener.dialect = Dialect(made(swapped, f"n{number}"))
+            rig.listener.dialect = Dialect(make_topology(swapped, f"n{number}"))
         for number in range(200, 400):
             value = await client.execute_command(
                 "OBJ.GET", f"k{number}", f"id{number}", "c=lookup,t=x,d=5000"
@@ -296,19 +300,19 @@
     cluster(part)
 
 
-def test_a_redirected_write_was_sent_nowhere_and_wrong_words_cost_no_connection() -> None:
+def test_a_redirected_write_is_not_sent_and_invalid_commands_keep_the_connection() -> None:
     async def part(rigs: list[Rig]) -> None:
         rig = rigs[key_slot(b"k") < SLOTS // 2]
         wrong = [b"*2\r\n$7\r\nCLUSTER\r\n$4\r\nNOPE\r\n"] * 20
-        *said, moved, pong = await rig.ask(*wrong, put(1), b"*1\r\n$4\r\nPING\r\n")
-        assert all(answer.startswith(b"-ERR unknown subcommand") for answer in said)
+        *expected, moved, pong = await rig.ask(*wrong, put(1), b"*1\r\n$4\r\nPING\r\n")
+        assert all(answer.startswith(b"-ERR unknown subcommand") for answer in expected)
         assert moved.startswith(b"-MOVED") and pong == b"+PONG"
         assert not any(node.commands for node in rig.nodes)
 
     cluster(part)
 
 
-def test_without_the_dialect_nothing_of_it_is_answered() -> None:
+def test_cluster_commands_are_unknown_when_the_dialect_is_off() -> None:
     async def run() -> None:
         async with Rig(await CacheNode(serves).start()) as rig:
             (answer,) = await rig.ask(b"*2\r\n$7\r\nCLUSTER\r\n$5\r\nSLOTS\r\n")
--- a/tests/violetroute/cluster/test_redirects.py
+++ b/tests/violetroute/cluster/test_redirects.py
@@ -1,4 +1,4 @@
-"""Redirections of cache nodes: what they say, what they teach, and what is followed."""
+"""Redirections from cache nodes: parsing, learned slot owners, and following them."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 from violetroute.config import Operator
 from violetroute.transport import Address
 
-ASKED = Address("10.0.0.9", 7)
+SENDER = Address("10.0.0.9", 7)
 FOLLOW = Operator(cluster=ClusterTable(follow=True))
 
 
-# --- what they say ---
+# --- parsing and slot owners ---
 @pytest.mark.parametrize(
     ("text", "slot", "address"),
     [
@@ -57,10 +57,8 @@
         (b"MOVED 1 \xff:1", -1, None),
     ],
 )
-def test_a_redirection_and_what_makes_no_sense_of_one(
-    text: bytes, slot: int, address: Address | None
-) -> None:
-    found = parse_redirect(text, ASKED)
+def test_valid_and_invalid_redirections(text: bytes, slot: int, address: Address | None) -> None:
+    found = parse_redirect(text, SENDER)
     assert found == Redirect(text.startswith(b"ASK"), slot, address)
 
 
@@ -73,12 +71,12 @@
         st.binary(max_size=20),
     )
 )
-def test_no_line_does_more_than_make_no_sense(text: bytes) -> None:
-    found = parse_redirect(text, ASKED)
+def test_any_error_line_is_parsed_without_an_exception(text: bytes) -> None:
+    found = parse_redirect(text, SENDER)
     assert found is None or (found.address is None) == (found.slot < 0)
 
 
-def test_moved_teaches_and_ask_does_not() -> None:
+def test_moved_sets_the_owner_and_ask_does_not() -> None:
     slots, there = SlotMap(), Address("10.0.0.1", 1)
     slot = key_slot(b"k")
     slots.learn(Redirect(True, slot, there))
@@ -87,12 +85,12 @@
     slots.learn(Redirect(False, slot, there))
     assert slots.owner(b"k", {there: 5}.get) == 5 and slots.owner(b"other", {there: 5}.get) is None
     assert slots.owner(b"k", {}.get) is None  # not listed any more
-    slots.served(b"k", Address("10.0.0.1", 2))  # an answer that was late
+    slots.served(b"k", Address("10.0.0.1", 2))  # a late reply
     slots.served(b"other", there)
     assert slots.owner(b"k", {there: 5}.get) == slots.owner(b"other", {there: 5}.get) == 5
 
 
-# --- the module's word ---
+# --- decisions of the balancer ---
 def balancer(effect: Effect = Effect.UNSAFE, cold: int = 0, attempts: int = 3) -> Balancer:
     cls = RequestClass("c", 300.0, 600.0, effect)
     made = Balancer(Settings((cls,), attempts, warm_time=20_000.0, cold_share=0.0), 1, 1000.0)
@@ -112,7 +110,7 @@
     return made.on_outcome(1010.0 + attempt, Outcome(1, attempt, result, False, 1.0, to=to))[0]
 
 
-def test_the_owner_of_a_slot_is_asked_first_and_a_redirection_costs_no_budget() -> None:
+def test_the_slot_owner_is_tried_first_and_a_redirection_uses_no_retry_budget() -> None:
     assert all(ask(balancer(), owner=n).cache_id == n for n in range(1, 6))
     made = balancer()
     made._budget = 0.0
@@ -123,7 +121,7 @@
     assert moved(made, 1, first, Result.ASKED).asking
 
 
-def test_a_loop_ends_with_the_attempts_and_is_refused_since_nothing_ran() -> None:
+def test_a_redirection_loop_ends_with_the_attempts_and_is_refused() -> None:
     made = balancer(attempts=3)
     ask(made, owner=1)
     assert moved(made, 0, 2).cache_id == 2 and moved(made, 1, 1).cache_id == 1
@@ -131,13 +129,13 @@
 
 
 @pytest.mark.parametrize("to", [None, 77])
-def test_nothing_is_sent_to_who_is_not_listed(to: int | None) -> None:
+def test_a_redirection_to_an_unlisted_node_is_refused(to: int | None) -> None:
     made = balancer()
     ask(made, owner=1)
     assert isinstance(moved(made, 0, to), Refuse)
 
 
-def test_a_target_that_drains_is_not_sent_to() -> None:
+def test_a_draining_target_gets_no_redirected_request() -> None:
     made = balancer()
     ask(made, owner=1)
     made.on_list(1005.0, ListKind.FULL, [Member(n) for n in (1, 3, 4, 5)])
@@ -149,14 +147,14 @@
     return made.on_request(1020.0, Request(2, "c", 1600.0, 7, owner=owner))[0]
 
 
-def test_a_cold_owner_is_not_pushed_over_by_a_whole_range_that_points_to_it() -> None:
+def test_a_cold_owner_gets_no_redirected_request() -> None:
     made = balancer(cold=2)
     ask(made, owner=1)
     assert isinstance(moved(made, 0, 2), Refuse)
     assert ask_again(made, owner=2).cache_id != 2
 
 
-def test_after_an_answer_was_lost_nothing_is_redirected_any_more() -> None:
+def test_after_a_lost_answer_nothing_is_redirected() -> None:
     made = balancer()
     ask(made, owner=1)
     assert isinstance(moved(made, 0, 2), Send)
@@ -177,7 +175,7 @@
     stall_free_loop.run(run())
 
 
-def test_moved_is_followed_once_and_the_slot_is_known_from_then_on() -> None:
+def test_moved_is_followed_once_and_the_owner_is_remembered() -> None:
     async def part(rig: Rig, cluster: SlotCluster) -> None:
         for round_ in range(3):
             keys = [b"k%d" % number for number in range(60)]
@@ -191,7 +189,7 @@
     clustered(part)
 
 
-def test_ask_is_followed_with_asking_and_teaches_nothing() -> None:
+def test_ask_is_followed_with_asking_and_sets_no_owner() -> None:
     async def part(rig: Rig, cluster: SlotCluster) -> None:
         slot = key_slot(b"k")
         owner = cluster.owner(slot)
@@ -199,7 +197,7 @@
         await rig.ask(get(1))
         cluster.importing[slot] = target
         assert await rig.ask(get(2), get(3)) == [b"value of id2", b"value of id3"]
-        assert sorted(target.ran) == [b"id2", b"id3"]  # each on a connection of its own
+        assert sorted(target.ran) == [b"id2", b"id3"]  # each on its own connection
         assert [words for words in target.commands if words[0] == b"ASKING"] == [[b"ASKING"]] * 2
         del cluster.importing[slot]
         before = len(target.commands)
@@ -209,7 +207,7 @@
     clustered(part)
 
 
-def test_an_answer_behind_asking_may_take_its_time() -> None:
+def test_an_answer_after_asking_has_the_full_reply_time() -> None:
     async def part(rig: Rig, cluster: SlotCluster) -> None:
         slot = key_slot(b"k")
         owner = cluster.owner(slot)
@@ -217,7 +215,7 @@
         cluster.importing[slot] = target
 
         async def slow(words: list[bytes], writer: asyncio.StreamWriter) -> None:
-            if words[0] != b"ASKING":  # longer than an answer may take once it has begun
+            if words[0] != b"ASKING":  # longer than a reply may take once it has begun
                 await asyncio.sleep(2 * rig.config.limits.reply_s)
             await target._answer(words, writer)
 
@@ -233,12 +231,12 @@
         assert await rig.ask(put(1, cls=b"once")) == [b"value of id1"]
         assert sum(node.ran.count(b"id1") for node in cluster.nodes) == 1
 
-        async def dies(words: list[bytes], writer: asyncio.StreamWriter) -> None:
+        async def fails(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             owner.ran.append(words[2])
             writer.transport.abort()
             raise ConnectionError
 
-        owner.behaviour = dies
+        owner.behaviour = fails
         assert await rig.ask(put(2, cls=b"once")) == [b"-ERR failed"]
         assert sum(node.ran.count(b"id2") for node in cluster.nodes) == 1
 
@@ -258,20 +256,20 @@
         b"-MASTERDOWN x",
     ],
 )
-def test_what_names_nobody_has_not_run_and_is_refused(line: bytes) -> None:
+def test_an_error_that_names_no_valid_node_has_not_run_and_is_refused(line: bytes) -> None:
     async def part(rig: Rig, cluster: SlotCluster) -> None:
-        async def says(words: list[bytes], writer: asyncio.StreamWriter) -> None:
+        async def redirects(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             writer.write(line + b"\r\n")
 
         for node in cluster.nodes:
-            node.behaviour = says
+            node.behaviour = redirects
         (answer,) = await rig.ask(put(1, cls=b"once", wait=800))
         assert answer.startswith(b"-BUSY")
 
     clustered(part)
 
 
-def test_without_the_setting_a_redirection_is_an_answer_that_may_have_run() -> None:
+def test_without_follow_a_redirected_write_may_have_run() -> None:
     async def part(rig: Rig, cluster: SlotCluster) -> None:
         other = next(node for node in cluster.nodes if node is not cluster.owner(key_slot(b"k")))
         for node in cluster.nodes:
@@ -283,13 +281,13 @@
 
 def test_two_hundred_slots_move_under_load_and_no_request_fails() -> None:
     async def part(rig: Rig, cluster: SlotCluster) -> None:
-        chance, done = random.Random(5), 0
+        rng, done = random.Random(5), 0
         keys = [b"k%d" % number for number in range(50)]
 
         async def load() -> None:
             nonlocal done
             while True:
-                picked = [chance.choice(keys) for _ in range(20)]
+                picked = [rng.choice(keys) for _ in range(20)]
                 first = done * 20
                 answers = await rig.ask(
                     *(
@@ -302,13 +300,13 @@
 
         asking = asyncio.create_task(load())
         for _ in range(200):
-            slot, seen = key_slot(chance.choice(keys)), done
-            if chance.random() < 0.3:  # half moved for a while
-                cluster.importing[slot] = chance.choice(
+            slot, seen = key_slot(rng.choice(keys)), done
+            if rng.random() < 0.3:  # in migration for a while
+                cluster.importing[slot] = rng.choice(
                     [node for node in cluster.nodes if node is not cluster.owner(slot)]
                 )
                 await until(lambda seen=seen: done > seen or asking.done())
-            cluster.move(slot, cluster.importing.get(slot) or chance.choice(cluster.nodes))
+            cluster.move(slot, cluster.importing.get(slot) or rng.choice(cluster.nodes))
             await until(lambda seen=seen: done > seen or asking.done())
         assert not asking.done(), asking.exception()
         asking.cancel()
@@ -322,7 +320,7 @@
     return put(number).replace(b"$1\r\nk\r\n", b"$%d\r\n%b\r\n" % (len(key), key), 1)
 
 
-def test_a_node_that_answers_asking_with_anything_else_is_not_believed() -> None:
+def test_another_answer_to_asking_is_malformed() -> None:
     async def part(rig: Rig, cluster: SlotCluster) -> None:
         slot = key_slot(b"k")
         owner = cluster.owner(slot)
--- a/tests/violetroute/resp/test_resp.py
+++ b/tests/violetroute/resp/test_resp.py
@@ -1,4 +1,4 @@
-"""Whole commands and replies in one go, with the tokens as the oracle; the heap of deadlines."""
+"""Fast decoding of commands and replies, compared with the token decoder; the deadline heap."""
 
 from __future__ import annotations
 
@@ -11,16 +11,18 @@
 from violetroute import resp
 from violetroute.deadlines import SLACK, Deadlines
 
-WORD = st.one_of(
+WORDS = st.one_of(
     st.sampled_from(
         [b"OBJ.GET", b"obj.set", b"PING", b"", b"\r\n", b"a\rb", b"c=x,d=5", b"v" * 4097]
     ),
     st.binary(max_size=12),
 )
-LENGTH = st.sampled_from([b"", b"0", b"00", b"-", b"+", b" ", b"1"])  # before a true length
+LENGTH_PREFIXES = st.sampled_from(
+    [b"", b"0", b"00", b"-", b"+", b" ", b"1"]
+)  # put before a valid length
 
 
-def written(words: list[bytes], odd: bytes) -> bytes:
+def encoded(words: list[bytes], odd: bytes) -> bytes:
     items = [
         b"$%b%d\r\n%b\r\n" % (odd if place == 1 else b"", len(word), word)
         for place, word in enumerate(words)
@@ -28,8 +30,8 @@
     return b"*%d\r\n" % len(words) + b"".join(items)
 
 
-def commands(data: bytes, cuts: list[int], quick: bool) -> tuple[list[list[bytes]], bool]:
-    """The arguments of all commands, and whether the framing broke; fed in pieces."""
+def commands(data: bytes, cuts: list[int], fast: bool) -> tuple[list[list[bytes]], bool]:
+    """The arguments of all commands, and whether the framing broke; the data is fed in pieces."""
     decoder, found, args, body, missing = resp.Decoder(), [], [], b"", 0
     places = sorted({min(cut, len(data)) for cut in cuts} | {0, len(data)})
     pieces = [data[a:b] for a, b in itertools.pairwise(places)]
@@ -37,9 +39,9 @@
         for piece in pieces:
             decoder.feed(piece)
             while True:
-                if quick and not missing and (whole := decoder.command()) is not None:
+                if fast and not missing and (whole := decoder.command()) is not None:
                     assert (
-                        written(whole[:3], b"").partition(b"\r\n")[2]
+                        encoded(whole[:3], b"").partition(b"\r\n")[2]
                         == whole[-1].partition(b"\r\n")[2]
                     )
                     found.append(whole[:-1])
@@ -69,24 +71,24 @@
 
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(
-    st.lists(st.tuples(st.lists(WORD, min_size=1, max_size=6), LENGTH), max_size=4),
+    st.lists(st.tuples(st.lists(WORDS, min_size=1, max_size=6), LENGTH_PREFIXES), max_size=4),
     st.binary(max_size=3),
     st.lists(st.integers(0, 300), max_size=6),
 )
 @example([([b"OBJ.GET", b"k", b"i", b"c=x,d=5"], b"")], b"", [])
 @example([([b"OBJ.SET", b"k", b"i", b"c=x,d=5", b"v\r\nw"], b"")], b"*", [30])
 @example([([b"OBJ.GET", b"k", b"i", b"c=x,d=5"], b"0")], b"", [])
-def test_commands_taken_whole_are_what_the_tokens_tell(
+def test_fast_commands_equal_the_token_decoder(
     sent: list[tuple[list[bytes], bytes]], tail: bytes, cuts: list[int]
 ) -> None:
-    data = b"".join(written(words, odd) for words, odd in sent) + tail
-    assert commands(data, cuts, quick=True) == commands(data, cuts, quick=False)
+    data = b"".join(encoded(words, odd) for words, odd in sent) + tail
+    assert commands(data, cuts, fast=True) == commands(data, cuts, fast=False)
 
 
-def test_the_usual_command_is_taken_whole() -> None:
+def test_a_usual_command_takes_the_fast_path() -> None:
     decoder = resp.Decoder()
     words = [b"OBJ.SET", b"k", b"i", b"c=x,d=5,k=1", b"v\r\nw"]
-    decoder.feed(written(words, b"") * 2)
+    decoder.feed(encoded(words, b"") * 2)
     head = b"*5\r\n" + b"".join(map(resp.bulk, words[:3]))
     for _ in range(2):
         assert decoder.command() == [*words, head]
@@ -101,28 +103,28 @@
     st.integers(0, 60),
 )
 @example(b"value", b"hit", None, 60)
-def test_replies_taken_whole_are_what_the_tokens_tell(
-    value: bytes, how: bytes, report: bytes | None, cut: int
+def test_fast_replies_equal_the_token_decoder(
+    value: bytes, outcome: bytes, report: bytes | None, cut: int
 ) -> None:
     data = (
         b"*3\r\n"
         + resp.bulk(value)
-        + resp.bulk(how)
+        + resp.bulk(outcome)
         + (b"$-1\r\n" if report is None else resp.bulk(report))
     )
     decoder = resp.Decoder()
     decoder.feed(data[:cut])
     served = decoder.reply()
-    if served is None:  # the tokens take what was left, from the first byte on
+    if served is None:  # the token decoder starts at the first byte
         decoder.feed(data[cut:])
         assert decoder.next() == resp.Array(3)
     else:
-        assert served == (value, how, report) and decoder.idle
-    if cut >= len(data) and how == b"hit" and report != b"\r\n":
+        assert served == (value, outcome, report) and decoder.idle
+    if cut >= len(data) and outcome == b"hit" and report != b"\r\n":
         assert served is not None
 
 
-def test_a_command_goes_on_as_it_came_but_for_its_wait() -> None:
+def test_a_command_is_forwarded_unchanged_except_for_its_wait() -> None:
     args = [b"OBJ.SET", b"k", b"i", b"c=x,t=y,d=480.5,k=7", b"v"]
     for given_head in (b"", b"*5\r\n" + b"".join(map(resp.bulk, args[:3]))):
         encoded = b"".join(resp.parse_command(args, given_head).encode(99.0))
@@ -131,11 +133,11 @@
         )
 
 
-def test_lists_that_look_alike_are_judged_each() -> None:
+def test_similar_option_lists_are_checked_separately() -> None:
     good = [b"OBJ.GET", b"k", b"i", b"c=x,d=5"]
     assert resp.parse_command(good).class_name == "x"
     for bad in (b"c=x,d=5,d=6", b"c=x", b"d=5", b"c=x,d=", b"c=x,d=-1", b"c=x,,d=5", b"=,d=5"):
-        for _ in range(2):  # what was wrong once is not remembered as good
+        for _ in range(2):  # an invalid list must not be cached as valid
             try:
                 resp.parse_command([*good[:3], bad])
             except resp.CommandError:
@@ -143,8 +145,8 @@
             raise AssertionError(bad)
 
 
-def test_deadlines_end_what_is_open_and_keep_no_more_than_that() -> None:
-    async def play() -> None:
+def test_deadlines_end_open_requests_and_keep_few_closed_ones() -> None:
+    async def run() -> None:
         loop = asyncio.get_running_loop()
         opened: dict[int, None] = {}
         ended: list[int] = []
@@ -161,7 +163,7 @@
         loop.set_exception_handler(lambda loop, context: None)
         deadlines = Deadlines(loop, expired, opened)
         now = loop.time()
-        for number in range(1000):  # each ends before its time
+        for number in range(1000):  # each is closed before its deadline
             opened[number] = None
             deadlines.add(now + 100.0, number)
             del opened[number]
@@ -171,7 +173,7 @@
             deadlines.add(now + at, number)
         async with asyncio.timeout(5.0):
             await all_ended.wait()
-        assert ended == [6, 7, 8, 9], "a fault over one leaves the others their time"
+        assert ended == [6, 7, 8, 9], "an exception for one must not stop the others"
         deadlines.close()
 
-    asyncio.run(play())
+    asyncio.run(run())
--- a/violetroute/clients/connection.py
+++ b/violetroute/clients/connection.py
@@ -176,7 +176,7 @@
             return
         try:
             command = resp.parse_command(args, head)
-            if dialect is not None and (moved := dialect.moved(command.key)) is not None:
+            if dialect is not None and (moved := dialect.moved_reply(command.key)) is not None:
                 self._new_charged_answer().finish(moved)
                 return
             refusal = handler.rejection(command, self._requests_this_turn(), delay)
--- a/violetroute/cluster/__init__.py
+++ b/violetroute/cluster/__init__.py
@@ -1,4 +1,4 @@
-"""The cluster dialect of RESP: slots, topology, commands about them, redirections of nodes."""
+"""Redis Cluster: slots, topology, the commands about them, and redirections from cache nodes."""
 
 from .dialect import Dialect, Session
 from .redirects import Redirect, SlotMap
--- a/violetroute/cluster/dialect.py
+++ b/violetroute/cluster/dialect.py
@@ -1,8 +1,8 @@
-"""The commands of the cluster dialect that are about the connection and the cluster.  Pure.
+"""Redis Cluster commands about the connection and the cluster.  Pure.
 
-Requests themselves (OBJ.GET, OBJ.SET) go the usual way; here only their slot decides whether
-another proxy serves them.  Words of errors are the standard's, since clients look at them.
-Whatever is asked here is answered from memory and bounded by the command's own bounds.
+Requests (OBJ.GET, OBJ.SET) are handled elsewhere; this module only decides by their slot whether
+another proxy serves them.  Error texts are those of Redis, since clients match them.  All answers
+come from memory, and the limits on a command bound their cost.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from .slots import key_slot
 from .topology import Topology
 
-NAME_MOST = 128  # bytes of a client's name
-VERSION = b"7.0.0"  # of the command set that the answers follow
-# name: arity, flags, first and last key, step, what it does
+MAX_NAME_BYTES = 128  # of a client's name
+VERSION = b"7.0.0"  # the Redis version whose command set the answers follow
+# name: arity, flags, first key, last key, step, summary (see COMMAND INFO and COMMAND DOCS)
 COMMANDS: dict[bytes, tuple[int, tuple[str, ...], int, int, int, bytes]] = {
     b"obj.get": (4, ("readonly", "fast"), 1, 1, 1, b"Reads the object of a key."),
     b"obj.set": (5, ("write",), 1, 1, 1, b"Writes the object of a key."),
@@ -35,8 +35,8 @@
     b"reset": (1, ("fast",), 0, 0, 0, b"Resets the connection."),
     b"quit": (-1, ("fast",), 0, 0, 0, b"Ends the connection."),
 }
-# Commands of several keys that clients know and nobody here takes: where keys begin, and the step.
-MANY_KEYS = {
+# Multi-key commands that clients know and that are not supported, with the step between their keys.
+MULTI_KEY_COMMANDS = {
     b"mget": 1,
     b"mset": 2,
     b"msetnx": 2,
@@ -48,27 +48,27 @@
 CROSS_SLOT = "CROSSSLOT Keys in request don't hash to the same slot"
 
 
-class Refused(Exception):
-    """An error line, without its dash."""
+class ErrorReply(Exception):
+    """The text of an error line, without the leading dash."""
 
 
 @dataclass(slots=True)
 class Session:
-    """What one connection has chosen."""
+    """The protocol state of one connection."""
 
     id: int
-    version: int = 2  # of RESP
+    version: int = 2  # RESP version
     name: bytes = b""
-    ends: bool = False  # QUIT: it ends after its answer
+    ends: bool = False  # set by QUIT: the connection closes after the answer
 
 
 class Dialect:
-    """Answers for one topology; the connection keeps its Session."""
+    """Answers the commands for one topology; each connection keeps its own Session."""
 
     def __init__(self, topology: Topology) -> None:
         self.topology = topology
         self._ids = itertools.count(1)
-        self._by_name: dict[bytes, Callable[[Session, list[bytes]], object]] = {
+        self._handlers: dict[bytes, Callable[[Session, list[bytes]], object]] = {
             b"ping": self._ping,
             b"echo": lambda session, args: args[0],
             b"hello": self._hello,
@@ -82,47 +82,47 @@
         }
 
     def session(self) -> Session:
-        """Of a new connection."""
+        """A session for a new connection."""
         return Session(next(self._ids))
 
-    def moved(self, key: bytes) -> bytes | None:
-        """The redirection for a request with this key; None: it is served here."""
-        return self.topology.moved(key_slot(key)) if self.topology.foreign_moved else None
+    def moved_reply(self, key: bytes) -> bytes | None:
+        """The MOVED line for a request with this key; None if it is served here."""
+        return self.topology.moved_reply(key_slot(key)) if self.topology.foreign_moved else None
 
     def answer(self, session: Session, words: Sequence[bytes | bytearray]) -> bytes | None:
-        """The whole answer; None for a request, which goes the usual way."""
+        """The encoded answer; None for a request, which is not handled here."""
         name = bytes(words[0]).lower()
         if name.startswith(b"obj."):
             return None
         args = [bytes(word) for word in words[1:]]
         try:
-            return encode(self._do(session, name, args), session.version)
-        except Refused as error:
+            return encode(self._execute(session, name, args), session.version)
+        except ErrorReply as error:
             return b"-%b\r\n" % str(error).encode()
 
-    def _do(self, session: Session, name: bytes, args: list[bytes]) -> object:
+    def _execute(self, session: Session, name: bytes, args: list[bytes]) -> object:
         known = COMMANDS.get(name)
         if known is None:
-            self._cross_slot(name, args)
-            raise Refused(
-                f"ERR unknown command '{_shown(name)}', with args beginning with: "
-                + "".join(f"'{_shown(arg)}' " for arg in args[:4])
+            self._check_cross_slot(name, args)
+            raise ErrorReply(
+                f"ERR unknown command '{_printable(name)}', with args beginning with: "
+                + "".join(f"'{_printable(arg)}' " for arg in args[:4])
             )
-        _arity(name, known[0], len(args) + 1)
-        handler = self._by_name.get(name)
+        _check_arity(name, known[0], len(args) + 1)
+        handler = self._handlers.get(name)
         return "OK" if handler is None else handler(session, args)
 
     @staticmethod
-    def _cross_slot(name: bytes, args: list[bytes]) -> None:
-        step = MANY_KEYS.get(name)
+    def _check_cross_slot(name: bytes, args: list[bytes]) -> None:
+        step = MULTI_KEY_COMMANDS.get(name)
         if step is not None and len({key_slot(key) for key in args[::step]}) > 1:
-            raise Refused(CROSS_SLOT)
+            raise ErrorReply(CROSS_SLOT)
 
     # --- the connection ---
     @staticmethod
     def _ping(session: Session, args: list[bytes]) -> object:
         if len(args) > 1:
-            raise Refused("ERR wrong number of arguments for 'ping' command")
+            raise ErrorReply("ERR wrong number of arguments for 'ping' command")
         return args[0] if args else "PONG"
 
     def _hello(self, session: Session, args: list[bytes]) -> object:
@@ -130,7 +130,7 @@
         if rest:
             wanted = rest.pop(0)
             if wanted not in (b"2", b"3"):
-                raise Refused(
+                raise ErrorReply(
                     "NOPROTO unsupported protocol version"
                     if wanted.isdigit()
                     else "ERR Protocol version is not an integer or out of range"
@@ -139,13 +139,13 @@
         while rest:
             option = rest.pop(0).lower()
             if option == b"auth" and len(rest) >= 2:
-                raise Refused(
+                raise ErrorReply(
                     "ERR AUTH called without any password configured for the default "
                     "user. Are you sure your configuration is correct?"
                 )
             if option != b"setname" or not rest:
-                raise Refused(f"ERR Syntax error in HELLO option '{_shown(option)}'")
-            name = _name(rest.pop(0))
+                raise ErrorReply(f"ERR Syntax error in HELLO option '{_printable(option)}'")
+            name = _checked_name(rest.pop(0))
         session.version, session.name = version, name
         return {
             b"server": b"redis",
@@ -160,7 +160,7 @@
     def _client(self, session: Session, args: list[bytes]) -> object:
         match [args[0].lower(), *args[1:]]:
             case [b"setname", name]:
-                session.name = _name(name)
+                session.name = _checked_name(name)
                 return "OK"
             case [b"setinfo", option, _] if option.lower() in (b"lib-name", b"lib-ver"):
                 return "OK"
@@ -170,7 +170,7 @@
                 return session.name
             case [b"no-evict" | b"no-touch", switch] if switch.lower() in (b"on", b"off"):
                 return "OK"
-        raise _subcommand(
+        raise _subcommand_error(
             b"client",
             args,
             {b"setname": 3, b"setinfo": 4, b"id": 2, b"getname": 2, b"no-evict": 3, b"no-touch": 3},
@@ -179,7 +179,7 @@
     @staticmethod
     def _select(session: Session, args: list[bytes]) -> object:
         if args[0] != b"0":
-            raise Refused("ERR SELECT is not allowed in cluster mode")
+            raise ErrorReply("ERR SELECT is not allowed in cluster mode")
         return "OK"
 
     @staticmethod
@@ -212,14 +212,14 @@
             case [b"info"]:
                 return topology.info()
             case [b"myid"]:
-                return topology.parts[topology.me].id.encode()
+                return topology.members[topology.own_index].id.encode()
             case [b"links"]:
                 return []
             case [b"keyslot", key]:
                 return key_slot(key)
             case [b"countkeysinslot", _]:
-                raise Refused("ERR a proxy holds no keys to count")
-        raise _subcommand(
+                raise ErrorReply("ERR a proxy holds no keys to count")
+        raise _subcommand_error(
             b"cluster",
             args,
             {
@@ -237,12 +237,12 @@
     # --- commands ---
     def _command(self, session: Session, args: list[bytes]) -> object:
         if not args:
-            return [_told(name) for name in COMMANDS]
+            return [_command_info(name) for name in COMMANDS]
         match [args[0].lower(), *args[1:]]:
             case [b"count"]:
                 return len(COMMANDS)
             case [b"info", *names]:
-                return [_told(name.lower()) for name in (names or COMMANDS)]
+                return [_command_info(name.lower()) for name in (names or COMMANDS)]
             case [b"docs", *names]:
                 return {
                     name: {b"summary": COMMANDS[name][5], b"since": b"1.0.0", b"group": b"generic"}
@@ -250,12 +250,12 @@
                     if name in COMMANDS
                 }
             case [b"getkeys", name, *rest]:
-                return _keys(name.lower(), rest)
-        raise _subcommand(b"command", args, {b"count": 2, b"getkeys": -3})
+                return _command_keys(name.lower(), rest)
+        raise _subcommand_error(b"command", args, {b"count": 2, b"getkeys": -3})
 
 
-def _told(name: bytes) -> object:
-    """One command as COMMAND INFO tells it; None where there is none."""
+def _command_info(name: bytes) -> object:
+    """The entry of one command in COMMAND INFO; None for an unknown command."""
     known = COMMANDS.get(name)
     if known is None:
         return None
@@ -263,39 +263,39 @@
     return [name, arity, list(flags), first, last, step, [], [], [], []]
 
 
-def _keys(name: bytes, args: list[bytes]) -> object:
+def _command_keys(name: bytes, args: list[bytes]) -> object:
     known = COMMANDS.get(name)
     if known is None:
-        raise Refused("ERR Invalid command specified")
+        raise ErrorReply("ERR Invalid command specified")
     if not known[2]:
-        raise Refused("ERR The command has no key arguments")
+        raise ErrorReply("ERR The command has no key arguments")
     if len(args) + 1 != known[0]:
-        raise Refused("ERR Invalid number of arguments specified for command")
+        raise ErrorReply("ERR Invalid number of arguments specified for command")
     return [args[known[2] - 1]]
 
 
-def _arity(name: bytes, arity: int, count: int) -> None:
+def _check_arity(name: bytes, arity: int, count: int) -> None:
     if count != arity if arity > 0 else count < -arity:
-        raise Refused(f"ERR wrong number of arguments for '{_shown(name)}' command")
+        raise ErrorReply(f"ERR wrong number of arguments for '{_printable(name)}' command")
 
 
-def _subcommand(command: bytes, args: list[bytes], known: dict[bytes, int]) -> Refused:
+def _subcommand_error(command: bytes, args: list[bytes], known: dict[bytes, int]) -> ErrorReply:
     name = args[0].lower()
     if name in known:
-        return Refused(
-            f"ERR wrong number of arguments for '{_shown(command)}|{_shown(name)}' command"
+        return ErrorReply(
+            f"ERR wrong number of arguments for '{_printable(command)}|{_printable(name)}' command"
         )
-    return Refused(
-        f"ERR unknown subcommand '{_shown(args[0])}'. Try {command.decode().upper()} HELP."
+    return ErrorReply(
+        f"ERR unknown subcommand '{_printable(args[0])}'. Try {command.decode().upper()} HELP."
     )
 
 
-def _name(name: bytes) -> bytes:
-    if len(name) > NAME_MOST or any(not 33 <= letter <= 126 for letter in name):
-        raise Refused("ERR Client names cannot contain spaces, newlines or special characters.")
+def _checked_name(name: bytes) -> bytes:
+    if len(name) > MAX_NAME_BYTES or any(not 33 <= letter <= 126 for letter in name):
+        raise ErrorReply("ERR Client names cannot contain spaces, newlines or special characters.")
     return name
 
 
-def _shown(text: bytes) -> str:
-    """What a client sent, fit for an error line."""
+def _printable(text: bytes) -> str:
+    """Text of a client with unprintable characters and quotes replaced, for an error line."""
     return "".join(chr(c) if 32 <= c < 127 and c != 39 else "?" for c in text[:64])
--- a/violetroute/cluster/encode.py
+++ b/violetroute/cluster/encode.py
@@ -1,4 +1,4 @@
-"""Values into RESP2 or RESP3.  Pure.  A map is a flat array in RESP2, as servers do it."""
+"""Encodes values as RESP2 or RESP3.  Pure.  A map is a flat array in RESP2, as in Redis."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def encode(value: object, version: int) -> bytes:
-    """int, bytes, str (a simple string), None, list and dict; TypeError for anything else."""
+    """Encode int, bytes, str (as a simple string), None, list or dict.  Otherwise TypeError."""
     match value:
         case int():
             return b":%d\r\n" % value
--- a/violetroute/cluster/slots.py
+++ b/violetroute/cluster/slots.py
@@ -1,8 +1,8 @@
 """Hash slots.  Pure.
 
-By the Redis Cluster specification, "Key distribution model": CRC16 (XMODEM) of the key modulo
-16,384; where the key has a `{`, and a `}` behind it that is not next to it, only what lies between
-the first of each counts, so that keys can be made to share a slot.
+See "Key distribution model" in the Redis Cluster specification.  The slot is the CRC16 (XMODEM) of
+the key modulo 16,384.  If the key has a non-empty hash tag in braces, only the tag is hashed, so
+that keys can be made to share a slot.
 """
 
 from __future__ import annotations
@@ -24,7 +24,10 @@
 
 
 def parse_ranges(texts: Iterable[str]) -> tuple[tuple[int, int], ...]:
-    """ "0-5460" or "7000", each end included, in rising order.  ValueError names the range."""
+    """Parse ranges such as "0-5460" (both ends included) or "7000"; returns them sorted.
+
+    ValueError names the invalid range.
+    """
     ranges = []
     for text in texts:
         first, dash, last = text.partition("-")
@@ -37,22 +40,22 @@
             and len(first) < 6
             and len(last) < 6
         ):
-            raise ValueError(f"{text!r} is no range of slots")
+            raise ValueError(f"{text!r} is not a range of slots")
         if not int(first) <= int(last) < SLOTS:
-            raise ValueError(f"{text!r} does not lie within 0-{SLOTS - 1}")
+            raise ValueError(f"{text!r} is not within 0-{SLOTS - 1}")
         ranges.append((int(first), int(last)))
     return tuple(sorted(ranges))
 
 
-def owners(shares: Iterable[tuple[int, tuple[tuple[int, int], ...]]]) -> list[int]:
-    """The owner of each slot.  ValueError where two claim one, or nobody does."""
+def owners(ranges_by_owner: Iterable[tuple[int, tuple[tuple[int, int], ...]]]) -> list[int]:
+    """The owner of each slot.  ValueError if a slot has two owners or none."""
     found = [-1] * SLOTS
-    for owner, ranges in shares:
+    for owner, ranges in ranges_by_owner:
         for first, last in ranges:
             for slot in range(first, last + 1):
                 if found[slot] >= 0:
-                    raise ValueError(f"slot {slot} belongs to two")
+                    raise ValueError(f"slot {slot} has two owners")
                 found[slot] = owner
     if -1 in found:
-        raise ValueError(f"slot {found.index(-1)} belongs to nobody")
+        raise ValueError(f"slot {found.index(-1)} has no owner")
     return found
--- a/violetroute/cluster/table.py
+++ b/violetroute/cluster/table.py
@@ -1,4 +1,4 @@
-"""`[cluster]` of the operator's file."""
+"""The table `[cluster]` of the operator's file."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class ClusterProxy(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[[cluster.proxies]]`: one of several that appear as the nodes of a cluster."""
+    """`[[cluster.proxies]]`: one of several proxies that appear as the nodes of a cluster."""
 
-    name: str  # its PROXY_NAME
-    address: str  # ADDRESS:PORT at which clients reach it, which may not be where it listens
+    name: str  # PROXY_NAME of the proxy
+    address: str  # ADDRESS:PORT for clients; may differ from its listening address
     slots: tuple[str, ...]  # "0-5460", "7000", ...
 
 
 class ClusterTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How this proxy appears to clients of the cluster dialect.  Changes with SIGHUP."""
+    """How this proxy appears to Redis Cluster clients.  Reloaded with SIGHUP."""
 
     appear: Literal["off", "one", "several"] = "off"
-    announce: str = ""  # "one": ADDRESS:PORT; else where it listens
-    proxies: tuple[ClusterProxy, ...] = ()  # "several"
-    follow: bool = False  # redirections of cache nodes; else they count as answers nobody can read
-    foreign: Literal["moved", "serve"] = "moved"  # "several": a key of another proxy's
+    announce: str = ""  # "one": ADDRESS:PORT for clients; default: its listening address
+    proxies: tuple[ClusterProxy, ...] = ()  # for "several"
+    follow: bool = False  # follow redirections of cache nodes; else they count as malformed
+    foreign: Literal["moved", "serve"] = "moved"  # for "several": keys of another proxy
--- a/violetroute/cluster/topology.py
+++ b/violetroute/cluster/topology.py
@@ -1,7 +1,7 @@
-"""What a proxy tells clients of the cluster that it appears to be.  Pure.
+"""The cluster topology that a proxy reports to clients.  Pure.
 
-Values are of plain Python (int, bytes, list, dict); `encode.py` frames them for the client's
-protocol.  Forms by the published commands CLUSTER SLOTS, SHARDS, NODES and INFO.
+The methods return plain values (int, bytes, list, dict), which `encode.py` encodes for the client's
+protocol.  Their forms are those of CLUSTER SLOTS, SHARDS, NODES and INFO.
 """
 
 from __future__ import annotations
@@ -14,90 +14,99 @@
 from .slots import SLOTS, owners, parse_ranges
 from .table import ClusterTable
 
-BUS = 10_000  # what the dialect adds to a port for the cluster's own bus, which nobody speaks here
+BUS_PORT_OFFSET = 10_000  # port of the cluster bus, as in Redis; no proxy listens there
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
-    """One of those that appear as nodes.  An empty host is the one that the client asked."""
+class ClusterMember:
+    """A proxy that appears as a cluster node.  An empty host is the one the client connected to."""
 
-    id: str  # 40 hexadecimal digits, the same for a name everywhere
+    id: str  # 40 hexadecimal digits, derived from the name
     address: Address
     ranges: tuple[tuple[int, int], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """All of them, and which one this proxy is."""
+    """All members of the cluster, and the index of this proxy."""
 
-    parts: tuple[Part, ...]
-    me: int
-    owner: list[int]  # of each slot, a place in `parts`
+    members: tuple[ClusterMember, ...]
+    own_index: int
+    slot_owners: list[int]  # of each slot, a index in `members`
     foreign_moved: bool
 
-    def moved(self, slot: int) -> bytes | None:
-        """The redirection for a key of this slot; None where it is served here."""
-        part = self.parts[self.owner[slot]]
-        if not self.foreign_moved or self.owner[slot] == self.me:
+    def moved_reply(self, slot: int) -> bytes | None:
+        """The MOVED line for a key of this slot; None if it is served here."""
+        member = self.members[self.slot_owners[slot]]
+        if not self.foreign_moved or self.slot_owners[slot] == self.own_index:
             return None
-        return b"-MOVED %d %b:%d\r\n" % (slot, part.address.host.encode(), part.address.port)
+        return b"-MOVED %d %b:%d\r\n" % (slot, member.address.host.encode(), member.address.port)
 
     def slots(self) -> list[object]:
-        """CLUSTER SLOTS."""
-        rows = sorted((first, last, part) for part in self.parts for first, last in part.ranges)
+        """The answer to CLUSTER SLOTS."""
+        rows = sorted(
+            (first, last, member) for member in self.members for first, last in member.ranges
+        )
         return [
-            [first, last, [part.address.host.encode(), part.address.port, part.id.encode(), []]]
-            for first, last, part in rows
+            [
+                first,
+                last,
+                [member.address.host.encode(), member.address.port, member.id.encode(), []],
+            ]
+            for first, last, member in rows
         ]
 
     def shards(self) -> list[object]:
-        """CLUSTER SHARDS."""
+        """The answer to CLUSTER SHARDS."""
         return [
             {
-                b"slots": [slot for both in part.ranges for slot in both],
+                b"slots": [slot for both in member.ranges for slot in both],
                 b"nodes": [
                     {
-                        b"id": part.id.encode(),
-                        b"port": part.address.port,
-                        b"ip": part.address.host.encode(),
-                        b"endpoint": part.address.host.encode(),
+                        b"id": member.id.encode(),
+                        b"port": member.address.port,
+                        b"ip": member.address.host.encode(),
+                        b"endpoint": member.address.host.encode(),
                         b"role": b"master",
                         b"replication-offset": 0,
                         b"health": b"online",
                     }
                 ],
             }
-            for part in self.parts
+            for member in self.members
         ]
 
     def nodes(self) -> bytes:
-        """CLUSTER NODES."""
+        """The answer to CLUSTER NODES."""
         lines = []
-        for place, part in enumerate(self.parts):
-            flags = "myself,master" if place == self.me else "master"
+        for index, member in enumerate(self.members):
+            flags = "myself,master" if index == self.own_index else "master"
             ranges = " ".join(
-                str(first) if first == last else f"{first}-{last}" for first, last in part.ranges
+                str(first) if first == last else f"{first}-{last}" for first, last in member.ranges
             )
             lines.append(
-                f"{part.id} {part.address.host}:{part.address.port}"
-                f"@{part.address.port + BUS} {flags} - 0 0 {place + 1} connected "
+                f"{member.id} {member.address.host}:{member.address.port}"
+                f"@{member.address.port + BUS_PORT_OFFSET} {flags} - 0 0 {index + 1} connected "
                 f"{ranges}\n"
             )
         return "".join(lines).encode()
 
     def info(self) -> bytes:
-        """CLUSTER INFO."""
+        """The answer to CLUSTER INFO."""
         return (
             f"cluster_enabled:1\r\ncluster_state:ok\r\ncluster_slots_assigned:{SLOTS}\r\n"
             f"cluster_slots_ok:{SLOTS}\r\ncluster_slots_pfail:0\r\ncluster_slots_fail:0\r\n"
-            f"cluster_known_nodes:{len(self.parts)}\r\ncluster_size:{len(self.parts)}\r\n"
-            f"cluster_current_epoch:{len(self.parts)}\r\n"
-            f"cluster_my_epoch:{self.me + 1}\r\n"
+            f"cluster_known_nodes:{len(self.members)}\r\ncluster_size:{len(self.members)}\r\n"
+            f"cluster_current_epoch:{len(self.members)}\r\n"
+            f"cluster_my_epoch:{self.own_index + 1}\r\n"
         ).encode()
 
 
 def topology(table: ClusterTable, name: str, listen: Address) -> Topology | None:
-    """None where the dialect is off.  ValueError names the key of `[cluster]`."""
+    """The topology that `[cluster]` configures, None if it is off.
+
+    `name`: PROXY_NAME of this proxy.  ValueError names the invalid key of `[cluster]`.
+    """
     if table.appear == "off":
         return None
     if table.appear == "one":
@@ -105,27 +114,27 @@
         if table.announce:
             address = _address("announce", table.announce)
         elif listen.host in ("0.0.0.0", "::"):
-            address = Address("", listen.port)  # by the standard: the host that was asked
+            address = Address("", listen.port)  # in Redis: the host that the client connected to
         whole = ((0, SLOTS - 1),)
-        return Topology((Part(_id(name), address, whole),), 0, [0] * SLOTS, False)
+        return Topology((ClusterMember(_id(name), address, whole),), 0, [0] * SLOTS, False)
     names = [proxy.name for proxy in table.proxies]
     if len(set(names)) != len(names):
-        raise ValueError("proxies: a name stands there twice")
+        raise ValueError("proxies: duplicate name")
     if name not in names:
         raise ValueError(f"proxies: this proxy, {name!r}, is not among them")
     try:
-        parts = tuple(
-            Part(
+        members = tuple(
+            ClusterMember(
                 _id(proxy.name),
                 _address(f"{proxy.name}: address", proxy.address),
                 parse_ranges(proxy.slots),
             )
             for proxy in table.proxies
         )
-        owner = owners((place, part.ranges) for place, part in enumerate(parts))
+        owner = owners((index, member.ranges) for index, member in enumerate(members))
     except ValueError as error:
         raise ValueError(f"proxies: {error}") from None
-    return Topology(parts, names.index(name), owner, table.foreign == "moved")
+    return Topology(members, names.index(name), owner, table.foreign == "moved")
 
 
 def _address(key: str, text: str) -> Address:
--- a/violetroute/resp/__init__.py
+++ b/violetroute/resp/__init__.py
@@ -1,4 +1,4 @@
-"""RESP2 without I/O: framing, the platform's commands, the replies of cache nodes."""
+"""RESP2 without I/O: framing, the platform's commands, and the replies of cache nodes."""
 
 from .commands import Command, CommandError, parse_command
 from .framing import (
--- a/violetroute/resp/commands.py
+++ b/violetroute/resp/commands.py
@@ -1,4 +1,4 @@
-"""The platform's commands: what a client may ask, and how it goes on to a node."""
+"""The platform's commands: parsing what a client sends, and encoding it for a cache node."""
 
 from __future__ import annotations
 
@@ -6,75 +6,88 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from .framing import CRLF, FIELDS_LIMIT, WORD_LIMIT, bulk
+from .framing import CRLF, MAX_OPTIONS_BYTES, MAX_WORD_BYTES, bulk
 
 
 class CommandError(Exception):
-    """A well formed command that makes no sense: answered, and the connection lives."""
+    """A correctly framed but invalid command: it is answered, the connection stays open."""
 
 
-_COUNTS = {b"OBJ.GET": 4, b"OBJ.SET": 5}
-_D = re.compile(rb"(?:^|,)(d=[^,]*)")
-_WAIT = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")  # ms; float() alone would take far more
-_PARSED = 512  # lists without their wait that are remembered: classes times tenants
-_LIST_KEPT = 128  # bytes of a list that is remembered
-_parsed: dict[tuple[bytes, bytes], tuple[str, str, bool]] = {}
+_ARGUMENT_COUNTS = {b"OBJ.GET": 4, b"OBJ.SET": 5}
+_WAIT_OPTION = re.compile(rb"(?:^|,)(d=[^,]*)")
+_WAIT_FORMAT = re.compile(
+    rb"[0-9]{1,9}(\.[0-9]{1,9})?"
+)  # ms; float() alone accepts many more forms
+_MAX_CACHED_OPTIONS = 512  # entries: option lists without their wait, one per class and tenant
+_MAX_CACHED_BYTES = 128  # of an option list that is cached
+_options_cache: dict[tuple[bytes, bytes], tuple[str, str, bool]] = {}
 
 
 @dataclass(slots=True)
 class Command:
-    """A client's request, as it came and as it goes on."""
+    """A client's request, kept so that it can be forwarded with another wait.
+
+    The option list is the argument "c=CLASS,t=TENANT,d=WAIT,k=KEY".
+    """
 
     key: bytes
     id: bytes
-    head: bytes  # as it came, up to the end of the id
-    before: bytes  # of the list, what stands before the wait and after it
+    head: bytes  # the bytes received, up to the end of the id
+    before: bytes  # the option list before the wait; `after`: the rest behind it
     after: bytes
     value: bytes | bytearray | None
     class_name: str
     tenant: str
-    wait: float  # ms, from the last byte on
+    wait: float  # ms, counted from the last byte
     keyed: bool  # carries an idempotency key
 
     def encode(self, wait: float) -> list[bytes | memoryview]:
-        """The command unchanged but for d, in parts; a long value is not copied."""
-        listed = b"%bd=%d%b" % (self.before, max(1, int(wait)), self.after)
+        """The command in parts, unchanged except for the option d.
+
+        A long value is not copied.  `wait`: milliseconds.
+        """
+        options = b"%bd=%d%b" % (self.before, max(1, int(wait)), self.after)
         if self.value is None:
-            return [b"%b$%d\r\n%b\r\n" % (self.head, len(listed), listed)]
-        head = b"%b$%d\r\n%b\r\n$%d\r\n" % (self.head, len(listed), listed, len(self.value))
+            return [b"%b$%d\r\n%b\r\n" % (self.head, len(options), options)]
+        head = b"%b$%d\r\n%b\r\n$%d\r\n" % (self.head, len(options), options, len(self.value))
         if len(self.value) <= 4096:
             return [b"".join((head, self.value, CRLF))]
         return [head, memoryview(self.value), CRLF]
 
 
 def parse_command(args: Sequence[bytes | bytearray], head: bytes = b"") -> Command:
-    """Raises CommandError.  `head`: the bytes up to the id's end, where they are at hand."""
+    """Parse the arguments of a command.  Raises CommandError.
+
+    `head`: the bytes up to the end of the id, if the caller has them.
+    """
     name = bytes(args[0])
-    count = _COUNTS.get(name) or _COUNTS.get(name.upper())
+    count = _ARGUMENT_COUNTS.get(name) or _ARGUMENT_COUNTS.get(name.upper())
     if count is None:
         raise CommandError("unknown command")
     if len(args) != count:
         raise CommandError("wrong number of arguments")
-    key, id_, listed = bytes(args[1]), bytes(args[2]), bytes(args[3])
+    key, id_, options = bytes(args[1]), bytes(args[2]), bytes(args[3])
     if (
-        not (0 < len(key) <= WORD_LIMIT and 0 < len(id_) <= WORD_LIMIT)
-        or len(listed) > FIELDS_LIMIT
+        not (0 < len(key) <= MAX_WORD_BYTES and 0 < len(id_) <= MAX_WORD_BYTES)
+        or len(options) > MAX_OPTIONS_BYTES
     ):
         raise CommandError("key, id or list is empty or too long")
-    found = _D.search(listed)
+    found = _WAIT_OPTION.search(options)
     if found is None:
-        _parse_list(listed)  # says what is wrong with it, if more is
+        _parse_options(options)  # raises the more precise error, if any
         raise CommandError("class or wait is missing or senseless")
-    before, after = listed[: found.start(1)], listed[found.end(1) :]
+    before, after = options[: found.start(1)], options[found.end(1) :]
     text = found[1][2:]
-    known = _parsed.get((before, after))
+    known = _options_cache.get((before, after))
     if known is None:
-        known = _parse_list(listed)
-        if b"k=" not in listed and len(listed) <= _LIST_KEPT:  # such a key never comes again
-            if len(_parsed) >= _PARSED:
-                _parsed.clear()
-            _parsed[before, after] = known
-    wait = float(text) if _WAIT.fullmatch(text) else 0.0
+        known = _parse_options(options)
+        if (
+            b"k=" not in options and len(options) <= _MAX_CACHED_BYTES
+        ):  # idempotency keys do not repeat
+            if len(_options_cache) >= _MAX_CACHED_OPTIONS:
+                _options_cache.clear()
+            _options_cache[before, after] = known
+    wait = float(text) if _WAIT_FORMAT.fullmatch(text) else 0.0
     if wait <= 0.0:
         raise CommandError("senseless wait")
     head = head or b"*%d\r\n%b" % (count, b"".join(map(bulk, (name, key, id_))))
@@ -92,10 +105,10 @@
     )
 
 
-def _parse_list(listed: bytes) -> tuple[str, str, bool]:
-    """Class, tenant, and whether a key is there, from names and values all told once."""
+def _parse_options(options: bytes) -> tuple[str, str, bool]:
+    """Class, tenant, and whether there is an idempotency key.  No option may occur twice."""
     fields: dict[bytes, bytes] = {}
-    for item in listed.split(b","):
+    for item in options.split(b","):
         field, equals, text = item.partition(b"=")
         if not field or not equals or field in fields:
             raise CommandError("bad list")
