--- a/snowstall/adapter.py
+++ b/snowstall/adapter.py
@@ -1,7 +1,7 @@
-"""Carries a Balancer per proxy over the simulator's wire.  No decisions are made here.
+"""Connects Balancer instances, one per proxy, to the simulator's line protocol.
 
-Each batch of event lines is parsed, routed to the instances named in it, and answered
-with the lines of their actions.  Only replies go to standard output.
+Each batch of event lines is parsed and dispatched to the instances that it names.  The reply is the
+lines of their actions.  Only replies go to standard output.  No decisions are made here.
 """
 
 from __future__ import annotations
@@ -12,69 +12,73 @@
 from collections.abc import Callable
 from typing import IO, Any
 
-import snowstall as b
+import snowstall
 
 RESULTS = {
-    "GOOD": b.Result.OK,
-    "BAD": b.Result.ERROR,
-    "FULL": b.Result.FULL,
-    "LATE": b.Result.LATE,
-    "NOCONN": b.Result.NO_CONNECTION,
-    "RST": b.Result.RESET,
-    "CXL": b.Result.CANCELLED,
-    "NOP": b.Result.NEVER_SENT,
-    "MISS": b.Result.MISS,
+    "GOOD": snowstall.Result.OK,
+    "BAD": snowstall.Result.ERROR,
+    "FULL": snowstall.Result.FULL,
+    "LATE": snowstall.Result.LATE,
+    "NOCONN": snowstall.Result.NO_CONNECTION,
+    "RST": snowstall.Result.RESET,
+    "CXL": snowstall.Result.CANCELLED,
+    "NOP": snowstall.Result.NEVER_SENT,
+    "MISS": snowstall.Result.MISS,
 }
 STATES = {
-    "Ready": b.CacheState.READY,
-    "Terminating": b.CacheState.DRAINING,
-    "Gone": b.CacheState.GONE,
+    "Ready": snowstall.CacheState.READY,
+    "Terminating": snowstall.CacheState.DRAINING,
+    "Gone": snowstall.CacheState.GONE,
 }
 LISTS = {
-    "delta": b.ListKind.CHANGES,
-    "full": b.ListKind.FULL,
-    "cached": b.ListKind.CACHED,
-    "failed": b.ListKind.FAILED,
+    "delta": snowstall.ListKind.CHANGES,
+    "full": snowstall.ListKind.FULL,
+    "cached": snowstall.ListKind.CACHED,
+    "failed": snowstall.ListKind.FAILED,
 }
-EFFECTS = {"pure": b.Effect.PURE, "token": b.Effect.KEYED, "side_effect": b.Effect.UNSAFE}
-GROUPS = {"all": b.Group.ALL, "zone": b.Group.ZONE, "cell": b.Group.CELL}
+EFFECTS = {
+    "pure": snowstall.Effect.PURE,
+    "token": snowstall.Effect.KEYED,
+    "side_effect": snowstall.Effect.UNSAFE,
+}
+GROUPS = {"all": snowstall.Group.ALL, "zone": snowstall.Group.ZONE, "cell": snowstall.Group.CELL}
 HITS = {"1": True, "2": False, "3": False}
 
 
 class WireError(Exception):
-    """A line that does not follow the wire's rules."""
+    """A line that violates the protocol."""
 
 
-def parse_settings(conf: dict[str, Any]) -> b.Settings:
-    """Translate the settings of the wire; a missing or senseless one is a ValueError."""
-    caps, rules = _part(conf, "caps"), _part(conf, "guarantees")
-    prices = conf.get("tariffs") or {}
+def parse_settings(conf: dict[str, Any]) -> snowstall.Settings:
+    """Translate the simulator's settings; raises ValueError for a missing or invalid one."""
+    limits, rules = _section(conf, "caps"), _section(conf, "guarantees")
+    tariffs = conf.get("tariffs") or {}
     family = conf.get("familyInfo") or {}
     kinds = conf.get("kinds") or []
     origin = family.get("originKind", -1)
-    aside = family.get("mode") == "aside"
-    return b.Settings(
-        classes=tuple(_parse_class(entry) for entry in _need(conf, "classes")),
-        max_attempts=int(_need(caps, "mostTries", "caps.")),
+    is_cache_aside = family.get("mode") == "aside"
+    return snowstall.Settings(
+        classes=tuple(_parse_class(entry) for entry in _required(conf, "classes")),
+        max_attempts=int(_required(limits, "mostTries", "caps.")),
         proxies=int(conf.get("balancers", 1)),
         zone=conf.get("zone", ""),
-        origin_kind=kinds[origin] if aside and 0 <= origin < len(kinds) else None,
+        origin_kind=kinds[origin] if is_cache_aside and 0 <= origin < len(kinds) else None,
         must_subscribe=conf.get("membershipMode") == "subscribe",
-        can_hedge=bool(caps.get("secondCopies", False)),
-        can_cancel=bool(caps.get("cancel", False)),
-        can_probe=bool(caps.get("probes", False)),
+        can_hedge=bool(limits.get("secondCopies", False)),
+        can_cancel=bool(limits.get("cancel", False)),
+        can_probe=bool(limits.get("probes", False)),
         weighted=conf.get("weightKind") in ("nominal", "rough"),
-        cold_share=float(_need(rules, "coldFrom", "guarantees.")),
-        warm_time=float(_need(rules, "warmWithinMs", "guarantees.")),
+        cold_share=float(_required(rules, "coldFrom", "guarantees.")),
+        warm_time=float(_required(rules, "warmWithinMs", "guarantees.")),
         subscribe_within=float(rules.get("askWithinMs", 10_000.0)) or 10_000.0,
-        cross_zone_price=float(prices.get("crossZone", 0.0)),
-        origin_price=float(prices.get("origin", 0.0)),
-        waste_price=float(prices.get("waste", 0.0)),
-        max_backoff=float(caps.get("maxRetryAfterMs", 0.0)),
+        cross_zone_price=float(tariffs.get("crossZone", 0.0)),
+        origin_price=float(tariffs.get("origin", 0.0)),
+        waste_price=float(tariffs.get("waste", 0.0)),
+        max_backoff=float(limits.get("maxRetryAfterMs", 0.0)),
         over_quota_factor=float(conf.get("overShareWorth", 1.0)),
         tenants=tuple(
-            b.Tenant(
-                _need(t, "name", "realms[]."),
+            snowstall.Tenant(
+                _required(t, "name", "realms[]."),
                 float(t.get("share", 0.0)),
                 float(t.get("quotaPerS", 0.0)),
             )
@@ -83,16 +87,16 @@
     )
 
 
-def _parse_class(entry: dict[str, Any]) -> b.RequestClass:
-    effect, group = _need(entry, "effect", "classes[]."), entry.get("group", "all")
+def _parse_class(entry: dict[str, Any]) -> snowstall.RequestClass:
+    effect, group = _required(entry, "effect", "classes[]."), entry.get("group", "all")
     if effect not in EFFECTS:
         raise ValueError(f"classes[].effect: unknown value {effect!r}")
     if group not in GROUPS:
         raise ValueError(f"classes[].group: unknown value {group!r}")
-    return b.RequestClass(
-        name=_need(entry, "name", "classes[]."),
-        latency_target=float(_need(entry, "promiseMs", "classes[].")),
-        deadline=float(_need(entry, "deadlineMs", "classes[].")),
+    return snowstall.RequestClass(
+        name=_required(entry, "name", "classes[]."),
+        latency_target=float(_required(entry, "promiseMs", "classes[].")),
+        deadline=float(_required(entry, "deadlineMs", "classes[].")),
         effect=EFFECTS[effect],
         value=float(entry.get("worth", 1.0)),
         late_value=float(entry.get("lateValue", 0.0)),
@@ -101,71 +105,71 @@
     )
 
 
-def _need(place: dict[str, Any], name: str, where: str = "") -> Any:
-    if place.get(name) is None:
+def _required(section: dict[str, Any], name: str, where: str = "") -> Any:
+    if section.get(name) is None:
         raise ValueError(f"setting {where}{name} is missing")
-    return place[name]
+    return section[name]
 
 
-def _part(conf: dict[str, Any], name: str) -> dict[str, Any]:
-    part = _need(conf, name)
+def _section(conf: dict[str, Any], name: str) -> dict[str, Any]:
+    part = _required(conf, name)
     if not isinstance(part, dict):
         raise ValueError(f"setting {name} must be an object")
     return part
 
 
-def _fields(line: str) -> dict[str, str]:
+def _parse_fields(line: str) -> dict[str, str]:
     try:
         return dict([item.split("=", 1) for item in line.split(" ")[1:]])
     except ValueError:
         raise WireError(f"not name=value pairs: {line[:200]!r}") from None
 
 
-def _write(proxy: str, action: b.Action) -> str:
+def _format_action(proxy: str, action: snowstall.Action) -> str:
     match action:
-        case b.Send(request_id, cache_id, stop_at):
+        case snowstall.Send(request_id, cache_id, stop_at):
             stop = f" stopAtMs={stop_at:.3f}" if stop_at else ""
             return f"send proxy={proxy} xid={request_id} node={cache_id}{stop}"
-        case b.Timer(delay, label):
+        case snowstall.Timer(delay, label):
             return f"set_alarm proxy={proxy} delayMs={delay:.3f} label={label}"
-        case b.Refuse(request_id, backoff):
+        case snowstall.Refuse(request_id, backoff):
             wait = f" backoffMs={backoff:.3f}" if backoff else ""
             return f"refuse proxy={proxy} xid={request_id}{wait}"
-        case b.Fail(request_id):
+        case snowstall.Fail(request_id):
             return f"drop_request proxy={proxy} xid={request_id}"
-        case b.Cancel(request_id, attempt):
+        case snowstall.Cancel(request_id, attempt):
             return f"cancel proxy={proxy} xid={request_id} sendNo={attempt}"
-        case b.Subscribe(active):
+        case snowstall.Subscribe(active):
             return f"keep_informed proxy={proxy} active={int(active)}"
 
 
 class Adapter:
-    """Reads batches, feeds the instances, writes their actions."""
+    """Reads batches of events, passes them to the instances, and writes their actions."""
 
     def __init__(self, source: IO[str], sink: IO[str]) -> None:
         self._source, self._sink = source, sink
-        self._instances: dict[str, b.Balancer] = {}
+        self._instances: dict[str, snowstall.Balancer] = {}
         self._now = 0.0
-        self.proxy = ""  # the instance of the event at hand, for fault messages
-        self._events: dict[str, Callable[[dict[str, str]], list[b.Action]]] = {
-            "demand": self._demand,
-            "ended": self._ended,
+        self.proxy = ""  # the instance of the current event, for error messages
+        self._events: dict[str, Callable[[dict[str, str]], list[snowstall.Action]]] = {
+            "demand": self._request,
+            "ended": self._outcome,
             "timer": self._timer,
-            "abandoned": self._abandoned,
-            "view": self._view,
-            "accepted": self._accepted,
+            "abandoned": self._client_gone,
+            "view": self._list,
+            "accepted": self._response_started,
             "detach": self._detach,
         }
 
     def run(self) -> None:
-        """Serve batches until the input ends."""
+        """Process batches until the input ends.  Raises WireError for an invalid line."""
         for line in self._source:
             line = line.rstrip("\r\n")
             if not line:
                 continue
             if not line.startswith("batch "):
                 raise WireError(f"expected a batch, got {line[:200]!r}")
-            self._now = float(_fields(line)["tMs"])
+            self._now = float(_parse_fields(line)["tMs"])
             if not self._batch():
                 return
 
@@ -179,47 +183,47 @@
                 self._sink.flush()
                 return True
             self._event(line, out)
-        return False  # the input ended inside a batch: nobody waits for its reply
+        return False  # the input ended within a batch: no reply is expected
 
     def _event(self, line: str, out: list[str]) -> None:
         name = line.split(" ", 1)[0]
         if name == "born":
-            self._born(line)
+            self._start_instance(line)
             return
         handler = self._events.get(name)
         if handler is None:
             if not name.isidentifier() or name == "row":
                 raise WireError(f"unexpected line {line[:200]!r}")
-            return  # an event this adapter has no use for
-        fields = _fields(line)
+            return  # an event that this adapter doesn't use
+        fields = _parse_fields(line)
         self.proxy = fields["proxy"]
         for action in handler(fields):
-            out.append(_write(self.proxy, action))
+            out.append(_format_action(self.proxy, action))
 
-    def _born(self, line: str) -> None:
+    def _start_instance(self, line: str) -> None:
         head, _, conf = line.partition(" conf=")
-        fields = _fields(head)
-        if "seed" not in fields:  # the settings may come before the seed only with no text after
+        fields = _parse_fields(head)
+        if "seed" not in fields:  # it must come first: the settings go on to the end of the line
             raise WireError("born without a seed before its settings")
         self.proxy = fields["proxy"]
         settings = parse_settings(json.loads(conf))
-        self._instances[self.proxy] = b.Balancer(settings, int(fields["seed"]), self._now)
+        self._instances[self.proxy] = snowstall.Balancer(settings, int(fields["seed"]), self._now)
 
-    def _view(self, fields: dict[str, str]) -> list[b.Action]:
+    def _list(self, fields: dict[str, str]) -> list[snowstall.Action]:
         members = []
         for _ in range(int(fields.get("lines", 0))):
             line = self._source.readline().rstrip("\r\n")
             if not line.startswith("row "):
                 raise WireError(f"expected a row, got {line[:200]!r}")
-            members.append(_member(_fields(line)))
+            members.append(_parse_member(_parse_fields(line)))
         kind = LISTS.get(fields["mode"])
         if kind is None:
             raise WireError(f"unknown list mode {fields['mode']!r}")
         return self._balancer.on_list(self._now, kind, members)
 
-    def _demand(self, fields: dict[str, str]) -> list[b.Action]:
+    def _request(self, fields: dict[str, str]) -> list[snowstall.Action]:
         key = fields.get("affinity")
-        request = b.Request(
+        request = snowstall.Request(
             int(fields["xid"]),
             fields["priority"],
             float(fields["giveUpAtMs"]),
@@ -229,12 +233,12 @@
         )
         return self._balancer.on_request(self._now, request)
 
-    def _ended(self, fields: dict[str, str]) -> list[b.Action]:
+    def _outcome(self, fields: dict[str, str]) -> list[snowstall.Action]:
         pressure = fields.get("pressure")
         report = None
         if pressure:
             report = {k: float(v) for k, v in (p.split(":") for p in pressure.split(","))}
-        outcome = b.Outcome(
+        outcome = snowstall.Outcome(
             int(fields["xid"]),
             int(fields.get("sendNo", 0)),
             RESULTS[fields["rc"]],
@@ -245,32 +249,32 @@
         )
         return self._balancer.on_outcome(self._now, outcome)
 
-    def _timer(self, fields: dict[str, str]) -> list[b.Action]:
+    def _timer(self, fields: dict[str, str]) -> list[snowstall.Action]:
         return self._balancer.on_timer(self._now, int(fields["label"]))
 
-    def _abandoned(self, fields: dict[str, str]) -> list[b.Action]:
+    def _client_gone(self, fields: dict[str, str]) -> list[snowstall.Action]:
         return self._balancer.on_client_gone(self._now, int(fields["xid"]))
 
-    def _accepted(self, fields: dict[str, str]) -> list[b.Action]:
+    def _response_started(self, fields: dict[str, str]) -> list[snowstall.Action]:
         return self._balancer.on_response_started(self._now, int(fields["xid"]))
 
-    def _detach(self, fields: dict[str, str]) -> list[b.Action]:
+    def _detach(self, fields: dict[str, str]) -> list[snowstall.Action]:
         self._instances.pop(self.proxy, None)
         return []
 
     @property
-    def _balancer(self) -> b.Balancer:
+    def _balancer(self) -> snowstall.Balancer:
         instance = self._instances.get(self.proxy)
         if instance is None:
             raise WireError(f"no instance {self.proxy!r} is running")
         return instance
 
 
-def _member(fields: dict[str, str]) -> b.Member:
+def _parse_member(fields: dict[str, str]) -> snowstall.Member:
     state = STATES.get(fields.get("readiness", "Ready"))
     if state is None:
         raise WireError(f"unknown readiness {fields['readiness']!r}")
-    return b.Member(
+    return snowstall.Member(
         int(fields["node"]),
         state,
         fields.get("campus", ""),
@@ -282,6 +286,7 @@
 
 
 def main() -> int:
+    """Run the adapter on standard input and output; return the exit status."""
     sys.stdin.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
     adapter = Adapter(sys.stdin, sys.stdout)
     try:
--- a/snowstall/messages.py
+++ b/snowstall/messages.py
@@ -1,9 +1,8 @@
-"""The records that the policy takes and gives: settings, events, actions.
+"""The records at the interface of the decision module: settings, events and actions.
 
-Records only: no rule and no constant of the policy stands here, so that the files which
-deploy/balancer.toml names under `policy` are the ones to read for how it decides.  Times are
-milliseconds on the caller's clock, which never steps back; a duration is in milliseconds too
-unless its name ends in `_per_s`.
+There are no rules and no constants of the policy here: those are in the files that
+deploy/balancer.toml lists under `policy`.  Times are milliseconds on the caller's clock, which
+never steps back.  Durations are in milliseconds too; names with `_per_s` are rates per second.
 """
 
 from __future__ import annotations
@@ -12,24 +11,28 @@
 from enum import Enum
 from typing import NamedTuple
 
-HOUSEKEEPING = 1 << 52  # a timer's labels from here on are not request ids
-RESIZING = HOUSEKEEPING + 1  # of the timer after which more caches get their sizes
+HOUSEKEEPING = 1 << 52  # timer label for subscriptions; lower labels are request ids
+RESIZING = HOUSEKEEPING + 1  # timer label for resizing more caches
 
 
 def require(condition: bool, message: str) -> None:
-    """ValueError with this message unless the condition holds."""
+    """Raise ValueError with this message unless the condition holds."""
     if not condition:
         raise ValueError(message)
 
 
 # --- settings -------------------------------------------------------------------------
 class Effect(Enum):
+    """Whether a request may run more than once."""
+
     PURE = "pure"  # safe to repeat at any time
-    KEYED = "keyed"  # caches of the group drop repeats inside a window
+    KEYED = "keyed"  # the caches of its group drop repeats within a window
     UNSAFE = "unsafe"  # must never run twice
 
 
 class Group(Enum):
+    """The caches that recognise a repeated keyed request: all, or those of a zone or a cell."""
+
     ALL = "all"
     ZONE = "zone"
     CELL = "cell"
@@ -37,14 +40,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
+    """A class of requests; an answer within `latency_target` has the full `value`."""
+
     name: str
     latency_target: float
     deadline: float
     effect: Effect
     value: float = 1.0
-    late_value: float = 0.0
+    late_value: float = 0.0  # share of the value that a late answer has
     group: Group = Group.ALL
-    repeat_window: float = 0.0
+    repeat_window: float = 0.0  # how long caches drop repeats of a keyed request
 
     def __post_init__(self) -> None:
         for name in ("latency_target", "deadline"):
@@ -55,6 +60,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
+    """A tenant; a quota of 0 means that it has none."""
+
     name: str
     share: float = 0.0
     quota_per_s: float = 0.0
@@ -62,27 +69,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
+    """What the platform sets for one proxy."""
+
     classes: tuple[RequestClass, ...]
     max_attempts: int
     proxies: int = 1
     zone: str = ""
-    origin_kind: str | None = None  # set where misses come back and the proxy asks the origin
+    origin_kind: str | None = None  # set if the proxy itself sends misses to the origin
     must_subscribe: bool = False
-    local_agent: bool = (
-        False  # who is asked has the lists beside this proxy, and they count as told
-    )
+    local_agent: bool = False  # an agent beside this proxy has the lists; they count as received
     can_hedge: bool = False
     can_cancel: bool = False
     can_probe: bool = False
-    weighted: bool = False  # the list states sizes that can be compared
-    cold_share: float = 0.1
-    warm_time: float = 0.0
-    subscribe_within: float = 10_000.0
+    weighted: bool = False  # the list has weights that can be compared
+    cold_share: float = 0.1  # of its full load that a starting cache can take
+    warm_time: float = 0.0  # after which a started cache can take its full load
+    subscribe_within: float = 10_000.0  # a new subscription is begun in half of this time
     cross_zone_price: float = 0.0
     origin_price: float = 0.0
     waste_price: float = 0.0
     max_backoff: float = 0.0
-    over_quota_factor: float = 1.0
+    over_quota_factor: float = 1.0  # on the value of requests beyond a tenant's quota
     tenants: tuple[Tenant, ...] = ()
 
     def __post_init__(self) -> None:
@@ -91,11 +98,13 @@
         require(self.proxies >= 1, "proxies must be at least 1")
         require(0 <= self.cold_share <= 1, "cold_share must lie in [0, 1]")
         require(self.warm_time >= 0, "warm_time must not be negative")
-        require(self.subscribe_within > 0, "ask_within must be above 0")
+        require(self.subscribe_within > 0, "subscribe_within must be above 0")
 
 
-# --- events and actions (not frozen: a frozen one costs three times as much to make) ----
+# --- events and actions (not frozen: a frozen record takes three times as long to create) ----
 class Result(Enum):
+    """How an attempt ended."""
+
     OK = "ok"
     ERROR = "error"
     FULL = "full"
@@ -105,32 +114,36 @@
     CANCELLED = "cancelled"
     NEVER_SENT = "never_sent"
     MISS = "miss"
-    MOVED = "moved"  # not run: its slot belongs to the cache that the outcome names
-    ASK = "asked"  # not run: this one time the named cache is to be asked
-    MALFORMED = "spoilt"  # an answer came that cannot be read: the request has run
+    MOVED = "moved"  # not run: redirected to the cache that owns the slot
+    ASK = "asked"  # not run: redirected to another cache for this request only
+    MALFORMED = "spoilt"  # the answer cannot be parsed; the request has run
 
 
 class CacheState(Enum):
+    """The state of a cache in the list."""
+
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
 
 
 class ListKind(Enum):
+    """What discovery sent: changed entries, a whole list, or no list."""
+
     CHANGES = "changes"
     FULL = "full"
     CACHED = "cached"
     FAILED = "failed"
-    TIMED_OUT = "silent"  # a watch that stood has fallen silent
+    TIMED_OUT = "silent"  # an established watch timed out
 
 
-# What came of a request: whether a cache likely had its key, its badness (0 in time, 1 nothing),
-# the ms that it took and its class's aim, whether it tells of queues.
+# How a request ended: whether a cache likely had its key, its badness (0: answered in time, 1: no
+# useful answer), the ms that it took, its class's latency target, whether it shows queueing.
 LoadSample = tuple[bool, float, float, float, bool]
 
 
 class Member(NamedTuple):
-    """A cache as the list has it; a tuple, since thousands are made in one turn."""
+    """A cache's list entry; a tuple, since thousands are created in one loop turn."""
 
     id: int
     state: CacheState = CacheState.READY
@@ -143,17 +156,21 @@
 
 @dataclass(slots=True)
 class Request:
+    """A client's request; its client waits until `give_up_at`."""
+
     id: int
     class_name: str
     give_up_at: float
     key: int | None = None
     write: bool = False
     tenant: str = ""
-    owner: int | None = None  # the cache that owns its key's slot, where there are slots
+    owner: int | None = None  # owner of the key's slot, in a cluster with slots
 
 
 @dataclass(slots=True)
 class Outcome:
+    """The end of an attempt; `closed`: the request has ended, whatever the result."""
+
     request_id: int
     attempt: int
     result: Result
@@ -161,30 +178,32 @@
     latency: float
     hit: bool | None = None
     report: dict[str, float] | None = None
-    redirect_to: int | None = (
-        None  # of MOVED and ASKED: the cache that was named, if the list knows it
-    )
+    redirect_to: int | None = None  # for MOVED and ASK: the target, if it is listed
 
 
 @dataclass(slots=True)
 class Send:
+    """Send the request to this cache."""
+
     request_id: int
     cache_id: int
-    stop_at: float  # 0: when the client gives up
-    deliver_by: float = 0.0  # the cache has it by then, or must never get it; 0: no bound
-    asking: bool = False  # as one that follows ASKED
+    stop_at: float  # end of the attempt; 0: when the client gives up
+    deliver_by: float = 0.0  # it must not reach the cache after this time; 0: no bound
+    asking: bool = False  # it follows an ASK redirect
 
 
 class Reason(Enum):
-    """Why a request was refused or failed, for whoever counts."""
+    """Why a request was refused or failed, for counters."""
 
-    ADMISSION = "admission"  # more is asked than comes back in time
-    NO_NODE = "no_node"  # no cache was known or might be asked
-    ATTEMPTS = "attempts"  # what was tried failed, and nothing more may be tried
+    ADMISSION = "admission"  # the offered load is above the admission limit
+    NO_NODE = "no_node"  # no cache was known, or none may take it
+    ATTEMPTS = "attempts"  # the attempts failed, and no more are allowed
 
 
 @dataclass(slots=True)
 class Refuse:
+    """Tell the client that a retry is safe, after `backoff` ms."""
+
     request_id: int
     backoff: float = 0.0
     reason: Reason = field(default=Reason.ATTEMPTS, compare=False)
@@ -192,24 +211,32 @@
 
 @dataclass(slots=True)
 class Fail:
+    """Give the client an error that doesn't promise a safe retry."""
+
     request_id: int
     reason: Reason = field(default=Reason.ATTEMPTS, compare=False)
 
 
 @dataclass(slots=True)
 class Cancel:
+    """Cancel an attempt that is in flight."""
+
     request_id: int
     attempt: int
 
 
 @dataclass(slots=True)
 class Timer:
+    """Call `on_timer` with this label after `delay` ms."""
+
     delay: float
     label: int
 
 
 @dataclass(slots=True)
 class Subscribe:
+    """Open a subscription to the cache list."""
+
     active: bool = True
 
 
