--- a/tests/violetroute/cluster/test_redirects.py
+++ b/tests/violetroute/cluster/test_redirects.py
@@ -118,7 +118,7 @@
     target = first % 5 + 1
     sent = moved(made, 0, target)
     assert isinstance(sent, Send) and sent.cache_id == target and not sent.asking
-    assert moved(made, 1, first, Result.ASKED).asking
+    assert moved(made, 1, first, Result.ASK).asking
 
 
 def test_a_redirection_loop_ends_with_the_attempts_and_is_refused() -> None:
