--- a/tests/violetroute/fleet/test_fleet_guards.py
+++ b/tests/violetroute/fleet/test_fleet_guards.py
@@ -42,7 +42,7 @@
 from violetroute.ledger.accounts import Book
 from violetroute.ledger.periods import Periods
 from violetroute.placement import PlacementTable, Plan, PlanManager
-from violetroute.placement import keeper as placement
+from violetroute.placement import plan_manager as placement
 from violetroute.transport import Address
 from violetroute.transport.sockets import SocketNetwork
 from violetroute.transport.writer import ThreadWriter
--- a/tests/violetroute/test_own_load.py
+++ b/tests/violetroute/test_own_load.py
@@ -314,7 +314,7 @@
             connection = ClientConnection(rig.listener)
             rig.listener._slots_used += 1  # as if it had been accepted
             stream = Unread(connection)
-            connection.joined(stream)  # type: ignore[arg-type]
+            connection.accepted(stream)  # type: ignore[arg-type]
             for number in range(10 * rig.config.limits.depth):
                 if not stream.reading:
                     break
