--- a/benchmarks/emulated_fleet.py
+++ b/benchmarks/emulated_fleet.py
@@ -10,7 +10,7 @@
 from limebridge.virtual.loop import VirtualLoop
 from limebridge.virtual.session import quiet
 from snowstall import Judged
-from violetroute.membership import Places
+from violetroute.membership import NodeAddresses
 from violetroute.sharing import wire
 from violetroute.sharing.service import Sharing
 from violetroute.sharing.table import SharingTable
@@ -23,7 +23,7 @@
     """A proxy that remembers which nodes it was told to leave alone."""
 
     def __init__(self) -> None:
-        self.places, self.judged = Places(), deque[Judged]()
+        self.places, self.judged = NodeAddresses(), deque[Judged]()
         self.bad: list[int] = []
 
     def others(self, bad: list[int], outcomes: list[Judged]) -> None:
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -78,7 +78,7 @@
             }
 
 
-class Follower:
+class ListObserver:
     def __init__(self) -> None:
         self.told = 0
 
@@ -91,9 +91,9 @@
 async def delay(instances: int) -> dict[str, object]:
     """From the last byte of an answer with one change until it has been told on."""
     loop = asyncio.get_running_loop()
-    catalogue, follower, took = filled(instances), Follower(), []
+    catalogue, observer, took = filled(instances), ListObserver(), []
     watch = ConsulWatch(
-        follower,
+        observer,
         ConsulTable(agents=("127.0.0.1:1",)),
         SocketNetwork(loop),
         lambda: time.time() * 1000.0,
@@ -109,7 +109,7 @@
     watch.stop()
     return {
         "answer_kb": len(body) // 1024,
-        "told": follower.told,
+        "told": observer.told,
         "first_ms": round(took[0] * 1000.0, 1),
         "median_ms": round(statistics.median(took[1:]) * 1000.0, 1),
         "most_ms": round(max(took[1:]) * 1000.0, 1),
--- a/limebridge/effect.py
+++ b/limebridge/effect.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from violetroute.config import Config, Operator
-from violetroute.membership import order
+from violetroute.membership import source_order
 
 
 def _source(name: str, operator: Operator) -> str:
@@ -18,7 +18,7 @@
     return {
         "operator's file": path or "none: defaults",
         "log": f"{operator.log.level}, {operator.log.format}",
-        "nodes from": ", else ".join(_source(name, operator) for name in order(operator)),
+        "nodes from": ", else ".join(_source(name, operator) for name in source_order(operator)),
         "placement": "off" if planned is None else f"{operator.placement.file} ({planned} nodes)",
         "cluster": operator.cluster.appear,
         "ledger": "off"
--- a/limebridge/faults/sharing/memory.py
+++ b/limebridge/faults/sharing/memory.py
@@ -25,7 +25,7 @@
 from limebridge.virtual.loop import VirtualLoop
 from limebridge.virtual.session import quiet
 from snowstall.messages import Judged
-from violetroute.membership import Places
+from violetroute.membership import NodeAddresses
 from violetroute.sharing.service import Sharing
 from violetroute.sharing.table import BudgetTable, SharingTable
 from violetroute.sharing.wire import Keys
@@ -52,7 +52,7 @@
     """What the part asks of the proxy."""
 
     def __init__(self) -> None:
-        self.places, self.judged = Places(), deque[Judged]()
+        self.places, self.judged = NodeAddresses(), deque[Judged]()
 
     def others(self, bad: list[int], outcomes: list[Judged]) -> None:
         pass
--- a/limebridge/scale/hollow.py
+++ b/limebridge/scale/hollow.py
@@ -17,7 +17,7 @@
 from snowstall import CacheState, Judged, Member, Result
 from violetroute.distribution.service import DistributionService
 from violetroute.distribution.table import DistributionTable
-from violetroute.membership import Places
+from violetroute.membership import NodeAddresses
 from violetroute.sharing.members import Members
 from violetroute.sharing.service import Sharing
 from violetroute.sharing.table import SharingTable
@@ -90,7 +90,7 @@
 
     def __init__(self, place: Place, loop: HeldLoop, counters: memoryview, shape: Shape) -> None:
         self.place = place
-        self.places, self.judged = Places(), deque[Judged]()
+        self.places, self.judged = NodeAddresses(), deque[Judged]()
         self.net_maker = CountedSocket.maker(counters, shape)
         self.loop = loop
         self.net = SocketNetwork(loop, make=self.net_maker)
--- a/limebridge/scale/measure_list.py
+++ b/limebridge/scale/measure_list.py
@@ -13,7 +13,7 @@
 
 from limebridge.virtual.session import quiet
 from violetroute.membership import Listing
-from violetroute.membership.list_reader import ListReader, Lists
+from violetroute.membership.list_reader import ListReader, ObjectSplitter
 
 from .cost_definition import define_cost
 from .process_facts import cpu_seconds, least_cpu_seconds, resident_bytes
@@ -56,7 +56,7 @@
 
 def _parse(line: bytes) -> Listing:
     """What a watch does with a line of discovery's answer."""
-    text = Lists().line(line)
+    text = ObjectSplitter().feed(line)
     assert text is not None
     return ListReader().read(text)
 
--- a/limebridge/scale/virtual_members.py
+++ b/limebridge/scale/virtual_members.py
@@ -14,7 +14,7 @@
 from limebridge.virtual import Kernel, VirtualLoop
 from limebridge.virtual.session import quiet
 from snowstall import Judged
-from violetroute.membership import Places
+from violetroute.membership import NodeAddresses
 from violetroute.sharing import wire
 from violetroute.sharing.service import Sharing
 from violetroute.sharing.table import SharingTable
@@ -43,7 +43,7 @@
     """A proxy without requests, as `violetroute.sharing` sees it."""
 
     def __init__(self) -> None:
-        self.places = Places()
+        self.places = NodeAddresses()
         self.judged: deque[Judged] = deque()
 
     def others(self, bad: list[int], outcomes: list[Judged]) -> None:
--- a/tests/bad_builds/drains_ignored.py
+++ b/tests/bad_builds/drains_ignored.py
@@ -5,4 +5,4 @@
 
 
 def plant():
-    entries.STATES["terminating"] = CacheState.READY
+    entries.LIFECYCLE_STATES["terminating"] = CacheState.READY
--- a/tests/limebridge/virtual/test_virtual.py
+++ b/tests/limebridge/virtual/test_virtual.py
@@ -15,7 +15,7 @@
 from violetroute.clients import Listener
 from violetroute.config import parse
 from violetroute.membership import Listing
-from violetroute.membership.native import Watch
+from violetroute.membership.native import DiscoveryWatch
 from violetroute.proxy import Proxy
 from violetroute.transport import Address
 from violetroute.transport.loop_lag import PAUSE
@@ -75,7 +75,7 @@
     async def part() -> None:
         discovery = await Discovery().start()
         net = SocketNetwork(loop, make=kernel.maker("p"))
-        watch = Watch(Ear(), Address("127.0.0.1", discovery.port), net)
+        watch = DiscoveryWatch(Ear(), Address("127.0.0.1", discovery.port), net)
         watch.start(0)
         await asyncio.sleep(1.0)
         for writer in list(discovery.open):
--- a/tests/planted/clients_before_news.py
+++ b/tests/planted/clients_before_news.py
@@ -1,6 +1,6 @@
 """Found by exploration, taken back: after a pause clients are read before what discovery says."""
 
-from violetroute.membership.native import Call
+from violetroute.membership.native import DiscoveryCall
 from violetroute.transport.sockets import SocketNetwork
 
 
@@ -8,6 +8,8 @@
     connect = SocketNetwork.connect
 
     def last(self, address, handler, time_limit, first=False):
-        return connect(self, address, handler, time_limit, first and not isinstance(handler, Call))
+        return connect(
+            self, address, handler, time_limit, first and not isinstance(handler, DiscoveryCall)
+        )
 
     SocketNetwork.connect = last
--- a/tests/planted/early_drain.py
+++ b/tests/planted/early_drain.py
@@ -1,13 +1,13 @@
 """Found by exploration, taken back: a drain in the first answers, which have no leader, is lost."""
 
-from violetroute.membership.staleness import Belief
+from violetroute.membership.staleness import CatalogueState
 
 
 def plant():
-    taken = Belief.plans
+    taken = CatalogueState.apply_drains
 
-    def plans(self, seen):
+    def apply_drains(self, seen):
         taken(self, seen)
         return []
 
-    Belief.plans = plans
+    CatalogueState.apply_drains = apply_drains
--- a/tests/planted/old_watch.py
+++ b/tests/planted/old_watch.py
@@ -3,13 +3,13 @@
 from violetroute.membership.source import Membership
 
 
-def move(self, discovery, consul):
+def reconfigure(self, discovery, consul):
     if discovery == self._discovery:
         return False
     self._discovery = discovery
-    self._watch = self._made()  # the old one is not stopped
+    self._watch = self._create_watch()  # the old one is not stopped
     return True
 
 
 def plant():
-    Membership.move = move
+    Membership.reconfigure = reconfigure
--- a/tests/planted/other_source_drain.py
+++ b/tests/planted/other_source_drain.py
@@ -4,4 +4,4 @@
 
 
 def plant():
-    merge._apply = lambda plan, told, by_address, wall: None
+    merge._apply_removal = lambda plan, told, by_address, wall: None
--- a/tests/planted/silent_drain_at_start.py
+++ b/tests/planted/silent_drain_at_start.py
@@ -1,10 +1,10 @@
 """Found by exploration, taken back: before a source speaks, a drain that one tells of is not kept."""
 
-from violetroute.membership.merge import Merge
+from violetroute.membership.merge import ListMerger
 
 
 def plant():
-    entries = Merge.entries
-    Merge.entries = lambda self, wall: (
-        entries(self, wall) if self.speaker is not None else dict(self._before)
+    entries = ListMerger.entries
+    ListMerger.entries = lambda self, wall: (
+        entries(self, wall) if self.current_source is not None else dict(self._initial_entries)
     )
--- a/tests/planted/stale_address.py
+++ b/tests/planted/stale_address.py
@@ -1,15 +1,15 @@
 """Found by exploration, taken back: a node that drains no longer has its address."""
 
 from snowstall import CacheState
-from violetroute.membership.addresses import Places
+from violetroute.membership.addresses import NodeAddresses
 
 
 def plant():
-    take = Places.take
+    apply = NodeAddresses.apply
 
     def taken(self, member, address, inferred=False):
-        return take(
+        return apply(
             self, member, None if member.state is CacheState.DRAINING else address, inferred
         )
 
-    Places.take = taken
+    NodeAddresses.apply = taken
--- a/tests/planted/watch_end_untold.py
+++ b/tests/planted/watch_end_untold.py
@@ -1,7 +1,7 @@
 """Written after the explorer: the end of discovery's watch is not told."""
 
-from violetroute.membership.native import Call
+from violetroute.membership.native import DiscoveryCall
 
 
 def plant():
-    Call._end = lambda self, reason: self.stop()
+    DiscoveryCall._end = lambda self, reason: self.stop()
--- a/tests/snowstall/test_rules.py
+++ b/tests/snowstall/test_rules.py
@@ -29,7 +29,7 @@
     Tenant,
     Timer,
 )
-from violetroute.membership.native import CALL_TIMEOUT, SILENCE
+from violetroute.membership.native import CALL_TIMEOUT, LINE_TIMEOUT
 
 ANSWERED = 2.0  # s for which discovery lets a call wait that it answers in the end, at most
 
@@ -413,7 +413,7 @@
         (first,) = balancer.on_list(2.0, ListKind.SILENT, ())
         assert isinstance(first, Timer)
         waits.append(first.delay / 1000.0)
-    assert SILENCE + max(waits) + ANSWERED <= 6.0
+    assert LINE_TIMEOUT + max(waits) + ANSWERED <= 6.0
     assert max(waits) > 0.9  # and a fleet does not ask at once
 
 
--- a/tests/violetroute/membership/test_consul.py
+++ b/tests/violetroute/membership/test_consul.py
@@ -24,10 +24,10 @@
 from violetroute.config.operator import parse_operator
 from violetroute.membership import ConsulTable, Entry, Listing, stable_hash
 from violetroute.membership import consul as watching
-from violetroute.membership.consul_health import Health, Instance, Reader
-from violetroute.membership.query import Query, Refused
-from violetroute.membership.source import Roster
-from violetroute.membership.staleness import Belief, Differences, changes
+from violetroute.membership.consul_health import Health, HealthReader, Instance
+from violetroute.membership.query import BlockingQuery, UnusableAnswer
+from violetroute.membership.source import NodeNames
+from violetroute.membership.staleness import CatalogueState, PendingUpdates, changes
 from violetroute.transport import Address
 
 TABLE = ConsulTable()
@@ -45,7 +45,7 @@
 
 
 def read(*elements: Any, table: ConsulTable = TABLE) -> dict[str, Instance]:
-    return Reader(table).read(json.dumps(elements).encode())
+    return HealthReader(table).read(json.dumps(elements).encode())
 
 
 def test_an_instance_with_all_that_its_meta_says() -> None:
@@ -112,7 +112,7 @@
 def test_an_instance_that_makes_no_sense_is_left_out_and_the_others_hold(
     wrong: dict[str, Any],
 ) -> None:
-    reader = Reader(TABLE)
+    reader = HealthReader(TABLE)
     found = reader.read(json.dumps([element(**wrong), element(ID="c2"), 7, {}]).encode())
     assert set(found) == {"c2"} and reader.left_out == 3
 
@@ -137,7 +137,7 @@
 def test_no_json_does_more_than_a_value_error(value: Any) -> None:
     try:
         assert isinstance(read(value), dict)
-        assert isinstance(Reader(TABLE).read(json.dumps(value).encode()), dict)
+        assert isinstance(HealthReader(TABLE).read(json.dumps(value).encode()), dict)
     except ValueError:
         pass
 
@@ -150,59 +150,59 @@
     }
 
 
-def states(belief: Belief, now: float = 0.0) -> dict[str, CacheState]:
+def states(belief: CatalogueState, now: float = 0.0) -> dict[str, CacheState]:
     return {name: entry.state for name, entry in belief.entries(now).items()}
 
 
 def test_a_plan_is_kept_at_once_whatever_else_is_doubted() -> None:
-    belief = Belief(TABLE)
-    belief.take(0.0, 1e9, some(4))
+    belief = CatalogueState(TABLE)
+    belief.apply(0.0, 1e9, some(4))
     seen = some(4, Health.CRITICAL) | {"c0": replace(some(1)["c0"], health=Health.DRAINS)}
-    belief.take(1.0, 1e9, seen)
-    assert belief.panics
+    belief.apply(1.0, 1e9, seen)
+    assert belief.panic_mode
     assert states(belief) == {"c0": DRAINING, "c1": READY, "c2": READY, "c3": READY}
 
 
 def test_health_is_not_believed_with_more_than_the_floor_critical() -> None:
-    belief = Belief(TABLE)
-    belief.take(0.0, 1e9, some(4))
-    belief.take(1.0, 1e9, some(4) | some(2, Health.CRITICAL))
-    assert not belief.panics and set(states(belief)) == {"c2", "c3"}
-    belief.take(2.0, 1e9, some(4) | some(3, Health.CRITICAL))
-    assert belief.panics and set(states(belief)) == {"c0", "c1", "c2", "c3"}
+    belief = CatalogueState(TABLE)
+    belief.apply(0.0, 1e9, some(4))
+    belief.apply(1.0, 1e9, some(4) | some(2, Health.CRITICAL))
+    assert not belief.panic_mode and set(states(belief)) == {"c2", "c3"}
+    belief.apply(2.0, 1e9, some(4) | some(3, Health.CRITICAL))
+    assert belief.panic_mode and set(states(belief)) == {"c0", "c1", "c2", "c3"}
 
 
 def test_a_single_deregistration_holds_at_once_many_are_asked_about() -> None:
-    belief = Belief(TABLE)
-    belief.take(0.0, 1e9, some(4))
-    assert not belief.take(1.0, 1e9, some(3))
+    belief = CatalogueState(TABLE)
+    belief.apply(0.0, 1e9, some(4))
+    assert not belief.apply(1.0, 1e9, some(3))
     assert set(states(belief)) == {"c0", "c1", "c2"}
-    assert belief.take(2.0, 1e9, some(1))
-    assert set(states(belief)) == {"c0", "c1", "c2"} and belief.doubted == 2
-    assert not belief.take(2.1, 1e9, some(1), confirmed=True)
+    assert belief.apply(2.0, 1e9, some(1))
+    assert set(states(belief)) == {"c0", "c1", "c2"} and belief.unconfirmed == 2
+    assert not belief.apply(2.1, 1e9, some(1), confirmed=True)
     assert set(states(belief)) == {"c0"}
 
 
 def test_an_emptied_catalogue_is_never_believed() -> None:
-    belief = Belief(TABLE)
-    belief.take(0.0, 1e9, some(4))
-    assert belief.take(1.0, 1e9, {})
-    assert not belief.take(1.1, 1e9, {}, confirmed=True)
-    assert len(states(belief)) == 4 and belief.emptied
-    belief.take(2.0, 1e9, some(4))
-    assert not belief.emptied
+    belief = CatalogueState(TABLE)
+    belief.apply(0.0, 1e9, some(4))
+    assert belief.apply(1.0, 1e9, {})
+    assert not belief.apply(1.1, 1e9, {}, confirmed=True)
+    assert len(states(belief)) == 4 and belief.answer_empty
+    belief.apply(2.0, 1e9, some(4))
+    assert not belief.answer_empty
 
 
 def test_a_node_that_flaps_waits_longer_each_time_and_is_not_cold_again() -> None:
-    belief = Belief(TABLE)
-    belief.take(0.0, 1e9, some(4))
+    belief = CatalogueState(TABLE)
+    belief.apply(0.0, 1e9, some(4))
     first = belief.entries(0.0)["c0"].started_at
     ready = returns = 0
     here = True
     for step in range(200):  # 300 ms each, a minute
         now = 0.3 * step
         sick = step % 2 == 1
-        belief.take(now, 1e9 + now, some(4) | (some(1, Health.CRITICAL) if sick else {}))
+        belief.apply(now, 1e9 + now, some(4) | (some(1, Health.CRITICAL) if sick else {}))
         was, here = here, "c0" in states(belief, now)
         ready += here
         returns += here and not was
@@ -210,34 +210,34 @@
         assert entry is None or entry.started_at == first
     assert ready < 0.1 * 200 and returns <= 6
     quiet = 0.3 * 200
-    belief.take(quiet, 1e9, some(4))
-    due = belief.due(quiet)
+    belief.apply(quiet, 1e9, some(4))
+    due = belief.next_change_at(quiet)
     assert due is not None and quiet < due <= quiet + TABLE.return_most_s
     assert "c0" not in states(belief, due - 0.01) and "c0" in states(belief, due)
 
 
 def test_one_short_absence_costs_nothing() -> None:
-    belief = Belief(TABLE)
-    belief.take(0.0, 1e9, some(4))
-    belief.take(1.0, 1e9, some(4) | some(1, Health.CRITICAL))
-    belief.take(1.3, 1e9, some(4))
-    assert states(belief, 1.3)["c0"] is READY and belief.due(1.3) is None
+    belief = CatalogueState(TABLE)
+    belief.apply(0.0, 1e9, some(4))
+    belief.apply(1.0, 1e9, some(4) | some(1, Health.CRITICAL))
+    belief.apply(1.3, 1e9, some(4))
+    assert states(belief, 1.3)["c0"] is READY and belief.next_change_at(1.3) is None
 
 
 def test_cold_starts_new_ids_addresses_start_times_and_long_absences() -> None:
-    belief = Belief(TABLE)
-    belief.take(0.0, 1e9, some(4))
+    belief = CatalogueState(TABLE)
+    belief.apply(0.0, 1e9, some(4))
     assert belief.entries(0.0)["c0"].started_at == 0.0  # it may have been there for long
-    belief.take(1.0, 2e9, some(5))
+    belief.apply(1.0, 2e9, some(5))
     assert belief.entries(1.0)["c4"].started_at == 2e9
     moved = {"c1": replace(some(2)["c1"], address=Address("10.0.0.7", 1))}
-    belief.take(2.0, 3e9, some(5) | moved)
+    belief.apply(2.0, 3e9, some(5) | moved)
     assert belief.entries(2.0)["c1"].started_at == 3e9
     told = {"c2": replace(some(3)["c2"], started_at=4e9)}
-    belief.take(3.0, 5e9, some(5) | moved | told)
+    belief.apply(3.0, 5e9, some(5) | moved | told)
     assert belief.entries(3.0)["c2"].started_at == 4e9
-    belief.take(4.0, 5e9, some(5) | moved | told | some(1, Health.CRITICAL))
-    belief.take(4.0 + TABLE.cold_after_s, 6e9, some(5) | moved | told)
+    belief.apply(4.0, 5e9, some(5) | moved | told | some(1, Health.CRITICAL))
+    belief.apply(4.0 + TABLE.cold_after_s, 6e9, some(5) | moved | told)
     assert belief.entries(10.0)["c0"].started_at == 6e9
     assert belief.entries(10.0)["c3"].started_at == 0.0
 
@@ -253,20 +253,20 @@
 
 
 def test_a_drain_in_an_answer_that_is_old_is_kept_and_nothing_else_of_it() -> None:
-    belief = Belief(TABLE)
-    belief.take(0.0, 1e9, some(4))
+    belief = CatalogueState(TABLE)
+    belief.apply(0.0, 1e9, some(4))
     old = {
         "c0": replace(some(1)["c0"], health=Health.DRAINS),
         "c9": some(10)["c9"],
         "c1": some(2, Health.CRITICAL)["c1"],
     }
-    belief.plans(old)
+    belief.apply_drains(old)
     assert states(belief) == {"c0": DRAINING, "c1": READY, "c2": READY, "c3": READY}
 
 
 # --- query ---
 def test_the_index_by_the_published_rules() -> None:
-    query = Query(ConsulTable(tag="x y", consistency="stale", datacenter="d"))
+    query = BlockingQuery(ConsulTable(tag="x y", consistency="stale", datacenter="d"))
     assert query.target() == "/v1/health/service/cache?dc=d&tag=x+y&stale"
     for header, index in (
         ("7", 7),
@@ -304,9 +304,9 @@
 def test_answers_that_tell_nothing(
     status: int, headers: dict[str, str], reason: str, wait: float
 ) -> None:
-    query = Query(TABLE)
+    query = BlockingQuery(TABLE)
     refused = query.answered(status, headers | {"x-consul-index": "8"})
-    assert isinstance(refused, Refused) and reason in refused.reason and refused.wait == wait
+    assert isinstance(refused, UnusableAnswer) and reason in refused.reason and refused.wait == wait
     assert query.index == 0  # such an answer's index would hide the next change
 
 
@@ -322,28 +322,31 @@
 
 
 def test_a_node_keeps_its_name_across_a_change_of_source() -> None:
-    roster = Roster()
-    roster.take(Listing(1, True, (entry("s-1", 1), entry("s-2", 2))))
-    roster.changes_source()
-    told = roster.take(Listing(1, True, (entry("c1", 1), entry("c2", 2), entry("c3", 3))))
+    names_map = NodeNames()
+    names_map.translate(Listing(1, True, (entry("s-1", 1), entry("s-2", 2))))
+    names_map.expect_new_source()
+    told = names_map.translate(Listing(1, True, (entry("c1", 1), entry("c2", 2), entry("c3", 3))))
     assert names(told) == ["s-1", "s-2", "c3"]
-    assert names(roster.take(Listing(2, False, (entry("c1", 1, DRAINING),)))) == ["s-1"]
-    assert names(roster.take(Listing(3, False, (entry("c1", 1, GONE),)))) == ["s-1"]
+    assert names(names_map.translate(Listing(2, False, (entry("c1", 1, DRAINING),)))) == ["s-1"]
+    assert names(names_map.translate(Listing(3, False, (entry("c1", 1, GONE),)))) == ["s-1"]
     # One that comes back has its name again; a new one at a known address is a new node.
-    assert names(roster.take(Listing(4, False, (entry("c1", 1), entry("c9", 2))))) == ["s-1", "c9"]
-    roster.changes_source()
-    told = roster.take(Listing(9, True, (entry("s-2", 2), entry("s-9", 3))))
+    assert names(names_map.translate(Listing(4, False, (entry("c1", 1), entry("c9", 2))))) == [
+        "s-1",
+        "c9",
+    ]
+    names_map.expect_new_source()
+    told = names_map.translate(Listing(9, True, (entry("s-2", 2), entry("s-9", 3))))
     assert names(told) == ["s-2", "c3"]
 
 
 def test_a_drain_ahead_of_a_new_sources_first_list_is_of_the_node_at_its_address() -> None:
-    roster = Roster()
-    roster.take(Listing(1, True, (entry("s-1", 1), entry("s-2", 2))))
-    roster.changes_source()
+    names_map = NodeNames()
+    names_map.translate(Listing(1, True, (entry("s-1", 1), entry("s-2", 2))))
+    names_map.expect_new_source()
     early = Listing(0, False, (entry("c1", 1, DRAINING), entry("s-2", 2, DRAINING)))
-    assert names(roster.take(early)) == ["s-1", "s-2"]
+    assert names(names_map.translate(early)) == ["s-1", "s-2"]
     whole = Listing(1, True, (entry("c1", 1), entry("c2", 2, DRAINING)))
-    assert [(e.instance, e.state) for e in roster.take(whole).entries] == [
+    assert [(e.instance, e.state) for e in names_map.translate(whole).entries] == [
         ("s-1", READY),
         ("s-2", DRAINING),
     ]
@@ -369,9 +372,11 @@
 
 def test_a_new_name_in_the_same_source_is_a_new_node_also_in_its_first_whole_list() -> None:
     # With the old name it would inherit a warm node's standing: rule four.
-    roster = Roster()
-    roster.take(Listing(1, False, (entry("s-1", 1), entry("s-2", 2))))  # handed over at the start
-    assert names(roster.take(Listing(2, True, (entry("s-9", 1), entry("s-2", 2))))) == [
+    names_map = NodeNames()
+    names_map.translate(
+        Listing(1, False, (entry("s-1", 1), entry("s-2", 2)))
+    )  # handed over at the start
+    assert names(names_map.translate(Listing(2, True, (entry("s-9", 1), entry("s-2", 2))))) == [
         "s-9",
         "s-2",
     ]
@@ -650,8 +655,8 @@
 def test_a_body_that_does_not_come_to_its_end_is_given_up(
     slow: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(watching, "BODY_WHOLE", 0.4)
-    monkeypatch.setattr(watching, "BODY_PATIENCE", 0.2)
+    monkeypatch.setattr(watching, "BODY_TIMEOUT", 0.4)
+    monkeypatch.setattr(watching, "BODY_IDLE_TIMEOUT", 0.2)
     said: list[str] = []
     monkeypatch.setattr(
         watching.logs, "event", lambda name, **more: said.append(str(more.get("reason", "")))
@@ -702,7 +707,7 @@
 
 def test_an_answer_with_too_many_instances_is_refused() -> None:
     with pytest.raises(ValueError, match="more than"):
-        Reader(TABLE).read(b"[" + b"{}," * 20_000 + b"{}]")
+        HealthReader(TABLE).read(b"[" + b"{}," * 20_000 + b"{}]")
 
 
 def test_the_token_rotates_and_is_not_told(tmp_path: Path, caplog: Any) -> None:
@@ -796,10 +801,10 @@
 def test_a_drain_in_a_new_answer_that_says_the_same_counts_anew() -> None:
     # In between another source may have told of a start, and the node been drained once more.
     def tells(again: bool) -> list[tuple[str, CacheState]]:
-        belief, told = Belief(TABLE), Differences()
-        belief.take(0.0, 1e9, some(1, Health.DRAINS) | {"x": some(2)["c1"]})
-        told.of(belief, 0.0)
-        return [(e.instance, e.state) for e in told.of(belief, 1.0, again)[1]]
+        belief, pending = CatalogueState(TABLE), PendingUpdates()
+        belief.apply(0.0, 1e9, some(1, Health.DRAINS) | {"x": some(2)["c1"]})
+        pending.collect(belief, 0.0)
+        return [(e.instance, e.state) for e in pending.collect(belief, 1.0, again)[1]]
 
     assert tells(True) == [("c0", CacheState.DRAINING)] and tells(False) == []
 
--- a/tests/violetroute/membership/test_crossings_lists.py
+++ b/tests/violetroute/membership/test_crossings_lists.py
@@ -12,8 +12,8 @@
 from limebridge.standins.configuration import SETTINGS
 from tests.support.rig import CacheNode, Rig, until
 from tests.support.scene import Scene, get, read_answer, scene
-from violetroute.membership.list_reader import LINE_LIMIT, Broken, Lists
-from violetroute.membership.native import CONNECT, SILENCE
+from violetroute.membership.list_reader import LINE_LIMIT, ObjectSplitter, WatchError
+from violetroute.membership.native import CONNECT_TIMEOUT, LINE_TIMEOUT
 
 TOLD = 6.0  # s after discovery had it and could be reached, a change counts as told
 GRACE = 0.5  # s that a drain may take from then on
@@ -148,20 +148,23 @@
 
 # --- lines ---------------------------------------------------------------------------------
 def test_a_list_may_be_indented_over_many_lines() -> None:
-    lists, raw = Lists(), {"generation": 4, "instances": [{"a": 'x{["\\" }', "b": [1, 2]}, {}]}
-    found = [lists.line(line) for line in json.dumps(raw, indent=2).encode().split(b"\n")]
+    splitter, raw = (
+        ObjectSplitter(),
+        {"generation": 4, "instances": [{"a": 'x{["\\" }', "b": [1, 2]}, {}]},
+    )
+    found = [splitter.feed(line) for line in json.dumps(raw, indent=2).encode().split(b"\n")]
     assert found[:-1] == [None] * (len(found) - 1) and json.loads(found[-1] or b"") == raw
-    assert lists.line(b"  \r") == b""
-    assert json.loads(lists.line(json.dumps(raw).encode()) or b"") == raw
-    assert lists.line(b"{") is None and lists.line(b"") is None
+    assert splitter.feed(b"  \r") == b""
+    assert json.loads(splitter.feed(json.dumps(raw).encode()) or b"") == raw
+    assert splitter.feed(b"{") is None and splitter.feed(b"") is None
 
 
 @pytest.mark.parametrize("text", [b"}", b"nonsense", b'{"a": ', b"]["])
 def test_what_is_no_list_is_given_on_to_be_refused_or_ends_at_its_bound(text: bytes) -> None:
-    lists = Lists()
-    with pytest.raises((ValueError, Broken)):
+    splitter = ObjectSplitter()
+    with pytest.raises((ValueError, WatchError)):
         for _ in range(LINE_LIMIT):
-            found = lists.line(text)
+            found = splitter.feed(text)
             if found is not None:
                 json.loads(found)
 
@@ -188,7 +191,7 @@
         writer = next(iter(here.discovery.open))
         begun, asked = here.loop.time(), len(here.discovery.asked)
         while len(here.discovery.asked) == asked:
-            assert here.loop.time() < begun + 2.0 + SILENCE + 1.6
+            assert here.loop.time() < begun + 2.0 + LINE_TIMEOUT + 1.6
             writer.write(b"1\r\n{\r\n")
             await asyncio.sleep(0.2)
 
@@ -208,6 +211,6 @@
 
         watch.start = started
         await here.until(lambda: len(waits) == 4)
-        assert max(b - a for a, b in pairwise(waits)) <= 3.0 == CONNECT + 1.5
+        assert max(b - a for a, b in pairwise(waits)) <= 3.0 == CONNECT_TIMEOUT + 1.5
 
     scene(part)
--- a/tests/violetroute/membership/test_list_reader.py
+++ b/tests/violetroute/membership/test_list_reader.py
@@ -11,7 +11,7 @@
 from limebridge.scale.process_facts import cpu_seconds
 from limebridge.virtual.session import quiet
 from violetroute.membership import parse_listing
-from violetroute.membership.list_reader import LINE_LIMIT, Broken, ListReader, Lists
+from violetroute.membership.list_reader import LINE_LIMIT, ListReader, ObjectSplitter, WatchError
 from violetroute.transport import Address, parse_address
 
 CPU_FOR_TEN_THOUSAND = 0.3  # s; a list of 10,000 was not bounded by any time before
@@ -94,16 +94,16 @@
 
 def test_ten_thousand_entries_are_read_and_one_of_a_megabyte_harms_no_other() -> None:
     text = line(*map(instance, range(10_000)))
-    assert Lists().line(text) == text and len(text) <= LINE_LIMIT
+    assert ObjectSplitter().feed(text) == text and len(text) <= LINE_LIMIT
     assert cpu_seconds(lambda: ListReader().read(text)) <= CPU_FOR_TEN_THOUSAND
     text = line(instance(0), instance(1, note="x" * 1_000_000), instance(2))
-    assert Lists().line(text) == text
+    assert ObjectSplitter().feed(text) == text
     assert [e.instance for e in ListReader().read(text).entries] == ["s-0", "s-1", "s-2"]
 
 
 def test_a_list_beyond_the_bound_ends_the_watch() -> None:
-    with pytest.raises(Broken):
-        Lists().line(line(instance(1, note="x" * LINE_LIMIT)))
+    with pytest.raises(WatchError):
+        ObjectSplitter().feed(line(instance(1, note="x" * LINE_LIMIT)))
 
 
 @pytest.mark.parametrize(
--- a/tests/violetroute/membership/test_merge_whole.py
+++ b/tests/violetroute/membership/test_merge_whole.py
@@ -22,7 +22,7 @@
 from snowstall import CacheState
 from violetroute.membership import Entry, Listing, MembershipTable
 from violetroute.membership import merge as merge_module
-from violetroute.membership.merge import Merge
+from violetroute.membership.merge import ListMerger
 from violetroute.transport import Address
 
 READY, DRAINING, GONE = CacheState.READY, CacheState.DRAINING, CacheState.GONE
@@ -47,7 +47,7 @@
 class Play:
     """The module and the rule, side by side."""
 
-    merge: Merge = field(default_factory=lambda: Merge(SOURCES, TABLE, 0.0))
+    merge: ListMerger = field(default_factory=lambda: ListMerger(SOURCES, TABLE, 0.0))
     now: float = 0.0
     wall: float = 1000.0  # Unix ms; rises with each event, so that starts have an order
     started: float = 0.0  # of the node, as it was told last
@@ -63,17 +63,17 @@
         elif what in ("restart", "sighup"):
             self._anew(what == "sighup")
         elif what == "silent":
-            self.merge.lost(self.now, source)
+            self.merge.source_failed(self.now, source)
         else:
             self._tells(source, what)
 
     def _anew(self, keeps: bool) -> None:
         """Another merge: of a new process with the list of the last one, or at a SIGHUP."""
         here, before = self.merge.entries(self.wall), self.merge
-        self.merge = Merge(SOURCES, TABLE, self.now)
-        self.merge.begin(here.values())
+        self.merge = ListMerger(SOURCES, TABLE, self.now)
+        self.merge.set_initial_list(here.values())
         if keeps:
-            self.merge.carry(before)
+            self.merge.carry_removals(before)
         else:
             self.restarted, self.told = True, {}
         self.handed = "n" in here and here["n"].state is DRAINING
@@ -89,13 +89,13 @@
             listed += [entry(name) for name in OTHERS]
             is_whole = True
         known = "n" in self.merge._views[source].entries
-        self.merge.take(self.now, self.wall, source, Listing(1, is_whole, tuple(listed)))
+        self.merge.apply(self.now, self.wall, source, Listing(1, is_whole, tuple(listed)))
         if what == "whole without":
             if known:
                 self.told[source] = self.wall
         elif state is READY:
             self.told.pop(source, None)
-            self.handed = self.handed and self.merge.speaker is None
+            self.handed = self.handed and self.merge.current_source is None
         else:
             self.told[source] = self.wall
 
@@ -106,14 +106,14 @@
         owed = {
             name for name, since in self.told.items() if here is None or since >= here.started_at
         }
-        if used and (owed or (self.handed and self.merge.speaker is None)):
+        if used and (owed or (self.handed and self.merge.current_source is None)):
             return f"used, though told by {sorted(owed) or 'the list it began with'}"
-        speaker = self.merge.speaker
+        current_source = self.merge.current_source
         if (
             not used
             and not self.told
-            and speaker is not None
-            and "n" in self.merge._views[speaker].entries
+            and current_source is not None
+            and "n" in self.merge._views[current_source].entries
         ):
             return "kept out, though nobody says so"
         return ""
@@ -123,18 +123,18 @@
         order: list[float] = [self.started, *self.told.values()]
         for view in self.merge._views.values():
             order += [each.started_at for each in view.entries.values()]
-            for plan in view.plans.values():
+            for plan in view.removals.values():
                 order += [plan.wall, plan.entry.started_at]
-        order += [each.started_at for each in self.merge._before.values()]
+        order += [each.started_at for each in self.merge._initial_entries.values()]
         rank = {at: place for place, at in enumerate(sorted(set(order)))}
 
         def of(each: Entry | None) -> Any:
             return None if each is None else (each.state, rank[each.started_at])
 
         return (
-            self.merge.speaker,
-            of(self.merge._before.get("n")),
-            len(self.merge._before),
+            self.merge.current_source,
+            of(self.merge._initial_entries.get("n")),
+            len(self.merge._initial_entries),
             self.restarted,
             self.handed,
             rank[self.started],
@@ -144,12 +144,13 @@
                     of(view.entries.get("n")),
                     len(view.entries),
                     None
-                    if view.away_since is None
-                    else self.now >= view.away_since + TABLE.patience_s,
-                    view.away_since is None and self.now >= view.back_since + TABLE.settle_s,
+                    if view.unavailable_since is None
+                    else self.now >= view.unavailable_since + TABLE.patience_s,
+                    view.unavailable_since is None
+                    and self.now >= view.available_since + TABLE.settle_s,
                     tuple(
                         (name, plan.gone, rank[plan.wall], of(plan.entry))
-                        for name, plan in view.plans.items()
+                        for name, plan in view.removals.items()
                     ),
                 )
                 for view in self.merge._views.values()
@@ -164,7 +165,7 @@
         made.merge._views = {}
         for name, view in self.merge._views.items():
             other = made.merge._views[name] = copy.copy(view)
-            other.entries, other.plans = dict(view.entries), dict(view.plans)
+            other.entries, other.removals = dict(view.entries), dict(view.removals)
         return made
 
 
@@ -204,7 +205,7 @@
     assert orders > 20_000_000 and states > 1_000
 
 
-def kept_for_good(made: Merge, before: Merge) -> None:
+def kept_for_good(made: ListMerger, before: ListMerger) -> None:
     """Taken back: what sources had told is forgotten at a SIGHUP."""
 
 
@@ -212,17 +213,17 @@
     """Taken back: only the speaker's drains count."""
 
 
-def first_telling_counts(self: Merge, view: Any, wall: float, told: Entry, gone: bool) -> None:
+def first_telling_counts(self: ListMerger, view: Any, wall: float, told: Entry, gone: bool) -> None:
     """Taken back: a drain told again does not count anew."""
-    view.plans.setdefault(told.instance, merge_module._Plan(told, gone, wall))
+    view.removals.setdefault(told.instance, merge_module._PlannedRemoval(told, gone, wall))
 
 
 @pytest.mark.parametrize(
     ("where", "name", "fault"),
     [
-        (Merge, "carry", kept_for_good),
-        (merge_module, "_apply", only_the_speaker),
-        (Merge, "_plan", first_telling_counts),
+        (ListMerger, "carry_removals", kept_for_good),
+        (merge_module, "_apply_removal", only_the_speaker),
+        (ListMerger, "_record_removal", first_telling_counts),
     ],
 )
 def test_each_mend_taken_back_is_found(
--- a/tests/violetroute/membership/test_sources.py
+++ b/tests/violetroute/membership/test_sources.py
@@ -23,13 +23,13 @@
     Entry,
     Listing,
     MembershipTable,
-    Places,
+    NodeAddresses,
     stable_hash,
 )
-from violetroute.membership.consul_health import Health, Instance, Reader
-from violetroute.membership.merge import PLANS_MOST, Merge
-from violetroute.membership.query import Query, Refused
-from violetroute.membership.staleness import Belief, Differences
+from violetroute.membership.consul_health import Health, HealthReader, Instance
+from violetroute.membership.merge import MAX_REMOVALS, ListMerger
+from violetroute.membership.query import BlockingQuery, UnusableAnswer
+from violetroute.membership.staleness import CatalogueState, PendingUpdates
 from violetroute.transport import Address
 
 READY, DRAINING, GONE = CacheState.READY, CacheState.DRAINING, CacheState.GONE
@@ -52,152 +52,156 @@
     return whole(*(entry(f"n{number}") for number in range(start, start + count)))
 
 
-def merge() -> Merge:
+def merge() -> ListMerger:
     """Both sources have told the same four nodes; a speaks."""
-    made = Merge(("a", "b"), TABLE, 0.0)
-    made.take(0.0, WALL, "a", some(4))
-    made.take(0.0, WALL, "b", some(4))
+    made = ListMerger(("a", "b"), TABLE, 0.0)
+    made.apply(0.0, WALL, "a", some(4))
+    made.apply(0.0, WALL, "b", some(4))
     return made
 
 
-def states(made: Merge, wall: float = WALL) -> dict[str, CacheState]:
+def states(made: ListMerger, wall: float = WALL) -> dict[str, CacheState]:
     return {name: each.state for name, each in made.entries(wall).items()}
 
 
-def names(made: Merge) -> set[str]:
+def names(made: ListMerger) -> set[str]:
     return set(made.entries(WALL))
 
 
 # --- who speaks ---
 def test_a_lower_source_speaks_at_the_start_only_after_the_first_ones_patience() -> None:
-    made = Merge(("a", "b"), TABLE, 0.0)
-    made.take(1.0, WALL, "b", some(2))
-    assert made.speaker is None and made.entries(WALL) == {} and made.due(1.0) == 10.0
+    made = ListMerger(("a", "b"), TABLE, 0.0)
+    made.apply(1.0, WALL, "b", some(2))
+    assert (
+        made.current_source is None
+        and made.entries(WALL) == {}
+        and made.next_change_at(1.0) == 10.0
+    )
     made.tick(9.9)
-    assert made.speaker is None
+    assert made.current_source is None
     made.tick(10.0)
-    assert made.speaker == "b"
+    assert made.current_source == "b"
 
 
 def test_a_silent_speaker_goes_on_for_its_patience_and_comes_back_settled() -> None:
     made = merge()
-    assert made.speaker == "a" and made.due(0.0) is None
-    made.take(1.0, WALL, "b", whole(*(entry(f"n{n}") for n in (0, 1, 9))))
-    made.lost(2.0, "a")
-    made.lost(5.0, "a")  # asked again in vain: it counts from the first time
-    assert made.due(5.0) == 12.0
+    assert made.current_source == "a" and made.next_change_at(0.0) is None
+    made.apply(1.0, WALL, "b", whole(*(entry(f"n{n}") for n in (0, 1, 9))))
+    made.source_failed(2.0, "a")
+    made.source_failed(5.0, "a")  # asked again in vain: it counts from the first time
+    assert made.next_change_at(5.0) == 12.0
     made.tick(11.9)
-    assert made.speaker == "a"
+    assert made.current_source == "a"
     made.tick(12.0)
-    assert made.speaker == "b" and names(made) == {"n0", "n1", "n9"}
-    made.take(20.0, WALL, "a", some(4))
-    assert made.speaker == "b" and made.due(20.0) == 25.0
-    made.lost(22.0, "a")
-    made.take(23.0, WALL, "a", some(4))
+    assert made.current_source == "b" and names(made) == {"n0", "n1", "n9"}
+    made.apply(20.0, WALL, "a", some(4))
+    assert made.current_source == "b" and made.next_change_at(20.0) == 25.0
+    made.source_failed(22.0, "a")
+    made.apply(23.0, WALL, "a", some(4))
     made.tick(27.9)
-    assert made.speaker == "b"  # it has not been there for five seconds on end
+    assert made.current_source == "b"  # it has not been there for five seconds on end
     made.tick(28.0)
-    assert made.speaker == "a"
+    assert made.current_source == "a"
 
 
 def test_a_higher_source_that_is_back_speaks_at_once_when_the_speaker_is_away() -> None:
     made = merge()
-    made.lost(1.0, "a")
+    made.source_failed(1.0, "a")
     made.tick(11.0)
-    made.lost(12.0, "b")
-    assert made.speaker == "b"
-    made.take(13.0, WALL, "a", some(4))
-    assert made.speaker == "a"
+    made.source_failed(12.0, "b")
+    assert made.current_source == "b"
+    made.apply(13.0, WALL, "a", some(4))
+    assert made.current_source == "a"
 
 
 @pytest.mark.parametrize(("listing", "share"), [(some(1), 0.25), (some(4, 4), 0.0)])
 def test_a_list_of_other_nodes_does_not_follow(listing: Listing, share: float) -> None:
     made = merge()
-    made.take(0.5, WALL, "b", listing)
-    made.lost(1.0, "a")
+    made.apply(0.5, WALL, "b", listing)
+    made.source_failed(1.0, "a")
     made.tick(11.0)
-    assert made.speaker == "a" and made.unlike == ("b", share)
+    assert made.current_source == "a" and made.dissimilar == ("b", share)
     assert states(made)["n0"] is READY
-    made.take(12.0, WALL, "b", some(2))
-    assert made.speaker == "b" and made.unlike is None
+    made.apply(12.0, WALL, "b", some(2))
+    assert made.current_source == "b" and made.dissimilar is None
 
 
 def test_an_empty_list_is_nobodys() -> None:
-    made = Merge(("a", "b"), TABLE, 0.0)
-    made.take(0.0, WALL, "a", whole())
-    made.take(0.0, WALL, "b", some(2))
-    assert made.speaker == "b"
+    made = ListMerger(("a", "b"), TABLE, 0.0)
+    made.apply(0.0, WALL, "a", whole())
+    made.apply(0.0, WALL, "b", some(2))
+    assert made.current_source == "b"
     made.tick(50.0)
-    assert made.speaker == "b"
+    assert made.current_source == "b"
 
 
 # --- drains and goings ---
 @pytest.mark.parametrize("name", ["n1", "x1"])  # the other source may name it differently
 def test_a_drain_counts_whoever_tells_of_it_until_it_is_taken_back(name: str) -> None:
     made = merge()
-    made.take(1.0, WALL, "b", Listing(2, False, (entry(name, DRAINING, port=1001),)))
+    made.apply(1.0, WALL, "b", Listing(2, False, (entry(name, DRAINING, port=1001),)))
     assert states(made)["n1"] is DRAINING
-    made.take(2.0, WALL, "a", some(4))
+    made.apply(2.0, WALL, "a", some(4))
     assert states(made)["n1"] is DRAINING  # the speaker's word does not end it
-    made.lost(3.0, "b")
+    made.source_failed(3.0, "b")
     assert states(made)["n1"] is DRAINING  # nor its source's silence
-    made.take(4.0, WALL, "b", Listing(3, False, (entry(name, READY, port=1001),)))
+    made.apply(4.0, WALL, "b", Listing(3, False, (entry(name, READY, port=1001),)))
     assert states(made)["n1"] is READY
 
 
 def test_a_going_counts_whoever_tells_of_it() -> None:
     made = merge()
-    made.take(1.0, WALL, "b", Listing(2, False, (entry("n1", GONE),)))
+    made.apply(1.0, WALL, "b", Listing(2, False, (entry("n1", GONE),)))
     assert names(made) == {"n0", "n2", "n3"}
-    made.take(2.0, WALL, "b", whole(entry("n0"), entry("n3")))
+    made.apply(2.0, WALL, "b", whole(entry("n0"), entry("n3")))
     assert names(made) == {"n0", "n3"}
 
 
 def test_a_drain_is_kept_when_its_source_no_longer_speaks() -> None:
     made = merge()
-    made.take(1.0, WALL, "a", Listing(2, False, (entry("n1", DRAINING),)))
-    made.lost(2.0, "a")
+    made.apply(1.0, WALL, "a", Listing(2, False, (entry("n1", DRAINING),)))
+    made.source_failed(2.0, "a")
     made.tick(12.0)
-    assert made.speaker == "b" and states(made)["n1"] is DRAINING
+    assert made.current_source == "b" and states(made)["n1"] is DRAINING
 
 
 def test_a_later_start_ends_a_drain_but_not_one_that_is_yet_to_come() -> None:
     made = merge()
-    made.take(1.0, WALL, "b", Listing(2, False, (entry("n1", DRAINING),)))
-    made.take(2.0, WALL, "a", Listing(2, False, (entry("n1", started=WALL + 500.0),)))
+    made.apply(1.0, WALL, "b", Listing(2, False, (entry("n1", DRAINING),)))
+    made.apply(2.0, WALL, "a", Listing(2, False, (entry("n1", started=WALL + 500.0),)))
     assert states(made, WALL + 400.0)["n1"] is DRAINING
     assert states(made, WALL + 600.0)["n1"] is READY
 
 
 def test_a_drain_that_is_told_again_is_one_of_the_later_start() -> None:
     made = merge()
-    made.take(1.0, WALL, "b", Listing(2, False, (entry("n1", DRAINING),)))
-    made.take(2.0, WALL, "a", Listing(2, False, (entry("n1", started=WALL + 500.0),)))
-    made.take(3.0, WALL + 900.0, "b", Listing(2, False, (entry("n1", DRAINING),)))
+    made.apply(1.0, WALL, "b", Listing(2, False, (entry("n1", DRAINING),)))
+    made.apply(2.0, WALL, "a", Listing(2, False, (entry("n1", started=WALL + 500.0),)))
+    made.apply(3.0, WALL + 900.0, "b", Listing(2, False, (entry("n1", DRAINING),)))
     assert states(made, WALL + 1000.0)["n1"] is DRAINING
 
 
 def test_a_going_by_name_counts_whatever_the_sources_say_of_its_start() -> None:
     made = merge()
-    made.take(1.0, WALL, "a", Listing(2, False, (entry("n1", started=WALL - 60_000.0),)))
-    made.take(2.0, WALL, "b", Listing(2, False, (entry("n1", GONE),)))
+    made.apply(1.0, WALL, "a", Listing(2, False, (entry("n1", started=WALL - 60_000.0),)))
+    made.apply(2.0, WALL, "b", Listing(2, False, (entry("n1", GONE),)))
     assert names(made) == {"n0", "n2", "n3"}
 
 
 def test_being_registered_anew_is_no_later_start() -> None:
-    made, belief = Merge(("a", "b"), TABLE, 0.0), Belief(ConsulTable())
+    made, belief = ListMerger(("a", "b"), TABLE, 0.0), CatalogueState(ConsulTable())
     node = {
         f"n{number}": Instance(f"n{number}", Address("10.0.0.1", 1000 + number), Health.PASSING)
         for number in range(4)
     }
 
     def consul_says(at: float, seen: dict[str, Instance]) -> None:
-        belief.take(at, WALL + at * 1000.0, seen)
-        made.take(at, WALL, "a", whole(*belief.entries(at).values()))
+        belief.apply(at, WALL + at * 1000.0, seen)
+        made.apply(at, WALL, "a", whole(*belief.entries(at).values()))
 
     consul_says(0.0, node)
-    made.take(0.0, WALL, "b", some(4))
-    made.take(1.0, WALL, "b", Listing(2, False, (entry("n1", DRAINING),)))
+    made.apply(0.0, WALL, "b", some(4))
+    made.apply(1.0, WALL, "b", Listing(2, False, (entry("n1", DRAINING),)))
     consul_says(2.0, {name: each for name, each in node.items() if name != "n1"})
     consul_says(3.0, node)
     assert states(made, WALL + 9000.0)["n1"] is DRAINING
@@ -207,33 +211,33 @@
 
 def test_who_starts_at_the_address_of_one_that_is_gone_stays() -> None:
     made = merge()
-    made.take(
+    made.apply(
         1.0,
         WALL,
         "a",
         Listing(2, False, (entry("n1", GONE), entry("m1", port=1001, started=WALL - 60_000.0))),
     )
-    made.take(2.0, WALL, "b", Listing(2, False, (entry("n1", GONE),)))
+    made.apply(2.0, WALL, "b", Listing(2, False, (entry("n1", GONE),)))
     assert names(made) == {"n0", "n2", "n3", "m1"}
 
 
 def test_a_list_that_loses_most_tells_of_no_single_node() -> None:
     made = merge()
-    made.take(1.0, WALL, "b", some(1))
+    made.apply(1.0, WALL, "b", some(1))
     assert names(made) == {"n0", "n1", "n2", "n3"}
 
 
 def test_a_node_that_is_critical_elsewhere_is_no_plan() -> None:
     made = merge()
-    made.take(1.0, WALL, "b", Listing(2, False, (entry("n1", GONE, hint=True),)))
+    made.apply(1.0, WALL, "b", Listing(2, False, (entry("n1", GONE, hint=True),)))
     assert states(made)["n1"] is READY
 
 
 def test_plans_are_bounded_and_the_oldest_make_way() -> None:
     made = merge()
-    for number in range(PLANS_MOST + 5):
-        made.take(1.0, WALL, "b", Listing(2, False, (entry(f"n{number}", GONE),)))
-    assert len(made._views["b"].plans) == PLANS_MOST
+    for number in range(MAX_REMOVALS + 5):
+        made.apply(1.0, WALL, "b", Listing(2, False, (entry(f"n{number}", GONE),)))
+    assert len(made._views["b"].removals) == MAX_REMOVALS
     assert names(made) == {"n0", "n1", "n2", "n3"}  # theirs were the first
 
 
@@ -249,33 +253,33 @@
 def test_whatever_is_told_a_drain_holds_and_the_speaker_is_one_that_was_heard(
     steps: list[Any],
 ) -> None:
-    made, now, heard = Merge(("a", "b", "c"), TABLE, 0.0), 0.0, set()
+    made, now, heard = ListMerger(("a", "b", "c"), TABLE, 0.0), 0.0, set()
     drains: dict[str, set[str]] = {"a": set(), "b": set(), "c": set()}
     for source, what, told, is_whole in steps:
         now += 1.7
         if what == "list":
             entries = {f"n{number}": entry(f"n{number}", state) for number, state in told}
-            made.take(now, WALL, source, Listing(1, is_whole, tuple(entries.values())))
+            made.apply(now, WALL, source, Listing(1, is_whole, tuple(entries.values())))
             heard.add(source)
             drains[source] -= {name for name, each in entries.items() if each.state is READY}
             drains[source] |= {name for name, each in entries.items() if each.state is not READY}
         elif what == "lost":
-            made.lost(now, source)
+            made.source_failed(now, source)
         else:
             made.tick(now)
-        assert made.speaker is None or made.speaker in heard
-        due = made.due(now)
+        assert made.current_source is None or made.current_source in heard
+        due = made.next_change_at(now)
         assert due is None or due > now
-        serving = {name for name, state in states(made).items() if state is READY}
-        assert not serving & set().union(*drains.values())
+        ready_entries = {name for name, state in states(made).items() if state is READY}
+        assert not ready_entries & set().union(*drains.values())
 
 
 # --- what Consul's watch tells on ---
 def test_a_deregistration_of_a_critical_node_is_told_as_a_plan() -> None:
-    belief, told = Belief(ConsulTable()), Differences()
+    belief, pending = CatalogueState(ConsulTable()), PendingUpdates()
 
     def seen(**healths: Health) -> list[Entry]:
-        belief.take(
+        belief.apply(
             0.0,
             WALL,
             {
@@ -283,7 +287,7 @@
                 for name, health in healths.items()
             },
         )
-        return told.of(belief, 0.0)[1]
+        return pending.collect(belief, 0.0)[1]
 
     good = {"n1": Health.PASSING, "n2": Health.PASSING}
     assert len(seen(n0=Health.PASSING, **good)) == 3
@@ -297,7 +301,7 @@
 # --- the catalogue's endpoint ---
 def test_the_catalogue_is_read_without_checks_and_with_the_drain_tag() -> None:
     table = ConsulTable(endpoint="catalog")
-    assert Query(table).target() == "/v1/catalog/service/cache"
+    assert BlockingQuery(table).target() == "/v1/catalog/service/cache"
     row = {
         "ID": "u",
         "Node": "m1",
@@ -310,7 +314,7 @@
         "ServiceMeta": {"zone": "paterno"},
         "ServiceWeights": {"Passing": 2, "Warning": 1},
     }
-    found = Reader(table).read(
+    found = HealthReader(table).read(
         json.dumps(
             [
                 row,
@@ -326,12 +330,12 @@
 
 
 def test_an_agents_cache_is_asked_and_its_age_heeded_but_not_for_the_leaders_word() -> None:
-    query = Query(ConsulTable(cached=True, stale_within_s=10.0))
+    query = BlockingQuery(ConsulTable(cached=True, stale_within_s=10.0))
     assert query.target().endswith("?cached") and "cached" not in query.target(confirm=True)
     assert query.answered(200, {"age": "10", "x-cache": "HIT"}) is None
     refused = query.answered(200, {"age": "11", "x-cache": "HIT"})
-    assert isinstance(refused, Refused) and refused.plans
-    assert Query(ConsulTable()).answered(200, {"age": "11"}) is None
+    assert isinstance(refused, UnusableAnswer) and refused.drains_valid
+    assert BlockingQuery(ConsulTable()).answered(200, {"age": "11"}) is None
 
 
 # --- on real sockets ---
@@ -383,7 +387,7 @@
                 }
 
             def speaks() -> str | None:
-                return rig.proxy._watch._watch._spoke  # type: ignore[attr-defined]
+                return rig.proxy._watch._watch._notified_source  # type: ignore[attr-defined]
 
             asking = asyncio.create_task(load())
             rig.proxy.reload(replace(rig.config, operator=operator))
@@ -399,7 +403,7 @@
             write(1)
             await until(lambda: used() == {"s-0", "s-2"})
             path.write_text("{")  # torn: the last list holds, and it is looked at again
-            await until(lambda: rig.proxy._watch._watch._up.get("file", 1))  # type: ignore[attr-defined]
+            await until(lambda: rig.proxy._watch._watch._running.get("file", 1))  # type: ignore[attr-defined]
             write()
             await until(lambda: used() == {"s-0", "s-1", "s-2"})
             await agent.start(agent.port)
@@ -487,49 +491,49 @@
 
 
 def test_of_two_nodes_at_an_address_the_later_started_is_there() -> None:
-    places = Places()
-    assert places.take(Member(1, started_at=5.0), HERE).placed
-    early = places.take(Member(2, started_at=4.0), HERE)
+    places = NodeAddresses()
+    assert places.apply(Member(1, started_at=5.0), HERE).placed
+    early = places.apply(Member(2, started_at=4.0), HERE)
     assert told(early) == [(2, GONE)] and not early.placed
-    late = places.take(Member(3, started_at=6.0), HERE)
+    late = places.apply(Member(3, started_at=6.0), HERE)
     assert told(late) == [(3, READY), (1, GONE)] and late.placed and 1 in late.removed
-    assert places.take(Member(1, started_at=5.0), THERE).placed
+    assert places.apply(Member(1, started_at=5.0), THERE).placed
 
 
 @pytest.mark.parametrize("started", [0.0, 4.0, 5.0])
 def test_an_entry_for_the_address_of_a_node_that_drains_is_gone(started: float) -> None:
-    places = Places()
-    drains = places.take(Member(1, DRAINING, started_at=5.0), HERE)
+    places = NodeAddresses()
+    drains = places.apply(Member(1, DRAINING, started_at=5.0), HERE)
     assert not drains.placed and 1 in drains.removed
-    stale = places.take(Member(2, started_at=started), HERE)
+    stale = places.apply(Member(2, started_at=started), HERE)
     assert told(stale) == [(2, GONE)] and not stale.placed
-    again = places.take(Member(3, started_at=6.0), HERE)
+    again = places.apply(Member(3, started_at=6.0), HERE)
     assert told(again) == [(3, READY), (1, GONE)] and again.placed
 
 
 def test_a_start_that_is_inferred_settles_nothing_against_a_drain() -> None:
-    places = Places()
-    places.take(Member(1, started_at=5.0), HERE)
-    assert places.take(Member(2, started_at=9.0), HERE, inferred=True).placed
-    drains = places.take(Member(1, DRAINING, started_at=5.0), HERE)
+    places = NodeAddresses()
+    places.apply(Member(1, started_at=5.0), HERE)
+    assert places.apply(Member(2, started_at=9.0), HERE, inferred=True).placed
+    drains = places.apply(Member(1, DRAINING, started_at=5.0), HERE)
     assert told(drains) == [(1, DRAINING), (2, GONE)]
-    assert told(places.take(Member(2, started_at=9.0), HERE, inferred=True)) == [(2, GONE)]
-    assert places.take(Member(2, started_at=9.0), HERE).placed
+    assert told(places.apply(Member(2, started_at=9.0), HERE, inferred=True)) == [(2, GONE)]
+    assert places.apply(Member(2, started_at=9.0), HERE).placed
 
 
 def test_a_node_that_moves_or_goes_leaves_its_address() -> None:
-    places = Places()
-    places.take(Member(1), HERE)
-    moved = places.take(Member(1), THERE)
+    places = NodeAddresses()
+    places.apply(Member(1), HERE)
+    moved = places.apply(Member(1), THERE)
     assert moved.removed == [1] and moved.placed
-    assert told(places.take(Member(2), HERE)) == [(2, READY)]
-    assert places.take(Member(1, GONE), None).removed == [1]
-    assert told(places.take(Member(3), THERE)) == [(3, READY)]
-    assert places.keep([3]) == [2] and places.keep([3]) == []
+    assert told(places.apply(Member(2), HERE)) == [(2, READY)]
+    assert places.apply(Member(1, GONE), None).removed == [1]
+    assert told(places.apply(Member(3), THERE)) == [(3, READY)]
+    assert places.retain([3]) == [2] and places.retain([3]) == []
 
 
 def test_before_anyone_speaks_a_drain_counts_for_the_list_that_holds() -> None:
-    made = Merge(("a", "b"), TABLE, 0.0)
-    made.begin(some(3).entries)
-    made.take(1.0, WALL, "b", Listing(2, False, (entry("n1", DRAINING), entry("n2", GONE))))
-    assert made.speaker is None and states(made) == {"n0": READY, "n1": DRAINING}
+    made = ListMerger(("a", "b"), TABLE, 0.0)
+    made.set_initial_list(some(3).entries)
+    made.apply(1.0, WALL, "b", Listing(2, False, (entry("n1", DRAINING), entry("n2", GONE))))
+    assert made.current_source is None and states(made) == {"n0": READY, "n1": DRAINING}
--- a/tests/violetroute/sharing/test_sharing_talk.py
+++ b/tests/violetroute/sharing/test_sharing_talk.py
@@ -24,7 +24,7 @@
     Send,
     Settings,
 )
-from violetroute.membership import Places
+from violetroute.membership import NodeAddresses
 from violetroute.sharing import service, wire
 from violetroute.sharing.gossip import CALM_FANOUT, OUTCOME_AGE_MOST_S, TROUBLE_FANOUT, Rounds
 from violetroute.sharing.introspection import look
@@ -54,7 +54,7 @@
 
 class Proxy:
     def __init__(self) -> None:
-        self.places, self.judged = Places(), deque[Judged]()
+        self.places, self.judged = NodeAddresses(), deque[Judged]()
         self.told: list[tuple[list[int], list[Judged]]] = []
 
     def others(self, bad: list[int], outcomes: list[Judged]) -> None:
--- a/tests/violetroute/test_list_applier.py
+++ b/tests/violetroute/test_list_applier.py
@@ -11,7 +11,7 @@
 
 from snowstall import CacheState, Member
 from violetroute.listing import SLICE, ListApplier
-from violetroute.membership import Entry, Listing, Places, as_member, stable_hash
+from violetroute.membership import Entry, Listing, NodeAddresses, as_member, stable_hash
 from violetroute.transport import Address
 from violetroute.upstream import Pool
 
@@ -60,7 +60,7 @@
     """The applier with what it applies to; `ready` are the nodes that may be asked."""
 
     def __init__(self) -> None:
-        self.turns, self.places, self.pool = Turns(), Places(), NodesOfPool()
+        self.turns, self.places, self.pool = Turns(), NodeAddresses(), NodesOfPool()
         self.ready: dict[int, Member] = {}
         self.steps: list[list[Member]] = []
         self.lists = ListApplier(
@@ -177,14 +177,14 @@
     """The plain way: each entry in the order of the list, all in one turn."""
 
     def __init__(self) -> None:
-        self.places, self.ready = Places(), dict[int, Member]()
+        self.places, self.ready = NodeAddresses(), dict[int, Member]()
 
     def take(self, entries: tuple[Entry, ...], whole: bool) -> None:
         members: list[Member] = []
         for one in {each.instance: each for each in entries}.values():
-            members += self.places.take(as_member(one, NOW), one.address).members
+            members += self.places.apply(as_member(one, NOW), one.address).members
         if whole:
-            self.places.keep(member.id for member in members)
+            self.places.retain(member.id for member in members)
             self.ready = {}
         for member in {member.id: member for member in members}.values():
             if member.state is READY:
--- a/tests/violetroute/test_turns_of_lists.py
+++ b/tests/violetroute/test_turns_of_lists.py
@@ -19,7 +19,7 @@
 from limebridge.standins.large_list import LargeList
 from limebridge.virtual.session import quiet
 from violetroute.config import load
-from violetroute.membership.list_reader import ListReader, Lists
+from violetroute.membership.list_reader import ListReader, ObjectSplitter
 
 NODES = 3200
 FIFTH = range(0, NODES, 5)
@@ -53,7 +53,7 @@
         return cpu_seconds(lambda: self._take(line))
 
     def _take(self, line: bytes) -> None:
-        found = Lists().line(line)
+        found = ObjectSplitter().feed(line)
         assert found
         self.proxy._watch.list_changed(self._reader.read(found))
 
--- a/violetroute/listing.py
+++ b/violetroute/listing.py
@@ -17,7 +17,7 @@
 from snowstall import CacheState, Member
 
 from . import logs
-from .membership import Entry, Listing, Places, as_member, stable_hash
+from .membership import Entry, Listing, NodeAddresses, as_member, stable_hash
 from .placement import Keeper, Like
 from .upstream import Pool
 
@@ -44,7 +44,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        places: Places,
+        places: NodeAddresses,
         pool: Pool,
         clock: Callable[[], float],
         tell: Callable[[list[Member]], None],
@@ -96,7 +96,7 @@
         At once: nodes that leave, and news of nodes that serve (another start makes a node cold).
         """
         now, later = [], []
-        applied, ids, has_place = self._applied, self._ids, self._places.has
+        applied, ids, has_place = self._applied, self._ids, self._places.has_address
         for name, entry in latest.items():
             before = applied.get(name)
             # Of thousands few have changed, and one that has not is the same object.
@@ -118,7 +118,7 @@
     def _remove_unnamed(self, latest: dict[str, Entry], step: Step) -> None:
         """Take nodes out of service that a whole list does not name."""
         kept = [cache_id for name, cache_id in self._ids.items() if name in latest]
-        for cache_id in self._places.keep(kept):
+        for cache_id in self._places.retain(kept):
             self._pool.remove(cache_id)
         step.left = [name for name in self._applied if name not in latest]
         for name in step.left:
@@ -147,7 +147,7 @@
             else:
                 self._applied[entry.instance] = entry
                 self._ids[entry.instance] = member.id
-            change = self._places.take(member, entry.address, entry.inferred)
+            change = self._places.apply(member, entry.address, entry.inferred)
             for cache_id in change.removed:
                 self._pool.remove(cache_id)
             if change.placed and entry.address is not None:
--- a/violetroute/membership/__init__.py
+++ b/violetroute/membership/__init__.py
@@ -1,8 +1,8 @@
 """Where the list of cache nodes comes from, and what is believed of it."""
 
-from .addresses import Places
+from .addresses import NodeAddresses
 from .entries import Entry, Listing, as_member, parse_listing, stable_hash
-from .source import Membership, order
+from .source import Membership, source_order
 from .table import ConsulTable, MembershipTable
 
 __all__ = [
@@ -11,9 +11,9 @@
     "Listing",
     "Membership",
     "MembershipTable",
-    "Places",
+    "NodeAddresses",
     "as_member",
-    "order",
     "parse_listing",
+    "source_order",
     "stable_hash",
 ]
--- a/violetroute/membership/addresses.py
+++ b/violetroute/membership/addresses.py
@@ -26,14 +26,14 @@
     placed: bool = False  # the entry's node is reached at its address
 
 
-class Places:
+class NodeAddresses:
     """The nodes that are listed and not gone."""
 
     def __init__(self) -> None:
         self._at: dict[Address, tuple[Member, bool]] = {}  # and whether its start is inferred
         self._where: dict[int, Address] = {}
 
-    def take(self, member: Member, address: Address | None, inferred: bool = False) -> Change:
+    def apply(self, member: Member, address: Address | None, inferred: bool = False) -> Change:
         """Apply one entry of a list.  Entries come in the order of the list."""
         change = Change([member])
         if member.state is CacheState.GONE or address is None:
@@ -57,21 +57,21 @@
         """Those that have an address, as they were told last."""
         return [member for member, _ in self._at.values()]
 
-    def has(self, node: int) -> bool:
+    def has_address(self, node: int) -> bool:
         """Whether the node has an address."""
         return node in self._where
 
-    def at(self, address: Address) -> int | None:
+    def ready_node_at(self, address: Address) -> int | None:
         """Id of the ready node at this address, or None."""
         member = self._at.get(address, (None, False))[0]
         return member.id if member is not None and member.state is CacheState.READY else None
 
-    def name(self, node: int) -> str:
+    def describe(self, node: int) -> str:
         """Where it is reached, for the log; "gone" when it is nowhere."""
         where = self._where.get(node)
         return f"{where.host}:{where.port}" if where is not None else "gone"
 
-    def keep(self, listed: Iterable[int]) -> list[int]:
+    def retain(self, listed: Iterable[int]) -> list[int]:
         """Drop every node that a whole list does not name; return the dropped ids."""
         change, kept = Change(), set(listed)
         for node in [node for node in self._where if node not in kept]:
--- a/violetroute/membership/consul.py
+++ b/violetroute/membership/consul.py
@@ -13,19 +13,19 @@
 from violetroute.transport.call import secret
 from violetroute.transport.tls import TlsKeys, TlsStream
 
-from .consul_health import Reader
+from .consul_health import HealthReader
 from .entries import Listing
-from .list_reader import Broken
-from .native import READ_SIZE, Follower
-from .query import Query, Refused
-from .staleness import Belief, Differences
+from .list_reader import WatchError
+from .native import READ_SIZE, ListObserver
+from .query import BlockingQuery, UnusableAnswer
+from .staleness import CatalogueState, PendingUpdates
 from .table import ConsulTable
 
 CALL_TIMEOUT = 3.0  # s until the first byte, beyond the wait that was asked for
-BODY_PATIENCE = 3.0  # s without a byte of a body
-BODY_WHOLE = 10.0  # s over one body
-CONFIRM_AFTER = 0.1  # s from one ask to the leader's word, however few asks the table allows
-CONFIRM_WITHIN = 0.3  # s for the leader's word: a drain has to be kept after 0.5
+BODY_IDLE_TIMEOUT = 3.0  # s without a byte of a body
+BODY_TIMEOUT = 10.0  # s over one body
+CONFIRM_MIN_INTERVAL = 0.1  # s from one ask to the leader's word, however few asks the table allows
+CONFIRM_TIMEOUT = 0.3  # s for the leader's word: a drain has to be kept after 0.5
 
 _shared = memoryview(bytearray(READ_SIZE))
 
@@ -38,18 +38,18 @@
     """
 
     def __init__(
-        self, follower: Follower, table: ConsulTable, net: Network, clock: Callable[[], float]
+        self, observer: ListObserver, table: ConsulTable, net: Network, clock: Callable[[], float]
     ) -> None:
-        self._follower, self._table, self._net, self._loop = follower, table, net, net.loop
+        self._observer, self._table, self._net, self._loop = observer, table, net, net.loop
         self._clock = clock  # Unix ms as the proxy counts them: it never steps
-        self._belief, self._reader = Belief(table), Reader(table)
-        self._told = Differences()
+        self._catalogue, self._reader = CatalogueState(table), HealthReader(table)
+        self._pending = PendingUpdates()
         self._keys = TlsKeys(table.tls) if table.tls.ca else None
         self._agent = 0
         self._said = 0  # the index of the last answer: with another one the same says it anew
         self._asked_at = self._not_before = 0.0
         self._heard_at: float | None = None
-        self._call: _Call | None = None
+        self._call: _AgentCall | None = None
         self._next: Any = None  # the timer of an ask that may not be made yet
         self._due: Any = None
         self._was: tuple[bool, bool] = (False, False)
@@ -58,7 +58,7 @@
     def start(self, since: int) -> None:
         """Ask from now on.  `since` belongs to the platform's list and means nothing here."""
         self._stop_asking()
-        self._query, self._digest, self._first = Query(self._table), b"", True
+        self._query, self._digest, self._first = BlockingQuery(self._table), b"", True
         self._ask_when_due()
 
     def stop(self) -> None:
@@ -81,7 +81,7 @@
         now = self._loop.time()
         interval = self._table.least_interval_s
         if confirm:  # one for each answer at most, and what it confirms is a matter of rule three
-            interval = min(interval, CONFIRM_AFTER)
+            interval = min(interval, CONFIRM_MIN_INTERVAL)
         at = max(self._not_before, self._asked_at + interval)
         if at > now:
             self._next = self._loop.call_at(at, self._ask, confirm)
@@ -97,14 +97,14 @@
             self._failed(f"token_file: {error.strerror}")
             return
         if self._call is None:
-            self._call = _Call(
+            self._call = _AgentCall(
                 self,
                 self._net,
                 self._table.agents[self._agent],
                 round(self._table.body_mb * 1024 * 1024),
                 self._keys,
             )
-        limit = CONFIRM_WITHIN if confirm else CALL_TIMEOUT + self._query.longest
+        limit = CONFIRM_TIMEOUT if confirm else CALL_TIMEOUT + self._query.max_wait
         self._call.ask(self._query.target(confirm), token, limit, confirm)
 
     def answered(
@@ -113,8 +113,8 @@
         """A whole answer."""
         refused = self._query.answered(status, headers)
         if refused is not None:
-            if refused.plans:
-                self._keep_plans(body)
+            if refused.drains_valid:
+                self._apply_drains(body)
             self._refused(refused)
             return
         digest = hashlib.blake2b(body, digest_size=16).digest()
@@ -129,7 +129,7 @@
             self._digest = digest
             if self._reader.left_out:
                 logs.event("consul.entries_left_out", count=self._reader.left_out)
-            doubt = self._belief.take(self._loop.time(), self._clock(), seen, confirm)
+            doubt = self._catalogue.apply(self._loop.time(), self._clock(), seen, confirm)
             self._say(doubt)
         self._heard_at = self._loop.time()
         self._tell(again)
@@ -138,29 +138,29 @@
             self._call = None
         self._ask_when_due(doubt)
 
-    def _keep_plans(self, body: bytearray) -> None:
+    def _apply_drains(self, body: bytearray) -> None:
         try:
-            others = self._belief.plans(self._reader.read(body))
+            others = self._catalogue.apply_drains(self._reader.read(body))
         except ValueError:
             return
-        if self._told.begun:
+        if self._pending.full_list_sent:
             self._tell()
         elif others:
-            self._follower.list_changed(Listing(0, False, tuple(others)))
+            self._observer.list_changed(Listing(0, False, tuple(others)))
 
     def _say(self, doubt: bool) -> None:
-        belief = self._belief
+        belief = self._catalogue
         if doubt:
-            logs.event("consul.doubted", count=belief.doubted)
-        now = belief.panics, belief.emptied
+            logs.event("consul.doubted", count=belief.unconfirmed)
+        now = belief.panic_mode, belief.answer_empty
         if now != self._was:
             self._was = now
-            if belief.emptied:
-                logs.event("consul.emptied", count=belief.doubted)
-            elif belief.panics:
+            if belief.answer_empty:
+                logs.event("consul.emptied", count=belief.unconfirmed)
+            elif belief.panic_mode:
                 logs.event("consul.panic", floor=self._table.floor)
 
-    def _refused(self, refused: Refused) -> None:
+    def _refused(self, refused: UnusableAnswer) -> None:
         self._not_before = self._loop.time() + refused.wait
         self._failed(refused.reason)
 
@@ -175,23 +175,23 @@
         self._agent = (self._agent + 1) % len(self._table.agents)
         age = -1.0 if self._heard_at is None else self._loop.time() - self._heard_at
         logs.event("consul.failed", reason=reason, agent=agent, age_s=round(age, 1))
-        self._follower.list_failed()
+        self._observer.list_failed()
 
     # --- telling ---
     def _tell(self, again: bool = False) -> None:
         now = self._loop.time()
-        whole, told = self._told.of(self._belief, now, again)
+        whole, told = self._pending.collect(self._catalogue, now, again)
         # The first answer of a watch is told even when nothing changed: the module waits for it.
         if told or whole or self._first:
             self._first = False
-            self._follower.list_changed(Listing(self._query.index, whole, tuple(told)))
-        due = self._belief.due(now)
+            self._observer.list_changed(Listing(self._query.index, whole, tuple(told)))
+        due = self._catalogue.next_change_at(now)
         if self._due is not None:
             self._due.cancel()
         self._due = None if due is None else self._loop.call_at(due + 0.001, self._tell)
 
 
-class _Call:
+class _AgentCall:
     """One connection to an agent, with one ask at a time."""
 
     def __init__(
@@ -263,7 +263,7 @@
             while not self._over and self._event():
                 pass
         except Exception as error:
-            kind = "" if isinstance(error, Broken) else f"{type(error).__name__}: "
+            kind = "" if isinstance(error, WatchError) else f"{type(error).__name__}: "
             self._fail(f"{kind}{error}")
 
     def ended(self) -> None:
@@ -284,19 +284,19 @@
                 self._headers = {
                     name.decode("ascii"): value.decode("latin-1") for name, value in headers
                 }
-                self._patience(BODY_PATIENCE)
+                self._patience(BODY_IDLE_TIMEOUT)
             case h11.Data(data=data):
                 if len(self._body) + len(data) > self._most:
-                    raise Broken("the answer is too large")
-                if self._loop.time() - self._began > BODY_WHOLE:
-                    raise Broken("the answer takes too long")
+                    raise WatchError("the answer is too large")
+                if self._loop.time() - self._began > BODY_TIMEOUT:
+                    raise WatchError("the answer takes too long")
                 self._body += data
-                self._patience(BODY_PATIENCE)
+                self._patience(BODY_IDLE_TIMEOUT)
             case h11.EndOfMessage():
                 self._done()
                 return False
             case h11.ConnectionClosed():
-                raise Broken("the agent closed")
+                raise WatchError("the agent closed")
             case _:
                 pass
         return True
--- a/violetroute/membership/consul_health.py
+++ b/violetroute/membership/consul_health.py
@@ -20,7 +20,7 @@
 from .table import ConsulTable
 
 NODE_MAINTENANCE, SERVICE_MAINTENANCE = "_node_maintenance", "_service_maintenance:"
-MOST = 20_000  # instances of an answer
+MAX_INSTANCES = 20_000  # instances of an answer
 
 
 class Health(Enum):
@@ -110,7 +110,7 @@
 _row = msgspec.json.Decoder(_Row)
 
 
-class Reader:
+class HealthReader:
     """Reads answers; what has not changed since the last one is not read again.
 
     Of two thousand instances one changes at a time: each is known by its bytes.
@@ -124,8 +124,8 @@
     def read(self, body: bytes | bytearray) -> dict[str, Instance]:
         """The instances by name.  ValueError when it is no such answer."""
         raw = _elements.decode(body)
-        if len(raw) > MOST:
-            raise ValueError(f"more than {MOST} instances")
+        if len(raw) > MAX_INSTANCES:
+            raise ValueError(f"more than {MAX_INSTANCES} instances")
         known: dict[bytes, tuple[Instance, str] | None] = {}
         found: dict[str, Instance] = {}
         self.left_out = 0
--- a/violetroute/membership/entries.py
+++ b/violetroute/membership/entries.py
@@ -13,7 +13,7 @@
 from violetroute import logs
 from violetroute.transport import Address, parse_address
 
-STATES = {
+LIFECYCLE_STATES = {
     "in_service": CacheState.READY,
     "terminating": CacheState.DRAINING,
     "terminated": CacheState.GONE,
@@ -21,7 +21,7 @@
 
 
 # What reading an entry that makes no sense raises.
-SENSELESS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
+INVALID_ENTRY_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
 
 
 class Entry(msgspec.Struct, frozen=True, gc=False):
@@ -57,18 +57,18 @@
         for item in raw["instances"]:
             try:
                 entries.append(parse_entry(item))
-            except SENSELESS:
+            except INVALID_ENTRY_ERRORS:
                 senseless += 1
         listing = Listing(
             int(raw.get("generation", 0)), bool(raw.get("reset", False)), tuple(entries)
         )
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
         raise ValueError(f"not a list of cache nodes: {error!r}") from error
-    tell_senseless(senseless)
+    log_invalid_entries(senseless)
     return listing
 
 
-def tell_senseless(count: int) -> None:
+def log_invalid_entries(count: int) -> None:
     """Log how many entries of a list were left out, if any."""
     if count:
         logs.event("discovery.entries_left_out", count=count)
@@ -76,7 +76,7 @@
 
 def parse_entry(raw: dict[str, Any]) -> Entry:
     """KeyError, TypeError, ValueError, AttributeError or OverflowError if it makes no sense."""
-    state = STATES[raw["lifecycle"]]
+    state = LIFECYCLE_STATES[raw["lifecycle"]]
     gone = state is CacheState.GONE  # nobody will connect there
     weight, started_at = float(raw.get("weight", 1.0)), float(raw.get("startedAtMs", 0.0))
     if not (0.0 <= weight < math.inf and 0.0 <= started_at < math.inf):
--- a/violetroute/membership/file.py
+++ b/violetroute/membership/file.py
@@ -18,9 +18,9 @@
 from violetroute.transport import Network
 
 from .entries import parse_listing
-from .native import Follower
+from .native import ListObserver
 
-LARGEST = 4 * 1024 * 1024  # bytes: some ten thousand nodes
+MAX_FILE_BYTES = 4 * 1024 * 1024  # bytes: some ten thousand nodes
 
 
 class FileWatch:
@@ -29,8 +29,8 @@
     One timer. A file that is away or can't be read ends the watch; the last list holds.
     """
 
-    def __init__(self, follower: Follower, path: str, every: float, net: Network) -> None:
-        self._follower, self._path, self._every, self._loop = follower, path, every, net.loop
+    def __init__(self, observer: ListObserver, path: str, every: float, net: Network) -> None:
+        self._observer, self._path, self._every, self._loop = observer, path, every, net.loop
         self._seen: object = None
         self._timer: TimerHandle | None = None
 
@@ -58,17 +58,17 @@
                 listing = replace(parse_listing(_read(self._path)), whole=True)
         except (OSError, ValueError, RecursionError) as error:
             logs.event("membership.file_unusable", reason=one_line(error))
-            self._follower.list_failed()
+            self._observer.list_failed()
             return
         self._seen = seen
         self._timer = self._loop.call_later(self._every, self._look)
         if listing is not None:
-            self._follower.list_changed(listing)
+            self._observer.list_changed(listing)
 
 
 def _read(path: str) -> object:
     with open(path, "rb") as file:
-        data = file.read(LARGEST + 1)
-    if len(data) > LARGEST:
-        raise ValueError(f"{path}: larger than {LARGEST} bytes")
+        data = file.read(MAX_FILE_BYTES + 1)
+    if len(data) > MAX_FILE_BYTES:
+        raise ValueError(f"{path}: larger than {MAX_FILE_BYTES} bytes")
     return json.loads(data)
--- a/violetroute/membership/list_reader.py
+++ b/violetroute/membership/list_reader.py
@@ -17,30 +17,38 @@
 from snowstall import CacheState
 from violetroute.transport import Address, parse_address
 
-from .entries import SENSELESS, STATES, Entry, Listing, parse_entry, parse_listing, tell_senseless
+from .entries import (
+    INVALID_ENTRY_ERRORS,
+    LIFECYCLE_STATES,
+    Entry,
+    Listing,
+    log_invalid_entries,
+    parse_entry,
+    parse_listing,
+)
 
 _decode_raw = msgspec.json.Decoder(msgspec.Raw).decode
 
 LINE_LIMIT = 2 * 1024 * 1024  # bytes of a list: some ten thousand entries
 
-KEPT_TEXTS = 10_000  # entries whose texts are kept beyond twice those of a list
+CACHED_TEXTS_SLACK = 10_000  # entries whose texts are kept beyond twice those of a list
 
 # A string, in which braces mean nothing, or one that does.
 _BRACES = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')
 
 
-class Broken(Exception):
+class WatchError(Exception):
     """The watch has ended, or can no longer be believed."""
 
 
-class Lists:
+class ObjectSplitter:
     """The objects that lines hold: one on each, or indented over many."""
 
     def __init__(self) -> None:
         self._held = bytearray()  # of an object that has begun
         self._depth = 0
 
-    def line(self, line: bytes) -> bytes | None:
+    def feed(self, line: bytes) -> bytes | None:
         """The object that ends with this line; empty for an empty line, None inside of one."""
         line = line.strip()
         if not line:
@@ -51,7 +59,7 @@
             self._depth += (token in b"{[") - (token in b"}]")
         self._held += line
         if len(self._held) > LINE_LIMIT:
-            raise Broken("list too long")
+            raise WatchError("list too long")
         if self._depth > 0:
             return None
         text, self._depth = bytes(self._held), 0
@@ -109,9 +117,9 @@
         except msgspec.MsgspecError:
             return parse_listing(json.loads(text))  # it takes more forms of numbers
         before = self._by_text
-        if told.reset or len(before) > KEPT_TEXTS + 2 * len(told.instances):
+        if told.reset or len(before) > CACHED_TEXTS_SLACK + 2 * len(told.instances):
             self._by_text = {}
-            if len(self._addresses) > KEPT_TEXTS + 2 * len(told.instances):
+            if len(self._addresses) > CACHED_TEXTS_SLACK + 2 * len(told.instances):
                 self._addresses = {}
         entries, senseless = [], 0
         for raw in told.instances:
@@ -120,12 +128,12 @@
             if entry is None:
                 try:
                     entry = self._entry(entry_text)
-                except SENSELESS:
+                except INVALID_ENTRY_ERRORS:
                     senseless += 1
                     continue
             self._by_text[entry_text] = entry
             entries.append(entry)
-        tell_senseless(senseless)
+        log_invalid_entries(senseless)
         return Listing(told.generation, told.reset, tuple(entries))
 
     def _entry(self, text: bytes) -> Entry:
@@ -135,7 +143,7 @@
             return parse_entry(json.loads(text))
         if not (0.0 <= told.weight < math.inf and 0.0 <= told.started_at_ms < math.inf):
             raise ValueError("weight or start is no number")
-        state = STATES[told.lifecycle]
+        state = LIFECYCLE_STATES[told.lifecycle]
         return Entry(
             told.instance_id,
             state,
--- a/violetroute/membership/merge.py
+++ b/violetroute/membership/merge.py
@@ -24,12 +24,12 @@
 from .entries import Entry, Listing
 from .table import MembershipTable
 
-PLANS_MOST = 4096  # drains and goings remembered of one source; the oldest make way
-SAME_START = 10_000.0  # ms by which two sources may differ on one start of a node
+MAX_REMOVALS = 4096  # drains and goings remembered of one source; the oldest make way
+START_TOLERANCE_MS = 10_000.0  # ms by which two sources may differ on one start of a node
 
 
 @dataclass(slots=True)
-class _Plan:
+class _PlannedRemoval:
     """A drain or a going that a source has told of."""
 
     entry: Entry
@@ -38,24 +38,24 @@
 
 
 @dataclass(slots=True)
-class _View:
+class _SourceState:
     """What one source has said."""
 
     entries: dict[str, Entry] = field(default_factory=dict)
-    plans: dict[str, _Plan] = field(default_factory=dict)
-    away_since: float | None = None  # None while it is there
-    back_since: float = 0.0
+    removals: dict[str, _PlannedRemoval] = field(default_factory=dict)
+    unavailable_since: float | None = None  # None while it is there
+    available_since: float = 0.0
 
     @property
-    def there(self) -> bool:
-        return self.away_since is None
+    def is_available(self) -> bool:
+        return self.unavailable_since is None
 
     @property
-    def serving(self) -> list[Entry]:
+    def ready_entries(self) -> list[Entry]:
         return [entry for entry in self.entries.values() if entry.state is CacheState.READY]
 
 
-class Merge:
+class ListMerger:
     """The lists of all sources.  Times are the loop's, in s; `wall` is Unix ms.
 
     `order`: the names of the sources, the first by precedence first.
@@ -63,117 +63,126 @@
 
     def __init__(self, order: Sequence[str], table: MembershipTable, now: float) -> None:
         self._order, self._table = tuple(order), table
-        self._views = {name: _View(away_since=now) for name in order}
-        self.speaker: str | None = None  # None: the list before holds
-        self._before: dict[str, Entry] = {}
-        self.unlike: tuple[str, float] | None = None  # who may not follow, and what it shares
+        self._views = {name: _SourceState(unavailable_since=now) for name in order}
+        self.current_source: str | None = None  # None: the list before holds
+        self._initial_entries: dict[str, Entry] = {}
+        self.dissimilar: tuple[str, float] | None = None  # who may not follow, and what it shares
 
-    def begin(self, entries: Iterable[Entry]) -> None:
+    def set_initial_list(self, entries: Iterable[Entry]) -> None:
         """The list that holds until one speaks: handed over at the start, or another source's."""
-        self._before = {entry.instance: entry for entry in entries}
+        self._initial_entries = {entry.instance: entry for entry in entries}
 
-    def carry(self, before: Merge) -> None:
+    def carry_removals(self, before: ListMerger) -> None:
         """What the sources told the merge before this one of drains and goings.
 
         Of those that are still asked; what one told that is taken out is the operator's to forget.
         """
         for name, view in before._views.items():
             if name in self._views:
-                self._views[name].plans.update(view.plans)
+                self._views[name].removals.update(view.removals)
 
     # --- what is heard ---
-    def take(self, now: float, wall: float, source: str, listing: Listing) -> None:
+    def apply(self, now: float, wall: float, source: str, listing: Listing) -> None:
         """A list or changes of one."""
         view = self._views[source]
-        if view.away_since is not None:
-            view.away_since, view.back_since = None, now
+        if view.unavailable_since is not None:
+            view.unavailable_since, view.available_since = None, now
         before = view.entries
         here = {} if listing.whole else dict(before)
         for entry in listing.entries:
             if entry.state is CacheState.GONE:
                 here.pop(entry.instance, None)
                 if not entry.hint:
-                    self._plan(view, wall, before.get(entry.instance, entry), gone=True)
+                    self._record_removal(view, wall, before.get(entry.instance, entry), gone=True)
             else:
                 here[entry.instance] = entry
                 if entry.state is CacheState.DRAINING:
-                    self._plan(view, wall, entry, gone=False)
+                    self._record_removal(view, wall, entry, gone=False)
                 else:
-                    view.plans.pop(entry.instance, None)
+                    view.removals.pop(entry.instance, None)
         if listing.whole:
             vanished = [entry for name, entry in before.items() if name not in here]
             # A list that loses most of its nodes at once tells of no single one of them.
             if len(vanished) <= (1.0 - self._table.least_match) * len(before):
                 for entry in vanished:
-                    self._plan(view, wall, entry, gone=True)
+                    self._record_removal(view, wall, entry, gone=True)
         view.entries = here
-        self._choose(now)
+        self._select_source(now)
 
-    def _plan(self, view: _View, wall: float, entry: Entry, gone: bool) -> None:
+    def _record_removal(self, view: _SourceState, wall: float, entry: Entry, gone: bool) -> None:
         # Told again it counts anew: it may be of another start.
-        view.plans.pop(entry.instance, None)
-        view.plans[entry.instance] = _Plan(entry, gone, wall)
-        if len(view.plans) > PLANS_MOST:
-            del view.plans[next(iter(view.plans))]
+        view.removals.pop(entry.instance, None)
+        view.removals[entry.instance] = _PlannedRemoval(entry, gone, wall)
+        if len(view.removals) > MAX_REMOVALS:
+            del view.removals[next(iter(view.removals))]
 
-    def lost(self, now: float, source: str) -> None:
+    def source_failed(self, now: float, source: str) -> None:
         """A source has ended, or failed to answer."""
         view = self._views[source]
-        if view.away_since is None:
-            view.away_since = now
-        self._choose(now)
+        if view.unavailable_since is None:
+            view.unavailable_since = now
+        self._select_source(now)
 
     # --- who speaks ---
     def tick(self, now: float) -> None:
         """Time has passed: see `due`."""
-        self._choose(now)
+        self._select_source(now)
 
-    def due(self, now: float) -> float | None:
+    def next_change_at(self, now: float) -> float | None:
         """When the speaker may change by itself."""
         times = []
         rank = self._rank()
         for place, (name, view) in enumerate(self._views.items()):
-            if self.speaker is not None and place < rank and view.there:
-                times.append(view.back_since + self._table.settle_s)
-            if view.away_since is not None and (name == self.speaker or self.speaker is None):
-                times.append(view.away_since + self._table.patience_s)
+            if self.current_source is not None and place < rank and view.is_available:
+                times.append(view.available_since + self._table.settle_s)
+            if view.unavailable_since is not None and (
+                name == self.current_source or self.current_source is None
+            ):
+                times.append(view.unavailable_since + self._table.patience_s)
         return min((at for at in times if at > now), default=None)
 
     def _rank(self) -> int:
-        return len(self._order) if self.speaker is None else self._order.index(self.speaker)
-
-    def _choose(self, now: float) -> None:
-        self.unlike = None
-        rank, speaking = self._rank(), self._views.get(self.speaker or "")
+        return (
+            len(self._order)
+            if self.current_source is None
+            else self._order.index(self.current_source)
+        )
+
+    def _select_source(self, now: float) -> None:
+        self.dissimilar = None
+        rank, speaking = self._rank(), self._views.get(self.current_source or "")
         for place, name in enumerate(self._order):
             view = self._views[name]
-            if name == self.speaker:
-                if view.away_since is None or now < view.away_since + self._table.patience_s:
+            if name == self.current_source:
+                if (
+                    view.unavailable_since is None
+                    or now < view.unavailable_since + self._table.patience_s
+                ):
                     return  # it goes on
                 continue
-            if not view.there or not view.serving:
+            if not view.is_available or not view.ready_entries:
                 continue  # a list of nobody is nobody's
             if place < rank and (
                 speaking is None
-                or not speaking.there
-                or now >= view.back_since + self._table.settle_s
+                or not speaking.is_available
+                or now >= view.available_since + self._table.settle_s
             ):
-                if speaking is None and not self._waited(now, place):
+                if speaking is None and not self._higher_ranks_timed_out(now, place):
                     continue
-                self.speaker = name
+                self.current_source = name
                 return
             if place > rank and speaking is not None:
-                share = _shared(speaking.serving, view.serving)
+                share = _shared(speaking.ready_entries, view.ready_entries)
                 if share < self._table.least_match:
-                    self.unlike = name, share
+                    self.dissimilar = name, share
                     continue
-                self.speaker = name
+                self.current_source = name
                 return
 
-    def _waited(self, now: float, place: int) -> bool:
+    def _higher_ranks_timed_out(self, now: float, place: int) -> bool:
         """At the start: whether those before it have had their time."""
         for name in self._order[:place]:
-            since = self._views[name].away_since
+            since = self._views[name].unavailable_since
             if since is not None and now < since + self._table.patience_s:
                 return False
         return True
@@ -184,20 +193,24 @@
 
         Found by exploration: before anyone spoke, a drain that one had told of was not kept.
         """
-        told = dict(self._before if self.speaker is None else self._views[self.speaker].entries)
+        told = dict(
+            self._initial_entries
+            if self.current_source is None
+            else self._views[self.current_source].entries
+        )
         by_address: dict[object, str] | None = None
         for name, view in self._views.items():
-            if name == self.speaker:
+            if name == self.current_source:
                 continue
-            for plan in view.plans.values():
+            for plan in view.removals.values():
                 if by_address is None:
                     by_address = {entry.address: other for other, entry in told.items()}
-                _apply(plan, told, by_address, wall)
+                _apply_removal(plan, told, by_address, wall)
         return told
 
 
-def _apply(
-    plan: _Plan, told: dict[str, Entry], by_address: Mapping[object, str], wall: float
+def _apply_removal(
+    plan: _PlannedRemoval, told: dict[str, Entry], by_address: Mapping[object, str], wall: float
 ) -> None:
     for name in {plan.entry.instance, by_address.get(plan.entry.address)}:
         entry = told.get(name) if name is not None else None
@@ -212,7 +225,7 @@
         # Who is gone may be told of after another one has started at its address.
         elif (
             entry.instance == plan.entry.instance
-            or entry.started_at <= plan.entry.started_at + SAME_START
+            or entry.started_at <= plan.entry.started_at + START_TOLERANCE_MS
         ):
             del told[entry.instance]
 
--- a/violetroute/membership/native.py
+++ b/violetroute/membership/native.py
@@ -10,20 +10,20 @@
 from violetroute.transport import Address, Network
 
 from .entries import Listing
-from .list_reader import LINE_LIMIT, Broken, ListReader, Lists
+from .list_reader import LINE_LIMIT, ListReader, ObjectSplitter, WatchError
 
 # What a watch misses counts as told 6 s after it fell silent, and a change 6 s after discovery had
 # it and could be reached: each wait here, the module's own before it asks again and the next answer
 # have to fit in them, whatever comes in between.
-CONNECT = 1.5  # s until a connection stands: one lost packet is sent again after 1 s
+CONNECT_TIMEOUT = 1.5  # s until a connection stands: one lost packet is sent again after 1 s
 CALL_TIMEOUT = 2.5  # s from a call's begin to its first line; discovery itself lets it wait 1 to 2
-SILENCE = 2.7  # s without a whole line, in however many bytes; an empty one comes every 2 s
+LINE_TIMEOUT = 2.7  # s without a whole line, in however many bytes; an empty one comes every 2 s
 READ_SIZE = 16 * 1024  # bytes read at once, into a buffer that all watches share
 
 _shared = memoryview(bytearray(READ_SIZE))
 
 
-class Follower(Interface):
+class ListObserver(Interface):
     """What the watch knows of the proxy."""
 
     def list_changed(self, listing: Listing) -> None: ...
@@ -31,17 +31,17 @@
         """The watch has ended; `silent`: it stood, and nothing came any more."""
 
 
-class Watch:
+class DiscoveryWatch:
     """One watch at a time; its end is told once, and asking again is not decided here."""
 
-    def __init__(self, follower: Follower, address: Address, net: Network) -> None:
-        self._follower, self._address, self._net = follower, address, net
-        self._call: Call | None = None
+    def __init__(self, observer: ListObserver, address: Address, net: Network) -> None:
+        self._observer, self._address, self._net = observer, address, net
+        self._call: DiscoveryCall | None = None
         self._reader = ListReader()
 
     def start(self, since: int) -> None:
         self.stop()
-        self._call = Call(self._follower, self._net, self._address, since, self._reader)
+        self._call = DiscoveryCall(self._observer, self._net, self._address, since, self._reader)
 
     def stop(self) -> None:
         if self._call is not None:
@@ -49,22 +49,22 @@
             self._call = None
 
 
-class Call:
+class DiscoveryCall:
     """One call to discovery, from the connect until its end is told or it is called off."""
 
     def __init__(
-        self, follower: Follower, net: Network, address: Address, since: int, reader: ListReader
+        self, observer: ListObserver, net: Network, address: Address, since: int, reader: ListReader
     ) -> None:
-        self._follower, self._loop = follower, net.loop
+        self._observer, self._loop = observer, net.loop
         self._address, self._since = address, since
         self._http = h11.Connection(h11.CLIENT)
         self._line = bytearray()
-        self._lists, self._reader = Lists(), reader
+        self._splitter, self._reader = ObjectSplitter(), reader
         self._told = self._over = False
         self._line_until = net.loop.time() + CALL_TIMEOUT
         self._timer = net.loop.call_at(self._line_until, self._look)
         # Ahead of clients: after a pause, what is read with a drain has to keep it.
-        self._stream = net.connect(address, self, CONNECT, first=True)
+        self._stream = net.connect(address, self, CONNECT_TIMEOUT, first=True)
 
     def stop(self) -> None:
         """Nothing more is told."""
@@ -81,9 +81,9 @@
         if self._over:
             return
         self.stop()
-        kind = "" if isinstance(reason, str | Broken) else f"{type(reason).__name__}: "
+        kind = "" if isinstance(reason, str | WatchError) else f"{type(reason).__name__}: "
         logs.event("discovery.watch_ended", reason=f"{kind}{reason}")
-        self._follower.list_failed(silent)
+        self._observer.list_failed(silent)
 
     def _look(self) -> None:
         if self._loop.time() >= self._line_until:
@@ -132,7 +132,7 @@
                 return False
             case h11.Response(status_code=status):
                 if status != 200:
-                    raise Broken(f"discovery answered {status}")
+                    raise WatchError(f"discovery answered {status}")
             case h11.Data(data=data):
                 self._line += data
                 while not self._over and (end := self._line.find(b"\n")) >= 0:
@@ -140,20 +140,20 @@
                     del self._line[: end + 1]
                     self._take(line)
                 if len(self._line) > LINE_LIMIT:
-                    raise Broken("line too long")
+                    raise WatchError("line too long")
             case h11.EndOfMessage() | h11.ConnectionClosed() | h11.PAUSED:
-                raise Broken("discovery ended the watch")
+                raise WatchError("discovery ended the watch")
             case _:
                 pass  # informational answers
         return True
 
     def _take(self, line: bytes) -> None:
-        text = self._lists.line(line)
+        text = self._splitter.feed(line)
         if text is None:
             return
-        self._line_until = self._loop.time() + SILENCE
+        self._line_until = self._loop.time() + LINE_TIMEOUT
         listing = self._reader.read(text) if text else None
         first, self._told = not self._told, True
         # The first answer is told even when nothing changed: the module waits for it.
         if listing is not None or first:
-            self._follower.list_changed(listing or Listing(self._since, False, ()))
+            self._observer.list_changed(listing or Listing(self._since, False, ()))
--- a/violetroute/membership/query.py
+++ b/violetroute/membership/query.py
@@ -13,20 +13,22 @@
 
 from .table import ConsulTable
 
-JITTER = 16  # a server adds up to a 16th of the wait
-RETRY_MOST = 60.0  # s for which a server's Retry-After is heeded
+WAIT_JITTER_DIVISOR = 16  # a server adds up to a 16th of the wait
+MAX_RETRY_AFTER = 60.0  # s for which a server's Retry-After is heeded
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class UnusableAnswer:
     """An answer that tells nothing of the nodes."""
 
     reason: str
     wait: float = 0.0  # s before which not to ask again
-    plans: bool = False  # it is whole but old: what it says of drains was true when it was said
+    drains_valid: bool = (
+        False  # it is whole but old: what it says of drains was true when it was said
+    )
 
 
-class Query:
+class BlockingQuery:
     """The asks of one watch."""
 
     def __init__(self, table: ConsulTable) -> None:
@@ -34,9 +36,9 @@
         self.index = 0
 
     @property
-    def longest(self) -> float:
+    def max_wait(self) -> float:
         """Seconds that an answer may take to begin."""
-        return self._table.wait_s * (1.0 + 1.0 / JITTER) if self.index else 0.0
+        return self._table.wait_s * (1.0 + 1.0 / WAIT_JITTER_DIVISOR) if self.index else 0.0
 
     def target(self, confirm: bool = False) -> str:
         """Path and parameters.  `confirm`: the leader's word, at once."""
@@ -60,24 +62,24 @@
         path = f"/v1/{table.endpoint}/service/{quote(table.service, safe='')}"
         return f"{path}?{text.lstrip('&')}".rstrip("?")
 
-    def answered(self, status: int, headers: Mapping[str, str]) -> Refused | None:
+    def answered(self, status: int, headers: Mapping[str, str]) -> UnusableAnswer | None:
         """None: its body counts.  Header names in small letters."""
         table = self._table
         if status != 200:
-            return Refused(
+            return UnusableAnswer(
                 f"answered {status}",
                 _retry(headers.get("retry-after", "")) if status in (429, 503) else 0.0,
             )
         if headers.get("x-consul-knownleader", "true").lower() == "false":
-            return Refused("no leader", plans=True)
+            return UnusableAnswer("no leader", drains_valid=True)
         if headers.get("x-consul-results-filtered-by-acls", "").lower() == "true":
-            return Refused("the token may not see all of it", plans=True)
+            return UnusableAnswer("the token may not see all of it", drains_valid=True)
         contact = headers.get("x-consul-lastcontact", "0")
         if contact.isdecimal() and int(contact) > table.stale_within_s * 1000.0:
-            return Refused(f"{contact} ms old", plans=True)
+            return UnusableAnswer(f"{contact} ms old", drains_valid=True)
         age = headers.get("age", "0") if table.cached else "0"  # s, of the agent's cache
         if age.isdecimal() and (len(age) > 9 or int(age) > table.stale_within_s):
-            return Refused(f"{age[:12]} s old in the agent's cache", plans=True)
+            return UnusableAnswer(f"{age[:12]} s old in the agent's cache", drains_valid=True)
         text = headers.get("x-consul-index", "0")
         index = int(text) if text.isdecimal() and len(text) < 20 else 0
         self.index = 0 if index < self.index or index < 1 else index
@@ -86,4 +88,4 @@
 
 def _retry(text: str) -> float:
     """Retry-After in seconds; a date is not used by Consul, and counts as nothing."""
-    return min(RETRY_MOST, float(text)) if text.isdecimal() and len(text) < 10 else 0.0
+    return min(MAX_RETRY_AFTER, float(text)) if text.isdecimal() and len(text) < 10 else 0.0
--- a/violetroute/membership/source.py
+++ b/violetroute/membership/source.py
@@ -15,12 +15,12 @@
 from .consul import ConsulWatch
 from .entries import Entry, Listing
 from .file import FileWatch
-from .native import Follower, Watch
-from .sources import Sources, Watching
+from .native import DiscoveryWatch, ListObserver
+from .sources import MergedSources, SourceWatch
 from .table import ConsulTable, MembershipTable
 
 
-class Tables(Protocol):
+class SourceSettings(Protocol):
     """What is read of the operator's file."""
 
     @property
@@ -29,7 +29,7 @@
     def consul(self) -> ConsulTable: ...
 
 
-class Roster:
+class NodeNames:
     """Names across a change of source.  Pure.
 
     Two sources may call one node differently. Told as another node it would be new, cold and
@@ -39,36 +39,36 @@
     """
 
     def __init__(self) -> None:
-        self._here: dict[str, Entry] = {}  # by the name that is told on
-        self._called: dict[str, str] = {}  # what the source says: what is told on
+        self._entries_by_name: dict[str, Entry] = {}  # by the name that is told on
+        self._name_map: dict[str, str] = {}  # what the source says: what is told on
         self._new_source = False
 
-    def changes_source(self) -> None:
+    def expect_new_source(self) -> None:
         """The next whole list is another source's first."""
         self._new_source = True
 
     @property
-    def here(self) -> list[Entry]:
+    def current_entries(self) -> list[Entry]:
         """The list as it was told on last."""
-        return list(self._here.values())
+        return list(self._entries_by_name.values())
 
-    def take(self, listing: Listing) -> Listing:
+    def translate(self, listing: Listing) -> Listing:
         """The list under the names that are told on."""
         if listing.whole and self._new_source:
             self._new_source = False
-            at = {entry.address: name for name, entry in self._here.items()}
+            at = {entry.address: name for name, entry in self._entries_by_name.items()}
             taken = {entry.instance for entry in listing.entries}
-            self._called = {
+            self._name_map = {
                 entry.instance: at[entry.address]
                 for entry in listing.entries
                 if entry.address in at
-                and entry.instance not in self._here
+                and entry.instance not in self._entries_by_name
                 and at[entry.address] not in taken
             }
         elif self._new_source:  # drains ahead of its first whole list, of nodes by any name
-            at = {entry.address: name for name, entry in self._here.items()}
+            at = {entry.address: name for name, entry in self._entries_by_name.items()}
             unknown = [
-                entry.state is CacheState.DRAINING and entry.instance not in self._here
+                entry.state is CacheState.DRAINING and entry.instance not in self._entries_by_name
                 for entry in listing.entries
             ]
             listing = replace(
@@ -80,19 +80,19 @@
                     for entry, new in zip(listing.entries, unknown, strict=True)
                 ),
             )
-        if not self._called:  # names are told on as they are
+        if not self._name_map:  # names are told on as they are
             if listing.whole:
-                self._here = {}
+                self._entries_by_name = {}
             for entry in listing.entries:
                 if entry.state is CacheState.GONE:
-                    self._here.pop(entry.instance, None)
+                    self._entries_by_name.pop(entry.instance, None)
                 else:
-                    self._here[entry.instance] = entry
+                    self._entries_by_name[entry.instance] = entry
             return listing
         told = []
-        here = {} if listing.whole else self._here
+        here = {} if listing.whole else self._entries_by_name
         for entry in listing.entries:
-            name = self._called.get(entry.instance, entry.instance)
+            name = self._name_map.get(entry.instance, entry.instance)
             named = (
                 entry if name == entry.instance else msgspec.structs.replace(entry, instance=name)
             )
@@ -101,7 +101,7 @@
                 here.pop(name, None)  # it keeps its name for when it comes back
             else:
                 here[name] = named
-        self._here = here
+        self._entries_by_name = here
         return Listing(listing.generation, listing.whole, tuple(told))
 
 
@@ -114,51 +114,53 @@
 
     def __init__(
         self,
-        follower: Follower,
+        observer: ListObserver,
         net: Network,
         discovery: Address,
-        operator: Tables,
+        operator: SourceSettings,
         clock: Callable[[], float],
     ) -> None:
-        self._follower, self._net, self._clock = follower, net, clock
+        self._observer, self._net, self._clock = observer, net, clock
         self._discovery, self._operator = discovery, operator
-        self._roster = Roster()
-        self._watch = self._made()
+        self._names = NodeNames()
+        self._watch = self._create_watch()
 
-    def _made(self, before: Watching | None = None) -> Watching:
-        names = order(self._operator)
+    def _create_watch(self, before: SourceWatch | None = None) -> SourceWatch:
+        names = source_order(self._operator)
         if len(names) == 1:
-            return self._one(names[0], self)
-        several = Sources(
+            return self._create_source(names[0], self)
+        several = MergedSources(
             self,
             self._net.loop,
             self._clock,
-            {name: partial(self._one, name) for name in names},
+            {name: partial(self._create_source, name) for name in names},
             self._operator.membership,
         )
-        several.begin(self._roster.here, before if isinstance(before, Sources) else None)
+        several.set_initial_list(
+            self._names.current_entries, before if isinstance(before, MergedSources) else None
+        )
         return several
 
-    def _one(self, name: str, follower: Follower) -> Watching:
+    def _create_source(self, name: str, observer: ListObserver) -> SourceWatch:
         if name == "consul":
-            return ConsulWatch(follower, self._operator.consul, self._net, self._clock)
+            return ConsulWatch(observer, self._operator.consul, self._net, self._clock)
         if name == "file":
             table = self._operator.membership
-            return FileWatch(follower, table.file, table.file_every_s, self._net)
-        return Watch(follower, self._discovery, self._net)
+            return FileWatch(observer, table.file, table.file_every_s, self._net)
+        return DiscoveryWatch(observer, self._discovery, self._net)
 
     @property
-    def followed(self) -> object:
+    def active_watch(self) -> object:
         """The watch in use: another one after a move."""
         return self._watch
 
-    def move(self, discovery: Address, operator: Tables) -> bool:
+    def reconfigure(self, discovery: Address, operator: SourceSettings) -> bool:
         """Where lists come from from now on; whether that is elsewhere.
 
         What was told holds until the new source has told its first list. The old one's end is not
         told: the module learns of the move instead.
         """
-        before, now = order(self._operator), order(operator)
+        before, now = source_order(self._operator), source_order(operator)
         same = (
             before == now
             and operator.membership == self._operator.membership
@@ -170,8 +172,8 @@
             return False
         self._watch.stop()
         if before != now:
-            self.changes_source()
-        self._watch = self._made(self._watch)
+            self.expect_new_source()
+        self._watch = self._create_watch(self._watch)
         return True
 
     def start(self, since: int) -> None:
@@ -181,25 +183,25 @@
         self._watch.stop()
 
     # --- from the watch ---
-    def changes_source(self) -> None:
-        self._roster.changes_source()
+    def expect_new_source(self) -> None:
+        self._names.expect_new_source()
 
     def list_changed(self, listing: Listing) -> None:
-        self._follower.list_changed(self._roster.take(listing))
+        self._observer.list_changed(self._names.translate(listing))
 
     def list_failed(self, silent: bool = False) -> None:
-        self._follower.list_failed(silent)
+        self._observer.list_failed(silent)
 
-    def known(self, listing: Listing) -> Listing:
+    def adopt_initial_list(self, listing: Listing) -> Listing:
         """What the platform handed over at the start, so that its names last."""
-        known = self._roster.take(replace(listing, whole=True))
-        if isinstance(self._watch, Sources):
-            self._watch.begin(self._roster.here)
-        if order(self._operator) != ("platform",):
-            self.changes_source()
+        known = self._names.translate(replace(listing, whole=True))
+        if isinstance(self._watch, MergedSources):
+            self._watch.set_initial_list(self._names.current_entries)
+        if source_order(self._operator) != ("platform",):
+            self.expect_new_source()
         return known
 
 
-def order(operator: Tables) -> tuple[str, ...]:
+def source_order(operator: SourceSettings) -> tuple[str, ...]:
     """The sources by precedence."""
     return operator.membership.sources or (("consul",) if operator.consul.agents else ("platform",))
--- a/violetroute/membership/staleness.py
+++ b/violetroute/membership/staleness.py
@@ -25,8 +25,8 @@
 from .entries import Entry
 from .table import ConsulTable
 
-FLAPS_HALVE = 60.0  # s
-CALM = 1.5  # goings, weighed by age, up to which a return is believed at once
+FLAP_HALF_LIFE = 60.0  # s
+TOLERATED_FLAPS = 1.5  # goings, weighed by age, up to which a return is believed at once
 
 
 @dataclass(slots=True)
@@ -41,27 +41,27 @@
     entry_of: Instance | None = None  # what it was made of
 
 
-class Belief:
+class CatalogueState:
     """The nodes of one service.  Times are the loop's, in s; `wall` is Unix ms."""
 
     def __init__(self, table: ConsulTable) -> None:
         self.table = table
         self._known: dict[str, _Known] = {}
         self._heard = False
-        self.panics = False  # more than the floor is critical
-        self.doubted = 0  # that vanished in the last answer and are kept until it is confirmed
-        self.emptied = False  # the last answer had none
+        self.panic_mode = False  # more than the floor is critical
+        self.unconfirmed = 0  # that vanished in the last answer and are kept until it is confirmed
+        self.answer_empty = False  # the last answer had none
 
-    def take(
+    def apply(
         self, now: float, wall: float, seen: Mapping[str, Instance], confirmed: bool = False
     ) -> bool:
         """One answer.  Whether it has to be confirmed: asked again, of the leader."""
         gone = [name for name in self._known if name not in seen]
-        self.doubted, self.emptied = 0, bool(self._known) and not seen
+        self.unconfirmed, self.answer_empty = 0, bool(self._known) and not seen
         if gone and (
-            self.emptied or (len(gone) > self.table.floor * len(self._known) and not confirmed)
+            self.answer_empty or (len(gone) > self.table.floor * len(self._known) and not confirmed)
         ):
-            self.doubted = len(gone)
+            self.unconfirmed = len(gone)
         else:
             for name in gone:
                 del self._known[name]
@@ -69,7 +69,7 @@
             known = self._known.get(name)
             # Of thousands one has changed: the reader hands out the same record for the others.
             if known is None or known.instance is not instance:
-                self._one(now, wall, name, instance)
+                self._update_node(now, wall, name, instance)
         self._heard = True
         here = [
             known
@@ -77,10 +77,10 @@
             if name in seen and known.instance.health is not Health.DRAINS
         ]
         sick = sum(known.instance.health is Health.CRITICAL for known in here)
-        self.panics = sick > self.table.floor * len(here)
-        return bool(self.doubted) and not confirmed
+        self.panic_mode = sick > self.table.floor * len(here)
+        return bool(self.unconfirmed) and not confirmed
 
-    def plans(self, seen: Mapping[str, Instance]) -> list[Entry]:
+    def apply_drains(self, seen: Mapping[str, Instance]) -> list[Entry]:
         """Keep the drains of an answer that is otherwise not believed.
 
         Returns those of nodes that are not known yet, since no answer counted so far: they are on
@@ -99,7 +99,7 @@
                 others.append(_entry(name, known, CacheState.DRAINING))
         return others
 
-    def _one(self, now: float, wall: float, name: str, instance: Instance) -> None:
+    def _update_node(self, now: float, wall: float, name: str, instance: Instance) -> None:
         known = self._known.get(name)
         if known is None:
             # Those of the first answer may have been there for long, as far as it tells.
@@ -121,18 +121,18 @@
             if away >= self.table.cold_after_s and not instance.started_at:
                 known.started_at = wall
             flaps = self._flaps(known, now)
-            if flaps > CALM:
+            if flaps > TOLERATED_FLAPS:
                 wait = self.table.return_s * 2.0 ** (flaps - 2.0)
                 known.back_at = now + min(self.table.return_most_s, wait)
 
     def _flaps(self, known: _Known, now: float) -> float:
-        return known.flaps * float(2.0 ** ((known.flapped_at - now) / FLAPS_HALVE))
+        return known.flaps * float(2.0 ** ((known.flapped_at - now) / FLAP_HALF_LIFE))
 
-    def knows(self, name: str) -> bool:
+    def is_registered(self, name: str) -> bool:
         """Whether it is registered, healthy or not."""
         return name in self._known
 
-    def due(self, now: float) -> float | None:
+    def next_change_at(self, now: float) -> float | None:
         """When `entries` changes by itself: the next return that is waited for."""
         times = [known.back_at for known in self._known.values() if known.back_at > now]
         return min(times, default=None)
@@ -149,7 +149,7 @@
         health = known.instance.health
         if health is Health.DRAINS:
             return CacheState.DRAINING
-        if self.panics:
+        if self.panic_mode:
             return CacheState.READY
         if health is Health.CRITICAL or known.back_at > now:
             return CacheState.GONE
@@ -179,7 +179,7 @@
     return entry
 
 
-class Differences:
+class PendingUpdates:
     """What is still to be told of a belief."""
 
     def __init__(self) -> None:
@@ -187,11 +187,13 @@
         self._hints: dict[str, Entry] = {}  # gone by their health, and still registered
 
     @property
-    def begun(self) -> bool:
+    def full_list_sent(self) -> bool:
         """Whether a first whole list has been told."""
         return self._told is not None
 
-    def of(self, belief: Belief, now: float, again: bool = False) -> tuple[bool, list[Entry]]:
+    def collect(
+        self, belief: CatalogueState, now: float, again: bool = False
+    ) -> tuple[bool, list[Entry]]:
         """Whether it is the whole list, and what has to be told.
 
         `again`: a new answer says so, also where it says the same. A drain in it counts anew: in
@@ -208,13 +210,13 @@
                 if entry.state is CacheState.DRAINING and before.get(name) == entry
             ]
         for entry in found:
-            if entry.state is CacheState.GONE and belief.knows(entry.instance):
+            if entry.state is CacheState.GONE and belief.is_registered(entry.instance):
                 entry = self._hints[entry.instance] = msgspec.structs.replace(entry, hint=True)
             told.append(entry)
         for name in list(self._hints):
             if name in entries:
                 del self._hints[name]
-            elif not belief.knows(name):  # deregistered while it was left out already
+            elif not belief.is_registered(name):  # deregistered while it was left out already
                 told.append(msgspec.structs.replace(self._hints.pop(name), hint=False))
         self._told = entries
         return whole, told
--- a/violetroute/proxy.py
+++ b/violetroute/proxy.py
@@ -36,7 +36,7 @@
 from .config import Config
 from .deadlines import Deadlines
 from .listing import ListApplier, log_step, tell_placement
-from .membership import Listing, Membership, Places, stable_hash
+from .membership import Listing, Membership, NodeAddresses, stable_hash
 from .parts import Parts
 from .placement import Keeper
 from .pulse import Pulse
@@ -58,7 +58,7 @@
         self.clock = self._time.now
         self._open: dict[int, OpenRequest] = {}
         self._named: dict[bytes, OpenRequest] = {}  # those not yet answered, by the client's id
-        self.places = Places()
+        self.places = NodeAddresses()
         self._last_id = 0
         self.deadlines = Deadlines(loop, self._out_of_time, self._open)
         self._generation = 0
@@ -70,7 +70,7 @@
         self._balancer = Balancer(config.settings, config.seed, self.clock())
         self.judged = self._balancer.judged  # what came of requests, for who tells others
         self._settings = config.settings
-        self._beliefs = Beliefs(loop.time, self.places.name)
+        self._beliefs = Beliefs(loop.time, self.places.describe)
         self._classes = {c.name: c for c in config.settings.classes}
         self._arrivals = Arrivals(
             loop, self._turns, self.clock, self._balancer, self.parts, self._refusals
@@ -83,7 +83,7 @@
         self._watch = Membership(self, net, config.discovery, config.operator, self.clock)
         self._placement = Keeper(loop, net.wall, self._tell_sizes)
         self._placement.take(config.plan, config.operator.placement)
-        self._tell_list(self._watch.known(config.known), ListKind.CACHED)
+        self._tell_list(self._watch.adopt_initial_list(config.known), ListKind.CACHED)
 
     @property
     def open_requests(self) -> int:
@@ -106,7 +106,7 @@
     @property
     def follows(self) -> object:
         """What tells of nodes: another one when `reload` has moved."""
-        return self._watch.followed
+        return self._watch.active_watch
 
     @property
     def generation(self) -> int:
@@ -156,7 +156,7 @@
                 key,
                 command.value is not None,
                 command.tenant,
-                self._slots.owner(command.key, self.places.at),
+                self._slots.owner(command.key, self.places.ready_node_at),
             ),
         )
         self._forget(request)  # it may have been refused at once
@@ -198,7 +198,7 @@
             self._slots.served(attempt.command.key, self._pool.address(attempt.cache_id))
         if redirect is not None:
             self._slots.learn(redirect)
-            to = None if redirect.address is None else self.places.at(redirect.address)
+            to = None if redirect.address is None else self.places.ready_node_at(redirect.address)
         self._tell(
             request,
             self._balancer.on_outcome,
@@ -234,7 +234,7 @@
             self._arrivals.classes = self._classes
             self._tell(None, self._balancer.on_settings, config.settings)
         self._placement.take(config.plan, config.operator.placement)
-        if self._watch.move(config.discovery, config.operator):
+        if self._watch.reconfigure(config.discovery, config.operator):
             self._generation = 0  # another discovery's versions may mean something else
             self._tell(None, self._balancer.on_discovery_moved)
 
--- a/violetroute/sharing/introspection.py
+++ b/violetroute/sharing/introspection.py
@@ -49,7 +49,7 @@
     return {
         "nodes": [
             {
-                "node": sharing.host.places.name(node),
+                "node": sharing.host.places.describe(node),
                 "witnesses": witnesses,
                 "trouble": round(share, 3),
                 "own_trouble": round(own, 3),
--- a/violetroute/sharing/service.py
+++ b/violetroute/sharing/service.py
@@ -20,7 +20,7 @@
 
 from snowstall import Judged, Member, Result
 from violetroute import logs
-from violetroute.membership import Places
+from violetroute.membership import NodeAddresses
 from violetroute.transport import Address, Network, parse_address
 
 from . import wire
@@ -44,7 +44,7 @@
 class Host(Protocol):
     """What the proxy is asked for."""
 
-    places: Places
+    places: NodeAddresses
     judged: deque[Judged]  # what came of its own requests, until it is taken out
 
     def others(self, bad: list[int], outcomes: list[Judged]) -> None:
@@ -228,7 +228,7 @@
         done = self.rounds.next(now, up, host.judged, self.budgets, self.members.twin is not None)
         host.judged.clear()
         for node in done.new:
-            logs.event("sharing.avoided", node=host.places.name(node))
+            logs.event("sharing.avoided", node=host.places.describe(node))
         if done.bad or done.ended or done.outcomes:
             host.others(done.bad, done.outcomes)
         for report in done.reports:
