--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -38,11 +38,11 @@
 from limebridge.ledger.sketch import STRATA, STRATUM, Sketch, Strata, mix
 from limebridge.virtual.ledger import Trial, play
 from violetroute.ledger.accounts import Batch, Book
+from violetroute.ledger.counters import UsageCounters
 from violetroute.ledger.export import json_lines
 from violetroute.ledger.files import Folder
 from violetroute.ledger.periods import Periods
 from violetroute.ledger.store import Store
-from violetroute.ledger.tally import Tally
 
 START = 1_700_000_100
 TURNS = 8
@@ -126,7 +126,7 @@
     made.rewrite(book.checkpoint())
 
     def flush(units: dict[tuple[int, str | None, str], int]) -> None:
-        records = book.counted(START, units)
+        records = book.usage_records(START, units)
         for record in records:
             book.apply(record)
         made.commit(records, {}, ())
@@ -158,20 +158,20 @@
 def memory(tenants: int = 100_000) -> dict[str, object]:
     """Bytes of tally and book as tenants are ever new, 500 regular ones among them."""
     tracemalloc.start()
-    tally, book = Tally(2000), Book(Periods("UTC", 15))
+    counters, book = UsageCounters(2000), Book(Periods("UTC", 15))
     for regular in range(500):
-        tally.add(START - 900, f"regular{regular}", "lookup", b"")
+        counters.add(START - 900, f"regular{regular}", "lookup", b"")
     marks = []
     for number in range(tenants):
-        tally.add(START, f"made-up-{number}", "lookup", b"")
+        counters.add(START, f"made-up-{number}", "lookup", b"")
         if number % 100 == 0:
-            tally.add(START, f"regular{number // 100 % 500}", "lookup", b"")
+            counters.add(START, f"regular{number // 100 % 500}", "lookup", b"")
         if number % (tenants // 4) == tenants // 4 - 1:
-            for record in book.counted(START, tally.take()[0]):
+            for record in book.usage_records(START, counters.collect()[0]):
                 book.apply(record)
             marks.append(round(tracemalloc.get_traced_memory()[0] / 1024))
     tracemalloc.stop()
-    named = {tenant for tenant, _ in book.counts[START] if tenant is not None}
+    named = {tenant for tenant, _ in book.unbatched_units[START] if tenant is not None}
     # On paper: 500 tenants by 5 classes by 96 periods a day, 400 days, 710 proxies.
     batch = Batch(
         1,
@@ -185,7 +185,7 @@
         "kib": marks,
         "named": len(named),
         "regulars_kept": sum(name.startswith("regular") for name in named),
-        "units": book.units(START),
+        "units": book.total_units(START),
         "period_bytes": packed,
         "gb_a_proxy_400_days": round(packed * 96 * 400 / 1e9, 3),
         "held": marks[-1] <= marks[0] * 1.2,
--- a/limebridge/faults/billed.py
+++ b/limebridge/faults/billed.py
@@ -22,7 +22,7 @@
 from violetroute.fleet.settlement import KEYS_MOST
 from violetroute.ledger.files import Folder
 from violetroute.ledger.periods import Periods
-from violetroute.ledger.store import SIGNED
+from violetroute.ledger.store import SIGNED_PREFIX
 from violetroute.ledger.table import LedgerTable
 
 from .daemon import Daemon
@@ -130,7 +130,7 @@
         for daemon in self.daemons:
             if any(difference.proxy == daemon.name for difference in found.differences):
                 Folder(self.ledgers / daemon.name).put(
-                    f"{SIGNED}0.json", corrections(found, daemon.name, "the operator")
+                    f"{SIGNED_PREFIX}0.json", corrections(found, daemon.name, "the operator")
                 )
         self.history.notes.append(
             f"{sum(served.values())} served, {found.short} short, {found.moved} moved"
--- a/limebridge/ledger/command.py
+++ b/limebridge/ledger/command.py
@@ -14,7 +14,7 @@
 
 from violetroute.ledger.files import Folder
 from violetroute.ledger.periods import Periods
-from violetroute.ledger.store import SIGNED
+from violetroute.ledger.store import SIGNED_PREFIX
 
 from .reading import Reading, dry_run, read
 from .reading import verify as verify_reading
@@ -224,7 +224,7 @@
     if not by.strip() or not by.isprintable():
         _stop("--by: nobody")
     body = json.dumps({"by": by.strip(), "lines": lines}, ensure_ascii=False).encode()
-    name = f"{SIGNED}{hashlib.sha256(body).hexdigest()[:16]}.json"
+    name = f"{SIGNED_PREFIX}{hashlib.sha256(body).hexdigest()[:16]}.json"
     if not folder.is_dir():
         _stop(f"{folder}: no ledger")
     Folder(folder).put(name, body)
--- a/limebridge/ledger/kills.py
+++ b/limebridge/ledger/kills.py
@@ -28,7 +28,7 @@
 from limebridge.standins.wire import command, read_answer
 from violetroute.ledger.files import Folder
 from violetroute.ledger.periods import Periods
-from violetroute.ledger.store import SIGNED
+from violetroute.ledger.store import SIGNED_PREFIX
 
 from .reconcile import Found, Line, corrections, read_served, reconcile
 
@@ -202,7 +202,7 @@
         for name in PROXIES:
             if any(d.proxy == name for d in report.before.differences):
                 Folder(folder / "ledgers" / name).put(
-                    f"{SIGNED}0.json", corrections(report.before, name, "the operator")
+                    f"{SIGNED_PREFIX}0.json", corrections(report.before, name, "the operator")
                 )
         report.after = await field_.equal(report.served)
         report.posts = field_.billing.posts
--- a/limebridge/ledger/reading.py
+++ b/limebridge/ledger/reading.py
@@ -10,7 +10,7 @@
 from violetroute.ledger.export import json_lines
 from violetroute.ledger.frames import decode
 from violetroute.ledger.periods import Periods
-from violetroute.ledger.store import archived
+from violetroute.ledger.store import read_archive_frames
 
 from .reconcile import Exported
 
@@ -42,7 +42,7 @@
         for batch in self.book.batches.values():
             for tenant, cls, units in batch.lines:
                 add(batch.period, tenant, cls, units)
-        for period, of in self.book.counts.items():
+        for period, of in self.book.unbatched_units.items():
             for (tenant, cls), units in of.items():
                 add(period, tenant, cls, units)
         return found
@@ -65,21 +65,21 @@
             for record in found.records:
                 reading.book.apply(record)
             reading.file = path.name
-            if found.wrong:
+            if found.error:
                 reading.notes.append(
-                    f"{path.name}: {found.wrong}, {len(data) - found.good} bytes "
+                    f"{path.name}: {found.error}, {len(data) - found.valid_bytes} bytes "
                     "behind it are not believed"
                 )
             break
-        reading.notes.append(f"{path.name}: {found.wrong or 'no checkpoint'}")
+        reading.notes.append(f"{path.name}: {found.error or 'no checkpoint'}")
     else:
         raise ValueError(f"{folder}: no log that can be read")
     for batch in reading.book.batches.values():
-        if batch.away is not None:
+        if batch.spilled_units is not None:
             spilt = decode((folder / f"batch-{batch.seq}").read_bytes()).records
             reading.book.apply(["back", batch.seq, spilt[0][1] if spilt else []])
     for path in sorted(folder.glob("closed-*")):
-        for frame in archived(path.read_bytes()):
+        for frame in read_archive_frames(path.read_bytes()):
             reading.exported.add(frame.decode("utf-8", "replace"), path.name)
     return reading
 
@@ -90,14 +90,14 @@
     archived_units: Counter[int] = Counter()
     for (_, period, _, _), units in reading.exported.units.items():
         archived_units[period] += units
-    for period, units in book.billed.items():
+    for period, units in book.confirmed_units.items():
         if archived_units[period] != units:
             wrong.append(
                 f"period {period}: {units} units confirmed, {archived_units[period]} in the archive"
             )
     for batch in book.batches.values():
         if batch.state == "held":
-            wrong.append(f"{batch.key}: {batch.units} units held: {batch.why}")
+            wrong.append(f"{batch.key}: {batch.units} units held: {batch.reason}")
     for since, until, why in book.gaps:
         wrong.append(f"incomplete from {since:.1f} to {until:.1f}: {why}")
     for path in sorted(folder.glob("ids-*")):
@@ -106,8 +106,8 @@
         period = int(path.name[4:])
         data = path.read_bytes()
         ids = len({data[at : at + 8] for at in range(0, len(data) // 8 * 8, 8)})
-        if ids != book.units(period):
-            wrong.append(f"period {period}: {ids} ids and {book.units(period)} units")
+        if ids != book.total_units(period):
+            wrong.append(f"period {period}: {ids} ids and {book.total_units(period)} units")
     return wrong
 
 
--- a/limebridge/virtual/ledger.py
+++ b/limebridge/virtual/ledger.py
@@ -20,7 +20,7 @@
 from limebridge.standins.disk import CutDisk, PowerCut
 from violetroute.ledger import LedgerTable
 from violetroute.ledger.accounts import Book
-from violetroute.ledger.keeper import Ledger
+from violetroute.ledger.service import Ledger
 from violetroute.ledger.store import Store
 from violetroute.transport.writer import Job, Told
 
@@ -185,9 +185,9 @@
         tenant = f"t{int(self.rng.paretovariate(1.0)) % 80}"
         cls = self.rng.choice(("lookup", "optout", "template-save"))
         period = ledger._periods.of(self.wall())
-        before = dict(ledger._tally.units)
+        before = dict(ledger._counters.units)
         ledger.served(tenant, cls, b"%d" % self.rng.getrandbits(60))
-        (key,) = [key for key, count in ledger._tally.units.items() if before.get(key) != count]
+        (key,) = [key for key, count in ledger._counters.units.items() if before.get(key) != count]
         assert key[0] == period
         self.out.served[key] += 1
 
@@ -232,9 +232,9 @@
             if (
                 ledger is not None
                 and ledger.state == "open"
-                and not ledger._book.counts
-                and ledger._book.due is None
-                and not ledger._tally.units
+                and not ledger._book.unbatched_units
+                and ledger._book.next_batch is None
+                and not ledger._counters.units
             ):
                 break
         ledger, out = self.ledger, self.out
@@ -261,7 +261,7 @@
         """What is counted and not on the disk: the tally, and the book while writes fail."""
         ledger = self.ledger
         assert ledger is not None
-        self.out.at_risk += sum(ledger._tally.units.values())
+        self.out.at_risk += sum(ledger._counters.units.values())
         if ledger.state == "failed" and ledger._book.name:
             kept = Book(ledger._periods, TABLE.grace_s)
             Store(self.disk, NAME).open(kept)
@@ -291,9 +291,9 @@
 
 def _units(book: Book) -> int:
     return (
-        sum(book.billed.values())
+        sum(book.confirmed_units.values())
         + sum(batch.units for batch in book.batches.values())
-        + sum(sum(of.values()) for of in book.counts.values())
+        + sum(sum(of.values()) for of in book.unbatched_units.values())
     )
 
 
--- a/tests/limebridge/ledger/test_ledger_tools.py
+++ b/tests/limebridge/ledger/test_ledger_tools.py
@@ -103,9 +103,11 @@
 
 def test_a_batch_that_two_files_have_counts_once_and_one_that_differs_is_told() -> None:
     made = Book(PERIODS, 60.0)
-    for record in made.begin("p1", "n", START) + made.counted(START, {(START, "a", "c"): 3}):
+    for record in made.begin_records("p1", "n", START) + made.usage_records(
+        START, {(START, "a", "c"): 3}
+    ):
         made.apply(record)
-    for record in made.cut(START + 500):
+    for record in made.batch_records(START + 500):
         made.apply(record)
     text = json_lines(made.batches[1]).decode()
     found = Exported()
@@ -124,19 +126,21 @@
     files = Folder(folder)
     assert files.lock()
     store, made = Store(files, "p1"), Book(Periods("UTC", 15), 60.0)
-    records = made.begin("p1", "n", START)
+    records = made.begin_records("p1", "n", START)
     for record in records:
         made.apply(record)
     store.rewrite(made.checkpoint())
     period = Periods("UTC", 15).of(START)
-    log = made.counted(START, {(period, "acme", "lookup"): 3, (period, "[b]=x\n", "lookup"): 1})
+    log = made.usage_records(
+        START, {(period, "acme", "lookup"): 3, (period, "[b]=x\n", "lookup"): 1}
+    )
     for record in log:
         made.apply(record)
     for step in (
-        lambda: made.cut(START + 2000),
-        lambda: made.sends(1),
-        lambda: made.confirms(1),
-        lambda: made.counted(START, {(period + 900, "acme", "optout"): 2}),
+        lambda: made.batch_records(START + 2000),
+        lambda: made.sent_records(1),
+        lambda: made.confirmed_records(1),
+        lambda: made.usage_records(START, {(period + 900, "acme", "optout"): 2}),
     ):
         batch = made.batches.get(1)
         closed = [(batch.period, json_lines(batch))] if batch is not None else []
@@ -182,11 +186,11 @@
 def test_reconcile_writes_corrections_that_are_signed(tmp_path: Path) -> None:
     folder = ledger(tmp_path)
     made = Book(Periods("UTC", 15), 60.0)
-    for record in made.begin("p1", "n", START) + made.counted(
+    for record in made.begin_records("p1", "n", START) + made.usage_records(
         START, {(START, "acme", "lookup"): 3}
     ):
         made.apply(record)
-    for record in made.cut(START + 2000):
+    for record in made.batch_records(START + 2000):
         made.apply(record)
     (tmp_path / "out").mkdir()
     (tmp_path / "out" / "b.jsonl").write_bytes(json_lines(made.batches[1]))
--- a/tests/violetroute/fleet/test_fleet_guards.py
+++ b/tests/violetroute/fleet/test_fleet_guards.py
@@ -332,23 +332,23 @@
 def test_a_ledger_has_closed_what_is_over_counted_and_confirmed() -> None:
     book = Book(Periods("UTC", 5), grace_s=60.0)
     now = 3000.0
-    assert book.through(now) == 2700.0  # the period that began at 2,700 is open
-    assert book.through(3059.0) == 2700.0 and book.through(3060.0) == 3000.0
-    for record in book.counted(now, {(2400, "t", "c"): 3}):
+    assert book.closed_until(now) == 2700.0  # the period that began at 2,700 is open
+    assert book.closed_until(3059.0) == 2700.0 and book.closed_until(3060.0) == 3000.0
+    for record in book.usage_records(now, {(2400, "t", "c"): 3}):
         book.apply(record)
-    assert book.through(now) == 2400.0
-    for record in book.cut(now):
+    assert book.closed_until(now) == 2400.0
+    for record in book.batch_records(now):
         book.apply(record)
-    assert book.through(now) == 2400.0  # prepared, and not handed over
+    assert book.closed_until(now) == 2400.0  # prepared, and not handed over
     (seq,) = book.batches
     held = Book(Periods("UTC", 5), grace_s=60.0)
     held.apply(book.checkpoint())
-    for record in book.confirms(seq):
+    for record in book.confirmed_records(seq):
         book.apply(record)
-    assert book.through(now) == 2700.0
-    for record in held.holds(seq, "an operator has to look"):
+    assert book.closed_until(now) == 2700.0
+    for record in held.held_records(seq, "an operator has to look"):
         held.apply(record)
-    assert held.through(now) == 2700.0  # it holds up nobody
+    assert held.closed_until(now) == 2700.0  # it holds up nobody
 
 
 # --- the loop ---
--- a/tests/violetroute/ledger/test_ledger.py
+++ b/tests/violetroute/ledger/test_ledger.py
@@ -18,17 +18,17 @@
 from violetroute.config import ConfigError
 from violetroute.config.operator import parse_operator
 from violetroute.ledger import export, frames
-from violetroute.ledger.accounts import CLOSED_KEPT, Batch, Book
+from violetroute.ledger.accounts import MAX_CLOSED_PERIODS, Batch, Book
+from violetroute.ledger.counters import UsageCounters, shortened_tenant
 from violetroute.ledger.periods import Periods
-from violetroute.ledger.store import Foreign, Store, archived, compress
-from violetroute.ledger.tally import Tally, short
+from violetroute.ledger.store import ForeignLedgerError, Store, compress, read_archive_frames
 
 START = 1_700_000_100  # a cut of five minutes
 
 
 def book() -> Book:
     made = Book(Periods("UTC", 5), grace_s=60.0)
-    decide(made, made.begin("p1", "n", START))
+    decide(made, made.begin_records("p1", "n", START))
     return made
 
 
@@ -41,7 +41,7 @@
 def count(made: Book, at: float, **units: int) -> None:
     decide(
         made,
-        made.counted(
+        made.usage_records(
             at,
             {(int(at // 300) * 300, tenant, "lookup"): number for tenant, number in units.items()},
         ),
@@ -78,44 +78,54 @@
 def test_a_period_closes_after_its_grace_and_what_is_late_is_a_correction() -> None:
     made = book()
     count(made, START + 10, acme=3, zeta=1)
-    assert made.cut(START + 359) == []
-    decide(made, made.cut(START + 360))
-    first = made.due
+    assert made.batch_records(START + 359) == []
+    decide(made, made.batch_records(START + 360))
+    first = made.next_batch
     assert first is not None and first.kind == "period" and first.units == 4
     before = export.json_lines(first)
     count(made, START + 20, acme=2)  # the clock has stepped back
-    assert decide(made, made.cut(START + 21)) == []  # late ones are gathered for the grace
-    decide(made, made.cut(START + 381))
+    assert (
+        decide(made, made.batch_records(START + 21)) == []
+    )  # late ones are gathered for the grace
+    decide(made, made.batch_records(START + 381))
     late = list(made.batches.values())[1]
     assert (late.kind, late.period, late.lines) == ("correction", START, [("acme", "lookup", 2)])
-    assert export.json_lines(first) == before and made.units(START) == 6
+    assert export.json_lines(first) == before and made.total_units(START) == 6
     for batch in (first, late):
-        decide(made, made.sends(batch.seq) + made.confirms(batch.seq))
-    assert made.due is None and made.units(START) == 6 and made.last == late.key
+        decide(made, made.sent_records(batch.seq) + made.confirmed_records(batch.seq))
+    assert (
+        made.next_batch is None
+        and made.total_units(START) == 6
+        and made.last_confirmed_key == late.key
+    )
 
 
 def test_a_process_that_was_killed_is_named_as_a_gap_and_one_that_ended_is_not() -> None:
     made = book()
-    decide(made, made.alive(START + 50))
-    decide(made, made.begin("p1", "m", START + 80))
+    decide(made, made.heartbeat_records(START + 50))
+    decide(made, made.begin_records("p1", "m", START + 80))
     assert made.gaps == [(START + 50, START + 80, "its process was killed")]
-    decide(made, made.ends(START + 90))
-    decide(made, made.begin("p1", "o", START + 95))
+    decide(made, made.end_records(START + 90))
+    decide(made, made.begin_records("p1", "o", START + 95))
     assert len(made.gaps) == 1 and made.incarnation == 3
 
 
 def test_a_later_life_that_the_endpoint_knows_bills_nothing_twice() -> None:
     made = book()
     count(made, START + 10, acme=3)
-    decide(made, made.cut(START + 400))
+    decide(made, made.batch_records(START + 400))
     count(made, START + 310, acme=5)
     count(made, START + 610, acme=7)
-    decide(made, made.adopts("p1/9.x/4", [START, START + 300], START + 620))
+    decide(made, made.adopt_records("p1/9.x/4", [START, START + 300], START + 620))
     held = {batch.period: batch.state for batch in made.batches.values()}
-    assert held == {START: "held", START + 300: "held"} and made.due is None
-    assert made.last == "p1/9.x/4" and made.units(START + 600) == 7 and len(made.gaps) == 1
-    decide(made, made.cut(START + 1000))
-    assert made.due is not None and made.due.period == START + 600
+    assert held == {START: "held", START + 300: "held"} and made.next_batch is None
+    assert (
+        made.last_confirmed_key == "p1/9.x/4"
+        and made.total_units(START + 600) == 7
+        and len(made.gaps) == 1
+    )
+    decide(made, made.batch_records(START + 1000))
+    assert made.next_batch is not None and made.next_batch.period == START + 600
 
 
 def test_a_signed_correction_is_taken_once() -> None:
@@ -125,22 +135,22 @@
         (START, "zeta", "lookup", 1),
         (START + 300, None, "x", 4),
     ]
-    decide(made, made.signed("signed-1.json", "marta", lines))
+    decide(made, made.correction_records("signed-1.json", "marta", lines))
     assert [(b.period, b.units) for b in made.batches.values()] == [(START, -1), (START + 300, 4)]
-    assert made.signed("signed-1.json", "marta", lines) == []
+    assert made.correction_records("signed-1.json", "marta", lines) == []
     other = Book(Periods("UTC", 5))
     other.apply(made.checkpoint())
-    assert other.signed("signed-1.json", "marta", lines) == []
+    assert other.correction_records("signed-1.json", "marta", lines) == []
 
 
 def test_what_is_kept_for_ever_is_bounded() -> None:
     made = Book(Periods("UTC", 5), grace_s=0.0)
-    decide(made, made.begin("p1", "n", 0.0))
-    for place in range(CLOSED_KEPT + 50):
+    decide(made, made.begin_records("p1", "n", 0.0))
+    for place in range(MAX_CLOSED_PERIODS + 50):
         made.apply(["count", 0.0, [[place * 300, "a", "c", 1]]])
         made.apply(["batch", place + 1, "period", place * 300, [["a", "c", 1]], f"k{place}", ""])
         made.apply(["done", place + 1])
-    assert len(made.closed) == len(made.billed) == CLOSED_KEPT
+    assert len(made.closed) == len(made.confirmed_units) == MAX_CLOSED_PERIODS
     made.apply(["count", 5.0, [[300, "a", "c", 1]]])  # forgotten, and so taken for closed
     assert made.late_since == 5.0
 
@@ -161,38 +171,40 @@
     kept: dict[int, Any] = {}
     for place, (what, number, passes) in enumerate(changes):
         now += passes
-        batch = made.due
+        batch = made.next_batch
         records: list[frames.Record] = []
         if what == "count":
             period = int(now // 300) * 300 - 300 * (number % 3)
             counted[period] += number
-            records = made.counted(now, {(period, f"t{number}", "c"): number} if number else {})
+            records = made.usage_records(
+                now, {(period, f"t{number}", "c"): number} if number else {}
+            )
         elif what == "cut":
-            records = made.cut(now)
+            records = made.batch_records(now)
         elif what == "sign":
-            records = made.signed(f"m{place}", "x", [(START, "t", "c", number)])
+            records = made.correction_records(f"m{place}", "x", [(START, "t", "c", number)])
             counted[START] += number
         elif what == "crash":
             made = Book(Periods("UTC", 5), 60.0)
             for record in frames.decode(frames.MAGIC + frames.encode(log)).records:
                 made.apply(record)
-            records = made.begin("p1", "n", now)
+            records = made.begin_records("p1", "n", now)
         elif what == "spill":
-            for record in made.spills():
+            for record in made.spill_records():
                 kept[record[1]] = list(made.batches[record[1]].lines)
                 records.append(record)
             records += [
                 ["back", seq, kept[seq]]
                 for seq in kept
-                if seq in made.batches and made.batches[seq].away is not None
+                if seq in made.batches and made.batches[seq].spilled_units is not None
             ][number:]
-        elif batch is not None and batch.away is None:
+        elif batch is not None and batch.spilled_units is None:
             records = (
-                made.sends(batch.seq)
+                made.sent_records(batch.seq)
                 if what == "send"
-                else made.confirms(batch.seq)
+                else made.confirmed_records(batch.seq)
                 if what == "done"
-                else made.holds(batch.seq, "why")
+                else made.held_records(batch.seq, "why")
             )
             if what == "send":
                 assert sent.setdefault(batch.key, export.json_lines(batch)) == export.json_lines(
@@ -200,7 +212,7 @@
                 )
         log += decide(made, records)
         for period, units in counted.items():
-            assert made.units(period) == units
+            assert made.total_units(period) == units
     again = Book(Periods("UTC", 5), 60.0)
     again.apply(made.checkpoint())
     assert again.checkpoint() == made.checkpoint()
@@ -217,15 +229,15 @@
     records: list[Any], data: st.DataObject
 ) -> None:
     whole = frames.MAGIC + frames.encode(records)
-    assert frames.decode(whole).records == records and not frames.decode(whole).wrong
+    assert frames.decode(whole).records == records and not frames.decode(whole).error
     place = data.draw(st.integers(len(frames.MAGIC), len(whole)))
     torn = frames.decode(whole[:place])
-    assert torn.records == records[: len(torn.records)] and torn.good <= place
+    assert torn.records == records[: len(torn.records)] and torn.valid_bytes <= place
     if place < len(whole):
         spoilt = bytearray(whole)
         spoilt[place] ^= data.draw(st.integers(1, 255))
         found = frames.decode(bytes(spoilt))
-        assert found.records == records[: len(found.records)] and found.wrong
+        assert found.records == records[: len(found.records)] and found.error
 
 
 def store(disk: CutDisk, name: str = "p1") -> tuple[Store, Book]:
@@ -236,16 +248,16 @@
     disk = CutDisk()
     one, made = store(disk)
     one.open(made)
-    decide(made, made.begin("p1", "n", START))
+    decide(made, made.begin_records("p1", "n", START))
     one.rewrite(made.checkpoint())
-    one.commit(decide(made, made.counted(START, {(START, "a", "c"): 4})), {}, [])
+    one.commit(decide(made, made.usage_records(START, {(START, "a", "c"): 4})), {}, [])
     one.rewrite(made.checkpoint())
-    one.commit(decide(made, made.counted(START, {(START, "a", "c"): 1})), {}, [])
+    one.commit(decide(made, made.usage_records(START, {(START, "a", "c"): 1})), {}, [])
     newest = disk.names()[-1]
     disk._now[newest] = b"\0" * 20 + disk._now[newest][20:]
     two, found = store(disk)
     said = two.open(found)
-    assert said.aside == [f"{newest}.bad"] and found.units(START) == 4
+    assert said.renamed_files == [f"{newest}.bad"] and found.total_units(START) == 4
     two.rewrite(found.checkpoint())
     assert disk.names()[-1] > newest and f"{newest}.bad" in disk.names()
 
@@ -253,10 +265,10 @@
 def test_somebody_elses_ledger_is_not_opened_and_not_changed() -> None:
     disk = CutDisk()
     one, made = store(disk)
-    decide(made, made.begin("p1", "n", START))
+    decide(made, made.begin_records("p1", "n", START))
     one.rewrite(made.checkpoint())
     before = dict(disk._now)
-    with pytest.raises(Foreign, match="p1"):
+    with pytest.raises(ForeignLedgerError, match="p1"):
         store(disk, "p2")[0].open(store(disk)[1])
     assert disk._now == before
 
@@ -279,31 +291,35 @@
     )
     (name,) = [n for n in disk.names() if n.startswith("closed-2023")]
     data = disk.read(name)
-    assert archived(data) == [b"one", b"two"] and archived(data[:-3]) == [b"one"]
-    assert archived(compress(b"x") + b"noise") == [b"x"]
-    one.retire(START - 86_400.0)
+    assert read_archive_frames(data) == [b"one", b"two"] and read_archive_frames(data[:-3]) == [
+        b"one"
+    ]
+    assert read_archive_frames(compress(b"x") + b"noise") == [b"x"]
+    one.remove_older_than(START - 86_400.0)
     assert disk.names() == [name, f"ids-{START}"]
 
 
 # --- tally ---
 def test_a_crowd_of_tenants_takes_half_of_the_places_and_the_sum_is_right() -> None:
-    tally = Tally(10)
+    counters = UsageCounters(10)
     for number in range(4):
-        tally.add(300, f"regular{number}", "c", b"")
+        counters.add(300, f"regular{number}", "c", b"")
     for number in range(10_000):
-        tally.add(600, f"made-up-{number}", "c", b"")
+        counters.add(600, f"made-up-{number}", "c", b"")
     for number in range(4):
-        tally.add(600, f"regular{number}", "c", b"")
-    units, _ = tally.take()
+        counters.add(600, f"regular{number}", "c", b"")
+    units, _ = counters.collect()
     named = {tenant for period, tenant, _ in units if period == 600}
     assert {f"regular{n}" for n in range(4)} < named and len(named) == 5 + 4 + 1
-    assert units[600, None, "c"] == 9995 == tally.folded and sum(units.values()) == 10_008
+    assert units[600, None, "c"] == 9995 == counters.others_units and sum(units.values()) == 10_008
 
 
 def test_long_names_are_told_by_a_part_and_a_hash() -> None:
     one, other = "x" * 4096, "x" * 4095 + "y"
-    assert len(short(one).encode()) <= 256 and short(one) != short(other)
-    assert short("è" * 128) == "è" * 128 != short("è" * 129)
+    assert len(shortened_tenant(one).encode()) <= 256 and shortened_tenant(one) != shortened_tenant(
+        other
+    )
+    assert shortened_tenant("è" * 128) == "è" * 128 != shortened_tenant("è" * 129)
 
 
 # --- outside ---
@@ -334,18 +350,18 @@
         (429, {"retry-after": "7"}, b"", ("again", 7.0)),
         (503, {"retry-after": "99999999"}, b"", ("again", 3600.0)),
         (503, {"retry-after": "Fri, 31 Dec"}, b"", ("again", 0.0)),
-        (307, {"location": "http://127.0.0.9/"}, b"", ("again", export.SLOW)),
-        (404, {}, b"", ("again", export.SLOW)),
-        (412, {}, b"[]", ("again", export.SLOW)),
-        (412, {}, b'{"last": "k\\r\\nX: y", "periods": []}', ("again", export.SLOW)),
+        (307, {"location": "http://127.0.0.9/"}, b"", ("again", export.CLIENT_ERROR_RETRY)),
+        (404, {}, b"", ("again", export.CLIENT_ERROR_RETRY)),
+        (412, {}, b"[]", ("again", export.CLIENT_ERROR_RETRY)),
+        (412, {}, b'{"last": "k\\r\\nX: y", "periods": []}', ("again", export.CLIENT_ERROR_RETRY)),
         (412, {}, b'{"last": "k", "periods": [300]}', ("fork", 0.0)),
     ],
 )
 def test_what_an_endpoints_answer_means(
     status: int, headers: dict[str, str], body: bytes, expected: tuple[str, float]
 ) -> None:
-    found = export.said(status, headers, body)
-    assert (found.what, found.wait) == expected
+    found = export.interpret_response(status, headers, body)
+    assert (found.outcome, found.wait) == expected
     assert found.periods == ((300,) if expected[0] == "fork" else ())
 
 
@@ -377,4 +393,4 @@
 
 def test_a_batch_says_when_its_period_began() -> None:
     batch = Batch(1, "period", START, [("a", "c", 1)], "k")
-    assert export.described(batch)["begins"] == datetime.fromtimestamp(START, UTC).isoformat()
+    assert export.batch_header(batch)["begins"] == datetime.fromtimestamp(START, UTC).isoformat()
--- a/tests/violetroute/ledger/test_ledger_crash.py
+++ b/tests/violetroute/ledger/test_ledger_crash.py
@@ -9,7 +9,7 @@
 import pytest
 
 from limebridge.virtual.ledger import Trial, play
-from violetroute.ledger import keeper
+from violetroute.ledger import service
 from violetroute.ledger.accounts import Book
 
 
@@ -52,14 +52,14 @@
 
 
 def test_without_the_endpoints_word_a_restored_disk_would(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Book, "adopts", lambda self, last, billed, now: [["adopt", last]])
+    monkeypatch.setattr(Book, "adopt_records", lambda self, last, billed, now: [["adopt", last]])
     assert any(over(play(Trial(seed, kills=2, restored=True))) for seed in range(12))
 
 
 def planted_double(monkeypatch: pytest.MonkeyPatch) -> None:
     """A batch is prepared anew after a crash, under a new key."""
-    monkeypatch.setattr(Book, "sends", lambda self, seq: [])
-    begin = Book.begin
+    monkeypatch.setattr(Book, "sent_records", lambda self, seq: [])
+    begin = Book.begin_records
 
     def begins(self: Book, name: str, nonce: str, now: float) -> list[Any]:
         records = begin(self, name, nonce, now)
@@ -67,13 +67,13 @@
             batch.key += f"-{nonce}"
         return records
 
-    monkeypatch.setattr(Book, "begin", begins)
-    monkeypatch.setattr(Book, "adopts", lambda self, last, billed, now: [["adopt", last]])
+    monkeypatch.setattr(Book, "begin_records", begins)
+    monkeypatch.setattr(Book, "adopt_records", lambda self, last, billed, now: [["adopt", last]])
 
 
 def planted_loss(monkeypatch: pytest.MonkeyPatch) -> None:
     """What waited when a write failed is forgotten."""
-    monkeypatch.setattr(keeper.Ledger, "_rewrite", lambda self: setattr(self, "state", "open"))
+    monkeypatch.setattr(service.Ledger, "_rewrite", lambda self: setattr(self, "state", "open"))
 
 
 @pytest.mark.parametrize(("plant", "what"), [(planted_double, "doubled"), (planted_loss, "lost")])
--- a/tests/violetroute/ledger/test_ledger_daemon.py
+++ b/tests/violetroute/ledger/test_ledger_daemon.py
@@ -18,7 +18,7 @@
 from tests.support.rig import CacheNode, Rig, get, serves, until
 from violetroute.ledger import LedgerTable
 from violetroute.ledger.files import Folder, folder_name
-from violetroute.ledger.keeper import Ledger
+from violetroute.ledger.service import Ledger
 from violetroute.transport.sockets import SocketNetwork
 
 START = 1_700_000_100.0
@@ -89,16 +89,16 @@
         billing.trouble = lambda: "lost before" if away[0] else ""
         for number in range(30):
             ledger.served(f"t{number}", "lookup", b"")
-            await until(lambda: not ledger._tally.units)
+            await until(lambda: not ledger._counters.units)
             clock.now += 400.0
         await until(lambda: sum(not each.lines for each in ledger._book.batches.values()) == 22)
-        assert ledger._book.units(int(START)) == 1
+        assert ledger._book.total_units(int(START)) == 1
         (tmp_path / "ledgers" / "p1" / "batch-30").write_bytes(b"noise")
         away[0] = False
         await until(lambda: [b.state for b in ledger._book.batches.values()] == ["held"])
         assert sum(billing.billed.values()) == 29
         (held,) = ledger._book.batches.values()
-        assert "batch-30" in held.why
+        assert "batch-30" in held.reason
         assert [period for _, period in billing.order["p1"]] == sorted(
             period for _, period in billing.order["p1"]
         )
@@ -110,14 +110,14 @@
 def test_ten_answers_that_say_no_though_some_took_it_bill_once(
     tmp_path: Path, trouble: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("violetroute.ledger.export.SLOW", 0.01)
+    monkeypatch.setattr("violetroute.ledger.export.CLIENT_ERROR_RETRY", 0.01)
 
     async def part(rig: Rig, ledger: Ledger, billing: Billing, clock: Clock) -> None:
         left = [trouble] * 10
         billing.trouble = lambda: left.pop() if left else ""
         await ask(rig, 0, 3)
         clock.now += 400.0
-        await until(lambda: ledger._book.last)
+        await until(lambda: ledger._book.last_confirmed_key)
         assert sum(billing.billed.values()) == 3 and billing.posts == 11
 
     run(part, tmp_path, retry_most_s=0.02)
@@ -232,7 +232,9 @@
         ledger.served("../../x", "lookup", b"1")
         ledger.served("=1+1", "lookup", b"2")
         clock.now += 400.0
-        await until(lambda: len(list(out.glob("p1_*.csv"))) == 1 and ledger._book.last)
+        await until(
+            lambda: len(list(out.glob("p1_*.csv"))) == 1 and ledger._book.last_confirmed_key
+        )
         assert not billing.posts
 
     run(part, tmp_path, export="files", export_folder=str(out), formats=("csv", "jsonl"))
--- a/violetroute/__main__.py
+++ b/violetroute/__main__.py
@@ -24,7 +24,7 @@
     from .distribution.configuration import PublishedConfiguration, PublishedTables
     from .distribution.service import DistributionService
     from .fleet.runner import Fleet
-    from .ledger.keeper import Ledger
+    from .ledger.service import Ledger
     from .sharing.service import Sharing
     from .transport.local import LocalDoor
 
@@ -129,7 +129,7 @@
     """Imported where it is on: threads and compression are nothing to a proxy without it."""
     if not config.operator.ledger.folder:
         return None
-    from .ledger.keeper import Ledger
+    from .ledger.service import Ledger
 
     return Ledger(config.operator.ledger, config.name, net)
 
--- a/violetroute/ledger/tally.py
+++ b/violetroute/ledger/counters.py
@@ -12,27 +12,27 @@
 from collections.abc import Mapping
 from hashlib import blake2b
 
-from .accounts import NAME_MOST
+from .accounts import MAX_TENANT_BYTES
 
-IDS_MOST = 200_000  # hashes that wait for a write; more are left out, which is told
-PERIODS_MOST = 64  # met since the last write; a clock that jumps about ends in the last of them
+MAX_IDS = 200_000  # hashes that wait for a write; more are left out, which is told
+MAX_PERIODS = 64  # met since the last write; a clock that jumps about ends in the last of them
 
 
-class Tally:
+class UsageCounters:
     """`most`: tenants by name in one period."""
 
     def __init__(self, most: int, ids: bool = False) -> None:
         self._most, self._keeps_ids = most, ids
         self.units: dict[tuple[int, str | None, str], int] = {}
         self.ids: dict[int, bytearray] = {}  # by period, 8 bytes each
-        self.ids_left_out = self._ids = 0
-        self._here: dict[int, dict[str, None]] = {}  # who has a place, by period
+        self.ids_left_out = self._pending_ids = 0
+        self._tenants: dict[int, dict[str, None]] = {}  # who has a place, by period
         self._newcomers: dict[int, int] = {}
-        self.folded = 0  # units without a name, so far
+        self.others_units = 0  # units without a name, so far
 
-    def knows(self, period: int, tenants: Mapping[str, None]) -> None:
+    def restore_tenants(self, period: int, tenants: Mapping[str, None]) -> None:
         """Who had a place in a period that was opened by another process."""
-        self._here.setdefault(period, {}).update(tenants)
+        self._tenants.setdefault(period, {}).update(tenants)
 
     def add(self, period: int, tenant: str, cls: str, id_: bytes) -> None:
         """One unit."""
@@ -40,26 +40,26 @@
         key = period, name, cls
         self.units[key] = self.units.get(key, 0) + 1
         if name is None:
-            self.folded += 1
+            self.others_units += 1
         if self._keeps_ids:
-            if self._ids < IDS_MOST:
-                self._ids += 1
+            if self._pending_ids < MAX_IDS:
+                self._pending_ids += 1
                 self.ids.setdefault(period, bytearray()).extend(id_hash(id_))
             else:
                 self.ids_left_out += 1
 
     def _place(self, period: int, tenant: str) -> str | None:
-        here = self._here.get(period)
+        here = self._tenants.get(period)
         if here is not None and tenant in here:
             return tenant
-        name = short(tenant)
+        name = shortened_tenant(tenant)
         if here is None:
-            if len(self._here) >= PERIODS_MOST:
+            if len(self._tenants) >= MAX_PERIODS:
                 self._forget()
-            here = self._here[period] = {}
+            here = self._tenants[period] = {}
         if name in here:
             return name
-        before = self._here.get(max((p for p in self._here if p < period), default=-1), {})
+        before = self._tenants.get(max((p for p in self._tenants if p < period), default=-1), {})
         if name not in before:
             if self._newcomers.get(period, 0) >= self._most // 2 or len(here) >= self._most:
                 return None
@@ -70,28 +70,28 @@
         return name
 
     def _forget(self) -> None:
-        for period in sorted(self._here)[:-2]:
-            del self._here[period]
+        for period in sorted(self._tenants)[:-2]:
+            del self._tenants[period]
             self._newcomers.pop(period, None)
 
-    def take(self) -> tuple[dict[tuple[int, str | None, str], int], dict[int, bytearray]]:
+    def collect(self) -> tuple[dict[tuple[int, str | None, str], int], dict[int, bytearray]]:
         """All of it, which is another's to keep from here on."""
         units, ids = self.units, self.ids
-        self.units, self.ids, self._ids = {}, {}, 0
-        if len(self._here) > 2:
+        self.units, self.ids, self._pending_ids = {}, {}, 0
+        if len(self._tenants) > 2:
             self._forget()
         return units, ids
 
 
-def short(tenant: str) -> str:
+def shortened_tenant(tenant: str) -> str:
     """A name that is too long: its beginning, and a hash of all of it."""
-    if len(tenant) * 4 <= NAME_MOST:
+    if len(tenant) * 4 <= MAX_TENANT_BYTES:
         return tenant
     data = tenant.encode("utf-8", "replace")
-    if len(data) <= NAME_MOST:
+    if len(data) <= MAX_TENANT_BYTES:
         return tenant
     mark = blake2b(data, digest_size=8).hexdigest()
-    return data[: NAME_MOST - 17].decode("utf-8", "ignore") + "#" + mark
+    return data[: MAX_TENANT_BYTES - 17].decode("utf-8", "ignore") + "#" + mark
 
 
 def id_hash(id_: bytes) -> bytes:
--- a/violetroute/ledger/export.py
+++ b/violetroute/ledger/export.py
@@ -28,18 +28,18 @@
 
 from .accounts import Batch
 
-RETRY_AFTER_MOST = 3600.0  # s for which an endpoint's word is heeded
-SLOW = 60.0  # s at least after an answer that another try will hardly change
-KEY_MOST = 400  # characters of a key
-PERIODS_MOST = 100_000  # of a 412
+MAX_RETRY_AFTER = 3600.0  # s for which an endpoint's word is heeded
+CLIENT_ERROR_RETRY = 60.0  # s at least after an answer that another try will hardly change
+MAX_KEY_CHARS = 400  # characters of a key
+MAX_FORK_PERIODS = 100_000  # of a 412
 
 
-def key_of(batch: Batch) -> str:
+def idempotency_key(batch: Batch) -> str:
     """As a structured header's string."""
     return '"' + batch.key.replace("\\", "").replace('"', "") + '"'
 
 
-def described(batch: Batch) -> dict[str, Any]:
+def batch_header(batch: Batch) -> dict[str, Any]:
     return {
         "batch": batch.key,
         "seq": batch.seq,
@@ -48,13 +48,13 @@
         "begins": datetime.fromtimestamp(batch.period, UTC).isoformat(),
         "lines": len(batch.lines),
         "units": batch.units,
-        **({"signed": batch.why} if batch.why and batch.state != "held" else {}),
+        **({"signed": batch.reason} if batch.reason and batch.state != "held" else {}),
     }
 
 
 def json_lines(batch: Batch) -> bytes:
     """The same bytes for the same batch, whoever asks and however often."""
-    rows: list[Any] = [described(batch)]
+    rows: list[Any] = [batch_header(batch)]
     rows += [{"tenant": tenant, "class": cls, "units": units} for tenant, cls, units in batch.lines]
     return b"".join(msgspec.json.encode(row) + b"\n" for row in rows)
 
@@ -90,17 +90,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
+class ExportResult:
     """What came of one try."""
 
-    what: Literal["done", "again", "held", "fork"]
-    why: str = ""
+    outcome: Literal["done", "again", "held", "fork"]
+    reason: str = ""
     wait: float = 0.0  # s before the next try, at least
     last: str = ""  # of a fork
     periods: tuple[int, ...] = ()
 
 
-class Signed(msgspec.Struct, forbid_unknown_fields=True):
+class SignedCorrections(msgspec.Struct, forbid_unknown_fields=True):
     """A file of corrections: who signed them; period, tenant, class and units of each."""
 
     by: str
@@ -112,34 +112,36 @@
     periods: list[int] = []
 
 
-def said(status: int, headers: Mapping[str, str], body: bytes) -> Said:
+def interpret_response(status: int, headers: Mapping[str, str], body: bytes) -> ExportResult:
     """Header names in small letters.  Never raises."""
     if 200 <= status < 300:
-        return Said("done")
+        return ExportResult("done")
     if status == 412:
         try:
             fork = msgspec.json.decode(body, type=_Fork)
         except msgspec.DecodeError:
-            return Said("again", "412 that tells nothing", SLOW)
+            return ExportResult("again", "412 that tells nothing", CLIENT_ERROR_RETRY)
         plain = fork.last.isascii() and fork.last.isprintable() and '"' not in fork.last
-        if not plain or len(fork.last) > KEY_MOST:  # it becomes a header of ours
-            return Said("again", "412 with no key", SLOW)
-        if len(fork.periods) > PERIODS_MOST:
-            return Said("again", "412 that tells too much", SLOW)
-        return Said(
+        if not plain or len(fork.last) > MAX_KEY_CHARS:  # it becomes a header of ours
+            return ExportResult("again", "412 with no key", CLIENT_ERROR_RETRY)
+        if len(fork.periods) > MAX_FORK_PERIODS:
+            return ExportResult("again", "412 that tells too much", CLIENT_ERROR_RETRY)
+        return ExportResult(
             "fork", "the endpoint knows a later batch", last=fork.last, periods=tuple(fork.periods)
         )
     if status == 422:
-        return Said("held", "the endpoint has this key with other contents")
+        return ExportResult("held", "the endpoint has this key with other contents")
     if status == 409:
-        return Said("again", "409: a try before is under way")
+        return ExportResult("again", "409: a try before is under way")
     if status in (429, 503):
-        return Said("again", f"answered {status}", _retry_after(headers.get("retry-after", "")))
-    return Said("again", f"answered {status}", 0.0 if status >= 500 else SLOW)
+        return ExportResult(
+            "again", f"answered {status}", _retry_after(headers.get("retry-after", ""))
+        )
+    return ExportResult("again", f"answered {status}", 0.0 if status >= 500 else CLIENT_ERROR_RETRY)
 
 
 def _retry_after(text: str) -> float:
-    return min(RETRY_AFTER_MOST, float(text)) if text.isdecimal() and len(text) < 10 else 0.0
+    return min(MAX_RETRY_AFTER, float(text)) if text.isdecimal() and len(text) < 10 else 0.0
 
 
 class Backoff:
--- a/violetroute/ledger/frames.py
+++ b/violetroute/ledger/frames.py
@@ -21,8 +21,8 @@
 
 MAGIC = b"lbledger"
 VERSION = 1
-HEAD = struct.Struct("<II")
-LONGEST = 64 * 1024 * 1024  # bytes of a record: a checkpoint of a full book has a few
+FRAME_HEADER = struct.Struct("<II")
+MAX_RECORD_BYTES = 64 * 1024 * 1024  # bytes of a record: a checkpoint of a full book has a few
 
 Record = list[Any]
 
@@ -32,44 +32,44 @@
     parts = []
     for record in records:
         body = msgspec.msgpack.encode(record)
-        parts += [HEAD.pack(len(body), zlib.crc32(body)), body]
+        parts += [FRAME_HEADER.pack(len(body), zlib.crc32(body)), body]
     return b"".join(parts)
 
 
 @dataclass(slots=True)
-class Read:
+class DecodedLog:
     """What a file holds."""
 
     records: list[Record]
-    good: int  # bytes that can be believed
-    wrong: str = ""  # why what follows can't
+    valid_bytes: int  # bytes that can be believed
+    error: str = ""  # why what follows can't
 
 
-def decode(data: bytes) -> Read:
+def decode(data: bytes) -> DecodedLog:
     """The records up to the first that does not add up.  Never raises."""
     if not data.startswith(MAGIC):
-        return Read([], 0, "no ledger's file" if data else "empty")
-    found, place = Read([], len(MAGIC)), len(MAGIC)
+        return DecodedLog([], 0, "no ledger's file" if data else "empty")
+    found, place = DecodedLog([], len(MAGIC)), len(MAGIC)
     while place < len(data):
-        if len(data) - place < HEAD.size:
-            found.wrong = "half a frame"
+        if len(data) - place < FRAME_HEADER.size:
+            found.error = "half a frame"
             break
-        length, check = HEAD.unpack_from(data, place)
-        body = data[place + HEAD.size : place + HEAD.size + length]
-        if not 0 < length <= LONGEST or len(body) < length:
-            found.wrong = "half a frame"
+        length, check = FRAME_HEADER.unpack_from(data, place)
+        body = data[place + FRAME_HEADER.size : place + FRAME_HEADER.size + length]
+        if not 0 < length <= MAX_RECORD_BYTES or len(body) < length:
+            found.error = "half a frame"
             break
         if zlib.crc32(body) != check:
-            found.wrong = "a frame does not add up"
+            found.error = "a frame does not add up"
             break
         try:
             record = msgspec.msgpack.decode(body)
         except msgspec.DecodeError:
             record = None
         if not isinstance(record, list) or not record or not isinstance(record[0], str):
-            found.wrong = "a frame that adds up is no record"
+            found.error = "a frame that adds up is no record"
             break
         found.records.append(record)
-        place += HEAD.size + length
-        found.good = place
+        place += FRAME_HEADER.size + length
+        found.valid_bytes = place
     return found
--- a/violetroute/ledger/outbox.py
+++ b/violetroute/ledger/outbox.py
@@ -12,7 +12,7 @@
 from .files import Folder
 
 
-def hand_over(folder: Path, batch: Batch, formats: Iterable[str]) -> None:
+def write_batch(folder: Path, batch: Batch, formats: Iterable[str]) -> None:
     """One file a format, renamed into place; the same bytes however often.  OSError."""
     folder.mkdir(parents=True, exist_ok=True)
     target, name = Folder(folder), file_name(batch)
@@ -25,7 +25,7 @@
         target.close()
 
 
-def mark(folder: Path, ledger: str, until: float) -> None:
+def write_closed_until(folder: Path, ledger: str, until: float) -> None:
     """Say that all that ends by `until` (Unix s) is closed and has been handed over.  OSError."""
     folder.mkdir(parents=True, exist_ok=True)
     target = Folder(folder)
--- a/violetroute/ledger/periods.py
+++ b/violetroute/ledger/periods.py
@@ -18,7 +18,7 @@
 from datetime import UTC, datetime, timedelta, timezone
 from zoneinfo import ZoneInfo, ZoneInfoNotFoundError
 
-WALK = 60  # s by which the end of a period is looked for, where clocks change
+SEARCH_STEP = 60  # s by which the end of a period is looked for, where clocks change
 
 
 class Periods:
@@ -61,7 +61,7 @@
         slot = self._slot(at)
         # A change of the clock within it cuts it there: offsets are part of the slot.
         while self._slot(begins) != slot:
-            begins = min(at, (begins // WALK + 1) * WALK)
+            begins = min(at, (begins // SEARCH_STEP + 1) * SEARCH_STEP)
         while self._slot(ends - 1) != slot:
-            ends = max(at + 1, ((ends - 1) // WALK) * WALK)
+            ends = max(at + 1, ((ends - 1) // SEARCH_STEP) * SEARCH_STEP)
         return begins, ends
--- a/violetroute/ledger/post.py
+++ b/violetroute/ledger/post.py
@@ -9,7 +9,7 @@
 from violetroute.transport.tls import TlsKeys
 
 from .accounts import Batch
-from .export import Said, json_lines, key_of, said
+from .export import ExportResult, idempotency_key, interpret_response, json_lines
 from .store import compress
 from .table import LedgerTable
 
@@ -20,7 +20,7 @@
     keys: TlsKeys | None,
     batch: Batch,
     last: str,
-    done: Callable[[Said], None],
+    done: Callable[[ExportResult], None],
 ) -> Call:
     """One POST of the batch.  `last`: the key of the batch before it.
 
@@ -28,7 +28,7 @@
     """
     body = json_lines(batch)
     headers = {
-        "Idempotency-Key": key_of(batch),
+        "Idempotency-Key": idempotency_key(batch),
         "Ledger-After": f'"{last}"',
         "Content-Type": "application/x-ndjson",
     }
@@ -37,7 +37,7 @@
         headers["Content-Encoding"] = "zstd"
 
     def answered(status: int, told: dict[str, str], answer: bytes, why: str) -> None:
-        done(said(status, told, answer) if status else Said("again", why))
+        done(interpret_response(status, told, answer) if status else ExportResult("again", why))
 
     return Call(
         net,
--- a/violetroute/ledger/keeper.py
+++ b/violetroute/ledger/service.py
@@ -26,21 +26,21 @@
 from violetroute.transport.writer import ThreadWriter, Writer
 
 from .accounts import Batch, Book
-from .export import Backoff, Said, Signed, json_lines
+from .counters import UsageCounters
+from .export import Backoff, ExportResult, SignedCorrections, json_lines
 from .files import Files, Folder, folder_name
 from .frames import Record
-from .outbox import hand_over, mark
+from .outbox import write_batch, write_closed_until
 from .periods import Periods
 from .post import post
-from .store import Found, Store, open_or_set_aside, tell_salvaged
+from .store import RecoveryResult, Store, log_recovery, open_or_set_aside
 from .table import LedgerTable
-from .tally import Tally
 
-AGAIN = 1.0  # s until a disk that failed, or a folder that is another's, is tried again
-LOOK = 5.0  # s between looks for corrections that were signed
-ALIVE = 30.0  # s without a write after which one says that nothing was missed
-RETIRE = 3600.0  # s between looks for what is too old
-AT_THE_END = 2.0  # s for the last write
+RETRY_INTERVAL = 1.0  # s until a disk that failed, or a folder that is another's, is tried again
+CORRECTIONS_INTERVAL = 5.0  # s between looks for corrections that were signed
+HEARTBEAT_INTERVAL = 30.0  # s without a write after which one says that nothing was missed
+RETENTION_INTERVAL = 3600.0  # s between looks for what is too old
+CLOSE_TIMEOUT = 2.0  # s for the last write
 
 
 class Ledger:
@@ -61,49 +61,51 @@
         self._files = files() if files is not None else Folder(folder)
         self._writer: Writer = writer or ThreadWriter(net.loop)
         self._periods = Periods(table.zone, table.period_min)
-        self._tally = Tally(table.tenants_most, table.ids)
+        self._counters = UsageCounters(table.tenants_most, table.ids)
         self._book = Book(self._periods, table.grace_s)
         self._store = Store(self._files, name)
         self._nonce = nonce or secrets.token_hex(6)
-        self._began = net.wall()
+        self._opened_at = net.wall()
         self.state = "opening"  # open, failed (its disk), elsewhere (locked), closed
         self._busy = False
         self._unwritten: list[Record] = []  # decided, in their order
         self._ids: dict[int, bytearray] = {}
         self._closed: list[tuple[int, bytes]] = []  # to be archived with the next write
-        self._gone: list[str] = []  # files that nobody needs after it
-        self._wrote_at = self._retired_at = self._looked_at = self._loop.time()
+        self._obsolete_files: list[str] = []  # files that nobody needs after it
+        self._last_write_at = self._last_retention_at = self._last_corrections_at = (
+            self._loop.time()
+        )
         self._post: Call | None = None
         self._backoff = Backoff(table.retry_s, table.retry_most_s, f"{name}/{self._nonce}")
         self._next_try = 0.0
         self._keys = TlsKeys(table.tls) if table.tls_ca_file else None
         self._timer: Any = None
-        self._told_folded, self._told_folded_at = 0, 0.0
-        self._marked = 0.0  # up to when it was said that all is closed
+        self._others_logged, self._others_logged_at = 0, 0.0
+        self._closed_until_written = 0.0  # up to when it was said that all is closed
         self._open()
 
     def served(self, tenant: str, cls: str, id_: bytes) -> None:
         """A client was given its served answer."""
-        self._tally.add(self._periods.of(self._net.wall()), tenant, cls, id_)
+        self._counters.add(self._periods.of(self._net.wall()), tenant, cls, id_)
 
     # --- opening ---
     def _open(self) -> None:
         self._busy, self.state = True, "opening"
         book, store, files, name = self._book, self._store, self._files, self.name
-        wall, nonce = self._began, self._nonce
+        wall, nonce = self._opened_at, self._nonce
 
-        def job() -> Found | None:
+        def job() -> RecoveryResult | None:
             if not files.lock():
                 return None
             found = open_or_set_aside(store, files, book)
-            for record in book.begin(name, nonce, wall):
+            for record in book.begin_records(name, nonce, wall):
                 book.apply(record)
             store.rewrite(book.checkpoint())
             return found
 
         self._writer.submit(job, self._opened)
 
-    def _opened(self, found: Found | None, error: BaseException | None) -> None:
+    def _opened(self, found: RecoveryResult | None, error: BaseException | None) -> None:
         self._busy = False
         if self.state == "closed":
             return
@@ -115,51 +117,56 @@
             logs.event("ledger.locked", folder=self.table.folder)
         else:
             self.state = "open"
-            tell_salvaged(found)
-            for period, of in self._book.counts.items():
-                self._tally.knows(period, {name: None for name, _ in of if name is not None})
+            log_recovery(found)
+            for period, of in self._book.unbatched_units.items():
+                self._counters.restore_tenants(
+                    period, {name: None for name, _ in of if name is not None}
+                )
             logs.event(
                 "ledger.open",
                 incarnation=self._book.incarnation,
                 batches=len(self._book.batches),
                 gaps=len(self._book.gaps),
             )
-        self._again()
+        self._schedule_tick()
 
-    def _again(self) -> None:
+    def _schedule_tick(self) -> None:
         if self._timer is None and self.state != "closed":
-            wait = self.table.flush_s if self.state == "open" else AGAIN
+            wait = self.table.flush_s if self.state == "open" else RETRY_INTERVAL
             self._timer = self._loop.call_later(wait, self._tick)
 
     def _tick(self) -> None:
         self._timer = None
         if not self._busy:
-            if self.state == "open" and self._loop.time() - self._looked_at > LOOK:
-                self._look()
+            if (
+                self.state == "open"
+                and self._loop.time() - self._last_corrections_at > CORRECTIONS_INTERVAL
+            ):
+                self._read_corrections()
             elif self.state == "open":
                 self._flush()
                 self._spill()
                 self._export()
                 if self.table.closings:
-                    self._mark()
+                    self._write_closed_until()
             elif self.state == "failed" and self._book.name:
                 self._rewrite()
             else:
                 self._open()
-        self._again()
+        self._schedule_tick()
 
     # --- corrections that an operator has signed ---
-    def _look(self) -> None:
-        self._busy, self._looked_at = True, self._loop.time()
-        self._writer.submit(self._store.signed, self._signed)
+    def _read_corrections(self) -> None:
+        self._busy, self._last_corrections_at = True, self._loop.time()
+        self._writer.submit(self._store.read_corrections, self._signed)
 
     def _signed(self, files: dict[str, bytes] | None, error: BaseException | None) -> None:
         self._busy = False
         names = tuple(files or ())
         for name, data in (files or {}).items():
             try:
-                signed = msgspec.json.decode(data, type=Signed)
-                self._decide(self._book.signed(name, signed.by, signed.lines))
+                signed = msgspec.json.decode(data, type=SignedCorrections)
+                self._apply(self._book.correction_records(name, signed.by, signed.lines))
             except msgspec.DecodeError as wrong:
                 logs.event("ledger.held", batch=name, why=f"no corrections: {wrong}")
         if names and self.state == "open":
@@ -167,7 +174,7 @@
 
             def forget() -> None:
                 self._busy = True
-                self._writer.submit(lambda: store.forget(names), forgotten)
+                self._writer.submit(lambda: store.remove_files(names), forgotten)
 
             def forgotten(_: None, error: BaseException | None) -> None:
                 self._busy = False
@@ -175,7 +182,7 @@
             self._write(then=forget)
 
     # --- writing ---
-    def _decide(self, records: list[Record]) -> bool:
+    def _apply(self, records: list[Record]) -> bool:
         """Take on what the book has decided; whether it was anything."""
         for record in records:
             self._book.apply(record)
@@ -183,21 +190,24 @@
         return bool(records)
 
     def _count(self) -> None:
-        units, ids = self._tally.take()
-        self._decide(self._book.counted(self._net.wall(), units))
+        units, ids = self._counters.collect()
+        self._apply(self._book.usage_records(self._net.wall(), units))
         for period, of in ids.items():
             self._ids.setdefault(period, bytearray()).extend(of)
 
     def _flush(self) -> None:
         """What was counted, and what has fallen due."""
         self._count()
-        self._decide(self._book.cut(self._net.wall()))
-        if not self._unwritten and self._loop.time() - self._wrote_at >= ALIVE:
-            self._decide(self._book.alive(self._net.wall()))
+        self._apply(self._book.batch_records(self._net.wall()))
+        if not self._unwritten and self._loop.time() - self._last_write_at >= HEARTBEAT_INTERVAL:
+            self._apply(self._book.heartbeat_records(self._net.wall()))
         now = self._loop.time()
-        if self._tally.folded > self._told_folded and now - self._told_folded_at > ALIVE:
-            logs.event("ledger.folded", units=self._tally.folded - self._told_folded)
-            self._told_folded, self._told_folded_at = self._tally.folded, now
+        if (
+            self._counters.others_units > self._others_logged
+            and now - self._others_logged_at > HEARTBEAT_INTERVAL
+        ):
+            logs.event("ledger.folded", units=self._counters.others_units - self._others_logged)
+            self._others_logged, self._others_logged_at = self._counters.others_units, now
         if self._unwritten or self._closed:
             self._write()
 
@@ -208,24 +218,24 @@
         records, self._unwritten = self._unwritten, []
         ids, self._ids = self._ids, {}
         closed, self._closed = self._closed, []
-        gone, self._gone = self._gone, []
-        checkpoint = self._book.checkpoint() if store.grown else None
-        retire = now - self._retired_at > RETIRE
+        gone, self._obsolete_files = self._obsolete_files, []
+        checkpoint = self._book.checkpoint() if store.segment_full else None
+        retire = now - self._last_retention_at > RETENTION_INTERVAL
         if retire:
-            self._retired_at = now
+            self._last_retention_at = now
         before = self._net.wall() - self.table.retain_days * 86_400.0
 
         def job() -> None:
             store.commit(records, ids, closed)
-            store.forget(gone)
+            store.remove_files(gone)
             if checkpoint is not None:
                 store.rewrite(checkpoint)
             if retire:
-                store.retire(before)
+                store.remove_older_than(before)
 
         def told(_: None, error: BaseException | None) -> None:
             self._busy = False
-            self._wrote_at = self._loop.time()
+            self._last_write_at = self._loop.time()
             if error is not None:
                 # The records are in the book, and so in what is written next.
                 self._closed = closed + self._closed
@@ -260,7 +270,7 @@
     # --- lines that wait in files ---
     def _spill(self) -> None:
         """The record says so only once the file is there; one that is left over is harmless."""
-        records = self._book.spills()
+        records = self._book.spill_records()
         if not records or self._busy:
             return
         self._busy = True
@@ -269,19 +279,19 @@
 
         def job() -> None:
             for seq, of in lines:
-                store.spill(seq, of)
+                store.write_lines(seq, of)
 
         def told(_: None, error: BaseException | None) -> None:
             self._busy = False
             if error is not None:
                 self._failed(error)
             elif self.state == "open":
-                self._decide(records)
+                self._apply(records)
                 self._write()
 
         self._writer.submit(job, told)
 
-    def _bring(self, batch: Batch) -> None:
+    def _load_lines(self, batch: Batch) -> None:
         self._busy = True
         store, seq = self._store, batch.seq
 
@@ -291,28 +301,31 @@
                 self._failed(error)
             elif error is not None:
                 logs.event("ledger.held", batch=batch.key, why=str(error))
-                self._decide(self._book.holds(seq, f"its lines can't be read: {error}"))
+                self._apply(self._book.held_records(seq, f"its lines can't be read: {error}"))
             else:
-                self._decide(self._book.returns(seq, lines or ()))
+                self._apply(self._book.restore_records(seq, lines or ()))
 
-        self._writer.submit(lambda: store.spilled(seq), told)
+        self._writer.submit(lambda: store.read_lines(seq), told)
 
-    def _mark(self) -> None:
+    def _write_closed_until(self) -> None:
         """For who settles the periods of several ledgers: this one has closed so far."""
-        until = self._book.through(self._net.wall())
-        if self._busy or until <= self._marked:
+        until = self._book.closed_until(self._net.wall())
+        if self._busy or until <= self._closed_until_written:
             return
         self._busy, folder, name = True, Path(self.table.export_folder), self.name
 
         def told(_: None, error: BaseException | None) -> None:
-            self._busy, self._marked = False, self._marked if error is not None else until
+            self._busy, self._closed_until_written = (
+                False,
+                self._closed_until_written if error is not None else until,
+            )
 
-        self._writer.submit(lambda: mark(folder, name, until), told)
+        self._writer.submit(lambda: write_closed_until(folder, name, until), told)
 
     # --- exporting ---
     def _export(self) -> None:
         """The next batch, if it is time; nobody hears of one that is not on the disk."""
-        batch = self._book.due
+        batch = self._book.next_batch
         if (
             batch is None
             or self._busy
@@ -321,10 +334,10 @@
             or self._loop.time() < self._next_try
         ):
             return
-        if batch.away is not None:
-            self._bring(batch)
+        if batch.spilled_units is not None:
+            self._load_lines(batch)
             return
-        self._decide(self._book.sends(batch.seq))
+        self._apply(self._book.sent_records(batch.seq))
         go = self._to_files if self.table.export == "files" else self._send
         if self._unwritten:
             self._write(then=lambda: go(batch))
@@ -337,40 +350,44 @@
 
         def told(_: None, error: BaseException | None) -> None:
             self._busy = False
-            answer = Said("done") if error is None else Said("again", one_line(error))
-            self._said(batch, answer)
+            answer = (
+                ExportResult("done") if error is None else ExportResult("again", one_line(error))
+            )
+            self._handle_result(batch, answer)
 
-        self._writer.submit(lambda: hand_over(folder, batch, formats), told)
+        self._writer.submit(lambda: write_batch(folder, batch, formats), told)
 
     def _send(self, batch: Batch) -> None:
-        def done(answer: Said) -> None:
+        def done(answer: ExportResult) -> None:
             self._post = None
-            self._said(batch, answer)
+            self._handle_result(batch, answer)
 
-        self._post = post(self._net, self.table, self._keys, batch, self._book.last, done)
+        self._post = post(
+            self._net, self.table, self._keys, batch, self._book.last_confirmed_key, done
+        )
 
-    def _said(self, batch: Batch, answer: Said) -> None:
+    def _handle_result(self, batch: Batch, answer: ExportResult) -> None:
         if self.state == "closed" or batch.seq not in self._book.batches:
             return
         book = self._book
-        if answer.what == "done":
+        if answer.outcome == "done":
             self._backoff.succeeded()
-            self._decide(book.confirms(batch.seq))
+            self._apply(book.confirmed_records(batch.seq))
             self._closed.append((batch.period, json_lines(batch)))
-            self._gone.append(f"batch-{batch.seq}")
-        elif answer.what == "held":
-            logs.event("ledger.held", batch=batch.key, why=answer.why)
-            self._decide(book.holds(batch.seq, answer.why))
-        elif answer.what == "fork":
+            self._obsolete_files.append(f"batch-{batch.seq}")
+        elif answer.outcome == "held":
+            logs.event("ledger.held", batch=batch.key, why=answer.reason)
+            self._apply(book.held_records(batch.seq, answer.reason))
+        elif answer.outcome == "fork":
             held = sum(each.state == "held" for each in book.batches.values())
-            self._decide(book.adopts(answer.last, answer.periods, self._net.wall()))
+            self._apply(book.adopt_records(answer.last, answer.periods, self._net.wall()))
             held = sum(each.state == "held" for each in book.batches.values()) - held
             logs.event("ledger.fork", last=answer.last, held=held)
         else:
             wait = self._backoff.failed(answer.wait)
             self._next_try = self._loop.time() + wait
             logs.event(
-                "ledger.not_exported", batch=batch.key, why=answer.why, wait_s=round(wait, 1)
+                "ledger.not_exported", batch=batch.key, why=answer.reason, wait_s=round(wait, 1)
             )
         if self._unwritten and not self._busy and self.state == "open":
             self._write()
@@ -384,12 +401,12 @@
         if self._post is not None:
             self._post.stop()
             self._post = None
-        until = self._loop.time() + AT_THE_END
+        until = self._loop.time() + CLOSE_TIMEOUT
         while self._busy and self._loop.time() < until:
             await asyncio.sleep(0.01)
         if self.state == "open" and not self._busy:
             self._count()
-            self._decide(self._book.ends(self._net.wall()))
+            self._apply(self._book.end_records(self._net.wall()))
             self._write()
             while self._busy and self._loop.time() < until:
                 await asyncio.sleep(0.01)
--- a/violetroute/ledger/store.py
+++ b/violetroute/ledger/store.py
@@ -24,23 +24,25 @@
 from .files import Files
 from .frames import MAGIC, Record, decode, encode
 
-GROWN = 4 * 1024 * 1024  # bytes of a log's frames until a new one is begun
-SIGNED = "signed-"
+MAX_SEGMENT_BYTES = 4 * 1024 * 1024  # bytes of a log's frames until a new one is begun
+SIGNED_PREFIX = "signed-"
 
 
-class Foreign(Exception):
+class ForeignLedgerError(Exception):
     """The folder holds another proxy's ledger."""
 
 
 @dataclass
-class Found:
+class RecoveryResult:
     """What was found at the start."""
 
     file: str = ""
     records: int = 0
-    aside: list[str] = field(default_factory=list)  # what can't be read, under its new names
-    torn: int = 0  # bytes behind the last record that adds up
-    wrong: str = ""
+    renamed_files: list[str] = field(
+        default_factory=list
+    )  # what can't be read, under its new names
+    discarded_bytes: int = 0  # bytes behind the last record that adds up
+    reason: str = ""
 
 
 class Store:
@@ -50,13 +52,13 @@
         self._files, self._name = files, name
         self._number, self._size = 0, 0
 
-    def open(self, book: Book) -> Found:
+    def open(self, book: Book) -> RecoveryResult:
         """Read what there is into an empty book.
 
         Foreign if it is not `name`'s: nothing is changed then.  ValueError if a later version
         wrote it.  A file that is no log any more is kept under another name.
         """
-        found = Found()
+        found = RecoveryResult()
         segments = sorted(
             (
                 name
@@ -72,17 +74,17 @@
             read = decode(data)
             if read.records and read.records[0][0] == "state":
                 if read.records[0][1].get("name") not in (self._name, ""):
-                    raise Foreign(str(read.records[0][1].get("name")))
-                self._play(book, read.records)
+                    raise ForeignLedgerError(str(read.records[0][1].get("name")))
+                self._replay(book, read.records)
                 found.file, found.records = name, len(read.records)
-                found.torn, found.wrong = len(data) - read.good, read.wrong
+                found.discarded_bytes, found.reason = len(data) - read.valid_bytes, read.error
                 return found
             self._files.move(name, f"{name}.bad")
-            found.aside.append(f"{name}.bad")
+            found.renamed_files.append(f"{name}.bad")
         return found
 
     @staticmethod
-    def _play(book: Book, records: Iterable[Record]) -> None:
+    def _replay(book: Book, records: Iterable[Record]) -> None:
         for record in records:
             book.apply(record)
 
@@ -115,34 +117,34 @@
             self._size += len(data)
         self._files.sync()
 
-    def spill(self, seq: int, lines: object) -> None:
+    def write_lines(self, seq: int, lines: object) -> None:
         """The lines of a batch in a file of their own."""
         self._files.put(f"batch-{seq}", MAGIC + encode([["lines", lines]]))
 
-    def spilled(self, seq: int) -> list[Any]:
+    def read_lines(self, seq: int) -> list[Any]:
         """ValueError where they can't be read."""
         read = decode(self._files.read(f"batch-{seq}"))
         if len(read.records) != 1 or read.records[0][0] != "lines":
-            raise ValueError(f"batch-{seq}: {read.wrong or 'no lines'}")
+            raise ValueError(f"batch-{seq}: {read.error or 'no lines'}")
         return list(read.records[0][1])
 
-    def signed(self) -> dict[str, bytes]:
+    def read_corrections(self) -> dict[str, bytes]:
         """Corrections that were put here to be taken on, by name."""
         return {
             name: self._files.read(name)
             for name in self._files.names()
-            if name.startswith(SIGNED) and name.endswith(".json")
+            if name.startswith(SIGNED_PREFIX) and name.endswith(".json")
         }
 
-    def forget(self, names: Iterable[str]) -> None:
+    def remove_files(self, names: Iterable[str]) -> None:
         for name in names:
             self._files.remove(name)
 
     @property
-    def grown(self) -> bool:
-        return self._size > GROWN
+    def segment_full(self) -> bool:
+        return self._size > MAX_SEGMENT_BYTES
 
-    def retire(self, before: float) -> None:
+    def remove_older_than(self, before: float) -> None:
         """Forget what is older than this (Unix s)."""
         last_day = datetime.fromtimestamp(max(0.0, before), UTC).strftime("%Y%m%d")
         for name in self._files.names():
@@ -160,7 +162,7 @@
     return zstandard.ZstdCompressor(level=level).compress(data)
 
 
-def archived(data: bytes) -> list[bytes]:
+def read_archive_frames(data: bytes) -> list[bytes]:
     """The frames of a `closed-` file; one that was torn ends it."""
     import zstandard
 
@@ -178,25 +180,25 @@
     return found
 
 
-def open_or_set_aside(store: Store, files: Files, book: Book) -> Found:
+def open_or_set_aside(store: Store, files: Files, book: Book) -> RecoveryResult:
     """Read what there is into an empty book; another proxy's files are kept under other names."""
     try:
         return store.open(book)
-    except Foreign as other:
+    except ForeignLedgerError as other:
         for file in files.names():
             if not file.endswith(".foreign"):
                 files.move(file, f"{file}.foreign")
-        return Found(aside=["*.foreign"], wrong=f"it was the ledger of {other}")
+        return RecoveryResult(renamed_files=["*.foreign"], reason=f"it was the ledger of {other}")
 
 
-def tell_salvaged(found: Found) -> None:
+def log_recovery(found: RecoveryResult) -> None:
     """Log what could not be read at the start, if there was anything."""
-    if found.wrong or found.aside:
+    if found.reason or found.renamed_files:
         logs.event(
             "ledger.salvaged",
             file=found.file,
             records=found.records,
-            torn=found.torn,
-            why=found.wrong,
-            aside=",".join(found.aside),
+            torn=found.discarded_bytes,
+            why=found.reason,
+            aside=",".join(found.renamed_files),
         )
