--- a/violetroute/proxy.py
+++ b/violetroute/proxy.py
@@ -16,8 +16,8 @@
     Cancel,
     Effect,
     Fail,
-    Judged,
     ListKind,
+    LoadSample,
     Member,
     Outcome,
     Refuse,
@@ -38,7 +38,7 @@
 from .listing import ListApplier, log_step, tell_placement
 from .membership import Listing, Membership, NodeAddresses, stable_hash
 from .parts import Parts
-from .placement import Keeper
+from .placement import PlanManager
 from .pulse import Pulse
 from .refusals import Refusals
 from .requests import FAILED, OpenRequest, fault, refusal, time_for
@@ -68,7 +68,7 @@
         self._turn_log = TurnLog(self._turns, self._open)
         self._refusals = Refusals(loop)
         self._balancer = Balancer(config.settings, config.seed, self.clock())
-        self.judged = self._balancer.judged  # what came of requests, for who tells others
+        self.judged = self._balancer.load_samples  # what came of requests, for who tells others
         self._settings = config.settings
         self._beliefs = Beliefs(loop.time, self.places.describe)
         self._classes = {c.name: c for c in config.settings.classes}
@@ -76,12 +76,12 @@
             loop, self._turns, self.clock, self._balancer, self.parts, self._refusals
         )
         self._arrivals.classes = self._classes
-        self.turned_away = self._arrivals.turned_away  # called once for each command
+        self.rejection = self._arrivals.rejection  # called once for each command
         self._pool = Pool.of(self, net, config)
         self._slots = SlotMap()
         self._lists = ListApplier(loop, self.places, self._pool, self.clock, self._tell_members)
         self._watch = Membership(self, net, config.discovery, config.operator, self.clock)
-        self._placement = Keeper(loop, net.wall, self._tell_sizes)
+        self._placement = PlanManager(loop, net.wall, self._tell_sizes)
         self._placement.take(config.plan, config.operator.placement)
         self._tell_list(self._watch.adopt_initial_list(config.known), ListKind.CACHED)
 
@@ -116,7 +116,7 @@
     # --- from clients ---
     def _look(self) -> None:
         module = self._balancer
-        self._beliefs.look(module.unproven, module.gate.limit, module.fetches.limit)
+        self._beliefs.look(module.ejected, module.cache_limiter.limit, module.origin_limiter.limit)
 
     def _paused(self, seconds: float) -> None:
         logs.event("daemon.paused", ms=round(seconds * 1000.0))
@@ -161,13 +161,13 @@
         )
         self._forget(request)  # it may have been refused at once
 
-    def gone(self, answer: Answer) -> None:
+    def client_gone(self, answer: Answer) -> None:
         """The client has gone away: nothing more is owed, sent or written."""
         request = answer.request
         if not isinstance(request, OpenRequest) or request.answered:
             return
         self._settle(request)
-        self._tell(request, self._balancer.on_gone, request.id)
+        self._tell(request, self._balancer.on_client_gone, request.id)
         self._forget(request)
 
     # --- from cache nodes ---
@@ -220,7 +220,9 @@
         self._tell_list(listing)
 
     def list_failed(self, silent: bool = False) -> None:
-        self._tell(None, self._balancer.on_list, ListKind.SILENT if silent else ListKind.FAILED, ())
+        self._tell(
+            None, self._balancer.on_list, ListKind.TIMED_OUT if silent else ListKind.FAILED, ()
+        )
 
     def reload(self, config: Config) -> None:
         """Take on what a new configuration may change while requests are open."""
@@ -252,9 +254,9 @@
         for listed in self.parts.listed:
             listed(members)
 
-    def others(self, bad: list[int], outcomes: list[Judged]) -> None:
+    def others(self, bad: list[int], outcomes: list[LoadSample]) -> None:
         """What other proxies met at the nodes."""
-        self._tell(None, self._balancer.on_others, bad, outcomes)
+        self._tell(None, self._balancer.on_peer_reports, bad, outcomes)
 
     def _tell_sizes(self, sizes: Mapping[int, float]) -> None:
         self._tell(None, self._balancer.on_sizes, sizes)
@@ -338,7 +340,7 @@
         return (
             request is not None
             and request.may_begin(attempt, self.clock())
-            and not (self._turns.late(self._loop.time()) and request.answer.left())
+            and not (self._turns.late(self._loop.time()) and request.answer.client_left())
         )
 
     def _timer(self, label: int) -> None:
@@ -366,7 +368,7 @@
         if not request.answered:
             fault(f"request {request.id} had no final answer at its deadline")
             self._answer(request, FAILED)
-            self._tell(request, self._balancer.on_gone, request.id)
+            self._tell(request, self._balancer.on_client_gone, request.id)
         self._forget(request)
 
     def _held_too_long(self, request: OpenRequest) -> None:
