--- a/tests/violetroute/ledger/test_ledger.py
+++ b/tests/violetroute/ledger/test_ledger.py
@@ -93,11 +93,7 @@
     assert export.json_lines(first) == before and made.total_units(START) == 6
     for batch in (first, late):
         decide(made, made.sent_records(batch.seq) + made.confirmed_records(batch.seq))
-    assert (
-        made.next_batch is None
-        and made.total_units(START) == 6
-        and made.last_confirmed_key == late.key
-    )
+    assert made.next_batch is None and made.total_units(START) == 6 and made.last_key == late.key
 
 
 def test_a_process_that_was_killed_is_named_as_a_gap_and_one_that_ended_is_not() -> None:
@@ -120,9 +116,7 @@
     held = {batch.period: batch.state for batch in made.batches.values()}
     assert held == {START: "held", START + 300: "held"} and made.next_batch is None
     assert (
-        made.last_confirmed_key == "p1/9.x/4"
-        and made.total_units(START + 600) == 7
-        and len(made.gaps) == 1
+        made.last_key == "p1/9.x/4" and made.total_units(START + 600) == 7 and len(made.gaps) == 1
     )
     decide(made, made.batch_records(START + 1000))
     assert made.next_batch is not None and made.next_batch.period == START + 600
@@ -311,7 +305,7 @@
     units, _ = counters.collect()
     named = {tenant for period, tenant, _ in units if period == 600}
     assert {f"regular{n}" for n in range(4)} < named and len(named) == 5 + 4 + 1
-    assert units[600, None, "c"] == 9995 == counters.others_units and sum(units.values()) == 10_008
+    assert units[600, None, "c"] == 9995 == counters.others and sum(units.values()) == 10_008
 
 
 def test_long_names_are_told_by_a_part_and_a_hash() -> None:
--- a/tests/violetroute/ledger/test_ledger_daemon.py
+++ b/tests/violetroute/ledger/test_ledger_daemon.py
@@ -117,7 +117,7 @@
         billing.trouble = lambda: left.pop() if left else ""
         await ask(rig, 0, 3)
         clock.now += 400.0
-        await until(lambda: ledger._book.last_confirmed_key)
+        await until(lambda: ledger._book.last_key)
         assert sum(billing.billed.values()) == 3 and billing.posts == 11
 
     run(part, tmp_path, retry_most_s=0.02)
@@ -232,9 +232,7 @@
         ledger.served("../../x", "lookup", b"1")
         ledger.served("=1+1", "lookup", b"2")
         clock.now += 400.0
-        await until(
-            lambda: len(list(out.glob("p1_*.csv"))) == 1 and ledger._book.last_confirmed_key
-        )
+        await until(lambda: len(list(out.glob("p1_*.csv"))) == 1 and ledger._book.last_key)
         assert not billing.posts
 
     run(part, tmp_path, export="files", export_folder=str(out), formats=("csv", "jsonl"))
--- a/violetroute/ledger/accounts.py
+++ b/violetroute/ledger/accounts.py
@@ -69,7 +69,7 @@
     incarnation: int = 0
     nonce: str = ""
     next_seq: int = 1
-    last_confirmed_key: str = ""  # the key of the batch that was confirmed last
+    last_key: str = ""  # the key of the batch that was confirmed last
     unbatched_units: dict[int, dict[Key, int]] = field(
         default_factory=dict
     )  # by period, not in a batch
@@ -274,7 +274,7 @@
                 batch.lines, batch.spilled_units = [(t, c, n) for t, c, n in lines], None
             case ["done", seq]:
                 batch = self.batches.pop(seq)
-                self.last_confirmed_key = batch.key
+                self.last_key = batch.key
                 self.confirmed_units[batch.period] = (
                     self.confirmed_units.get(batch.period, 0) + batch.units
                 )
@@ -283,7 +283,7 @@
             case ["held", seq, why]:
                 self.batches[seq].state, self.batches[seq].reason = "held", why
             case ["adopt", last]:
-                self.last_confirmed_key = last
+                self.last_key = last
             case ["gap", since, until, why]:
                 self.gaps = [*self.gaps[-MAX_GAPS:], (since, until, why)]
             case _:
@@ -320,7 +320,7 @@
                 "incarnation": self.incarnation,
                 "nonce": self.nonce,
                 "next_seq": self.next_seq,
-                "last": self.last_confirmed_key,
+                "last": self.last_key,
                 "counts": [
                     [period, tenant, cls, units]
                     for period, of in self.unbatched_units.items()
@@ -345,11 +345,7 @@
         if state["version"] > VERSION:
             raise ValueError(f"written by a later version ({state['version']})")
         self.name, self.incarnation = state["name"], state["incarnation"]
-        self.nonce, self.next_seq, self.last_confirmed_key = (
-            state["nonce"],
-            state["next_seq"],
-            state["last"],
-        )
+        self.nonce, self.next_seq, self.last_key = state["nonce"], state["next_seq"], state["last"]
         self.unbatched_units = {}
         for period, tenant, cls, units in state["counts"]:
             self.unbatched_units.setdefault(period, {})[tenant, cls] = units
--- a/violetroute/ledger/counters.py
+++ b/violetroute/ledger/counters.py
@@ -28,9 +28,9 @@
         self.ids_left_out = self._pending_ids = 0
         self._tenants: dict[int, dict[str, None]] = {}  # who has a place, by period
         self._newcomers: dict[int, int] = {}
-        self.others_units = 0  # units without a name, so far
+        self.others = 0  # units without a name, so far
 
-    def restore_tenants(self, period: int, tenants: Mapping[str, None]) -> None:
+    def restore(self, period: int, tenants: Mapping[str, None]) -> None:
         """Who had a place in a period that was opened by another process."""
         self._tenants.setdefault(period, {}).update(tenants)
 
@@ -40,7 +40,7 @@
         key = period, name, cls
         self.units[key] = self.units.get(key, 0) + 1
         if name is None:
-            self.others_units += 1
+            self.others += 1
         if self._keeps_ids:
             if self._pending_ids < MAX_IDS:
                 self._pending_ids += 1
--- a/violetroute/ledger/service.py
+++ b/violetroute/ledger/service.py
@@ -1,11 +1,11 @@
-"""The ledger as a part of the daemon: hears of served requests, writes, exports.
+"""The daemon's usage ledger: counts served requests, writes the log and exports batches.
 
-Decisions are the book's; this file has the timers and the order of things:
+`Book` makes the decisions; this module runs the timers and orders writes and exports:
 
-- what is decided is applied to the book at once and then written; while a write is under way or has
-  failed, everything waits in the tally, which is bounded, and requests go on;
-- a batch is heard of outside only when the record that says so is on the disk;
-- after a write that failed the whole book is written anew, until that succeeds.
+- A record is applied to the book, then written. While a write runs or has failed, new units wait
+  in the bounded `UsageCounters`, and requests are served as usual.
+- A batch is exported only after its "sent" record is on disk.
+- After a failed write the whole book is written to a new log file, until that succeeds.
 """
 
 from __future__ import annotations
@@ -33,18 +33,18 @@
 from .outbox import write_batch, write_closed_until
 from .periods import Periods
 from .post import post
-from .store import RecoveryResult, Store, log_recovery, open_or_set_aside
+from .store import Recovery, Store, log_recovery, open_or_set_aside
 from .table import LedgerTable
 
-RETRY_INTERVAL = 1.0  # s until a disk that failed, or a folder that is another's, is tried again
-CORRECTIONS_INTERVAL = 5.0  # s between looks for corrections that were signed
-HEARTBEAT_INTERVAL = 30.0  # s without a write after which one says that nothing was missed
-RETENTION_INTERVAL = 3600.0  # s between looks for what is too old
-CLOSE_TIMEOUT = 2.0  # s for the last write
+RETRY_INTERVAL = 1.0  # s between retries on a failed disk or a locked folder
+CHECK_INTERVAL = 5.0  # s between checks for files of signed corrections
+HEARTBEAT_INTERVAL = 30.0  # s without a write until an "alive" record is written
+RETENTION_INTERVAL = 3600.0  # s between deletions of files older than `retain_days`
+CLOSE_TIMEOUT = 2.0  # s that `close` waits for the last write
 
 
 class Ledger:
-    """One proxy's.  `name` is the proxy's; its folder is made of it."""
+    """The ledger of one proxy.  The folder's name is made from `name`, the proxy's name."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         nonce: str = "",
     ) -> None:
         self.table, self._net, self._loop = table, net, net.loop
-        self.name = name = folder_name(name)  # it stands in keys and headers too
+        self.name = name = folder_name(name)  # also used in batch keys and HTTP headers
         folder = Path(table.folder) / name
         self._files = files() if files is not None else Folder(folder)
         self._writer: Writer = writer or ThreadWriter(net.loop)
@@ -66,35 +66,32 @@
         self._store = Store(self._files, name)
         self._nonce = nonce or secrets.token_hex(6)
         self._opened_at = net.wall()
-        self.state = "opening"  # open, failed (its disk), elsewhere (locked), closed
+        self.state = "opening"  # open, failed (disk), elsewhere (locked by another), closed
         self._busy = False
-        self._unwritten: list[Record] = []  # decided, in their order
+        self._unwritten: list[Record] = []  # applied to the book, in order
         self._ids: dict[int, bytearray] = {}
-        self._closed: list[tuple[int, bytes]] = []  # to be archived with the next write
-        self._obsolete_files: list[str] = []  # files that nobody needs after it
-        self._last_write_at = self._last_retention_at = self._last_corrections_at = (
-            self._loop.time()
-        )
+        self._closed: list[tuple[int, bytes]] = []  # batches to archive at the next write
+        self._obsolete: list[str] = []  # files to delete at the next write
+        self._wrote_at = self._cleaned_at = self._checked_at = self._loop.time()
         self._post: Call | None = None
         self._backoff = Backoff(table.retry_s, table.retry_most_s, f"{name}/{self._nonce}")
-        self._next_try = 0.0
+        self._retry_at = 0.0
         self._keys = TlsKeys(table.tls) if table.tls_ca_file else None
         self._timer: Any = None
-        self._others_logged, self._others_logged_at = 0, 0.0
-        self._closed_until_written = 0.0  # up to when it was said that all is closed
+        self._logged, self._logged_at = 0, 0.0
+        self._published = 0.0  # Unix s of the last NAME.through file
         self._open()
 
     def served(self, tenant: str, cls: str, id_: bytes) -> None:
-        """A client was given its served answer."""
+        """Count one request whose answer was sent to its client."""
         self._counters.add(self._periods.of(self._net.wall()), tenant, cls, id_)
 
-    # --- opening ---
     def _open(self) -> None:
         self._busy, self.state = True, "opening"
         book, store, files, name = self._book, self._store, self._files, self.name
         wall, nonce = self._opened_at, self._nonce
 
-        def job() -> RecoveryResult | None:
+        def job() -> Recovery | None:
             if not files.lock():
                 return None
             found = open_or_set_aside(store, files, book)
@@ -105,7 +102,7 @@
 
         self._writer.submit(job, self._opened)
 
-    def _opened(self, found: RecoveryResult | None, error: BaseException | None) -> None:
+    def _opened(self, found: Recovery | None, error: BaseException | None) -> None:
         self._busy = False
         if self.state == "closed":
             return
@@ -119,9 +116,7 @@
             self.state = "open"
             log_recovery(found)
             for period, of in self._book.unbatched_units.items():
-                self._counters.restore_tenants(
-                    period, {name: None for name, _ in of if name is not None}
-                )
+                self._counters.restore(period, {name: None for name, _ in of if name is not None})
             logs.event(
                 "ledger.open",
                 incarnation=self._book.incarnation,
@@ -138,10 +133,7 @@
     def _tick(self) -> None:
         self._timer = None
         if not self._busy:
-            if (
-                self.state == "open"
-                and self._loop.time() - self._last_corrections_at > CORRECTIONS_INTERVAL
-            ):
+            if self.state == "open" and self._loop.time() - self._checked_at > CHECK_INTERVAL:
                 self._read_corrections()
             elif self.state == "open":
                 self._flush()
@@ -155,9 +147,9 @@
                 self._open()
         self._schedule_tick()
 
-    # --- corrections that an operator has signed ---
+    # --- corrections signed by an operator ---
     def _read_corrections(self) -> None:
-        self._busy, self._last_corrections_at = True, self._loop.time()
+        self._busy, self._checked_at = True, self._loop.time()
         self._writer.submit(self._store.read_corrections, self._signed)
 
     def _signed(self, files: dict[str, bytes] | None, error: BaseException | None) -> None:
@@ -172,18 +164,18 @@
         if names and self.state == "open":
             store = self._store
 
-            def forget() -> None:
+            def remove() -> None:
                 self._busy = True
-                self._writer.submit(lambda: store.remove_files(names), forgotten)
+                self._writer.submit(lambda: store.remove_files(names), removed)
 
-            def forgotten(_: None, error: BaseException | None) -> None:
+            def removed(_: None, error: BaseException | None) -> None:
                 self._busy = False
 
-            self._write(then=forget)
+            self._write(then=remove)
 
     # --- writing ---
     def _apply(self, records: list[Record]) -> bool:
-        """Take on what the book has decided; whether it was anything."""
+        """Apply records and queue them for the next write.  Returns whether there are any."""
         for record in records:
             self._book.apply(record)
         self._unwritten += records
@@ -196,33 +188,30 @@
             self._ids.setdefault(period, bytearray()).extend(of)
 
     def _flush(self) -> None:
-        """What was counted, and what has fallen due."""
+        """Write new units and the batches that are due."""
         self._count()
         self._apply(self._book.batch_records(self._net.wall()))
-        if not self._unwritten and self._loop.time() - self._last_write_at >= HEARTBEAT_INTERVAL:
+        if not self._unwritten and self._loop.time() - self._wrote_at >= HEARTBEAT_INTERVAL:
             self._apply(self._book.heartbeat_records(self._net.wall()))
         now = self._loop.time()
-        if (
-            self._counters.others_units > self._others_logged
-            and now - self._others_logged_at > HEARTBEAT_INTERVAL
-        ):
-            logs.event("ledger.folded", units=self._counters.others_units - self._others_logged)
-            self._others_logged, self._others_logged_at = self._counters.others_units, now
+        if self._counters.others > self._logged and now - self._logged_at > HEARTBEAT_INTERVAL:
+            logs.event("ledger.folded", units=self._counters.others - self._logged)
+            self._logged, self._logged_at = self._counters.others, now
         if self._unwritten or self._closed:
             self._write()
 
     def _write(self, then: Callable[[], None] | None = None) -> None:
-        """All that was decided; `then` once it is on the disk."""
+        """Write all queued records.  `then` is called once they are on disk."""
         self._busy = True
         store, now = self._store, self._loop.time()
         records, self._unwritten = self._unwritten, []
         ids, self._ids = self._ids, {}
         closed, self._closed = self._closed, []
-        gone, self._obsolete_files = self._obsolete_files, []
+        gone, self._obsolete = self._obsolete, []
         checkpoint = self._book.checkpoint() if store.segment_full else None
-        retire = now - self._last_retention_at > RETENTION_INTERVAL
+        retire = now - self._cleaned_at > RETENTION_INTERVAL
         if retire:
-            self._last_retention_at = now
+            self._cleaned_at = now
         before = self._net.wall() - self.table.retain_days * 86_400.0
 
         def job() -> None:
@@ -233,11 +222,11 @@
             if retire:
                 store.remove_older_than(before)
 
-        def told(_: None, error: BaseException | None) -> None:
+        def written(_: None, error: BaseException | None) -> None:
             self._busy = False
-            self._last_write_at = self._loop.time()
+            self._wrote_at = self._loop.time()
             if error is not None:
-                # The records are in the book, and so in what is written next.
+                # The records are in the book, so the checkpoint that is written next has them.
                 self._closed = closed + self._closed
                 for period, of in self._ids.items():
                     ids.setdefault(period, bytearray()).extend(of)
@@ -246,10 +235,10 @@
             elif then is not None and self.state == "open":
                 then()
 
-        self._writer.submit(job, told)
+        self._writer.submit(job, written)
 
     def _rewrite(self) -> None:
-        """All of the book into a new file: the one before is not believed any more."""
+        """Write a checkpoint to a new file; after a failed write the old file isn't trusted."""
         self._busy, self._unwritten = True, []
         store, checkpoint = self._store, self._book.checkpoint()
         self._writer.submit(lambda: store.rewrite(checkpoint), self._rewritten)
@@ -267,9 +256,9 @@
             self.state = "failed"
             logs.event("ledger.unwritten", reason=one_line(error))
 
-    # --- lines that wait in files ---
+    # --- batches whose lines are in files ---
     def _spill(self) -> None:
-        """The record says so only once the file is there; one that is left over is harmless."""
+        """Move batches' lines to files, each written before its record: a file alone is harmless."""
         records = self._book.spill_records()
         if not records or self._busy:
             return
@@ -281,7 +270,7 @@
             for seq, of in lines:
                 store.write_lines(seq, of)
 
-        def told(_: None, error: BaseException | None) -> None:
+        def written(_: None, error: BaseException | None) -> None:
             self._busy = False
             if error is not None:
                 self._failed(error)
@@ -289,13 +278,13 @@
                 self._apply(records)
                 self._write()
 
-        self._writer.submit(job, told)
+        self._writer.submit(job, written)
 
     def _load_lines(self, batch: Batch) -> None:
         self._busy = True
         store, seq = self._store, batch.seq
 
-        def told(lines: list[Any] | None, error: BaseException | None) -> None:
+        def loaded(lines: list[Any] | None, error: BaseException | None) -> None:
             self._busy = False
             if isinstance(error, OSError) and not isinstance(error, FileNotFoundError):
                 self._failed(error)
@@ -305,33 +294,30 @@
             else:
                 self._apply(self._book.restore_records(seq, lines or ()))
 
-        self._writer.submit(lambda: store.read_lines(seq), told)
+        self._writer.submit(lambda: store.read_lines(seq), loaded)
 
     def _write_closed_until(self) -> None:
-        """For who settles the periods of several ledgers: this one has closed so far."""
+        """Tell the fleet's settlement up to which time all periods here are closed."""
         until = self._book.closed_until(self._net.wall())
-        if self._busy or until <= self._closed_until_written:
+        if self._busy or until <= self._published:
             return
         self._busy, folder, name = True, Path(self.table.export_folder), self.name
 
-        def told(_: None, error: BaseException | None) -> None:
-            self._busy, self._closed_until_written = (
-                False,
-                self._closed_until_written if error is not None else until,
-            )
+        def written(_: None, error: BaseException | None) -> None:
+            self._busy, self._published = False, self._published if error is not None else until
 
-        self._writer.submit(lambda: write_closed_until(folder, name, until), told)
+        self._writer.submit(lambda: write_closed_until(folder, name, until), written)
 
     # --- exporting ---
     def _export(self) -> None:
-        """The next batch, if it is time; nobody hears of one that is not on the disk."""
+        """Export the next batch if it is due, after its "sent" record is on disk."""
         batch = self._book.next_batch
         if (
             batch is None
             or self._busy
             or self._post is not None
             or self.table.export == "off"
-            or self._loop.time() < self._next_try
+            or self._loop.time() < self._retry_at
         ):
             return
         if batch.spilled_units is not None:
@@ -348,23 +334,21 @@
         self._busy = True
         folder, formats = Path(self.table.export_folder), self.table.formats
 
-        def told(_: None, error: BaseException | None) -> None:
+        def written(_: None, error: BaseException | None) -> None:
             self._busy = False
             answer = (
                 ExportResult("done") if error is None else ExportResult("again", one_line(error))
             )
             self._handle_result(batch, answer)
 
-        self._writer.submit(lambda: write_batch(folder, batch, formats), told)
+        self._writer.submit(lambda: write_batch(folder, batch, formats), written)
 
     def _send(self, batch: Batch) -> None:
         def done(answer: ExportResult) -> None:
             self._post = None
             self._handle_result(batch, answer)
 
-        self._post = post(
-            self._net, self.table, self._keys, batch, self._book.last_confirmed_key, done
-        )
+        self._post = post(self._net, self.table, self._keys, batch, self._book.last_key, done)
 
     def _handle_result(self, batch: Batch, answer: ExportResult) -> None:
         if self.state == "closed" or batch.seq not in self._book.batches:
@@ -374,7 +358,7 @@
             self._backoff.succeeded()
             self._apply(book.confirmed_records(batch.seq))
             self._closed.append((batch.period, json_lines(batch)))
-            self._obsolete_files.append(f"batch-{batch.seq}")
+            self._obsolete.append(f"batch-{batch.seq}")
         elif answer.outcome == "held":
             logs.event("ledger.held", batch=batch.key, why=answer.reason)
             self._apply(book.held_records(batch.seq, answer.reason))
@@ -385,16 +369,15 @@
             logs.event("ledger.fork", last=answer.last, held=held)
         else:
             wait = self._backoff.failed(answer.wait)
-            self._next_try = self._loop.time() + wait
+            self._retry_at = self._loop.time() + wait
             logs.event(
                 "ledger.not_exported", batch=batch.key, why=answer.reason, wait_s=round(wait, 1)
             )
         if self._unwritten and not self._busy and self.state == "open":
             self._write()
 
-    # --- the end ---
     async def close(self) -> None:
-        """The last write; what is not written by AT_THE_END is named by the next start as a gap."""
+        """Write what is left.  If that takes over CLOSE_TIMEOUT, the next start records a gap."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/violetroute/ledger/store.py
+++ b/violetroute/ledger/store.py
@@ -33,7 +33,7 @@
 
 
 @dataclass
-class RecoveryResult:
+class Recovery:
     """What was found at the start."""
 
     file: str = ""
@@ -52,13 +52,13 @@
         self._files, self._name = files, name
         self._number, self._size = 0, 0
 
-    def open(self, book: Book) -> RecoveryResult:
+    def open(self, book: Book) -> Recovery:
         """Read what there is into an empty book.
 
         Foreign if it is not `name`'s: nothing is changed then.  ValueError if a later version
         wrote it.  A file that is no log any more is kept under another name.
         """
-        found = RecoveryResult()
+        found = Recovery()
         segments = sorted(
             (
                 name
@@ -180,7 +180,7 @@
     return found
 
 
-def open_or_set_aside(store: Store, files: Files, book: Book) -> RecoveryResult:
+def open_or_set_aside(store: Store, files: Files, book: Book) -> Recovery:
     """Read what there is into an empty book; another proxy's files are kept under other names."""
     try:
         return store.open(book)
@@ -188,10 +188,10 @@
         for file in files.names():
             if not file.endswith(".foreign"):
                 files.move(file, f"{file}.foreign")
-        return RecoveryResult(renamed_files=["*.foreign"], reason=f"it was the ledger of {other}")
+        return Recovery(renamed_files=["*.foreign"], reason=f"it was the ledger of {other}")
 
 
-def log_recovery(found: RecoveryResult) -> None:
+def log_recovery(found: Recovery) -> None:
     """Log what could not be read at the start, if there was anything."""
     if found.reason or found.renamed_files:
         logs.event(
