--- a/violetroute/ledger/service.py
+++ b/violetroute/ledger/service.py
@@ -258,7 +258,7 @@
 
     # --- batches whose lines are in files ---
     def _spill(self) -> None:
-        """Move batches' lines to files, each written before its record: a file alone is harmless."""
+        """Move batch lines to files, each written before its record (a file alone is harmless)."""
         records = self._book.spill_records()
         if not records or self._busy:
             return
