--- a/limebridge/placement/keeping.py
+++ b/limebridge/placement/keeping.py
@@ -29,7 +29,7 @@
 from violetroute.fleet.runner import Fleet as Lives
 from violetroute.fleet.runner import Work
 from violetroute.placement.plan import Plan, load_plan
-from violetroute.placement.ramp import moved
+from violetroute.placement.ramp import moved_fraction
 from violetroute.transport.sockets import SocketNetwork
 from violetroute.transport.writer import ThreadWriter, Writer
 
@@ -67,7 +67,7 @@
                 return None
             if last.nodes == solved.nodes or (
                 last.nodes.keys() == solved.nodes.keys()
-                and moved(_numbered(last, solved), _numbered(solved, last)) < self.drift
+                and moved_fraction(_numbered(last, solved), _numbered(solved, last)) < self.drift
             ):
                 return None
         return {"plan": msgspec.to_builtins(solved)}
--- a/tests/violetroute/fleet/test_fleet_guards.py
+++ b/tests/violetroute/fleet/test_fleet_guards.py
@@ -361,7 +361,7 @@
     load = placement.load_plan
     monkeypatch.setattr(placement, "load_plan", lambda of: reads.append(1) or load(of))
     keeper = PlanManager(loop, lambda: 0.0, lambda sizes: None)
-    keeper.take(None, PlacementTable(file=str(path), every_s=0.001))
+    keeper.set_plan(None, PlacementTable(file=str(path), every_s=0.001))
     loop.run_until_complete(asyncio.sleep(3.0))
     assert len(reads) == 1 and keeper._plan is not None
     path.write_bytes(msgspec.json.encode(Plan(1, 0.0, {"a": 1.0}, fence=22)))
--- a/tests/violetroute/placement/test_placement.py
+++ b/tests/violetroute/placement/test_placement.py
@@ -1,4 +1,4 @@
-"""The daemon takes on a plan: the file, whose nodes it fits, and the way from one to the next."""
+"""Placement plans: the file, the nodes that it fits, and the transition between plans."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 from violetroute.membership import stable_hash
 from violetroute.placement import ListedNode, PlacementTable, Plan, PlanManager, Ramp, load_plan
 from violetroute.placement.plan import sizes as sizes_of
-from violetroute.placement.plan_manager import STEP
-from violetroute.placement.ramp import moved, parts
+from violetroute.placement.plan_manager import STEP_INTERVAL
+from violetroute.placement.ramp import moved_fraction, normalized
 
 Sizes = dict[int, float]
 SIZES = st.dictionaries(st.integers(1, 6), st.floats(0.0, 4.0), min_size=1, max_size=6).filter(
@@ -40,55 +40,58 @@
 
 @given(SIZES, SIZES, st.floats(0.01, 0.5))
 def test_a_step_moves_no_more_than_the_rate_and_stays_between(
-    before: Sizes, wanted: Sizes, rate: float
+    before: Sizes, target: Sizes, rate: float
 ) -> None:
     ramp = Ramp(rate)
-    ramp.jump(before)
-    ramp.aim(wanted)
+    ramp.jump_to(before)
+    ramp.set_target(target)
     steps = 0
-    while not ramp.there:
-        was = ramp.now
+    while not ramp.finished:
+        before_step = ramp.current
         ramp.step(1.0)
         steps += 1
-        # Sizes, not shares, lie on the line: where their sums differ a step may be a little more.
-        # Where nobody that is left has a share, all keys move at once: there is no rate to keep.
-        if not sum(was.values()):
+        # Sizes, not shares, are interpolated: if their sums differ, a step may move a little more.
+        # If no remaining node has a share, all keys move at once and the rate does not apply.
+        if not sum(before_step.values()):
             continue
-        total = sum(wanted.values()) / sum(was.values())
-        assert moved(was, ramp.now) <= rate * max(1.0, total, 1.0 / max(total, 1e-9)) + 1e-9
-        for name, size in ramp.now.items():
-            low, high = sorted((was[name], wanted[name]))
+        total = sum(target.values()) / sum(before_step.values())
+        assert (
+            moved_fraction(before_step, ramp.current)
+            <= rate * max(1.0, total, 1.0 / max(total, 1e-9)) + 1e-9
+        )
+        for name, size in ramp.current.items():
+            low, high = sorted((before_step[name], target[name]))
             assert low - 1e-9 <= size <= high + 1e-9
         assert steps < 10_000
-    assert ramp.now == wanted
+    assert ramp.current == target
 
 
 def test_a_new_node_has_its_size_at_once_and_one_that_has_gone_is_forgotten() -> None:
     ramp = Ramp(0.1)
-    ramp.jump({1: 1.0, 2: 1.0})
-    ramp.aim({1: 0.5, 3: 2.0})
-    assert ramp.now == {1: 1.0, 3: 2.0}
+    ramp.jump_to({1: 1.0, 2: 1.0})
+    ramp.set_target({1: 0.5, 3: 2.0})
+    assert ramp.current == {1: 1.0, 3: 2.0}
 
 
-def test_parts_of_nothing_are_nothing() -> None:
-    assert parts({1: 0.0}) == {} and moved({}, {}) == 0.0
+def test_normalizing_zero_sizes_gives_no_shares() -> None:
+    assert normalized({1: 0.0}) == {} and moved_fraction({}, {}) == 0.0
 
 
-class Told:
-    """A keeper on a clock of its own, and what it tells."""
+class ManagedPlan:
+    """A plan manager on a virtual clock, with the sizes and log events that it reports."""
 
     def __init__(self) -> None:
         kernel = Kernel(1)
         self.loop = VirtualLoop(kernel)
-        self.said: list[Sizes] = []
+        self.reported: list[Sizes] = []
         self.events: list[str] = []
-        self.keeper = PlanManager(self.loop, lambda: 7200.0, self._sizes)
+        self.manager = PlanManager(self.loop, lambda: 7200.0, self._sizes)
 
     def _sizes(self, sizes: Mapping[int, float]) -> None:
-        self.said.append({round(n): round(s, 4) for n, s in sizes.items()})
+        self.reported.append({round(n): round(s, 4) for n, s in sizes.items()})
 
-    def listed(self, *names: str, whole: bool = True, gone: tuple[str, ...] = ()) -> None:
-        self.keeper.listed(
+    def update_nodes(self, *names: str, whole: bool = True, gone: tuple[str, ...] = ()) -> None:
+        self.manager.update_nodes(
             whole,
             [(int(n[1:]), ListedNode(n, "a", "old" if int(n[1:]) < 5 else "fast")) for n in names],
             gone,
@@ -99,96 +102,97 @@
 
 
 @pytest.fixture
-def told(monkeypatch: pytest.MonkeyPatch) -> Iterator[Told]:
-    made = Told()
-    monkeypatch.setattr("violetroute.logs.event", lambda name, **fields: made.events.append(name))
-    yield made
-    made.keeper.close()
-    made.loop.close()
-
-
-def test_at_the_start_the_plan_holds_at_once(told: Told) -> None:
-    told.keeper.take(plan(n1=0.75, n2=0.25), PlacementTable())
-    told.listed("n1", "n2")
-    assert told.said == [{1: 1.5, 2: 0.5}]
-    told.listed("n1", "n2")
-    assert len(told.said) == 1  # the same again says nothing
-
-
-def test_a_node_that_goes_away_changes_no_other_size(told: Told) -> None:
-    told.keeper.take(plan(n1=0.75, n2=0.25), PlacementTable())
-    told.listed("n1", "n2")
-    told.listed(whole=False, gone=("n1",))
-    assert told.said[-1] == {2: 0.5}
-
-
-def test_nodes_that_are_not_named_have_what_their_like_have(told: Told) -> None:
-    told.keeper.take(plan(n1=0.75, n2=0.25), PlacementTable(least_match=0.3))
-    told.listed("n1", "n2", "n3", "n6")
-    assert told.said == [{1: 1.5, 2: 0.5, 3: 0.2, 6: 0.6}]
-
-
-def test_a_new_plan_is_reached_at_the_rate_that_is_set(told: Told) -> None:
-    told.keeper.take(plan(n1=0.75, n2=0.25), PlacementTable())
-    told.listed("n1", "n2")
-    told.keeper.take(plan(n1=0.25, n2=0.75), PlacementTable(moved_per_s=0.1))
-    assert told.said[-1] == {1: 1.5, 2: 0.5}
-    told.passes(2 * STEP + 0.1)
-    assert told.said[-1] == {1: 1.1, 2: 0.9}
-    told.passes(3 * STEP)
-    assert told.said[-1] == {1: 0.5, 2: 1.5}
-    assert told.events.count("placement.reached") == 1
+def managed(monkeypatch: pytest.MonkeyPatch) -> Iterator[ManagedPlan]:
+    new = ManagedPlan()
+    monkeypatch.setattr("violetroute.logs.event", lambda name, **fields: new.events.append(name))
+    yield new
+    new.manager.close()
+    new.loop.close()
+
+
+def test_the_first_plan_is_in_force_at_once(managed: ManagedPlan) -> None:
+    managed.manager.set_plan(plan(n1=0.75, n2=0.25), PlacementTable())
+    managed.update_nodes("n1", "n2")
+    assert managed.reported == [{1: 1.5, 2: 0.5}]
+    managed.update_nodes("n1", "n2")
+    assert len(managed.reported) == 1  # the same sizes are not reported again
+
+
+def test_a_node_that_goes_away_changes_no_other_size(managed: ManagedPlan) -> None:
+    managed.manager.set_plan(plan(n1=0.75, n2=0.25), PlacementTable())
+    managed.update_nodes("n1", "n2")
+    managed.update_nodes(whole=False, gone=("n1",))
+    assert managed.reported[-1] == {2: 0.5}
+
+
+def test_unnamed_nodes_get_the_share_of_their_site_and_kind(managed: ManagedPlan) -> None:
+    managed.manager.set_plan(plan(n1=0.75, n2=0.25), PlacementTable(least_match=0.3))
+    managed.update_nodes("n1", "n2", "n3", "n6")
+    assert managed.reported == [{1: 1.5, 2: 0.5, 3: 0.2, 6: 0.6}]
+
+
+def test_a_new_plan_is_reached_at_the_rate_that_is_set(managed: ManagedPlan) -> None:
+    managed.manager.set_plan(plan(n1=0.75, n2=0.25), PlacementTable())
+    managed.update_nodes("n1", "n2")
+    managed.manager.set_plan(plan(n1=0.25, n2=0.75), PlacementTable(moved_per_s=0.1))
+    assert managed.reported[-1] == {1: 1.5, 2: 0.5}
+    managed.passes(2 * STEP_INTERVAL + 0.1)
+    assert managed.reported[-1] == {1: 1.1, 2: 0.9}
+    managed.passes(3 * STEP_INTERVAL)
+    assert managed.reported[-1] == {1: 0.5, 2: 1.5}
+    assert managed.events.count("placement.reached") == 1
     assert all(
-        moved(one, two) <= 0.1001 for one, two in zip(told.said, told.said[1:], strict=False)
+        moved_fraction(one, two) <= 0.1001
+        for one, two in zip(managed.reported, managed.reported[1:], strict=False)
     )
 
 
-def test_a_plan_that_ends_goes_back_to_even_shares_and_then_to_none(told: Told) -> None:
-    told.keeper.take(plan(n1=0.6, n2=0.4), PlacementTable())
-    told.listed("n1", "n2")
-    told.keeper.take(None, PlacementTable(moved_per_s=0.05))
-    assert told.said[-1] == {1: 1.2, 2: 0.8}
-    told.passes(5 * STEP)
-    assert told.said[-2:] == [{1: 1.1, 2: 0.9}, {}]
-    told.keeper.take(plan(n1=0.6, n2=0.4), PlacementTable(moved_per_s=0.05))
-    assert told.said[-1] == {1: 1.0, 2: 1.0}  # and from even shares to the next
-    told.passes(5 * STEP)
-    assert told.said[-1] == {1: 1.2, 2: 0.8}
+def test_a_plan_that_ends_goes_back_to_even_shares_and_then_to_none(managed: ManagedPlan) -> None:
+    managed.manager.set_plan(plan(n1=0.6, n2=0.4), PlacementTable())
+    managed.update_nodes("n1", "n2")
+    managed.manager.set_plan(None, PlacementTable(moved_per_s=0.05))
+    assert managed.reported[-1] == {1: 1.2, 2: 0.8}
+    managed.passes(5 * STEP_INTERVAL)
+    assert managed.reported[-2:] == [{1: 1.1, 2: 0.9}, {}]
+    managed.manager.set_plan(plan(n1=0.6, n2=0.4), PlacementTable(moved_per_s=0.05))
+    assert managed.reported[-1] == {1: 1.0, 2: 1.0}  # from even shares to the next plan
+    managed.passes(5 * STEP_INTERVAL)
+    assert managed.reported[-1] == {1: 1.2, 2: 0.8}
 
 
-def test_the_plan_of_another_fleet_is_not_used(told: Told) -> None:
-    told.keeper.take(Plan(1, 0.0, {"n1": 0.5, "x": 0.5}), PlacementTable())
-    told.listed("n1", "n2", "n3")
-    assert told.said == [] and told.events == ["placement.taken", "placement.refused"]
-    told.listed("n1", "n2")  # one of two is enough
-    told.passes(STEP * 60)
-    assert told.events[2:] == ["placement.fits"]  # its one node has an even share already
-    assert told.said[-1] == {1: 1.0}
+def test_the_plan_of_another_fleet_is_not_used(managed: ManagedPlan) -> None:
+    managed.manager.set_plan(Plan(1, 0.0, {"n1": 0.5, "x": 0.5}), PlacementTable())
+    managed.update_nodes("n1", "n2", "n3")
+    assert managed.reported == [] and managed.events == ["placement.taken", "placement.refused"]
+    managed.update_nodes("n1", "n2")  # one of two is enough
+    managed.passes(STEP_INTERVAL * 60)
+    assert managed.events[2:] == ["placement.fits"]  # its one node has an even share already
+    assert managed.reported[-1] == {1: 1.0}
 
 
-def test_a_plan_whose_nodes_have_all_gone_is_not_used(told: Told) -> None:
-    told.keeper.take(plan(n1=1.0, n2=0.0), PlacementTable())
-    told.listed("n1", "n2")
-    assert told.said == [{1: 1.0, 2: 0.0}]
-    told.listed(whole=False, gone=("n1",))
-    told.passes(STEP * 60)
-    assert told.said[-1] == {} and "placement.refused" in told.events
+def test_a_plan_whose_nodes_have_all_gone_is_not_used(managed: ManagedPlan) -> None:
+    managed.manager.set_plan(plan(n1=1.0, n2=0.0), PlacementTable())
+    managed.update_nodes("n1", "n2")
+    assert managed.reported == [{1: 1.0, 2: 0.0}]
+    managed.update_nodes(whole=False, gone=("n1",))
+    managed.passes(STEP_INTERVAL * 60)
+    assert managed.reported[-1] == {} and "placement.refused" in managed.events
 
 
-def test_an_old_plan_is_used_and_said_to_be_old(told: Told) -> None:
-    told.keeper.take(plan(n1=1.0), PlacementTable(stale_h=1.5))
-    told.listed("n1")
-    assert told.events == ["placement.taken", "placement.stale"] and told.said
+def test_an_old_plan_is_used_and_logged_as_stale(managed: ManagedPlan) -> None:
+    managed.manager.set_plan(plan(n1=1.0), PlacementTable(stale_h=1.5))
+    managed.update_nodes("n1")
+    assert managed.events == ["placement.taken", "placement.stale"] and managed.reported
 
 
-def test_the_timer_ends_with_the_keeper(told: Told) -> None:
-    told.keeper.take(plan(n1=0.75, n2=0.25), PlacementTable())
-    told.listed("n1", "n2")
-    told.keeper.take(plan(n1=0.25, n2=0.75), PlacementTable())
-    told.keeper.close()
-    count = len(told.said)
-    told.passes(STEP * 5)
-    assert len(told.said) == count
+def test_close_cancels_the_timers(managed: ManagedPlan) -> None:
+    managed.manager.set_plan(plan(n1=0.75, n2=0.25), PlacementTable())
+    managed.update_nodes("n1", "n2")
+    managed.manager.set_plan(plan(n1=0.25, n2=0.75), PlacementTable())
+    managed.manager.close()
+    count = len(managed.reported)
+    managed.passes(STEP_INTERVAL * 5)
+    assert len(managed.reported) == count
 
 
 BAD_PLANS = {
@@ -207,7 +211,7 @@
 
 
 @pytest.mark.parametrize("text", BAD_PLANS)
-def test_what_is_no_plan_is_one_line(tmp_path: Path, text: str) -> None:
+def test_an_invalid_plan_is_reported_in_one_line(tmp_path: Path, text: str) -> None:
     path = tmp_path / "plan.json"
     path.write_text(text)
     with pytest.raises(ValueError, match=r"plan\.json: ") as raised:
@@ -234,7 +238,7 @@
     )
 
 
-def test_a_plan_that_cannot_be_used_refuses_the_whole_configuration(tmp_path: Path) -> None:
+def test_an_invalid_plan_rejects_the_whole_configuration(tmp_path: Path) -> None:
     with files(tmp_path, "{") as (env, path):
         with pytest.raises(ConfigError, match=r"\[placement\] file: ") as raised:
             load(env)
@@ -247,14 +251,14 @@
 
 
 def test_wrong_keys_of_the_table_are_named() -> None:
-    for text, said in {
+    for text, expected in {
         "fil = ''": "[placement] fil: unknown key; did you mean file?",
         "moved_per_s = 0": "[placement] moved_per_s:",
         "least_match = 2": "[placement] least_match:",
     }.items():
         with pytest.raises(ConfigError) as raised:
             parse_operator(tomllib.loads(f"[placement]\n{text}"), "f")
-        assert said in str(raised.value)
+        assert expected in str(raised.value)
 
 
 def test_the_daemon_follows_a_plan_and_a_reload_with_another() -> None:
@@ -263,29 +267,33 @@
         async with Rig(*nodes) as rig:
 
             def reload(shares: dict[str, float] | None, **table: Any) -> None:
-                made = None if shares is None else Plan(1, 0.0, shares)
+                new = None if shares is None else Plan(1, 0.0, shares)
                 operator = msgspec.structs.replace(
                     rig.config.operator, placement=PlacementTable(**table)
                 )
-                rig.proxy.reload(replace(rig.config, plan=made, operator=operator))
+                rig.proxy.reload(replace(rig.config, plan=new, operator=operator))
 
             async def spread(first: int) -> list[int]:
                 before = [len(node.commands) for node in nodes]
                 for number in range(first, first + 60):
                     await rig.ask(get(number, b"key%d" % number))
-                return [len(node.commands) - was for node, was in zip(nodes, before, strict=True)]
+                return [
+                    len(node.commands) - count for node, count in zip(nodes, before, strict=True)
+                ]
 
             await rig.watched()
             assert min(await spread(0)) > 5
             reload({"s-0": 0.0, "s-1": 1.0, "s-2": 0.0}, moved_per_s=1.0)
-            await asyncio.wait_for(told(rig, {"s-0": 0.0, "s-1": 1.0, "s-2": 0.0}), 20)
+            await asyncio.wait_for(wait_for_sizes(rig, {"s-0": 0.0, "s-1": 1.0, "s-2": 0.0}), 20)
             assert await spread(100) == [0, 60, 0]
             reload(None, moved_per_s=1.0)
-            await asyncio.wait_for(told(rig, {}), 20)
-            assert min((await spread(200))[::2]) > 5  # what s-1 had lately still counts as load
+            await asyncio.wait_for(wait_for_sizes(rig, {}), 20)
+            assert (
+                min((await spread(200))[::2]) > 5
+            )  # s-1 is left out: its recent requests still count as load
 
-    async def told(rig: Rig, wanted: dict[str, float]) -> None:
-        sizes = {stable_hash(name.encode()): size for name, size in wanted.items()}
+    async def wait_for_sizes(rig: Rig, target: dict[str, float]) -> None:
+        sizes = {stable_hash(name.encode()): size for name, size in target.items()}
         while rig.proxy._placement.sizes != sizes:
             await asyncio.sleep(0.02)
 
@@ -297,56 +305,56 @@
     return Plan(1, 0.0, nodes or {"a": 1.0}, fence=fence, position=position)
 
 
-def test_a_plan_of_an_earlier_owner_is_left_alone_after_a_restart_too(tmp_path: Path) -> None:
+def test_a_plan_of_an_earlier_owner_is_ignored_also_after_a_restart(tmp_path: Path) -> None:
     loop = VirtualLoop(Kernel())
     table = PlacementTable(file="-", seen=str(tmp_path / "seen"))
 
-    def keeper() -> PlanManager:
+    def manager() -> PlanManager:
         return PlanManager(loop, lambda: 0.0, lambda sizes: None)
 
-    one = keeper()
-    one.take(published(4, 7), table)
+    one = manager()
+    one.set_plan(published(4, 7), table)
     for late in (published(3, 9), published(4, 6)):
-        one.take(late, table)
+        one.set_plan(late, table)
         assert one._plan == published(4, 7)
-    one.take(published(4, 8), table)
-    again = keeper()
-    again.take(published(4, 7), table)
+    one.set_plan(published(4, 8), table)
+    again = manager()
+    again.set_plan(published(4, 7), table)
     assert again._plan is None
-    again.take(published(5), table)
+    again.set_plan(published(5), table)
     assert again._plan == published(5)
-    again.take(plan(a=1.0), table)  # by hand: the operator's word
+    again.set_plan(plan(a=1.0), table)  # made by hand: always accepted
     assert again._plan == plan(a=1.0)
     (tmp_path / "seen").write_bytes(b"garbage")
-    third = keeper()
-    third.take(published(1), table)
+    third = manager()
+    third.set_plan(published(1), table)
     assert third._plan == published(1)
     loop.close()
 
 
-def test_a_published_plan_is_taken_without_a_signal(tmp_path: Path) -> None:
+def test_a_published_plan_is_loaded_without_a_signal(tmp_path: Path) -> None:
     loop = VirtualLoop(Kernel())
     path = tmp_path / "plan.json"
     table = PlacementTable(file=str(path), every_s=1.0)
     path.write_bytes(msgspec.json.encode(published(1)))
-    keeper = PlanManager(loop, lambda: 0.0, lambda sizes: None)
-    keeper.take(load_plan(str(path)), table)
+    manager = PlanManager(loop, lambda: 0.0, lambda sizes: None)
+    manager.set_plan(load_plan(str(path)), table)
     path.write_bytes(msgspec.json.encode(published(2)))
     loop.run_until_complete(asyncio.sleep(1.1))
-    assert keeper._plan == published(2)
+    assert manager._plan == published(2)
     path.write_bytes(b"{")
     loop.run_until_complete(asyncio.sleep(1.1))
     path.write_bytes(msgspec.json.encode(published(1)))
     loop.run_until_complete(asyncio.sleep(1.1))
-    assert keeper._plan == published(2)
+    assert manager._plan == published(2)
     path.write_bytes(msgspec.json.encode(published(2, 5)))
     loop.run_until_complete(asyncio.sleep(1.1))
-    assert keeper._plan == published(2, 5)
-    keeper.close()
+    assert manager._plan == published(2, 5)
+    manager.close()
     loop.close()
 
 
-def test_one_of_two_keepers_publishes_and_the_other_goes_on(tmp_path: Path) -> None:
+def test_one_of_two_planners_publishes_and_the_other_takes_over(tmp_path: Path) -> None:
     from limebridge.placement.command import EXAMPLE
     from limebridge.placement.keeping import keep
 
@@ -380,9 +388,9 @@
         await until(out.exists)
         first = load_plan(str(out))
         assert first.fence == 1
-        out.write_bytes(msgspec.json.encode(published(0)))  # another's copy in its place
+        out.write_bytes(msgspec.json.encode(published(0)))  # replaced by another plan
         await until(lambda: load_plan(str(out)) == first)
-        ends[0].set()  # whichever of them owns it: the other has it at last
+        ends[0].set()  # whichever of them is the owner, the other takes over
         await keepers[0]
         ends[1].set()
         await keepers[1]
@@ -391,7 +399,7 @@
         last = asyncio.create_task(
             keep(ours, "k2", fleet, out, 0.0, 0.0, 0.05, lambda why: None, ends[2])
         )
-        await until(out.exists)  # a later owner goes on from the log
+        await until(out.exists)  # a later owner continues from the log
         assert load_plan(str(out)) == first
         ends[2].set()
         await last
@@ -399,13 +407,13 @@
     asyncio.run(run())
 
 
-def test_a_plan_of_thousands_of_nodes_costs_by_its_nodes() -> None:
-    """Found after incident 65d06d: each node's size summed all nodes' shares, 2 s in one turn."""
+def test_the_cost_of_sizes_is_linear_in_the_nodes() -> None:
+    """Incident 65d06d: the size of each node summed the shares of all nodes, 2 s in one turn."""
 
     def lines(count: int) -> int:
         names = [f"s-{number}" for number in range(count)]
         plan = Plan(1, 0.0, dict.fromkeys(names, 1.0 / count))
-        listed = [ListedNode(name, "a", "m") for name in names]
-        return lines_run(lambda: sizes_of(plan, listed))
+        nodes = [ListedNode(name, "a", "m") for name in names]
+        return lines_run(lambda: sizes_of(plan, nodes))
 
     assert lines(2000) <= 15 * lines(200)
--- a/violetroute/listing.py
+++ b/violetroute/listing.py
@@ -168,4 +168,4 @@
     `whole`: it is the first list of all.
     """
     nodes = ((number, ListedNode(e.instance, e.zone, e.kind)) for number, e in step.serving)
-    keeper.listed(whole, nodes, step.left)
+    keeper.update_nodes(whole, nodes, step.left)
--- a/violetroute/placement/__init__.py
+++ b/violetroute/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Shares worked out ahead: the plan's file, and how the daemon takes it on (`[placement]`)."""
+"""Planned key placement (`[placement]`): the plan file, and how the daemon applies it."""
 
 from .plan import ListedNode, PlacementTable, Plan, load_plan
 from .plan_manager import PlanManager
--- a/violetroute/placement/plan.py
+++ b/violetroute/placement/plan.py
@@ -1,7 +1,7 @@
-"""A plan: the share of the keys that each node is meant for, worked out ahead.
+"""The placement plan: the precomputed share of the keys for each node.
 
-A size is a share in units of an even one among the nodes that the plan gives any: sizes do not
-depend on who is listed just now, so a node that goes away moves its own keys and no others.
+A size is a share divided by the even share of the nodes that have keys in the plan.  Sizes do not
+depend on the nodes that are listed at present, so removing a node moves only that node's keys.
 """
 
 from __future__ import annotations
@@ -13,62 +13,64 @@
 
 import msgspec
 
-LARGEST = 1024 * 1024  # bytes of a plan: some ten thousand nodes
+MAX_PLAN_BYTES = 1024 * 1024  # enough for about ten thousand nodes
 VERSION = 1
-CLOSE = 1e-3  # by which the shares may miss 1
+SHARE_SUM_TOLERANCE = 1e-3  # the sum of the shares may differ from 1 by this
 
 Share = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
 
 
 class PlacementTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[placement]`: off without a file.  Changes with SIGHUP."""
+    """`[placement]`: off without a file.  Reloaded with SIGHUP."""
 
-    file: str = ""  # the plan; read at the start and on SIGHUP
-    least_match: Share = 0.5  # share of the listed nodes that a plan has to know of
-    moved_per_s: Annotated[float, msgspec.Meta(gt=0.0, le=1.0)] = 0.02  # of the keys, on the way
-    #                           from one plan to the next
-    every_s: Annotated[float, msgspec.Meta(ge=0.0, le=3600.0)] = 0.0  # between looks at whether the
-    #                           file is another one; 0: only with SIGHUP
-    seen: str = ""  # a file that keeps the highest fence of any plan taken, over restarts
-    stale_h: Annotated[float, msgspec.Meta(gt=0.0, le=100_000.0)] = 168.0  # age that is logged
+    file: str = ""  # the plan file; read at the start and on SIGHUP
+    least_match: Share = 0.5  # fraction of the listed nodes that a plan has to cover
+    moved_per_s: Annotated[float, msgspec.Meta(gt=0.0, le=1.0)] = 0.02  # fraction of
+    #                           the keys that may move when the plan changes
+    every_s: Annotated[float, msgspec.Meta(ge=0.0, le=3600.0)] = 0.0  # between checks for a
+    #                           changed file; 0: only with SIGHUP
+    seen: str = ""  # file that keeps the highest accepted version over restarts
+    stale_h: Annotated[float, msgspec.Meta(gt=0.0, le=100_000.0)] = (
+        168.0  # age from which it is logged
+    )
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What `limebridge placement solve` writes, as JSON."""
+    """The plan, as JSON written by `limebridge placement solve`."""
 
-    limebridge_placement: int  # version of this form
+    limebridge_placement: int  # format version
     made_at: float  # Unix seconds
-    nodes: dict[str, Share]  # by the id that discovery gives; they add up to 1
-    others: dict[str, Share] = {}  # for nodes that are not named, by "SITE/KIND" or "KIND"
+    nodes: dict[str, Share]  # by instance id of discovery; they add up to 1
+    others: dict[str, Share] = {}  # for other nodes, by "SITE/KIND" or "KIND"
     note: str = ""
-    fence: int = 0  # of the owner who has published it; 0: made by hand
-    position: int = 0  # in its log
+    fence: int = 0  # fence of the owner that published it; 0: made by hand
+    position: int = 0  # position in the owner's log
 
     @property
     def version(self) -> tuple[int, int]:
-        """What rises: an owner's fence, and within its term the log's position."""
+        """Increases with each published plan: the owner's fence, then the log position."""
         return self.fence, self.position
 
     def share(self, name: str, site: str, kind: str) -> float | None:
-        """Of a node; None where the plan knows nothing of its like."""
+        """The share of a node; None if neither its name nor its site and kind are in the plan."""
         share = self.nodes.get(name)
         if share is None:
             share = self.others.get(f"{site}/{kind}", self.others.get(kind))
         return share
 
     def size(self, name: str, site: str, kind: str) -> float | None:
-        """Of a node, 1 being an even share; for many nodes take `sizes`."""
+        """The size of a node; 1 is an even share.  For many nodes, `sizes` is faster."""
         share = self.share(name, site, kind)
-        return None if share is None else share * self.even
+        return None if share is None else share * self.used_nodes
 
     @property
-    def even(self) -> int:
-        """Nodes that are meant for any keys."""
+    def used_nodes(self) -> int:
+        """The number of nodes with a share above 0."""
         return sum(share > 0.0 for share in self.nodes.values())
 
 
 class ListedNode(msgspec.Struct, frozen=True):
-    """What a plan goes by."""
+    """The attributes of a listed node by which a plan finds its share."""
 
     name: str
     site: str
@@ -76,19 +78,19 @@
 
 
 def load_plan(path: str) -> Plan:
-    """The plan at `path`.  ValueError, one line with the file and the key, for anything else."""
+    """Load the plan at `path`.  ValueError in one line names the file and the invalid key."""
     try:
         with open(path, "rb") as file:
-            data = file.read(LARGEST + 1)
-        if len(data) > LARGEST:
-            raise ValueError(f"larger than {LARGEST} bytes")
+            data = file.read(MAX_PLAN_BYTES + 1)
+        if len(data) > MAX_PLAN_BYTES:
+            raise ValueError(f"larger than {MAX_PLAN_BYTES} bytes")
         plan = msgspec.json.decode(data, type=Plan)
         if plan.limebridge_placement != VERSION:
             raise ValueError(
                 f"limebridge_placement: version {plan.limebridge_placement}, not {VERSION}"
             )
         total = sum(plan.nodes.values())
-        if not math.isclose(total, 1.0, abs_tol=CLOSE):
+        if not math.isclose(total, 1.0, abs_tol=SHARE_SUM_TOLERANCE):
             raise ValueError(f"nodes: the shares add up to {total:g}, not to 1")
         return plan
     except (OSError, ValueError, RecursionError) as error:
@@ -98,18 +100,17 @@
 
 
 def sizes(plan: Plan, listed: Iterable[ListedNode]) -> dict[str, float]:
-    """The size of each listed node that the plan knows the like of."""
+    """The size of each listed node that the plan covers, by name."""
     found = ((node.name, plan.share(node.name, node.site, node.kind)) for node in listed)
-    even = plan.even  # costs a look at each node of the plan
-    return {name: share * even for name, share in found if share is not None}
+    used_nodes = plan.used_nodes  # computed once: it iterates over all nodes of the plan
+    return {name: share * used_nodes for name, share in found if share is not None}
 
 
-def unfit(plan: Plan, listed: Mapping[str, ListedNode], least_match: float) -> str:
-    """Why a plan is not for these nodes; empty when it is.
+def mismatch_reason(plan: Plan, listed: Mapping[str, ListedNode], least_match: float) -> str:
+    """Why a plan does not fit these nodes; "" if it does.
 
-    Guards against the plan of another fleet, or one from before most nodes were replaced: its
-    sizes would be a few nodes' alone.  Nor is a plan kept whose nodes have all gone, since what is
-    left has no place at all by it.
+    A plan of another fleet, or one from before most nodes were replaced, would give keys to only a
+    few nodes.  A plan whose nodes with keys are all removed would leave the rest without keys.
     """
     if not listed:
         return ""
@@ -121,8 +122,8 @@
     return ""
 
 
-def read_seen(path: str) -> tuple[int, int]:
-    """The highest version that was taken, (0, 0) where nothing is kept or it can't be read."""
+def read_version(path: str) -> tuple[int, int]:
+    """The highest accepted version; (0, 0) if the file is missing or unreadable."""
     try:
         with open(path, "rb") as file:
             fence, position = msgspec.json.decode(file.read(256), type=tuple[int, int])
@@ -131,19 +132,19 @@
         return 0, 0
 
 
-def write_seen(path: str, version: tuple[int, int]) -> None:
-    """Whole, in place of the one before; OSError.
+def write_version(path: str, version: tuple[int, int]) -> None:
+    """Replace the file atomically.  Raises OSError.
 
-    Kept over a kill, and over a power cut as the file system pleases: requests are not to wait for
-    a sync, and an older plan that is taken after one is put right by the owner at its next look.
+    It survives a kill of the process, but not always a power cut: requests would wait for an fsync.
+    If an older plan is accepted after one, the owner restores the plan file at its next check.
     """
     with open(f"{path}.new", "wb") as file:
         file.write(msgspec.json.encode(version))
     os.replace(f"{path}.new", path)
 
 
-def changed(path: str) -> object:
-    """What differs when the file is another one."""
+def file_signature(path: str) -> object:
+    """A value that changes when the file is replaced or written; None if it is missing."""
     try:
         status = os.stat(path)
     except OSError:
--- a/violetroute/placement/plan_manager.py
+++ b/violetroute/placement/plan_manager.py
@@ -1,4 +1,4 @@
-"""Holds the plan for the daemon: hears of lists and reloads, tells the module sizes."""
+"""Applies the placement plan: follows node lists and reloads, and publishes node sizes."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
     ListedNode,
     PlacementTable,
     Plan,
-    changed,
+    file_signature,
     load_plan,
-    read_seen,
+    mismatch_reason,
+    read_version,
     sizes,
-    unfit,
-    write_seen,
+    write_version,
 )
 from .ramp import Ramp
 
-STEP = 1.0  # s between two steps on the way to a new plan
-LOOKS = 0.1  # s at least between two looks at the plan's file
+STEP_INTERVAL = 1.0  # s between two steps towards a new plan
+MIN_POLL_INTERVAL = 0.1  # s between two checks of the plan file, at least
 
 
 class PlanManager:
-    """One plan at a time, or none.
+    """Holds at most one plan, and moves the node sizes towards it.
 
     `on_sizes_changed` receives the sizes by node id whenever they change, and an empty mapping when
     no plan is in force.  `clock` returns Unix seconds.  `close` cancels the timers.
@@ -40,30 +40,30 @@
         self._loop, self._clock, self._on_sizes_changed = loop, clock, on_sizes_changed
         self._plan: Plan | None = None
         self._table = PlacementTable()
-        self._listed: dict[str, ListedNode] = {}
+        self._nodes: dict[str, ListedNode] = {}
         self._ids: dict[str, int] = {}
         self._ramp = Ramp(self._table.moved_per_s)
-        self._told: dict[int, float] = {}
-        self._refused = ""
-        self._timer: asyncio.TimerHandle | None = None
-        self._looks: asyncio.TimerHandle | None = None
-        self._mark: object = None  # of the file as it was read last
-        self._seen = (0, 0)  # the highest version of a plan that was taken
-        self._late = (0, 0)  # and one that was refused, so that it is told once
+        self._last_sizes: dict[int, float] = {}
+        self._mismatch = ""
+        self._step_timer: asyncio.TimerHandle | None = None
+        self._poll_timer: asyncio.TimerHandle | None = None
+        self._file_signature: object = None  # of the file when it was last loaded
+        self._max_version = (0, 0)  # highest version of an accepted plan
+        self._last_rejected = (0, 0)  # version of a rejected plan, to log it once
 
     @property
     def sizes(self) -> dict[int, float]:
-        """As last told, by node id."""
-        return dict(self._told)
+        """The sizes last published, by node id."""
+        return dict(self._last_sizes)
 
-    def take(self, plan: Plan | None, table: PlacementTable) -> None:
-        """The plan from here on, at the start and after a reload."""
-        first = self._plan is None and not self._listed
-        self._table, self._refused = table, ""
+    def set_plan(self, plan: Plan | None, table: PlacementTable) -> None:
+        """Use this plan and table from now on; called at the start and after a reload."""
+        first = self._plan is None and not self._nodes
+        self._table, self._mismatch = table, ""
         self._ramp.rate = table.moved_per_s
-        self._follow()
-        if plan is not None and not self._is_new(plan):
-            plan = self._plan  # a late owner's: what was taken stays, or none
+        self._schedule_poll()
+        if plan is not None and not self._accepts_version(plan):
+            plan = self._plan  # from an earlier owner: the current plan, if any, stays
         self._plan = plan
         if plan is not None:
             age = (self._clock() - plan.made_at) / 3600.0
@@ -71,125 +71,132 @@
             if age > table.stale_h:
                 logs.event("placement.stale", age_h=round(age, 1))
         if not first:
-            self._aim()
+            self._update_target()
 
-    def listed(
+    def update_nodes(
         self, whole: bool, here: Iterable[tuple[int, ListedNode]], gone: Iterable[str]
     ) -> None:
-        """News of the list: the nodes that serve, by id and name, and the names that do not."""
-        first = not self._listed
+        """Update the nodes: those in service, with their ids, and the names of removed ones.
+
+        `whole`: `here` replaces all nodes.
+        """
+        first = not self._nodes
         if whole:
-            self._listed, self._ids = {}, {}
+            self._nodes, self._ids = {}, {}
         for name in gone:
-            self._listed.pop(name, None)
+            self._nodes.pop(name, None)
             self._ids.pop(name, None)
-        for number, like in here:
-            self._listed[like.name], self._ids[like.name] = like, number
+        for number, node in here:
+            self._nodes[node.name], self._ids[node.name] = node, number
         if self._plan is not None:
-            self._aim(jump=first)
+            self._update_target(jump=first)
+
+    def _accepts_version(self, plan: Plan) -> bool:
+        """Whether the plan is not older than the newest one seen; plans made by hand always pass.
 
-    def _is_new(self, plan: Plan) -> bool:
-        """No lower fence than was seen, kept over a restart where there is a file for it."""
+        The newest version is kept over a restart if `seen` names a file.
+        """
         if self._table.seen:
-            self._seen = max(self._seen, read_seen(self._table.seen))
-        if plan.fence and plan.version < self._seen:
-            if plan.version != self._late:
-                self._late = plan.version
-                logs.event("placement.late", fence=plan.fence, seen=self._seen[0])
+            self._max_version = max(self._max_version, read_version(self._table.seen))
+        if plan.fence and plan.version < self._max_version:
+            if plan.version != self._last_rejected:
+                self._last_rejected = plan.version
+                logs.event("placement.late", fence=plan.fence, seen=self._max_version[0])
             return False
-        if plan.version > self._seen:
-            self._seen = plan.version
+        if plan.version > self._max_version:
+            self._max_version = plan.version
             if self._table.seen:
                 try:
-                    write_seen(self._table.seen, self._seen)
+                    write_version(self._table.seen, self._max_version)
                 except OSError as error:
                     logs.event("placement.unkept", reason=error.strerror)
         return True
 
-    def _follow(self) -> None:
-        """Look for another file from time to time, where the table says so."""
-        if self._looks is not None:
-            self._looks.cancel()
-            self._looks = None
+    def _schedule_poll(self) -> None:
+        """Schedule the next check of the plan file, if `every_s` is set."""
+        if self._poll_timer is not None:
+            self._poll_timer.cancel()
+            self._poll_timer = None
         if self._table.file and self._table.every_s:
-            wait = max(LOOKS, self._table.every_s)
-            self._looks = self._loop.call_later(wait, self._look)
-
-    def _look(self) -> None:
-        """A plan that can't be read changes nothing, as with SIGHUP."""
-        self._looks = None
-        mark = changed(self._table.file)
-        if mark == self._mark:
-            self._follow()
+            wait = max(MIN_POLL_INTERVAL, self._table.every_s)
+            self._poll_timer = self._loop.call_later(wait, self._poll)
+
+    def _poll(self) -> None:
+        """Load a changed plan file.  An invalid plan changes nothing, as with SIGHUP."""
+        self._poll_timer = None
+        signature = file_signature(self._table.file)
+        if signature == self._file_signature:
+            self._schedule_poll()
             return
-        self._mark = mark
+        self._file_signature = signature
         try:
             plan = load_plan(self._table.file)
         except ValueError as error:
             logs.event("placement.refused", reason=str(error))
-            self._follow()
+            self._schedule_poll()
             return
-        if plan != self._plan and plan.version >= self._seen:
-            self.take(plan, self._table)
+        if plan != self._plan and plan.version >= self._max_version:
+            self.set_plan(plan, self._table)
         else:
-            self._is_new(plan)
-            self._follow()
+            self._accepts_version(plan)
+            self._schedule_poll()
 
     def close(self) -> None:
-        if self._looks is not None:
-            self._looks.cancel()
-            self._looks = None
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
-
-    def _aim(self, jump: bool = False) -> None:
-        wanted = self._wanted()
-        if jump or not self._ramp.now:
-            even = {self._ids[name]: 1.0 for name in self._listed}
+        """Cancel the timers."""
+        if self._poll_timer is not None:
+            self._poll_timer.cancel()
+            self._poll_timer = None
+        if self._step_timer is not None:
+            self._step_timer.cancel()
+            self._step_timer = None
+
+    def _update_target(self, jump: bool = False) -> None:
+        wanted = self._target_sizes()
+        if jump or not self._ramp.current:
+            even = {self._ids[name]: 1.0 for name in self._nodes}
             if jump or not wanted:
-                self._ramp.jump(wanted)
-            else:  # from no plan to one: what holds without is an even share
-                self._ramp.jump(even)
-                self._ramp.aim(wanted)
+                self._ramp.jump_to(wanted)
+            else:  # from no plan to a plan: without one the shares are even
+                self._ramp.jump_to(even)
+                self._ramp.set_target(wanted)
         elif wanted:
-            self._ramp.aim(wanted)
-        else:  # from a plan to none: back to even shares, and then none
+            self._ramp.set_target(wanted)
+        else:  # from a plan to none: first to even shares, then to no sizes
             here = set(self._ids.values())
-            self._ramp.aim({number: 1.0 for number in self._ramp.now if number in here})
-        self._go_on()
+            self._ramp.set_target({number: 1.0 for number in self._ramp.current if number in here})
+        self._continue_ramp()
 
-    def _wanted(self) -> dict[int, float]:
+    def _target_sizes(self) -> dict[int, float]:
         plan = self._plan
         if plan is None:
             return {}
-        refused = unfit(plan, self._listed, self._table.least_match)
-        if refused != self._refused:
-            self._refused = refused
-            if refused:
-                logs.event("placement.refused", reason=refused)
+        mismatch = mismatch_reason(plan, self._nodes, self._table.least_match)
+        if mismatch != self._mismatch:
+            self._mismatch = mismatch
+            if mismatch:
+                logs.event("placement.refused", reason=mismatch)
             else:
-                logs.event("placement.fits", nodes=len(self._listed))
-        if refused:
+                logs.event("placement.fits", nodes=len(self._nodes))
+        if mismatch:
             return {}
-        return {self._ids[name]: size for name, size in sizes(plan, self._listed.values()).items()}
+        return {self._ids[name]: size for name, size in sizes(plan, self._nodes.values()).items()}
 
-    def _go_on(self) -> None:
-        self._say()
-        if self._timer is None and not self._ramp.there:
-            self._timer = self._loop.call_later(STEP, self._step)
+    def _continue_ramp(self) -> None:
+        self._publish_sizes()
+        if self._step_timer is None and not self._ramp.finished:
+            self._step_timer = self._loop.call_later(STEP_INTERVAL, self._step)
 
     def _step(self) -> None:
-        self._timer = None
-        self._ramp.step(STEP)
-        if self._ramp.there:
-            logs.event("placement.reached", nodes=len(self._ramp.now))
-        self._go_on()
-
-    def _say(self) -> None:
-        ends = self._ramp.there and (self._plan is None or bool(self._refused))
+        self._step_timer = None
+        self._ramp.step(STEP_INTERVAL)
+        if self._ramp.finished:
+            logs.event("placement.reached", nodes=len(self._ramp.current))
+        self._continue_ramp()
+
+    def _publish_sizes(self) -> None:
+        ends = self._ramp.finished and (self._plan is None or bool(self._mismatch))
         if ends:
-            self._ramp.jump({})
-        if self._ramp.now != self._told:
-            self._told = dict(self._ramp.now)
-            self._on_sizes_changed(self._told)
+            self._ramp.jump_to({})
+        if self._ramp.current != self._last_sizes:
+            self._last_sizes = dict(self._ramp.current)
+            self._on_sizes_changed(self._last_sizes)
--- a/violetroute/proxy.py
+++ b/violetroute/proxy.py
@@ -82,7 +82,7 @@
         self._lists = ListApplier(loop, self.places, self._pool, self.clock, self._tell_members)
         self._watch = Membership(self, net, config.discovery, config.operator, self.clock)
         self._placement = PlanManager(loop, net.wall, self._tell_sizes)
-        self._placement.take(config.plan, config.operator.placement)
+        self._placement.set_plan(config.plan, config.operator.placement)
         self._tell_list(self._watch.adopt_initial_list(config.known), ListKind.CACHED)
 
     @property
@@ -235,7 +235,7 @@
             self._classes = {c.name: c for c in config.settings.classes}
             self._arrivals.classes = self._classes
             self._tell(None, self._balancer.on_settings, config.settings)
-        self._placement.take(config.plan, config.operator.placement)
+        self._placement.set_plan(config.plan, config.operator.placement)
         if self._watch.reconfigure(config.discovery, config.operator):
             self._generation = 0  # another discovery's versions may mean something else
             self._tell(None, self._balancer.on_discovery_moved)
