--- a/limebridge/faults/distribution/recording.py
+++ b/limebridge/faults/distribution/recording.py
@@ -19,7 +19,7 @@
 from violetroute.distribution.service import DistributionService, PurgeCounter
 from violetroute.distribution.table import DistributionTable
 from violetroute.sharing.wire import Keys
-from violetroute.transport.local import LocalDoor
+from violetroute.transport.introspection_socket import LocalDoor
 from violetroute.transport.sockets import SocketNetwork
 
 from .judge import CONFIGURATION
--- a/tests/violetroute/distribution/test_distribution_configuration.py
+++ b/tests/violetroute/distribution/test_distribution_configuration.py
@@ -47,8 +47,8 @@
 from violetroute.distribution.service import DistributionService, PurgeCounter, Receiver
 from violetroute.distribution.subscriber import Subscriber
 from violetroute.distribution.table import DistributionTable, restart_is_needed
+from violetroute.hooks import Parts
 from violetroute.logs import Logs
-from violetroute.parts import Parts
 from violetroute.transport.sockets import SocketNetwork
 
 
--- a/tests/violetroute/distribution/test_distribution_service.py
+++ b/tests/violetroute/distribution/test_distribution_service.py
@@ -30,7 +30,7 @@
 from violetroute.distribution.routes import decode_request, encode
 from violetroute.distribution.service import DistributionService, PurgeCounter
 from violetroute.distribution.table import DistributionTable, restart_is_needed
-from violetroute.parts import Parts
+from violetroute.hooks import Parts
 from violetroute.sharing.wire import Keys
 from violetroute.transport import Address
 from violetroute.transport.sockets import SocketNetwork
--- a/tests/violetroute/test_beliefs.py
+++ b/tests/violetroute/test_beliefs.py
@@ -7,7 +7,7 @@
 import pytest
 
 from violetroute import beliefs
-from violetroute.beliefs import AGAIN, NAMED, Beliefs
+from violetroute.estimate_log import AGAIN, NAMED, Beliefs
 
 
 @pytest.fixture
--- a/violetroute/__main__.py
+++ b/violetroute/__main__.py
@@ -26,7 +26,7 @@
     from .fleet.runner import Fleet
     from .ledger.keeper import Ledger
     from .sharing.service import Sharing
-    from .transport.local import LocalDoor
+    from .transport.introspection_socket import LocalDoor
 
 DRAIN_SLACK = 0.05  # s beyond the longest deadline: the last answers are given at their own
 GC_THRESHOLD = 10_000  # new containers between two collections: next to no cycles are made
--- a/violetroute/arrivals.py
+++ b/violetroute/admission.py
@@ -7,7 +7,7 @@
 
 from snowstall import Balancer, RequestClass
 
-from .parts import Parts
+from .hooks import Parts
 from .refusals import Refusals
 from .requests import refusal
 from .resp import Command
--- a/violetroute/distribution/control.py
+++ b/violetroute/distribution/control.py
@@ -21,7 +21,7 @@
 from violetroute.fleet.runner import Fleet
 from violetroute.sharing.table import read_keys
 from violetroute.transport import Address, Network, parse_address
-from violetroute.transport.local import LocalDoor
+from violetroute.transport.introspection_socket import LocalDoor
 from violetroute.transport.writer import ThreadWriter
 
 from .actions import (
--- a/violetroute/distribution/make.py
+++ b/violetroute/distribution/make.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from violetroute.parts import Parts
+from violetroute.hooks import Parts
 from violetroute.sharing.table import read_keys
 from violetroute.transport import Network
-from violetroute.transport.local import LocalDoor
+from violetroute.transport.introspection_socket import LocalDoor
 
 from .configuration import PublishedConfiguration, TakeOn
 from .configuration_change import ConfigurationChange
--- a/violetroute/fleet/job.py
+++ b/violetroute/fleet/job.py
@@ -21,7 +21,7 @@
 
 from violetroute import logs
 from violetroute.transport import Address, Network
-from violetroute.transport.call import Call
+from violetroute.transport.http_call import Call
 
 from .lease import FENCE_MOST
 from .log import Done, Fenced, FencedLog, Nothing, Record, Result, append, claim
--- a/violetroute/fleet/kv.py
+++ b/violetroute/fleet/kv.py
@@ -28,7 +28,7 @@
 
 from violetroute.error_text import one_line
 from violetroute.transport import Network, parse_address
-from violetroute.transport.call import Call, secret
+from violetroute.transport.http_call import Call, secret
 from violetroute.transport.tls import TlsKeys
 
 from . import lease as leases
--- a/violetroute/ledger/keeper.py
+++ b/violetroute/ledger/keeper.py
@@ -21,7 +21,7 @@
 from violetroute import logs
 from violetroute.error_text import one_line
 from violetroute.transport import Network
-from violetroute.transport.call import Call
+from violetroute.transport.http_call import Call
 from violetroute.transport.tls import TlsKeys
 from violetroute.transport.writer import ThreadWriter, Writer
 
--- a/violetroute/ledger/post.py
+++ b/violetroute/ledger/post.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from violetroute.transport import Network, parse_address
-from violetroute.transport.call import Call
+from violetroute.transport.http_call import Call
 from violetroute.transport.tls import TlsKeys
 
 from .accounts import Batch
--- a/violetroute/membership/consul.py
+++ b/violetroute/membership/consul.py
@@ -10,7 +10,7 @@
 
 from violetroute import logs
 from violetroute.transport import Network, Stream, parse_address
-from violetroute.transport.call import secret
+from violetroute.transport.http_call import secret
 from violetroute.transport.tls import TlsKeys, TlsStream
 
 from .consul_health import Reader
--- a/violetroute/proxy.py
+++ b/violetroute/proxy.py
@@ -29,17 +29,17 @@
 )
 
 from . import logs
-from .arrivals import Arrivals
-from .beliefs import Beliefs
+from .admission import Arrivals
 from .clients import Answer
 from .cluster import Redirect, SlotMap
 from .config import Config
 from .deadlines import Deadlines
+from .estimate_log import Beliefs
+from .hooks import Parts
 from .listing import ListApplier, log_step, tell_placement
+from .loop_lag_probe import Pulse
 from .membership import Listing, Membership, Places, stable_hash
-from .parts import Parts
 from .placement import Keeper
-from .pulse import Pulse
 from .refusals import Refusals
 from .requests import FAILED, OpenRequest, fault, refusal, time_for
 from .resp import Command, CommandError
--- a/violetroute/sharing/factory.py
+++ b/violetroute/sharing/factory.py
@@ -7,9 +7,9 @@
 from typing import Protocol, TypeVar
 
 from violetroute import logs
-from violetroute.parts import Parts
+from violetroute.hooks import Parts
 from violetroute.transport import Network
-from violetroute.transport.local import LocalDoor
+from violetroute.transport.introspection_socket import LocalDoor
 
 from .introspection import look
 from .service import Host, Sharing
--- a/violetroute/transport/__init__.py
+++ b/violetroute/transport/__init__.py
@@ -8,7 +8,7 @@
 """
 
 from .address import Address, parse_address
+from .interfaces import Door, Handler, Network, Stream
 from .loop_lag import Turns
-from .seam import Door, Handler, Network, Stream
 
 __all__ = ["Address", "Door", "Handler", "Network", "Stream", "Turns", "parse_address"]
--- a/violetroute/transport/datagrams.py
+++ b/violetroute/transport/datagrams.py
@@ -12,7 +12,7 @@
 import socket
 
 from .address import Address
-from .seam import Ear
+from .interfaces import Ear
 
 AT_ONCE = 64  # datagrams read in one turn
 
--- a/violetroute/transport/call.py
+++ b/violetroute/transport/http_call.py
@@ -13,7 +13,7 @@
 import h11
 
 from .address import Address
-from .seam import Network, Stream
+from .interfaces import Network, Stream
 from .tls import TlsKeys, TlsStream
 
 BODY_MOST = 256 * 1024  # bytes of an answer
--- a/violetroute/transport/sockets.py
+++ b/violetroute/transport/sockets.py
@@ -14,8 +14,8 @@
 
 from .address import Address
 from .datagrams import SocketMailbox
+from .interfaces import Ear, Handler
 from .loop_lag import Turns
-from .seam import Ear, Handler
 from .stream import SocketStream
 
 monotonic, wall = time.monotonic, time.time  # for what runs before there is a loop
--- a/violetroute/transport/stream.py
+++ b/violetroute/transport/stream.py
@@ -20,7 +20,7 @@
 from typing import TYPE_CHECKING
 
 from .address import Address
-from .seam import Data, Handler
+from .interfaces import Data, Handler
 
 if TYPE_CHECKING:
     from .sockets import SocketNetwork
--- a/violetroute/transport/tls.py
+++ b/violetroute/transport/tls.py
@@ -18,7 +18,7 @@
 from violetroute.error_text import one_line
 
 from .address import Address
-from .seam import Data, Handler, Network, Stream
+from .interfaces import Data, Handler, Network, Stream
 
 READ_SIZE = 16 * 1024
 HELD_MOST = 256 * 1024  # bytes that are written before the handshake is done
