--- a/limebridge/faults/distribution/recording.py
+++ b/limebridge/faults/distribution/recording.py
@@ -19,7 +19,7 @@
 from violetroute.distribution.service import DistributionService, PurgeCounter
 from violetroute.distribution.table import DistributionTable
 from violetroute.sharing.wire import Keys
-from violetroute.transport.introspection_socket import LocalDoor
+from violetroute.transport.introspection_socket import IntrospectionSocket
 from violetroute.transport.sockets import SocketNetwork
 
 from .judge import CONFIGURATION
@@ -120,7 +120,7 @@
     def answer(what: str) -> ServiceStatus:
         return service.status()
 
-    door = LocalDoor(file.socket, answer)
+    door = IntrospectionSocket(file.socket, answer)
     await door.open()
     _print(Recorded(service.incarnation))
     await ended
--- a/limebridge/virtual/process.py
+++ b/limebridge/virtual/process.py
@@ -44,17 +44,17 @@
     def count(self) -> int:
         return self._loop.poll.turns if self._meter is None else self._meter.turns
 
-    def stood(self, now: float) -> float:
+    def readable_for(self, now: float) -> float:
         return 0.0 if self._meter is None else max(0.0, now - self._meter.readable_at)
 
-    def spent(self, now: float) -> float:
+    def elapsed(self, now: float) -> float:
         return 0.0 if self._meter is None else max(0.0, now - self._meter.turn_at)
 
     @property
-    def lost(self) -> float:
+    def paused_for(self) -> float:
         return self._lost if self._turn == self.count else 0.0
 
-    def tell_pauses(self, told: Callable[[float], None]) -> None:
+    def call_on_pause(self, told: Callable[[float], None]) -> None:
         self._told = told
 
     def prefer(self, descriptor: int, on: bool) -> None:
@@ -130,7 +130,7 @@
         """After its exit: what it has left but for timers, which end with it."""
         left = self.left()
         left.pop("timers")
-        left["requests"] = sum("answered" not in state for state in self.proxy.states())
+        left["requests"] = sum("answered" not in state for state in self.proxy.request_states())
         self._silence()
         return left
 
--- a/limebridge/virtual/troubles.py
+++ b/limebridge/virtual/troubles.py
@@ -212,10 +212,10 @@
             await asyncio.sleep(self.process.paused_until - self.kernel.now)
         if self.process.state == "up":
             config, proxy = read(), self.process.proxy
-            before = proxy.follows
+            before = proxy.list_source
             self.process.listener.limits = config.limits
             proxy.reload(config)
-            if proxy.follows is not before:
+            if proxy.list_source is not before:
                 self._moved()
 
     # --- the process itself ---
--- a/limebridge/virtual/world.py
+++ b/limebridge/virtual/world.py
@@ -323,7 +323,7 @@
     # --- faults ---
     def _strike(self, number: int, fault: Fault) -> None:
         self.note(f"fault {number}: {fault.kind} node {fault.node}")
-        states = Counter(self.process.proxy.states())
+        states = Counter(self.process.proxy.request_states())
         for state in states or {"none open": 1}:
             self.met[f"{fault.kind}/{state}"] += 1
         for state in self._states_of_the_list():
--- a/tests/limebridge/virtual/test_conformance.py
+++ b/tests/limebridge/virtual/test_conformance.py
@@ -249,18 +249,18 @@
 
 async def peeks(world: World) -> object:
     near, far = await world.pair()
-    quiet = [stream(near).quiet()]
+    quiet = [stream(near).no_pending_input()]
     stream(near).pause()
     stream(far).write(b"x")
     await asyncio.sleep(0.05)
-    quiet.append(stream(near).quiet())
+    quiet.append(stream(near).no_pending_input())
     stream(near).resume()
     await near.until(lambda: near.data)
-    quiet.append(stream(near).quiet())
+    quiet.append(stream(near).no_pending_input())
     stream(near).pause()
     stream(far).close()
     await asyncio.sleep(0.05)
-    quiet.append(stream(near).quiet())
+    quiet.append(stream(near).no_pending_input())
     stream(near).abort()
     return quiet
 
@@ -339,7 +339,7 @@
         near, far = await world.pair()
         stream(far).pause()
         stream(near).write(b"asked and not read")
-        while stream(far).quiet():
+        while stream(far).no_pending_input():
             await asyncio.sleep(0.001)
         seen.append(stream(far).peer_ended())
         if end == "half-close":
--- a/tests/planted/late_byte.py
+++ b/tests/planted/late_byte.py
@@ -13,7 +13,9 @@
 
 
 def plant():
-    NodeConnection.quiet = lambda self: self.stream is not None and not self.stream.closing
+    NodeConnection.no_pending_input = lambda self: (
+        self.stream is not None and not self.stream.closing
+    )
     NodeConnection.received = hears
     clean = NodeConnection._complete
 
--- a/tests/planted/reused_after_give_up.py
+++ b/tests/planted/reused_after_give_up.py
@@ -5,7 +5,7 @@
 
 def keeps(self):
     self._leave()
-    self._pool.rest(self)
+    self._pool.release(self)
 
 
 def plant():
--- a/tests/violetroute/distribution/test_distribution_configuration.py
+++ b/tests/violetroute/distribution/test_distribution_configuration.py
@@ -33,7 +33,7 @@
 )
 from violetroute.distribution.configuration_change import ConfigurationChange
 from violetroute.distribution.control_choice import Control, SubscriberSettings
-from violetroute.distribution.make import PartsReceiver
+from violetroute.distribution.make import HooksReceiver
 from violetroute.distribution.messages import (
     BODY_BYTES,
     Batch,
@@ -47,7 +47,7 @@
 from violetroute.distribution.service import DistributionService, PurgeCounter, Receiver
 from violetroute.distribution.subscriber import Subscriber
 from violetroute.distribution.table import DistributionTable, restart_is_needed
-from violetroute.hooks import Parts
+from violetroute.hooks import EventHooks
 from violetroute.logs import Logs
 from violetroute.transport.sockets import SocketNetwork
 
@@ -257,7 +257,7 @@
         ok(batch(1, record("log", 'level = "debug"'))),
         ok(batch(2, record("log", 'level = "loud"'), Record(Topic.PURGE, "k"))),
     )
-    receiver = PartsReceiver(Parts(), file.published)
+    receiver = HooksReceiver(EventHooks(), file.published)
 
     def look(control: Scripted) -> None:
         assert not control.polls[1].refused
@@ -321,13 +321,13 @@
     seen: list[str] = []
     replies = (snapshot(LOG, 7, record("log", 'level = "debug"')), snapshot("other", 3))
 
-    class Watched(PartsReceiver):
+    class Watched(HooksReceiver):
         def configure(self, change: ConfigurationChange) -> tuple[str, ...]:
             reasons = super().configure(change)
             seen.append(f"{change.position} {change.complete} {file.in_force.log.level}")
             return reasons
 
-    follow(replies, Watched(Parts(), file.published), 3, lambda control: None)
+    follow(replies, Watched(EventHooks(), file.published), 3, lambda control: None)
     assert seen == ["7 True debug", "3 True info"]
 
 
--- a/tests/violetroute/distribution/test_distribution_service.py
+++ b/tests/violetroute/distribution/test_distribution_service.py
@@ -16,7 +16,7 @@
 from violetroute.distribution.control_choice import SubscriberSettings
 from violetroute.distribution.http_client import HttpClient
 from violetroute.distribution.http_server import HttpServer
-from violetroute.distribution.make import PartsReceiver
+from violetroute.distribution.make import HooksReceiver
 from violetroute.distribution.messages import (
     Batch,
     LogPoint,
@@ -30,7 +30,7 @@
 from violetroute.distribution.routes import decode_request, encode
 from violetroute.distribution.service import DistributionService, PurgeCounter
 from violetroute.distribution.table import DistributionTable, restart_is_needed
-from violetroute.hooks import Parts
+from violetroute.hooks import EventHooks
 from violetroute.sharing.wire import Keys
 from violetroute.transport import Address
 from violetroute.transport.sockets import SocketNetwork
@@ -376,14 +376,14 @@
 
 
 def test_parts_are_told_and_a_fault_of_one_costs_no_other() -> None:
-    parts, told = Parts(), list[str]()
+    hooks, told = EventHooks(), list[str]()
 
     def broken(text: str) -> None:
         raise ValueError(text)
 
-    parts.purged += [broken, told.append]
-    parts.voided += [told.append]
-    receiver = PartsReceiver(parts)
+    hooks.on_purge += [broken, told.append]
+    hooks.on_purge_all += [told.append]
+    receiver = HooksReceiver(hooks)
     with pytest.raises(ValueError, match="key"):
         receiver.purge("key")
     receiver.void_all("why")
--- a/tests/violetroute/ledger/test_ledger_daemon.py
+++ b/tests/violetroute/ledger/test_ledger_daemon.py
@@ -57,7 +57,7 @@
         )
         ledger = Ledger(made, name, SocketNetwork(asyncio.get_running_loop(), clock=clock))
         async with Rig(CacheNode(serves)) as rig:
-            rig.proxy.parts.served.append(ledger.served)
+            rig.proxy.hooks.on_served.append(ledger.served)
             await part(rig, ledger, billing, clock)
         await ledger.close()
         await billing.stop()
--- a/tests/violetroute/test_beliefs.py
+++ b/tests/violetroute/test_beliefs.py
@@ -6,20 +6,22 @@
 
 import pytest
 
-from violetroute import beliefs
-from violetroute.estimate_log import AGAIN, NAMED, Beliefs
+from violetroute import estimate_log
+from violetroute.estimate_log import AGAIN, NAMED, EstimateLog
 
 
 @pytest.fixture
 def said(monkeypatch: pytest.MonkeyPatch) -> list[tuple[str, dict[str, object]]]:
     found: list[tuple[str, dict[str, object]]] = []
-    monkeypatch.setattr(beliefs.logs, "event", lambda name, **fields: found.append((name, fields)))
+    monkeypatch.setattr(
+        estimate_log.logs, "event", lambda name, **fields: found.append((name, fields))
+    )
     return found
 
 
 def test_each_state_is_told_once(said: list[tuple[str, dict[str, object]]]) -> None:
     now = [0.0]
-    made = Beliefs(lambda: now[0], lambda node: f"10.0.0.{node}:1")
+    made = EstimateLog(lambda: now[0], lambda node: f"10.0.0.{node}:1")
     for _ in range(3):
         made.look({}, math.inf, math.inf)
     assert said == []
@@ -44,7 +46,7 @@
     said: list[tuple[str, dict[str, object]]],
 ) -> None:
     now = [0.0]
-    made = Beliefs(lambda: now[0], str)
+    made = EstimateLog(lambda: now[0], str)
     for turn in range(600):  # half a minute of looks
         now[0] += 0.05
         made.look({1: 0} if turn % 2 else {}, *[5.0 if turn % 2 else math.inf] * 2)
@@ -59,7 +61,7 @@
 
 
 def test_a_large_fleet_is_named_in_part(said: list[tuple[str, dict[str, object]]]) -> None:
-    Beliefs(lambda: 0.0, str).look(range(100), math.inf, math.inf)
+    EstimateLog(lambda: 0.0, str).look(range(100), math.inf, math.inf)
     ((_, fields),) = said
     assert fields["count"] == 100 and len(str(fields["nodes"]).split()) == NAMED
 
@@ -68,7 +70,7 @@
     said: list[tuple[str, dict[str, object]]],
 ) -> None:
     now = [0.0]
-    made = Beliefs(lambda: now[0], str)
+    made = EstimateLog(lambda: now[0], str)
     for kept, fetched in ((math.inf, 9.0), (7.0, 9.0), (7.0, math.inf), (math.inf, math.inf)):
         made.look({}, kept, fetched)
         now[0] += AGAIN
--- a/tests/violetroute/test_crossings_process.py
+++ b/tests/violetroute/test_crossings_process.py
@@ -20,7 +20,7 @@
 from violetroute.config import LogTable, parse
 from violetroute.logs import Logs
 from violetroute.transport.sockets import SocketNetwork
-from violetroute.upstream.pool import IDLE_SHARE
+from violetroute.upstream.pool import IDLE_TIME_SHARE
 
 SHORT = [cls | {"deadlineMs": 200.0, "promiseMs": 100.0} for cls in SETTINGS["classes"]]
 
@@ -100,7 +100,7 @@
         await read_answer(reader)
         caps = SETTINGS["caps"] | {"connIdleMs": 400.0, "connectTimeoutMs": 100.0}
         here.proxy.reload(parse(here.raw | {"settings": SETTINGS | {"caps": caps}}))
-        await asyncio.sleep(0.4 * IDLE_SHARE + 0.01)  # the node may close it from here on
+        await asyncio.sleep(0.4 * IDLE_TIME_SHARE + 0.01)  # the node may close it from here on
         writer.write(get(2))
         await read_answer(reader)
         assert here.nodes[0].connections == 2
--- a/tests/violetroute/test_logs.py
+++ b/tests/violetroute/test_logs.py
@@ -23,7 +23,7 @@
 from violetroute import logs
 from violetroute.config import LogTable
 from violetroute.logs import DROPPED, EVENTS, FOREIGN, Logs
-from violetroute.transport.lines import LINE_MOST, LineWriter
+from violetroute.transport.lines import MAX_LINE, LineWriter
 
 
 class Written:
@@ -112,7 +112,7 @@
     except ValueError as error:
         logs.event("daemon.fault", what="é\n" * 4000, error=error)
     line = written.lines[0]
-    assert line.count(b"\n") == 1 and len(line) <= LINE_MOST
+    assert line.count(b"\n") == 1 and len(line) <= MAX_LINE
     assert "at the bottom" in str(json.loads(line)["trace"])
 
 
--- a/tests/violetroute/test_own_load.py
+++ b/tests/violetroute/test_own_load.py
@@ -167,7 +167,7 @@
         super().__init__()
         self.seconds = stood
 
-    def stood(self, now: float) -> float:
+    def readable_for(self, now: float) -> float:
         return self.seconds
 
 
@@ -340,7 +340,11 @@
         firsts.add(order[2])
     assert firsts == {ours.fileno() for ours, _ in pairs} - nodes, "each client was the first"
     # What was ready at this poll became so after the one before: half a turn, by estimate.
-    assert turns.stood(39.0) == 0.5 and turns.stood(41.0) == 2.5 and turns.spent(41.0) == 2.0
+    assert (
+        turns.readable_for(39.0) == 0.5
+        and turns.readable_for(41.0) == 2.5
+        and turns.elapsed(41.0) == 2.0
+    )
     turns.prefer(pairs[1][0].fileno(), False)
     assert selector.first == {pairs[4][0].fileno()}
     selector.close()
@@ -352,7 +356,7 @@
 def test_a_turn_without_the_cpu_is_a_pause_and_a_long_one_with_it_is_not() -> None:
     now, cpu, told = [0.0], [0.0], list[float]()
     selector = TurnSelector(lambda: now[0], lambda: cpu[0])
-    Turns(selector).tell_pauses(told.append)
+    Turns(selector).call_on_pause(told.append)
     selector.select(0)
     for worked, passed in ((0.3, 0.3), (0.02, 0.05), (0.01, 0.32)):
         now[0], cpu[0] = now[0] + passed, cpu[0] + worked
--- a/tests/violetroute/test_refusals.py
+++ b/tests/violetroute/test_refusals.py
@@ -11,7 +11,7 @@
 from violetroute import logs
 from violetroute.refusals import Refusals
 from violetroute.transport.loop_lag import LONG_TURN, Turns, TurnSelector
-from violetroute.turn_log import TurnLog
+from violetroute.turn_log import LongTurnLog
 
 Said = list[tuple[str, dict[str, Any]]]
 
@@ -72,7 +72,7 @@
 def test_a_long_turn_is_told_with_what_it_did(said: Said) -> None:
     now = [100.0]
     selector = TurnSelector(clock=lambda: now[0], cpu=lambda: now[0])
-    turn_log = TurnLog(Turns(selector), [1, 2])
+    turn_log = LongTurnLog(Turns(selector), [1, 2])
     selector.select(0)
     turn_log.doing("list of 640")
     now[0] += 1.2 * LONG_TURN
--- a/tests/violetroute/transport/test_tls.py
+++ b/tests/violetroute/transport/test_tls.py
@@ -19,7 +19,7 @@
 from violetroute.membership import ConsulTable
 from violetroute.transport import Address
 from violetroute.transport.sockets import SocketNetwork
-from violetroute.transport.tls import HELD_MOST, TlsFiles, TlsKeys, TlsStream
+from violetroute.transport.tls import MAX_HELD, TlsFiles, TlsKeys, TlsStream
 
 
 def server(authority: trustme.CA, *names: str, demands: trustme.CA | None = None) -> ssl.SSLContext:
@@ -113,7 +113,7 @@
         assert len(owner.data) == stood
         stream.resume()
         await until(lambda: len(owner.data) == 6 + len(sent))
-        assert owner.data[6:] == sent and stream.quiet()
+        assert owner.data[6:] == sent and stream.no_pending_input()
         stream.end()
         await until(lambda: owner.has("opened", "ended"))
 
@@ -137,7 +137,7 @@
 
 def test_what_is_written_before_the_handshake_is_bounded(tmp_path: Path) -> None:
     async def part(stream: TlsStream, owner: Owner) -> None:
-        for _ in range(HELD_MOST // 1000 + 1):
+        for _ in range(MAX_HELD // 1000 + 1):
             stream.write(b"x" * 1000)
         await until(lambda: owner.has("lost"))
         assert "before the handshake" in owner.told[0][1]
--- a/tests/violetroute/upstream/test_crossings_nodes.py
+++ b/tests/violetroute/upstream/test_crossings_nodes.py
@@ -4,7 +4,7 @@
 
 from snowstall import Result
 from tests.violetroute.upstream.test_pool import World
-from violetroute.upstream.pool import QUIET
+from violetroute.upstream.pool import MIN_QUIET_TIME
 
 
 def test_a_new_connection_that_its_node_has_closed_by_then_ends_its_attempt_at_once() -> None:
@@ -35,7 +35,7 @@
     handler.opened()
     world.passes(0.0)
     assert world.ended == [(1, Result.NEVER_SENT)] and not stream.written and not stream.closing
-    world.passes(QUIET * 1.1)
+    world.passes(MIN_QUIET_TIME * 1.1)
     world.send(2)
     assert written(world) == [b"id2"] and len(world.streams) == 1  # it was opened for something
 
@@ -48,7 +48,7 @@
     world.send(3)
     world.over.add(2)
     world.answers(0)
-    world.passes(QUIET * 1.1)  # the first one is free: 2 waits longest, and is over
+    world.passes(MIN_QUIET_TIME * 1.1)  # the first one is free: 2 waits longest, and is over
     world.passes(0.0)
     assert world.ended == [(1, Result.OK), (2, Result.NEVER_SENT)]
     assert written(world) == [b"id1", b"id3"] and len(world.streams[0][1].written) == 2
@@ -89,7 +89,7 @@
     world.answers(2)
     world.passes(40.0)
     world.served(5)  # long ago: forgotten
-    world.passes(QUIET * 1.1)
+    world.passes(MIN_QUIET_TIME * 1.1)
     before = len(world.streams)
     world.send(6)
     assert len(world.streams) == before
@@ -125,4 +125,4 @@
             world.pool.give_up(world.send(2))
             world.streams[1][0].opened()
         world.streams[-1][0].received(1)
-        assert world.streams[-1][1].closing and world.pool._quiet(world.now) == QUIET
+        assert world.streams[-1][1].closing and world.pool._quiet_time(world.now) == MIN_QUIET_TIME
--- a/tests/violetroute/upstream/test_nodes.py
+++ b/tests/violetroute/upstream/test_nodes.py
@@ -25,7 +25,7 @@
     until,
 )
 from violetroute.upstream import Pool
-from violetroute.upstream.pool import QUIET
+from violetroute.upstream.pool import MIN_QUIET_TIME
 
 
 def play(part: Callable[..., Awaitable[None]], count: int = 1, **limits: Any) -> None:
@@ -416,7 +416,7 @@
         async with Rig(node) as rig:
             for number in range(10):
                 assert await rig.ask(get(number)) == [b"value of id%d" % number]
-                await asyncio.sleep(2 * QUIET)  # it may speak out of turn until then
+                await asyncio.sleep(2 * MIN_QUIET_TIME)  # it may speak out of turn until then
             assert node.connections < 4  # a late quiet moment may cost one
 
     stall_free_loop.run(run())
@@ -434,14 +434,14 @@
     async def run() -> None:
         async with Rig(CacheNode(holds), CacheNode(holds)) as rig:
             asked = asyncio.create_task(rig.ask(get(1)))
-            await until(lambda: rig.proxy.states() == ["1 out, try 1"])
+            await until(lambda: rig.proxy.request_states() == ["1 out, try 1"])
             (request,) = rig.proxy._open.values()
             first = request.attempts[0]
             rig.proxy._give_up(first, Result.RESET)
-            assert rig.proxy.states() == ["1 out, try 2"]
+            assert rig.proxy.request_states() == ["1 out, try 2"]
             for _ in range(3):
                 rig.proxy.attempt_ended(first, Result.RESET)
-            assert rig.proxy.states() == ["1 out, try 2"]
+            assert rig.proxy.request_states() == ["1 out, try 2"]
             held.set()
             assert await asked == [b"id1"] and not rig.proxy.open_requests
 
--- a/tests/violetroute/upstream/test_pool.py
+++ b/tests/violetroute/upstream/test_pool.py
@@ -11,7 +11,7 @@
 from violetroute import resp
 from violetroute.transport import Address
 from violetroute.upstream import Attempt, Pool
-from violetroute.upstream.pool import AGE_FORGETS, QUIET, SWEEP
+from violetroute.upstream.pool import AGE_DECAY_TIME, MIN_QUIET_TIME, SWEEP_INTERVAL
 
 HERE = Address("127.0.0.1", 1)
 IDLE = 10.0  # s after which a node closes; the pool keeps connections for 0.6 of that
@@ -31,7 +31,7 @@
         self.written.append(data)
         return True
 
-    def quiet(self) -> bool:
+    def no_pending_input(self) -> bool:
         return self.is_quiet
 
     def abort(self, discard: bool = False) -> None:
@@ -131,11 +131,11 @@
     world.send(2)  # at once: a new one is opened
     assert len(world.streams) == 2
     world.streams[1][0].opened()
-    world.passes(QUIET * 1.1)
+    world.passes(MIN_QUIET_TIME * 1.1)
     world.send(3)
     assert len(world.streams) == 2 and len(world.streams[0][1].written) == 2
     world.answers(0)
-    world.passes(QUIET * 1.1)
+    world.passes(MIN_QUIET_TIME * 1.1)
     world.streams[0][1].is_quiet = False  # something stands behind the answer
     world.send(4)
     assert len(world.streams) == 3 and world.streams[0][1].closing
@@ -144,16 +144,16 @@
 def test_a_connection_that_was_idle_for_too_long_is_not_used_and_is_swept_away() -> None:
     world = World()
     world.served(1)
-    assert world.pool.fresh(IDLE * 0.6 - 0.1, world.now)
-    assert not world.pool.fresh(IDLE * 0.6 + 0.1, world.now)
+    assert world.pool.likely_alive(IDLE * 0.6 - 0.1, world.now)
+    assert not world.pool.likely_alive(IDLE * 0.6 + 0.1, world.now)
     world.now += IDLE * 0.6 + 0.1
     world.send(2)
     assert len(world.streams) == 2 and world.streams[0][1].closing
     world = World()
     world.served(1)
-    world.passes(IDLE * 0.6 - SWEEP)
+    world.passes(IDLE * 0.6 - SWEEP_INTERVAL)
     assert not world.streams[0][1].closing
-    world.passes(SWEEP + 0.1)
+    world.passes(SWEEP_INTERVAL + 0.1)
     assert world.streams[0][1].closing and not world.streams[0][1].discarded
 
 
@@ -193,9 +193,9 @@
 
     tries = [reused() for _ in range(20)]
     assert tries[0] and sum(tries) < 5 and not tries[-1]
-    assert world.pool.fresh(0.05, world.now)  # other ages are judged apart
-    assert not world.pool.fresh(age, world.now)
-    assert world.pool.fresh(age, world.now + 4 * AGE_FORGETS)
+    assert world.pool.likely_alive(0.05, world.now)  # other ages are judged apart
+    assert not world.pool.likely_alive(age, world.now)
+    assert world.pool.likely_alive(age, world.now + 4 * AGE_DECAY_TIME)
 
 
 @pytest.mark.parametrize(
--- a/violetroute/__main__.py
+++ b/violetroute/__main__.py
@@ -26,7 +26,7 @@
     from .fleet.runner import Fleet
     from .ledger.keeper import Ledger
     from .sharing.service import Sharing
-    from .transport.introspection_socket import LocalDoor
+    from .transport.introspection_socket import IntrospectionSocket
 
 DRAIN_SLACK = 0.05  # s beyond the longest deadline: the last answers are given at their own
 GC_THRESHOLD = 10_000  # new containers between two collections: next to no cycles are made
@@ -53,7 +53,7 @@
         )
         self.ledger = _ledger(config, net)
         if self.ledger is not None:
-            self.proxy.parts.served.append(self.ledger.served)
+            self.proxy.hooks.on_served.append(self.ledger.served)
         self.fleet = _fleet(config, net)
         self.sharing: Sharing | None = None
         self.distribution: DistributionService | None = None
@@ -164,7 +164,7 @@
         return
     from .distribution.make import make_distribution
 
-    made = make_distribution(table, daemon.config.name, net, daemon.proxy.parts, daemon.take_on)
+    made = make_distribution(table, daemon.config.name, net, daemon.proxy.hooks, daemon.take_on)
     daemon.distribution, daemon.published = made.service, made.configuration
 
 
@@ -172,7 +172,7 @@
     return None if config.topology is None else Dialect(config.topology)
 
 
-async def _door(sharing: Sharing) -> LocalDoor | None:
+async def _door(sharing: Sharing) -> IntrospectionSocket | None:
     from .sharing.factory import door_of
 
     door = door_of(sharing.table, sharing)
@@ -183,7 +183,7 @@
 
 async def _distribution_door(
     service: DistributionService | None, config: Config
-) -> LocalDoor | None:
+) -> IntrospectionSocket | None:
     if service is None:
         return None
     from .distribution.make import door_of
--- a/violetroute/clients/connection.py
+++ b/violetroute/clients/connection.py
@@ -55,7 +55,7 @@
     def joined(self, stream: Stream) -> None:
         self._stream = stream
         turns, now = self._listener.turns, self._loop.time()
-        self._read_delay.accepted(turns.count, now - max(turns.lost, turns.stood(now)))
+        self._read_delay.accepted(turns.count, now - max(turns.paused_for, turns.readable_for(now)))
         self._listener.joined(self)
 
     def opened(self) -> None:
@@ -68,7 +68,7 @@
         if self.ending:
             return  # what crosses our close goes unread, but their close must be seen
         turns = self._listener.turns
-        self._read_delay.reads(turns.count, self._loop.time(), turns.lost)
+        self._read_delay.reads(turns.count, self._loop.time(), turns.paused_for)
         self._decoder.feed(_shared[:count])
         self._pump()
         if self._read_delay.marked and self._stream is not None:
@@ -349,7 +349,7 @@
             stream is not None
             and not stream.closing
             and not self.lingers_since
-            and not stream.quiet()
+            and not stream.no_pending_input()
         )
 
     def give_way(self) -> bool:
--- a/violetroute/clients/listener.py
+++ b/violetroute/clients/listener.py
@@ -8,7 +8,7 @@
 from violetroute import logs
 from violetroute.cluster import Dialect
 from violetroute.config.operator import Limits
-from violetroute.transport import Address, Door, Network
+from violetroute.transport import Address, ListeningSocket, Network
 
 from .answers import Taker
 from .budget import Budget
@@ -46,7 +46,7 @@
         self._idle_limit = max(1, int(slots * limits.idle_share))
         self.budget = Budget(room)
         self.draining = False
-        self._door: Door | None = None
+        self._door: ListeningSocket | None = None
         self._opening: asyncio.TimerHandle | None = None  # when it looks again
         self._taken = 0  # slots, from accept until the stream is lost
         # Each connection stands in one of these, oldest first.
--- a/violetroute/distribution/control.py
+++ b/violetroute/distribution/control.py
@@ -21,7 +21,7 @@
 from violetroute.fleet.runner import Fleet
 from violetroute.sharing.table import read_keys
 from violetroute.transport import Address, Network, parse_address
-from violetroute.transport.introspection_socket import LocalDoor
+from violetroute.transport.introspection_socket import IntrospectionSocket
 from violetroute.transport.writer import ThreadWriter
 
 from .actions import (
@@ -227,9 +227,9 @@
         self._storage.close()
 
 
-def door_of(file: ControlFile, control: Control) -> LocalDoor | None:
+def door_of(file: ControlFile, control: Control) -> IntrospectionSocket | None:
     """Where it can be looked in at from this machine, if the file names a place."""
-    return LocalDoor(file.socket, control.status) if file.socket else None
+    return IntrospectionSocket(file.socket, control.status) if file.socket else None
 
 
 def _settings(file: ControlFile, net: Network) -> MachineSettings:
--- a/violetroute/distribution/make.py
+++ b/violetroute/distribution/make.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from violetroute.hooks import Parts
+from violetroute.hooks import EventHooks
 from violetroute.sharing.table import read_keys
 from violetroute.transport import Network
-from violetroute.transport.introspection_socket import LocalDoor
+from violetroute.transport.introspection_socket import IntrospectionSocket
 
 from .configuration import PublishedConfiguration, TakeOn
 from .configuration_change import ConfigurationChange
@@ -17,25 +17,27 @@
 from .table import DistributionTable
 
 
-class PartsReceiver(PurgeCounter):
+class HooksReceiver(PurgeCounter):
     """Hands what comes to the proxy's parts, and counts it."""
 
-    __slots__ = ("_configuration", "_parts")
+    __slots__ = ("_configuration", "_hooks")
 
-    def __init__(self, parts: Parts, configuration: PublishedConfiguration | None = None) -> None:
+    def __init__(
+        self, hooks: EventHooks, configuration: PublishedConfiguration | None = None
+    ) -> None:
         super().__init__()
-        self._parts = parts
+        self._hooks = hooks
         self._configuration = configuration
 
     def purge(self, key: str) -> None:
         """The first fault of a part is raised once all parts have been told."""
         super().purge(key)
-        _tell_all(self._parts.purged, key)
+        _tell_all(self._hooks.on_purge, key)
 
     def void_all(self, reason: str) -> None:
         """As `purge`."""
         super().void_all(reason)
-        _tell_all(self._parts.voided, reason)
+        _tell_all(self._hooks.on_purge_all, reason)
 
     def configure(self, change: ConfigurationChange) -> tuple[str, ...]:
         """Taken on by the same checks as the operator's file."""
@@ -63,17 +65,17 @@
 
 
 def make_distribution(
-    table: DistributionTable, name: str, net: Network, parts: Parts, take_on: TakeOn
+    table: DistributionTable, name: str, net: Network, hooks: EventHooks, take_on: TakeOn
 ) -> ProxyDistribution:
     """OSError or ValueError where the key file cannot be read."""
     keys = read_keys(table.key_file)
     configuration = PublishedConfiguration(take_on)
-    receiver = PartsReceiver(parts, configuration)
+    receiver = HooksReceiver(hooks, configuration)
     service = DistributionService(table, keys, name, table.region, net, receiver)
     return ProxyDistribution(service, configuration)
 
 
-def door_of(table: DistributionTable, service: DistributionService) -> LocalDoor | None:
+def door_of(table: DistributionTable, service: DistributionService) -> IntrospectionSocket | None:
     """Where it can be looked in at from this machine, if the table names a place."""
 
     def answer(what: str) -> ServiceStatus:
@@ -81,4 +83,4 @@
             raise KeyError(what)
         return service.status()
 
-    return LocalDoor(table.socket, answer) if table.socket else None
+    return IntrospectionSocket(table.socket, answer) if table.socket else None
--- a/violetroute/estimate_log.py
+++ b/violetroute/estimate_log.py
@@ -15,7 +15,7 @@
 AGAIN = 3.0  # s between two lines of one kind: a node that flaps is one line now and then
 
 
-class Beliefs:
+class EstimateLog:
     """Owned by the proxy; bounded by the nodes that are listed."""
 
     def __init__(self, clock: Callable[[], float], name: Callable[[int], str]) -> None:
--- a/violetroute/fleet/job.py
+++ b/violetroute/fleet/job.py
@@ -21,7 +21,7 @@
 
 from violetroute import logs
 from violetroute.transport import Address, Network
-from violetroute.transport.http_call import Call
+from violetroute.transport.http_call import HttpCall
 
 from .lease import FENCE_MOST
 from .log import Done, Fenced, FencedLog, Nothing, Record, Result, append, claim
@@ -90,7 +90,7 @@
         self._busy = False
         self._ended: Callable[[], None] | None = None
         self._timer: Any = None
-        self._call: Call | None = None
+        self._call: HttpCall | None = None
         self._patience: Any = None  # the timer of a job that is under way
         self._failures = 0
         self._failing_since: float | None = None
@@ -275,7 +275,7 @@
             "Content-Type": "application/json",
             "Fence": f"{term.fence};{term.me.nonce}",
         }
-        self._call = Call(
+        self._call = HttpCall(
             self._net,
             endpoint,
             None,
--- a/violetroute/fleet/kv.py
+++ b/violetroute/fleet/kv.py
@@ -28,7 +28,7 @@
 
 from violetroute.error_text import one_line
 from violetroute.transport import Network, parse_address
-from violetroute.transport.http_call import Call, secret
+from violetroute.transport.http_call import HttpCall, read_token
 from violetroute.transport.tls import TlsKeys
 
 from . import lease as leases
@@ -310,7 +310,7 @@
         self.keys = Keys(table, me)
         self._tls = TlsKeys(table.tls) if table.tls.ca else None
         self._agent = 0
-        self._calls: set[Call] = set()
+        self._calls: set[HttpCall] = set()
         self._closed = False
 
     def look(self, told: Told[View]) -> None:
@@ -353,12 +353,12 @@
     def _call(self, ask: Asked, asking: Asking, told: Callable[[Any, str], None]) -> None:
         table = self._table
         try:
-            token = secret(table.token_file)
+            token = read_token(table.token_file)
         except OSError as error:
             told(None, f"token_file: {error.strerror}")
             return
         headers = {"X-Consul-Token": token} if token else {}
-        call: Call
+        call: HttpCall
 
         def done(status: int, headers: dict[str, str], body: bytes, why: str) -> None:
             self._calls.discard(call)
@@ -369,7 +369,7 @@
                 asking.close()
                 told(None, why)
 
-        call = Call(
+        call = HttpCall(
             self._net,
             parse_address(table.agents[self._agent]),
             self._tls,
--- a/violetroute/ledger/keeper.py
+++ b/violetroute/ledger/keeper.py
@@ -21,7 +21,7 @@
 from violetroute import logs
 from violetroute.error_text import one_line
 from violetroute.transport import Network
-from violetroute.transport.http_call import Call
+from violetroute.transport.http_call import HttpCall
 from violetroute.transport.tls import TlsKeys
 from violetroute.transport.writer import ThreadWriter, Writer
 
@@ -73,7 +73,7 @@
         self._closed: list[tuple[int, bytes]] = []  # to be archived with the next write
         self._gone: list[str] = []  # files that nobody needs after it
         self._wrote_at = self._retired_at = self._looked_at = self._loop.time()
-        self._post: Call | None = None
+        self._post: HttpCall | None = None
         self._backoff = Backoff(table.retry_s, table.retry_most_s, f"{name}/{self._nonce}")
         self._next_try = 0.0
         self._keys = TlsKeys(table.tls) if table.tls_ca_file else None
--- a/violetroute/ledger/post.py
+++ b/violetroute/ledger/post.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from violetroute.transport import Network, parse_address
-from violetroute.transport.http_call import Call
+from violetroute.transport.http_call import HttpCall
 from violetroute.transport.tls import TlsKeys
 
 from .accounts import Batch
@@ -21,7 +21,7 @@
     batch: Batch,
     last: str,
     done: Callable[[Said], None],
-) -> Call:
+) -> HttpCall:
     """One POST of the batch.  `last`: the key of the batch before it.
 
     `done` is called once with what the endpoint said, or with "again" if no answer came.
@@ -39,7 +39,7 @@
     def answered(status: int, told: dict[str, str], answer: bytes, why: str) -> None:
         done(said(status, told, answer) if status else Said("again", why))
 
-    return Call(
+    return HttpCall(
         net,
         parse_address(table.endpoint),
         keys,
--- a/violetroute/listing.py
+++ b/violetroute/listing.py
@@ -162,7 +162,7 @@
         logs.event("membership.changed", left=len(step.left), joining=joining, serving=serving)
 
 
-def tell_placement(step: Step, whole: bool, keeper: Keeper) -> None:
+def notify_placement(step: Step, whole: bool, keeper: Keeper) -> None:
     """Tell the placement plan which nodes serve, and which do not any more.
 
     `whole`: it is the first list of all.
--- a/violetroute/logs.py
+++ b/violetroute/logs.py
@@ -25,8 +25,8 @@
     from .config.operator import LogTable
 
 NAME = "violetroute"
-FIELD_MOST = 300  # characters of a field
-TRACE_MOST = 1500  # of a traceback, whose end tells most
+MAX_FIELD = 300  # characters of a field
+MAX_TRACE = 1500  # of a traceback, whose end tells most
 FOREIGN = "library.message"  # what others say through the standard library's logging
 DROPPED = "log.dropped"
 
@@ -303,7 +303,7 @@
         if held.held:
             fields["held_back"], held.held = held.held, 0
         if record.exc_info and record.exc_info[1] is not None:
-            fields["trace"] = "".join(traceback.format_exception(record.exc_info[1]))[-TRACE_MOST:]
+            fields["trace"] = "".join(traceback.format_exception(record.exc_info[1]))[-MAX_TRACE:]
         if self._dropped:
             lost, self._dropped = self._dropped, 0
             if not self._put(logging.WARNING, DROPPED, {"lines": lost}):
@@ -342,7 +342,7 @@
         else:
             return value
     text = encodable(value)
-    return text if key == "trace" else text[:FIELD_MOST]
+    return text if key == "trace" else text[:MAX_FIELD]
 
 
 def encodable(text: str) -> str:
--- a/violetroute/loop_lag_probe.py
+++ b/violetroute/loop_lag_probe.py
@@ -8,7 +8,7 @@
 PULSE = 0.05  # s; the longest the loop sleeps while requests are open
 
 
-class Pulse:
+class LoopLagProbe:
     """Calls `beat` every PULSE seconds, so that a pause of the process shows by a late wake-up."""
 
     __slots__ = ("_beat", "_loop", "_open", "_timer", "beats")
--- a/violetroute/membership/consul.py
+++ b/violetroute/membership/consul.py
@@ -10,7 +10,7 @@
 
 from violetroute import logs
 from violetroute.transport import Network, Stream, parse_address
-from violetroute.transport.http_call import secret
+from violetroute.transport.http_call import read_token
 from violetroute.transport.tls import TlsKeys, TlsStream
 
 from .consul_health import Reader
@@ -92,7 +92,7 @@
         self._next = None
         self._asked_at = self._loop.time()
         try:
-            token = secret(self._table.token_file)
+            token = read_token(self._table.token_file)
         except OSError as error:
             self._failed(f"token_file: {error.strerror}")
             return
--- a/violetroute/proxy.py
+++ b/violetroute/proxy.py
@@ -29,22 +29,22 @@
 )
 
 from . import logs
-from .admission import Arrivals
+from .admission import AdmissionCheck
 from .clients import Answer
 from .cluster import Redirect, SlotMap
 from .config import Config
 from .deadlines import Deadlines
-from .estimate_log import Beliefs
-from .hooks import Parts
-from .listing import ListApplier, log_step, tell_placement
-from .loop_lag_probe import Pulse
+from .estimate_log import EstimateLog
+from .hooks import EventHooks
+from .listing import ListApplier, log_step, notify_placement
+from .loop_lag_probe import LoopLagProbe
 from .membership import Listing, Membership, Places, stable_hash
 from .placement import Keeper
 from .refusals import Refusals
-from .requests import FAILED, OpenRequest, fault, refusal, time_for
+from .requests import FAILED, OpenRequest, log_fault, refusal, service_time_ms
 from .resp import Command, CommandError
 from .transport import Network
-from .turn_log import TurnLog
+from .turn_log import LongTurnLog
 from .unix_clock import UnixClock
 from .upstream import Attempt, Pool
 
@@ -53,7 +53,7 @@
     def __init__(self, config: Config, net: Network) -> None:
         self._loop = loop = net.loop
         self._turns = net.turns
-        self.parts = Parts()
+        self.hooks = EventHooks()
         self._time = UnixClock(net)
         self.clock = self._time.now
         self._open: dict[int, OpenRequest] = {}
@@ -62,18 +62,18 @@
         self._last_id = 0
         self.deadlines = Deadlines(loop, self._out_of_time, self._open)
         self._generation = 0
-        self._pulse = Pulse(loop, self._open, self._look)
+        self._pulse = LoopLagProbe(loop, self._open, self._look)
         self._housekeeping: asyncio.TimerHandle | None = None  # the module's own, one at a time
-        self._turns.tell_pauses(self._paused)
-        self._turn_log = TurnLog(self._turns, self._open)
+        self._turns.call_on_pause(self._paused)
+        self._turn_log = LongTurnLog(self._turns, self._open)
         self._refusals = Refusals(loop)
         self._balancer = Balancer(config.settings, config.seed, self.clock())
         self.judged = self._balancer.judged  # what came of requests, for who tells others
         self._settings = config.settings
-        self._beliefs = Beliefs(loop.time, self.places.name)
+        self._beliefs = EstimateLog(loop.time, self.places.name)
         self._classes = {c.name: c for c in config.settings.classes}
-        self._arrivals = Arrivals(
-            loop, self._turns, self.clock, self._balancer, self.parts, self._refusals
+        self._arrivals = AdmissionCheck(
+            loop, self._turns, self.clock, self._balancer, self.hooks, self._refusals
         )
         self._arrivals.classes = self._classes
         self.turned_away = self._arrivals.turned_away  # called once for each command
@@ -94,7 +94,7 @@
         """Seconds of the loop's clock by which the next open request has to be over."""
         return self.deadlines.next_at
 
-    def states(self) -> list[str]:
+    def request_states(self) -> list[str]:
         """Of each open request: how it stands, for whoever looks in from outside."""
         return [request.state for request in self._open.values()]
 
@@ -104,7 +104,7 @@
         return self._pool.ids()
 
     @property
-    def follows(self) -> object:
+    def list_source(self) -> object:
         """What tells of nodes: another one when `reload` has moved."""
         return self._watch.followed
 
@@ -138,13 +138,13 @@
         if not self._pulse.beats:
             self._pulse.start()
         self._last_id += 1
-        wait = time_for(command.wait, cls.deadline)
+        wait = service_time_ms(command.wait, cls.deadline)
         request = OpenRequest(self._last_id, command, answer, now + wait)
         answer.request = request
         self._open[request.id] = self._named[command.id] = request
         self.deadlines.add(self._loop.time() + wait / 1000.0, request.id)
         key = stable_hash(command.key)
-        for told in self.parts.taken:
+        for told in self.hooks.on_accepted:
             told(command.tenant, key)
         self._tell(
             request,
@@ -187,14 +187,14 @@
         attempt.ended = True
         request.out -= 1
         now = self.clock()
-        for ended in self.parts.ended:
+        for ended in self.hooks.on_attempt_ended:
             ended(attempt.cache_id, result)
         if not request.answered and result is Result.OK and value is not None:
             self._answer(request, b"$%d\r\n" % len(value), value, b"\r\n")
-            for told in self.parts.served:
+            for told in self.hooks.on_served:
                 told(request.command.tenant, request.command.class_name, request.command.id)
         to = None
-        if self._pool.follows and result is Result.OK and not attempt.asking:
+        if self._pool.follows_redirects and result is Result.OK and not attempt.asking:
             self._slots.served(attempt.command.key, self._pool.address(attempt.cache_id))
         if redirect is not None:
             self._slots.learn(redirect)
@@ -226,7 +226,7 @@
         """Take on what a new configuration may change while requests are open."""
         self._turn_log.doing("reload")
         self._pool.reload(config)
-        if not self._pool.follows:
+        if not self._pool.follows_redirects:
             self._slots = SlotMap()
         if config.settings != self._settings:
             self._settings = config.settings
@@ -244,12 +244,12 @@
         self._turn_log.doing(f"list of {len(listing.entries)}")
         step = self._lists.apply(listing, listing.whole or first, at_once=first)
         self._tell_members(step.members, kind)
-        tell_placement(step, first, self._placement)
+        notify_placement(step, first, self._placement)
         log_step(step, self._lists.waiting, len(self._pool.ids()))
 
     def _tell_members(self, members: list[Member], kind: ListKind = ListKind.CHANGES) -> None:
         self._tell(None, self._balancer.on_list, kind, members, self._lists.waiting > 0)
-        for listed in self.parts.listed:
+        for listed in self.hooks.on_list_change:
             listed(members)
 
     def others(self, bad: list[int], outcomes: list[Judged]) -> None:
@@ -282,7 +282,7 @@
             for action in event(self.clock(), *args):
                 self._do(action)
         except Exception:
-            fault("in handling an event")
+            log_fault("in handling an event")
             if request is not None and not request.answered:
                 self._answer(request, FAILED)
 
@@ -338,7 +338,7 @@
         return (
             request is not None
             and request.may_begin(attempt, self.clock())
-            and not (self._turns.late(self._loop.time()) and request.answer.left())
+            and not (self._turns.reads_late(self._loop.time()) and request.answer.left())
         )
 
     def _timer(self, label: int) -> None:
@@ -364,7 +364,7 @@
             self._give_up(attempt, Result.LATE)
         self._held_too_long(request)
         if not request.answered:
-            fault(f"request {request.id} had no final answer at its deadline")
+            log_fault(f"request {request.id} had no final answer at its deadline")
             self._answer(request, FAILED)
             self._tell(request, self._balancer.on_gone, request.id)
         self._forget(request)
@@ -382,7 +382,7 @@
     def _answer(self, request: OpenRequest, *parts: bytes | bytearray) -> None:
         """The one place where a request gets its final answer."""
         if request.answered:
-            fault(f"second final answer for request {request.id}")
+            log_fault(f"second final answer for request {request.id}")
             return
         self._settle(request)
         request.answer.finish(*parts)
--- a/violetroute/requests.py
+++ b/violetroute/requests.py
@@ -45,7 +45,7 @@
         )
 
 
-def time_for(wait: float, deadline: float) -> float:
+def service_time_ms(wait: float, deadline: float) -> float:
     """ms that are used of what a client waits for, at most its class's deadline."""
     wait = min(wait, deadline)
     return wait - min(ANSWER_MARGIN, MARGIN_SHARE * wait)
@@ -56,6 +56,6 @@
     return b"-BUSY %d\r\n" % round(backoff) if backoff >= 0.5 else b"-BUSY\r\n"
 
 
-def fault(text: str) -> None:
+def log_fault(text: str) -> None:
     """Log a fault of ours, with the exception that is being handled, if there is one."""
     logs.event("requests.fault", what=text, error=sys.exc_info()[1])
--- a/violetroute/sharing/factory.py
+++ b/violetroute/sharing/factory.py
@@ -7,9 +7,9 @@
 from typing import Protocol, TypeVar
 
 from violetroute import logs
-from violetroute.hooks import Parts
+from violetroute.hooks import EventHooks
 from violetroute.transport import Network
-from violetroute.transport.introspection_socket import LocalDoor
+from violetroute.transport.introspection_socket import IntrospectionSocket
 
 from .introspection import look
 from .service import Host, Sharing
@@ -21,7 +21,7 @@
 class Heard(Host, Protocol):
     """The proxy."""
 
-    parts: Parts
+    hooks: EventHooks
 
 
 def make_sharing(
@@ -35,13 +35,13 @@
 
 def attach(sharing: Sharing, proxy: Heard) -> None:
     """It hears of requests, attempts and lists from now on."""
-    parts = proxy.parts
+    hooks = proxy.hooks
     if sharing.rounds.node_health is not None:
-        parts.ended.append(safely(sharing.met))
-        parts.listed.append(safely(sharing.listed))
+        hooks.on_attempt_ended.append(safely(sharing.met))
+        hooks.on_list_change.append(safely(sharing.listed))
         sharing.listed(proxy.places.members())
-    parts.taken.append(safely(sharing.asked))
-    parts.admits = safely(sharing.admits)
+    hooks.on_accepted.append(safely(sharing.asked))
+    hooks.admission_check = safely(sharing.admits)
 
 
 def safely(told: Callable[..., T]) -> Callable[..., T | None]:
@@ -57,5 +57,5 @@
     return call
 
 
-def door_of(table: SharingTable, sharing: Sharing) -> LocalDoor | None:
-    return LocalDoor(table.socket, partial(look, sharing)) if table.socket else None
+def door_of(table: SharingTable, sharing: Sharing) -> IntrospectionSocket | None:
+    return IntrospectionSocket(table.socket, partial(look, sharing)) if table.socket else None
--- a/violetroute/sharing/service.py
+++ b/violetroute/sharing/service.py
@@ -73,7 +73,7 @@
         now = self.loop.time()
         address = parse_address(table.listen)
         self._ways = {who: parse_address(at) for who, at in table.ways.items()}
-        self._box = net.mailbox(address, self, wire.DATAGRAM_MOST)
+        self._box = net.bind_datagram_socket(address, self, wire.DATAGRAM_MOST)
         place = f"{address.host}:{self._box.address.port}"
         self.members = Members(
             self.name,
--- a/violetroute/transport/__init__.py
+++ b/violetroute/transport/__init__.py
@@ -8,7 +8,7 @@
 """
 
 from .address import Address, parse_address
-from .interfaces import Door, Handler, Network, Stream
+from .interfaces import Handler, ListeningSocket, Network, Stream
 from .loop_lag import Turns
 
-__all__ = ["Address", "Door", "Handler", "Network", "Stream", "Turns", "parse_address"]
+__all__ = ["Address", "Handler", "ListeningSocket", "Network", "Stream", "Turns", "parse_address"]
--- a/violetroute/transport/datagrams.py
+++ b/violetroute/transport/datagrams.py
@@ -12,12 +12,12 @@
 import socket
 
 from .address import Address
-from .interfaces import Ear
+from .interfaces import DatagramHandler
 
 AT_ONCE = 64  # datagrams read in one turn
 
 
-class SocketMailbox:
+class UdpSocket:
     """One UDP socket."""
 
     def __init__(
@@ -25,7 +25,7 @@
         loop: asyncio.AbstractEventLoop,
         sock: socket.socket,
         address: Address,
-        ear: Ear,
+        ear: DatagramHandler,
         most: int,
     ) -> None:
         self._loop, self._ear, self._most = loop, ear, most
--- a/violetroute/transport/http_call.py
+++ b/violetroute/transport/http_call.py
@@ -16,24 +16,24 @@
 from .interfaces import Network, Stream
 from .tls import TlsKeys, TlsStream
 
-BODY_MOST = 256 * 1024  # bytes of an answer
-SECRET_MOST = 4096  # bytes of a token's file
+MAX_BODY = 256 * 1024  # bytes of an answer
+MAX_TOKEN = 4096  # bytes of a token's file
 READ_SIZE = 16 * 1024
 _shared = memoryview(bytearray(READ_SIZE))
 
 Done = Callable[[int, dict[str, str], bytes, str], None]  # status (0: none), headers, body, why
 
 
-def secret(path: str) -> str:
+def read_token(path: str) -> str:
     """A token's file as it is now, so that it can rotate; "" without one.  OSError."""
     if not path:
         return ""
     with open(path, encoding="ascii", errors="ignore") as file:
-        text = file.read(SECRET_MOST)
+        text = file.read(MAX_TOKEN)
     return "".join(c for c in text.strip() if c.isprintable())
 
 
-class Call:
+class HttpCall:
     """Told `done` once, from the loop; never after `stop`."""
 
     def __init__(
@@ -47,7 +47,7 @@
         body: bytes,
         done: Done,
         method: str = "POST",
-        most: int = BODY_MOST,
+        most: int = MAX_BODY,
     ) -> None:
         self._done: Done | None = done
         self._most = most
--- a/violetroute/transport/interfaces.py
+++ b/violetroute/transport/interfaces.py
@@ -103,7 +103,7 @@
     def receive_buffer(self) -> int:
         """Bytes that the kernel keeps of what has not been read, asked of it now; 0 at the end."""
 
-    def quiet(self) -> bool:
+    def no_pending_input(self) -> bool:
         """Whether nothing has come and the peer has not closed, asked of the kernel now."""
 
     def peer_ended(self) -> bool:
@@ -114,7 +114,7 @@
         """
 
 
-class Door(Protocol):
+class ListeningSocket(Protocol):
     """A listening socket.  `ready` is told, while it is watched, when somebody waits."""
 
     address: Address
@@ -132,14 +132,14 @@
         """Nobody new; who still waits is reset."""
 
 
-class Ear(Protocol):
+class DatagramHandler(Protocol):
     """The owner of a port for datagrams.  An exception that leaves it costs that datagram alone."""
 
     def datagram(self, data: bytes, origin: Address) -> None:
         """One came, whole.  `origin` is what it says of itself: anybody can write that."""
 
 
-class Mailbox(Protocol):
+class DatagramSocket(Protocol):
     """A port for datagrams.  What is sent may be lost, come twice, late and in any order."""
 
     address: Address
@@ -160,7 +160,7 @@
     def wall(self) -> float:
         """Unix seconds; may step either way."""
 
-    def listen(self, address: Address, backlog: int, ready: Callable[[], None]) -> Door:
+    def listen(self, address: Address, backlog: int, ready: Callable[[], None]) -> ListeningSocket:
         """OSError when it cannot.  Not watched at first; port 0 means any free one."""
 
     def connect(
@@ -172,7 +172,9 @@
         others in a turn.
         """
 
-    def mailbox(self, address: Address, ear: Ear, most: int) -> Mailbox:
+    def bind_datagram_socket(
+        self, address: Address, ear: DatagramHandler, most: int
+    ) -> DatagramSocket:
         """A port for datagrams of up to `most` bytes; longer ones are not told.
 
         OSError when it cannot.  Port 0 means any free one.
--- a/violetroute/transport/introspection_socket.py
+++ b/violetroute/transport/introspection_socket.py
@@ -16,12 +16,12 @@
 
 import msgspec
 
-CALLERS_MOST = 8
-LINE_MOST = 200  # bytes
-PATIENCE = 2.0  # s
+MAX_CLIENTS = 8
+MAX_LINE = 200  # bytes
+TIMEOUT = 2.0  # s
 
 
-class LocalDoor:
+class IntrospectionSocket:
     """`answer` gives what a word asks for; KeyError for one that it does not know."""
 
     def __init__(self, path: str, answer: Callable[[str], Any]) -> None:
@@ -38,18 +38,18 @@
         try:
             os.fchmod(sock.fileno(), 0o600)  # its file has it from the first instant (Linux)
             sock.bind(self._path)
-            self._server = await asyncio.start_unix_server(self._serve, sock=sock, limit=LINE_MOST)
+            self._server = await asyncio.start_unix_server(self._serve, sock=sock, limit=MAX_LINE)
         except OSError:
             sock.close()
             raise
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self._callers >= CALLERS_MOST:
+        if self._callers >= MAX_CLIENTS:
             writer.close()
             return
         self._callers += 1
         try:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TIMEOUT):
                 line = await reader.readline()
                 try:
                     told = self._answer(line.decode("ascii", "replace").strip())
--- a/violetroute/transport/lines.py
+++ b/violetroute/transport/lines.py
@@ -5,7 +5,7 @@
 import os
 import select
 
-LINE_MOST = select.PIPE_BUF  # bytes of a line: up to here a pipe takes all of it or none
+MAX_LINE = select.PIPE_BUF  # bytes of a line: up to here a pipe takes all of it or none
 
 
 class LineWriter:
@@ -27,7 +27,7 @@
         try:
             if not self._poll.poll(0):
                 return False
-            os.write(self._descriptor, line[:LINE_MOST])
+            os.write(self._descriptor, line[:MAX_LINE])
         except OSError:  # nobody has the other end any more
             return False
         return True
--- a/violetroute/transport/loop_lag.py
+++ b/violetroute/transport/loop_lag.py
@@ -36,14 +36,14 @@
         super().__init__()
         self._clock, self._cpu = clock, cpu
         self._cpu_at = clock(), cpu()  # the last reading, which costs a system call
-        self.paused: Callable[[float], None] | None = None  # told before the turn's events
-        self.was_long: Callable[[float], None] | None = None  # likewise, of the turn before
+        self.on_pause: Callable[[float], None] | None = None  # told before the turn's events
+        self.on_long_turn: Callable[[float], None] | None = None  # likewise, of the turn before
         self._rotation = 0
         self.first: set[int] = set()  # descriptors to be handed out before the others
         self.turn_at = self.readable_at = clock()  # s: this turn's start, and when its
         #                                  sockets are taken to have become readable
         self.turns = 0
-        self.lost = 0.0  # s for which what this turn reads may have stood since a pause began
+        self.paused_for = 0.0  # s for which what this turn reads may have stood since a pause began
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         """Poll for `timeout` s at most; note when the turn began; node sockets come first."""
@@ -51,9 +51,9 @@
         ready: list[tuple[selectors.SelectorKey, int]] = super().select(timeout)
         now = self._clock()
         before, self.turn_at = self.turn_at, now
-        self.lost = 0.0
-        if asked_at - before >= LONG_TURN and self.was_long is not None:
-            self.was_long(asked_at - before)
+        self.paused_for = 0.0
+        if asked_at - before >= LONG_TURN and self.on_long_turn is not None:
+            self.on_long_turn(asked_at - before)
         if now - self._cpu_at[0] > CPU_READ or now - before >= PAUSE:
             self._look_for_a_pause(before, asked_at, timeout, now)
         self.readable_at = now if now - asked_at > SLEPT else (before + now) / 2.0
@@ -82,9 +82,9 @@
             stolen = max(stolen, now - asked_at - max(0.0, timeout))
         self._cpu_at = now, cpu
         if stolen >= PAUSE:
-            self.lost = now - began_at  # all of it came after the poll before
-            if self.paused is not None:
-                self.paused(stolen)
+            self.paused_for = now - began_at  # all of it came after the poll before
+            if self.on_pause is not None:
+                self.on_pause(stolen)
 
 
 class Turns:
@@ -98,39 +98,39 @@
         """Turns so far."""
         return self._selector.turns if self._selector is not None else 0
 
-    def stood(self, now: float) -> float:
+    def readable_for(self, now: float) -> float:
         """Seconds for which a command that is read at `now` stood readable (estimate)."""
         return max(0.0, now - self._selector.readable_at) if self._selector is not None else 0.0
 
     @property
-    def lost(self) -> float:
+    def paused_for(self) -> float:
         """Seconds for which what this turn reads may have stood, at worst, if a pause is just over.
 
         No estimate as `stood` is, which tells of a load: a client's time that may be over is taken
         for over.
         """
-        return self._selector.lost if self._selector is not None else 0.0
+        return self._selector.paused_for if self._selector is not None else 0.0
 
-    def late(self, now: float) -> bool:
+    def reads_late(self, now: float) -> bool:
         """Whether a peer's end may have stood for long without having been read in this turn."""
-        return self.lost > 0.0 or self.stood(now) > LATE
+        return self.paused_for > 0.0 or self.readable_for(now) > LATE
 
-    def spent(self, now: float) -> float:
+    def elapsed(self, now: float) -> float:
         """Seconds of this turn that have passed."""
         return max(0.0, now - self._selector.turn_at) if self._selector is not None else 0.0
 
-    def tell_pauses(self, told: Callable[[float], None]) -> None:
+    def call_on_pause(self, told: Callable[[float], None]) -> None:
         """Call `told` with the seconds of each pause, before what came in it is read.
 
         A pause within a poll shows only against a timer: keep one due while it matters.
         """
         if self._selector is not None:
-            self._selector.paused = told
+            self._selector.on_pause = told
 
-    def tell_long_turns(self, told: Callable[[float], None]) -> None:
+    def call_on_long_turn(self, told: Callable[[float], None]) -> None:
         """Call `told` with the seconds of each turn of LONG_TURN or more, in the turn after it."""
         if self._selector is not None:
-            self._selector.was_long = told
+            self._selector.on_long_turn = told
 
     def prefer(self, descriptor: int, on: bool) -> None:
         """Whether this descriptor's events come first."""
--- a/violetroute/transport/sockets.py
+++ b/violetroute/transport/sockets.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable
 
 from .address import Address
-from .datagrams import SocketMailbox
-from .interfaces import Ear, Handler
+from .datagrams import UdpSocket
+from .interfaces import DatagramHandler, Handler
 from .loop_lag import Turns
 from .stream import SocketStream
 
@@ -22,7 +22,7 @@
 GONE_AGAIN = frozenset({errno.EAGAIN, errno.EINTR, errno.ECONNABORTED, errno.EPROTO})
 
 
-class SocketDoor:
+class TcpListeningSocket:
     """A listening socket."""
 
     def __init__(
@@ -91,14 +91,16 @@
     def wall(self) -> float:
         return self._clock()
 
-    def listen(self, address: Address, backlog: int, ready: Callable[[], None]) -> SocketDoor:
+    def listen(
+        self, address: Address, backlog: int, ready: Callable[[], None]
+    ) -> TcpListeningSocket:
         sock = self._make(_family(address), socket.SOCK_STREAM)
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             sock.bind((address.host, address.port))
             sock.listen(backlog)
             sock.setblocking(False)
-            return SocketDoor(self, sock, address.host, ready)
+            return TcpListeningSocket(self, sock, address.host, ready)
         except OSError:
             sock.close()
             raise
@@ -120,10 +122,10 @@
             stream.fail(error)
         return stream
 
-    def mailbox(self, address: Address, ear: Ear, most: int) -> SocketMailbox:
+    def bind_datagram_socket(self, address: Address, ear: DatagramHandler, most: int) -> UdpSocket:
         sock = self._make(_family(address), socket.SOCK_DGRAM)
         try:
-            return SocketMailbox(self.loop, sock, address, ear, most)
+            return UdpSocket(self.loop, sock, address, ear, most)
         except OSError:
             sock.close()
             raise
--- a/violetroute/transport/stream.py
+++ b/violetroute/transport/stream.py
@@ -150,7 +150,7 @@
             return 0
         return int(self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF))
 
-    def quiet(self) -> bool:
+    def no_pending_input(self) -> bool:
         if self._socket is None or self.closing or self._broken is not None:
             return False
         try:
--- a/violetroute/transport/tls.py
+++ b/violetroute/transport/tls.py
@@ -21,7 +21,7 @@
 from .interfaces import Data, Handler, Network, Stream
 
 READ_SIZE = 16 * 1024
-HELD_MOST = 256 * 1024  # bytes that are written before the handshake is done
+MAX_HELD = 256 * 1024  # bytes that are written before the handshake is done
 
 _shared = memoryview(bytearray(READ_SIZE))
 
@@ -144,7 +144,7 @@
             return False
         if not self._up:
             self._held.append(bytes(data))
-            if self.unsent > HELD_MOST:
+            if self.unsent > MAX_HELD:
                 self._fail(OSError("too much written before the handshake"))
             return False
         assert self._tls is not None
@@ -192,8 +192,8 @@
     def delivered(self) -> bool:
         return not self._held and self._below.delivered()
 
-    def quiet(self) -> bool:
-        return not self._in.pending and self._below.quiet()
+    def no_pending_input(self) -> bool:
+        return not self._in.pending and self._below.no_pending_input()
 
     def peer_ended(self) -> bool:
         return self._below.peer_ended()
--- a/violetroute/turn_log.py
+++ b/violetroute/turn_log.py
@@ -8,13 +8,13 @@
 from .transport.loop_lag import Turns
 
 
-class TurnLog:
+class LongTurnLog:
     """`open_requests`: those that wait for the turn."""
 
     def __init__(self, turns: Turns, open_requests: Sized) -> None:
         self._turns, self._open = turns, open_requests
         self._turn, self._work = 0, ""
-        turns.tell_long_turns(self._was_long)
+        turns.call_on_long_turn(self._was_long)
 
     def doing(self, work: str) -> None:
         """What this turn does beside requests."""
--- a/violetroute/upstream/__init__.py
+++ b/violetroute/upstream/__init__.py
@@ -1,6 +1,6 @@
 """Connections to cache nodes: pools, attempts, their outcomes."""
 
-from .attempt import Attempt, Sink
+from .attempt import Attempt, AttemptOwner
 from .pool import Pool
 
-__all__ = ["Attempt", "Pool", "Sink"]
+__all__ = ["Attempt", "AttemptOwner", "Pool"]
--- a/violetroute/upstream/attempt.py
+++ b/violetroute/upstream/attempt.py
@@ -48,7 +48,7 @@
         self.deliver_by = deliver_by  # ms on the same clock; its node has it then, or never; 0: any
 
 
-class Sink(Protocol):
+class AttemptOwner(Protocol):
     """What the pool knows of the proxy."""
 
     def clock(self) -> float: ...
--- a/violetroute/upstream/connection.py
+++ b/violetroute/upstream/connection.py
@@ -25,7 +25,7 @@
 KERNEL_LATE = 0.5  # s by which the kernel's clock may be late in calling a command off
 
 ERRORS = {b"BUSY": Result.FULL, b"ERR": Result.ERROR}
-HITS = {b"hit": True, b"miss": False, b"pending": False}
+CACHE_STATES = {b"hit": True, b"miss": False, b"pending": False}
 
 _shared = memoryview(bytearray(READ_SIZE))
 
@@ -59,7 +59,7 @@
 
     def received(self, count: int) -> None:
         if self.attempt is None:  # speaks unasked: what comes next could be anyone's
-            self._pool.stray(self)
+            self._pool.unsolicited_data(self)
             self.close()
             return
         if self.used:
@@ -88,7 +88,7 @@
 
     def _end(self) -> None:
         if self.attempt is not None:
-            self._break(Result.RESET if self.handed_over else Result.NO_CONNECTION)
+            self._break(Result.RESET if self.fully_sent else Result.NO_CONNECTION)
         self.close()
 
     # --- one attempt ---
@@ -113,7 +113,7 @@
             self.stream.write_all(parts)
 
     @property
-    def handed_over(self) -> bool:
+    def fully_sent(self) -> bool:
         """The kernel has taken the last byte: from here on the command may run."""
         return self.stream is not None and not self.stream.unsent
 
@@ -146,7 +146,7 @@
         """
         if self.attempt is None:
             return
-        if self.handed_over and self._reply.valued:
+        if self.fully_sent and self._reply.valued:
             self._complete(clean=False)
         else:
             self._break(Result.SPOILT)
@@ -155,11 +155,11 @@
         attempt, reply = self.attempt, self._reply
         assert attempt is not None
         behind = not self._decoder.idle
-        clean = clean and self.handed_over and not behind
+        clean = clean and self.fully_sent and not behind
         self._leave()
         self.used = True
         if clean:
-            self._pool.rest(self)
+            self._pool.release(self)
         else:  # bytes behind an answer, or an answer ahead of its command
             self.close()
         if reply.line is None:
@@ -168,12 +168,12 @@
                 attempt,
                 Result.OK,
                 reply.value,
-                HITS.get(how) if how else None,
+                CACHE_STATES.get(how) if how else None,
                 resp.parse_report(load),
             )
             return
         word, _, rest = reply.line.text.partition(b" ")
-        if self._pool.follows:
+        if self._pool.follows_redirects:
             redirect = parse_redirect(reply.line.text, self.node.address)
             if redirect is not None:
                 self._pool.sink.attempt_ended(
@@ -216,17 +216,17 @@
 
     def end_unsent(self) -> None:
         """Its node drains: a command that is not yet whole there must not become so."""
-        if not self.handed_over:
+        if not self.fully_sent:
             self._break(Result.NO_CONNECTION)
 
-    def quiet(self) -> bool:
+    def no_pending_input(self) -> bool:
         """Nothing stands unread behind the last answer.
 
         Guards against a second copy, noise or the node's close that has come but was not
         yet read: the next request's answer would be taken from it.  Asked of the kernel,
         since the loop tells of it only in its next turn.
         """
-        return self.stream is not None and self.stream.quiet()
+        return self.stream is not None and self.stream.no_pending_input()
 
     def close(self, discard: bool = False) -> None:
         """`discard` with a command on its way, which must not arrive any more.
--- a/violetroute/upstream/pool.py
+++ b/violetroute/upstream/pool.py
@@ -9,17 +9,20 @@
 from violetroute.config import Config, Limits
 from violetroute.transport import Address, Network
 
-from .attempt import Attempt, Sink
+from .attempt import Attempt, AttemptOwner
 from .connection import NodeConnection
 
-IDLE_SHARE = 0.6  # of the node's own idle time; a request must never meet its close
-AGES = (0.01, 0.03, 0.1, 0.2, 0.5, 1.0, 2.0)  # s; idle times that are judged apart
+IDLE_TIME_SHARE = 0.6  # of the node's own idle time; a request must never meet its close
+AGE_BOUNDS = (0.01, 0.03, 0.1, 0.2, 0.5, 1.0, 2.0)  # s; idle times that are judged apart
 AGE_GAIN = 0.1  # of one more reuse at an age
-AGE_FORGETS = 10.0  # s over which what is known of an age fades, so that it is tried again
-AGE_LOSS = 0.1  # share of reuses that may break before connections of this age are closed
-QUIET = 0.002  # s after an answer in which what belongs to no request would come, at least
-QUIET_MOST, QUIET_TIMES = 0.1, 2.0  # s learned at most; times the latest that was seen lately
-SWEEP = 0.5  # s between looks at idle connections
+AGE_DECAY_TIME = 10.0  # s over which what is known of an age fades, so that it is tried again
+MAX_BREAK_SHARE = 0.1  # share of reuses that may break before connections of this age are closed
+MIN_QUIET_TIME = 0.002  # s after an answer in which what belongs to no request would come, at least
+MAX_QUIET_TIME, QUIET_TIME_FACTOR = (
+    0.1,
+    2.0,
+)  # s learned at most; times the latest that was seen lately
+SWEEP_INTERVAL = 0.5  # s between looks at idle connections
 DEFAULTS = Limits()
 
 
@@ -40,7 +43,7 @@
 
     def __init__(
         self,
-        sink: Sink,
+        sink: AttemptOwner,
         net: Network,
         limit: int,
         connect_timeout: float,
@@ -48,19 +51,19 @@
         limits: Limits = DEFAULTS,
     ) -> None:
         self.limits = limits  # may be replaced at any time
-        self.follows = False  # redirections are understood; likewise
+        self.follows_redirects = False  # redirections are understood; likewise
         self.sink, self._net, self.loop = sink, net, net.loop
         self._limit = limit
         self.configure(connect_timeout, idle_timeout)
         # By age, the share of reuses that broke, and when it was last learned.
-        self._lost = [(0.0, 0.0)] * (len(AGES) + 1)
+        self._lost = [(0.0, 0.0)] * (len(AGE_BOUNDS) + 1)
         self._stray, self._stray_at = 0.0, 0.0  # how late one came that nobody waited for, and when
         self._nodes: dict[int, Node] = {}
         self._open: dict[NodeConnection, None] = {}
-        self._sweeping = self.loop.call_later(SWEEP, self._sweep)
+        self._sweeping = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     @classmethod
-    def of(cls, sink: Sink, net: Network, config: Config) -> Pool:
+    def of(cls, sink: AttemptOwner, net: Network, config: Config) -> Pool:
         """A pool with the limits and times of the configuration."""
         pool = cls(sink, net, config.upstream_sockets, config.connect_timeout, config.idle_timeout)
         pool.reload(config)
@@ -68,12 +71,12 @@
 
     def reload(self, config: Config) -> None:
         """Take on what may change while connections are open: not their number."""
-        self.limits, self.follows = config.limits, config.operator.cluster.follow
+        self.limits, self.follows_redirects = config.limits, config.operator.cluster.follow
         self.configure(config.connect_timeout, config.idle_timeout)
 
     def configure(self, connect_timeout: float, idle_timeout: float) -> None:
         """What the settings say of cache nodes' connections; holds for those that are open, too."""
-        self._connect_timeout, self._idle_for = connect_timeout, idle_timeout * IDLE_SHARE
+        self._connect_timeout, self._idle_for = connect_timeout, idle_timeout * IDLE_TIME_SHARE
 
     # --- the list ---
     def place(self, cache_id: int, address: Address) -> None:
@@ -110,14 +113,17 @@
             self._fail(attempt, Result.NO_CONNECTION)
             return
         now = self.loop.time()
-        quiet = self._quiet(now)
+        quiet_time = self._quiet_time(now)
         while node.idle:
             connection = node.idle[-1]
-            if now - connection.answered_at < quiet:  # the last used: look behind it
+            if now - connection.answered_at < quiet_time:  # the last used: look behind it
                 connection = node.idle[0]
-                if now - connection.answered_at < quiet:
+                if now - connection.answered_at < quiet_time:
                     break
-            if self.fresh(now - connection.idle_since, now) and connection.quiet():
+            if (
+                self.likely_alive(now - connection.idle_since, now)
+                and connection.no_pending_input()
+            ):
                 if self.sink.may_send(attempt):
                     node.idle.remove(connection)
                     connection.run(attempt)
@@ -139,7 +145,7 @@
     def give_up(self, attempt: Attempt) -> bool:
         """Nothing of it may come back; whether it can have run."""
         if attempt.connection is not None:
-            may_have_run = attempt.connection.handed_over
+            may_have_run = attempt.connection.fully_sent
             attempt.connection.give_up()
             return may_have_run
         node = self._nodes.get(attempt.cache_id)
@@ -163,11 +169,11 @@
     # --- connections ---
     def reused(self, connection: NodeConnection, broken: bool) -> None:
         """Whether the first sign on a kept connection was a byte of an answer or its end."""
-        place = bisect_right(AGES, connection.idle_for)
+        place = bisect_right(AGE_BOUNDS, connection.idle_for)
         share, _ = self._lost[place]
         self._lost[place] = share + AGE_GAIN * (broken - share), self.loop.time()
 
-    def stray(self, connection: NodeConnection) -> None:
+    def unsolicited_data(self, connection: NodeConnection) -> None:
         """Something came on a free connection: how long after its last answer.
 
         What comes later than QUIET_MOST, or where nothing was answered, is noise and no second
@@ -175,14 +181,14 @@
         """
         now = self.loop.time()
         age = now - connection.answered_at
-        late = min(QUIET_MOST, QUIET_TIMES * age)
-        if age <= QUIET_MOST and late > self._faded(now):
+        late = min(MAX_QUIET_TIME, QUIET_TIME_FACTOR * age)
+        if age <= MAX_QUIET_TIME and late > self._faded(now):
             self._stray, self._stray_at = late, now
 
     def _faded(self, now: float) -> float:
-        return self._stray * math.exp((self._stray_at - now) / AGE_FORGETS)
+        return self._stray * math.exp((self._stray_at - now) / AGE_DECAY_TIME)
 
-    def _quiet(self, now: float) -> float:
+    def _quiet_time(self, now: float) -> float:
         """s for which a connection is left alone after an answer.
 
         Guards against second answers, which would be given to the next request: no byte tells them
@@ -190,9 +196,9 @@
         cost service where requests follow each other at once (site-lost 0.832 for 0.856).  Harm: a
         connection more there, while it lasts.
         """
-        return max(QUIET, self._faded(now))
+        return max(MIN_QUIET_TIME, self._faded(now))
 
-    def fresh(self, age: float, now: float) -> bool:
+    def likely_alive(self, age: float, now: float) -> bool:
         """Whether a connection that has been idle for so long is likely to be alive.
 
         Guards against nodes, or boxes between, that drop kept connections long before the
@@ -200,9 +206,10 @@
         that close after a number of requests.  Harm: where all connections break alike,
         new ones cost their handshake and break as well.
         """
-        share, learned_at = self._lost[bisect_right(AGES, age)]
+        share, learned_at = self._lost[bisect_right(AGE_BOUNDS, age)]
         return (
-            age < self._idle_for and share * math.exp((learned_at - now) / AGE_FORGETS) < AGE_LOSS
+            age < self._idle_for
+            and share * math.exp((learned_at - now) / AGE_DECAY_TIME) < MAX_BREAK_SHARE
         )
 
     def opened(self, connection: NodeConnection) -> None:
@@ -213,7 +220,7 @@
         connection.node.idle.append(connection)
         self._offer(connection)
 
-    def rest(self, connection: NodeConnection) -> None:
+    def release(self, connection: NodeConnection) -> None:
         """Free after an answer: for who waits, once it has been quiet for a moment."""
         node = connection.node
         if connection.retired or connection.stream is None or connection.stream.closing:
@@ -222,7 +229,7 @@
         connection.idle_since = connection.answered_at = now = self.loop.time()
         node.idle.append(connection)
         if node.waiting:
-            self.loop.call_later(self._quiet(now), self._offer, connection)
+            self.loop.call_later(self._quiet_time(now), self._offer, connection)
         elif len(node.idle) > self.limits.idle_per_node:
             self._discard(node.idle[0])
 
@@ -231,7 +238,7 @@
         node = connection.node
         if connection not in node.idle:
             return
-        if not connection.quiet():
+        if not connection.no_pending_input():
             self._discard(connection)  # whoever it was opened for hears of it from `closed`
             return
         wanted_by, connection.wanted_by = connection.wanted_by, None
@@ -276,7 +283,7 @@
         return True
 
     def _sweep(self) -> None:
-        self._sweeping = self.loop.call_later(SWEEP, self._sweep)
+        self._sweeping = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
         now = self.loop.time()
         for connection in self._idle():
             if now - connection.idle_since >= self._idle_for:
