--- a/limebridge/virtual/ledger.py
+++ b/limebridge/virtual/ledger.py
@@ -22,7 +22,7 @@
 from violetroute.ledger.accounts import Book
 from violetroute.ledger.keeper import Ledger
 from violetroute.ledger.store import Store
-from violetroute.transport.writer import Job, Told
+from violetroute.transport.writer import Job, JobCallback
 
 from .kernel import Kernel
 from .loop import VirtualLoop
@@ -103,7 +103,7 @@
         self._loop, self._fails, self._slow = loop, fails, slow
         self.dead = False
 
-    def submit(self, job: Job[Any], told: Told[Any]) -> None:
+    def submit(self, job: Job[Any], told: JobCallback[Any]) -> None:
         if self.dead:
             return
         result: Any = None
@@ -117,7 +117,7 @@
             failure = error
         self._loop.call_later(self._slow(), self._tell, told, result, failure)
 
-    def _tell(self, told: Told[Any], result: Any, failure: BaseException | None) -> None:
+    def _tell(self, told: JobCallback[Any], result: Any, failure: BaseException | None) -> None:
         if not self.dead:
             told(result, failure)
 
--- a/limebridge/virtual/process.py
+++ b/limebridge/virtual/process.py
@@ -99,7 +99,7 @@
         self.proxy = Proxy(config, net)
         if self.meter is not None:
             metered: Any = Metered(self.proxy._balancer, self.meter)
-            self.proxy._balancer = self.proxy._arrivals.balancer = metered
+            self.proxy._balancer = self.proxy._admission.balancer = metered
         self.listener = Listener(
             self.proxy, config.client_sockets, config.value_room, net, config.limits
         )
--- a/tests/limebridge/virtual/test_virtual.py
+++ b/tests/limebridge/virtual/test_virtual.py
@@ -18,7 +18,7 @@
 from violetroute.membership.native import Watch
 from violetroute.proxy import Proxy
 from violetroute.transport import Address
-from violetroute.transport.loop_lag import PAUSE
+from violetroute.transport.loop_lag import MIN_PAUSE
 from violetroute.transport.sockets import SocketNetwork
 
 
@@ -134,4 +134,4 @@
 
 def test_the_kit_and_the_daemon_agree_which_pause_a_process_sees() -> None:
     """The virtual process has the judge's constant, so that it plays older builds as well."""
-    assert PAUSE_SEEN == PAUSE
+    assert PAUSE_SEEN == MIN_PAUSE
--- a/tests/planted/after_grace.py
+++ b/tests/planted/after_grace.py
@@ -2,15 +2,15 @@
 
 from violetroute.proxy import Proxy
 
-tell_list = Proxy._tell_list
+apply_list = Proxy._apply_list
 
 
 def late(self, kind, listing):
     if self._generation >= 100:
-        self._loop.call_later(0.502, tell_list, self, kind, listing)
+        self._loop.call_later(0.502, apply_list, self, kind, listing)
     else:
-        tell_list(self, kind, listing)
+        apply_list(self, kind, listing)
 
 
 def plant():
-    Proxy._tell_list = late
+    Proxy._apply_list = late
--- a/tests/planted/held_in_a_pause.py
+++ b/tests/planted/held_in_a_pause.py
@@ -4,4 +4,4 @@
 
 
 def plant():
-    Proxy._held_too_long = lambda self, request: None
+    Proxy._end_overdue_hold = lambda self, request: None
--- a/tests/planted/keyed_late.py
+++ b/tests/planted/keyed_late.py
@@ -6,4 +6,4 @@
 
 def plant():
     attempts.REPEAT_MARGIN = -100.0
-    Proxy._undelivered = lambda self, attempt: None
+    Proxy._check_delivery = lambda self, attempt: None
--- a/tests/planted/lost_wake_up.py
+++ b/tests/planted/lost_wake_up.py
@@ -6,4 +6,4 @@
 
 def plant():
     Pool._offer = lambda self, connection: None
-    Proxy._out_of_time = lambda self, number: None
+    Proxy._deadline_expired = lambda self, number: None
--- a/tests/planted/reused_after_give_up.py
+++ b/tests/planted/reused_after_give_up.py
@@ -4,7 +4,7 @@
 
 
 def keeps(self):
-    self._leave()
+    self._detach_attempt()
     self._pool.release(self)
 
 
--- a/tests/planted/undelivered_ignored.py
+++ b/tests/planted/undelivered_ignored.py
@@ -8,5 +8,5 @@
 
 
 def plant():
-    Proxy._undelivered = lambda self, attempt: None
+    Proxy._check_delivery = lambda self, attempt: None
     SocketStream.deliver_within = lambda self, seconds: None
--- a/tests/violetroute/distribution/test_distribution_storage.py
+++ b/tests/violetroute/distribution/test_distribution_storage.py
@@ -28,7 +28,7 @@
 from violetroute.distribution.messages import Batch, LogPoint, Record, Snapshot, Topic
 from violetroute.distribution.persister import Persister
 from violetroute.distribution.storage import Storage, StorageError, init_folder
-from violetroute.transport.writer import Job, ThreadWriter, Told
+from violetroute.transport.writer import Job, JobCallback, ThreadWriter
 
 T = TypeVar("T")
 FIRST = "segment-0000000001"
@@ -328,7 +328,7 @@
     def __init__(self) -> None:
         self.jobs: list[Callable[[], None]] = []
 
-    def submit(self, job: Job[T], told: Told[T]) -> None:
+    def submit(self, job: Job[T], told: JobCallback[T]) -> None:
         def work() -> None:
             try:
                 result = job()
--- a/tests/violetroute/resp/test_resp.py
+++ b/tests/violetroute/resp/test_resp.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from violetroute import resp
-from violetroute.deadlines import SLACK, Deadlines
+from violetroute.deadlines import SWEEP_SLACK, Deadlines
 
 WORD = st.one_of(
     st.sampled_from(
@@ -165,7 +165,7 @@
             opened[number] = None
             deadlines.add(now + 100.0, number)
             del opened[number]
-            assert len(deadlines) <= SLACK + 3
+            assert len(deadlines) <= SWEEP_SLACK + 3
         for number, at in ((9, 0.03), (7, 0.01), (8, 0.02), (6, 0.01)):
             opened[number] = None
             deadlines.add(now + at, number)
--- a/tests/violetroute/test_beliefs.py
+++ b/tests/violetroute/test_beliefs.py
@@ -7,7 +7,7 @@
 import pytest
 
 from violetroute import estimate_log
-from violetroute.estimate_log import AGAIN, NAMED, EstimateLog
+from violetroute.estimate_log import MAX_NAMED_NODES, MIN_LOG_INTERVAL, EstimateLog
 
 
 @pytest.fixture
@@ -23,22 +23,22 @@
     now = [0.0]
     made = EstimateLog(lambda: now[0], lambda node: f"10.0.0.{node}:1")
     for _ in range(3):
-        made.look({}, math.inf, math.inf)
+        made.update({}, math.inf, math.inf)
     assert said == []
     for _ in range(3):
-        made.look({2: 0, 1: 0}, math.inf, 41.66)
+        made.update({2: 0, 1: 0}, math.inf, 41.66)
     assert said == [
         ("nodes.doubted", {"count": 2, "nodes": "10.0.0.1:1 10.0.0.2:1"}),
         ("admission.limited", {"of": "fetched", "a_second": 41.7}),
     ]
-    now[0] += AGAIN
-    made.look({2: 0}, math.inf, 30.0)  # better, not well: nothing new
+    now[0] += MIN_LOG_INTERVAL
+    made.update({2: 0}, math.inf, 30.0)  # better, not well: nothing new
     assert len(said) == 2
-    made.look({2: 0, 3: 0}, math.inf, 30.0)
+    made.update({2: 0, 3: 0}, math.inf, 30.0)
     assert said[2][1]["count"] == 2
-    now[0] += AGAIN
-    made.look({}, math.inf, math.inf)
-    made.look({}, math.inf, math.inf)
+    now[0] += MIN_LOG_INTERVAL
+    made.update({}, math.inf, math.inf)
+    made.update({}, math.inf, math.inf)
     assert [name for name, _ in said[3:]] == ["nodes.trusted", "admission.open"]
 
 
@@ -49,21 +49,21 @@
     made = EstimateLog(lambda: now[0], str)
     for turn in range(600):  # half a minute of looks
         now[0] += 0.05
-        made.look({1: 0} if turn % 2 else {}, *[5.0 if turn % 2 else math.inf] * 2)
-    assert 2 <= len(said) <= 2 * (30.0 / AGAIN + 1)
+        made.update({1: 0} if turn % 2 else {}, *[5.0 if turn % 2 else math.inf] * 2)
+    assert 2 <= len(said) <= 2 * (30.0 / MIN_LOG_INTERVAL + 1)
     last = {name.partition(".")[0]: name for name, _ in said}
-    now[0] += AGAIN
-    made.look({}, math.inf, math.inf)  # what is so in the end is told in the end
-    now[0] += AGAIN
-    made.look({}, math.inf, math.inf)
+    now[0] += MIN_LOG_INTERVAL
+    made.update({}, math.inf, math.inf)  # what is so in the end is told in the end
+    now[0] += MIN_LOG_INTERVAL
+    made.update({}, math.inf, math.inf)
     last |= {name.partition(".")[0]: name for name, _ in said}
     assert last == {"nodes": "nodes.trusted", "admission": "admission.open"}
 
 
 def test_a_large_fleet_is_named_in_part(said: list[tuple[str, dict[str, object]]]) -> None:
-    EstimateLog(lambda: 0.0, str).look(range(100), math.inf, math.inf)
+    EstimateLog(lambda: 0.0, str).update(range(100), math.inf, math.inf)
     ((_, fields),) = said
-    assert fields["count"] == 100 and len(str(fields["nodes"]).split()) == NAMED
+    assert fields["count"] == 100 and len(str(fields["nodes"]).split()) == MAX_NAMED_NODES
 
 
 def test_a_limit_that_spreads_from_the_database_to_the_nodes_is_told(
@@ -72,7 +72,7 @@
     now = [0.0]
     made = EstimateLog(lambda: now[0], str)
     for kept, fetched in ((math.inf, 9.0), (7.0, 9.0), (7.0, math.inf), (math.inf, math.inf)):
-        made.look({}, kept, fetched)
-        now[0] += AGAIN
+        made.update({}, kept, fetched)
+        now[0] += MIN_LOG_INTERVAL
     assert [fields.get("of") for _, fields in said] == ["fetched", "both", "kept", None]
     assert [fields.get("a_second") for _, fields in said] == [9.0, 7.0, 7.0, None]
--- a/tests/violetroute/test_list_applier.py
+++ b/tests/violetroute/test_list_applier.py
@@ -10,7 +10,7 @@
 import pytest
 
 from snowstall import CacheState, Member
-from violetroute.listing import SLICE, ListApplier
+from violetroute.listing import NODES_PER_SLICE, ListApplier
 from violetroute.membership import Entry, Listing, Places, as_member, stable_hash
 from violetroute.transport import Address
 from violetroute.upstream import Pool
@@ -114,7 +114,7 @@
     assert not any(name(number) in applied.pool.at for number in range(50))
     applied.settle()
     assert len(applied.ready) == 150
-    assert max(map(len, applied.steps[2:])) <= SLICE
+    assert max(map(len, applied.steps[2:])) <= NODES_PER_SLICE
 
 
 def test_a_node_that_drains_while_it_waits_is_never_asked() -> None:
--- a/tests/violetroute/test_refusals.py
+++ b/tests/violetroute/test_refusals.py
@@ -9,7 +9,7 @@
 
 from tests.support.rig import CacheNode, Rig, get, put, serves, until
 from violetroute import logs
-from violetroute.refusals import Refusals
+from violetroute.refusals import RefusalCounter
 from violetroute.transport.loop_lag import LONG_TURN, Turns, TurnSelector
 from violetroute.turn_log import LongTurnLog
 
@@ -25,7 +25,7 @@
 
 def test_refusals_are_told_by_reason_once_a_second_and_at_the_end(said: Said) -> None:
     async def play() -> None:
-        refusals = Refusals(asyncio.get_running_loop())
+        refusals = RefusalCounter(asyncio.get_running_loop())
         for reason in ("admission", "no_node", "admission"):
             refusals.count(reason)
         refusals.close()
@@ -74,7 +74,7 @@
     selector = TurnSelector(clock=lambda: now[0], cpu=lambda: now[0])
     turn_log = LongTurnLog(Turns(selector), [1, 2])
     selector.select(0)
-    turn_log.doing("list of 640")
+    turn_log.note_work("list of 640")
     now[0] += 1.2 * LONG_TURN
     selector.select(0)
     now[0] += LONG_TURN / 2
@@ -82,7 +82,7 @@
     now[0] += 2 * LONG_TURN
     selector.select(0)
     assert said == [
-        ("daemon.long_turn", {"ms": 60, "doing": "list of 640", "open": 2}),
-        ("daemon.long_turn", {"ms": 100, "doing": "requests", "open": 2}),
+        ("daemon.long_turn", {"ms": 60, "note_work": "list of 640", "open": 2}),
+        ("daemon.long_turn", {"ms": 100, "note_work": "requests", "open": 2}),
     ]
     selector.close()
--- a/violetroute/__init__.py
+++ b/violetroute/__init__.py
@@ -1,1 +1,1 @@
-"""violetroute: the node on real sockets round the decisions of snowstall."""
+"""The limebridge proxy daemon: network, logs and processes round the policy in snowstall."""
--- a/violetroute/__main__.py
+++ b/violetroute/__main__.py
@@ -1,4 +1,4 @@
-"""Start-up, signals, exit."""
+"""The daemon's entry point: start-up, signals, reload, drain and exit."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
     from .sharing.service import Sharing
     from .transport.introspection_socket import IntrospectionSocket
 
-DRAIN_SLACK = 0.05  # s beyond the longest deadline: the last answers are given at their own
-GC_THRESHOLD = 10_000  # new containers between two collections: next to no cycles are made
+DRAIN_SLACK = 0.05  # s beyond the longest deadline, at which the last answers are sent
+GC_THRESHOLD = 10_000  # allocations between collections; reference cycles are rare
 
 
-def report(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """The loop's exception handler: one stray error ends its own connection alone."""
+def log_loop_exception(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    """Log an unhandled exception; the event loop's exception handler.  The daemon goes on."""
     logs.event("daemon.fault", what=str(context.get("message")), error=context.get("exception"))
 
 
 class Daemon:
-    """What signals act on: the parts, and the configuration they have."""
+    """The running daemon: its subsystems and their current configuration."""
 
     def __init__(self, config: Config, net: SocketNetwork, log_handler: Logs) -> None:
         self.config, self._log_handler = config, log_handler
@@ -61,25 +61,25 @@
         self.draining = False
 
     def drain_time(self) -> float:
-        """Seconds for which what was taken may still be answered.
+        """Seconds that a drain may take until all open requests are answered.
 
-        Found by reading: after a reload a drain ended by the deadlines of the start, and cut off
-        what had been taken under longer ones.  Open requests keep those they came under.
+        Open requests keep the deadline they were accepted with.  A drain limited by the deadlines
+        of one configuration would cut off requests accepted under another with longer ones.
         """
         return max(self.config.longest_deadline, self.proxy.deadlines.time_left) + DRAIN_SLACK
 
     def reload(self) -> None:
-        """SIGHUP: the new configuration if all of it can be used, else the old one goes on."""
+        """Handle SIGHUP: apply the new configuration if it is valid, else keep the old one."""
         if self.draining:
             return
-        reason = self.take_on() if self.published is None else self.published.reload()
+        reason = self.apply_configuration() if self.published is None else self.published.reload()
         if reason:
             logs.event("config.unusable", reason=reason)
 
-    def take_on(self, tables: PublishedTables | None = None) -> str:
-        """Read the files anew, check them with the published tables, and take all of it on.
+    def apply_configuration(self, tables: PublishedTables | None = None) -> str:
+        """Read the files again, check them with the published tables, and apply them.
 
-        The reason in one line if it cannot be used: then nothing has changed; else "".
+        Returns "" on success, else the reason in one line; then nothing has changed.
         """
         if self.draining:
             return "the proxy drains"
@@ -126,7 +126,7 @@
 
 
 def _ledger(config: Config, net: SocketNetwork) -> Ledger | None:
-    """Imported where it is on: threads and compression are nothing to a proxy without it."""
+    """The ledger if enabled.  Imported only then, since it needs threads and compression."""
     if not config.operator.ledger.folder:
         return None
     from .ledger.keeper import Ledger
@@ -158,13 +158,15 @@
 
 
 def _start_distribution(daemon: Daemon, net: SocketNetwork) -> None:
-    """Nothing where it is off.  OSError or ValueError where the key file cannot be read."""
+    """Start it if enabled.  Raises OSError or ValueError if the key file cannot be read."""
     table = daemon.config.operator.distribution
     if not table.controls:
         return
     from .distribution.make import make_distribution
 
-    made = make_distribution(table, daemon.config.name, net, daemon.proxy.hooks, daemon.take_on)
+    made = make_distribution(
+        table, daemon.config.name, net, daemon.proxy.hooks, daemon.apply_configuration
+    )
     daemon.distribution, daemon.published = made.service, made.configuration
 
 
@@ -172,39 +174,39 @@
     return None if config.topology is None else Dialect(config.topology)
 
 
-async def _door(sharing: Sharing) -> IntrospectionSocket | None:
+async def _open_sharing_socket(sharing: Sharing) -> IntrospectionSocket | None:
     from .sharing.factory import door_of
 
-    door = door_of(sharing.table, sharing)
-    if door is not None:
-        await door.open()
-    return door
+    sharing_socket = door_of(sharing.table, sharing)
+    if sharing_socket is not None:
+        await sharing_socket.open()
+    return sharing_socket
 
 
-async def _distribution_door(
+async def _open_distribution_socket(
     service: DistributionService | None, config: Config
 ) -> IntrospectionSocket | None:
     if service is None:
         return None
     from .distribution.make import door_of
 
-    door = door_of(config.operator.distribution, service)
-    if door is not None:
-        await door.open()
-    return door
+    sharing_socket = door_of(config.operator.distribution, service)
+    if sharing_socket is not None:
+        await sharing_socket.open()
+    return sharing_socket
 
 
 class EarlySignal:
-    """A SIGHUP that comes before there is a daemon: kept until there is.
+    """Records a SIGHUP that arrives before the daemon handles signals.
 
-    Found by reading: it was ignored, so a file that was replaced after it had been read and before
-    the loop stood was never taken, and discovery stayed where it had been.
+    If it were ignored, a file replaced after it was read and before the event loop runs would not
+    be read again, so the daemon would go on using the old discovery address.
     """
 
     def __init__(self) -> None:
         self.pending = False
 
-    def came(self, number: int, frame: object) -> None:
+    def record(self, number: int, frame: object) -> None:
         self.pending = True
 
 
@@ -212,20 +214,22 @@
     config: Config, log_handler: Logs, turns: Turns | None = None, early: EarlySignal | None = None
 ) -> int:
     loop = asyncio.get_running_loop()
-    loop.set_exception_handler(report)
+    loop.set_exception_handler(log_loop_exception)
     ended = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ended.set)  # a second one changes nothing
+        loop.add_signal_handler(number, ended.set)  # a second signal has no effect
     daemon = Daemon(config, net := SocketNetwork(loop, turns), log_handler)
     try:
         daemon.sharing = _sharing(config, net, daemon.proxy)
-        door = None if daemon.sharing is None else await _door(daemon.sharing)
-    except (OSError, ValueError) as error:  # ValueError: the key is another since it was checked
+        sharing_socket = (
+            None if daemon.sharing is None else await _open_sharing_socket(daemon.sharing)
+        )
+    except (OSError, ValueError) as error:  # ValueError: the key has changed since it was checked
         print(f"violetroute: [sharing]: {error}", file=sys.stderr)
         return 1
     try:
         _start_distribution(daemon, net)
-        distribution_door = await _distribution_door(daemon.distribution, config)
+        distribution_socket = await _open_distribution_socket(daemon.distribution, config)
     except (OSError, ValueError) as error:
         print(f"violetroute: [distribution]: {error}", file=sys.stderr)
         return 1
@@ -241,13 +245,13 @@
             file=sys.stderr,
         )
         return 1
-    gc.freeze()  # what start-up made stays; collections need not walk it
+    gc.freeze()  # collections skip the objects of start-up
     gc.set_threshold(GC_THRESHOLD, 20, 20)
     if config.unknown:
         logs.event("config.unknown_keys", keys=",".join(config.unknown))
     logs.event("daemon.listens", address=f"{address.host}:{address.port}", proxy=config.name)
     await ended.wait()
-    daemon.draining = True  # nothing new on the way out
+    daemon.draining = True  # no reload during a drain
     logs.event("daemon.drains", proxy=config.name)
     if daemon.sharing is not None:
         daemon.sharing.leave()
@@ -258,15 +262,15 @@
     daemon.proxy.close()
     if daemon.sharing is not None:
         daemon.sharing.close()
-    if daemon.distribution is not None:  # fresh until here: it has followed during the drain
+    if daemon.distribution is not None:  # it stayed up to date during the drain
         await daemon.distribution.leave()
-    for each in (door, distribution_door):
+    for each in (sharing_socket, distribution_socket):
         if each is not None:
             each.close()
     if daemon.ledger is not None:
         await daemon.ledger.close()
     logs.event("daemon.drained", proxy=config.name)
-    await asyncio.sleep(0)  # lets the loop tell what was closed last
+    await asyncio.sleep(0)  # lets the loop run the last close callbacks
     return 0
 
 
@@ -279,7 +283,7 @@
     )
     options = parser.parse_args()
     early = EarlySignal()
-    signal.signal(signal.SIGHUP, early.came)
+    signal.signal(signal.SIGHUP, early.record)
     log_handler = Logs(LineWriter(sys.stderr.fileno()).write, monotonic, wall, LogTable())
     log_handler.install()
     try:
--- a/violetroute/admission.py
+++ b/violetroute/admission.py
@@ -1,4 +1,4 @@
-"""Whether a command that has been read may become a request."""
+"""Decides whether a command that has been read is admitted as a request."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from snowstall import Balancer, RequestClass
 
 from .hooks import EventHooks
-from .refusals import Refusals
+from .refusals import RefusalCounter
 from .requests import refusal
 from .resp import Command
 from .transport.loop_lag import Turns
 
 
 class AdmissionCheck:
-    """Refuses commands that this process cannot serve in time, or whose budget is used up.
+    """Rejects commands that this process cannot serve in time, or whose budget is used up.
 
-    `clock`: Unix milliseconds, as the balancer is told them.
+    `clock`: Unix milliseconds, the clock that the balancer gets its times from.
     """
 
     def __init__(
@@ -27,24 +27,25 @@
         clock: Callable[[], float],
         balancer: Balancer,
         hooks: EventHooks,
-        refusals: Refusals,
+        refusals: RefusalCounter,
     ) -> None:
         self._loop, self._turns, self._clock, self._hooks = loop, turns, clock, hooks
         self.balancer, self._refusals = balancer, refusals
-        self.classes: Mapping[str, RequestClass] = {}  # may be replaced at any time
+        self.classes: Mapping[str, RequestClass] = {}  # replaced on reload
 
     def turned_away(self, command: Command, taken: int, waited: float) -> bytes | None:
-        """The refusal of a command, or None: then its wait counts from when it was sent.
+        """The BUSY reply for a rejected command, or None if it is admitted.
 
-        `taken`: commands taken from the same connection in this turn.  `waited`: seconds for which
-        it may have stood unread, as its connection knows it.
+        For an admitted command, the time that it was readable but unread is deducted from
+        `command.wait`.  `taken`: commands taken from this connection in this loop iteration.
+        `waited`: the connection's estimate of that time, in seconds.
         """
         now = self._loop.time()
         readable_ms = self._turns.readable_for(now) * 1000.0
         unread = max(readable_ms, waited * 1000.0)
         cls = self.classes.get(command.class_name)
         if cls is not None and command.wait > cls.deadline:
-            command.wait = cls.deadline  # who says that it waits longer is not believed
+            command.wait = cls.deadline  # a client can't extend its class's deadline
         backoff = self.balancer.on_arrival(
             self._clock(),
             command.class_name,
--- a/violetroute/clients/connection.py
+++ b/violetroute/clients/connection.py
@@ -9,7 +9,7 @@
 from violetroute import resp
 from violetroute.cluster import Dialect, Session
 from violetroute.transport import Stream
-from violetroute.transport.loop_lag import LATE
+from violetroute.transport.loop_lag import LATE_AFTER
 
 from .answers import Answer
 from .assembly import Assembly
@@ -168,7 +168,7 @@
             return
         taker, answer = self._listener.taker, None
         waited = self._read_delay.waited(self._loop.time())
-        if waited > LATE and self.left():
+        if waited > LATE_AFTER and self.left():
             self.ended()  # found by exploration: read in the second turn after a pause
             return
         try:
--- a/violetroute/error_text.py
+++ b/violetroute/error_text.py
@@ -1,4 +1,4 @@
-"""The text of an exception for a log field or a refusal, which have one line each."""
+"""One-line texts of exceptions, for log fields and error replies."""
 
 from __future__ import annotations
 
--- a/violetroute/estimate_log.py
+++ b/violetroute/estimate_log.py
@@ -1,7 +1,8 @@
-"""What the module believes of nodes and load, told to the log once a change of mind.
+"""Logs changes of the balancer's estimates: suspected nodes and admission limits.
 
-The module has no log and no clock; the proxy looks here while requests are open.  A belief that
-comes and goes within AGAIN seconds is told once: what matters to an operator lasts longer.
+The balancer has no log and no clock, so the proxy polls its estimates while requests are open.
+A state that comes and goes within MIN_LOG_INTERVAL is logged once, since states that matter to an
+operator last longer.
 """
 
 from __future__ import annotations
@@ -11,48 +12,55 @@
 
 from . import logs
 
-NAMED = 8  # nodes named in one line
-AGAIN = 3.0  # s between two lines of one kind: a node that flaps is one line now and then
+MAX_NAMED_NODES = 8  # nodes named in one line
+MIN_LOG_INTERVAL = (
+    3.0  # s between two lines of one kind: a node that flaps is one line now and then
+)
 
 
 class EstimateLog:
-    """Owned by the proxy; bounded by the nodes that are listed."""
+    """Remembers the last logged state; its memory is bounded by the number of listed nodes."""
 
     def __init__(self, clock: Callable[[], float], name: Callable[[int], str]) -> None:
         self._clock, self._name = clock, name
-        self._doubted: frozenset[int] = frozenset()  # as it was told
-        self._limited = ""  # what of: "", kept, fetched or both
-        self._told: dict[str, float] = {}  # when something of this kind was said
-
-    def look(self, doubted: Collection[int], kept: float, fetched: float) -> None:
-        """doubted: ids of nodes that are asked by few; the others: requests a second that are let
-        in, or infinity, of what a node likely has and of what goes on to the database."""
-        if doubted or self._doubted:
-            self._nodes(frozenset(doubted))
-        limited = _of(kept < math.inf, fetched < math.inf)
-        if limited != self._limited and self._may_say("admission"):
+        self._suspected: frozenset[int] = frozenset()  # as last logged
+        self._limited = ""  # limited kinds of requests: "", kept, fetched or both
+        self._logged_at: dict[str, float] = {}  # time of the last line of each kind
+
+    def update(self, suspected: Collection[int], kept: float, fetched: float) -> None:
+        """Log what has changed.  `suspected`: ids of nodes that get only a few requests.
+
+        `kept`, `fetched`: admission limits in requests a second, infinity for none, of requests
+        whose key a node likely has and of those that go on to the database.
+        """
+        if suspected or self._suspected:
+            self._update_nodes(frozenset(suspected))
+        limited = _limited_kinds(kept < math.inf, fetched < math.inf)
+        if limited != self._limited and self._may_log("admission"):
             self._limited = limited
             if limited:
                 logs.event("admission.limited", of=limited, a_second=round(min(kept, fetched), 1))
             else:
                 logs.event("admission.open")
 
-    def _nodes(self, doubted: frozenset[int]) -> None:
-        if (doubted - self._doubted or not doubted) and self._may_say("nodes"):
-            self._doubted = doubted
-            if doubted:
-                names = sorted(map(self._name, doubted))
-                logs.event("nodes.doubted", count=len(doubted), nodes=" ".join(names[:NAMED]))
+    def _update_nodes(self, suspected: frozenset[int]) -> None:
+        if (suspected - self._suspected or not suspected) and self._may_log("nodes"):
+            self._suspected = suspected
+            if suspected:
+                names = sorted(map(self._name, suspected))
+                logs.event(
+                    "nodes.doubted", count=len(suspected), nodes=" ".join(names[:MAX_NAMED_NODES])
+                )
             else:
                 logs.event("nodes.trusted")
 
-    def _may_say(self, kind: str) -> bool:
+    def _may_log(self, kind: str) -> bool:
         now = self._clock()
-        if now - self._told.get(kind, -math.inf) < AGAIN:
+        if now - self._logged_at.get(kind, -math.inf) < MIN_LOG_INTERVAL:
             return False
-        self._told[kind] = now
+        self._logged_at[kind] = now
         return True
 
 
-def _of(kept: bool, fetched: bool) -> str:
+def _limited_kinds(kept: bool, fetched: bool) -> str:
     return ("both" if fetched else "kept") if kept else "fetched" if fetched else ""
--- a/violetroute/hooks.py
+++ b/violetroute/hooks.py
@@ -1,7 +1,7 @@
-"""Who is told of what: lists of bound methods, empty where nobody listens.
+"""Callbacks by which optional subsystems, such as the ledger, receive events of the proxy.
 
-A part (the ledger, and those to come) takes the events that it needs; the proxy tells and does not
-ask. What is off costs one look at an empty list.
+A subsystem appends its callbacks at start-up.  The proxy calls them and uses no result, except
+that of `admission_check`.  A disabled subsystem costs one test of an empty list for each event.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 
 @dataclass(slots=True)
 class EventHooks:
-    """One list an event; and one question, which a part that has budgets answers."""
+    """A list of callbacks for each event, and one optional admission check."""
 
-    # A client was given its served answer: tenant, class, the request's id.
+    # A client received its value: tenant, class, the request's id.
     on_served: list[Callable[[str, str, bytes], None]] = field(default_factory=list)
-    # A request was taken: tenant, the key's number.
+    # A request was opened: tenant, hash of the key.
     on_accepted: list[Callable[[str, int], None]] = field(default_factory=list)
-    # An attempt ended: its node's number, and how.
+    # An attempt ended: its node's id, its result.
     on_attempt_ended: list[Callable[[int, Result], None]] = field(default_factory=list)
-    # A list came, or what of it has changed, as the module was told.
+    # The members that the balancer received: a list, a slice or changes of one.
     on_list_change: list[Callable[[Sequence[Member]], None]] = field(default_factory=list)
-    # This key's object is void: another one has to be asked for.
+    # The cached object of this key is invalid and has to be fetched again.
     on_purge: list[Callable[[str], None]] = field(default_factory=list)
-    # All objects are void, and why: which ones have to be is not known one by one.
+    # All cached objects are invalid, since the affected keys are unknown: the reason as text.
     on_purge_all: list[Callable[[str], None]] = field(default_factory=list)
-    # Whether a request of this tenant and class is within budgets: None, or ms to stay away for.
+    # Checks the budgets of a tenant and class: None if admitted, else the backoff in ms.
     admission_check: Callable[[str, str], float | None] | None = None
--- a/violetroute/listing.py
+++ b/violetroute/listing.py
@@ -1,10 +1,10 @@
-"""Applies lists of cache nodes to the parts that keep state for each node, in short turns.
+"""Applies lists of cache nodes in short iterations of the event loop.
 
-All requests wait for the turn of the event loop that takes a list.  So what a list takes out of
-service (nodes that drain, are gone or are no longer named) is applied in the turn in which the list
-is read, and costs little for each.  What it brings into service is applied in slices, one a turn,
-which requests pass between.  A later list replaces what still waits of the ones before.  Where no
-node served before, requests are held until the last slice: part of a list would lead keys astray.
+All requests wait for the loop iteration that reads a list.  Nodes that leave service (draining,
+gone or no longer named) are therefore applied at once, which costs little for each.  Nodes that
+enter service are applied in slices, one an iteration, and requests are served in between.  A later
+list replaces the waiting nodes of earlier ones.  If no node was in service before, the balancer
+holds requests until the last slice: a partial list would send keys to the wrong nodes.
 """
 
 from __future__ import annotations
@@ -21,24 +21,26 @@
 from .placement import Keeper, Like
 from .upstream import Pool
 
-SLICE = 16  # nodes that one turn brings into service: about 2 ms of CPU
+NODES_PER_SLICE = 16  # nodes that enter service in one loop iteration: about 2 ms of CPU
 
-LOGGED_FROM = 100  # nodes that one list takes in or out of service
+MIN_LOGGED_CHANGES = 100  # joining and removed nodes from which a list is logged
 
 
 @dataclass(slots=True)
-class Step:
-    """What of a list counts from now on."""
+class ListChange:
+    """The effect of one list."""
 
-    members: list[Member] = field(default_factory=list)  # to decide with
-    serving: list[tuple[int, Entry]] = field(default_factory=list)  # now or soon, and did not so
-    left: list[str] = field(default_factory=list)  # names that serve no more
+    members: list[Member] = field(default_factory=list)  # for the balancer, now
+    joining: list[tuple[int, Entry]] = field(
+        default_factory=list
+    )  # ids; in service now or after the slices
+    removed: list[str] = field(default_factory=list)  # names of nodes out of service
 
 
 class ListApplier:
-    """Owns what has been read of the list and is still to be applied.
+    """Holds the applied state of each node, and the nodes that still wait for a slice.
 
-    `tell`: called with the members of each slice.  `clock`: Unix milliseconds.
+    `on_members`: called with the members of each slice.  `clock`: Unix milliseconds.
     """
 
     def __init__(
@@ -47,59 +49,62 @@
         places: Places,
         pool: Pool,
         clock: Callable[[], float],
-        tell: Callable[[list[Member]], None],
+        on_members: Callable[[list[Member]], None],
     ) -> None:
         self._loop, self._places, self._pool = loop, places, pool
-        self._clock, self._tell = clock, tell
-        self._applied: dict[str, Entry] = {}  # by name, as it was applied last; none that is gone
-        self._ids: dict[str, int] = {}  # of those
-        self._waiting: dict[str, Entry] = {}  # ready nodes that are to be brought into service
+        self._clock, self._on_members = clock, on_members
+        self._applied: dict[str, Entry] = {}  # by name; without nodes that are gone
+        self._ids: dict[str, int] = {}  # by name, of the nodes in `_applied`
+        self._waiting: dict[str, Entry] = {}  # ready nodes that wait for a slice, by name
         self._next: asyncio.Handle | None = None
 
     @property
     def waiting(self) -> int:
-        """Nodes that are still to be brought into service."""
+        """The number of nodes that still wait to enter service."""
         return len(self._waiting)
 
-    def apply(self, listing: Listing, whole: bool, at_once: bool = False) -> Step:
-        """Take a list, or changes of it; returns what counts from now on.
+    def apply(self, listing: Listing, whole: bool, at_once: bool = False) -> ListChange:
+        """Apply a list, or changes of it, and return the effect.
 
-        `whole`: nodes that it does not name are removed.  Nodes that come into service are told
-        later, in slices, unless all is to be applied `at_once`.
+        `whole`: remove nodes that it does not name.  Nodes that enter service are reported later,
+        in slices, unless `at_once` is set.
         """
         latest = {entry.instance: entry for entry in listing.entries}
-        step = Step()
+        list_change = ListChange()
         if whole:
             self._waiting.clear()
-            self._remove_unnamed(latest, step)
+            self._remove_unnamed(latest, list_change)
         now, later = self._split(latest)
-        step.members += self._take(now)
-        step.left += [entry.instance for entry in now if entry.state is not CacheState.READY]
+        list_change.members += self._apply_entries(now)
+        list_change.removed += [
+            entry.instance for entry in now if entry.state is not CacheState.READY
+        ]
         if at_once:
-            step.members += self._take(later)
+            list_change.members += self._apply_entries(later)
         else:
             self._waiting |= {entry.instance: entry for entry in later}
-            self._go_on()
+            self._schedule_slice()
         serving = [entry for entry in now if entry.state is CacheState.READY] + later
-        step.serving = [(self._id(entry.instance), entry) for entry in serving]
-        return step
+        list_change.joining = [(self._id(entry.instance), entry) for entry in serving]
+        return list_change
 
     def close(self) -> None:
-        """Apply no more."""
+        """Cancel the slices that are still to be applied."""
         if self._next is not None:
             self._next.cancel()
             self._next = None
 
     def _split(self, latest: dict[str, Entry]) -> tuple[list[Entry], list[Entry]]:
-        """What has to count at once, and what may come into service later.
+        """Split entries into those to apply now and those that may wait for a slice.
 
-        At once: nodes that leave, and news of nodes that serve (another start makes a node cold).
+        Applied now: nodes that leave service, and updates of nodes in service (a restart makes a
+        node cold).
         """
         now, later = [], []
         applied, ids, has_place = self._applied, self._ids, self._places.has
         for name, entry in latest.items():
             before = applied.get(name)
-            # Of thousands few have changed, and one that has not is the same object.
+            # Few of thousands of entries change, and an unchanged entry is the same object.
             if before is entry and entry.state is CacheState.READY and has_place(ids[name]):
                 continue
             if entry.state is not CacheState.READY:
@@ -107,7 +112,7 @@
                 now.append(entry)
             elif before is None or before.state is not CacheState.READY:
                 later.append(entry)
-            elif before != entry or not has_place(ids[name]):  # displaced at its address
+            elif before != entry or not has_place(ids[name]):  # another node took its address
                 now.append(entry)
         return now, later
 
@@ -115,29 +120,29 @@
         known = self._ids.get(name)
         return stable_hash(name.encode()) if known is None else known
 
-    def _remove_unnamed(self, latest: dict[str, Entry], step: Step) -> None:
-        """Take nodes out of service that a whole list does not name."""
+    def _remove_unnamed(self, latest: dict[str, Entry], list_change: ListChange) -> None:
+        """Remove the nodes that a whole list does not name."""
         kept = [cache_id for name, cache_id in self._ids.items() if name in latest]
         for cache_id in self._places.keep(kept):
             self._pool.remove(cache_id)
-        step.left = [name for name in self._applied if name not in latest]
-        for name in step.left:
+        list_change.removed = [name for name in self._applied if name not in latest]
+        for name in list_change.removed:
             del self._applied[name]
-            step.members.append(Member(self._ids.pop(name), CacheState.GONE))
+            list_change.members.append(Member(self._ids.pop(name), CacheState.GONE))
 
-    def _go_on(self) -> None:
+    def _schedule_slice(self) -> None:
         if self._waiting and self._next is None:
             self._next = self._loop.call_soon(self._next_slice)
 
     def _next_slice(self) -> None:
         self._next = None
-        names = list(islice(self._waiting, SLICE))
-        if names:  # else a later list has taken all of them back
-            self._tell(self._take([self._waiting.pop(name) for name in names]))
-            self._go_on()
+        names = list(islice(self._waiting, NODES_PER_SLICE))
+        if names:  # a later list may have removed all of them
+            self._on_members(self._apply_entries([self._waiting.pop(name) for name in names]))
+            self._schedule_slice()
 
-    def _take(self, entries: Iterable[Entry]) -> list[Member]:
-        """Record addresses, and open or close the pool's nodes."""
+    def _apply_entries(self, entries: Iterable[Entry]) -> list[Member]:
+        """Record addresses, add and remove nodes of the pool; return members for the balancer."""
         now, members = self._clock(), list[Member]()
         for entry in entries:
             member = as_member(entry, now, self._ids.get(entry.instance))
@@ -156,16 +161,18 @@
         return members
 
 
-def log_step(step: Step, joining: int, serving: int) -> None:
-    """Log a list that takes many nodes in or out of service at once."""
-    if len(step.serving) + len(step.left) >= LOGGED_FROM:
-        logs.event("membership.changed", left=len(step.left), joining=joining, serving=serving)
+def log_step(list_change: ListChange, joining: int, serving: int) -> None:
+    """Log a list by which many nodes enter or leave service."""
+    if len(list_change.joining) + len(list_change.removed) >= MIN_LOGGED_CHANGES:
+        logs.event(
+            "membership.changed", left=len(list_change.removed), joining=joining, serving=serving
+        )
 
 
-def notify_placement(step: Step, whole: bool, keeper: Keeper) -> None:
-    """Tell the placement plan which nodes serve, and which do not any more.
+def notify_placement(list_change: ListChange, whole: bool, keeper: Keeper) -> None:
+    """Notify the placement plan of nodes that entered or left service.
 
-    `whole`: it is the first list of all.
+    `whole`: set for the first list of the process.
     """
-    nodes = ((number, Like(e.instance, e.zone, e.kind)) for number, e in step.serving)
-    keeper.listed(whole, nodes, step.left)
+    nodes = ((number, Like(e.instance, e.zone, e.kind)) for number, e in list_change.joining)
+    keeper.listed(whole, nodes, list_change.removed)
--- a/violetroute/logs.py
+++ b/violetroute/logs.py
@@ -1,13 +1,13 @@
-"""What the daemon says of itself: events with names and fields, one line each.
+"""Structured logging: events with stable names and fields, one line each.
 
-An event has a stable name, so that a log can be searched and counted by it, and its figures
-stand in fields and not within a sentence.  All of them are in EVENTS; `docs/operators/logs.md`
-tells an operator what to do about each, and a test holds the two together.
+Values are in fields rather than in the message, so that a log can be searched and counted.  All
+events are in EVENTS; `docs/operators/logs.md` tells operators what to do about each, and a test
+checks that the page names all of them.
 
-The standard library's logging carries them, since libraries and the loop speak through it too
-(structlog took 6.7 MB more at rest, of 32; see `docs/design/transport.md`).  Lines of one event are
-limited by the second: what one cause can say for each request must not cost more than the
-requests.  What was held back is counted, and told with the next line of that event.
+Events go through the standard library's logging, which libraries and asyncio use too.  structlog
+took 6.7 MB more memory at rest, of 32 (see `docs/design/transport.md`).  The lines of each event
+are limited per second, since logging a line for each request must not cost more than the requests.
+Suppressed lines are counted, and the count is a field of the event's next line.
 """
 
 from __future__ import annotations
@@ -25,14 +25,16 @@
     from .config.operator import LogTable
 
 NAME = "violetroute"
-MAX_FIELD = 300  # characters of a field
-MAX_TRACE = 1500  # of a traceback, whose end tells most
-FOREIGN = "library.message"  # what others say through the standard library's logging
+MAX_FIELD = 300  # characters
+MAX_TRACE = 1500  # characters; the end of a traceback is kept
+FOREIGN = "library.message"  # records that are not events of this module
 DROPPED = "log.dropped"
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
+    """A kind of log line: its level, its message and the names of its fields."""
+
     level: int
     says: str
     fields: tuple[str, ...] = ()
@@ -41,201 +43,197 @@
 EVENTS = {
     "admission.limited": Event(
         logging.WARNING,
-        "more is asked than comes back in time, the rest is refused",
+        "admission is limited: offered load exceeds what nodes answer in time",
         ("of", "a_second"),
     ),
-    "admission.open": Event(logging.INFO, "all that is asked is let in again"),
+    "admission.open": Event(logging.INFO, "admission is not limited any more"),
     "config.reloaded": Event(
-        logging.INFO, "the configuration was read again", ("discovery", "operator", "origin")
+        logging.INFO, "configuration reloaded", ("discovery", "operator", "origin")
     ),
     "config.restart_needed": Event(
-        logging.WARNING, "a restart is needed to change these", ("keys",)
+        logging.WARNING, "these settings change only after a restart", ("keys",)
     ),
     "config.unknown_keys": Event(
-        logging.WARNING, "the platform's file has keys not known here", ("keys",)
+        logging.WARNING, "unknown keys in the platform's configuration file", ("keys",)
     ),
     "config.unusable": Event(
         logging.ERROR, "not reloaded, the old configuration stays", ("reason",)
     ),
     "consul.doubted": Event(
-        logging.WARNING, "many nodes vanished at once, asking the leader", ("count",)
+        logging.WARNING, "many nodes vanished at once, querying the leader", ("count",)
     ),
     "consul.emptied": Event(
-        logging.ERROR, "the catalogue is empty, the last list holds", ("count",)
+        logging.ERROR, "the catalogue is empty, keeping the last list", ("count",)
     ),
-    "consul.entries_left_out": Event(logging.WARNING, "instances make no sense", ("count",)),
+    "consul.entries_left_out": Event(logging.WARNING, "ignored invalid instances", ("count",)),
     "consul.failed": Event(
-        logging.WARNING, "no answer that counts, the last list holds", ("reason", "agent", "age_s")
+        logging.WARNING, "no usable response, keeping the last list", ("reason", "agent", "age_s")
     ),
     "consul.panic": Event(
-        logging.WARNING, "too many critical at once, health is not believed", ("floor",)
+        logging.WARNING, "too many nodes critical at once, ignoring health checks", ("floor",)
     ),
     "control.cannot_lead": Event(
-        logging.WARNING, "has the lease and cannot lead, hands it on", ("reason",)
+        logging.WARNING, "holds the lease but cannot lead, releasing it", ("reason",)
     ),
-    "control.ended": Event(logging.INFO, "has ended", ("machine",)),
-    "control.ends": Event(logging.ERROR, "the control process has to end", ("reason",)),
-    "control.fault": Event(logging.ERROR, "a fault of ours in the control process", ("what",)),
+    "control.ended": Event(logging.INFO, "control process stopped", ("machine",)),
+    "control.ends": Event(logging.ERROR, "control process is stopping", ("reason",)),
+    "control.fault": Event(logging.ERROR, "internal error in the control process", ("what",)),
     "control.no_majority": Event(
-        logging.WARNING, "too few machines follow, hands the lease on", ("fence",)
+        logging.WARNING, "too few machines follow, releasing the lease", ("fence",)
     ),
-    "control.notice": Event(logging.WARNING, "the control machine says", ("what", "text")),
+    "control.notice": Event(logging.WARNING, "notice of the control machine", ("what", "text")),
     "control.recovered": Event(
-        logging.INFO, "has recovered what a lost disk held", ("fence", "position")
+        logging.INFO, "recovered the data of a lost disk", ("fence", "position")
     ),
-    "control.reloaded": Event(logging.INFO, "has read [log] of its file again", ("file",)),
+    "control.reloaded": Event(logging.INFO, "reloaded [log] of the control file", ("file",)),
     "control.serves": Event(logging.INFO, "serves", ("address", "machine")),
-    "control.term_began": Event(logging.INFO, "leads from now on", ("fence",)),
-    "control.term_ended": Event(logging.INFO, "leads no more", ("fence",)),
-    "daemon.drained": Event(logging.INFO, "has drained", ("proxy",)),
-    "daemon.drains": Event(logging.INFO, "drains", ("proxy",)),
-    "daemon.fault": Event(logging.ERROR, "a fault of ours in a callback", ("what",)),
+    "control.term_began": Event(logging.INFO, "became leader", ("fence",)),
+    "control.term_ended": Event(logging.INFO, "is no longer leader", ("fence",)),
+    "daemon.drained": Event(logging.INFO, "drain complete", ("proxy",)),
+    "daemon.drains": Event(logging.INFO, "draining", ("proxy",)),
+    "daemon.fault": Event(logging.ERROR, "internal error in a callback", ("what",)),
     "daemon.listens": Event(logging.INFO, "listens on", ("address", "proxy")),
     "daemon.long_turn": Event(
-        logging.WARNING, "the event loop was busy with one turn", ("ms", "doing", "open")
+        logging.WARNING, "long iteration of the event loop", ("ms", "doing", "open")
+    ),
+    "daemon.paused": Event(logging.INFO, "the process was paused", ("ms",)),
+    "clients.accept_failed": Event(logging.WARNING, "cannot accept connections", ("reason",)),
+    "clients.left_open": Event(
+        logging.WARNING, "client connections were still open at exit", ("count",)
     ),
-    "daemon.paused": Event(logging.INFO, "the process stood still", ("ms",)),
-    "clients.accept_failed": Event(logging.WARNING, "cannot accept", ("reason",)),
-    "clients.left_open": Event(logging.WARNING, "connections were open at the end", ("count",)),
     "discovery.entries_left_out": Event(
-        logging.WARNING, "entries of the list make no sense", ("count",)
+        logging.WARNING, "ignored invalid entries of the list", ("count",)
     ),
-    "discovery.watch_ended": Event(logging.INFO, "the watch ended", ("reason",)),
+    "discovery.watch_ended": Event(logging.INFO, "watch ended", ("reason",)),
     "distribution.configuration_refused": Event(
-        logging.ERROR, "a published table is refused, the old one stays", ("position", "reason")
+        logging.ERROR,
+        "rejected a published table, keeping the previous one",
+        ("position", "reason"),
     ),
-    "distribution.fresh": Event(logging.INFO, "knows all that was committed lately", ("behind_s",)),
+    "distribution.fresh": Event(logging.INFO, "up to date with committed records", ("behind_s",)),
     "distribution.gap": Event(
-        logging.WARNING, "an answer does not follow, asked again", ("expected", "got")
+        logging.WARNING, "gap in the response, requesting again", ("expected", "got")
     ),
     "distribution.refused": Event(
-        logging.WARNING, "connections or requests were refused", ("reason", "count")
+        logging.WARNING, "rejected connections or requests", ("reason", "count")
     ),
     "distribution.skipped": Event(
-        logging.WARNING, "records of a topic that this build does not know", ("topic", "count")
+        logging.WARNING, "skipped records of a topic unknown to this build", ("topic", "count")
     ),
     "distribution.snapshot": Event(
-        logging.WARNING, "too far behind, everything cached before is void", ("position", "reason")
+        logging.WARNING, "too far behind, all cached objects are invalid", ("position", "reason")
     ),
     "distribution.stale": Event(
-        logging.WARNING, "may lack what is in force elsewhere", ("behind_s",)
+        logging.WARNING, "may lack records that are in force elsewhere", ("behind_s",)
     ),
     "distribution.unreachable": Event(
-        logging.WARNING, "a control machine gives no answer", ("address", "reason", "count")
+        logging.WARNING, "a control machine does not respond", ("address", "reason", "count")
     ),
     "fleet.fenced": Event(
-        logging.WARNING, "an effect was refused, a later term has begun there", ("work", "fence")
+        logging.WARNING, "an effect was rejected, a later term has begun", ("work", "fence")
     ),
-    "fleet.gained": Event(logging.INFO, "owns this work from now on", ("work", "fence")),
-    "fleet.handed_back": Event(logging.INFO, "has handed this work back", ("work", "fence")),
+    "fleet.gained": Event(logging.INFO, "became owner of this work", ("work", "fence")),
+    "fleet.handed_back": Event(logging.INFO, "released this work", ("work", "fence")),
     "fleet.lapsed": Event(
-        logging.WARNING, "could not renew in time, stops this work", ("work", "fence")
+        logging.WARNING, "lease not renewed in time, stopping this work", ("work", "fence")
     ),
     "fleet.lost": Event(
-        logging.WARNING, "the store has another owner, stops this work", ("work", "fence")
+        logging.WARNING, "the store names another owner, stopping this work", ("work", "fence")
     ),
-    "fleet.moved": Event(logging.INFO, "hands this work on, others have fewer", ("work",)),
+    "fleet.moved": Event(logging.INFO, "transferring this work, others have less", ("work",)),
     "fleet.renewed_late": Event(
-        logging.WARNING, "renewed with little time left", ("work", "fence", "left_s")
-    ),
-    "fleet.resigned": Event(logging.INFO, "stops this work to hand it back", ("work", "fence")),
-    "fleet.stood_aside": Event(logging.INFO, "another has taken this work", ("work", "owner")),
-    "fleet.store_back": Event(logging.INFO, "the store answers again"),
-    "fleet.store_failed": Event(
-        logging.WARNING, "the store gives no answer that counts", ("reason",)
+        logging.WARNING, "lease renewed shortly before it expired", ("work", "fence", "left_s")
     ),
+    "fleet.resigned": Event(logging.INFO, "stopping this work to release it", ("work", "fence")),
+    "fleet.stood_aside": Event(logging.INFO, "another proxy owns this work", ("work", "owner")),
+    "fleet.store_back": Event(logging.INFO, "the store responds again"),
+    "fleet.store_failed": Event(logging.WARNING, "no usable response of the store", ("reason",)),
     "fleet.unreadable": Event(
-        logging.ERROR, "a record can't be read, the work is left alone", ("work", "reason")
+        logging.ERROR, "cannot read a record, not running this work", ("work", "reason")
     ),
     "fleet.undelivered": Event(
-        logging.WARNING, "an effect was not taken, tried again", ("work", "reason", "wait_s")
-    ),
-    "fleet.work_failed": Event(
-        logging.WARNING, "this work can't go on, tried again", ("work", "reason")
+        logging.WARNING, "an effect was not accepted, retrying", ("work", "reason", "wait_s")
     ),
+    "fleet.work_failed": Event(logging.WARNING, "this work failed, retrying", ("work", "reason")),
     "sharing.alone_again": Event(
-        logging.INFO, "the other process of this name is gone", ("proxy",)
+        logging.INFO, "the other process with this name is gone", ("proxy",)
     ),
     "sharing.avoided": Event(
-        logging.WARNING, "others meet trouble there, it is left alone", ("node",)
-    ),
-    "sharing.gone": Event(logging.INFO, "a proxy is there no more", ("proxy", "how")),
-    "sharing.joined": Event(logging.INFO, "a proxy is there", ("proxy",)),
-    "sharing.room": Event(
-        logging.INFO, "nothing is turned away for this budget any more", ("budget",)
+        logging.WARNING, "other proxies report this node unhealthy, avoiding it", ("node",)
     ),
+    "sharing.gone": Event(logging.INFO, "a proxy left", ("proxy", "how")),
+    "sharing.joined": Event(logging.INFO, "a proxy joined", ("proxy",)),
+    "sharing.room": Event(logging.INFO, "this budget admits all requests again", ("budget",)),
     "sharing.spent": Event(
         logging.WARNING,
-        "requests beyond this budget are turned away",
+        "rejecting requests beyond this budget",
         ("budget", "asked_s", "may_s"),
     ),
     "sharing.too_many": Event(
-        logging.ERROR, "more proxies than [sharing] proxies says", ("proxies", "heard")
+        logging.ERROR, "more proxies than configured in [sharing] proxies", ("proxies", "heard")
     ),
     "sharing.twin": Event(
-        logging.ERROR, "another process has this name, nothing of a budget is ours", ("proxy",)
+        logging.ERROR, "another process has this name, using no share of budgets", ("proxy",)
     ),
     "membership.changed": Event(
         logging.INFO, "a list changes many nodes at once", ("left", "joining", "serving")
     ),
-    "membership.file_unusable": Event(
-        logging.WARNING, "the file of nodes can't be read", ("reason",)
-    ),
+    "membership.file_unusable": Event(logging.WARNING, "cannot read the node file", ("reason",)),
     "membership.speaks": Event(
-        logging.INFO, "the list comes from this source from now on", ("source", "nodes")
+        logging.INFO, "this source now provides the list", ("source", "nodes")
     ),
     "membership.unlike": Event(
-        logging.WARNING, "another source may not follow, it lists others", ("source", "share")
-    ),
-    "ledger.folded": Event(
-        logging.WARNING, "more tenants than have a place, counted together", ("units",)
+        logging.WARNING, "not switching to this source, it lists other nodes", ("source", "share")
     ),
+    "ledger.folded": Event(logging.WARNING, "too many tenants, merging the rest", ("units",)),
     "ledger.fork": Event(
-        logging.ERROR, "its disk is older than its bills, batches are held", ("last", "held")
+        logging.ERROR,
+        "the disk is older than its bills, holding batches",
+        ("last", "held"),
     ),
-    "ledger.held": Event(logging.ERROR, "a batch is held for an operator", ("batch", "why")),
+    "ledger.held": Event(logging.ERROR, "holding a batch for an operator", ("batch", "why")),
     "ledger.locked": Event(
-        logging.WARNING, "another process has the ledger, tried again", ("folder",)
+        logging.WARNING, "another process has the ledger open, retrying", ("folder",)
     ),
     "ledger.not_exported": Event(
-        logging.WARNING, "a batch was not taken, tried again", ("batch", "why", "wait_s")
+        logging.WARNING, "a batch was not accepted, retrying", ("batch", "why", "wait_s")
     ),
-    "ledger.open": Event(logging.INFO, "the ledger is open", ("incarnation", "batches", "gaps")),
+    "ledger.open": Event(logging.INFO, "ledger opened", ("incarnation", "batches", "gaps")),
     "ledger.salvaged": Event(
         logging.ERROR,
-        "its files do not add up, what can be read is kept",
+        "ledger files are inconsistent, keeping the readable records",
         ("file", "records", "torn", "why", "aside"),
     ),
     "ledger.unwritten": Event(
-        logging.ERROR, "cannot be written, counted in memory meanwhile", ("reason",)
+        logging.ERROR, "cannot write the ledger, counting in memory", ("reason",)
     ),
-    "ledger.written_again": Event(logging.INFO, "is written again, nothing was missed"),
+    "ledger.written_again": Event(logging.INFO, "writing the ledger again, no entries were lost"),
     "nodes.doubted": Event(
-        logging.WARNING, "these answer nothing while others do, asked by few", ("count", "nodes")
-    ),
-    "nodes.trusted": Event(logging.INFO, "all nodes are asked like any other again"),
-    "placement.fits": Event(
-        logging.INFO, "the plan holds again for the nodes that are listed", ("nodes",)
+        logging.WARNING,
+        "nodes do not answer while others do, sending them few requests",
+        ("count", "nodes"),
     ),
+    "nodes.trusted": Event(logging.INFO, "no suspected nodes any more"),
+    "placement.fits": Event(logging.INFO, "the plan matches the listed nodes again", ("nodes",)),
     "placement.late": Event(
-        logging.WARNING, "a plan of an earlier owner is left alone", ("fence", "seen")
+        logging.WARNING, "ignored a plan of an earlier owner", ("fence", "seen")
     ),
-    "placement.reached": Event(logging.INFO, "the shares of the plan are in force", ("nodes",)),
+    "placement.reached": Event(logging.INFO, "the shares of the plan are in effect", ("nodes",)),
     "placement.refused": Event(
-        logging.WARNING, "the plan is not for the nodes that are listed", ("reason",)
+        logging.WARNING, "the plan does not match the listed nodes", ("reason",)
     ),
     "placement.stale": Event(logging.WARNING, "the plan is old", ("age_h",)),
-    "placement.taken": Event(logging.INFO, "a plan was read", ("nodes", "age_h")),
-    "placement.unkept": Event(logging.WARNING, "which plan was taken can't be kept", ("reason",)),
-    "requests.fault": Event(logging.ERROR, "a fault of ours cost a request", ("what",)),
+    "placement.taken": Event(logging.INFO, "read a plan", ("nodes", "age_h")),
+    "placement.unkept": Event(logging.WARNING, "cannot store which plan was accepted", ("reason",)),
+    "requests.fault": Event(logging.ERROR, "internal error while handling a request", ("what",)),
     "requests.refused": Event(
-        logging.WARNING, "requests of the last second were not served", ("count", "reasons")
+        logging.WARNING, "requests were refused or failed", ("count", "reasons")
     ),
     "tls.unusable": Event(
-        logging.ERROR, "new TLS files can't be used, the old ones hold", ("reason",)
+        logging.ERROR, "cannot load the new TLS files, keeping the previous ones", ("reason",)
     ),
-    DROPPED: Event(logging.WARNING, "nobody read the log for a while", ("lines",)),
-    FOREIGN: Event(logging.WARNING, "a library says", ("text",)),
+    DROPPED: Event(logging.WARNING, "log lines were dropped, the log was not read", ("lines",)),
+    FOREIGN: Event(logging.WARNING, "message of a library", ("text",)),
 }
 
 _log = logging.getLogger(NAME)
@@ -253,7 +251,7 @@
 
 
 class _Held:
-    """The lines of one event in the second at hand."""
+    """The lines of one event in the current second, and those suppressed."""
 
     __slots__ = ("began_at", "count", "held")
 
@@ -262,7 +260,7 @@
 
 
 class Logs(logging.Handler):
-    """Formats, limits and writes.  `write` takes a line or says that it has no room."""
+    """Formats, limits and writes events.  `write` returns whether it took the line."""
 
     def __init__(
         self,
@@ -278,16 +276,17 @@
         self.configure(table)
 
     def configure(self, table: LogTable) -> None:
-        """Take on `[log]`."""
+        """Apply the `[log]` table."""
         self._table = table
         _log.setLevel(table.level.upper())
 
     def install(self) -> None:
-        """Be where this process's log goes."""
+        """Become the only handler of the root logger."""
         root = logging.getLogger()
         root.handlers[:] = [self]
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Write the record, unless its event exceeds its lines per second."""
         name: str = getattr(record, "event", FOREIGN)
         fields: dict[str, object] = dict(getattr(record, "fields", ()))
         if name == FOREIGN:
@@ -329,10 +328,10 @@
 
 
 def _bounded(key: str, value: object) -> object:
-    """A field's value that can be written: text in UTF-8, and not too long.
+    """A field's value in a form that JSON and UTF-8 can encode, with bounded text.
 
-    Names of files and texts of errors can hold lone surrogates, which UTF-8 does not encode: they
-    are written as their escapes.  What JSON cannot hold is written as its text.
+    File names and error texts can hold lone surrogates, which UTF-8 cannot encode; they are
+    written as escapes.  Values that JSON cannot encode are written as text.
     """
     if not isinstance(value, str):
         try:
@@ -346,12 +345,12 @@
 
 
 def encodable(text: str) -> str:
-    """`text` with lone surrogates as their escapes, so that UTF-8 can encode it."""
+    """`text` with lone surrogates replaced by escapes, so that UTF-8 can encode it."""
     return text.encode("utf-8", "backslashreplace").decode()
 
 
 def _plain(value: object) -> str:
-    """A field's value in a text line: quoted where a blank or a line's end would mislead."""
+    """A field's value in a text line, quoted if it holds blanks, quotes, = or unprintables."""
     text = str(value)
     if text and text.isprintable() and not set(text) & set(' "='):
         return text
--- a/violetroute/loop_lag_probe.py
+++ b/violetroute/loop_lag_probe.py
@@ -1,38 +1,38 @@
-"""Wakes the loop at short intervals while requests are open."""
+"""Wakes the event loop at short intervals while requests are open."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable, Sized
 
-PULSE = 0.05  # s; the longest the loop sleeps while requests are open
+WAKE_INTERVAL = 0.05  # s; the longest the loop sleeps while requests are open
 
 
 class LoopLagProbe:
-    """Calls `beat` every PULSE seconds, so that a pause of the process shows by a late wake-up."""
+    """Calls `on_wake` every WAKE_INTERVAL, so that a late wake-up reveals a process pause."""
 
-    __slots__ = ("_beat", "_loop", "_open", "_timer", "beats")
+    __slots__ = ("_loop", "_on_wake", "_open", "_timer", "running")
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, open_requests: Sized, beat: Callable[[], None]
+        self, loop: asyncio.AbstractEventLoop, open_requests: Sized, on_wake: Callable[[], None]
     ) -> None:
-        self._loop, self._open, self._beat = loop, open_requests, beat
+        self._loop, self._open, self._on_wake = loop, open_requests, on_wake
         self._timer: asyncio.TimerHandle | None = None
-        self.beats = False  # an attribute and no property: it is read for each request
+        self.running = False  # no property: it is read for each request
 
     def start(self) -> None:
-        """Beat until no request is open; not to be called while it beats."""
-        self.beats = True
-        self._timer = self._loop.call_later(PULSE, self._due)
+        """Run until no request is open.  Must not be called while it is running."""
+        self.running = True
+        self._timer = self._loop.call_later(WAKE_INTERVAL, self._due)
 
     def _due(self) -> None:
-        self._beat()
+        self._on_wake()
         if self._open:
-            self._timer = self._loop.call_later(PULSE, self._due)
+            self._timer = self._loop.call_later(WAKE_INTERVAL, self._due)
         else:
-            self.beats = False
+            self.running = False
 
     def close(self) -> None:
-        """Beat no more."""
+        """Stop waking the loop."""
         if self._timer is not None:
             self._timer.cancel()
--- a/violetroute/proxy.py
+++ b/violetroute/proxy.py
@@ -1,7 +1,6 @@
-"""The open requests, and the one holder of the Balancer.
+"""Tracks open requests and connects the balancer to clients, cache nodes and discovery.
 
-Every event is told to the module as it happened and every action is carried out as it
-stands.  A request gets its final answer in _answer and nowhere else.
+The proxy owns the Balancer: it reports events to it and performs the actions that it returns.
 """
 
 from __future__ import annotations
@@ -40,7 +39,7 @@
 from .loop_lag_probe import LoopLagProbe
 from .membership import Listing, Membership, Places, stable_hash
 from .placement import Keeper
-from .refusals import Refusals
+from .refusals import RefusalCounter
 from .requests import FAILED, OpenRequest, log_fault, refusal, service_time_ms
 from .resp import Command, CommandError
 from .transport import Network
@@ -50,6 +49,8 @@
 
 
 class Proxy:
+    """One proxy: its open requests, its balancer and the connections to its cache nodes."""
+
     def __init__(self, config: Config, net: Network) -> None:
         self._loop = loop = net.loop
         self._turns = net.turns
@@ -57,96 +58,94 @@
         self._time = UnixClock(net)
         self.clock = self._time.now
         self._open: dict[int, OpenRequest] = {}
-        self._named: dict[bytes, OpenRequest] = {}  # those not yet answered, by the client's id
+        self._open_by_client_id: dict[bytes, OpenRequest] = {}  # only unanswered requests
         self.places = Places()
         self._last_id = 0
-        self.deadlines = Deadlines(loop, self._out_of_time, self._open)
+        self.deadlines = Deadlines(loop, self._deadline_expired, self._open)
         self._generation = 0
-        self._pulse = LoopLagProbe(loop, self._open, self._look)
-        self._housekeeping: asyncio.TimerHandle | None = None  # the module's own, one at a time
-        self._turns.call_on_pause(self._paused)
+        self._lag_probe = LoopLagProbe(loop, self._open, self._log_estimates)
+        self._housekeeping: asyncio.TimerHandle | None = None  # the balancer's periodic timer
+        self._turns.call_on_pause(self._on_pause)
         self._turn_log = LongTurnLog(self._turns, self._open)
-        self._refusals = Refusals(loop)
+        self._refusals = RefusalCounter(loop)
         self._balancer = Balancer(config.settings, config.seed, self.clock())
-        self.judged = self._balancer.judged  # what came of requests, for who tells others
+        self.judged = self._balancer.judged  # request outcomes, which sharing reports to peers
         self._settings = config.settings
-        self._beliefs = EstimateLog(loop.time, self.places.name)
+        self._estimate_log = EstimateLog(loop.time, self.places.name)
         self._classes = {c.name: c for c in config.settings.classes}
-        self._arrivals = AdmissionCheck(
+        self._admission = AdmissionCheck(
             loop, self._turns, self.clock, self._balancer, self.hooks, self._refusals
         )
-        self._arrivals.classes = self._classes
-        self.turned_away = self._arrivals.turned_away  # called once for each command
+        self._admission.classes = self._classes
+        self.turned_away = self._admission.turned_away  # call once for each command
         self._pool = Pool.of(self, net, config)
         self._slots = SlotMap()
-        self._lists = ListApplier(loop, self.places, self._pool, self.clock, self._tell_members)
+        self._lists = ListApplier(loop, self.places, self._pool, self.clock, self._dispatch_members)
         self._watch = Membership(self, net, config.discovery, config.operator, self.clock)
-        self._placement = Keeper(loop, net.wall, self._tell_sizes)
+        self._placement = Keeper(loop, net.wall, self._dispatch_sizes)
         self._placement.take(config.plan, config.operator.placement)
-        self._tell_list(self._watch.known(config.known), ListKind.CACHED)
+        self._apply_list(self._watch.known(config.known), ListKind.CACHED)
 
     @property
     def open_requests(self) -> int:
+        """The number of requests that are unanswered or have attempts in flight."""
         return len(self._open)
 
     @property
     def oldest_deadline(self) -> float | None:
-        """Seconds of the loop's clock by which the next open request has to be over."""
+        """The earliest deadline of an open request, in seconds of the loop's clock."""
         return self.deadlines.next_at
 
     def request_states(self) -> list[str]:
-        """Of each open request: how it stands, for whoever looks in from outside."""
+        """The state of each open request as text, for monitoring and tests."""
         return [request.state for request in self._open.values()]
 
     @property
     def nodes(self) -> list[int]:
-        """Those that may get something new."""
+        """Ids of the cache nodes that accept new attempts."""
         return self._pool.ids()
 
     @property
     def list_source(self) -> object:
-        """What tells of nodes: another one when `reload` has moved."""
+        """The list source that is followed; a new object after `reload` changed discovery."""
         return self._watch.followed
 
     @property
     def generation(self) -> int:
-        """Of the list as it was last told."""
+        """The generation of the latest list, as discovery reported it."""
         return self._generation
 
     # --- from clients ---
-    def _look(self) -> None:
-        module = self._balancer
-        self._beliefs.look(module.unproven, module.gate.limit, module.fetches.limit)
+    def _log_estimates(self) -> None:
+        balancer = self._balancer
+        self._estimate_log.update(balancer.unproven, balancer.gate.limit, balancer.fetches.limit)
 
-    def _paused(self, seconds: float) -> None:
+    def _on_pause(self, seconds: float) -> None:
         logs.event("daemon.paused", ms=round(seconds * 1000.0))
-        self._tell(None, self._balancer.on_pause, seconds * 1000.0)
+        self._dispatch(None, self._balancer.on_pause, seconds * 1000.0)
 
     def take(self, command: Command, answer: Answer) -> None:
-        """A whole request has come: one final answer is owed from here on.
-
-        CommandError: it can't be one, and nothing is owed but to say so.
-        """
+        """Open a request, which gets one final answer; CommandError if the command is invalid."""
         cls = self._classes.get(command.class_name)
         if cls is None:
             raise CommandError("unknown class")
         if cls.effect is Effect.KEYED and not command.keyed:
-            raise CommandError("no idempotency key")  # its repeats would not be dropped
-        if command.id in self._named:
-            raise CommandError("id of an open request")  # nodes could not tell them apart
+            raise CommandError("no idempotency key")  # nodes could not drop repeats
+        if command.id in self._open_by_client_id:
+            raise CommandError("id of an open request")  # ambiguous for nodes
         now = self.clock()
-        if not self._pulse.beats:
-            self._pulse.start()
+        if not self._lag_probe.running:
+            self._lag_probe.start()
         self._last_id += 1
         wait = service_time_ms(command.wait, cls.deadline)
         request = OpenRequest(self._last_id, command, answer, now + wait)
         answer.request = request
-        self._open[request.id] = self._named[command.id] = request
+        self._open[request.id] = self._open_by_client_id[command.id] = request
         self.deadlines.add(self._loop.time() + wait / 1000.0, request.id)
         key = stable_hash(command.key)
-        for told in self.hooks.on_accepted:
-            told(command.tenant, key)
-        self._tell(
+        for on_accepted in self.hooks.on_accepted:
+            on_accepted(command.tenant, key)
+        self._dispatch(
             request,
             self._balancer.on_request,
             Request(
@@ -159,16 +158,16 @@
                 self._slots.owner(command.key, self.places.at),
             ),
         )
-        self._forget(request)  # it may have been refused at once
+        self._remove_if_finished(request)  # the balancer may have refused it at once
 
     def gone(self, answer: Answer) -> None:
-        """The client has gone away: nothing more is owed, sent or written."""
+        """The client disconnected: send no answer and no further attempt."""
         request = answer.request
         if not isinstance(request, OpenRequest) or request.answered:
             return
-        self._settle(request)
-        self._tell(request, self._balancer.on_gone, request.id)
-        self._forget(request)
+        self._mark_answered(request)
+        self._dispatch(request, self._balancer.on_gone, request.id)
+        self._remove_if_finished(request)
 
     # --- from cache nodes ---
     def attempt_ended(
@@ -180,26 +179,26 @@
         report: dict[str, float] | None = None,
         redirect: Redirect | None = None,
     ) -> None:
-        """The one outcome of an attempt; what comes after it is nothing."""
+        """Report an attempt's outcome to the balancer; repeated reports are ignored."""
         request = self._open.get(attempt.request_id)
         if attempt.ended or request is None:
             return
         attempt.ended = True
-        request.out -= 1
+        request.in_flight -= 1
         now = self.clock()
-        for ended in self.hooks.on_attempt_ended:
-            ended(attempt.cache_id, result)
+        for on_ended in self.hooks.on_attempt_ended:
+            on_ended(attempt.cache_id, result)
         if not request.answered and result is Result.OK and value is not None:
             self._answer(request, b"$%d\r\n" % len(value), value, b"\r\n")
-            for told in self.hooks.on_served:
-                told(request.command.tenant, request.command.class_name, request.command.id)
+            for on_served in self.hooks.on_served:
+                on_served(request.command.tenant, request.command.class_name, request.command.id)
         to = None
         if self._pool.follows_redirects and result is Result.OK and not attempt.asking:
             self._slots.served(attempt.command.key, self._pool.address(attempt.cache_id))
         if redirect is not None:
             self._slots.learn(redirect)
             to = None if redirect.address is None else self.places.at(redirect.address)
-        self._tell(
+        self._dispatch(
             request,
             self._balancer.on_outcome,
             Outcome(
@@ -213,85 +212,87 @@
                 to,
             ),
         )
-        self._forget(request)
+        self._remove_if_finished(request)
 
     # --- from discovery ---
     def list_changed(self, listing: Listing) -> None:
-        self._tell_list(listing)
+        """Apply a list, or changes of one, from discovery."""
+        self._apply_list(listing)
 
     def list_failed(self, silent: bool = False) -> None:
-        self._tell(None, self._balancer.on_list, ListKind.SILENT if silent else ListKind.FAILED, ())
+        """Report a failed list request; `silent`: an established watch became unresponsive."""
+        self._dispatch(
+            None, self._balancer.on_list, ListKind.SILENT if silent else ListKind.FAILED, ()
+        )
 
     def reload(self, config: Config) -> None:
-        """Take on what a new configuration may change while requests are open."""
-        self._turn_log.doing("reload")
+        """Apply the settings that may change while requests are open."""
+        self._turn_log.note_work("reload")
         self._pool.reload(config)
         if not self._pool.follows_redirects:
             self._slots = SlotMap()
         if config.settings != self._settings:
             self._settings = config.settings
             self._classes = {c.name: c for c in config.settings.classes}
-            self._arrivals.classes = self._classes
-            self._tell(None, self._balancer.on_settings, config.settings)
+            self._admission.classes = self._classes
+            self._dispatch(None, self._balancer.on_settings, config.settings)
         self._placement.take(config.plan, config.operator.placement)
         if self._watch.move(config.discovery, config.operator):
-            self._generation = 0  # another discovery's versions may mean something else
-            self._tell(None, self._balancer.on_discovery_moved)
+            self._generation = 0  # generations of two discovery services can't be compared
+            self._dispatch(None, self._balancer.on_discovery_moved)
 
-    def _tell_list(self, listing: Listing, kind: ListKind = ListKind.CHANGES) -> None:
+    def _apply_list(self, listing: Listing, kind: ListKind = ListKind.CHANGES) -> None:
         self._generation = listing.generation
         first = kind is ListKind.CACHED
-        self._turn_log.doing(f"list of {len(listing.entries)}")
-        step = self._lists.apply(listing, listing.whole or first, at_once=first)
-        self._tell_members(step.members, kind)
-        notify_placement(step, first, self._placement)
-        log_step(step, self._lists.waiting, len(self._pool.ids()))
+        self._turn_log.note_work(f"list of {len(listing.entries)}")
+        change = self._lists.apply(listing, listing.whole or first, at_once=first)
+        self._dispatch_members(change.members, kind)
+        notify_placement(change, first, self._placement)
+        log_step(change, self._lists.waiting, len(self._pool.ids()))
 
-    def _tell_members(self, members: list[Member], kind: ListKind = ListKind.CHANGES) -> None:
-        self._tell(None, self._balancer.on_list, kind, members, self._lists.waiting > 0)
-        for listed in self.hooks.on_list_change:
-            listed(members)
+    def _dispatch_members(self, members: list[Member], kind: ListKind = ListKind.CHANGES) -> None:
+        self._dispatch(None, self._balancer.on_list, kind, members, self._lists.waiting > 0)
+        for on_list_change in self.hooks.on_list_change:
+            on_list_change(members)
 
     def others(self, bad: list[int], outcomes: list[Judged]) -> None:
-        """What other proxies met at the nodes."""
-        self._tell(None, self._balancer.on_others, bad, outcomes)
+        """Pass on what peers report: unhealthy nodes and request outcomes."""
+        self._dispatch(None, self._balancer.on_others, bad, outcomes)
 
-    def _tell_sizes(self, sizes: Mapping[int, float]) -> None:
-        self._tell(None, self._balancer.on_sizes, sizes)
+    def _dispatch_sizes(self, sizes: Mapping[int, float]) -> None:
+        self._dispatch(None, self._balancer.on_sizes, sizes)
 
     def close(self) -> None:
+        """Stop timers and list watches, and close the connections to cache nodes."""
         self._watch.stop()
         self._lists.close()
         self._refusals.close()
         self._placement.close()
         self.deadlines.close()
-        self._pulse.close()
+        self._lag_probe.close()
         if self._housekeeping is not None:
             self._housekeeping.cancel()
         self._pool.close()
 
-    # --- telling and doing ---
-    def _tell(
+    # --- events and actions of the balancer ---
+    def _dispatch(
         self, request: OpenRequest | None, event: Callable[..., list[Action]], *args: object
     ) -> None:
-        """Tell the module what happened and do what it says.
-
-        A fault there, or in doing it, costs the request at hand and not the process.
-        """
+        """Report an event, perform the actions returned; an exception fails only `request`."""
         try:
             for action in event(self.clock(), *args):
-                self._do(action)
+                self._perform(action)
         except Exception:
             log_fault("in handling an event")
             if request is not None and not request.answered:
                 self._answer(request, FAILED)
 
-    def _do(self, action: Action) -> None:
-        if type(action) is Send:  # a match statement takes several times as long
+    def _perform(self, action: Action) -> None:
+        if type(action) is Send:  # several times faster than a match statement
             self._send(self._open[action.request_id], action)
         elif type(action) is Timer:
             timer = self._loop.call_later(action.delay / 1000.0, self._timer, action.label)
-            if action.label == HOUSEKEEPING:  # the others end with their requests
+            if action.label == HOUSEKEEPING:  # other timers do nothing once their request is closed
                 self._housekeeping = timer
         elif type(action) is Refuse:
             self._refusals.count(action.reason.value)
@@ -323,17 +324,18 @@
             action.deliver_by,
         )
         request.attempts.append(attempt)
-        request.out += 1
+        request.in_flight += 1
         if request.answered:
             self._loop.call_soon(self.attempt_ended, attempt, Result.NEVER_SENT)
             return
         if until < request.give_up_at:
-            self._loop.call_later((until - now) / 1000.0, self._too_late, attempt)
+            self._loop.call_later((until - now) / 1000.0, self._end_attempt_window, attempt)
         if 0.0 < action.deliver_by < until:
-            self._loop.call_later((action.deliver_by - now) / 1000.0, self._undelivered, attempt)
+            self._loop.call_later((action.deliver_by - now) / 1000.0, self._check_delivery, attempt)
         self._pool.send(attempt)
 
     def may_send(self, attempt: Attempt) -> bool:
+        """Whether the attempt may be sent now (see `AttemptOwner.may_send`)."""
         request = self._open.get(attempt.request_id)
         return (
             request is not None
@@ -344,35 +346,35 @@
     def _timer(self, label: int) -> None:
         request = self._open.get(label)
         if request is not None or label >= HOUSEKEEPING:
-            self._tell(request, self._balancer.on_timer, label)
+            self._dispatch(request, self._balancer.on_timer, label)
             if request is not None:
-                self._forget(request)
+                self._remove_if_finished(request)
 
-    def _too_late(self, attempt: Attempt) -> None:
+    def _end_attempt_window(self, attempt: Attempt) -> None:
         self._give_up(attempt, Result.LATE)
 
-    def _undelivered(self, attempt: Attempt) -> None:
-        """What its node does not have by now must not reach it any more."""
+    def _check_delivery(self, attempt: Attempt) -> None:
+        """Give the attempt up unless its node's kernel has acknowledged the whole command."""
         if not attempt.ended and not self._pool.delivered(attempt):
             self._give_up(attempt, Result.LATE)
 
-    def _out_of_time(self, number: int) -> None:
-        """The client is about to give up."""
+    def _deadline_expired(self, number: int) -> None:
+        """Fail a request without an answer shortly before its client stops waiting."""
         request = self._open[number]
         self._time.advance(request.give_up_at)
         for attempt in list(request.attempts):
             self._give_up(attempt, Result.LATE)
-        self._held_too_long(request)
+        self._end_overdue_hold(request)
         if not request.answered:
             log_fault(f"request {request.id} had no final answer at its deadline")
             self._answer(request, FAILED)
-            self._tell(request, self._balancer.on_gone, request.id)
-        self._forget(request)
+            self._dispatch(request, self._balancer.on_gone, request.id)
+        self._remove_if_finished(request)
 
-    def _held_too_long(self, request: OpenRequest) -> None:
-        """After a pause its deadline may come before the timer that would have ended its wait."""
+    def _end_overdue_hold(self, request: OpenRequest) -> None:
+        """Run the request's timer first: after a pause the deadline may fire before it."""
         if not request.answered:
-            self._tell(request, self._balancer.on_timer, request.id)
+            self._dispatch(request, self._balancer.on_timer, request.id)
 
     def _give_up(self, attempt: Attempt, result: Result) -> None:
         if not attempt.ended:
@@ -380,18 +382,18 @@
             self.attempt_ended(attempt, result if may_have_run else Result.NEVER_SENT)
 
     def _answer(self, request: OpenRequest, *parts: bytes | bytearray) -> None:
-        """The one place where a request gets its final answer."""
+        """Send the final answer.  No other code does, so a second answer is detected here."""
         if request.answered:
             log_fault(f"second final answer for request {request.id}")
             return
-        self._settle(request)
+        self._mark_answered(request)
         request.answer.finish(*parts)
 
-    def _settle(self, request: OpenRequest) -> None:
+    def _mark_answered(self, request: OpenRequest) -> None:
         request.answered = True
-        self._named.pop(request.command.id, None)
+        self._open_by_client_id.pop(request.command.id, None)
 
-    def _forget(self, request: OpenRequest) -> None:
-        """Done with it once it is answered and each attempt has had its outcome."""
-        if request.answered and not request.out:
+    def _remove_if_finished(self, request: OpenRequest) -> None:
+        """Drop a request that is answered and has no attempt in flight."""
+        if request.answered and not request.in_flight:
             self._open.pop(request.id, None)
--- a/violetroute/refusals.py
+++ b/violetroute/refusals.py
@@ -1,4 +1,4 @@
-"""Counts why requests were not served, and tells the log once a second while there are any."""
+"""Counts unserved requests by reason and logs the counts at most once a second."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 from . import logs
 
-EVERY = 1.0  # s between two lines
+LOG_INTERVAL = 1.0  # s
 
 
-class Refusals:
-    """Owned by the proxy.  One timer while something is counted; `close` ends it.
+class RefusalCounter:
+    """Counters by reason.  A timer runs only while there are counts to log.
 
-    Reasons: those of `snowstall.Reason`; `budget`, a part's limit; `own_load`, a command that this
-    process has read too late to serve it.
+    Reasons are the values of `snowstall.Reason`, `budget` (the admission check of a subsystem) and
+    `own_load` (a command that this process read too late to serve).
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -23,19 +23,19 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def count(self, reason: str) -> None:
-        """One request was refused or failed."""
+        """Count one refused or failed request."""
         self._counts[reason] += 1
         if self._timer is None:
-            self._timer = self._loop.call_later(EVERY, self._tell)
+            self._timer = self._loop.call_later(LOG_INTERVAL, self._log)
 
-    def _tell(self) -> None:
+    def _log(self) -> None:
         self._timer = None
         counts = " ".join(f"{reason}:{count}" for reason, count in sorted(self._counts.items()))
         logs.event("requests.refused", count=self._counts.total(), reasons=counts)
         self._counts.clear()
 
     def close(self) -> None:
-        """Tell what is counted, and no more after that."""
+        """Log the remaining counts and stop the timer."""
         if self._timer is not None:
             self._timer.cancel()
-            self._tell()
+            self._log()
--- a/violetroute/transport/__init__.py
+++ b/violetroute/transport/__init__.py
@@ -1,10 +1,9 @@
-"""The seam to the kernel: streams, listening, clocks and the turns of the loop.
+"""The transport layer: streams, datagrams, listening sockets, clocks and event loop timing.
 
-`seam` is what the rest of the daemon knows: small protocols, each promise written where it is
-made.  `stream` and `sockets` keep them on real sockets.  Nothing else under `violetroute/`
-imports `socket`, `select`, `selectors`, `time` or `signal` or touches a transport of asyncio (the
-start-up, which owns the process's signals, excepted); `tests/repository/test_layout.py` holds it
-to that.
+The rest of the daemon uses the protocols in `interfaces`; `stream`, `sockets` and `datagrams`
+implement them on real sockets.  No other module of `violetroute` imports `socket`, `select`,
+`selectors`, `time` or `signal`, or uses asyncio transports, except the start-up, which handles
+signals; `tests/repository/test_layout.py` checks this.
 """
 
 from .address import Address, parse_address
--- a/violetroute/transport/datagrams.py
+++ b/violetroute/transport/datagrams.py
@@ -1,8 +1,8 @@
-"""Datagrams on real sockets.
+"""UDP sockets.
 
-A flood must not hold the loop: at most AT_ONCE are read in one turn, the rest in later ones, and
-what the kernel's buffer has no room for is lost, as datagrams may be.  Errors that the kernel tells
-of earlier sends (ECONNREFUSED from a port where nobody is) say nothing about this one.
+A flood must not block the event loop, so at most MAX_DATAGRAMS_PER_TURN are read in one loop
+iteration; datagrams that overflow the kernel's buffer are lost.  Errors that the kernel reports for
+earlier sends, such as ECONNREFUSED from an unused port, are ignored.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 from .address import Address
 from .interfaces import DatagramHandler
 
-AT_ONCE = 64  # datagrams read in one turn
+MAX_DATAGRAMS_PER_TURN = 64  # read in one loop iteration
 
 
 class UdpSocket:
-    """One UDP socket."""
+    """A bound UDP socket; passes datagrams of up to `max_size` bytes to its handler."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         sock: socket.socket,
         address: Address,
-        ear: DatagramHandler,
-        most: int,
+        handler: DatagramHandler,
+        max_size: int,
     ) -> None:
-        self._loop, self._ear, self._most = loop, ear, most
+        self._loop, self._handler, self._max_size = loop, handler, max_size
         self._socket: socket.socket | None = sock
         sock.setblocking(False)
         sock.bind((address.host, address.port))
@@ -45,19 +45,19 @@
         return True
 
     def _ready(self) -> None:
-        for _ in range(AT_ONCE):
+        for _ in range(MAX_DATAGRAMS_PER_TURN):
             if self._socket is None:
                 return
             try:
-                data, origin = self._socket.recvfrom(self._most + 1)
+                data, origin = self._socket.recvfrom(self._max_size + 1)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
-                continue  # of an earlier send
-            if len(data) <= self._most:
+                continue  # reported for an earlier send
+            if len(data) <= self._max_size:
                 try:
-                    self._ear.datagram(data, Address(origin[0], origin[1]))
-                except Exception as error:  # one datagram's fault is not the others'
+                    self._handler.datagram(data, Address(origin[0], origin[1]))
+                except Exception as error:  # must not lose the other datagrams
                     self._loop.call_exception_handler(
                         {"message": "in taking a datagram", "exception": error}
                     )
--- a/violetroute/transport/disk.py
+++ b/violetroute/transport/disk.py
@@ -1,4 +1,4 @@
-"""Whole files that are kept once a call returns.  Blocks; never on the loop's thread."""
+"""Durable file writes and bounded reads.  They block: not for the event loop's thread."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def write_synced(path: Path, data: bytes) -> None:
-    """All of it on the disk, under a name that nobody looks at yet.  OSError."""
+    """Write a file and fsync it; the caller makes its name durable.  Raises OSError."""
     descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o644)
     try:
         view = memoryview(data)
@@ -19,7 +19,7 @@
 
 
 def sync_folder(path: Path) -> None:
-    """The names in it are kept.  OSError."""
+    """Make the names in a directory durable.  Raises OSError."""
     descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         os.fsync(descriptor)
@@ -27,8 +27,8 @@
         os.close(descriptor)
 
 
-def read_bounded(path: Path, most: int) -> bytes:
-    """The file's bytes, one more than `most` where it is larger; a pipe is not waited for."""
+def read_bounded(path: Path, max_bytes: int) -> bytes:
+    """Read at most `max_bytes` + 1 bytes, so a larger file is detected; never waits for a pipe."""
     descriptor = os.open(path, os.O_RDONLY | os.O_CLOEXEC | os.O_NONBLOCK)
     with open(descriptor, "rb") as file:
-        return file.read(most + 1) or b""
+        return file.read(max_bytes + 1) or b""
--- a/violetroute/transport/http_call.py
+++ b/violetroute/transport/http_call.py
@@ -1,8 +1,6 @@
-"""One HTTP/1.1 call over a connection of its own, through the seam.
+"""An HTTP/1.1 client for single calls, each on a connection of its own.
 
-Each call connects anew: what is asked this way is rare, and a kept connection that has died would
-be one more way to learn nothing.  Bounds: connect and answer within `limit`, an answer's body of
-`most`.
+Calls are rare, and a kept connection may have failed unnoticed, so each call opens a new one.
 """
 
 from __future__ import annotations
@@ -16,16 +14,19 @@
 from .interfaces import Network, Stream
 from .tls import TlsKeys, TlsStream
 
-MAX_BODY = 256 * 1024  # bytes of an answer
-MAX_TOKEN = 4096  # bytes of a token's file
+MAX_BODY = 256 * 1024  # bytes of a response body
+MAX_TOKEN = 4096  # bytes of a token file
 READ_SIZE = 16 * 1024
 _shared = memoryview(bytearray(READ_SIZE))
 
-Done = Callable[[int, dict[str, str], bytes, str], None]  # status (0: none), headers, body, why
+Done = Callable[[int, dict[str, str], bytes, str], None]  # status (0: failed), headers, body, error
 
 
 def read_token(path: str) -> str:
-    """A token's file as it is now, so that it can rotate; "" without one.  OSError."""
+    """Read a token file, at each call so that the token can rotate; "" for an empty path.
+
+    Raises OSError if the file cannot be read.
+    """
     if not path:
         return ""
     with open(path, encoding="ascii", errors="ignore") as file:
@@ -34,23 +35,27 @@
 
 
 class HttpCall:
-    """Told `done` once, from the loop; never after `stop`."""
+    """Calls `done` once, from the event loop, and never after `stop`.
+
+    Connecting and the response must finish within `time_limit` seconds; the response body must not
+    exceed `max_body` bytes.
+    """
 
     def __init__(
         self,
         net: Network,
         address: Address,
         keys: TlsKeys | None,
-        limit: float,
+        time_limit: float,
         path: str,
         headers: Mapping[str, str],
         body: bytes,
         done: Done,
         method: str = "POST",
-        most: int = MAX_BODY,
+        max_body: int = MAX_BODY,
     ) -> None:
         self._done: Done | None = done
-        self._most = most
+        self._max_body = max_body
         self._http = h11.Connection(h11.CLIENT)
         request = h11.Request(
             method=method,
@@ -73,29 +78,29 @@
         )
         self._status, self._headers = 0, dict[str, str]()
         self._body = bytearray()
-        self._timer: Any = net.loop.call_later(limit, self._end, "no answer in time")
+        self._timer: Any = net.loop.call_later(time_limit, self._finish, "no answer in time")
         self._stream: Stream = (
-            TlsStream(net, address, self, limit, keys)
+            TlsStream(net, address, self, time_limit, keys)
             if keys is not None
-            else net.connect(address, self, limit)
+            else net.connect(address, self, time_limit)
         )
 
     def stop(self) -> None:
-        """Nothing more is told; the endpoint may have taken it all the same."""
+        """Abort without calling `done`; the server may have processed the request."""
         self._done = None
         self._timer.cancel()
         self._stream.abort()
 
-    def _end(self, why: str, whole: bool = False) -> None:
+    def _finish(self, reason: str, whole: bool = False) -> None:
         done = self._done
         if done is not None:
             self.stop()
             if whole:
                 done(self._status, self._headers, bytes(self._body), "")
             else:
-                done(0, {}, b"", why)
+                done(0, {}, b"", reason)
 
-    # --- stream ---
+    # --- Handler of the stream ---
     def opened(self) -> None:
         self._stream.write(self._data)
 
@@ -107,7 +112,7 @@
             self._http.receive_data(bytes(_shared[:count]))
             self._read()
         except (h11.RemoteProtocolError, ValueError) as error:
-            self._end(f"no HTTP: {error}")
+            self._finish(f"no HTTP: {error}")
 
     def ended(self) -> None:
         try:
@@ -115,10 +120,10 @@
             self._read()
         except (h11.RemoteProtocolError, ValueError):
             pass
-        self._end("the answer broke off")
+        self._finish("the answer broke off")
 
     def lost(self, error: OSError | None) -> None:
-        self._end(str(error or "the connection is gone"))
+        self._finish(str(error or "the connection is gone"))
 
     def drained(self) -> None:
         pass
@@ -133,10 +138,10 @@
                     }
                 case h11.Data(data=data):
                     self._body += data
-                    if len(self._body) > self._most:
+                    if len(self._body) > self._max_body:
                         raise ValueError("the answer is too large")
                 case h11.EndOfMessage():
-                    self._end("", whole=True)
+                    self._finish("", whole=True)
                 case h11.NEED_DATA | h11.PAUSED | h11.ConnectionClosed():
                     return
                 case _:
--- a/violetroute/transport/interfaces.py
+++ b/violetroute/transport/interfaces.py
@@ -1,15 +1,14 @@
-"""What the daemon asks of the kernel, and what it may rely on.
-
-The seam is narrow on purpose: what stands here has to be promised twice, by real sockets and by
-a network in memory, and the same scripts are run on both.  Two rules hold for every stream:
-
-- **No call comes back from within a call.**  Whatever the owner asks, `Handler` is told from the
-  loop later, never before the call has returned.  So an owner may close itself, or another
-  one, from anywhere without finding its own state changed under it.
-- **`lost` is the last word, and comes exactly once**, whoever ended the stream and however.
-  After `abort` or `close` no `received`, `ended`, `opened` or `drained` follows, even where
-  the kernel's event was already on its way; a descriptor number that a new stream was given in
-  the same turn gets no event of the old one.
+"""The transport interface: what the daemon uses of the kernel, and the guarantees it relies on.
+
+The interface is small on purpose: real sockets and an in-memory network both implement it, and
+pass the same conformance scripts.  Two rules hold for every stream:
+
+- **No reentrant callbacks.**  Callbacks of `Handler` come from the event loop, never before a call
+  of the stream has returned.  An owner may therefore close its own or another stream anywhere,
+  and its state does not change during the call.
+- **`lost` is the last callback and comes exactly once**, whoever ended the stream.  After `abort`
+  or `close`, no `received`, `ended`, `opened` or `drained` follows, even if the kernel's event was
+  pending.  A new stream with the same descriptor number gets no event of the old stream.
 """
 
 from __future__ import annotations
@@ -25,157 +24,156 @@
 
 
 class Handler(Protocol):
-    """The owner of a stream.  An exception that leaves it ends its stream and no other."""
+    """The owner of a stream.  An exception that it raises ends only its own stream."""
 
     def opened(self) -> None:
-        """The connection that was asked for stands.  Not told of an accepted one."""
+        """A connect succeeded.  Not called for accepted connections."""
 
     def buffer(self) -> memoryview:
-        """Where the next bytes go.  It is filled and read in one step, so many can share one."""
+        """The buffer for the next bytes.  `received` follows at once, so streams can share one."""
 
     def received(self, count: int) -> None:
-        """So many bytes of the buffer came; never 0."""
+        """`count` bytes, at least 1, were received into the buffer."""
 
     def ended(self) -> None:
-        """The peer sends no more.  It may still read: what the owner does is its own affair."""
+        """The peer has ended its sending side; it may still read."""
 
     def drained(self) -> None:
-        """The kernel has taken the last of what `write` had to keep."""
+        """The kernel has taken all data that `write` had buffered."""
 
     def lost(self, error: OSError | None) -> None:
-        """The stream is gone; the descriptor is closed.  `error` when the owner did not ask."""
+        """The stream ended and its descriptor is closed; `error` unless the owner ended it."""
 
 
 class Stream(Protocol):
-    """One connection.  After its end every method is a call that does nothing."""
+    """One connection.  After its end all methods have no effect."""
 
     descriptor: int  # -1 once it is closed
-    closing: bool  # by `close`, `abort` or an error: nothing is received any more
-    unsent: int  # bytes that the kernel has not taken; stays as it was at the end
+    closing: bool  # after `close`, `abort` or an error; nothing more is received
+    unsent: int  # bytes that the kernel has not taken; kept after the end
 
     def write(self, data: Data) -> bool:
-        """Hand over; whether the kernel has taken everything that was ever written.
+        """Send data; return whether the kernel has taken everything written so far.
 
-        What it did not take is kept by reference (the caller does not change it any more) and
-        follows as it takes more.  Taken means taken: the peer may have it.  Not taken after an
-        error means that the peer never has the whole.  An error is told as `lost`, after what
-        the peer had sent before it was read, if the stream reads.
+        The rest is buffered by reference, so the caller must not change it, and is sent as the
+        kernel takes more.  The peer may have received what the kernel has taken.  If some data is
+        not taken after an error, the peer never receives all of it.  An error is reported by
+        `lost`; if the stream reads, data that the peer sent before the error is read first.
         """
 
     def write_all(self, parts: Sequence[Data]) -> bool:
-        """The same for several parts, in one system call where that is cheaper than a copy."""
+        """Send several parts, in one system call where that is cheaper than a copy."""
 
     def pause(self) -> None:
-        """Read no more for now: the peer is held back by its own window."""
+        """Stop reading; TCP flow control then limits the peer."""
 
     def resume(self) -> None:
-        """Read again."""
+        """Continue reading."""
 
     def end(self) -> None:
-        """Half-close, once what was written has been taken.  Reading goes on."""
+        """Half-close once all written data has been taken.  Reading goes on."""
 
     def close(self) -> None:
-        """Read no more; end once what was written has been taken.
+        """Stop reading, and end the stream once all written data has been taken.
 
-        Has no bound in time: its owner looks whether `unsent` still falls, and aborts.  Input
-        that is unread by then makes the kernel reset the connection, so read to the end first
-        where the peer has to get the last of it.
+        There is no time limit: the owner aborts when `unsent` stops falling.  Unread input makes
+        the kernel reset the connection, so if the peer has to get all data, read to the end first.
         """
 
     def abort(self, discard: bool = False) -> None:
         """End at once.  The descriptor is closed before this returns.
 
-        What the kernel has taken it goes on delivering, for minutes if the path is cut.
-        `discard`: it must not; the peer gets a reset in place of what it has not got yet.
+        The kernel goes on delivering the data it has taken, for minutes if the path has failed.
+        With `discard` it drops that data, and the peer gets a reset instead.
         """
 
     def deliver_within(self, seconds: float) -> None:
-        """What is written from now on reaches the peer's kernel within so long, or never.
+        """Deliver data written from now on within `seconds`, or not at all.
 
-        The kernel's own clock ends the stream then (ETIMEDOUT), also while this process stands.
-        It is coarse: where the peer's window is closed it was seen 0.17 to 0.48 s late (Linux
-        6.18), so it is no replacement for a timer.  Below 1 ms it is 1 ms; 0: no bound.
+        The kernel ends the stream with ETIMEDOUT, even while this process is paused.  Its timer is
+        coarse, 0.17 to 0.48 s late when the peer's window is closed (Linux 6.18), so it does not
+        replace a timer of the owner.  The minimum is 1 ms; 0 means no bound.
         """
 
     def delivered(self) -> bool:
-        """Whether the peer's kernel has acknowledged all that was written."""
+        """Whether the peer's kernel has acknowledged all written data."""
 
     def receive_buffer(self) -> int:
-        """Bytes that the kernel keeps of what has not been read, asked of it now; 0 at the end."""
+        """The current size of the kernel's receive buffer in bytes; 0 after the end."""
 
     def no_pending_input(self) -> bool:
-        """Whether nothing has come and the peer has not closed, asked of the kernel now."""
+        """Whether the kernel currently holds no unread data and no close of the peer."""
 
     def peer_ended(self) -> bool:
-        """Whether the peer has ended its side or the connection, asked of the kernel now.
+        """Whether the kernel has received the peer's end of data or close.
 
-        Also where bytes that came before stand unread, as `ended` is not; not where they fill the
-        receive buffer, since the end then waits over there.
+        Unlike `ended`, this is true while earlier data is unread.  If unread data fills the
+        receive buffer, the end has not arrived yet and this is false.
         """
 
 
 class ListeningSocket(Protocol):
-    """A listening socket.  `ready` is told, while it is watched, when somebody waits."""
+    """A listening socket.  While watched, it calls `ready` when a connection is waiting."""
 
     address: Address
 
     def watch(self, on: bool) -> None:
-        """Whether `ready` is told."""
+        """Set whether `ready` is called."""
 
     def accept(self, handler: Handler) -> Stream | None:
-        """Who waits longest, read from now on; None when nobody does, or it has gone again.
+        """Accept the oldest waiting connection and start reading it; None if there is none.
 
-        OSError when descriptors or memory ran out: who waits goes on waiting.
+        Raises OSError if descriptors or memory run out; the connection then remains queued.
         """
 
     def close(self) -> None:
-        """Nobody new; who still waits is reset."""
+        """Stop listening; waiting connections are reset."""
 
 
 class DatagramHandler(Protocol):
-    """The owner of a port for datagrams.  An exception that leaves it costs that datagram alone."""
+    """The owner of a datagram socket.  An exception that it raises loses only that datagram."""
 
     def datagram(self, data: bytes, origin: Address) -> None:
-        """One came, whole.  `origin` is what it says of itself: anybody can write that."""
+        """Take one complete datagram.  `origin` is its source address, which can be forged."""
 
 
 class DatagramSocket(Protocol):
-    """A port for datagrams.  What is sent may be lost, come twice, late and in any order."""
+    """A datagram socket.  Datagrams may be lost, duplicated, delayed and reordered."""
 
     address: Address
 
     def send(self, data: bytes, address: Address) -> bool:
-        """Whether the kernel took it.  Never waits, never raises: a full buffer is a loss."""
+        """Send; return whether the kernel took it.  Never blocks or raises; may drop it."""
 
     def close(self) -> None:
-        """Nothing is told any more; the port is free."""
+        """Stop receiving and free the port."""
 
 
 class Network(Protocol):
-    """What a process has of the world.  `loop.time()` is its clock, which never steps back."""
+    """A process's network and clocks.  `loop.time()` never steps back."""
 
     loop: asyncio.AbstractEventLoop
     turns: Turns
 
     def wall(self) -> float:
-        """Unix seconds; may step either way."""
+        """The wall clock in Unix seconds; may step either way."""
 
     def listen(self, address: Address, backlog: int, ready: Callable[[], None]) -> ListeningSocket:
-        """OSError when it cannot.  Not watched at first; port 0 means any free one."""
+        """Open a listening socket, not watched at first; port 0: any free one.  OSError."""
 
     def connect(
         self, address: Address, handler: Handler, time_limit: float, first: bool = False
     ) -> Stream:
-        """Begin to connect: `opened`, or `lost` once it failed or `time_limit` s have passed.
+        """Start to connect; `opened` follows, or `lost` on failure or after `time_limit` seconds.
 
-        Never raises: no descriptor is an end like another.  `first`: its events come ahead of
-        others in a turn.
+        Never raises: a lack of descriptors is reported by `lost` too.  `first`: the stream's events
+        are handled before others in an iteration of the event loop.
         """
 
     def bind_datagram_socket(
-        self, address: Address, ear: DatagramHandler, most: int
+        self, address: Address, handler: DatagramHandler, max_size: int
     ) -> DatagramSocket:
-        """A port for datagrams of up to `most` bytes; longer ones are not told.
+        """Open a socket for datagrams of up to `max_size` bytes; longer ones are dropped.
 
-        OSError when it cannot.  Port 0 means any free one.
+        Port 0 means any free one.  Raises OSError on failure.
         """
--- a/violetroute/transport/introspection_socket.py
+++ b/violetroute/transport/introspection_socket.py
@@ -1,7 +1,7 @@
-"""A Unix socket for whoever looks in from this machine: a line is asked, a JSON object answered.
+"""A local Unix socket for introspection: a request line is answered with a JSON object.
 
-Only the process's own user may connect (mode 600).  Bounds: callers at once, a line's length, the
-time for it and for its answer.
+Only the process's own user may connect (mode 600).  The number of clients, the length of a line
+and the time for a request are bounded.
 """
 
 from __future__ import annotations
@@ -22,21 +22,23 @@
 
 
 class IntrospectionSocket:
-    """`answer` gives what a word asks for; KeyError for one that it does not know."""
+    """Serves requests with `answer`, which raises KeyError for an unknown request."""
 
     def __init__(self, path: str, answer: Callable[[str], Any]) -> None:
         self._path, self._answer = path, answer
-        self._callers = 0
+        self._clients = 0
         self._server: asyncio.AbstractServer | None = None
 
     async def open(self) -> None:
-        """OSError when it cannot.  A socket that a dead process left is taken away."""
+        """Listen; replaces a socket file that an earlier process left.  Raises OSError."""
         with contextlib.suppress(FileNotFoundError):
             if stat.S_ISSOCK(os.stat(self._path).st_mode):
                 os.unlink(self._path)
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         try:
-            os.fchmod(sock.fileno(), 0o600)  # its file has it from the first instant (Linux)
+            os.fchmod(
+                sock.fileno(), 0o600
+            )  # before bind, so that the file never has another mode (Linux)
             sock.bind(self._path)
             self._server = await asyncio.start_unix_server(self._serve, sock=sock, limit=MAX_LINE)
         except OSError:
@@ -44,26 +46,27 @@
             raise
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self._callers >= MAX_CLIENTS:
+        if self._clients >= MAX_CLIENTS:
             writer.close()
             return
-        self._callers += 1
+        self._clients += 1
         try:
             async with asyncio.timeout(TIMEOUT):
                 line = await reader.readline()
                 try:
-                    told = self._answer(line.decode("ascii", "replace").strip())
+                    response = self._answer(line.decode("ascii", "replace").strip())
                 except KeyError:
-                    told = {"error": "nobody answers that"}
-                writer.write(msgspec.json.encode(told) + b"\n")
+                    response = {"error": "nobody answers that"}
+                writer.write(msgspec.json.encode(response) + b"\n")
                 await writer.drain()
         except (TimeoutError, OSError, ValueError):
             pass
         finally:
-            self._callers -= 1
+            self._clients -= 1
             writer.close()
 
     def close(self) -> None:
+        """Stop listening and remove the socket file."""
         if self._server is not None:
             self._server.close()
             with contextlib.suppress(OSError):
--- a/violetroute/transport/lines.py
+++ b/violetroute/transport/lines.py
@@ -1,20 +1,20 @@
-"""Whole lines to a descriptor that may be a pipe which nobody reads."""
+"""Writes whole lines to a descriptor without blocking, even to a pipe that nobody reads."""
 
 from __future__ import annotations
 
 import os
 import select
 
-MAX_LINE = select.PIPE_BUF  # bytes of a line: up to here a pipe takes all of it or none
+MAX_LINE = select.PIPE_BUF  # bytes; a write to a pipe of up to PIPE_BUF is atomic
 
 
 class LineWriter:
-    """Writes a line where there is room for it, and never waits.
+    """Writes a line if there is room for it, and never waits.
 
-    A pipe that polls as writable has room for PIPE_BUF bytes (POSIX write()), so a line
-    within that bound cannot block and is never mixed with another process's.  The
-    descriptor is left blocking: the flag would be shared with whoever else has it.  Not
-    guarded against: another process that fills the same pipe between the look and the write.
+    A pipe that polls as writable has room for PIPE_BUF bytes (POSIX write()), so a line within that
+    bound does not block and is not interleaved with another process's.  The descriptor stays in
+    blocking mode, since O_NONBLOCK is shared with every process that holds it.  A write can still
+    block if another process fills the same pipe between the poll and the write.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -23,11 +23,11 @@
         self._poll.register(descriptor, select.POLLOUT)
 
     def write(self, line: bytes) -> bool:
-        """Whether it has been taken; a line longer than LINE_MOST is cut."""
+        """Write the line, cut to MAX_LINE bytes; return whether it was written."""
         try:
             if not self._poll.poll(0):
                 return False
             os.write(self._descriptor, line[:MAX_LINE])
-        except OSError:  # nobody has the other end any more
+        except OSError:  # the read end is closed
             return False
         return True
--- a/violetroute/transport/sockets.py
+++ b/violetroute/transport/sockets.py
@@ -1,4 +1,4 @@
-"""The seam on real sockets: listening, connecting, clocks."""
+"""The transport interface on real sockets: listening, connecting, clocks."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from .loop_lag import Turns
 from .stream import SocketStream
 
-monotonic, wall = time.monotonic, time.time  # for what runs before there is a loop
-GONE_AGAIN = frozenset({errno.EAGAIN, errno.EINTR, errno.ECONNABORTED, errno.EPROTO})
+monotonic, wall = time.monotonic, time.time  # for code that runs before the event loop
+ACCEPT_RETRY_ERRNOS = frozenset({errno.EAGAIN, errno.EINTR, errno.ECONNABORTED, errno.EPROTO})
 
 
 class TcpListeningSocket:
-    """A listening socket."""
+    """A listening TCP socket."""
 
     def __init__(
         self, net: SocketNetwork, sock: socket.socket, host: str, ready: Callable[[], None]
@@ -48,13 +48,13 @@
         try:
             sock, _ = self._socket.accept()
         except OSError as error:
-            if error.errno in GONE_AGAIN:
+            if error.errno in ACCEPT_RETRY_ERRNOS:
                 return None
             raise
         try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        except OSError:  # reset before it could be looked at
+        except OSError:  # reset by the peer after accept
             sock.close()
             return None
         stream = SocketStream(self._net, handler, sock, False)
@@ -69,9 +69,10 @@
 
 
 class SocketNetwork:
-    """The kernel's own network and clocks, or those that the arguments stand for.
+    """The kernel's network and clocks; the arguments replace parts of them, as in a simulation.
 
-    `make` takes a family and a type as socket.socket does, and may raise OSError.
+    `make` takes a family and a type, as socket.socket does, and may raise OSError.  `undelivered`
+    returns the bytes of a socket that the peer has not acknowledged.
     """
 
     def __init__(
@@ -86,7 +87,7 @@
         self.turns = turns or Turns()
         self._make, self._clock = make or socket.socket, clock
         self.undelivered = undelivered or _undelivered
-        self.hung_up: Callable[[socket.socket], bool] = _hung_up  # may be replaced, as `make` is
+        self.hung_up: Callable[[socket.socket], bool] = _hung_up  # replaceable, as `make` is
 
     def wall(self) -> float:
         return self._clock()
@@ -112,7 +113,7 @@
             sock = self._make(_family(address), socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         except OSError as error:
             stream = SocketStream(self, handler, None, False)
-            stream.lose(error)
+            stream.fail_without_socket(error)
             return stream
         stream = SocketStream(self, handler, sock, first)
         try:
@@ -122,10 +123,12 @@
             stream.fail(error)
         return stream
 
-    def bind_datagram_socket(self, address: Address, ear: DatagramHandler, most: int) -> UdpSocket:
+    def bind_datagram_socket(
+        self, address: Address, handler: DatagramHandler, max_size: int
+    ) -> UdpSocket:
         sock = self._make(_family(address), socket.SOCK_DGRAM)
         try:
-            return UdpSocket(self.loop, sock, address, ear, most)
+            return UdpSocket(self.loop, sock, address, handler, max_size)
         except OSError:
             sock.close()
             raise
@@ -137,7 +140,7 @@
 
 
 def _hung_up(sock: socket.socket) -> bool:
-    """POLLRDHUP tells of a FIN that unread bytes still stand before (poll(2))."""
+    """POLLRDHUP reports a FIN even while earlier bytes are unread (poll(2))."""
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)
     return bool(poll.poll(0))
--- a/violetroute/transport/stream.py
+++ b/violetroute/transport/stream.py
@@ -1,10 +1,10 @@
-"""One connection on a real, non-blocking socket, driven by the loop's readers and writers.
+"""A stream on a non-blocking socket, driven by the event loop's readers and writers.
 
-asyncio's own transports are not used: they tell only that their buffer is empty, copy what
-they keep, make a task for each connect and accept, and leave the descriptor open until the
-next turn.  Descriptors are closed at once here.  That is safe since the loop calls off the
-handle of a reader or writer that is taken away, also one that this turn's poll has already
-made ready: an event of the old owner cannot reach a new one of the same number.
+asyncio transports are not used: they only report that their buffer is empty, copy buffered data,
+create a task for each connect and accept, and leave the descriptor open until the next iteration of
+the loop.  Here descriptors are closed at once.  That is safe, since the loop cancels the handle
+of a removed reader or writer even if the current poll has made it ready, so an event of the old
+stream cannot reach a new stream with the same descriptor number.
 """
 
 from __future__ import annotations
@@ -25,29 +25,31 @@
 if TYPE_CHECKING:
     from .sockets import SocketNetwork
 
-PEEK = int(socket.MSG_PEEK | socket.MSG_DONTWAIT)  # a flag of the enum is made anew each time
-AT_ONCE = struct.pack("ii", 1, 0)  # SO_LINGER: a close throws away what is not yet delivered
-JOINED = 8 * 1024  # bytes up to which copying parts is cheaper than gathering them
-GATHERED = 64  # parts of one system call; the kernel takes 1,024 at most
-UNDER_WAY = frozenset({errno.EINPROGRESS, errno.EAGAIN, errno.EINTR, errno.EALREADY})
+PEEK = int(
+    socket.MSG_PEEK | socket.MSG_DONTWAIT
+)  # int: combining enum flags creates a new object each time
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER 0: close discards undelivered data
+MAX_JOINED = 8 * 1024  # bytes; up to here joining parts is cheaper than sendmsg
+MAX_GATHERED = 64  # parts of one sendmsg; the kernel's limit is 1,024
+CONNECT_PENDING_ERRNOS = frozenset({errno.EINPROGRESS, errno.EAGAIN, errno.EINTR, errno.EALREADY})
 
 
 class SocketStream:
-    """One connection on a socket of its own."""
+    """A stream on a socket of its own (see `interfaces.Stream`)."""
 
     __slots__ = (
-        "_broken",
+        "_connect_timer",
         "_connecting",
-        "_ends",
+        "_ending",
         "_first",
         "_handler",
-        "_limit",
         "_loop",
         "_net",
         "_parts",
         "_reading",
         "_socket",
-        "_within",
+        "_user_timeout_ms",
+        "_write_error",
         "closing",
         "descriptor",
         "unsent",
@@ -62,52 +64,52 @@
         self.descriptor = -1 if sock is None else sock.fileno()
         self.closing = False
         self.unsent = 0
-        self._parts: deque[Data] = deque()  # what the kernel has not taken
+        self._parts: deque[Data] = deque()  # data that the kernel has not taken
         self._reading = self._connecting = False
-        self._ends = False  # half-close, or close, once everything has been taken
-        self._broken: OSError | None = None  # of a write; what had come before it is read first
-        self._limit: asyncio.TimerHandle | None = None  # while connecting
+        self._ending = False  # half-close once all data has been taken
+        self._write_error: OSError | None = None  # of a write; received data is read first
+        self._connect_timer: asyncio.TimerHandle | None = None  # only while connecting
         self._first = first
-        self._within = 0  # ms, as the kernel was told
+        self._user_timeout_ms = 0  # ms; the current TCP_USER_TIMEOUT
         if first and sock is not None:
             net.turns.prefer(self.descriptor, True)
 
     # --- opening ---
     def begin(self, address: Address, time_limit: float) -> None:
-        """Connect; the outcome is told from the loop."""
+        """Start to connect; the outcome is reported from the event loop."""
         assert self._socket is not None
         self._connecting = True
-        number = self._socket.connect_ex((address.host, address.port))
-        if number == 0:
+        error_number = self._socket.connect_ex((address.host, address.port))
+        if error_number == 0:
             self._loop.call_soon(self._connected)
-        elif number in UNDER_WAY:
+        elif error_number in CONNECT_PENDING_ERRNOS:
             self._loop.add_writer(self.descriptor, self._connected)
-            self._limit = self._loop.call_later(time_limit, self._timed_out)
+            self._connect_timer = self._loop.call_later(time_limit, self._timed_out)
         else:
-            self.fail(OSError(number, os.strerror(number)))
+            self.fail(OSError(error_number, os.strerror(error_number)))
 
     def _connected(self) -> None:
         if self.closing or self._socket is None:
             return
         self._connecting = False
-        if self._limit is not None:
-            self._limit.cancel()
-            self._limit = None
+        if self._connect_timer is not None:
+            self._connect_timer.cancel()
+            self._connect_timer = None
             self._loop.remove_writer(self.descriptor)
-        number = self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        if number:
-            self.fail(OSError(number, os.strerror(number)))
+        error_number = self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if error_number:
+            self.fail(OSError(error_number, os.strerror(error_number)))
             return
         self.read()
-        self._guarded(self._handler.opened)
+        self._call_handler(self._handler.opened)
 
     def _timed_out(self) -> None:
-        self._limit = None
+        self._connect_timer = None
         self.fail(OSError(errno.ETIMEDOUT, os.strerror(errno.ETIMEDOUT)))
 
     # --- reading ---
     def read(self) -> None:
-        """Begin to read."""
+        """Start reading."""
         if not self._reading and not self.closing and not self._connecting:
             self._reading = True
             self._loop.add_reader(self.descriptor, self._readable)
@@ -115,8 +117,8 @@
     def pause(self) -> None:
         if self._reading:
             self._reading = False
-            if self._broken is not None:  # only reading would have told of it
-                self.fail(self._broken)
+            if self._write_error is not None:  # otherwise reported only after reading
+                self.fail(self._write_error)
             else:
                 self._loop.remove_reader(self.descriptor)
 
@@ -136,8 +138,8 @@
         try:
             if count:
                 handler.received(count)
-            elif self._broken is not None:
-                self.fail(self._broken)
+            elif self._write_error is not None:
+                self.fail(self._write_error)
             else:
                 self._reading = False
                 self._loop.remove_reader(self.descriptor)
@@ -151,7 +153,7 @@
         return int(self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF))
 
     def no_pending_input(self) -> bool:
-        if self._socket is None or self.closing or self._broken is not None:
+        if self._socket is None or self.closing or self._write_error is not None:
             return False
         try:
             self._socket.recv(1, PEEK)
@@ -165,12 +167,12 @@
         return self._socket is not None and self._net.hung_up(self._socket)
 
     def deliver_within(self, seconds: float) -> None:
-        within = max(1, round(seconds * 1000.0)) if seconds else 0
-        if within == self._within or self._socket is None:
+        timeout_ms = max(1, round(seconds * 1000.0)) if seconds else 0
+        if timeout_ms == self._user_timeout_ms or self._socket is None:
             return
-        self._within = within
-        with contextlib.suppress(OSError):  # it is a second line: the owner's timer is the first
-            self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, within)
+        self._user_timeout_ms = timeout_ms
+        with contextlib.suppress(OSError):  # a second safeguard: the owner has a timer of its own
+            self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
 
     def delivered(self) -> bool:
         return (
@@ -181,7 +183,7 @@
     def write(self, data: Data) -> bool:
         sock = self._socket
         if self.unsent or sock is None or self.closing:
-            return self._keep(data)
+            return self._queue(data)
         try:
             taken = sock.send(data)
         except (BlockingIOError, InterruptedError):
@@ -198,32 +200,32 @@
         return False
 
     def write_all(self, parts: Sequence[Data]) -> bool:
-        if sum(map(len, parts)) <= JOINED:
+        if sum(map(len, parts)) <= MAX_JOINED:
             return self.write(b"".join(parts))
         if self.unsent or self._socket is None or self.closing:
             for part in parts:
-                self._keep(part)
+                self._queue(part)
             return False
         self._parts.extend(parts)
         self.unsent = sum(map(len, parts))
         self._send()
-        if self.unsent and not self.closing and self._broken is None:
+        if self.unsent and not self.closing and self._write_error is None:
             self._loop.add_writer(self.descriptor, self._writable)
         return not self.unsent
 
-    def _keep(self, data: Data) -> bool:
-        """Behind what waits; after the end it only counts as not taken."""
+    def _queue(self, data: Data) -> bool:
+        """Append data to the buffer; after the end, only count it as unsent."""
         self.unsent += len(data)
-        if not self.closing and self._broken is None:
+        if not self.closing and self._write_error is None:
             self._parts.append(data)
         return False
 
     def _send(self) -> None:
-        """Hand over as much as the kernel takes now."""
+        """Send as much as the kernel takes now."""
         assert self._socket is not None
         parts = self._parts
         while parts:
-            offered = [parts[place] for place in range(min(len(parts), GATHERED))]
+            offered = [parts[place] for place in range(min(len(parts), MAX_GATHERED))]
             try:
                 taken = self._socket.sendmsg(offered)
             except (BlockingIOError, InterruptedError):
@@ -238,12 +240,12 @@
                 parts[0] = memoryview(parts[0])[taken:]
 
     def _write_failed(self, error: OSError) -> None:
-        """Nothing can be sent any more, but what had come before may still be unread."""
+        """Record a write error.  Data received before it is still read, if the stream reads."""
         self._parts.clear()
-        if self._broken is None:
-            self._broken = error
+        if self._write_error is None:
+            self._write_error = error
         if self._reading:
-            self._loop.remove_writer(self.descriptor)  # reading comes to the end, and tells it
+            self._loop.remove_writer(self.descriptor)  # reading reaches the end and reports it
         else:
             self.fail(error)
 
@@ -257,30 +259,30 @@
         if self.closing:
             self._finish(None)
             return
-        if self._ends:
-            self._shut()
+        if self._ending:
+            self._shutdown_write()
         if not self.closing:
-            self._guarded(self._handler.drained)
+            self._call_handler(self._handler.drained)
 
     # --- the end ---
     def end(self) -> None:
-        if self.closing or self._ends:
+        if self.closing or self._ending:
             return
-        self._ends = True
+        self._ending = True
         if not self.unsent:
-            self._shut()
+            self._shutdown_write()
 
-    def _shut(self) -> None:
+    def _shutdown_write(self) -> None:
         assert self._socket is not None
         try:
             self._socket.shutdown(socket.SHUT_WR)
-        except OSError as error:  # reset by the peer meanwhile
+        except OSError as error:  # reset by the peer
             self.fail(error)
 
     def close(self) -> None:
         if self.closing:
             return
-        if not self.unsent or self._broken is not None:
+        if not self.unsent or self._write_error is not None:
             self.abort()
             return
         self.closing = True
@@ -290,12 +292,12 @@
 
     def abort(self, discard: bool = False) -> None:
         if discard and self._socket is not None:
-            with contextlib.suppress(OSError):  # reset already: there is nothing to discard
-                self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, AT_ONCE)
+            with contextlib.suppress(OSError):  # already reset: nothing to discard
+                self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self._finish(None)
 
     def fail(self, error: OSError) -> None:
-        """End at once, for this reason."""
+        """End at once with `error`."""
         self._finish(error)
 
     def _finish(self, error: OSError | None) -> None:
@@ -304,9 +306,9 @@
             return
         self._socket = None
         self.closing, self._reading = True, False
-        if self._limit is not None:
-            self._limit.cancel()
-            self._limit = None
+        if self._connect_timer is not None:
+            self._connect_timer.cancel()
+            self._connect_timer = None
         self._loop.remove_reader(self.descriptor)
         self._loop.remove_writer(self.descriptor)
         if self._first:
@@ -316,14 +318,14 @@
         sock.close()
         self._loop.call_soon(self._handler.lost, error)
 
-    def lose(self, error: OSError) -> None:
-        """Never had a socket: told like any other end."""
+    def fail_without_socket(self, error: OSError) -> None:
+        """Report the end of a stream that never had a socket."""
         self.closing = True
         self._loop.call_soon(self._handler.lost, error)
 
-    def _guarded(self, told: Callable[[], None]) -> None:
+    def _call_handler(self, callback: Callable[[], None]) -> None:
         try:
-            told()
+            callback()
         except Exception as error:
             self._fault(error)
 
--- a/violetroute/transport/tls.py
+++ b/violetroute/transport/tls.py
@@ -1,7 +1,7 @@
-"""TLS over a stream of the seam, and keys that change in service.
+"""TLS over a stream of the transport interface, with certificates that can change in service.
 
-ssl.MemoryBIO keeps the protocol apart from the socket, so that this runs on any network that keeps
-the seam's promises.  Weighed: asyncio's own TLS, which needs its transports.
+ssl.MemoryBIO separates the protocol from the socket, so this runs on any implementation of the
+interface.  asyncio's TLS is not used, since it needs asyncio transports.
 """
 
 from __future__ import annotations
@@ -21,14 +21,17 @@
 from .interfaces import Data, Handler, Network, Stream
 
 READ_SIZE = 16 * 1024
-MAX_HELD = 256 * 1024  # bytes that are written before the handshake is done
+MAX_HELD = 256 * 1024  # bytes of data written before the handshake is done
 
 _shared = memoryview(bytearray(READ_SIZE))
 
 
 @dataclass(frozen=True, slots=True)
 class TlsFiles:
-    """Paths; without `ca` there is no TLS.  `name` is who the peer has to be, else its address."""
+    """Paths of PEM files; without `ca` there is no TLS.
+
+    `name`: the expected name in the peer's certificate; empty for the peer's address.
+    """
 
     ca: str = ""
     cert: str = ""
@@ -37,24 +40,26 @@
 
 
 class TlsKeys:
-    """The context that the files give, made anew when one of them changes.
+    """The TLS context of the files, loaded again when one of them changes.
 
-    Looked at with each connect: certificates last for hours, connections for seconds. Files that
-    can't be used, as in the midst of being replaced, leave the last good context in force.
+    The files are checked at each connect.  Unusable files, such as those being replaced, leave the
+    last good context in use.
     """
 
     def __init__(self, files: TlsFiles) -> None:
         self.files = files
         self._context: ssl.SSLContext | None = None
-        self._seen: tuple[object, ...] = ()
+        self._file_versions: tuple[object, ...] = ()
 
     def context(self) -> ssl.SSLContext:
-        """ValueError, naming the file, where there never was a good one."""
+        """The current context.  Raises ValueError, naming the file, if none was ever loaded."""
         try:
-            seen = tuple(_mark(path) for path in (self.files.ca, self.files.cert, self.files.key))
-            if self._context is None or seen != self._seen:
-                self._context = _loaded(self.files)
-                self._seen = seen
+            versions = tuple(
+                _file_version(path) for path in (self.files.ca, self.files.cert, self.files.key)
+            )
+            if self._context is None or versions != self._file_versions:
+                self._context = _load_context(self.files)
+                self._file_versions = versions
         except ValueError as error:
             if self._context is None:
                 raise
@@ -62,8 +67,8 @@
         return self._context
 
 
-def _mark(path: str) -> object:
-    """What differs when a file has been replaced or written."""
+def _file_version(path: str) -> object:
+    """A value that changes when the file is replaced or written."""
     if not path:
         return None
     try:
@@ -73,8 +78,8 @@
     return stat.st_ino, stat.st_mtime_ns, stat.st_size
 
 
-def _loaded(files: TlsFiles) -> ssl.SSLContext:
-    context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)  # verifies, and checks who the peer is
+def _load_context(files: TlsFiles) -> ssl.SSLContext:
+    context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)  # verifies the certificate and the host name
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     path = files.ca
     try:
@@ -88,15 +93,15 @@
 
 
 def _no_password() -> str:
-    """A key that is locked is refused: to be asked on a terminal would stop the daemon."""
+    """Reject an encrypted key: a password prompt on the terminal would block the daemon."""
     raise ValueError("the key is locked with a password")
 
 
 class TlsStream:
-    """One TLS connection to a peer: a Stream to its owner, the Handler of the stream below.
+    """A TLS client connection: a Stream to its owner, and the Handler of the TCP stream below.
 
-    `opened` is told once the peer has shown who it is; connect and handshake together have
-    `time_limit` seconds. What is written before goes out then, HELD_MOST bytes at most.
+    `opened` is called once the peer is verified; connect and handshake together have `time_limit`
+    seconds.  Data written before, up to MAX_HELD bytes, is sent then.
     """
 
     def __init__(
@@ -104,7 +109,7 @@
     ) -> None:
         self._handler, self._loop = handler, net.loop
         self._in, self._out = ssl.MemoryBIO(), ssl.MemoryBIO()
-        self._up = self._told = self._ended = self._paused = False
+        self._up = self._lost_reported = self._ended = self._paused = False
         self._error: OSError | None = None
         self._held: deque[bytes] = deque()
         self.closing = False
@@ -116,16 +121,16 @@
             )
         except (ValueError, OSError) as error:
             self._error = OSError(str(error))
-        self._below: Stream = net.connect(address, self, time_limit, first=True)
+        self._lower: Stream = net.connect(address, self, time_limit, first=True)
         if self._tls is None:
-            self._below.abort()
+            self._lower.abort()
         else:
-            self._limit = self._loop.call_later(time_limit, self._too_late)
+            self._limit = self._loop.call_later(time_limit, self._handshake_timed_out)
 
     # --- as a Stream ---
     @property
     def descriptor(self) -> int:
-        return self._below.descriptor
+        return self._lower.descriptor
 
     @descriptor.setter
     def descriptor(self, value: int) -> None:
@@ -133,7 +138,7 @@
 
     @property
     def unsent(self) -> int:
-        return self._below.unsent + sum(map(len, self._held))
+        return self._lower.unsent + sum(map(len, self._held))
 
     @unsent.setter
     def unsent(self, value: int) -> None:
@@ -159,48 +164,48 @@
         return self.write(b"".join(parts))
 
     def deliver_within(self, seconds: float) -> None:
-        self._below.deliver_within(seconds)
+        self._lower.deliver_within(seconds)
 
     def receive_buffer(self) -> int:
-        return self._below.receive_buffer()
+        return self._lower.receive_buffer()
 
     def pause(self) -> None:
         self._paused = True
-        self._below.pause()
+        self._lower.pause()
 
     def resume(self) -> None:
         self._paused = False
-        self._below.resume()
-        self._loop.call_soon(self._read)  # what had been decrypted before
+        self._lower.resume()
+        self._loop.call_soon(self._read)  # deliver data received before the pause
 
     def end(self) -> None:
-        """Says that nothing more is sent, in TLS as well as below."""
+        """Send the TLS close_notify, and half-close the stream below."""
         if self._up and not self.closing and self._tls is not None:
-            with contextlib.suppress(ssl.SSLError):  # the peer's own end is still to come
+            with contextlib.suppress(ssl.SSLError):  # the peer's close_notify has not arrived yet
                 self._tls.unwrap()
             self._flush()
-        self._below.end()
+        self._lower.end()
 
     def close(self) -> None:
-        self._over()
-        self._below.close()
+        self._mark_closed()
+        self._lower.close()
 
     def abort(self, discard: bool = False) -> None:
-        self._over()
-        self._below.abort(discard)
+        self._mark_closed()
+        self._lower.abort(discard)
 
     def delivered(self) -> bool:
-        return not self._held and self._below.delivered()
+        return not self._held and self._lower.delivered()
 
     def no_pending_input(self) -> bool:
-        return not self._in.pending and self._below.no_pending_input()
+        return not self._in.pending and self._lower.no_pending_input()
 
     def peer_ended(self) -> bool:
-        return self._below.peer_ended()
+        return self._lower.peer_ended()
 
     # --- as the Handler of the stream below ---
     def opened(self) -> None:
-        self._shake()
+        self._handshake()
 
     def buffer(self) -> memoryview:
         return _shared
@@ -208,7 +213,7 @@
     def received(self, count: int) -> None:
         self._in.write(_shared[:count])
         if not self._up:
-            self._shake()
+            self._handshake()
         if self._up:
             self._read()
 
@@ -217,20 +222,20 @@
         if not self._up:
             self._fail(OSError("ended in the midst of the handshake"))
         else:
-            self._read()  # tells the end behind the last that is to be read, also after a pause
+            self._read()  # reports the end after the remaining data, also after a pause
 
     def drained(self) -> None:
         if self._up:
             self._handler.drained()
 
     def lost(self, error: OSError | None) -> None:
-        self._over()
-        if not self._told:
-            self._told = True
+        self._mark_closed()
+        if not self._lost_reported:
+            self._lost_reported = True
             self._handler.lost(self._error or error)
 
     # --- the protocol ---
-    def _shake(self) -> None:
+    def _handshake(self) -> None:
         if self.closing or self._tls is None:
             return
         try:
@@ -239,7 +244,7 @@
             self._flush()
             return
         except ssl.SSLError as error:
-            self._flush()  # the alert that tells the peer why
+            self._flush()  # sends the TLS alert
             self._fail(error)
             return
         self._up = True
@@ -252,7 +257,7 @@
             self.write(data)
 
     def _read(self) -> None:
-        """Hand on what can be decrypted."""
+        """Pass decrypted data to the owner."""
         while self._up and not self.closing and not self._paused and not self._ended:
             assert self._tls is not None
             buffer = self._handler.buffer()
@@ -261,40 +266,40 @@
             except ssl.SSLWantReadError:
                 break
             except ssl.SSLZeroReturnError:
-                self._end_told()
+                self._report_end()
                 break
-            except ssl.SSLEOFError:  # no farewell: its owner knows whether it has all of it
-                self._end_told()
+            except ssl.SSLEOFError:  # no close_notify: the owner detects truncation
+                self._report_end()
                 break
             except ssl.SSLError as error:
                 self._fail(error)
                 break
             if not data:
-                self._end_told()
+                self._report_end()
                 break
             buffer[: len(data)] = data
             self._handler.received(len(data))
         self._flush()
 
-    def _end_told(self) -> None:
+    def _report_end(self) -> None:
         if not self._ended and not self.closing:
             self._ended = True
             self._handler.ended()
 
     def _flush(self) -> bool:
-        """What the protocol wants sent; whether the kernel has taken everything."""
+        """Send pending TLS records; return whether the kernel has taken all data."""
         if self._out.pending:
-            return self._below.write(self._out.read())
-        return not self._below.unsent
+            return self._lower.write(self._out.read())
+        return not self._lower.unsent
 
-    def _too_late(self) -> None:
+    def _handshake_timed_out(self) -> None:
         self._fail(OSError("no handshake in time"))
 
     def _fail(self, error: OSError) -> None:
         self._error = self._error or error
         self.abort()
 
-    def _over(self) -> None:
+    def _mark_closed(self) -> None:
         self.closing = True
         self._held.clear()
         if self._limit is not None:
--- a/violetroute/transport/writer.py
+++ b/violetroute/transport/writer.py
@@ -1,4 +1,4 @@
-"""One thread beside the loop that does what blocks, one job at a time."""
+"""A thread for blocking work, such as file writes, which runs one job at a time."""
 
 from __future__ import annotations
 
@@ -11,20 +11,21 @@
 
 T = TypeVar("T")
 Job = Callable[[], T]
-Told = Callable[[T | None, BaseException | None], None]
+JobCallback = Callable[[T | None, BaseException | None], None]
 
 
 class Writer(Protocol):
-    """Does a job elsewhere and tells the loop what came of it.  One at a time is the caller's."""
+    """Runs blocking jobs off the event loop.  The caller submits one job at a time."""
 
-    def submit(self, job: Job[T], told: Told[T]) -> None: ...
+    def submit(self, job: Job[T], callback: JobCallback[T]) -> None:
+        """Run the job, then call `callback` on the event loop with its result or exception."""
 
     def close(self, wait_s: float) -> None:
-        """No job is begun any more; waits so long for the one under way."""
+        """Start no further job; wait up to `wait_s` seconds for the current one."""
 
 
 class ThreadWriter:
-    """A daemon thread: one that hangs in a write keeps no process from ending."""
+    """Runs jobs in a daemon thread, so that a hanging write does not keep the process alive."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -32,16 +33,16 @@
         self._thread = threading.Thread(target=self._run, name="writer", daemon=True)
         self._thread.start()
 
-    def submit(self, job: Job[T], told: Told[T]) -> None:
+    def submit(self, job: Job[T], callback: JobCallback[T]) -> None:
         def work() -> None:
             result: T | None = None
             failure: BaseException | None = None
             try:
                 result = job()
-            except Exception as error:  # also of ours: it is told, and the thread lives
+            except Exception as error:  # passed to the callback; the thread goes on
                 failure = error
-            with contextlib.suppress(RuntimeError):  # the loop has ended
-                self._loop.call_soon_threadsafe(told, result, failure)
+            with contextlib.suppress(RuntimeError):  # the event loop is closed
+                self._loop.call_soon_threadsafe(callback, result, failure)
 
         self._jobs.put(work)
 
--- a/violetroute/turn_log.py
+++ b/violetroute/turn_log.py
@@ -1,4 +1,4 @@
-"""Tells the log of long turns of the event loop, and what they were busy with."""
+"""Logs long iterations of the event loop, and what they were busy with."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class LongTurnLog:
-    """`open_requests`: those that wait for the turn."""
+    """Logs each long iteration with the number of `open_requests`, which had to wait for it."""
 
     def __init__(self, turns: Turns, open_requests: Sized) -> None:
         self._turns, self._open = turns, open_requests
         self._turn, self._work = 0, ""
         turns.call_on_long_turn(self._was_long)
 
-    def doing(self, work: str) -> None:
-        """What this turn does beside requests."""
+    def note_work(self, work: str) -> None:
+        """Note what this iteration does other than serve requests, for its log line."""
         self._turn, self._work = self._turns.count, work
 
     def _was_long(self, seconds: float) -> None:
--- a/violetroute/upstream/__init__.py
+++ b/violetroute/upstream/__init__.py
@@ -1,4 +1,4 @@
-"""Connections to cache nodes: pools, attempts, their outcomes."""
+"""Connections to cache nodes: the pool, its connections, attempts and their outcomes."""
 
 from .attempt import Attempt, AttemptOwner
 from .pool import Pool
--- a/violetroute/upstream/attempt.py
+++ b/violetroute/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""One try of one request at one node, and who is told how it ended."""
+"""Attempts to serve a request at a cache node, and the interface that receives their outcomes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Attempt:
-    """One try of one request at one node, from the module's Send to its one outcome."""
+    """One attempt of a request at one node, from the balancer's Send to its single outcome."""
 
     __slots__ = (
         "asking",
@@ -41,23 +41,26 @@
     ) -> None:
         self.request_id, self.number, self.cache_id = request_id, number, cache_id
         self.command = command
-        self.sent_at, self.wait_until = sent_at, wait_until  # ms on the module's clock
+        self.sent_at, self.wait_until = sent_at, wait_until  # Unix ms, the balancer's clock
         self.connection: NodeConnection | None = None
         self.ended = False
         self.asking = asking  # follows an ASK redirection
-        self.deliver_by = deliver_by  # ms on the same clock; its node has it then, or never; 0: any
+        # The node must have the command by this time (Unix ms) or never get it; 0: no bound.
+        self.deliver_by = deliver_by
 
 
 class AttemptOwner(Protocol):
-    """What the pool knows of the proxy."""
+    """Receives the outcomes of attempts; the proxy, as the pool sees it."""
+
+    def clock(self) -> float:
+        """Unix milliseconds; never steps back."""
 
-    def clock(self) -> float: ...
     def may_send(self, attempt: Attempt) -> bool:
-        """Whether it may still begin.  Asked right before its first byte, and nowhere else.
+        """Whether the attempt may still be sent.  Called only right before its first byte is sent.
 
-        Between the module's Send and that byte lie a wait for a connection, or a turn of the loop
-        that came late: its client may have left, its time or its window be over, another attempt
-        have answered.
+        After the balancer's Send, the attempt may have waited for a connection or for a late loop
+        iteration.  Meanwhile its client may have disconnected, its time or its delivery window may
+        have expired, or another attempt may have answered.
         """
 
     def attempt_ended(
@@ -68,4 +71,5 @@
         hit: bool | None = None,
         report: dict[str, float] | None = None,
         redirect: Redirect | None = None,
-    ) -> None: ...
+    ) -> None:
+        """Take the attempt's outcome, with the value, cache hit, load report or redirect."""
--- a/violetroute/upstream/connection.py
+++ b/violetroute/upstream/connection.py
@@ -1,7 +1,7 @@
-"""One connection to a cache node, with at most one attempt on it.
+"""A connection to a cache node, which carries at most one attempt at a time.
 
-Answers come in order and giving an attempt up means closing its connection, so sharing
-one would make a slow answer, or the end of a late one, everybody's trouble.
+A node answers the commands of a connection in order, and an attempt is given up by closing its
+connection.  On a shared connection, one slow or abandoned attempt would delay or fail the others.
 """
 
 from __future__ import annotations
@@ -20,37 +20,38 @@
 if TYPE_CHECKING:
     from .pool import Node, Pool
 
-READ_SIZE = 72 * 1024  # bytes read at once, into a buffer that all share: the longest reply
+READ_SIZE = 72 * 1024  # bytes; fits the longest reply; all connections share the buffer
 
-KERNEL_LATE = 0.5  # s by which the kernel's clock may be late in calling a command off
+KERNEL_TIMEOUT_LAG = 0.5  # s by which the kernel may exceed TCP_USER_TIMEOUT
 
-ERRORS = {b"BUSY": Result.FULL, b"ERR": Result.ERROR}
+ERROR_RESULTS = {b"BUSY": Result.FULL, b"ERR": Result.ERROR}
 CACHE_STATES = {b"hit": True, b"miss": False, b"pending": False}
 
 _shared = memoryview(bytearray(READ_SIZE))
 
 
 class NodeConnection:
-    """One connection to a cache node, with at most one attempt on it."""
+    """A connection to a cache node: the handler of its stream, and the owner of its attempt."""
 
-    def __init__(self, pool: Pool, node: Node, wanted_by: Attempt | None) -> None:
+    def __init__(self, pool: Pool, node: Node, opened_for: Attempt | None) -> None:
         self._pool, self.node = pool, node
-        self.wanted_by = wanted_by  # the attempt for which it was opened
+        self.opened_for = opened_for  # the attempt for which it was opened
         self.attempt: Attempt | None = None
-        self.stream: Stream | None = None  # from the connect on, until it is lost
+        self.stream: Stream | None = None  # from connect until the connection is lost
         self.up = False
         self.idle_since = 0.0
-        self.answered_at = -math.inf  # a new one can have nothing behind an answer
-        self.idle_for = 0.0  # before the attempt at hand
-        self.used = False  # has given an answer
-        self.retired = False  # its node left the list or moved: no further attempt
-        self._asking = False  # the answer to ASKING is still to come
+        self.answered_at = -math.inf  # loop time of the last answer
+        self.idle_for = 0.0  # s before the current attempt
+        self.used = False  # has answered, and the next answer has not begun
+        self.retired = False  # its node was removed: no further attempt
+        self._asking = False  # the reply to ASKING is outstanding
         self._decoder = resp.Decoder()
         self._reply = resp.Reply()
-        self._patience: asyncio.TimerHandle | None = None  # with an answer that has begun
+        self._reply_timer: asyncio.TimerHandle | None = None  # bounds a reply that has begun
 
     # --- stream ---
     def opened(self) -> None:
+        """Mark the connection usable and offer it to the pool."""
         self.up = True
         self._pool.opened(self)
 
@@ -58,25 +59,27 @@
         return _shared
 
     def received(self, count: int) -> None:
-        if self.attempt is None:  # speaks unasked: what comes next could be anyone's
+        if self.attempt is None:  # unsolicited data could pass for the next answer
             self._pool.unsolicited_data(self)
             self.close()
             return
         if self.used:
-            self.used = False  # until the answer is whole
-            self._pool.reused(self, broken=False)
+            self.used = False  # until this answer is complete
+            self._pool.record_reuse(self, broken=False)
         self._decoder.feed(_shared[:count])
         try:
             self._read()
         except resp.ProtocolError:
-            self._spoilt()
-        # What answers ASKING is no beginning of the answer: that may take its time.
+            self._fail_malformed()
+        # The reply to ASKING does not start the timer: the real answer has not begun.
         begun = not (self._asking or (self._reply.untouched and self._decoder.idle))
-        if self.attempt is not None and self._patience is None and begun:
-            self._patience = self._pool.loop.call_later(self._pool.limits.reply_s, self._spoilt)
+        if self.attempt is not None and self._reply_timer is None and begun:
+            self._reply_timer = self._pool.loop.call_later(
+                self._pool.limits.reply_s, self._fail_malformed
+            )
 
     def ended(self) -> None:
-        """Nothing more will come; what is left of a command must not go there either."""
+        """Close at the peer's end of data, so that the rest of a command is not sent either."""
         self._end()
 
     def lost(self, error: OSError | None) -> None:
@@ -88,22 +91,24 @@
 
     def _end(self) -> None:
         if self.attempt is not None:
-            self._break(Result.RESET if self.fully_sent else Result.NO_CONNECTION)
+            self._fail_attempt(Result.RESET if self.fully_sent else Result.NO_CONNECTION)
         self.close()
 
     # --- one attempt ---
     def run(self, attempt: Attempt) -> None:
+        """Send the attempt's command on this idle connection."""
         self.attempt, attempt.connection = attempt, self
         self.idle_for = self._pool.loop.time() - self.idle_since
         self._reply, self._asking = resp.Reply(), attempt.asking
         now = self._pool.sink.clock()
         parts = attempt.command.encode(attempt.wait_until - now)
         assert self.stream is not None
-        # Found by exploration: a path was cut as the process stood, and healed before it went on;
-        # a keyed command arrived long after its repeat had run. No timer of ours runs then.
+        # Found by exploration: the network path failed while the process was paused, and recovered
+        # before it resumed.  A keyed command then arrived long after its repeat had run.  No timer
+        # of this process runs during a pause, so the kernel bounds the delivery too.
         left = (attempt.deliver_by - now) / 1000.0
         self.stream.deliver_within(
-            max(left / 2.0, left - KERNEL_LATE, 0.001) if attempt.deliver_by else 0.0
+            max(left / 2.0, left - KERNEL_TIMEOUT_LAG, 0.001) if attempt.deliver_by else 0.0
         )
         if attempt.asking:
             parts.insert(0, ASKING)
@@ -114,11 +119,11 @@
 
     @property
     def fully_sent(self) -> bool:
-        """The kernel has taken the last byte: from here on the command may run."""
+        """Whether the kernel has taken the last byte of the command, so that it may run."""
         return self.stream is not None and not self.stream.unsent
 
     def _read(self) -> None:
-        if self._asking:  # its own answer comes first
+        if self._asking:  # ASKING is answered before the command
             token = self._decoder.next()
             if token is None:
                 return
@@ -134,33 +139,32 @@
             if self._reply.whole:
                 self._complete()
 
-    def _spoilt(self) -> None:
-        """What came is no answer, or does not come to its end.
+    def _fail_malformed(self) -> None:
+        """End the attempt whose reply is malformed or stops before its end.
 
-        Guards against noise, lines and lengths that are wrong, values over the bound and
-        answers that stop half way; also against a node that hangs while it answers.  The
-        request has run and only this connection is of no use: told as a reset, it would
-        count against the node, though such answers can come from any alike.  A value that
-        was whole before the trouble began is as good as ever.  Harm: on a network that
-        stalls for longer than `reply_s` within one answer good ones are thrown away.
+        This covers noise, invalid lines and lengths, values over the size limit, partial replies
+        and a node that hangs during its reply.  The request has run.  The result is not RESET,
+        which would count against the node, since any node can send such replies.  A value that
+        was complete before the error is used.  Drawback: on a network that stalls for longer than
+        `reply_s` within one reply, good replies are discarded.
         """
         if self.attempt is None:
             return
         if self.fully_sent and self._reply.valued:
             self._complete(clean=False)
         else:
-            self._break(Result.SPOILT)
+            self._fail_attempt(Result.SPOILT)
 
     def _complete(self, clean: bool = True) -> None:
         attempt, reply = self.attempt, self._reply
         assert attempt is not None
-        behind = not self._decoder.idle
-        clean = clean and self.fully_sent and not behind
-        self._leave()
+        extra_bytes = not self._decoder.idle
+        clean = clean and self.fully_sent and not extra_bytes
+        self._detach_attempt()
         self.used = True
         if clean:
             self._pool.release(self)
-        else:  # bytes behind an answer, or an answer ahead of its command
+        else:  # extra bytes after the answer, or an answer before the command was sent
             self.close()
         if reply.line is None:
             how, load = (*reply.extras, None, None)[:2]
@@ -182,59 +186,63 @@
                 return
             if word in NOT_RUN:
                 word = b"BUSY"
-        result = ERRORS.get(word, Result.SPOILT)  # another word may be anything
-        if result is Result.FULL and behind:
-            # Half a line that crossed our command, with the real answer behind it, reads like this;
-            # taken for a refusal it proves that nothing has run.  Harm: a refusal sent twice, of
-            # what may not be repeated, is told as failed.
+        result = ERROR_RESULTS.get(word, Result.SPOILT)  # an unknown error code proves nothing
+        if result is Result.FULL and extra_bytes:
+            # A partial stray line received while the command was being sent, followed by the real
+            # answer, looks like this.  A refusal would mean that the command has not run, so the
+            # reply counts as malformed.  Drawback: an unsafe request whose refusal is sent twice is
+            # reported as failed.
             result = Result.SPOILT
         report = resp.parse_report(rest.rpartition(b" ")[2]) if b"=" in rest else None
         self._pool.sink.attempt_ended(attempt, result, report=report)
 
-    def _leave(self) -> None:
+    def _detach_attempt(self) -> None:
         assert self.attempt is not None
         self.attempt.connection = None
         self.attempt = None
-        if self._patience is not None:
-            self._patience.cancel()
-            self._patience = None
+        if self._reply_timer is not None:
+            self._reply_timer.cancel()
+            self._reply_timer = None
 
-    def _break(self, result: Result) -> None:
-        """The attempt ends with its connection."""
+    def _fail_attempt(self, result: Result) -> None:
+        """Close the connection and report `result` for its attempt."""
         attempt = self.attempt
         assert attempt is not None
         if self.used and result is not Result.SPOILT:
-            self._pool.reused(self, broken=True)
-        self._leave()
+            self._pool.record_reuse(self, broken=True)
+        self._detach_attempt()
         self.close(discard=True)
         self._pool.sink.attempt_ended(attempt, result)
 
     def give_up(self) -> None:
-        """Called off or out of time: late bytes must never reach another attempt."""
-        self._leave()
+        """Close the connection of a cancelled or expired attempt.
+
+        The connection is not reused: late bytes must never reach another attempt.
+        """
+        self._detach_attempt()
         self.close(discard=True)
 
-    def end_unsent(self) -> None:
-        """Its node drains: a command that is not yet whole there must not become so."""
+    def abort_if_unsent(self) -> None:
+        """Fail an attempt whose command is not fully sent, since its node was removed."""
         if not self.fully_sent:
-            self._break(Result.NO_CONNECTION)
+            self._fail_attempt(Result.NO_CONNECTION)
 
     def no_pending_input(self) -> bool:
-        """Nothing stands unread behind the last answer.
+        """Whether no data and no close of the node are unread after the last answer.
 
-        Guards against a second copy, noise or the node's close that has come but was not
-        yet read: the next request's answer would be taken from it.  Asked of the kernel,
-        since the loop tells of it only in its next turn.
+        Unread data, such as noise or a second copy of the answer, would be taken for the next
+        request's answer.  The check asks the kernel, since the event loop reports the data only
+        in its next iteration.
         """
         return self.stream is not None and self.stream.no_pending_input()
 
     def close(self, discard: bool = False) -> None:
-        """`discard` with a command on its way, which must not arrive any more.
+        """Close the connection; with `discard`, a command in flight must not arrive any more.
 
-        Guards against a path that is cut and heals: the kernel would deliver the command
-        seconds later, a keyed one outside its window and to a node that drains by now.  Harm:
-        the node sees a reset where it would have seen an end.
+        Without `discard`, the kernel would deliver the command seconds later, once a failed path
+        recovers: a keyed command outside its repeat window, or to a node that drains by then.
+        Drawback: the node sees a reset instead of an end of data.
         """
-        # Not the stream's close(): that would go on writing what is left of a command.
+        # Stream.close() would go on writing the rest of the command.
         if self.stream is not None:
             self.stream.abort(discard)
--- a/violetroute/upstream/pool.py
+++ b/violetroute/upstream/pool.py
@@ -1,4 +1,4 @@
-"""All connections to cache nodes: a pool for each node, bounded in total and for each."""
+"""The pool of connections to cache nodes, bounded in total and for each node."""
 
 from __future__ import annotations
 
@@ -12,17 +12,15 @@
 from .attempt import Attempt, AttemptOwner
 from .connection import NodeConnection
 
-IDLE_TIME_SHARE = 0.6  # of the node's own idle time; a request must never meet its close
-AGE_BOUNDS = (0.01, 0.03, 0.1, 0.2, 0.5, 1.0, 2.0)  # s; idle times that are judged apart
-AGE_GAIN = 0.1  # of one more reuse at an age
-AGE_DECAY_TIME = 10.0  # s over which what is known of an age fades, so that it is tried again
-MAX_BREAK_SHARE = 0.1  # share of reuses that may break before connections of this age are closed
-MIN_QUIET_TIME = 0.002  # s after an answer in which what belongs to no request would come, at least
-MAX_QUIET_TIME, QUIET_TIME_FACTOR = (
-    0.1,
-    2.0,
-)  # s learned at most; times the latest that was seen lately
-SWEEP_INTERVAL = 0.5  # s between looks at idle connections
+IDLE_TIME_SHARE = 0.6  # of the node's idle timeout, so that no request meets its close
+AGE_BOUNDS = (0.01, 0.03, 0.1, 0.2, 0.5, 1.0, 2.0)  # s; upper bounds of the idle-time buckets
+AGE_LEARNING_RATE = 0.1  # weight of one reuse in its bucket's break share
+AGE_DECAY_TIME = 10.0  # s; a break share decays, so that its bucket is tried again
+MAX_BREAK_SHARE = 0.1  # share of broken reuses at which idle connections are closed
+MIN_QUIET_TIME = 0.002  # s without reuse after an answer, in case stray data follows it
+# The quiet time follows the recent delay of stray data: at most 0.1 s, twice that delay.
+MAX_QUIET_TIME, QUIET_TIME_FACTOR = 0.1, 2.0
+SWEEP_INTERVAL = 0.5  # s between checks for expired idle connections
 DEFAULTS = Limits()
 
 
@@ -34,12 +32,15 @@
     def __init__(self, address: Address) -> None:
         self.address = address
         self.idle: list[NodeConnection] = []  # the most recently used last
-        self.open: dict[NodeConnection, None] = {}  # in the order of their opening
-        self.waiting: dict[Attempt, NodeConnection] = {}  # with what was opened for each
+        self.open: dict[NodeConnection, None] = {}  # a set in order of opening
+        self.waiting: dict[Attempt, NodeConnection] = {}  # and the connection opened for each
 
 
 class Pool:
-    """All connections to cache nodes, bounded in total and for each node."""
+    """Opens, reuses and closes connections to cache nodes.
+
+    `limit`: connections in total.  Timeouts are in seconds.
+    """
 
     def __init__(
         self,
@@ -50,17 +51,18 @@
         idle_timeout: float,
         limits: Limits = DEFAULTS,
     ) -> None:
-        self.limits = limits  # may be replaced at any time
-        self.follows_redirects = False  # redirections are understood; likewise
+        self.limits = limits  # replaced on reload
+        self.follows_redirects = False  # whether cluster redirects are parsed; replaced on reload
         self.sink, self._net, self.loop = sink, net, net.loop
         self._limit = limit
         self.configure(connect_timeout, idle_timeout)
-        # By age, the share of reuses that broke, and when it was last learned.
-        self._lost = [(0.0, 0.0)] * (len(AGE_BOUNDS) + 1)
-        self._stray, self._stray_at = 0.0, 0.0  # how late one came that nobody waited for, and when
+        # For each idle-time bucket: the share of broken reuses, and its last update (loop time).
+        self._break_shares = [(0.0, 0.0)] * (len(AGE_BOUNDS) + 1)
+        # The recent longest delay (s) of unsolicited data after an answer, and its loop time.
+        self._stray_delay, self._stray_seen_at = 0.0, 0.0
         self._nodes: dict[int, Node] = {}
         self._open: dict[NodeConnection, None] = {}
-        self._sweeping = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
+        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     @classmethod
     def of(cls, sink: AttemptOwner, net: Network, config: Config) -> Pool:
@@ -70,17 +72,17 @@
         return pool
 
     def reload(self, config: Config) -> None:
-        """Take on what may change while connections are open: not their number."""
+        """Apply the settings that may change while in service; the total limit does not."""
         self.limits, self.follows_redirects = config.limits, config.operator.cluster.follow
         self.configure(config.connect_timeout, config.idle_timeout)
 
     def configure(self, connect_timeout: float, idle_timeout: float) -> None:
-        """What the settings say of cache nodes' connections; holds for those that are open, too."""
+        """Set the timeouts in seconds; the idle timeout applies to open connections too."""
         self._connect_timeout, self._idle_for = connect_timeout, idle_timeout * IDLE_TIME_SHARE
 
     # --- the list ---
     def place(self, cache_id: int, address: Address) -> None:
-        """A node is listed here, and nowhere else: the one before it was removed."""
+        """Add a node at its address.  If the node has moved, the caller has removed it before."""
         if cache_id not in self._nodes:
             self._nodes[cache_id] = Node(address)
 
@@ -89,7 +91,7 @@
         return None if node is None else node.address
 
     def remove(self, cache_id: int) -> None:
-        """Nothing new goes to this node, not even what waits for a connection to it."""
+        """Remove a node; attempts that are waiting or not fully sent end with NO_CONNECTION."""
         node = self._nodes.pop(cache_id, None)
         if node is None:
             return
@@ -101,7 +103,7 @@
             if connection.attempt is None:
                 self._discard(connection)
             else:
-                connection.end_unsent()
+                connection.abort_if_unsent()
 
     def ids(self) -> list[int]:
         return list(self._nodes)
@@ -116,7 +118,7 @@
         quiet_time = self._quiet_time(now)
         while node.idle:
             connection = node.idle[-1]
-            if now - connection.answered_at < quiet_time:  # the last used: look behind it
+            if now - connection.answered_at < quiet_time:  # the most recently used: try the oldest
                 connection = node.idle[0]
                 if now - connection.answered_at < quiet_time:
                     break
@@ -131,8 +133,8 @@
                     self._fail(attempt, Result.NEVER_SENT)
                 return
             self._discard(connection)
-        if len(self._open) >= self._limit and not self._close_an_idle_one():
-            self._fail(attempt, Result.NEVER_SENT)  # no socket is left to ask with
+        if len(self._open) >= self._limit and not self._close_oldest_idle():
+            self._fail(attempt, Result.NEVER_SENT)  # the socket limit is reached
             return
         connection = NodeConnection(self, node, attempt)
         node.waiting[attempt] = connection
@@ -143,18 +145,18 @@
         )
 
     def give_up(self, attempt: Attempt) -> bool:
-        """Nothing of it may come back; whether it can have run."""
+        """Abandon an attempt without an outcome; return whether it may have run."""
         if attempt.connection is not None:
             may_have_run = attempt.connection.fully_sent
             attempt.connection.give_up()
             return may_have_run
         node = self._nodes.get(attempt.cache_id)
         if node is not None:
-            node.waiting.pop(attempt, None)  # what is being opened for it will find use
+            node.waiting.pop(attempt, None)  # its connection serves another attempt
         return False
 
     def delivered(self, attempt: Attempt) -> bool:
-        """Whether its node has the whole command, as far as its kernel has said so."""
+        """Whether the node's kernel has acknowledged the whole command."""
         connection = attempt.connection
         return (
             connection is not None
@@ -163,50 +165,50 @@
         )
 
     def _fail(self, attempt: Attempt, result: Result) -> None:
-        # Later, not from within the module's own action.
+        # Deferred, so that an outcome is not reported while the balancer's actions are performed.
         self.loop.call_soon(self.sink.attempt_ended, attempt, result)
 
     # --- connections ---
-    def reused(self, connection: NodeConnection, broken: bool) -> None:
-        """Whether the first sign on a kept connection was a byte of an answer or its end."""
+    def record_reuse(self, connection: NodeConnection, broken: bool) -> None:
+        """Record whether a reused connection broke before the first byte of an answer."""
         place = bisect_right(AGE_BOUNDS, connection.idle_for)
-        share, _ = self._lost[place]
-        self._lost[place] = share + AGE_GAIN * (broken - share), self.loop.time()
+        share, _ = self._break_shares[place]
+        self._break_shares[place] = share + AGE_LEARNING_RATE * (broken - share), self.loop.time()
 
     def unsolicited_data(self, connection: NodeConnection) -> None:
-        """Something came on a free connection: how long after its last answer.
+        """Record how long after the last answer data came on an idle connection.
 
-        What comes later than QUIET_MOST, or where nothing was answered, is noise and no second
-        answer: a node that makes some would have all connections left alone.
+        Data later than MAX_QUIET_TIME, or before any answer, is noise and no second answer.  It is
+        ignored, or a node that sends noise would have no connection reused.
         """
         now = self.loop.time()
         age = now - connection.answered_at
         late = min(MAX_QUIET_TIME, QUIET_TIME_FACTOR * age)
-        if age <= MAX_QUIET_TIME and late > self._faded(now):
-            self._stray, self._stray_at = late, now
+        if age <= MAX_QUIET_TIME and late > self._decayed_stray_delay(now):
+            self._stray_delay, self._stray_seen_at = late, now
 
-    def _faded(self, now: float) -> float:
-        return self._stray * math.exp((self._stray_at - now) / AGE_DECAY_TIME)
+    def _decayed_stray_delay(self, now: float) -> float:
+        return self._stray_delay * math.exp((self._stray_seen_at - now) / AGE_DECAY_TIME)
 
     def _quiet_time(self, now: float) -> float:
-        """s for which a connection is left alone after an answer.
+        """Seconds for which a connection is not reused after an answer.
 
-        Guards against second answers, which would be given to the next request: no byte tells them
-        apart, and 1.6 to 3.5 ms after the first were measured on join+brink.  Weighed: 5 ms always
-        cost service where requests follow each other at once (site-lost 0.832 for 0.856).  Harm: a
-        connection more there, while it lasts.
+        A second answer would be given to the next request, since nothing in it identifies its
+        request; second answers came 1.6 to 3.5 ms after the first in the scenario join+brink.  A
+        fixed 5 ms lowered the score where requests follow each other at once (0.832 against 0.856
+        in the scenario site-lost).  Drawback: such traffic needs another connection meanwhile.
         """
-        return max(MIN_QUIET_TIME, self._faded(now))
+        return max(MIN_QUIET_TIME, self._decayed_stray_delay(now))
 
     def likely_alive(self, age: float, now: float) -> bool:
-        """Whether a connection that has been idle for so long is likely to be alive.
+        """Whether a connection that was idle for `age` seconds is likely still open.
 
-        Guards against nodes, or boxes between, that drop kept connections long before the
-        stated time and say so only when the next request comes.  Should also catch nodes
-        that close after a number of requests.  Harm: where all connections break alike,
-        new ones cost their handshake and break as well.
+        Nodes or middleboxes may drop idle connections long before the configured timeout, which
+        shows only when the next request is sent.  The check should also help with nodes that close
+        after a number of requests.  Drawback: if connections break regardless of their idle time,
+        new ones cost a handshake and break too.
         """
-        share, learned_at = self._lost[bisect_right(AGE_BOUNDS, age)]
+        share, learned_at = self._break_shares[bisect_right(AGE_BOUNDS, age)]
         return (
             age < self._idle_for
             and share * math.exp((learned_at - now) / AGE_DECAY_TIME) < MAX_BREAK_SHARE
@@ -221,7 +223,7 @@
         self._offer(connection)
 
     def release(self, connection: NodeConnection) -> None:
-        """Free after an answer: for who waits, once it has been quiet for a moment."""
+        """Take back a connection after an answer; waiting attempts get it after the quiet time."""
         node = connection.node
         if connection.retired or connection.stream is None or connection.stream.closing:
             connection.close()
@@ -234,16 +236,16 @@
             self._discard(node.idle[0])
 
     def _offer(self, connection: NodeConnection) -> None:
-        """To the attempt it was opened for, else to the one that waits longest, else idle."""
+        """Give an idle connection to the attempt it was opened for, else to the longest waiting."""
         node = connection.node
         if connection not in node.idle:
             return
         if not connection.no_pending_input():
-            self._discard(connection)  # whoever it was opened for hears of it from `closed`
+            self._discard(connection)  # `closed` fails the attempt that it was opened for
             return
-        wanted_by, connection.wanted_by = connection.wanted_by, None
+        opened_for, connection.opened_for = connection.opened_for, None
         while node.waiting:
-            attempt = wanted_by if wanted_by in node.waiting else next(iter(node.waiting))
+            attempt = opened_for if opened_for in node.waiting else next(iter(node.waiting))
             assert attempt is not None
             del node.waiting[attempt]
             if self.sink.may_send(attempt):
@@ -253,13 +255,13 @@
             self._fail(attempt, Result.NEVER_SENT)
 
     def closed(self, connection: NodeConnection) -> None:
-        """It is gone, or never came up."""
+        """Forget a connection that ended or could not be opened, and fail its waiting attempt."""
         node, connection.stream, connection.up = connection.node, None, False
         self._open.pop(connection, None)
         node.open.pop(connection, None)
         if connection in node.idle:
             node.idle.remove(connection)
-        attempt, connection.wanted_by = connection.wanted_by, None
+        attempt, connection.opened_for = connection.opened_for, None
         if attempt is not None and node.waiting.pop(attempt, None) is not None:
             self.sink.attempt_ended(attempt, Result.NO_CONNECTION)
 
@@ -268,28 +270,28 @@
             connection.node.idle.remove(connection)
         connection.close()
         if not connection.up:
-            self.closed(connection)  # now: who waits for it hears at once
+            self.closed(connection)  # fail the waiting attempt at once
 
-    def _idle(self) -> list[NodeConnection]:
-        """Of all nodes.  Costs by the connections that are open, however many nodes there are."""
+    def _idle_connections(self) -> list[NodeConnection]:
+        """The idle connections of all nodes, in time proportional to the open connections."""
         return [connection for connection in self._open if connection in connection.node.idle]
 
-    def _close_an_idle_one(self) -> bool:
-        oldest = min(self._idle(), key=lambda c: c.idle_since, default=None)
+    def _close_oldest_idle(self) -> bool:
+        oldest = min(self._idle_connections(), key=lambda c: c.idle_since, default=None)
         if oldest is None:
             return False
         self._discard(oldest)
-        self._open.pop(oldest, None)  # its descriptor is free, though it hears so later
+        self._open.pop(oldest, None)  # the descriptor is free before `closed` is called
         return True
 
     def _sweep(self) -> None:
-        self._sweeping = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
+        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
         now = self.loop.time()
-        for connection in self._idle():
+        for connection in self._idle_connections():
             if now - connection.idle_since >= self._idle_for:
                 self._discard(connection)
 
     def close(self) -> None:
-        self._sweeping.cancel()
+        self._sweep_timer.cancel()
         for connection in list(self._open):
             self._discard(connection)
