--- a/violetroute/admission.py
+++ b/violetroute/admission.py
@@ -33,7 +33,7 @@
         self.balancer, self._refusals = balancer, refusals
         self.classes: Mapping[str, RequestClass] = {}  # replaced on reload
 
-    def turned_away(self, command: Command, taken: int, waited: float) -> bytes | None:
+    def rejection(self, command: Command, taken: int, waited: float) -> bytes | None:
         """The BUSY reply for a rejected command, or None if it is admitted.
 
         For an admitted command, the time that it was readable but unread is deducted from
--- a/violetroute/listing.py
+++ b/violetroute/listing.py
@@ -18,7 +18,7 @@
 
 from . import logs
 from .membership import Entry, Listing, Places, as_member, stable_hash
-from .placement import Keeper, Like
+from .placement import ListedNode, PlanManager
 from .upstream import Pool
 
 NODES_PER_SLICE = 16  # nodes that enter service in one loop iteration: about 2 ms of CPU
@@ -169,10 +169,10 @@
         )
 
 
-def notify_placement(list_change: ListChange, whole: bool, keeper: Keeper) -> None:
+def notify_placement(list_change: ListChange, whole: bool, keeper: PlanManager) -> None:
     """Notify the placement plan of nodes that entered or left service.
 
     `whole`: set for the first list of the process.
     """
-    nodes = ((number, Like(e.instance, e.zone, e.kind)) for number, e in list_change.joining)
+    nodes = ((number, ListedNode(e.instance, e.zone, e.kind)) for number, e in list_change.joining)
     keeper.listed(whole, nodes, list_change.removed)
--- a/violetroute/proxy.py
+++ b/violetroute/proxy.py
@@ -15,8 +15,8 @@
     Cancel,
     Effect,
     Fail,
-    Judged,
     ListKind,
+    LoadSample,
     Member,
     Outcome,
     Refuse,
@@ -38,7 +38,7 @@
 from .listing import ListApplier, log_step, notify_placement
 from .loop_lag_probe import LoopLagProbe
 from .membership import Listing, Membership, Places, stable_hash
-from .placement import Keeper
+from .placement import PlanManager
 from .refusals import RefusalCounter
 from .requests import FAILED, OpenRequest, log_fault, refusal, service_time_ms
 from .resp import Command, CommandError
@@ -69,7 +69,7 @@
         self._turn_log = LongTurnLog(self._turns, self._open)
         self._refusals = RefusalCounter(loop)
         self._balancer = Balancer(config.settings, config.seed, self.clock())
-        self.judged = self._balancer.judged  # request outcomes, which sharing reports to peers
+        self.judged = self._balancer.load_samples  # sharing reports them to peers
         self._settings = config.settings
         self._estimate_log = EstimateLog(loop.time, self.places.name)
         self._classes = {c.name: c for c in config.settings.classes}
@@ -77,12 +77,12 @@
             loop, self._turns, self.clock, self._balancer, self.hooks, self._refusals
         )
         self._admission.classes = self._classes
-        self.turned_away = self._admission.turned_away  # call once for each command
+        self.rejection = self._admission.rejection  # call once for each command
         self._pool = Pool.of(self, net, config)
         self._slots = SlotMap()
         self._lists = ListApplier(loop, self.places, self._pool, self.clock, self._dispatch_members)
         self._watch = Membership(self, net, config.discovery, config.operator, self.clock)
-        self._placement = Keeper(loop, net.wall, self._dispatch_sizes)
+        self._placement = PlanManager(loop, net.wall, self._dispatch_sizes)
         self._placement.take(config.plan, config.operator.placement)
         self._apply_list(self._watch.known(config.known), ListKind.CACHED)
 
@@ -118,7 +118,9 @@
     # --- from clients ---
     def _log_estimates(self) -> None:
         balancer = self._balancer
-        self._estimate_log.update(balancer.unproven, balancer.gate.limit, balancer.fetches.limit)
+        self._estimate_log.update(
+            balancer.ejected, balancer.cache_limiter.limit, balancer.origin_limiter.limit
+        )
 
     def _on_pause(self, seconds: float) -> None:
         logs.event("daemon.paused", ms=round(seconds * 1000.0))
@@ -160,13 +162,13 @@
         )
         self._remove_if_finished(request)  # the balancer may have refused it at once
 
-    def gone(self, answer: Answer) -> None:
+    def client_gone(self, answer: Answer) -> None:
         """The client disconnected: send no answer and no further attempt."""
         request = answer.request
         if not isinstance(request, OpenRequest) or request.answered:
             return
         self._mark_answered(request)
-        self._dispatch(request, self._balancer.on_gone, request.id)
+        self._dispatch(request, self._balancer.on_client_gone, request.id)
         self._remove_if_finished(request)
 
     # --- from cache nodes ---
@@ -222,7 +224,7 @@
     def list_failed(self, silent: bool = False) -> None:
         """Report a failed list request; `silent`: an established watch became unresponsive."""
         self._dispatch(
-            None, self._balancer.on_list, ListKind.SILENT if silent else ListKind.FAILED, ()
+            None, self._balancer.on_list, ListKind.TIMED_OUT if silent else ListKind.FAILED, ()
         )
 
     def reload(self, config: Config) -> None:
@@ -255,9 +257,9 @@
         for on_list_change in self.hooks.on_list_change:
             on_list_change(members)
 
-    def others(self, bad: list[int], outcomes: list[Judged]) -> None:
+    def others(self, bad: list[int], outcomes: list[LoadSample]) -> None:
         """Pass on what peers report: unhealthy nodes and request outcomes."""
-        self._dispatch(None, self._balancer.on_others, bad, outcomes)
+        self._dispatch(None, self._balancer.on_peer_reports, bad, outcomes)
 
     def _dispatch_sizes(self, sizes: Mapping[int, float]) -> None:
         self._dispatch(None, self._balancer.on_sizes, sizes)
@@ -335,12 +337,11 @@
         self._pool.send(attempt)
 
     def may_send(self, attempt: Attempt) -> bool:
-        """Whether the attempt may be sent now (see `AttemptOwner.may_send`)."""
         request = self._open.get(attempt.request_id)
         return (
             request is not None
             and request.may_begin(attempt, self.clock())
-            and not (self._turns.reads_late(self._loop.time()) and request.answer.left())
+            and not (self._turns.reads_late(self._loop.time()) and request.answer.client_left())
         )
 
     def _timer(self, label: int) -> None:
@@ -368,7 +369,7 @@
         if not request.answered:
             log_fault(f"request {request.id} had no final answer at its deadline")
             self._answer(request, FAILED)
-            self._dispatch(request, self._balancer.on_gone, request.id)
+            self._dispatch(request, self._balancer.on_client_gone, request.id)
         self._remove_if_finished(request)
 
     def _end_overdue_hold(self, request: OpenRequest) -> None:
--- a/violetroute/upstream/connection.py
+++ b/violetroute/upstream/connection.py
@@ -72,7 +72,7 @@
         except resp.ProtocolError:
             self._fail_malformed()
         # The reply to ASKING does not start the timer: the real answer has not begun.
-        begun = not (self._asking or (self._reply.untouched and self._decoder.idle))
+        begun = not (self._asking or (self._reply.is_empty and self._decoder.idle))
         if self.attempt is not None and self._reply_timer is None and begun:
             self._reply_timer = self._pool.loop.call_later(
                 self._pool.limits.reply_s, self._fail_malformed
@@ -130,13 +130,13 @@
             if not isinstance(token, resp.Line) or token.kind != "+":
                 raise resp.ProtocolError("ASKING is not answered with a simple string")
             self._asking = False
-        if self._reply.untouched and (served := self._decoder.reply()) is not None:
-            self._reply.served(*served)
+        if self._reply.is_empty and (served := self._decoder.reply()) is not None:
+            self._reply.set_served(*served)
             self._complete()
             return
         while self.attempt is not None and (token := self._decoder.next()) is not None:
             self._reply.take(token)
-            if self._reply.whole:
+            if self._reply.complete:
                 self._complete()
 
     def _fail_malformed(self) -> None:
@@ -150,10 +150,10 @@
         """
         if self.attempt is None:
             return
-        if self.fully_sent and self._reply.valued:
+        if self.fully_sent and self._reply.has_value:
             self._complete(clean=False)
         else:
-            self._fail_attempt(Result.SPOILT)
+            self._fail_attempt(Result.MALFORMED)
 
     def _complete(self, clean: bool = True) -> None:
         attempt, reply = self.attempt, self._reply
@@ -181,18 +181,18 @@
             redirect = parse_redirect(reply.line.text, self.node.address)
             if redirect is not None:
                 self._pool.sink.attempt_ended(
-                    attempt, Result.ASKED if redirect.asks else Result.MOVED, redirect=redirect
+                    attempt, Result.ASK if redirect.is_ask else Result.MOVED, redirect=redirect
                 )
                 return
             if word in NOT_RUN:
                 word = b"BUSY"
-        result = ERROR_RESULTS.get(word, Result.SPOILT)  # an unknown error code proves nothing
+        result = ERROR_RESULTS.get(word, Result.MALFORMED)  # an unknown error code proves nothing
         if result is Result.FULL and extra_bytes:
             # A partial stray line received while the command was being sent, followed by the real
             # answer, looks like this.  A refusal would mean that the command has not run, so the
             # reply counts as malformed.  Drawback: an unsafe request whose refusal is sent twice is
             # reported as failed.
-            result = Result.SPOILT
+            result = Result.MALFORMED
         report = resp.parse_report(rest.rpartition(b" ")[2]) if b"=" in rest else None
         self._pool.sink.attempt_ended(attempt, result, report=report)
 
@@ -208,7 +208,7 @@
         """Close the connection and report `result` for its attempt."""
         attempt = self.attempt
         assert attempt is not None
-        if self.used and result is not Result.SPOILT:
+        if self.used and result is not Result.MALFORMED:
             self._pool.record_reuse(self, broken=True)
         self._detach_attempt()
         self.close(discard=True)
