--- a/tests/violetroute/test_own_load.py
+++ b/tests/violetroute/test_own_load.py
@@ -153,7 +153,7 @@
             one.process.send_signal(signal.SIGSTOP)
             await asyncio.sleep(0.4)  # the pause itself
             one.process.send_signal(signal.SIGCONT)
-            await one.logged("stood still")
+            await one.logged("the process was paused")
             for other_reader, _ in late:
                 assert (await read_answer(other_reader)).startswith(b"-BUSY")
             node.behaviour = serves
@@ -314,7 +314,7 @@
             connection = ClientConnection(rig.listener)
             rig.listener._slots_used += 1  # as if it had been accepted
             stream = Unread(connection)
-            connection.joined(stream)  # type: ignore[arg-type]
+            connection.accepted(stream)  # type: ignore[arg-type]
             for number in range(10 * rig.config.limits.depth):
                 if not stream.reading:
                     break
--- a/tests/violetroute/test_refusals.py
+++ b/tests/violetroute/test_refusals.py
@@ -82,7 +82,7 @@
     now[0] += 2 * LONG_TURN
     selector.select(0)
     assert said == [
-        ("daemon.long_turn", {"ms": 60, "note_work": "list of 640", "open": 2}),
-        ("daemon.long_turn", {"ms": 100, "note_work": "requests", "open": 2}),
+        ("daemon.long_turn", {"ms": 60, "doing": "list of 640", "open": 2}),
+        ("daemon.long_turn", {"ms": 100, "doing": "requests", "open": 2}),
     ]
     selector.close()
--- a/violetroute/transport/writer.py
+++ b/violetroute/transport/writer.py
@@ -19,6 +19,7 @@
 
     def submit(self, job: Job[T], callback: JobCallback[T]) -> None:
         """Run the job, then call `callback` on the event loop with its result or exception."""
+        ...
 
     def close(self, wait_s: float) -> None:
         """Start no further job; wait up to `wait_s` seconds for the current one."""
--- a/violetroute/upstream/attempt.py
+++ b/violetroute/upstream/attempt.py
@@ -54,6 +54,7 @@
 
     def clock(self) -> float:
         """Unix milliseconds; never steps back."""
+        ...
 
     def may_send(self, attempt: Attempt) -> bool:
         """Whether the attempt may still be sent.  Called only right before its first byte is sent.
@@ -73,3 +74,4 @@
         redirect: Redirect | None = None,
     ) -> None:
         """Take the attempt's outcome, with the value, cache hit, load report or redirect."""
+        ...
