--- a/violetroute/proxy.py
+++ b/violetroute/proxy.py
@@ -37,7 +37,7 @@
 from .hooks import EventHooks
 from .listing import ListApplier, log_step, notify_placement
 from .loop_lag_probe import LoopLagProbe
-from .membership import Listing, Membership, Places, stable_hash
+from .membership import Listing, Membership, NodeAddresses, stable_hash
 from .placement import PlanManager
 from .refusals import RefusalCounter
 from .requests import FAILED, OpenRequest, log_fault, refusal, service_time_ms
@@ -59,7 +59,7 @@
         self.clock = self._time.now
         self._open: dict[int, OpenRequest] = {}
         self._open_by_client_id: dict[bytes, OpenRequest] = {}  # only unanswered requests
-        self.places = Places()
+        self.places = NodeAddresses()
         self._last_id = 0
         self.deadlines = Deadlines(loop, self._deadline_expired, self._open)
         self._generation = 0
@@ -71,7 +71,7 @@
         self._balancer = Balancer(config.settings, config.seed, self.clock())
         self.judged = self._balancer.load_samples  # sharing reports them to peers
         self._settings = config.settings
-        self._estimate_log = EstimateLog(loop.time, self.places.name)
+        self._estimate_log = EstimateLog(loop.time, self.places.describe)
         self._classes = {c.name: c for c in config.settings.classes}
         self._admission = AdmissionCheck(
             loop, self._turns, self.clock, self._balancer, self.hooks, self._refusals
@@ -84,7 +84,7 @@
         self._watch = Membership(self, net, config.discovery, config.operator, self.clock)
         self._placement = PlanManager(loop, net.wall, self._dispatch_sizes)
         self._placement.take(config.plan, config.operator.placement)
-        self._apply_list(self._watch.known(config.known), ListKind.CACHED)
+        self._apply_list(self._watch.adopt_initial_list(config.known), ListKind.CACHED)
 
     @property
     def open_requests(self) -> int:
@@ -108,7 +108,7 @@
     @property
     def list_source(self) -> object:
         """The list source that is followed; a new object after `reload` changed discovery."""
-        return self._watch.followed
+        return self._watch.active_watch
 
     @property
     def generation(self) -> int:
@@ -157,7 +157,7 @@
                 key,
                 command.value is not None,
                 command.tenant,
-                self._slots.owner(command.key, self.places.at),
+                self._slots.owner(command.key, self.places.ready_node_at),
             ),
         )
         self._remove_if_finished(request)  # the balancer may have refused it at once
@@ -199,7 +199,7 @@
             self._slots.served(attempt.command.key, self._pool.address(attempt.cache_id))
         if redirect is not None:
             self._slots.learn(redirect)
-            to = None if redirect.address is None else self.places.at(redirect.address)
+            to = None if redirect.address is None else self.places.ready_node_at(redirect.address)
         self._dispatch(
             request,
             self._balancer.on_outcome,
@@ -239,7 +239,7 @@
             self._admission.classes = self._classes
             self._dispatch(None, self._balancer.on_settings, config.settings)
         self._placement.take(config.plan, config.operator.placement)
-        if self._watch.move(config.discovery, config.operator):
+        if self._watch.reconfigure(config.discovery, config.operator):
             self._generation = 0  # generations of two discovery services can't be compared
             self._dispatch(None, self._balancer.on_discovery_moved)
 
