--- a/tests/snowstall/test_rules.py
+++ b/tests/snowstall/test_rules.py
@@ -29,7 +29,7 @@
     Tenant,
     Timer,
 )
-from violetroute.membership.native import CALL_TIMEOUT, SILENCE
+from violetroute.membership.native import CALL_TIMEOUT, LINE_TIMEOUT
 
 ANSWER_TIME_S = 2.0  # longest time that discovery takes to answer a call that succeeds
 
@@ -424,7 +424,7 @@
         (first,) = balancer.on_list(2.0, ListKind.TIMED_OUT, ())
         assert isinstance(first, Timer)
         waits.append(first.delay / 1000.0)
-    assert SILENCE + max(waits) + ANSWER_TIME_S <= 6.0
+    assert LINE_TIMEOUT + max(waits) + ANSWER_TIME_S <= 6.0
     assert max(waits) > 0.9  # and a fleet doesn't call all at once
 
 
--- a/violetroute/ledger/post.py
+++ b/violetroute/ledger/post.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 
 from violetroute.transport import Network, parse_address
-from violetroute.transport.call import Call
+from violetroute.transport.http_call import HttpCall
 from violetroute.transport.tls import TlsKeys
 
 from .accounts import Batch
-from .export import Said, json_lines, key_of, said
+from .export import ExportResult, idempotency_key, interpret_response, json_lines
 from .store import compress
 from .table import LedgerTable
 
@@ -20,15 +20,15 @@
     keys: TlsKeys | None,
     batch: Batch,
     last: str,
-    done: Callable[[Said], None],
-) -> Call:
+    done: Callable[[ExportResult], None],
+) -> HttpCall:
     """One POST of the batch.  `last`: the key of the batch before it.
 
     `done` is called once with what the endpoint said, or with "again" if no answer came.
     """
     body = json_lines(batch)
     headers = {
-        "Idempotency-Key": key_of(batch),
+        "Idempotency-Key": idempotency_key(batch),
         "Ledger-After": f'"{last}"',
         "Content-Type": "application/x-ndjson",
     }
@@ -37,9 +37,9 @@
         headers["Content-Encoding"] = "zstd"
 
     def answered(status: int, told: dict[str, str], answer: bytes, why: str) -> None:
-        done(said(status, told, answer) if status else Said("again", why))
+        done(interpret_response(status, told, answer) if status else ExportResult("again", why))
 
-    return Call(
+    return HttpCall(
         net,
         parse_address(table.endpoint),
         keys,
--- a/violetroute/ledger/keeper.py
+++ b/violetroute/ledger/service.py
@@ -1,11 +1,11 @@
-"""The ledger as a part of the daemon: hears of served requests, writes, exports.
+"""The daemon's usage ledger: counts served requests, writes the log and exports batches.
 
-Decisions are the book's; this file has the timers and the order of things:
+`Book` makes the decisions; this module runs the timers and orders writes and exports:
 
-- what is decided is applied to the book at once and then written; while a write is under way or has
-  failed, everything waits in the tally, which is bounded, and requests go on;
-- a batch is heard of outside only when the record that says so is on the disk;
-- after a write that failed the whole book is written anew, until that succeeds.
+- A record is applied to the book, then written. While a write runs or has failed, new units wait
+  in the bounded `UsageCounters`, and requests are served as usual.
+- A batch is exported only after its "sent" record is on disk.
+- After a failed write the whole book is written to a new log file, until that succeeds.
 """
 
 from __future__ import annotations
@@ -21,30 +21,30 @@
 from violetroute import logs
 from violetroute.error_text import one_line
 from violetroute.transport import Network
-from violetroute.transport.call import Call
+from violetroute.transport.http_call import HttpCall
 from violetroute.transport.tls import TlsKeys
 from violetroute.transport.writer import ThreadWriter, Writer
 
 from .accounts import Batch, Book
-from .export import Backoff, Said, Signed, json_lines
+from .counters import UsageCounters
+from .export import Backoff, ExportResult, SignedCorrections, json_lines
 from .files import Files, Folder, folder_name
 from .frames import Record
-from .outbox import hand_over, mark
+from .outbox import write_batch, write_closed_until
 from .periods import Periods
 from .post import post
-from .store import Found, Store, open_or_set_aside, tell_salvaged
+from .store import Recovery, Store, log_recovery, open_or_set_aside
 from .table import LedgerTable
-from .tally import Tally
 
-AGAIN = 1.0  # s until a disk that failed, or a folder that is another's, is tried again
-LOOK = 5.0  # s between looks for corrections that were signed
-ALIVE = 30.0  # s without a write after which one says that nothing was missed
-RETIRE = 3600.0  # s between looks for what is too old
-AT_THE_END = 2.0  # s for the last write
+RETRY_INTERVAL = 1.0  # s between retries on a failed disk or a locked folder
+CHECK_INTERVAL = 5.0  # s between checks for files of signed corrections
+HEARTBEAT_INTERVAL = 30.0  # s without a write until an "alive" record is written
+RETENTION_INTERVAL = 3600.0  # s between deletions of files older than `retain_days`
+CLOSE_TIMEOUT = 2.0  # s that `close` waits for the last write
 
 
 class Ledger:
-    """One proxy's.  `name` is the proxy's; its folder is made of it."""
+    """The ledger of one proxy.  The folder's name is made from `name`, the proxy's name."""
 
     def __init__(
         self,
@@ -56,54 +56,53 @@
         nonce: str = "",
     ) -> None:
         self.table, self._net, self._loop = table, net, net.loop
-        self.name = name = folder_name(name)  # it stands in keys and headers too
+        self.name = name = folder_name(name)  # also used in batch keys and HTTP headers
         folder = Path(table.folder) / name
         self._files = files() if files is not None else Folder(folder)
         self._writer: Writer = writer or ThreadWriter(net.loop)
         self._periods = Periods(table.zone, table.period_min)
-        self._tally = Tally(table.tenants_most, table.ids)
+        self._counters = UsageCounters(table.tenants_most, table.ids)
         self._book = Book(self._periods, table.grace_s)
         self._store = Store(self._files, name)
         self._nonce = nonce or secrets.token_hex(6)
-        self._began = net.wall()
-        self.state = "opening"  # open, failed (its disk), elsewhere (locked), closed
+        self._opened_at = net.wall()
+        self.state = "opening"  # open, failed (disk), elsewhere (locked by another), closed
         self._busy = False
-        self._unwritten: list[Record] = []  # decided, in their order
+        self._unwritten: list[Record] = []  # applied to the book, in order
         self._ids: dict[int, bytearray] = {}
-        self._closed: list[tuple[int, bytes]] = []  # to be archived with the next write
-        self._gone: list[str] = []  # files that nobody needs after it
-        self._wrote_at = self._retired_at = self._looked_at = self._loop.time()
-        self._post: Call | None = None
+        self._closed: list[tuple[int, bytes]] = []  # batches to archive at the next write
+        self._obsolete: list[str] = []  # files to delete at the next write
+        self._wrote_at = self._cleaned_at = self._checked_at = self._loop.time()
+        self._post: HttpCall | None = None
         self._backoff = Backoff(table.retry_s, table.retry_most_s, f"{name}/{self._nonce}")
-        self._next_try = 0.0
+        self._retry_at = 0.0
         self._keys = TlsKeys(table.tls) if table.tls_ca_file else None
         self._timer: Any = None
-        self._told_folded, self._told_folded_at = 0, 0.0
-        self._marked = 0.0  # up to when it was said that all is closed
+        self._logged, self._logged_at = 0, 0.0
+        self._published = 0.0  # Unix s of the last NAME.through file
         self._open()
 
     def served(self, tenant: str, cls: str, id_: bytes) -> None:
-        """A client was given its served answer."""
-        self._tally.add(self._periods.of(self._net.wall()), tenant, cls, id_)
+        """Count one request whose answer was sent to its client."""
+        self._counters.add(self._periods.of(self._net.wall()), tenant, cls, id_)
 
-    # --- opening ---
     def _open(self) -> None:
         self._busy, self.state = True, "opening"
         book, store, files, name = self._book, self._store, self._files, self.name
-        wall, nonce = self._began, self._nonce
+        wall, nonce = self._opened_at, self._nonce
 
-        def job() -> Found | None:
+        def job() -> Recovery | None:
             if not files.lock():
                 return None
             found = open_or_set_aside(store, files, book)
-            for record in book.begin(name, nonce, wall):
+            for record in book.begin_records(name, nonce, wall):
                 book.apply(record)
             store.rewrite(book.checkpoint())
             return found
 
         self._writer.submit(job, self._opened)
 
-    def _opened(self, found: Found | None, error: BaseException | None) -> None:
+    def _opened(self, found: Recovery | None, error: BaseException | None) -> None:
         self._busy = False
         if self.state == "closed":
             return
@@ -115,119 +114,119 @@
             logs.event("ledger.locked", folder=self.table.folder)
         else:
             self.state = "open"
-            tell_salvaged(found)
-            for period, of in self._book.counts.items():
-                self._tally.knows(period, {name: None for name, _ in of if name is not None})
+            log_recovery(found)
+            for period, of in self._book.unbatched_units.items():
+                self._counters.restore(period, {name: None for name, _ in of if name is not None})
             logs.event(
                 "ledger.open",
                 incarnation=self._book.incarnation,
                 batches=len(self._book.batches),
                 gaps=len(self._book.gaps),
             )
-        self._again()
+        self._schedule_tick()
 
-    def _again(self) -> None:
+    def _schedule_tick(self) -> None:
         if self._timer is None and self.state != "closed":
-            wait = self.table.flush_s if self.state == "open" else AGAIN
+            wait = self.table.flush_s if self.state == "open" else RETRY_INTERVAL
             self._timer = self._loop.call_later(wait, self._tick)
 
     def _tick(self) -> None:
         self._timer = None
         if not self._busy:
-            if self.state == "open" and self._loop.time() - self._looked_at > LOOK:
-                self._look()
+            if self.state == "open" and self._loop.time() - self._checked_at > CHECK_INTERVAL:
+                self._read_corrections()
             elif self.state == "open":
                 self._flush()
                 self._spill()
                 self._export()
                 if self.table.closings:
-                    self._mark()
+                    self._write_closed_until()
             elif self.state == "failed" and self._book.name:
                 self._rewrite()
             else:
                 self._open()
-        self._again()
+        self._schedule_tick()
 
-    # --- corrections that an operator has signed ---
-    def _look(self) -> None:
-        self._busy, self._looked_at = True, self._loop.time()
-        self._writer.submit(self._store.signed, self._signed)
+    # --- corrections signed by an operator ---
+    def _read_corrections(self) -> None:
+        self._busy, self._checked_at = True, self._loop.time()
+        self._writer.submit(self._store.read_corrections, self._signed)
 
     def _signed(self, files: dict[str, bytes] | None, error: BaseException | None) -> None:
         self._busy = False
         names = tuple(files or ())
         for name, data in (files or {}).items():
             try:
-                signed = msgspec.json.decode(data, type=Signed)
-                self._decide(self._book.signed(name, signed.by, signed.lines))
+                signed = msgspec.json.decode(data, type=SignedCorrections)
+                self._apply(self._book.correction_records(name, signed.by, signed.lines))
             except msgspec.DecodeError as wrong:
                 logs.event("ledger.held", batch=name, why=f"no corrections: {wrong}")
         if names and self.state == "open":
             store = self._store
 
-            def forget() -> None:
+            def remove() -> None:
                 self._busy = True
-                self._writer.submit(lambda: store.forget(names), forgotten)
+                self._writer.submit(lambda: store.remove_files(names), removed)
 
-            def forgotten(_: None, error: BaseException | None) -> None:
+            def removed(_: None, error: BaseException | None) -> None:
                 self._busy = False
 
-            self._write(then=forget)
+            self._write(then=remove)
 
     # --- writing ---
-    def _decide(self, records: list[Record]) -> bool:
-        """Take on what the book has decided; whether it was anything."""
+    def _apply(self, records: list[Record]) -> bool:
+        """Apply records and queue them for the next write.  Returns whether there are any."""
         for record in records:
             self._book.apply(record)
         self._unwritten += records
         return bool(records)
 
     def _count(self) -> None:
-        units, ids = self._tally.take()
-        self._decide(self._book.counted(self._net.wall(), units))
+        units, ids = self._counters.collect()
+        self._apply(self._book.usage_records(self._net.wall(), units))
         for period, of in ids.items():
             self._ids.setdefault(period, bytearray()).extend(of)
 
     def _flush(self) -> None:
-        """What was counted, and what has fallen due."""
+        """Write new units and the batches that are due."""
         self._count()
-        self._decide(self._book.cut(self._net.wall()))
-        if not self._unwritten and self._loop.time() - self._wrote_at >= ALIVE:
-            self._decide(self._book.alive(self._net.wall()))
+        self._apply(self._book.batch_records(self._net.wall()))
+        if not self._unwritten and self._loop.time() - self._wrote_at >= HEARTBEAT_INTERVAL:
+            self._apply(self._book.heartbeat_records(self._net.wall()))
         now = self._loop.time()
-        if self._tally.folded > self._told_folded and now - self._told_folded_at > ALIVE:
-            logs.event("ledger.folded", units=self._tally.folded - self._told_folded)
-            self._told_folded, self._told_folded_at = self._tally.folded, now
+        if self._counters.others > self._logged and now - self._logged_at > HEARTBEAT_INTERVAL:
+            logs.event("ledger.folded", units=self._counters.others - self._logged)
+            self._logged, self._logged_at = self._counters.others, now
         if self._unwritten or self._closed:
             self._write()
 
     def _write(self, then: Callable[[], None] | None = None) -> None:
-        """All that was decided; `then` once it is on the disk."""
+        """Write all queued records.  `then` is called once they are on disk."""
         self._busy = True
         store, now = self._store, self._loop.time()
         records, self._unwritten = self._unwritten, []
         ids, self._ids = self._ids, {}
         closed, self._closed = self._closed, []
-        gone, self._gone = self._gone, []
-        checkpoint = self._book.checkpoint() if store.grown else None
-        retire = now - self._retired_at > RETIRE
+        gone, self._obsolete = self._obsolete, []
+        checkpoint = self._book.checkpoint() if store.segment_full else None
+        retire = now - self._cleaned_at > RETENTION_INTERVAL
         if retire:
-            self._retired_at = now
+            self._cleaned_at = now
         before = self._net.wall() - self.table.retain_days * 86_400.0
 
         def job() -> None:
             store.commit(records, ids, closed)
-            store.forget(gone)
+            store.remove_files(gone)
             if checkpoint is not None:
                 store.rewrite(checkpoint)
             if retire:
-                store.retire(before)
+                store.remove_older_than(before)
 
-        def told(_: None, error: BaseException | None) -> None:
+        def written(_: None, error: BaseException | None) -> None:
             self._busy = False
             self._wrote_at = self._loop.time()
             if error is not None:
-                # The records are in the book, and so in what is written next.
+                # The records are in the book, so the checkpoint that is written next has them.
                 self._closed = closed + self._closed
                 for period, of in self._ids.items():
                     ids.setdefault(period, bytearray()).extend(of)
@@ -236,10 +235,10 @@
             elif then is not None and self.state == "open":
                 then()
 
-        self._writer.submit(job, told)
+        self._writer.submit(job, written)
 
     def _rewrite(self) -> None:
-        """All of the book into a new file: the one before is not believed any more."""
+        """Write a checkpoint to a new file; after a failed write the old file isn't trusted."""
         self._busy, self._unwritten = True, []
         store, checkpoint = self._store, self._book.checkpoint()
         self._writer.submit(lambda: store.rewrite(checkpoint), self._rewritten)
@@ -257,10 +256,10 @@
             self.state = "failed"
             logs.event("ledger.unwritten", reason=one_line(error))
 
-    # --- lines that wait in files ---
+    # --- batches whose lines are in files ---
     def _spill(self) -> None:
-        """The record says so only once the file is there; one that is left over is harmless."""
-        records = self._book.spills()
+        """Move batch lines to files, each written before its record (a file alone is harmless)."""
+        records = self._book.spill_records()
         if not records or self._busy:
             return
         self._busy = True
@@ -269,62 +268,62 @@
 
         def job() -> None:
             for seq, of in lines:
-                store.spill(seq, of)
+                store.write_lines(seq, of)
 
-        def told(_: None, error: BaseException | None) -> None:
+        def written(_: None, error: BaseException | None) -> None:
             self._busy = False
             if error is not None:
                 self._failed(error)
             elif self.state == "open":
-                self._decide(records)
+                self._apply(records)
                 self._write()
 
-        self._writer.submit(job, told)
+        self._writer.submit(job, written)
 
-    def _bring(self, batch: Batch) -> None:
+    def _load_lines(self, batch: Batch) -> None:
         self._busy = True
         store, seq = self._store, batch.seq
 
-        def told(lines: list[Any] | None, error: BaseException | None) -> None:
+        def loaded(lines: list[Any] | None, error: BaseException | None) -> None:
             self._busy = False
             if isinstance(error, OSError) and not isinstance(error, FileNotFoundError):
                 self._failed(error)
             elif error is not None:
                 logs.event("ledger.held", batch=batch.key, why=str(error))
-                self._decide(self._book.holds(seq, f"its lines can't be read: {error}"))
+                self._apply(self._book.held_records(seq, f"its lines can't be read: {error}"))
             else:
-                self._decide(self._book.returns(seq, lines or ()))
+                self._apply(self._book.restore_records(seq, lines or ()))
 
-        self._writer.submit(lambda: store.spilled(seq), told)
+        self._writer.submit(lambda: store.read_lines(seq), loaded)
 
-    def _mark(self) -> None:
-        """For who settles the periods of several ledgers: this one has closed so far."""
-        until = self._book.through(self._net.wall())
-        if self._busy or until <= self._marked:
+    def _write_closed_until(self) -> None:
+        """Tell the fleet's settlement up to which time all periods here are closed."""
+        until = self._book.closed_until(self._net.wall())
+        if self._busy or until <= self._published:
             return
         self._busy, folder, name = True, Path(self.table.export_folder), self.name
 
-        def told(_: None, error: BaseException | None) -> None:
-            self._busy, self._marked = False, self._marked if error is not None else until
+        def written(_: None, error: BaseException | None) -> None:
+            self._busy, self._published = False, self._published if error is not None else until
 
-        self._writer.submit(lambda: mark(folder, name, until), told)
+        self._writer.submit(lambda: write_closed_until(folder, name, until), written)
 
     # --- exporting ---
     def _export(self) -> None:
-        """The next batch, if it is time; nobody hears of one that is not on the disk."""
-        batch = self._book.due
+        """Export the next batch if it is due, after its "sent" record is on disk."""
+        batch = self._book.next_batch
         if (
             batch is None
             or self._busy
             or self._post is not None
             or self.table.export == "off"
-            or self._loop.time() < self._next_try
+            or self._loop.time() < self._retry_at
         ):
             return
-        if batch.away is not None:
-            self._bring(batch)
+        if batch.spilled_units is not None:
+            self._load_lines(batch)
             return
-        self._decide(self._book.sends(batch.seq))
+        self._apply(self._book.sent_records(batch.seq))
         go = self._to_files if self.table.export == "files" else self._send
         if self._unwritten:
             self._write(then=lambda: go(batch))
@@ -335,61 +334,62 @@
         self._busy = True
         folder, formats = Path(self.table.export_folder), self.table.formats
 
-        def told(_: None, error: BaseException | None) -> None:
+        def written(_: None, error: BaseException | None) -> None:
             self._busy = False
-            answer = Said("done") if error is None else Said("again", one_line(error))
-            self._said(batch, answer)
+            answer = (
+                ExportResult("done") if error is None else ExportResult("again", one_line(error))
+            )
+            self._handle_result(batch, answer)
 
-        self._writer.submit(lambda: hand_over(folder, batch, formats), told)
+        self._writer.submit(lambda: write_batch(folder, batch, formats), written)
 
     def _send(self, batch: Batch) -> None:
-        def done(answer: Said) -> None:
+        def done(answer: ExportResult) -> None:
             self._post = None
-            self._said(batch, answer)
+            self._handle_result(batch, answer)
 
-        self._post = post(self._net, self.table, self._keys, batch, self._book.last, done)
+        self._post = post(self._net, self.table, self._keys, batch, self._book.last_key, done)
 
-    def _said(self, batch: Batch, answer: Said) -> None:
+    def _handle_result(self, batch: Batch, answer: ExportResult) -> None:
         if self.state == "closed" or batch.seq not in self._book.batches:
             return
         book = self._book
-        if answer.what == "done":
+        if answer.outcome == "done":
             self._backoff.succeeded()
-            self._decide(book.confirms(batch.seq))
+            self._apply(book.confirmed_records(batch.seq))
             self._closed.append((batch.period, json_lines(batch)))
-            self._gone.append(f"batch-{batch.seq}")
-        elif answer.what == "held":
-            logs.event("ledger.held", batch=batch.key, why=answer.why)
-            self._decide(book.holds(batch.seq, answer.why))
-        elif answer.what == "fork":
+            self._obsolete.append(f"batch-{batch.seq}")
+        elif answer.outcome == "held":
+            logs.event("ledger.held", batch=batch.key, why=answer.reason)
+            self._apply(book.held_records(batch.seq, answer.reason))
+        elif answer.outcome == "fork":
             held = sum(each.state == "held" for each in book.batches.values())
-            self._decide(book.adopts(answer.last, answer.periods, self._net.wall()))
+            self._apply(book.adopt_records(answer.last, answer.periods, self._net.wall()))
             held = sum(each.state == "held" for each in book.batches.values()) - held
             logs.event("ledger.fork", last=answer.last, held=held)
         else:
             wait = self._backoff.failed(answer.wait)
-            self._next_try = self._loop.time() + wait
+            self._retry_at = self._loop.time() + wait
             logs.event(
-                "ledger.not_exported", batch=batch.key, why=answer.why, wait_s=round(wait, 1)
+                "ledger.not_exported", batch=batch.key, why=answer.reason, wait_s=round(wait, 1)
             )
         if self._unwritten and not self._busy and self.state == "open":
             self._write()
 
-    # --- the end ---
     async def close(self) -> None:
-        """The last write; what is not written by AT_THE_END is named by the next start as a gap."""
+        """Write what is left.  If that takes over CLOSE_TIMEOUT, the next start records a gap."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         if self._post is not None:
             self._post.stop()
             self._post = None
-        until = self._loop.time() + AT_THE_END
+        until = self._loop.time() + CLOSE_TIMEOUT
         while self._busy and self._loop.time() < until:
             await asyncio.sleep(0.01)
         if self.state == "open" and not self._busy:
             self._count()
-            self._decide(self._book.ends(self._net.wall()))
+            self._apply(self._book.end_records(self._net.wall()))
             self._write()
             while self._busy and self._loop.time() < until:
                 await asyncio.sleep(0.01)
