--- a/tests/planted/reused_after_give_up.py
+++ b/tests/planted/reused_after_give_up.py
@@ -4,8 +4,8 @@
 
 
 def keeps(self):
-    self._leave()
-    self._pool.rest(self)
+    self._detach_attempt()
+    self._pool.release(self)
 
 
 def plant():
--- a/violetroute/clients/connection.py
+++ b/violetroute/clients/connection.py
@@ -9,7 +9,7 @@
 from violetroute import resp
 from violetroute.cluster import Dialect, Session
 from violetroute.transport import Stream
-from violetroute.transport.loop_lag import LATE
+from violetroute.transport.loop_lag import LATE_AFTER
 
 from .answers import Answer
 from .assembly import CommandAssembler
@@ -56,7 +56,7 @@
         """The connection was accepted as `stream`; it may have waited in the backlog."""
         self._stream = stream
         turns, now = self._listener.turns, self._loop.time()
-        self._read_delay.accepted(turns.count, now - max(turns.lost, turns.stood(now)))
+        self._read_delay.accepted(turns.count, now - max(turns.paused_for, turns.readable_for(now)))
         self._listener.connection_accepted(self)
 
     def opened(self) -> None:
@@ -70,7 +70,7 @@
         if self.ending:
             return  # input after our close is discarded; reading only detects the client's close
         turns = self._listener.turns
-        self._read_delay.begin_read(turns.count, self._loop.time(), turns.lost)
+        self._read_delay.begin_read(turns.count, self._loop.time(), turns.paused_for)
         self._decoder.feed(_read_buffer[:count])
         self._pump()
         if self._read_delay.marked and self._stream is not None:
@@ -171,7 +171,7 @@
             return
         handler, answer = self._listener.handler, None
         delay = self._read_delay.delay(self._loop.time())
-        if delay > LATE and self.client_left():
+        if delay > LATE_AFTER and self.client_left():
             self.ended()  # found by exploration: read in the second turn after a pause
             return
         try:
@@ -352,7 +352,7 @@
             stream is not None
             and not stream.closing
             and not self.lingering_since
-            and not stream.quiet()
+            and not stream.no_pending_input()
         )
 
     def try_evict(self) -> bool:
