--- a/tests/violetroute/config/test_configuration.py
+++ b/tests/violetroute/config/test_configuration.py
@@ -1,4 +1,4 @@
-"""Bad and good configuration: one line that names the key, and nothing half taken on."""
+"""Valid and invalid configuration: an error is one line that names the key."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     restart_needed,
 )
 from violetroute.config.operator import load_operator, parse_operator
-from violetroute.config.tables import LARGEST
+from violetroute.config.tables import MAX_FILE_BYTES
 
 
 def loaded(tmp_path: Path, raw: Any, operator: str | None = None, **env: str) -> Config:
@@ -36,7 +36,7 @@
     return load({"PROXY_CONFIG": str(path)} | env)
 
 
-WRONG: dict[str, tuple[tuple[Any, ...], Any, str]] = {
+INVALID_FILES: dict[str, tuple[tuple[Any, ...], Any, str]] = {
     "no listen": (("listen",), None, "listen: missing"),
     "a name to listen on": (("listen",), "here:1", "listen: not an address"),
     "discovery": (("discovery",), "1.2.3.4", "discovery: not an address"),
@@ -70,8 +70,8 @@
     ),
     "two tenants": (("settings", "realms"), [{"name": "a"}] * 2, "settings.realms: a name"),
 }
-# Python's JSON has NaN and Infinity, and a deadline of either passed for one.
-FIGURES = [
+# Python's JSON parser accepts NaN and Infinity, and a deadline of either was accepted.
+NUMBERS = [
     ("limits", "sockets"),
     ("limits", "memory_mb"),
     ("settings", "balancers"),
@@ -89,14 +89,14 @@
         for key in ("promiseMs", "deadlineMs", "worth", "lateValue", "keyTtlMs")
     ),
 ]
-WRONG |= {
+INVALID_FILES |= {
     f"{value} {keys[-1]}": (keys, value, f"{keys[-1]}:")
-    for keys in FIGURES
+    for keys in NUMBERS
     for value in (float("nan"), float("inf"), -1.0)
 }
 
 
-def test_what_is_null_is_as_if_it_were_not_there(tmp_path: Path) -> None:
+def test_a_null_key_equals_a_missing_key(tmp_path: Path) -> None:
     absent = dict.fromkeys(("tariffs", "realms", "familyInfo", "kinds"))
     raw = configuration(1, [])
     assert (
@@ -105,10 +105,10 @@
     )
 
 
-@pytest.mark.parametrize("name", WRONG)
-def test_a_wrong_key_of_the_platforms_file_is_named(tmp_path: Path, name: str) -> None:
-    # 4 of 7 mistakes were answered without the key's name.
-    keys, value, told = WRONG[name]
+@pytest.mark.parametrize("name", INVALID_FILES)
+def test_an_invalid_key_of_the_platforms_file_is_named(tmp_path: Path, name: str) -> None:
+    # 4 of 7 invalid files were rejected without the name of the key.
+    keys, value, expected = INVALID_FILES[name]
     raw = copy.deepcopy(configuration(1, []))
     place: Any = raw
     for key in keys[:-1]:
@@ -119,12 +119,12 @@
         place[keys[-1]] = value
     with pytest.raises(ConfigError) as raised:
         loaded(tmp_path, raw)
-    assert told in str(raised.value) and "\n" not in str(raised.value)
+    assert expected in str(raised.value) and "\n" not in str(raised.value)
     assert str(tmp_path / "config.json") in str(raised.value)
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", "7", '{"settings": 3}', "[" * 100_000])
-def test_what_is_no_configuration_is_one_line(tmp_path: Path, text: str) -> None:
+def test_a_file_that_is_no_configuration_is_reported_in_one_line(tmp_path: Path, text: str) -> None:
     with pytest.raises(ConfigError) as raised:
         loaded(tmp_path, text)
     assert "\n" not in str(raised.value)
@@ -154,21 +154,21 @@
 
 
 @pytest.mark.parametrize("text", BAD_OPERATOR)
-def test_a_wrong_key_of_the_operators_file_is_named(tmp_path: Path, text: str) -> None:
+def test_an_invalid_key_of_the_operators_file_is_named(tmp_path: Path, text: str) -> None:
     with pytest.raises(ConfigError) as raised:
         loaded(tmp_path, configuration(1, []), text)
-    said = str(raised.value)
-    assert BAD_OPERATOR[text] in said and "operator.toml" in said and "\n" not in said
+    message = str(raised.value)
+    assert BAD_OPERATOR[text] in message and "operator.toml" in message and "\n" not in message
 
 
-def test_an_operators_file_that_is_missing_is_refused(tmp_path: Path) -> None:
+def test_a_missing_operators_file_is_an_error(tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match="nowhere"):
         load_operator(str(tmp_path / "nowhere.toml"))
 
 
 def test_an_operators_file_that_is_too_large_is_not_read(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
-    path.write_bytes(b"#" * (LARGEST + 1))
+    path.write_bytes(b"#" * (MAX_FILE_BYTES + 1))
     with pytest.raises(ConfigError, match="larger than"):
         load_operator(str(path))
 
@@ -183,7 +183,7 @@
     }
 
 
-def test_shares_divide_what_the_platform_grants(tmp_path: Path) -> None:
+def test_shares_divide_the_granted_resources(tmp_path: Path) -> None:
     raw = configuration(1, [], sockets=232, memory_mb=120)
     plain = loaded(tmp_path, raw)
     ours = loaded(tmp_path, raw, "[limits]\nclient_share = 0.75\nvalue_share = 0.2")
@@ -192,14 +192,14 @@
     assert ours.client_memory_bytes == plain.client_memory_bytes // 2 == 20 * 1024 * 1024
 
 
-def test_what_needs_a_restart_is_said() -> None:
+def test_keys_that_need_a_restart_are_listed() -> None:
     now = parse_operator(
         {"limits": {"client_share": 0.6, "depth": 5}, "log": {"level": "error"}}, "f"
     )
     assert restart_needed(Operator(), now) == ["limits.client_share"]
 
 
-def test_what_needs_a_restart_holds_as_it_was_and_the_rest_is_new() -> None:
+def test_settings_that_need_a_restart_keep_their_values() -> None:
     running = parse_operator({"fleet": {"store": "folder", "folder": "/lease"}}, "f")
     file = parse_operator({"limits": {"client_share": 0.6, "depth": 5}}, "f")
     holds = effective_operator(running, file)
@@ -209,7 +209,7 @@
     assert effective_operator(running, running) == running
 
 
-def test_check_says_what_follows_or_refuses_with_2(tmp_path: Path) -> None:
+def test_check_shows_the_effect_or_exits_with_2(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(configuration(1, [], sockets=232)))
     operator = tmp_path / "operator.toml"
@@ -231,20 +231,20 @@
     result = CliRunner().invoke(app, ["check", "--operator", str(shipped), "--json"])
     assert result.exit_code == 0 and json.loads(result.stdout)["ledger"] == "off"
     path = tmp_path / "op.toml"
-    for text, said in (
+    for text, message in (
         ('[ledger]\nfolder = "x"\nzone = "Nowhere"\n', "[ledger] zone"),
         ('[ledger]\nfolder = "x"\ntls_ca_file = "none"\n', "[ledger] tls files"),
         ('[ledger]\nfolder = "x"\n', ""),
     ):
         path.write_text(text)
         result = CliRunner().invoke(app, ["check", "--operator", str(path)])
-        assert (result.exit_code, said in result.output) == (2 if said else 0, True)
+        assert (result.exit_code, message in result.output) == (2 if message else 0, True)
     monkeypatch.setattr("violetroute.config.operator.find_spec", lambda name: None)
     result = CliRunner().invoke(app, ["check", "--operator", str(path)])
     assert result.exit_code == 2 and "zstandard" in result.output
 
 
-def test_an_agent_beside_the_proxy_is_only_where_the_platform_alone_tells(tmp_path: Path) -> None:
+def test_lists_are_pushed_only_if_the_platform_is_the_only_source(tmp_path: Path) -> None:
     raw = configuration(1, [], membershipMode="automatic")
     for operator, pushed in (
         ("", True),
--- a/tests/violetroute/distribution/test_distribution_configuration.py
+++ b/tests/violetroute/distribution/test_distribution_configuration.py
@@ -162,7 +162,7 @@
     file = File()
     bad, good = record("membership", 'sources = ["file"]'), record("limits", "depth = 3")
     (reason,) = file.publish(1, bad, good)
-    assert "names none" in reason and file.checks == 1
+    assert "file is empty" in reason and file.checks == 1
     assert file.in_force == Operator() and file.published.accepted == PublishedTables()
 
 
@@ -203,7 +203,7 @@
     file.publish(1, record("limits", "depth = 3"))
     bad, good = record("membership", 'sources = ["file"]'), record("log", 'level = "error"')
     (reason,) = file.publish(9, bad, good, complete=True)
-    assert "names none" in reason and file.in_force.limits.depth == 3
+    assert "file is empty" in reason and file.in_force.limits.depth == 3
     assert file.publish(10, record("membership", "settle_s = 1.0")) == ()
     assert (file.in_force.log.level, file.in_force.limits.depth) == ("error", 128)
 
@@ -213,7 +213,7 @@
     path.write_text('[membership]\nsources = ["file"]\n')
     published = PublishedTables({"membership": {}}, 1)
     assert load_operator(str(path), published.merged) == Operator()
-    with pytest.raises(ConfigError, match="names none"):
+    with pytest.raises(ConfigError, match="file is empty"):
         load_operator(str(path))
 
 
--- a/tests/violetroute/membership/test_sources.py
+++ b/tests/violetroute/membership/test_sources.py
@@ -472,9 +472,9 @@
 
 def test_wrong_sources_are_named() -> None:
     for table, said in (
-        ({"sources": ["consul"]}, "agents names nobody"),
-        ({"sources": ["file"]}, "file names none"),
-        ({"sources": ["platform", "platform"]}, "twice"),
+        ({"sources": ["consul"]}, "agents is empty"),
+        ({"sources": ["file"]}, "file is empty"),
+        ({"sources": ["platform", "platform"]}, "duplicate source"),
         ({"sources": ["etcd"]}, "Invalid enum value"),
     ):
         with pytest.raises(ConfigError, match=r"^f: \[membership\] sources: ") as raised:
--- a/tests/violetroute/test_crossings_process.py
+++ b/tests/violetroute/test_crossings_process.py
@@ -75,7 +75,7 @@
         if not longer:  # taken before the reload, under the longer deadlines
             writer.write(get(1))
             await until(lambda: node.commands)
-        monkeypatch.setattr(program, "load", lambda operator, merged, with_known: second)
+        monkeypatch.setattr(program, "load", lambda operator, merge_tables, read_known: second)
         daemon.reload()
         if longer:
             writer.write(get(1))
--- a/tests/violetroute/test_turns_of_lists.py
+++ b/tests/violetroute/test_turns_of_lists.py
@@ -121,7 +121,7 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(configuration(9, nodes.nodes())))
     read = {"PROXY_CONFIG": str(path)}
-    took = [cpu_seconds(lambda: load(read, with_known=False)) for _ in range(ROUNDS)]
+    took = [cpu_seconds(lambda: load(read, read_known=False)) for _ in range(ROUNDS)]
     assert min(took) <= TURN, took
 
 
--- a/violetroute/__main__.py
+++ b/violetroute/__main__.py
@@ -87,7 +87,7 @@
         if tables is not None and tables.position:
             merged, origin = tables.merged, f"position {tables.position}"
         try:
-            config = load(operator=self.config.operator_path, merged=merged, with_known=False)
+            config = load(operator=self.config.operator_path, merge_tables=merged, read_known=False)
         except ConfigError as error:
             return str(error)
         self._replace(config, origin)
--- a/violetroute/config/__init__.py
+++ b/violetroute/config/__init__.py
@@ -1,4 +1,4 @@
-"""What the daemon is told: the platform's PROXY_* and JSON, and the operator's own file."""
+"""The configuration: the platform's PROXY_* variables and JSON, and the operator's TOML file."""
 
 from .errors import ConfigError
 from .operator import Limits, LogTable, Operator, effective_operator, restart_needed
--- a/violetroute/config/errors.py
+++ b/violetroute/config/errors.py
@@ -1,7 +1,10 @@
-"""How a configuration is refused."""
+"""The error for an invalid configuration."""
 
 from __future__ import annotations
 
 
 class ConfigError(Exception):
-    """Said in one line; the proxy does not start, or keeps what it had."""
+    """An invalid configuration, described in one line.
+
+    The proxy does not start, or a running one keeps its configuration.
+    """
--- a/violetroute/config/operator.py
+++ b/violetroute/config/operator.py
@@ -1,7 +1,7 @@
-"""The operator's file: what is ours to set, in TOML, checked whole before anything starts.
+"""The operator's TOML file: settings beyond the platform's, checked completely before the start.
 
-Named by `--operator FILE` or LIMEBRIDGE_OPERATOR; without one the daemon is what the defaults
-here say.  `deploy/operator.toml` has every key with its unit and when to change it.
+`--operator FILE` or LIMEBRIDGE_OPERATOR names the file; without one, the defaults here apply.
+`deploy/operator.toml` lists every key with its unit and when to change it.
 """
 
 from __future__ import annotations
@@ -29,50 +29,51 @@
 from .errors import ConfigError
 from .tables import check_names, read_toml, to_struct
 
-Share = Annotated[float, msgspec.Meta(ge=0.05, le=0.95)]
+Fraction = Annotated[float, msgspec.Meta(ge=0.05, le=0.95)]
 Seconds = Annotated[float, msgspec.Meta(ge=0.01, le=3600.0)]
 PerSecond = Annotated[float, msgspec.Meta(ge=0.0, le=10_000.0)]
 
 
 class LogTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[log]`: lines on standard error.  Changes with SIGHUP."""
+    """`[log]`: log lines on standard error.  Reloaded with SIGHUP."""
 
     level: Literal["debug", "info", "warning", "error"] = "info"
     format: Literal["text", "json"] = "text"
-    per_second: PerSecond = 5.0  # lines of one event
-    events: dict[str, PerSecond] = {}  # the same for single events; 0 is never
+    per_second: PerSecond = 5.0  # maximum rate of lines per event
+    events: dict[str, PerSecond] = {}  # the same for named events; 0 disables an event
 
 
 def check_log(table: LogTable, path: str) -> None:
-    """ConfigError names the key of `[log]` that can't be meant."""
+    """Check `[log]`; ConfigError names the invalid key."""
     check_names(table.events, EVENTS, path, "log.events", "event")
 
 
 class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[limits]`: bounds on peers, and how what the platform grants is divided."""
-
-    # Clients hold a third for requests at most; each of these can have two attempts out,
-    # while a client's connection that has no request can be closed.
-    client_share: Share = 0.55  # of the descriptors; the rest goes to cache nodes
-    value_share: Share = 0.4  # of the memory beyond the program; connections' buffers as much
-    idle_share: Share = 0.25  # of the clients' slots may be idle: a client's own limit must
-    #                           leave it some to ask with
-    crowd_share: Share = 0.75  # of the slots: from here on idle connections end after idle_s
-    depth: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 128  # commands of one connection
-    #                           under way; beyond it reading pauses
-    mistakes: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 8  # senseless commands in a row
+    """`[limits]`: limits on peers, and the division of the resources that the platform grants."""
+
+    # Client connections with a request need at most a third: each request can have two attempts at
+    # once, and a client connection without a request can be closed.
+    client_share: Fraction = 0.55  # fraction of the descriptors; the rest is for cache nodes
+    value_share: Fraction = 0.4  # of the memory beyond the program; buffers use as much
+    idle_share: Fraction = 0.25  # of the client slots may be idle: a client with a connection limit
+    #                           needs some connections for requests
+    crowd_share: Fraction = 0.75  # of the slots: above it, idle connections end after idle_s
+    depth: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 128  # open commands of one
+    #                           connection; beyond it reading pauses
+    mistakes: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 8  # invalid commands in a row
     #                           after which a connection ends
-    first_byte_s: Seconds = 2.2  # for a connection's first byte
-    command_s: Seconds = 2.4  # over one command
-    idle_s: Seconds = 2.0  # without a request after which a client reckons with a close
-    reader_s: Seconds = 15.0  # without taking a byte of an answer
-    reply_s: Seconds = 0.15  # from an answer's first byte to its last
-    idle_per_node: Annotated[int, msgspec.Meta(ge=0, le=10_000)] = 32  # connections kept
+    first_byte_s: Seconds = 2.2  # until a connection's first byte
+    command_s: Seconds = 2.4  # to receive one command
+    idle_s: Seconds = 2.0  # without a request, after which clients expect a close
+    reader_s: Seconds = 15.0  # in which a client takes no byte of its answers
+    reply_s: Seconds = 0.15  # from the first byte of a node's reply to its last
+    idle_per_node: Annotated[int, msgspec.Meta(ge=0, le=10_000)] = 32  # idle connections kept
 
 
 class Operator(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """The whole file.  Written out it has no table that says nothing: an older build may read
-    it.
+    """The whole file.
+
+    Tables with default values are omitted on encoding, since an older build may not know them.
     """
 
     log: LogTable = LogTable()
@@ -87,8 +88,8 @@
     distribution: DistributionTable = DistributionTable()
 
     @property
-    def platform_alone(self) -> bool:
-        """Whether lists come from the platform's discovery and from nowhere else."""
+    def only_platform_discovery(self) -> bool:
+        """Whether the platform's discovery is the only source of node lists."""
         return self.membership.sources == ("platform",) or not (
             self.membership.sources or self.consul.agents
         )
@@ -97,24 +98,28 @@
 NEEDS_RESTART = ("client_share", "value_share", "idle_share")  # of [limits]
 
 
-# A table as tomllib gives it, the whole file being one: before it is checked it may hold any keys,
-# and values of any type that TOML has.  `to_struct` makes a record of it.
+# A table as returned by tomllib; the whole file is one.  It is unchecked: it may have any keys, and
+# values of any TOML type.  `to_struct` converts it.
 TomlTable = dict[str, object]
 
-# The file's tables in, the tables to check out.
+# Maps the tables of the file to the tables that are used.
 MergeTables = Callable[[TomlTable], TomlTable]
 
 
-def load_operator(path: str | None, merged: MergeTables | None = None) -> Operator:
-    """The file at `path`, or the defaults.  ConfigError names file, table and key."""
+def load_operator(path: str | None, merge_tables: MergeTables | None = None) -> Operator:
+    """Load the file at `path`, or the defaults without one.
+
+    `merge_tables` may replace the file's tables before they are checked.  ConfigError names the
+    file, table and key.
+    """
     if not path:
         return Operator()
     raw = read_toml(path)
-    return parse_operator(raw if merged is None else merged(raw), path)
+    return parse_operator(raw if merge_tables is None else merge_tables(raw), path)
 
 
 def parse_operator(raw: TomlTable, path: str) -> Operator:
-    """`raw` as tomllib gives it; `path` is for the error's text."""
+    """Check the tables and convert them.  `path` is only used in the text of a ConfigError."""
     operator = to_struct(raw, Operator, path)
     check_log(operator.log, path)
     for agent in operator.consul.agents:
@@ -124,12 +129,12 @@
             raise ConfigError(f"{path}: [consul] agents: {error}") from None
     sources = operator.membership.sources
     for wrong, text in (
-        (len(set(sources)) != len(sources), "a source stands there twice"),
+        (len(set(sources)) != len(sources), "duplicate source"),
         (
             "consul" in sources and not operator.consul.agents,
-            "consul: [consul] agents names nobody",
+            "consul: [consul] agents is empty",
         ),
-        ("file" in sources and not operator.membership.file, "file: [membership] file names none"),
+        ("file" in sources and not operator.membership.file, "file: [membership] file is empty"),
     ):
         if wrong:
             raise ConfigError(f"{path}: [membership] sources: {text}")
@@ -144,17 +149,17 @@
 
 
 def _check_ledger(table: LedgerTable, path: str) -> None:
-    """ConfigError names the key of `[ledger]` that can't be meant."""
+    """Check `[ledger]`; ConfigError names the invalid key."""
     if not table.folder:
         if table != LedgerTable():
             raise ConfigError(f"{path}: [ledger] folder: missing, and other keys are set")
         return
-    from violetroute.ledger.periods import Periods  # zones are nothing to a proxy without it
+    from violetroute.ledger.periods import Periods  # a proxy without a ledger needs no time zones
 
     if find_spec("zstandard") is None:
         raise ConfigError(
             f"{path}: [ledger] folder: needs the library zstandard, which is not "
-            "there (pip install limebridge[ledger])"
+            "installed (pip install limebridge[ledger])"
         )
     try:
         Periods(table.zone, table.period_min)
@@ -173,11 +178,11 @@
             and table.path.isprintable()
             and " " not in table.path
         ):
-            raise ConfigError(f"{path}: [ledger] path: {table.path!r} is no path")
+            raise ConfigError(f"{path}: [ledger] path: {table.path!r} is not a valid path")
 
 
 def check_fleet(table: FleetTable, ledger: LedgerTable, path: str) -> None:
-    """ConfigError names the key of `[fleet]` that can't be meant."""
+    """Check `[fleet]`; ConfigError names the invalid key."""
     if table.store == "off":
         if table != FleetTable():
             raise ConfigError(f"{path}: [fleet] store: off, and other keys are set")
@@ -203,12 +208,11 @@
             and " " not in text
             and not text.endswith("/")
         ):
-            raise ConfigError(f"{path}: [fleet] {key}: {getattr(table, key)!r} is no path")
+            raise ConfigError(f"{path}: [fleet] {key}: {getattr(table, key)!r} is not a valid path")
     for work in table.works:
         if work != "settlement" and not work.startswith("beat"):
             raise ConfigError(
-                f"{path}: [fleet] works: there is no work {work!r}; there are "
-                "settlement and beat-NAME"
+                f"{path}: [fleet] works: unknown work {work!r}; known are settlement and beat-NAME"
             )
     if "settlement" in table.works and not (
         ledger.folder and ledger.export == "files" and "jsonl" in ledger.formats and ledger.closings
@@ -220,7 +224,7 @@
 
 
 def _check_sharing(table: SharingTable, path: str) -> None:
-    """ConfigError names the key of `[sharing]` that can't be meant."""
+    """Check `[sharing]`; ConfigError names the invalid key."""
     if not table.listen:
         if table != SharingTable():
             raise ConfigError(f"{path}: [sharing] listen: missing, and other keys are set")
@@ -234,16 +238,16 @@
             try:
                 parsed = parse_address(address)
                 if key == "listen" and parsed.host in ("0.0.0.0", "::"):
-                    raise ValueError("the others need an address to reach it at")
+                    raise ValueError("peers need an address that they can reach")
             except ValueError as error:
                 raise ConfigError(f"{path}: [sharing] {key}: {error}") from None
     try:
         read_keys(table.key_file)
     except (OSError, ValueError) as error:
         raise ConfigError(f"{path}: [sharing] key_file: {error}") from None
-    names_ = [budget.name for budget in table.budget]
-    if len(set(names_)) != len(names_):
-        raise ConfigError(f"{path}: [sharing] budget: a name stands there twice")
+    budget_names = [budget.name for budget in table.budget]
+    if len(set(budget_names)) != len(budget_names):
+        raise ConfigError(f"{path}: [sharing] budget: duplicate name")
     for budget in table.budget:
         if budget.per_s * 1000.0 < table.proxies:
             raise ConfigError(
@@ -253,9 +257,9 @@
 
 
 def restart_needed(before: Operator, now: Operator) -> list[str]:
-    """Keys and tables that differ and are taken on at the next start only.
+    """Keys and tables that differ and take effect only after a restart.
 
-    `before` is what the process runs: see `effective_operator`.
+    `before`: the settings in force, see `effective_operator`.
     """
     keys = [
         f"limits.{key}"
@@ -277,10 +281,10 @@
 
 
 def effective_operator(before: Operator, now: Operator) -> Operator:
-    """What a process that runs `before` has in force of the file `now`.
+    """The settings that a process that runs `before` has in force after a reload of `now`.
 
-    A table that `restart_needed` names stays whole as it was, even if the file has it no more; of
-    `[limits]` the named keys do.
+    A table named by `restart_needed` keeps all its old values, even if the file no longer has it.
+    Of `[limits]`, only the named keys do.
     """
     tables: dict[str, msgspec.Struct] = {}
     limits: dict[str, float] = {}
--- a/violetroute/config/platform.py
+++ b/violetroute/config/platform.py
@@ -1,4 +1,4 @@
-"""What the platform tells: PROXY_* and the JSON file, checked at the start and on SIGHUP."""
+"""The platform's PROXY_* variables and JSON file, checked at the start and on SIGHUP."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 from .errors import ConfigError
 from .operator import Limits, MergeTables, Operator, load_operator
 
-RESERVED_SOCKETS = 32  # standard streams, event loop, listener, discovery, log, and some slack
-PROCESS_MB = 20  # what the program takes with no request open
-LEAST_VALUES = 1024 * 1024  # bytes: some values of the longest kind must always fit
-Number = float  # JSON integers are taken too
-# Python reads NaN and Infinity in JSON: a bound on both sides refuses them.
-MOST = 1e12
-Above0 = Annotated[Number, msgspec.Meta(gt=0, le=MOST)]
-AtLeast0 = Annotated[Number, msgspec.Meta(ge=0, le=MOST)]
+RESERVED_SOCKETS = 32  # standard streams, event loop, listener, discovery, log, and a margin
+PROCESS_MB = 20  # memory of the program without open requests
+MIN_VALUE_BYTES = 1024 * 1024  # some values of maximum length must always fit
+Number = float  # accepts JSON integers too
+# Python's JSON parser accepts NaN and Infinity; bounds on both sides reject them.
+MAX_NUMBER = 1e12
+Above0 = Annotated[Number, msgspec.Meta(gt=0, le=MAX_NUMBER)]
+AtLeast0 = Annotated[Number, msgspec.Meta(ge=0, le=MAX_NUMBER)]
 Count = Annotated[Number, msgspec.Meta(ge=1, le=1e9)]
-Part = Annotated[Number, msgspec.Meta(ge=0, le=1)]
+Fraction = Annotated[Number, msgspec.Meta(ge=0, le=1)]
 Name = Annotated[str, msgspec.Meta(min_length=1)]
 
-# Keys that the platform documents and nothing here uses; any other unknown one is logged.
-UNUSED = frozenset(
+# Keys that the platform documents and the proxy does not use.  Any other unknown key is logged.
+DOCUMENTED_UNUSED_KEYS = frozenset(
     {
         "clientHabits",
         "feedback",
@@ -66,7 +66,7 @@
 
 
 class _Limits(msgspec.Struct, frozen=True):
-    sockets: Number = 1024  # both are checked below, against what the program needs
+    sockets: Number = 1024  # both are checked against minimums in `_build_config`
     memory_mb: Number = 64
 
 
@@ -81,7 +81,7 @@
 
 
 class _Guarantees(msgspec.Struct, rename="camel"):
-    cold_from: Part
+    cold_from: Fraction
     warm_within_ms: AtLeast0
     ask_within_ms: AtLeast0 = 10_000.0
     stop_sending_within_ms: AtLeast0 = 500.0
@@ -93,7 +93,7 @@
     deadline_ms: Above0
     effect: Literal["pure", "token", "side_effect"]
     worth: AtLeast0 = 1.0
-    late_value: Part = 0.0
+    late_value: Fraction = 0.0
     group: Literal["all", "zone", "cell"] = "all"
     key_ttl_ms: AtLeast0 = 0.0
 
@@ -130,7 +130,7 @@
 
 
 class _File(msgspec.Struct):
-    """The types of what is used of the platform's file; other keys are allowed."""
+    """The part of the platform's file that the proxy uses; other keys are allowed."""
 
     settings: _Settings
     name: str = ""
@@ -143,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """Everything that the daemon is told, checked."""
+    """The checked configuration of the daemon."""
 
     name: str
     listen: Address
@@ -155,62 +155,66 @@
     settings: Settings
     connect_timeout: float  # seconds
     idle_timeout: float  # seconds after which a cache node closes an idle connection
-    drain_grace: float  # seconds after which a draining node may get nothing new
+    drain_grace: float  # seconds within which a draining node must get no more requests
     operator: Operator
     operator_path: str | None
-    unknown: tuple[str, ...]  # keys of the platform's file that are not known here
-    plan: Plan | None = None  # of [placement], where it names one
-    topology: Topology | None = None  # of [cluster], where it is on
+    unknown: tuple[str, ...]  # unknown keys of the platform's file
+    plan: Plan | None = None  # if [placement] names one
+    topology: Topology | None = None  # if [cluster] is on
 
     @property
     def limits(self) -> Limits:
+        """`[limits]` of the operator's file."""
         return self.operator.limits
 
     @property
     def upstream_sockets(self) -> int:
+        """Maximum number of connections to cache nodes."""
         share = round(1.0 - self.limits.client_share, 6)
         return max(1, int((self.sockets - RESERVED_SOCKETS) * share))
 
     @property
     def client_sockets(self) -> int:
+        """Maximum number of client connections."""
         return max(1, self.sockets - RESERVED_SOCKETS - self.upstream_sockets)
 
     @property
     def client_memory_bytes(self) -> int:
-        """Bytes of values and answers that all clients together may keep in memory."""
+        """Bytes of requests, values and answers that all clients may hold together."""
         room = (self.memory_mb - PROCESS_MB) * self.limits.value_share * 1024 * 1024
-        return max(LEAST_VALUES, int(room))
+        return max(MIN_VALUE_BYTES, int(room))
 
     @property
     def longest_deadline(self) -> float:
-        """Seconds."""
+        """The longest deadline of any class, in seconds."""
         return max(c.deadline for c in self.settings.classes) / 1000.0
 
 
 def load(
     env: Mapping[str, str] = os.environ,
     operator: str | None = None,
-    merged: MergeTables | None = None,
-    with_known: bool = True,
+    merge_tables: MergeTables | None = None,
+    read_known: bool = True,
 ) -> Config:
-    """The configuration that `env` names; `operator`, a path, wins over LIMEBRIDGE_OPERATOR.
+    """Load the configuration that `env` names.
 
-    `merged` is given the operator's file as TOML has it, and answers with what is checked.
-    `with_known`: read the list that it hands over; a reload has no use for it, and with thousands
-    of nodes the daemon would stand meanwhile.
-    ConfigError: one line with the file, and the key where it is one that is wrong.
+    `operator`: path of the operator's file, which overrides LIMEBRIDGE_OPERATOR.
+    `merge_tables` may replace the tables of that file before they are checked.
+    `read_known`: also parse the list of known nodes.  A reload does not need it, and parsing
+    thousands of nodes would block the daemon.
+    Raises ConfigError: one line with the file and, if a key is invalid, the key.
     """
     path = env.get("PROXY_CONFIG")
     if not path:
         raise ConfigError("PROXY_CONFIG is not set")
     operator = operator or env.get("LIMEBRIDGE_OPERATOR") or None
-    ours, plan = load_operator_files(operator, merged)
+    operator_settings, plan = load_operator_files(operator, merge_tables)
     try:
-        raw = _read(path) if with_known else _read_without_known(path)
-        config = replace(_config(raw, env, ours, operator), plan=plan)
+        raw = _read(path) if read_known else _read_without_known(path)
+        config = replace(_build_config(raw, env, operator_settings, operator), plan=plan)
     except msgspec.ValidationError as error:
-        text, _, place = str(error).partition(" - at `$")
-        key = place.strip("`.") or "the file"
+        text, _, location = str(error).partition(" - at `$")
+        key = location.strip("`.") or "the file"
         raise ConfigError(f"bad configuration in {path}: {key}: {text}") from error
     except (
         OSError,
@@ -225,31 +229,37 @@
         raise ConfigError(f"bad configuration in {path}: {text}") from error
 
     try:
-        return replace(config, topology=topology(ours.cluster, config.name, config.listen))
+        return replace(
+            config, topology=topology(operator_settings.cluster, config.name, config.listen)
+        )
     except ValueError as error:
         raise ConfigError(f"{operator}: [cluster] {error}") from error
 
 
 def load_operator_files(
-    operator: str | None, merged: MergeTables | None = None
+    operator: str | None, merge_tables: MergeTables | None = None
 ) -> tuple[Operator, Plan | None]:
-    """The operator's file alone, with the files that it names.  ConfigError as `load`."""
-    ours = load_operator(operator, merged)
+    """Load the operator's file and the files that it names.  ConfigError as for `load`."""
+    operator_settings = load_operator(operator, merge_tables)
     try:
-        plan = load_plan(ours.placement.file) if ours.placement.file else None
+        plan = (
+            load_plan(operator_settings.placement.file)
+            if operator_settings.placement.file
+            else None
+        )
     except ValueError as error:
         raise ConfigError(f"{operator}: [placement] file: {error}") from error
     for name, files in (
-        ("consul", ours.consul.tls),
-        ("ledger", ours.ledger.tls),
-        ("fleet", ours.fleet.tls),
+        ("consul", operator_settings.consul.tls),
+        ("ledger", operator_settings.ledger.tls),
+        ("fleet", operator_settings.fleet.tls),
     ):
         try:
             if files.ca:
                 TlsKeys(files).context()
         except ValueError as error:
             raise ConfigError(f"{operator}: [{name}] tls files: {error}") from error
-    return ours, plan
+    return operator_settings, plan
 
 
 def _read(path: str) -> Any:
@@ -257,28 +267,31 @@
         return json.load(file)
 
 
-class _KnownForm(msgspec.Struct):
-    """As much as is checked of a list that is not read."""
+class _UnreadListing(msgspec.Struct):
+    """The only check of a list that is not parsed."""
 
     instances: list[msgspec.Raw]
 
 
 def _read_without_known(path: str) -> Any:
-    """The file with an empty `known`, if that has the form of a list; else the whole file."""
+    """The file without `known`, if that has the form of a list; else the whole file."""
     with open(path, "rb") as file:
         data = file.read()
     try:
         parts = msgspec.json.decode(data, type=dict[str, msgspec.Raw])
         if "known" in parts:
-            msgspec.json.decode(parts.pop("known"), type=_KnownForm)
+            msgspec.json.decode(parts.pop("known"), type=_UnreadListing)
     except msgspec.MsgspecError:
         return _read(path)
     return {key: json.loads(bytes(value)) for key, value in parts.items()}
 
 
 def parse(raw: dict[str, Any], operator: Operator | None = None) -> Config:
-    """A configuration that is at hand already.  ValueError and its kin where it is wrong."""
-    config = _config(raw, {}, operator or Operator(), None)
+    """Check an already decoded configuration.
+
+    Raises ValueError, KeyError, TypeError, AttributeError or OverflowError if it is invalid.
+    """
+    config = _build_config(raw, {}, operator or Operator(), None)
     return replace(config, topology=topology(config.operator.cluster, config.name, config.listen))
 
 
@@ -289,75 +302,78 @@
         raise ValueError(f"{key}: {error}") from None
 
 
-def _config(
+def _build_config(
     raw: dict[str, Any], env: Mapping[str, str], operator: Operator, operator_path: str | None
 ) -> Config:
-    told = msgspec.convert(raw, _File)
-    listen = env.get("PROXY_LISTEN") or told.listen
-    # The file first: it can be replaced and read anew, the environment never changes.
-    discovery = told.discovery or env.get("PROXY_DISCOVERY")
+    file = msgspec.convert(raw, _File)
+    listen = env.get("PROXY_LISTEN") or file.listen
+    # The file has priority: it can be replaced and reloaded, unlike the environment.
+    discovery = file.discovery or env.get("PROXY_DISCOVERY")
     for key, value in (("listen", listen), ("discovery", discovery)):
         if not value:
             raise ValueError(f"{key}: missing")
     try:
-        seed = int(str(told.seed), 16)
+        seed = int(str(file.seed), 16)
     except ValueError:
         raise ValueError("seed: not a hexadecimal number") from None
-    caps, rules = told.settings.caps, told.settings.guarantees
+    caps, rules = file.settings.caps, file.settings.guarantees
     for key, names in (
-        ("classes", [c.name for c in told.settings.classes]),
-        ("realms", [t.name for t in told.settings.realms or ()]),
+        ("classes", [c.name for c in file.settings.classes]),
+        ("realms", [t.name for t in file.settings.realms or ()]),
     ):
         if len(set(names)) != len(names):
-            raise ValueError(f"settings.{key}: a name stands there twice")
+            raise ValueError(f"settings.{key}: a name occurs twice")
     try:
-        known = parse_listing(told.known or {"instances": []})
+        known = parse_listing(file.known or {"instances": []})
     except ValueError as error:
         raise ValueError(f"known: {error}") from None
-    if not 2 * RESERVED_SOCKETS <= told.limits.sockets < math.inf:
+    if not 2 * RESERVED_SOCKETS <= file.limits.sockets < math.inf:
         raise ValueError(f"limits.sockets: must be at least {2 * RESERVED_SOCKETS}")
-    if not PROCESS_MB <= told.limits.memory_mb < math.inf:
+    if not PROCESS_MB <= file.limits.memory_mb < math.inf:
         raise ValueError(f"limits.memory_mb: must be at least {PROCESS_MB}")
     return Config(
-        name=env.get("PROXY_NAME") or told.name,
+        name=env.get("PROXY_NAME") or file.name,
         listen=_address("listen", listen),
         discovery=_address("discovery", discovery),
         seed=seed,
-        sockets=int(told.limits.sockets),
-        memory_mb=float(told.limits.memory_mb),
+        sockets=int(file.limits.sockets),
+        memory_mb=float(file.limits.memory_mb),
         known=known,
-        settings=_settings(raw["settings"], operator),
+        settings=_build_settings(raw["settings"], operator),
         connect_timeout=caps.connect_timeout_ms / 1000.0,
         idle_timeout=caps.conn_idle_ms / 1000.0,
         drain_grace=rules.stop_sending_within_ms / 1000.0,
         operator=operator,
         operator_path=operator_path,
-        unknown=tuple(_unknown(raw, _File, "")),
+        unknown=tuple(_unknown_keys(raw, _File, "")),
     )
 
 
-def _settings(raw: dict[str, Any], operator: Operator) -> Settings:
-    """On sockets lists come to nobody unasked: pushed means that the agent beside us is asked.
+def _build_settings(raw: dict[str, Any], operator: Operator) -> Settings:
+    """The balancer's settings, always with a subscription to node lists.
 
-    Found on a made-up customer with pushed lists: no watch was ever opened, so each drain was
-    missed and the list handed over at the start held for good.  Other sources have no such agent.
+    No list arrives without a request: "pushed" lists have to be requested from the agent on this
+    host.  In a test with pushed lists no watch was opened, so each drain was missed and the initial
+    list stayed in force.  Other list sources have no such agent.
     """
     settings = parse_settings(raw)
-    pushed = not settings.must_subscribe and operator.platform_alone
+    pushed = not settings.must_subscribe and operator.only_platform_discovery
     return replace(settings, must_subscribe=True, local_agent=pushed)
 
 
-def _unknown(raw: Mapping[str, Any], struct: type[msgspec.Struct], place: str) -> Iterator[str]:
-    """Keys that are neither used nor documented by the platform."""
+def _unknown_keys(
+    raw: Mapping[str, Any], struct: type[msgspec.Struct], path_prefix: str
+) -> Iterator[str]:
+    """Paths of the keys that are neither used here nor documented by the platform."""
     fields = {field.encode_name: field.type for field in msgspec.structs.fields(struct)}
     lists: dict[str, type[msgspec.Struct]] = {"classes": _Class, "realms": _Tenant}
     for key, value in raw.items():
         inner = fields.get(key)
         if inner is None:
-            if key not in UNUSED:
-                yield f"{place}{key}"
+            if key not in DOCUMENTED_UNUSED_KEYS:
+                yield f"{path_prefix}{key}"
         elif key in lists and value is not None:
             for item in value:
-                yield from _unknown(item, lists[key], f"{place}{key}[].")
+                yield from _unknown_keys(item, lists[key], f"{path_prefix}{key}[].")
         elif isinstance(inner, type) and issubclass(inner, msgspec.Struct):
-            yield from _unknown(value, inner, f"{place}{key}.")
+            yield from _unknown_keys(value, inner, f"{path_prefix}{key}.")
--- a/violetroute/config/tables.py
+++ b/violetroute/config/tables.py
@@ -1,7 +1,7 @@
-"""TOML tables into typed records: checked whole, each mistake one line that names its key.
+"""Converts TOML tables to typed structs; an error is one line that names the key.
 
-msgspec tells a mistake by a path that leaves the keys of a mapping out; whoever has written the
-file by hand needs them, so a refused table is looked through for the place.
+The path in a msgspec error omits the keys of mappings, which the author of a file needs.  So an
+invalid table is searched again for the key.
 """
 
 from __future__ import annotations
@@ -18,36 +18,39 @@
 from .errors import ConfigError
 
 T = TypeVar("T", bound=msgspec.Struct)
-LARGEST = 4 * 1024 * 1024  # bytes of a file: far above any that a person writes
+MAX_FILE_BYTES = 4 * 1024 * 1024  # far above any file written by hand
 
 
 def read_toml(path: str) -> dict[str, Any]:
-    """The file's tables.  ConfigError, one line, when it can't be read or is no TOML."""
+    """Read the tables of a file.  ConfigError, in one line, if it is unreadable or not TOML."""
     try:
         with open(path, "rb") as file:
-            data = file.read(LARGEST + 1)
-        if len(data) > LARGEST:
-            raise ValueError(f"larger than {LARGEST} bytes")
+            data = file.read(MAX_FILE_BYTES + 1)
+        if len(data) > MAX_FILE_BYTES:
+            raise ValueError(f"larger than {MAX_FILE_BYTES} bytes")
         return tomllib.loads(data.decode())
     except (OSError, ValueError, RecursionError) as error:
         raise ConfigError(f"{path}: {one_line(error)}") from error
 
 
 def to_struct(raw: Mapping[str, Any], struct: type[T], path: str) -> T:
-    """`raw` as a `struct`.  ConfigError with file, table and key, and the near name if any."""
-    _known(raw, struct, path, "")
+    """Convert `raw`.  ConfigError names file, table and key, and suggests a similar known name."""
+    _check_known_keys(raw, struct, path, "")
     try:
         return msgspec.convert(raw, struct)
     except msgspec.ValidationError as error:
-        table, key, text = _wrong(raw, struct, "") or ("", "", str(error))
+        table, key, text = _first_error(raw, struct, "") or ("", "", str(error))
         raise ConfigError(f"{path}: {f'[{table}] ' if table else ''}{key}: {text}") from error
 
 
 def check_names(
-    used: Iterable[str], there_are: Iterable[str], path: str, table: str, kind: str
+    used: Iterable[str], available: Iterable[str], path: str, table: str, kind: str
 ) -> None:
-    """ConfigError for a name that there is not, with the one that was likely meant."""
-    known = list(there_are)
+    """Raise ConfigError if a used name is not available; the text suggests a similar one.
+
+    `kind`: what the names stand for, such as "key" or "event".
+    """
+    known = list(available)
     for name in used:
         if name not in known:
             near = get_close_matches(name, known, n=1)
@@ -56,8 +59,8 @@
             raise ConfigError(f"{path}: {place}: unknown {kind}{hint}")
 
 
-def _inner(kind: Any, value: Any) -> Iterator[tuple[str, Any, type[msgspec.Struct]]]:
-    """The tables within a field: what is added to its place, the raw table, its type."""
+def _nested_tables(kind: Any, value: Any) -> Iterator[tuple[str, Any, type[msgspec.Struct]]]:
+    """The tables within a field: the suffix for the field's path, the raw table, its type."""
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
         yield "", value, kind
         return
@@ -74,21 +77,23 @@
         yield from ((f"[{place}]", each, inner[0]) for place, each in enumerate(value, 1))
 
 
-def _known(raw: Mapping[str, Any], struct: type[msgspec.Struct], path: str, table: str) -> None:
+def _check_known_keys(
+    raw: Mapping[str, Any], struct: type[msgspec.Struct], path: str, table: str
+) -> None:
     fields = {field.encode_name: field for field in msgspec.structs.fields(struct)}
     check_names(raw, fields, path, table, "key" if table else "table")
     for key, value in raw.items():
         place = f"{table}.{key}" if table else key
-        for more, each, inner in _inner(fields[key].type, value):
+        for suffix, each, inner in _nested_tables(fields[key].type, value):
             if not isinstance(each, dict):
-                raise ConfigError(f"{path}: [{place}{more}]: must be a table")
-            _known(each, inner, path, place + more)
+                raise ConfigError(f"{path}: [{place}{suffix}]: must be a table")
+            _check_known_keys(each, inner, path, place + suffix)
 
 
-def _wrong(
+def _first_error(
     raw: Mapping[str, Any], struct: type[msgspec.Struct], table: str
 ) -> tuple[str, str, str] | None:
-    """Table, key and text of the first mistake."""
+    """Table, key and text of the first error; None if there is none."""
     for field in msgspec.structs.fields(struct):
         key = field.encode_name
         if key not in raw:
@@ -96,8 +101,8 @@
                 return table, key, "missing"
             continue
         place = f"{table}.{key}" if table else key
-        for more, each, inner in _inner(field.type, raw[key]):
-            found = _wrong(each, inner, place + more)
+        for suffix, each, inner in _nested_tables(field.type, raw[key]):
+            found = _first_error(each, inner, place + suffix)
             if found is not None:
                 return found
         try:
