--- a/violetroute/membership/__init__.py
+++ b/violetroute/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Where the list of cache nodes comes from, and what is believed of it."""
+"""Sources of the list of cache nodes, and how their lists are checked and merged."""
 
 from .addresses import NodeAddresses
 from .entries import Entry, Listing, as_member, parse_listing, stable_hash
--- a/violetroute/membership/entries.py
+++ b/violetroute/membership/entries.py
@@ -1,4 +1,4 @@
-"""An entry of the list of cache nodes, and the list in the platform's JSON form."""
+"""Entries of the list of cache nodes, and a parser for the platform's JSON form of it."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 }
 
 
-# What reading an entry that makes no sense raises.
+# Exceptions that `parse_entry` raises for an invalid entry.
 INVALID_ENTRY_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
 
 
 class Entry(msgspec.Struct, frozen=True, gc=False):
-    """One node as a source tells of it.  Change it with `msgspec.structs.replace`."""
+    """One node as a source reports it.  Copy with changes by `msgspec.structs.replace`."""
 
     instance: str
     state: CacheState
@@ -35,22 +35,27 @@
     cell: int
     weight: float
     started_at: float
-    inferred: bool = False  # its start is when it was first seen, not what it says
-    hint: bool = False  # gone by its health alone: another source may know better
+    inferred: bool = False  # started_at is when the node was first seen, not its own report
+    hint: bool = False  # GONE by its health checks alone, so it doesn't override other sources
 
 
 @dataclass(frozen=True, slots=True)
 class Listing:
+    """A full list of nodes, or the changes to one.
+
+    `whole`: the entries are the full list, and nodes without an entry are gone.
+    """
+
     generation: int
     whole: bool
     entries: tuple[Entry, ...]
 
 
 def parse_listing(raw: Any) -> Listing:
-    """Raises ValueError on anything that is not a list of cache nodes.
+    """Parse decoded JSON.  Raises ValueError if it is not a list of cache nodes.
 
-    One entry that makes no sense is left out and the others hold: as an error it would end
-    each watch anew, and a fleet that nobody hears of costs more than one node.
+    An invalid entry is skipped and logged, and the others are used.  If it were an error, each new
+    watch would end at it, and losing the updates of the fleet costs more than losing one node.
     """
     entries, senseless = [], 0
     try:
@@ -69,15 +74,15 @@
 
 
 def log_invalid_entries(count: int) -> None:
-    """Log how many entries of a list were left out, if any."""
+    """Log how many entries of a list were skipped as invalid, if any."""
     if count:
         logs.event("discovery.entries_left_out", count=count)
 
 
 def parse_entry(raw: dict[str, Any]) -> Entry:
-    """KeyError, TypeError, ValueError, AttributeError or OverflowError if it makes no sense."""
+    """Parse one node.  Raises one of INVALID_ENTRY_ERRORS if it is invalid."""
     state = LIFECYCLE_STATES[raw["lifecycle"]]
-    gone = state is CacheState.GONE  # nobody will connect there
+    gone = state is CacheState.GONE  # its address is not needed
     weight, started_at = float(raw.get("weight", 1.0)), float(raw.get("startedAtMs", 0.0))
     if not (0.0 <= weight < math.inf and 0.0 <= started_at < math.inf):
         raise ValueError("weight or start is no number")
@@ -94,16 +99,16 @@
 
 
 def stable_hash(name: bytes) -> int:
-    """53 bits, the same in every process: keys and nodes have the same number everywhere."""
+    """A 53-bit hash that is equal in every process: each key and node has one number fleet-wide."""
     return int.from_bytes(hashlib.blake2b(name, digest_size=8).digest(), "big") >> 11
 
 
 def as_member(entry: Entry, now: float, cache_id: int | None = None) -> Member:
-    """What the module is told of an entry; `now` as it knows it, in ms.
+    """Convert an entry for the balancer.  `now` is Unix ms on the proxy's clock.
 
-    `cache_id`: the hash of the entry's name, where the caller has it.
+    `cache_id`: the hash of the entry's name, if the caller has it already.
     """
-    # A start that is yet to come would keep the node cold until then.
+    # A start time in the future would keep the node cold until then.
     return Member(
         stable_hash(entry.instance.encode()) if cache_id is None else cache_id,
         entry.state,
--- a/violetroute/membership/file.py
+++ b/violetroute/membership/file.py
@@ -1,8 +1,9 @@
-"""A file as a source: the platform's form of a list, read anew when the file changes.
+"""A file as a source: a list in the platform's form, read again whenever the file changes.
 
-`{"instances": [...]}` as discovery answers `GET /v1/servers`. It is looked at each `file_every_s`,
-inside the 500 ms in which a drain has to be kept; replace it by a rename, so that no half of it is
-read. Rejected: inotify (not on every file system, and a mount that is replaced goes unseen).
+The format is `{"instances": [...]}`, as in discovery's answer to `GET /v1/servers`. The file is
+checked every `file_every_s`, which is less than the 500 ms in which a drain must take effect. It
+has to be replaced by a rename, so that it is never read half written. inotify was rejected: not all
+file systems support it, and it misses a mount that is replaced.
 """
 
 from __future__ import annotations
@@ -20,48 +21,48 @@
 from .entries import parse_listing
 from .native import ListObserver
 
-MAX_FILE_BYTES = 4 * 1024 * 1024  # bytes: some ten thousand nodes
+MAX_FILE_BYTES = 4 * 1024 * 1024  # about ten thousand nodes
 
 
 class FileWatch:
-    """As `native.Watch`: an end is told once, and looking again is not decided here.
+    """Polls a file.  Like `DiscoveryWatch`, reports its end once and leaves restarts to its owner.
 
-    One timer. A file that is away or can't be read ends the watch; the last list holds.
+    Uses one timer. A missing or unreadable file ends the watch; the last list stays in use.
     """
 
-    def __init__(self, observer: ListObserver, path: str, every: float, net: Network) -> None:
-        self._observer, self._path, self._every, self._loop = observer, path, every, net.loop
-        self._seen: object = None
+    def __init__(self, observer: ListObserver, path: str, interval: float, net: Network) -> None:
+        self._observer, self._path, self._interval, self._loop = observer, path, interval, net.loop
+        self._last_stat: object = None
         self._timer: TimerHandle | None = None
 
     def start(self, since: int) -> None:
-        """Tell the whole list and follow it.  `since` belongs to the platform's list."""
+        """Report the full list, then each change.  `since` is unused: files have no generations."""
         self.stop()
-        self._seen = None
-        self._timer = self._loop.call_later(0.0, self._look)
+        self._last_stat = None
+        self._timer = self._loop.call_later(0.0, self._poll)
 
     def stop(self) -> None:
-        """Nothing more is told."""
+        """Stop polling and reporting."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         self._timer = None
         try:
             stat = os.stat(self._path)
-            if not S_ISREG(stat.st_mode):  # to open a pipe would stop the daemon
+            if not S_ISREG(stat.st_mode):  # opening a pipe would block the daemon
                 raise ValueError(f"{self._path}: no regular file")
-            seen = stat.st_ino, stat.st_mtime_ns, stat.st_size
+            identity = stat.st_ino, stat.st_mtime_ns, stat.st_size
             listing = None
-            if seen != self._seen:
+            if identity != self._last_stat:
                 listing = replace(parse_listing(_read(self._path)), whole=True)
         except (OSError, ValueError, RecursionError) as error:
             logs.event("membership.file_unusable", reason=one_line(error))
             self._observer.list_failed()
             return
-        self._seen = seen
-        self._timer = self._loop.call_later(self._every, self._look)
+        self._last_stat = identity
+        self._timer = self._loop.call_later(self._interval, self._poll)
         if listing is not None:
             self._observer.list_changed(listing)
 
--- a/violetroute/membership/list_reader.py
+++ b/violetroute/membership/list_reader.py
@@ -1,8 +1,8 @@
-"""Reads the lists that a watch is sent, in time that is short beside a request's.
+"""Parses the lists that a watch receives, fast enough not to delay requests.
 
-A list of thousands of nodes is read in one turn of the event loop.  So its text is checked and cut
-into entries by msgspec, and an entry that says what it said before is the same object again: what
-takes it on need not look at it closer.
+A list of thousands of nodes is parsed in one turn of the event loop.  So msgspec validates the text
+and splits it into entries, and an entry whose text has not changed yields the same object as
+before, which the caller can skip by identity.
 """
 
 from __future__ import annotations
@@ -29,46 +29,46 @@
 
 _decode_raw = msgspec.json.Decoder(msgspec.Raw).decode
 
-LINE_LIMIT = 2 * 1024 * 1024  # bytes of a list: some ten thousand entries
+LINE_LIMIT = 2 * 1024 * 1024  # bytes of a list: about ten thousand entries
 
-CACHED_TEXTS_SLACK = 10_000  # entries whose texts are kept beyond twice those of a list
+CACHED_TEXTS_SLACK = 10_000  # cached entry texts beyond twice the entries of a list
 
-# A string, in which braces mean nothing, or one that does.
+# A JSON string, whose brackets don't count, or a bracket.
 _BRACES = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')
 
 
 class WatchError(Exception):
-    """The watch has ended, or can no longer be believed."""
+    """The watch has ended, or what it sent is invalid."""
 
 
 class ObjectSplitter:
-    """The objects that lines hold: one on each, or indented over many."""
+    """Joins lines into JSON objects, which may be one per line or indented over many lines."""
 
     def __init__(self) -> None:
-        self._held = bytearray()  # of an object that has begun
+        self._buffer = bytearray()  # lines of an unfinished object
         self._depth = 0
 
     def feed(self, line: bytes) -> bytes | None:
-        """The object that ends with this line; empty for an empty line, None inside of one."""
+        """The object that ends with this line; b"" for an empty line, None inside an object."""
         line = line.strip()
         if not line:
-            return None if self._held else b""
-        if not self._held and len(line) <= LINE_LIMIT and _is_json(line):
+            return None if self._buffer else b""
+        if not self._buffer and len(line) <= LINE_LIMIT and _is_json(line):
             return line
         for token in _BRACES.findall(line):
             self._depth += (token in b"{[") - (token in b"}]")
-        self._held += line
-        if len(self._held) > LINE_LIMIT:
+        self._buffer += line
+        if len(self._buffer) > LINE_LIMIT:
             raise WatchError("list too long")
         if self._depth > 0:
             return None
-        text, self._depth = bytes(self._held), 0
-        self._held.clear()
+        text, self._depth = bytes(self._buffer), 0
+        self._buffer.clear()
         return text
 
 
 def _is_json(text: bytes) -> bool:
-    """Whether the text is a whole JSON value.  Quicker than to look for its braces."""
+    """Whether the text is a complete JSON value.  Faster than counting its brackets."""
     try:
         _decode_raw(text)
     except msgspec.MsgspecError:
@@ -77,7 +77,7 @@
 
 
 class _Instance(msgspec.Struct, rename="camel"):
-    """An entry as discovery words it."""
+    """An entry as discovery sends it."""
 
     instance_id: str
     lifecycle: str
@@ -96,33 +96,33 @@
 
 
 class ListReader:
-    """Turns texts of one source into lists.
+    """Parses the lists of one source.
 
-    Keeps the entries of its last whole list and of the changes since, by their texts.
+    Caches the entries of its last full list and of the changes since then, by their text.
     """
 
     def __init__(self) -> None:
         self._decode_list = msgspec.json.Decoder(_List).decode
         self._decode_instance = msgspec.json.Decoder(_Instance).decode
         self._by_text: dict[bytes, Entry] = {}
-        self._addresses: dict[str, Address] = {}  # by their texts
+        self._addresses: dict[str, Address] = {}  # by their text
 
     def read(self, text: bytes) -> Listing:
-        """Raises ValueError on anything that is not a list of cache nodes.
+        """Parse a list.  Raises ValueError if the text is not a list of cache nodes.
 
-        Entries that make no sense are left out, as `parse_listing` does.
+        Invalid entries are skipped and logged, as in `parse_listing`.
         """
         try:
-            told = self._decode_list(text)
+            decoded = self._decode_list(text)
         except msgspec.MsgspecError:
-            return parse_listing(json.loads(text))  # it takes more forms of numbers
+            return parse_listing(json.loads(text))  # accepts numbers in strings too
         before = self._by_text
-        if told.reset or len(before) > CACHED_TEXTS_SLACK + 2 * len(told.instances):
+        if decoded.reset or len(before) > CACHED_TEXTS_SLACK + 2 * len(decoded.instances):
             self._by_text = {}
-            if len(self._addresses) > CACHED_TEXTS_SLACK + 2 * len(told.instances):
+            if len(self._addresses) > CACHED_TEXTS_SLACK + 2 * len(decoded.instances):
                 self._addresses = {}
         entries, senseless = [], 0
-        for raw in told.instances:
+        for raw in decoded.instances:
             entry_text = bytes(raw)
             entry = before.get(entry_text)
             if entry is None:
@@ -134,25 +134,25 @@
             self._by_text[entry_text] = entry
             entries.append(entry)
         log_invalid_entries(senseless)
-        return Listing(told.generation, told.reset, tuple(entries))
+        return Listing(decoded.generation, decoded.reset, tuple(entries))
 
     def _entry(self, text: bytes) -> Entry:
         try:
-            told = self._decode_instance(text)
+            decoded = self._decode_instance(text)
         except msgspec.MsgspecError:
             return parse_entry(json.loads(text))
-        if not (0.0 <= told.weight < math.inf and 0.0 <= told.started_at_ms < math.inf):
+        if not (0.0 <= decoded.weight < math.inf and 0.0 <= decoded.started_at_ms < math.inf):
             raise ValueError("weight or start is no number")
-        state = LIFECYCLE_STATES[told.lifecycle]
+        state = LIFECYCLE_STATES[decoded.lifecycle]
         return Entry(
-            told.instance_id,
+            decoded.instance_id,
             state,
-            None if state is CacheState.GONE else self._address(told.host_port),
-            sys.intern(told.zone),
-            sys.intern(told.machine_type),
-            told.cell,
-            told.weight,
-            told.started_at_ms,
+            None if state is CacheState.GONE else self._address(decoded.host_port),
+            sys.intern(decoded.zone),
+            sys.intern(decoded.machine_type),
+            decoded.cell,
+            decoded.weight,
+            decoded.started_at_ms,
         )
 
     def _address(self, text: str) -> Address:
