--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -100,7 +100,7 @@
     )
     watch.start(0)
     for number in range(12):
-        watch._stop_asking()  # answers are handed to it: there is no agent
+        watch._stop_requests()  # answers are handed to it: there is no agent
         catalogue.check(f"cache-{number}", "critical")
         body = bytearray(json.dumps(catalogue.listed("cache")).encode())
         began = time.perf_counter()
--- a/tests/violetroute/membership/test_consul.py
+++ b/tests/violetroute/membership/test_consul.py
@@ -27,7 +27,7 @@
 from violetroute.membership.consul_health import Health, HealthReader, Instance
 from violetroute.membership.query import BlockingQuery, UnusableAnswer
 from violetroute.membership.source import NodeNames
-from violetroute.membership.staleness import CatalogueState, PendingUpdates, changes
+from violetroute.membership.staleness import CatalogueState, PendingUpdates, diff_entries
 from violetroute.transport import Address
 
 TABLE = ConsulTable()
@@ -114,7 +114,7 @@
 ) -> None:
     reader = HealthReader(TABLE)
     found = reader.read(json.dumps([element(**wrong), element(ID="c2"), 7, {}]).encode())
-    assert set(found) == {"c2"} and reader.left_out == 3
+    assert set(found) == {"c2"} and reader.skipped == 3
 
 
 def test_ids_that_are_alike_on_several_machines_stay_apart() -> None:
@@ -244,12 +244,14 @@
 
 def test_changes_say_what_is_new_different_or_gone() -> None:
     one, two = (Entry(n, READY, Address("10.0.0.1", 1), "", "", 0, 1.0, 0.0) for n in ("a", "b"))
-    assert changes({"a": one, "b": two}, {"a": one, "b": two}) == []
-    assert changes({"a": one}, {"a": msgspec.structs.replace(one, state=DRAINING), "b": two}) == [
+    assert diff_entries({"a": one, "b": two}, {"a": one, "b": two}) == []
+    assert diff_entries(
+        {"a": one}, {"a": msgspec.structs.replace(one, state=DRAINING), "b": two}
+    ) == [
         msgspec.structs.replace(one, state=DRAINING),
         two,
     ]
-    assert changes({"a": one}, {}) == [msgspec.structs.replace(one, state=GONE, address=None)]
+    assert diff_entries({"a": one}, {}) == [msgspec.structs.replace(one, state=GONE, address=None)]
 
 
 def test_a_drain_in_an_answer_that_is_old_is_kept_and_nothing_else_of_it() -> None:
@@ -278,9 +280,9 @@
         ("9", 9),
         ("9" * 30, 0),
     ):
-        assert query.answered(200, {"x-consul-index": header}) is None
+        assert query.check(200, {"x-consul-index": header}) is None
         assert query.index == index
-    assert query.answered(200, {"x-consul-index": "5"}) is None
+    assert query.check(200, {"x-consul-index": "5"}) is None
     assert "index=5&wait=10000ms" in query.target() and query.target().endswith("&stale")
     assert "index" not in query.target(confirm=True)
     assert query.target(confirm=True).endswith("&consistent")
@@ -305,7 +307,7 @@
     status: int, headers: dict[str, str], reason: str, wait: float
 ) -> None:
     query = BlockingQuery(TABLE)
-    refused = query.answered(status, headers | {"x-consul-index": "8"})
+    refused = query.check(status, headers | {"x-consul-index": "8"})
     assert isinstance(refused, UnusableAnswer) and reason in refused.reason and refused.wait == wait
     assert query.index == 0  # such an answer's index would hide the next change
 
--- a/tests/violetroute/membership/test_merge_whole.py
+++ b/tests/violetroute/membership/test_merge_whole.py
@@ -85,10 +85,10 @@
         state = {"drains": DRAINING, "whole drains": DRAINING, "gone": GONE}.get(what, READY)
         listed = [] if what == "whole without" else [entry("n", state, self.started)]
         is_whole = what.startswith("whole")
-        if is_whole or not self.merge._views[source].entries:
+        if is_whole or not self.merge._sources[source].entries:
             listed += [entry(name) for name in OTHERS]
             is_whole = True
-        known = "n" in self.merge._views[source].entries
+        known = "n" in self.merge._sources[source].entries
         self.merge.apply(self.now, self.wall, source, Listing(1, is_whole, tuple(listed)))
         if what == "whole without":
             if known:
@@ -113,7 +113,7 @@
             not used
             and not self.told
             and current_source is not None
-            and "n" in self.merge._views[current_source].entries
+            and "n" in self.merge._sources[current_source].entries
         ):
             return "kept out, though nobody says so"
         return ""
@@ -121,7 +121,7 @@
     def key(self) -> Any:
         """All that what follows depends on, with starts and tellings by their order."""
         order: list[float] = [self.started, *self.told.values()]
-        for view in self.merge._views.values():
+        for view in self.merge._sources.values():
             order += [each.started_at for each in view.entries.values()]
             for plan in view.removals.values():
                 order += [plan.wall, plan.entry.started_at]
@@ -153,7 +153,7 @@
                         for name, plan in view.removals.items()
                     ),
                 )
-                for view in self.merge._views.values()
+                for view in self.merge._sources.values()
             ),
         )
 
@@ -162,9 +162,9 @@
         made = copy.copy(self)
         made.told = dict(self.told)
         made.merge = copy.copy(self.merge)
-        made.merge._views = {}
-        for name, view in self.merge._views.items():
-            other = made.merge._views[name] = copy.copy(view)
+        made.merge._sources = {}
+        for name, view in self.merge._sources.items():
+            other = made.merge._sources[name] = copy.copy(view)
             other.entries, other.removals = dict(view.entries), dict(view.removals)
         return made
 
--- a/tests/violetroute/membership/test_sources.py
+++ b/tests/violetroute/membership/test_sources.py
@@ -237,7 +237,7 @@
     made = merge()
     for number in range(MAX_REMOVALS + 5):
         made.apply(1.0, WALL, "b", Listing(2, False, (entry(f"n{number}", GONE),)))
-    assert len(made._views["b"].removals) == MAX_REMOVALS
+    assert len(made._sources["b"].removals) == MAX_REMOVALS
     assert names(made) == {"n0", "n1", "n2", "n3"}  # theirs were the first
 
 
@@ -332,10 +332,10 @@
 def test_an_agents_cache_is_asked_and_its_age_heeded_but_not_for_the_leaders_word() -> None:
     query = BlockingQuery(ConsulTable(cached=True, stale_within_s=10.0))
     assert query.target().endswith("?cached") and "cached" not in query.target(confirm=True)
-    assert query.answered(200, {"age": "10", "x-cache": "HIT"}) is None
-    refused = query.answered(200, {"age": "11", "x-cache": "HIT"})
+    assert query.check(200, {"age": "10", "x-cache": "HIT"}) is None
+    refused = query.check(200, {"age": "11", "x-cache": "HIT"})
     assert isinstance(refused, UnusableAnswer) and refused.drains_valid
-    assert BlockingQuery(ConsulTable()).answered(200, {"age": "11"}) is None
+    assert BlockingQuery(ConsulTable()).check(200, {"age": "11"}) is None
 
 
 # --- on real sockets ---
--- a/violetroute/membership/addresses.py
+++ b/violetroute/membership/addresses.py
@@ -90,7 +90,7 @@
 
 
 def _takes_over(member: Member, other: Member, inferred: bool) -> bool:
-    """Whether `member` takes the address over from `other`: it does if it started later.
+    """Whether `member` takes the address over from `other`: it does unless it started earlier.
 
     If the start times are equal or inferred and one of the two drains, that one has the address.
     """
--- a/violetroute/membership/consul.py
+++ b/violetroute/membership/consul.py
@@ -1,4 +1,4 @@
-"""The watch on Consul: one ask at a time over a kept connection, and what came of it told on."""
+"""Watches a service in Consul: one blocking query at a time over a persistent connection."""
 
 from __future__ import annotations
 
@@ -21,76 +21,75 @@
 from .staleness import CatalogueState, PendingUpdates
 from .table import ConsulTable
 
-CALL_TIMEOUT = 3.0  # s until the first byte, beyond the wait that was asked for
-BODY_IDLE_TIMEOUT = 3.0  # s without a byte of a body
-BODY_TIMEOUT = 10.0  # s over one body
-CONFIRM_MIN_INTERVAL = 0.1  # s from one ask to the leader's word, however few asks the table allows
-CONFIRM_TIMEOUT = 0.3  # s for the leader's word: a drain has to be kept after 0.5
+CALL_TIMEOUT = 3.0  # s until the first byte, beyond the wait that was requested
+BODY_IDLE_TIMEOUT = 3.0  # s between bytes of a body
+BODY_TIMEOUT = 10.0  # s for a whole body
+CONFIRM_MIN_INTERVAL = 0.1  # s from a request to its confirmation, if `least_interval_s` is longer
+CONFIRM_TIMEOUT = 0.3  # s for a confirmation: a drain must take effect within 0.5 s
 
 _shared = memoryview(bytearray(READ_SIZE))
 
 
 class ConsulWatch:
-    """As `native.Watch`: its end is told once, and asking again is not decided here.
+    """Like `DiscoveryWatch`, reports its end once and leaves restarts to its owner.
 
-    What is believed outlives a watch: an outage changes nothing of it.  Bounds: one connection,
-    one body of `body_mb`, three timers (the ask's limit, the next ask, a return that is due).
+    The accepted state outlives a watch, so an outage changes none of it.  Bounds: one connection,
+    one body of `body_mb`, three timers (request timeout, next request, return of a flapping node).
     """
 
     def __init__(
         self, observer: ListObserver, table: ConsulTable, net: Network, clock: Callable[[], float]
     ) -> None:
         self._observer, self._table, self._net, self._loop = observer, table, net, net.loop
-        self._clock = clock  # Unix ms as the proxy counts them: it never steps
+        self._clock = clock  # Unix ms on the proxy's clock, which never steps
         self._catalogue, self._reader = CatalogueState(table), HealthReader(table)
         self._pending = PendingUpdates()
         self._keys = TlsKeys(table.tls) if table.tls.ca else None
         self._agent = 0
-        self._said = 0  # the index of the last answer: with another one the same says it anew
-        self._asked_at = self._not_before = 0.0
-        self._heard_at: float | None = None
+        self._last_index = 0  # index of the last answer; with another index the drains are repeated
+        self._requested_at = self._not_before = 0.0
+        self._answered_at: float | None = None
         self._call: _AgentCall | None = None
-        self._next: Any = None  # the timer of an ask that may not be made yet
-        self._due: Any = None
-        self._was: tuple[bool, bool] = (False, False)
+        self._request_timer: Any = None  # timer of a request that may not be sent yet
+        self._change_timer: Any = None
+        self._logged_state: tuple[bool, bool] = (False, False)
 
-    # --- as the module asks ---
     def start(self, since: int) -> None:
-        """Ask from now on.  `since` belongs to the platform's list and means nothing here."""
-        self._stop_asking()
+        """Start requesting.  `since` is unused: it is a generation of the platform's list."""
+        self._stop_requests()
         self._query, self._digest, self._first = BlockingQuery(self._table), b"", True
-        self._ask_when_due()
+        self._schedule_request()
 
     def stop(self) -> None:
-        """Nothing more is told, nor asked."""
-        self._stop_asking()
-        if self._due is not None:
-            self._due.cancel()
-            self._due = None
-
-    def _stop_asking(self) -> None:
-        if self._next is not None:
-            self._next.cancel()
-            self._next = None
+        """Stop requesting and reporting."""
+        self._stop_requests()
+        if self._change_timer is not None:
+            self._change_timer.cancel()
+            self._change_timer = None
+
+    def _stop_requests(self) -> None:
+        if self._request_timer is not None:
+            self._request_timer.cancel()
+            self._request_timer = None
         if self._call is not None:
             self._call.stop()
             self._call = None
 
-    # --- asking ---
-    def _ask_when_due(self, confirm: bool = False) -> None:
+    # --- requests ---
+    def _schedule_request(self, confirm: bool = False) -> None:
         now = self._loop.time()
         interval = self._table.least_interval_s
-        if confirm:  # one for each answer at most, and what it confirms is a matter of rule three
+        if confirm:  # at most one per answer, and the guarantee on drains depends on it
             interval = min(interval, CONFIRM_MIN_INTERVAL)
-        at = max(self._not_before, self._asked_at + interval)
+        at = max(self._not_before, self._requested_at + interval)
         if at > now:
-            self._next = self._loop.call_at(at, self._ask, confirm)
+            self._request_timer = self._loop.call_at(at, self._send_request, confirm)
         else:
-            self._ask(confirm)
+            self._send_request(confirm)
 
-    def _ask(self, confirm: bool) -> None:
-        self._next = None
-        self._asked_at = self._loop.time()
+    def _send_request(self, confirm: bool) -> None:
+        self._request_timer = None
+        self._requested_at = self._loop.time()
         try:
             token = secret(self._table.token_file)
         except OSError as error:
@@ -105,38 +104,40 @@
                 self._keys,
             )
         limit = CONFIRM_TIMEOUT if confirm else CALL_TIMEOUT + self._query.max_wait
-        self._call.ask(self._query.target(confirm), token, limit, confirm)
+        self._call.request(self._query.target(confirm), token, limit, confirm)
 
     def answered(
         self, status: int, headers: dict[str, str], body: bytearray, confirm: bool
     ) -> None:
-        """A whole answer."""
-        refused = self._query.answered(status, headers)
-        if refused is not None:
-            if refused.drains_valid:
+        """Handle a complete answer."""
+        unusable = self._query.check(status, headers)
+        if unusable is not None:
+            if unusable.drains_valid:
                 self._apply_drains(body)
-            self._refused(refused)
+            self._back_off(unusable)
             return
         digest = hashlib.blake2b(body, digest_size=16).digest()
-        doubt, again = False, self._query.index != self._said
-        self._said = self._query.index
+        needs_confirmation, repeat_drains = False, self._query.index != self._last_index
+        self._last_index = self._query.index
         if digest != self._digest or confirm:
             try:
-                seen = self._reader.read(body)
+                instances = self._reader.read(body)
             except ValueError as error:
                 self._failed(f"no list of nodes: {error}")
                 return
             self._digest = digest
-            if self._reader.left_out:
-                logs.event("consul.entries_left_out", count=self._reader.left_out)
-            doubt = self._catalogue.apply(self._loop.time(), self._clock(), seen, confirm)
-            self._say(doubt)
-        self._heard_at = self._loop.time()
-        self._tell(again)
-        if self._call is not None and not self._call.kept:
+            if self._reader.skipped:
+                logs.event("consul.entries_left_out", count=self._reader.skipped)
+            needs_confirmation = self._catalogue.apply(
+                self._loop.time(), self._clock(), instances, confirm
+            )
+            self._log_state(needs_confirmation)
+        self._answered_at = self._loop.time()
+        self._report_changes(repeat_drains)
+        if self._call is not None and not self._call.reusable:
             self._call.stop()
             self._call = None
-        self._ask_when_due(doubt)
+        self._schedule_request(needs_confirmation)
 
     def _apply_drains(self, body: bytearray) -> None:
         try:
@@ -144,69 +145,73 @@
         except ValueError:
             return
         if self._pending.full_list_sent:
-            self._tell()
+            self._report_changes()
         elif others:
             self._observer.list_changed(Listing(0, False, tuple(others)))
 
-    def _say(self, doubt: bool) -> None:
-        belief = self._catalogue
-        if doubt:
-            logs.event("consul.doubted", count=belief.unconfirmed)
-        now = belief.panic_mode, belief.answer_empty
-        if now != self._was:
-            self._was = now
-            if belief.answer_empty:
-                logs.event("consul.emptied", count=belief.unconfirmed)
-            elif belief.panic_mode:
+    def _log_state(self, needs_confirmation: bool) -> None:
+        catalogue = self._catalogue
+        if needs_confirmation:
+            logs.event("consul.doubted", count=catalogue.unconfirmed)
+        now = catalogue.panic_mode, catalogue.answer_empty
+        if now != self._logged_state:
+            self._logged_state = now
+            if catalogue.answer_empty:
+                logs.event("consul.emptied", count=catalogue.unconfirmed)
+            elif catalogue.panic_mode:
                 logs.event("consul.panic", floor=self._table.floor)
 
-    def _refused(self, refused: UnusableAnswer) -> None:
-        self._not_before = self._loop.time() + refused.wait
-        self._failed(refused.reason)
+    def _back_off(self, unusable: UnusableAnswer) -> None:
+        self._not_before = self._loop.time() + unusable.wait
+        self._failed(unusable.reason)
 
     def failed(self, reason: str) -> None:
-        """The call has ended without an answer."""
+        """Handle the end of a call that got no answer."""
         self._failed(reason)
 
     def _failed(self, reason: str) -> None:
-        """The last list holds, with its age told; another agent is asked next."""
+        """Log the last list's age and report the end.  The next watch uses the next agent."""
         agent = self._table.agents[self._agent]
-        self._stop_asking()
+        self._stop_requests()
         self._agent = (self._agent + 1) % len(self._table.agents)
-        age = -1.0 if self._heard_at is None else self._loop.time() - self._heard_at
+        age = -1.0 if self._answered_at is None else self._loop.time() - self._answered_at
         logs.event("consul.failed", reason=reason, agent=agent, age_s=round(age, 1))
         self._observer.list_failed()
 
-    # --- telling ---
-    def _tell(self, again: bool = False) -> None:
+    # --- reports ---
+    def _report_changes(self, repeat_drains: bool = False) -> None:
         now = self._loop.time()
-        whole, told = self._pending.collect(self._catalogue, now, again)
-        # The first answer of a watch is told even when nothing changed: the module waits for it.
-        if told or whole or self._first:
+        whole, updates = self._pending.collect(self._catalogue, now, repeat_drains)
+        # The first answer of a watch is always reported, since the balancer waits for it.
+        if updates or whole or self._first:
             self._first = False
-            self._observer.list_changed(Listing(self._query.index, whole, tuple(told)))
-        due = self._catalogue.next_change_at(now)
-        if self._due is not None:
-            self._due.cancel()
-        self._due = None if due is None else self._loop.call_at(due + 0.001, self._tell)
+            self._observer.list_changed(Listing(self._query.index, whole, tuple(updates)))
+        change_at = self._catalogue.next_change_at(now)
+        if self._change_timer is not None:
+            self._change_timer.cancel()
+        self._change_timer = (
+            None
+            if change_at is None
+            else self._loop.call_at(change_at + 0.001, self._report_changes)
+        )
 
 
 class _AgentCall:
-    """One connection to an agent, with one ask at a time."""
+    """One HTTP connection to an agent, with one request at a time."""
 
     def __init__(
-        self, watch: ConsulWatch, net: Network, agent: str, most: int, keys: TlsKeys | None
+        self, watch: ConsulWatch, net: Network, agent: str, max_body: int, keys: TlsKeys | None
     ) -> None:
-        self._watch, self._loop, self._agent, self._most = watch, net.loop, agent, most
+        self._watch, self._loop, self._agent, self._max_body = watch, net.loop, agent, max_body
         self._http = h11.Connection(h11.CLIENT)
-        self._open = self._over = False
-        self.kept = True  # whether the next ask can use it
+        self._connected = self._closed = False
+        self.reusable = True  # whether the next request can use the connection
         self._pending: bytes | None = None
         self._body, self._status = bytearray(), 0
         self._headers: dict[str, str] = {}
         self._confirm = False
-        self._limit: Any = None
-        self._began = 0.0
+        self._timeout: Any = None
+        self._body_started_at = 0.0
         address = parse_address(agent)
         self._stream: Stream = (
             TlsStream(net, address, self, CALL_TIMEOUT, keys)
@@ -214,8 +219,8 @@
             else net.connect(address, self, CALL_TIMEOUT, first=True)
         )
 
-    def ask(self, target: str, token: str, limit: float, confirm: bool) -> None:
-        """Send one ask; its answer has to begin within `limit` s."""
+    def request(self, target: str, token: str, limit: float, confirm: bool) -> None:
+        """Send a request.  The answer has to begin within `limit` s."""
         if self._http.our_state is h11.DONE:
             self._http.start_next_cycle()
         headers = [("Host", self._agent), ("Accept", "application/json")]
@@ -225,31 +230,31 @@
             self._http.send(h11.Request(method="GET", target=target, headers=headers)) or b""
         ) + (self._http.send(h11.EndOfMessage()) or b"")
         self._body, self._status, self._confirm = bytearray(), 0, confirm
-        self._patience(limit)
-        if self._open:
+        self._set_timeout(limit)
+        if self._connected:
             self._stream.write(data)
         else:
             self._pending = data
 
     def stop(self) -> None:
-        self._over = True
-        if self._limit is not None:
-            self._limit.cancel()
+        self._closed = True
+        if self._timeout is not None:
+            self._timeout.cancel()
         self._stream.abort()
 
-    def _patience(self, seconds: float) -> None:
-        if self._limit is not None:
-            self._limit.cancel()
-        self._limit = self._loop.call_later(seconds, self._fail, "no answer in time")
+    def _set_timeout(self, seconds: float) -> None:
+        if self._timeout is not None:
+            self._timeout.cancel()
+        self._timeout = self._loop.call_later(seconds, self._fail, "no answer in time")
 
     def _fail(self, reason: str) -> None:
-        if not self._over:
+        if not self._closed:
             self.stop()
             self._watch.failed(reason)
 
     # --- stream ---
     def opened(self) -> None:
-        self._open = True
+        self._connected = True
         if self._pending is not None:
             self._stream.write(self._pending)
             self._pending = None
@@ -260,7 +265,7 @@
     def received(self, count: int) -> None:
         try:
             self._http.receive_data(bytes(_shared[:count]))
-            while not self._over and self._event():
+            while not self._closed and self._event():
                 pass
         except Exception as error:
             kind = "" if isinstance(error, WatchError) else f"{type(error).__name__}: "
@@ -280,18 +285,18 @@
             case h11.NEED_DATA | h11.PAUSED:
                 return False
             case h11.Response(status_code=status, headers=headers):
-                self._status, self._began = status, self._loop.time()
+                self._status, self._body_started_at = status, self._loop.time()
                 self._headers = {
                     name.decode("ascii"): value.decode("latin-1") for name, value in headers
                 }
-                self._patience(BODY_IDLE_TIMEOUT)
+                self._set_timeout(BODY_IDLE_TIMEOUT)
             case h11.Data(data=data):
-                if len(self._body) + len(data) > self._most:
+                if len(self._body) + len(data) > self._max_body:
                     raise WatchError("the answer is too large")
-                if self._loop.time() - self._began > BODY_TIMEOUT:
+                if self._loop.time() - self._body_started_at > BODY_TIMEOUT:
                     raise WatchError("the answer takes too long")
                 self._body += data
-                self._patience(BODY_IDLE_TIMEOUT)
+                self._set_timeout(BODY_IDLE_TIMEOUT)
             case h11.EndOfMessage():
                 self._done()
                 return False
@@ -302,9 +307,9 @@
         return True
 
     def _done(self) -> None:
-        self._limit.cancel()
-        # Bytes behind an answer would be taken for the next one's.
-        self.kept = (
+        self._timeout.cancel()
+        # Bytes after the answer would be parsed as the beginning of the next one.
+        self.reusable = (
             self._http.their_state is h11.DONE
             and self._http.our_state is h11.DONE
             and not self._http.trailing_data[0]
--- a/violetroute/membership/consul_health.py
+++ b/violetroute/membership/consul_health.py
@@ -1,10 +1,10 @@
-"""What Consul's answers say of cache nodes.  Pure.
+"""Parses Consul's answers about cache nodes.  Pure.
 
-By the published HTTP API, `GET /v1/health/service/:service`: a list of {Node, Service, Checks};
-`GET /v1/catalog/service/:service`: a list of flat records without checks, where only the drain tag
-and a weight of 0 say that a node is not to be used.
-An instance's state is the worst of its checks, those of its machine included; maintenance mode
-shows as a critical check of a reserved name, and is a plan and no failure.
+Consul's HTTP API: `GET /v1/health/service/:service` returns a list of {Node, Service, Checks}, and
+`GET /v1/catalog/service/:service` a list of flat records without checks, in which only the drain
+tag and a weight of 0 mark a node as not to be used.
+An instance's health is the worst of its checks, including those of its machine.  Maintenance mode
+appears as a critical check with a reserved name; it is a planned removal, not a failure.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from .table import ConsulTable
 
 NODE_MAINTENANCE, SERVICE_MAINTENANCE = "_node_maintenance", "_service_maintenance:"
-MAX_INSTANCES = 20_000  # instances of an answer
+MAX_INSTANCES = 20_000  # instances in an answer
 
 
 class Health(Enum):
-    """State of an instance: its worst check, or DRAINS for a planned removal."""
+    """The worst check of an instance, or DRAINS for a planned removal."""
 
     PASSING = "passing"
     WARNING = "warning"
@@ -43,7 +43,7 @@
     kind: str = ""
     cell: int = 0
     weight: float = 1.0
-    started_at: float = 0.0  # Unix ms; 0 when it does not say
+    started_at: float = 0.0  # Unix ms; 0 if not given
 
 
 class _Node(msgspec.Struct):
@@ -77,8 +77,8 @@
     Checks: list[_Check] | None = None
 
 
-class _Row(msgspec.Struct):
-    """The catalogue's form of an element."""
+class _CatalogRow(msgspec.Struct):
+    """One record of the catalog endpoint."""
 
     ServiceID: str
     Node: str = ""
@@ -107,48 +107,48 @@
 
 _elements = msgspec.json.Decoder(list[msgspec.Raw])
 _element = msgspec.json.Decoder(_Element)
-_row = msgspec.json.Decoder(_Row)
+_catalog_row = msgspec.json.Decoder(_CatalogRow)
 
 
 class HealthReader:
-    """Reads answers; what has not changed since the last one is not read again.
+    """Parses answers, and reuses the parsed instances of the last answer by their bytes.
 
-    Of two thousand instances one changes at a time: each is known by its bytes.
+    Usually one of two thousand instances changes at a time.
     """
 
     def __init__(self, table: ConsulTable) -> None:
         self._table = table
-        self._known: dict[bytes, tuple[Instance, str] | None] = {}
-        self.left_out = 0  # of the last answer, since they make no sense
+        self._cache: dict[bytes, tuple[Instance, str] | None] = {}
+        self.skipped = 0  # invalid entries of the last answer
 
     def read(self, body: bytes | bytearray) -> dict[str, Instance]:
-        """The instances by name.  ValueError when it is no such answer."""
+        """The instances by name.  Raises ValueError if the body is not a list of instances."""
         raw = _elements.decode(body)
         if len(raw) > MAX_INSTANCES:
             raise ValueError(f"more than {MAX_INSTANCES} instances")
-        known: dict[bytes, tuple[Instance, str] | None] = {}
+        cache: dict[bytes, tuple[Instance, str] | None] = {}
         found: dict[str, Instance] = {}
-        self.left_out = 0
-        for each in raw:
-            data = bytes(each)
-            read = known[data] = self._known[data] if data in self._known else self._read(data)
+        self.skipped = 0
+        for item in raw:
+            data = bytes(item)
+            read = cache[data] = self._cache[data] if data in self._cache else self._read(data)
             if read is None:
-                self.left_out += 1
+                self.skipped += 1
                 continue
             instance, machine = read
-            if instance.name in found:  # an id is unique at its agent alone
+            if instance.name in found:  # an id is unique per agent only
                 instance = replace(instance, name=f"{instance.name}@{machine}")
             found[instance.name] = instance
-        self._known = known
+        self._cache = cache
         return found
 
     def _read(self, data: bytes) -> tuple[Instance, str] | None:
-        """None for an entry that makes no sense: the others hold."""
+        """One instance and its machine's name; None if invalid, so that the others are used."""
         try:
             element = (
                 _element.decode(data)
                 if self._table.endpoint == "health"
-                else _row.decode(data).element()
+                else _catalog_row.decode(data).element()
             )
             return self._instance(element), element.Node.Node
         except (ValueError, OverflowError):
@@ -169,8 +169,8 @@
         if not (0.0 <= weight < math.inf and 0.0 <= started < math.inf):
             raise ValueError("weight or start is no number")
         if weight == 0.0 and health is not Health.DRAINS:
-            health = Health.CRITICAL  # as Consul's own DNS leaves it out
-        # An id that was not given is the service's name, alike on all machines.
+            health = Health.CRITICAL  # Consul's own DNS leaves it out too
+        # The id defaults to the service's name, which is the same on all machines.
         name = service.ID if service.Service != service.ID else element.Node.Node or service.ID
         if not name:
             raise ValueError("no id")
@@ -195,7 +195,7 @@
             check.CheckID == NODE_MAINTENANCE or check.CheckID.startswith(SERVICE_MAINTENANCE)
         ):
             return Health.DRAINS
-    said = {check.Status for check in checks}
-    if said - {"passing", "warning"}:
-        return Health.CRITICAL  # also a state that is not known here
-    return Health.WARNING if "warning" in said else Health.PASSING
+    statuses = {check.Status for check in checks}
+    if statuses - {"passing", "warning"}:
+        return Health.CRITICAL  # unknown statuses count as critical
+    return Health.WARNING if "warning" in statuses else Health.PASSING
--- a/violetroute/membership/merge.py
+++ b/violetroute/membership/merge.py
@@ -1,15 +1,16 @@
-"""Several sources of one list: who speaks, and what the others are heard on all the same.  Pure.
-
-One source speaks at a time, the first by precedence that can be believed to be there. Mixing lists
-entry by entry was rejected: each source is late in its own way, and a node that one has not yet
-heard of would flicker. Two things cross the precedence:
-
-- A **drain or a going** counts at once whoever tells of it, speaker or not (rule three), until that
-  source takes it back or the speaker tells of a later start. Harm: a list that is being emptied by
-  hand takes nodes out of service while another one speaks; so it is taken out of `sources` first.
-- A speaker that falls silent goes on speaking for `patience_s`: its last list is better than a
-  change of lists for each hiccup. A source of higher rank that is back waits `settle_s`, so that
-  one which comes and goes does not drag the fleet along.
+"""Merges the lists of several sources: selects one, and applies the removals of all.  Pure.
+
+One source is current at a time: the available one of the highest precedence. Mixing the lists
+entry by entry was rejected: each source lags in its own way, and a node that one of them doesn't
+list yet would flicker. There are two exceptions to the precedence:
+
+- A **drain or removal** applies at once, whichever source reports it (the guarantee on drains),
+  until that source withdraws it or the current source reports a later start of the node. Harm: a
+  list that is emptied by hand takes nodes out of service while another source is current, so such
+  a source must be removed from `sources` first.
+- A current source that becomes unavailable stays current for `patience_s`: its last list is better
+  than switching lists at each short outage. A source of higher rank that recovers waits `settle_s`,
+  so that an unstable one doesn't make the fleet switch back and forth.
 """
 
 from __future__ import annotations
@@ -24,26 +25,26 @@
 from .entries import Entry, Listing
 from .table import MembershipTable
 
-MAX_REMOVALS = 4096  # drains and goings remembered of one source; the oldest make way
-START_TOLERANCE_MS = 10_000.0  # ms by which two sources may differ on one start of a node
+MAX_REMOVALS = 4096  # remembered drains and removals of a source; the oldest are dropped
+START_TOLERANCE_MS = 10_000.0  # ms by which two sources may differ on the same start
 
 
 @dataclass(slots=True)
 class _PlannedRemoval:
-    """A drain or a going that a source has told of."""
+    """A drain or removal that a source has reported."""
 
     entry: Entry
     gone: bool
-    wall: float  # Unix ms at which it was told
+    wall: float  # Unix ms at which it was reported
 
 
 @dataclass(slots=True)
 class _SourceState:
-    """What one source has said."""
+    """The list and removals that one source has reported."""
 
     entries: dict[str, Entry] = field(default_factory=dict)
     removals: dict[str, _PlannedRemoval] = field(default_factory=dict)
-    unavailable_since: float | None = None  # None while it is there
+    unavailable_since: float | None = None  # None while it is available
     available_since: float = 0.0
 
     @property
@@ -56,89 +57,93 @@
 
 
 class ListMerger:
-    """The lists of all sources.  Times are the loop's, in s; `wall` is Unix ms.
+    """The merged list of all sources.  Times are the loop's, in s; `wall` is Unix ms.
 
-    `order`: the names of the sources, the first by precedence first.
+    `order`: the names of the sources, highest precedence first.
     """
 
     def __init__(self, order: Sequence[str], table: MembershipTable, now: float) -> None:
         self._order, self._table = tuple(order), table
-        self._views = {name: _SourceState(unavailable_since=now) for name in order}
-        self.current_source: str | None = None  # None: the list before holds
+        self._sources = {name: _SourceState(unavailable_since=now) for name in order}
+        self.current_source: str | None = None  # None: the initial list is in use
         self._initial_entries: dict[str, Entry] = {}
-        self.dissimilar: tuple[str, float] | None = None  # who may not follow, and what it shares
+        # A source that was not selected because its list differs too much, with the fraction that
+        # the lists have in common.
+        self.dissimilar: tuple[str, float] | None = None
 
     def set_initial_list(self, entries: Iterable[Entry]) -> None:
-        """The list that holds until one speaks: handed over at the start, or another source's."""
+        """Set the list to use until a source is current: the platform's, or one from before."""
         self._initial_entries = {entry.instance: entry for entry in entries}
 
     def carry_removals(self, before: ListMerger) -> None:
-        """What the sources told the merge before this one of drains and goings.
+        """Copy the drains and removals that the sources reported to the previous merger.
 
-        Of those that are still asked; what one told that is taken out is the operator's to forget.
+        Sources that are no longer configured are skipped: removing one discards its reports.
         """
-        for name, view in before._views.items():
-            if name in self._views:
-                self._views[name].removals.update(view.removals)
+        for name, reports in before._sources.items():
+            if name in self._sources:
+                self._sources[name].removals.update(reports.removals)
 
-    # --- what is heard ---
+    # --- input from sources ---
     def apply(self, now: float, wall: float, source: str, listing: Listing) -> None:
-        """A list or changes of one."""
-        view = self._views[source]
-        if view.unavailable_since is not None:
-            view.unavailable_since, view.available_since = None, now
-        before = view.entries
-        here = {} if listing.whole else dict(before)
+        """Apply a full list or changes from `source`, which thereby is available."""
+        reports = self._sources[source]
+        if reports.unavailable_since is not None:
+            reports.unavailable_since, reports.available_since = None, now
+        before = reports.entries
+        latest = {} if listing.whole else dict(before)
         for entry in listing.entries:
             if entry.state is CacheState.GONE:
-                here.pop(entry.instance, None)
+                latest.pop(entry.instance, None)
                 if not entry.hint:
-                    self._record_removal(view, wall, before.get(entry.instance, entry), gone=True)
+                    self._record_removal(
+                        reports, wall, before.get(entry.instance, entry), gone=True
+                    )
             else:
-                here[entry.instance] = entry
+                latest[entry.instance] = entry
                 if entry.state is CacheState.DRAINING:
-                    self._record_removal(view, wall, entry, gone=False)
+                    self._record_removal(reports, wall, entry, gone=False)
                 else:
-                    view.removals.pop(entry.instance, None)
+                    reports.removals.pop(entry.instance, None)
         if listing.whole:
-            vanished = [entry for name, entry in before.items() if name not in here]
-            # A list that loses most of its nodes at once tells of no single one of them.
+            vanished = [entry for name, entry in before.items() if name not in latest]
+            # A list that loses most nodes at once says nothing reliable about single ones.
             if len(vanished) <= (1.0 - self._table.least_match) * len(before):
                 for entry in vanished:
-                    self._record_removal(view, wall, entry, gone=True)
-        view.entries = here
+                    self._record_removal(reports, wall, entry, gone=True)
+        reports.entries = latest
         self._select_source(now)
 
-    def _record_removal(self, view: _SourceState, wall: float, entry: Entry, gone: bool) -> None:
-        # Told again it counts anew: it may be of another start.
-        view.removals.pop(entry.instance, None)
-        view.removals[entry.instance] = _PlannedRemoval(entry, gone, wall)
-        if len(view.removals) > MAX_REMOVALS:
-            del view.removals[next(iter(view.removals))]
+    def _record_removal(self, reports: _SourceState, wall: float, entry: Entry, gone: bool) -> None:
+        # A repeated report counts as new: it may refer to a later start of the node.
+        reports.removals.pop(entry.instance, None)
+        reports.removals[entry.instance] = _PlannedRemoval(entry, gone, wall)
+        if len(reports.removals) > MAX_REMOVALS:
+            del reports.removals[next(iter(reports.removals))]
 
     def source_failed(self, now: float, source: str) -> None:
-        """A source has ended, or failed to answer."""
-        view = self._views[source]
-        if view.unavailable_since is None:
-            view.unavailable_since = now
+        """Note that a source has ended or failed to answer."""
+        reports = self._sources[source]
+        if reports.unavailable_since is None:
+            reports.unavailable_since = now
         self._select_source(now)
 
-    # --- who speaks ---
+    # --- selection of the source ---
     def tick(self, now: float) -> None:
-        """Time has passed: see `due`."""
+        """Select the source again, at the time from `next_change_at`."""
         self._select_source(now)
 
     def next_change_at(self, now: float) -> float | None:
-        """When the speaker may change by itself."""
+        """When a timeout may change the current source; None if none is pending."""
         times = []
         rank = self._rank()
-        for place, (name, view) in enumerate(self._views.items()):
-            if self.current_source is not None and place < rank and view.is_available:
-                times.append(view.available_since + self._table.settle_s)
-            if view.unavailable_since is not None and (
+        for position, (name, reports) in enumerate(self._sources.items()):
+            if self.current_source is not None and position < rank and reports.is_available:
+                times.append(reports.available_since + self._table.settle_s)
+            if reports.unavailable_since is not None and (
                 name == self.current_source or self.current_source is None
             ):
-                times.append(view.unavailable_since + self._table.patience_s)
+                times.append(reports.unavailable_since + self._table.patience_s)
         return min((at for at in times if at > now), default=None)
 
     def _rank(self) -> int:
@@ -150,92 +155,98 @@
 
     def _select_source(self, now: float) -> None:
         self.dissimilar = None
-        rank, speaking = self._rank(), self._views.get(self.current_source or "")
-        for place, name in enumerate(self._order):
-            view = self._views[name]
+        rank, current = self._rank(), self._sources.get(self.current_source or "")
+        for position, name in enumerate(self._order):
+            reports = self._sources[name]
             if name == self.current_source:
                 if (
-                    view.unavailable_since is None
-                    or now < view.unavailable_since + self._table.patience_s
+                    reports.unavailable_since is None
+                    or now < reports.unavailable_since + self._table.patience_s
                 ):
-                    return  # it goes on
+                    return  # it stays current
                 continue
-            if not view.is_available or not view.ready_entries:
-                continue  # a list of nobody is nobody's
-            if place < rank and (
-                speaking is None
-                or not speaking.is_available
-                or now >= view.available_since + self._table.settle_s
+            if not reports.is_available or not reports.ready_entries:
+                continue  # an empty list is never selected
+            if position < rank and (
+                current is None
+                or not current.is_available
+                or now >= reports.available_since + self._table.settle_s
             ):
-                if speaking is None and not self._higher_ranks_timed_out(now, place):
+                if current is None and not self._higher_ranks_timed_out(now, position):
                     continue
                 self.current_source = name
                 return
-            if place > rank and speaking is not None:
-                share = _shared(speaking.ready_entries, view.ready_entries)
+            if position > rank and current is not None:
+                share = _overlap(current.ready_entries, reports.ready_entries)
                 if share < self._table.least_match:
                     self.dissimilar = name, share
                     continue
                 self.current_source = name
                 return
 
-    def _higher_ranks_timed_out(self, now: float, place: int) -> bool:
-        """At the start: whether those before it have had their time."""
-        for name in self._order[:place]:
-            since = self._views[name].unavailable_since
+    def _higher_ranks_timed_out(self, now: float, position: int) -> bool:
+        """At the start: whether all sources of higher precedence are past `patience_s`."""
+        for name in self._order[:position]:
+            since = self._sources[name].unavailable_since
             if since is not None and now < since + self._table.patience_s:
                 return False
         return True
 
-    # --- what is told on ---
+    # --- the merged list ---
     def entries(self, wall: float) -> dict[str, Entry]:
-        """By the speaker's names: its list, less what any source says drains or is gone.
+        """The current source's list by node name, with the other sources' removals applied.
 
-        Found by exploration: before anyone spoke, a drain that one had told of was not kept.
+        They apply to the initial list too: exploration found that a drain was ignored while no
+        source was current.
         """
-        told = dict(
+        merged = dict(
             self._initial_entries
             if self.current_source is None
-            else self._views[self.current_source].entries
+            else self._sources[self.current_source].entries
         )
         by_address: dict[object, str] | None = None
-        for name, view in self._views.items():
+        for name, reports in self._sources.items():
             if name == self.current_source:
                 continue
-            for plan in view.removals.values():
+            for removal in reports.removals.values():
                 if by_address is None:
-                    by_address = {entry.address: other for other, entry in told.items()}
-                _apply_removal(plan, told, by_address, wall)
-        return told
+                    by_address = {entry.address: other for other, entry in merged.items()}
+                _apply_removal(removal, merged, by_address, wall)
+        return merged
 
 
 def _apply_removal(
-    plan: _PlannedRemoval, told: dict[str, Entry], by_address: Mapping[object, str], wall: float
+    removal: _PlannedRemoval,
+    merged: dict[str, Entry],
+    by_address: Mapping[object, str],
+    wall: float,
 ) -> None:
-    for name in {plan.entry.instance, by_address.get(plan.entry.address)}:
-        entry = told.get(name) if name is not None else None
-        # Another start than the one that was told of; one that is yet to come is a wrong clock.
-        # Found by exploration: a node that drained was registered anew, and being first seen
-        # then passed for a start.
-        if entry is None or (plan.wall < entry.started_at <= wall and not entry.inferred):
+    for name in {removal.entry.instance, by_address.get(removal.entry.address)}:
+        entry = merged.get(name) if name is not None else None
+        # A later start of the node cancels the removal. A start in the future comes from a wrong
+        # clock and doesn't. Neither does an inferred start: exploration found that a draining node
+        # was registered again, and the time it was first seen then passed for a start.
+        if entry is None or (removal.wall < entry.started_at <= wall and not entry.inferred):
             continue
-        if not plan.gone:
+        if not removal.gone:
             if entry.state is CacheState.READY:
-                told[entry.instance] = msgspec.structs.replace(entry, state=CacheState.DRAINING)
-        # Who is gone may be told of after another one has started at its address.
+                merged[entry.instance] = msgspec.structs.replace(entry, state=CacheState.DRAINING)
+        # The removal may be reported after another node has started at the same address.
         elif (
-            entry.instance == plan.entry.instance
-            or entry.started_at <= plan.entry.started_at + START_TOLERANCE_MS
+            entry.instance == removal.entry.instance
+            or entry.started_at <= removal.entry.started_at + START_TOLERANCE_MS
         ):
-            del told[entry.instance]
+            del merged[entry.instance]
 
 
-def _shared(before: Sequence[Entry], after: Iterable[Entry]) -> float:
-    """The share of `before` that is in `after`, by name or address."""
+def _overlap(before: Sequence[Entry], after: Iterable[Entry]) -> float:
+    """The fraction of `before` that is in `after`, by name or address."""
     if not before:
         return 1.0
-    names, places = set(), set()
+    names, addresses = set(), set()
     for entry in after:
         names.add(entry.instance)
-        places.add(entry.address)
-    return sum(entry.instance in names or entry.address in places for entry in before) / len(before)
+        addresses.add(entry.address)
+    return sum(entry.instance in names or entry.address in addresses for entry in before) / len(
+        before
+    )
--- a/violetroute/membership/native.py
+++ b/violetroute/membership/native.py
@@ -1,4 +1,4 @@
-"""Discovery's watch: one call, from the connect until its end is told."""
+"""Watches the list of the platform's discovery over one streaming HTTP call."""
 
 from __future__ import annotations
 
@@ -12,27 +12,31 @@
 from .entries import Listing
 from .list_reader import LINE_LIMIT, ListReader, ObjectSplitter, WatchError
 
-# What a watch misses counts as told 6 s after it fell silent, and a change 6 s after discovery had
-# it and could be reached: each wait here, the module's own before it asks again and the next answer
-# have to fit in them, whatever comes in between.
-CONNECT_TIMEOUT = 1.5  # s until a connection stands: one lost packet is sent again after 1 s
-CALL_TIMEOUT = 2.5  # s from a call's begin to its first line; discovery itself lets it wait 1 to 2
-LINE_TIMEOUT = 2.7  # s without a whole line, in however many bytes; an empty one comes every 2 s
-READ_SIZE = 16 * 1024  # bytes read at once, into a buffer that all watches share
+# A change counts as notified 6 s after discovery has it and is reachable, and a change that a
+# stalled watch misses 6 s after its last line. Each timeout here, the balancer's own retry wait and
+# the next answer have to fit in these 6 s, whatever happens in between.
+CONNECT_TIMEOUT = 1.5  # s to connect: a lost packet is retransmitted after 1 s
+CALL_TIMEOUT = (
+    2.5  # s from a call's start to its first line; discovery itself delays it by 1 to 2 s
+)
+LINE_TIMEOUT = (
+    2.7  # s without a complete line, bytes or not; discovery sends an empty one every 2 s
+)
+READ_SIZE = 16 * 1024  # bytes per read, into a buffer that all watches share
 
 _shared = memoryview(bytearray(READ_SIZE))
 
 
 class ListObserver(Interface):
-    """What the watch knows of the proxy."""
+    """Receives the lists of a watch, and its end."""
 
     def list_changed(self, listing: Listing) -> None: ...
     def list_failed(self, silent: bool = False) -> None:
-        """The watch has ended; `silent`: it stood, and nothing came any more."""
+        """Handle the end of the watch; `silent`: it timed out waiting for a line."""
 
 
 class DiscoveryWatch:
-    """One watch at a time; its end is told once, and asking again is not decided here."""
+    """Runs one call at a time.  Reports its end once and leaves restarts to its owner."""
 
     def __init__(self, observer: ListObserver, address: Address, net: Network) -> None:
         self._observer, self._address, self._net = observer, address, net
@@ -50,7 +54,7 @@
 
 
 class DiscoveryCall:
-    """One call to discovery, from the connect until its end is told or it is called off."""
+    """One call to discovery, until it ends and that is reported, or until `stop`."""
 
     def __init__(
         self, observer: ListObserver, net: Network, address: Address, since: int, reader: ListReader
@@ -60,38 +64,38 @@
         self._http = h11.Connection(h11.CLIENT)
         self._line = bytearray()
         self._splitter, self._reader = ObjectSplitter(), reader
-        self._told = self._over = False
-        self._line_until = net.loop.time() + CALL_TIMEOUT
-        self._timer = net.loop.call_at(self._line_until, self._look)
-        # Ahead of clients: after a pause, what is read with a drain has to keep it.
+        self._notified = self._closed = False
+        self._line_deadline = net.loop.time() + CALL_TIMEOUT
+        self._timer = net.loop.call_at(self._line_deadline, self._check_timeout)
+        # Read before clients, so that after a pause a drain is applied before requests are sent.
         self._stream = net.connect(address, self, CONNECT_TIMEOUT, first=True)
 
     def stop(self) -> None:
-        """Nothing more is told."""
-        self._over = True
+        """Abort the call without a report."""
+        self._closed = True
         self._timer.cancel()
         self._stream.abort()
 
     def _end(self, reason: BaseException | str, silent: bool = False) -> None:
-        """Whatever discovery sends, and whatever taking it in does, ends one watch and is told.
+        """End the call and report it, whatever discovery sent and whatever handling it raised.
 
-        An end that nobody hears of would leave the list as it is for good.  It also hides
-        our own faults, which is why they are logged with their kind.
+        Without the report the list would never change again.  This also covers up our own faults,
+        so the exception's type is logged.
         """
-        if self._over:
+        if self._closed:
             return
         self.stop()
         kind = "" if isinstance(reason, str | WatchError) else f"{type(reason).__name__}: "
         logs.event("discovery.watch_ended", reason=f"{kind}{reason}")
         self._observer.list_failed(silent)
 
-    def _look(self) -> None:
-        if self._loop.time() >= self._line_until:
-            # Found on join+mass: what a watch misses that has fallen silent is held against us 6 s
-            # after that; a wait like that after an end came 1 to 3 s too late.
-            self._end("silence" if self._told else "no line in time", silent=True)
+    def _check_timeout(self) -> None:
+        if self._loop.time() >= self._line_deadline:
+            # Seen when many nodes joined at once: a change that a stalled watch misses counts 6 s
+            # after its last line; with the retry wait of an ordinary end it came 1 to 3 s too late.
+            self._end("silence" if self._notified else "no line in time", silent=True)
         else:
-            self._timer = self._loop.call_at(self._line_until, self._look)
+            self._timer = self._loop.call_at(self._line_deadline, self._check_timeout)
 
     # --- stream ---
     def opened(self) -> None:
@@ -110,7 +114,7 @@
     def received(self, count: int) -> None:
         try:
             self._http.receive_data(bytes(_shared[:count]))
-            while not self._over and self._event():
+            while not self._closed and self._event():
                 pass
         except Exception as error:
             self._end(error)
@@ -124,9 +128,9 @@
     def drained(self) -> None:
         pass
 
-    # --- what it says ---
+    # --- answer ---
     def _event(self) -> bool:
-        """Take one event in; False when more bytes are needed."""
+        """Handle one HTTP event; False if more bytes are needed."""
         match self._http.next_event():
             case h11.NEED_DATA:
                 return False
@@ -135,25 +139,25 @@
                     raise WatchError(f"discovery answered {status}")
             case h11.Data(data=data):
                 self._line += data
-                while not self._over and (end := self._line.find(b"\n")) >= 0:
+                while not self._closed and (end := self._line.find(b"\n")) >= 0:
                     line = bytes(self._line[:end])
                     del self._line[: end + 1]
-                    self._take(line)
+                    self._handle_line(line)
                 if len(self._line) > LINE_LIMIT:
                     raise WatchError("line too long")
             case h11.EndOfMessage() | h11.ConnectionClosed() | h11.PAUSED:
                 raise WatchError("discovery ended the watch")
             case _:
-                pass  # informational answers
+                pass  # informational responses
         return True
 
-    def _take(self, line: bytes) -> None:
+    def _handle_line(self, line: bytes) -> None:
         text = self._splitter.feed(line)
         if text is None:
             return
-        self._line_until = self._loop.time() + LINE_TIMEOUT
+        self._line_deadline = self._loop.time() + LINE_TIMEOUT
         listing = self._reader.read(text) if text else None
-        first, self._told = not self._told, True
-        # The first answer is told even when nothing changed: the module waits for it.
+        first, self._notified = not self._notified, True
+        # The first line is always reported, since the balancer waits for it.
         if listing is not None or first:
             self._observer.list_changed(listing or Listing(self._since, False, ()))
--- a/violetroute/membership/query.py
+++ b/violetroute/membership/query.py
@@ -1,8 +1,8 @@
-"""Blocking queries by Consul's published rules: what to ask, and what an answer counts as.  Pure.
+"""Consul's blocking queries: builds requests and checks whether answers are usable.  Pure.
 
-https://developer.hashicorp.com/consul/api-docs/features/blocking: the index of an answer is given
-with the next ask, which then waits for a change. An index that goes backwards is reset to 0, and so
-is one that is not above 0; a return without a change is normal.
+https://developer.hashicorp.com/consul/api-docs/features/blocking: the index of an answer is sent
+with the next request, which then waits for a change. An index that goes backwards or is not above 0
+is reset to 0; an answer without a change is normal.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 
 from .table import ConsulTable
 
-WAIT_JITTER_DIVISOR = 16  # a server adds up to a 16th of the wait
-MAX_RETRY_AFTER = 60.0  # s for which a server's Retry-After is heeded
+WAIT_JITTER_DIVISOR = 16  # a server adds up to 1/16 of the wait
+MAX_RETRY_AFTER = 60.0  # s; a longer Retry-After is cut to this
 
 
 @dataclass(frozen=True, slots=True)
 class UnusableAnswer:
-    """An answer that tells nothing of the nodes."""
+    """Why an answer is not used, and when to request again."""
 
     reason: str
-    wait: float = 0.0  # s before which not to ask again
+    wait: float = 0.0  # s to wait before the next request
     drains_valid: bool = (
-        False  # it is whole but old: what it says of drains was true when it was said
+        False  # a complete but old answer: its drains were true when it was written
     )
 
 
 class BlockingQuery:
-    """The asks of one watch."""
+    """The requests of one watch."""
 
     def __init__(self, table: ConsulTable) -> None:
         self._table = table
@@ -37,15 +37,15 @@
 
     @property
     def max_wait(self) -> float:
-        """Seconds that an answer may take to begin."""
+        """Seconds for which the server may hold the request before it answers."""
         return self._table.wait_s * (1.0 + 1.0 / WAIT_JITTER_DIVISOR) if self.index else 0.0
 
     def target(self, confirm: bool = False) -> str:
-        """Path and parameters.  `confirm`: the leader's word, at once."""
+        """Path and query.  `confirm`: a consistent read from the leader, without waiting."""
         table = self._table
-        asks: list[tuple[str, str]] = []
+        params: list[tuple[str, str]] = []
         if self.index and not confirm:
-            asks += [("index", str(self.index)), ("wait", f"{round(table.wait_s * 1000)}ms")]
+            params += [("index", str(self.index)), ("wait", f"{round(table.wait_s * 1000)}ms")]
         for name, value in (
             ("dc", table.datacenter),
             ("ns", table.namespace),
@@ -54,21 +54,21 @@
             ("near", table.near),
         ):
             if value:
-                asks.append((name, value))
+                params.append((name, value))
         flag = "consistent" if confirm else table.consistency
-        text = urlencode(asks) + (f"&{flag}" if flag != "default" else "")
-        if table.cached and not confirm:  # a cache can't vouch for the leader
+        text = urlencode(params) + (f"&{flag}" if flag != "default" else "")
+        if table.cached and not confirm:  # a cached answer can't confirm anything
             text += "&cached"
         path = f"/v1/{table.endpoint}/service/{quote(table.service, safe='')}"
         return f"{path}?{text.lstrip('&')}".rstrip("?")
 
-    def answered(self, status: int, headers: Mapping[str, str]) -> UnusableAnswer | None:
-        """None: its body counts.  Header names in small letters."""
+    def check(self, status: int, headers: Mapping[str, str]) -> UnusableAnswer | None:
+        """None if the answer is usable; then its index is kept.  Header names are in lower case."""
         table = self._table
         if status != 200:
             return UnusableAnswer(
                 f"answered {status}",
-                _retry(headers.get("retry-after", "")) if status in (429, 503) else 0.0,
+                _retry_after(headers.get("retry-after", "")) if status in (429, 503) else 0.0,
             )
         if headers.get("x-consul-knownleader", "true").lower() == "false":
             return UnusableAnswer("no leader", drains_valid=True)
@@ -77,7 +77,7 @@
         contact = headers.get("x-consul-lastcontact", "0")
         if contact.isdecimal() and int(contact) > table.stale_within_s * 1000.0:
             return UnusableAnswer(f"{contact} ms old", drains_valid=True)
-        age = headers.get("age", "0") if table.cached else "0"  # s, of the agent's cache
+        age = headers.get("age", "0") if table.cached else "0"  # s in the agent's cache
         if age.isdecimal() and (len(age) > 9 or int(age) > table.stale_within_s):
             return UnusableAnswer(f"{age[:12]} s old in the agent's cache", drains_valid=True)
         text = headers.get("x-consul-index", "0")
@@ -86,6 +86,6 @@
         return None
 
 
-def _retry(text: str) -> float:
-    """Retry-After in seconds; a date is not used by Consul, and counts as nothing."""
+def _retry_after(text: str) -> float:
+    """Retry-After in s; 0 for a date, which Consul doesn't send."""
     return min(MAX_RETRY_AFTER, float(text)) if text.isdecimal() and len(text) < 10 else 0.0
--- a/violetroute/membership/source.py
+++ b/violetroute/membership/source.py
@@ -1,4 +1,4 @@
-"""Which sources tell the list, and one name for a node whoever tells of it."""
+"""The configured sources of the list, and stable node names across a change of source."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class SourceSettings(Protocol):
-    """What is read of the operator's file."""
+    """The tables of the operator's settings that are read here."""
 
     @property
     def membership(self) -> MembershipTable: ...
@@ -30,43 +30,43 @@
 
 
 class NodeNames:
-    """Names across a change of source.  Pure.
+    """Keeps node names stable across a change of source.  Pure.
 
-    Two sources may call one node differently. Told as another node it would be new, cold and
-    without all that is known of it, and with a whole fleet so there would be nobody to serve. So in
-    the first whole list of a new source a node that stands at an address which is known keeps the
-    name that it had. Later a new name at a known address is a new node: the address was given on.
+    Two sources may name one node differently. Under a new name it would count as a new, cold node
+    without history, and if that happened to the whole fleet, no node could serve. So in the first
+    full list of a new source, a node at a known address keeps its previous name. After that a new
+    name at a known address is a new node, to which the address was reassigned.
     """
 
     def __init__(self) -> None:
-        self._entries_by_name: dict[str, Entry] = {}  # by the name that is told on
-        self._name_map: dict[str, str] = {}  # what the source says: what is told on
+        self._entries_by_name: dict[str, Entry] = {}  # by reported name
+        self._name_map: dict[str, str] = {}  # the source's name: the reported name
         self._new_source = False
 
     def expect_new_source(self) -> None:
-        """The next whole list is another source's first."""
+        """Treat the next full list as the first of another source."""
         self._new_source = True
 
     @property
     def current_entries(self) -> list[Entry]:
-        """The list as it was told on last."""
+        """The list as reported last."""
         return list(self._entries_by_name.values())
 
     def translate(self, listing: Listing) -> Listing:
-        """The list under the names that are told on."""
+        """The list with each node under the name to report."""
         if listing.whole and self._new_source:
             self._new_source = False
-            at = {entry.address: name for name, entry in self._entries_by_name.items()}
-            taken = {entry.instance for entry in listing.entries}
+            name_by_address = {entry.address: name for name, entry in self._entries_by_name.items()}
+            listed = {entry.instance for entry in listing.entries}
             self._name_map = {
-                entry.instance: at[entry.address]
+                entry.instance: name_by_address[entry.address]
                 for entry in listing.entries
-                if entry.address in at
+                if entry.address in name_by_address
                 and entry.instance not in self._entries_by_name
-                and at[entry.address] not in taken
+                and name_by_address[entry.address] not in listed
             }
-        elif self._new_source:  # drains ahead of its first whole list, of nodes by any name
-            at = {entry.address: name for name, entry in self._entries_by_name.items()}
+        elif self._new_source:  # drains before its first full list, under names of any source
+            name_by_address = {entry.address: name for name, entry in self._entries_by_name.items()}
             unknown = [
                 entry.state is CacheState.DRAINING and entry.instance not in self._entries_by_name
                 for entry in listing.entries
@@ -74,13 +74,15 @@
             listing = replace(
                 listing,
                 entries=tuple(
-                    msgspec.structs.replace(entry, instance=at.get(entry.address, entry.instance))
+                    msgspec.structs.replace(
+                        entry, instance=name_by_address.get(entry.address, entry.instance)
+                    )
                     if new
                     else entry
                     for entry, new in zip(listing.entries, unknown, strict=True)
                 ),
             )
-        if not self._name_map:  # names are told on as they are
+        if not self._name_map:  # all names are reported as they are
             if listing.whole:
                 self._entries_by_name = {}
             for entry in listing.entries:
@@ -89,20 +91,20 @@
                 else:
                     self._entries_by_name[entry.instance] = entry
             return listing
-        told = []
-        here = {} if listing.whole else self._entries_by_name
+        renamed = []
+        entries = {} if listing.whole else self._entries_by_name
         for entry in listing.entries:
             name = self._name_map.get(entry.instance, entry.instance)
             named = (
                 entry if name == entry.instance else msgspec.structs.replace(entry, instance=name)
             )
-            told.append(named)
+            renamed.append(named)
             if entry.state is CacheState.GONE:
-                here.pop(name, None)  # it keeps its name for when it comes back
+                entries.pop(name, None)  # `_name_map` still has its name for its return
             else:
-                here[name] = named
-        self._entries_by_name = here
-        return Listing(listing.generation, listing.whole, tuple(told))
+                entries[name] = named
+        self._entries_by_name = entries
+        return Listing(listing.generation, listing.whole, tuple(renamed))
 
 
 def _renamed(entry: Entry, name: str) -> Entry:
@@ -110,7 +112,7 @@
 
 
 class Membership:
-    """The source in use, or all of them as one.  `start` and `stop` as the module says."""
+    """The configured source, or several merged.  The balancer decides when it starts and stops."""
 
     def __init__(
         self,
@@ -129,17 +131,17 @@
         names = source_order(self._operator)
         if len(names) == 1:
             return self._create_source(names[0], self)
-        several = MergedSources(
+        merged = MergedSources(
             self,
             self._net.loop,
             self._clock,
             {name: partial(self._create_source, name) for name in names},
             self._operator.membership,
         )
-        several.set_initial_list(
+        merged.set_initial_list(
             self._names.current_entries, before if isinstance(before, MergedSources) else None
         )
-        return several
+        return merged
 
     def _create_source(self, name: str, observer: ListObserver) -> SourceWatch:
         if name == "consul":
@@ -151,14 +153,14 @@
 
     @property
     def active_watch(self) -> object:
-        """The watch in use: another one after a move."""
+        """The watch in use; `reconfigure` replaces it."""
         return self._watch
 
     def reconfigure(self, discovery: Address, operator: SourceSettings) -> bool:
-        """Where lists come from from now on; whether that is elsewhere.
+        """Apply new settings.  Returns whether the sources changed.
 
-        What was told holds until the new source has told its first list. The old one's end is not
-        told: the module learns of the move instead.
+        The reported list stays in use until the new source has reported its first list. The end of
+        the old watch is not reported: the caller notifies the balancer of the change instead.
         """
         before, now = source_order(self._operator), source_order(operator)
         same = (
@@ -177,9 +179,11 @@
         return True
 
     def start(self, since: int) -> None:
+        """Start the watch from generation `since` of the platform's list."""
         self._watch.start(since)
 
     def stop(self) -> None:
+        """Stop the watch without a report."""
         self._watch.stop()
 
     # --- from the watch ---
@@ -193,7 +197,7 @@
         self._observer.list_failed(silent)
 
     def adopt_initial_list(self, listing: Listing) -> Listing:
-        """What the platform handed over at the start, so that its names last."""
+        """Take the list that the platform provided at the start, so that its names are kept."""
         known = self._names.translate(replace(listing, whole=True))
         if isinstance(self._watch, MergedSources):
             self._watch.set_initial_list(self._names.current_entries)
@@ -203,5 +207,5 @@
 
 
 def source_order(operator: SourceSettings) -> tuple[str, ...]:
-    """The sources by precedence."""
+    """The configured sources, highest precedence first."""
     return operator.membership.sources or (("consul",) if operator.consul.agents else ("platform",))
--- a/violetroute/membership/sources.py
+++ b/violetroute/membership/sources.py
@@ -1,4 +1,4 @@
-"""Several sources watched at once, as one watch: `merge.py` decides whose word counts."""
+"""Watches several sources at once and reports one list, as `merge.py` merges them."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 from .entries import Entry, Listing
 from .merge import ListMerger
 from .native import ListObserver
-from .staleness import changes
+from .staleness import diff_entries
 from .table import MembershipTable
 
 
 class SourceWatch(Protocol):
-    """What every source can do."""
+    """A watch on one source, or on all of them."""
 
     def start(self, since: int) -> None: ...
     def stop(self) -> None: ...
 
 
 class MergedListObserver(ListObserver, Protocol):
-    """Who is told of the merged list."""
+    """Receives the merged list."""
 
     def expect_new_source(self) -> None:
-        """The next whole list is another source's first."""
+        """Expect the first full list of another source."""
 
 
 class _SourceObserver:
-    """One source's way to tell."""
+    """Passes the reports of one source on with its name."""
 
     def __init__(self, sources: MergedSources, name: str) -> None:
         self._sources, self.name = sources, name
@@ -43,10 +43,10 @@
 
 
 class MergedSources:
-    """As `native.Watch`.  When those that are down are asked again is the module's to say.
+    """Like `DiscoveryWatch`, reports each end and leaves restarts to its owner.
 
-    It hears of each end, and `start` begins what is not under way; what is goes on. Bounds: one
-    timer beside those of the sources.
+    `start` starts the sources that are not running; the others continue. Bounds: one timer beside
+    those of the sources.
     """
 
     def __init__(
@@ -54,64 +54,69 @@
         observer: MergedListObserver,
         loop: AbstractEventLoop,
         clock: Callable[[], float],
-        make: Mapping[str, Callable[[ListObserver], SourceWatch]],
+        factories: Mapping[str, Callable[[ListObserver], SourceWatch]],
         table: MembershipTable,
     ) -> None:
         self._observer, self._loop, self._clock = observer, loop, clock
-        self._merger = ListMerger(list(make), table, loop.time())
-        self._watches = {name: made(_SourceObserver(self, name)) for name, made in make.items()}
-        self._running: dict[str, None] = {}  # those under way
-        self._generations = dict.fromkeys(make, 0)
+        self._merger = ListMerger(list(factories), table, loop.time())
+        self._watches = {
+            name: create_watch(_SourceObserver(self, name))
+            for name, create_watch in factories.items()
+        }
+        self._running: dict[str, None] = {}  # sources whose watch is running
+        self._generations = dict.fromkeys(factories, 0)
         self._notified_entries: dict[str, Entry] = {}
-        self._notified_source: str | None = None  # who did when it was last told
-        self._due: TimerHandle | None = None
+        self._notified_source: str | None = None  # the current source of the last report
+        self._timer: TimerHandle | None = None
 
     def set_initial_list(
         self, entries: Iterable[Entry], before: MergedSources | None = None
     ) -> None:
-        """The list that holds so far, and who told it, where several did."""
+        """Set the list in use so far.  `before`: the previous instance, whose removals are kept."""
         self._merger.set_initial_list(entries)
         if before is not None:
             self._merger.carry_removals(before._merger)
         self._notified_entries = self._merger.entries(self._clock())
 
     def start(self, since: int) -> None:
-        """Begin what is not under way.  `since` is one source's alone, so each has its own."""
+        """Start sources that are not running.  Each resumes at its own generation, not `since`."""
         for name, watch in self._watches.items():
             if name not in self._running:
                 self._running[name] = None
                 watch.start(self._generations[name])
-        self._when_due()
+        self._schedule_tick()
 
     def stop(self) -> None:
-        """Nothing more is told, nor asked."""
+        """Stop all sources and reporting."""
         self._running.clear()
-        if self._due is not None:
-            self._due.cancel()
-            self._due = None
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
         for watch in self._watches.values():
             watch.stop()
 
     # --- from the sources ---
     def source_changed(self, name: str, listing: Listing) -> None:
+        """Merge a list or changes from a source, and report the result."""
         self._generations[name] = listing.generation
         self._merger.apply(self._loop.time(), self._clock(), name, listing)
-        self._tell()
+        self._report_changes()
 
     def source_failed(self, name: str, silent: bool = False) -> None:
+        """Report the end of a source's watch, and the list without it if that changes."""
         self._running.pop(name, None)
         self._merger.source_failed(self._loop.time(), name)
-        self._tell()
+        self._report_changes()
         self._observer.list_failed(silent)
 
     def _tick(self) -> None:
-        self._due = None
+        self._timer = None
         self._merger.tick(self._loop.time())
-        self._tell()
+        self._report_changes()
 
-    # --- telling ---
-    def _tell(self) -> None:
-        """What has changed; an empty list too, since the module waits for a first answer."""
+    # --- reports ---
+    def _report_changes(self) -> None:
+        """Report what has changed, even if nothing: the balancer waits for a first answer."""
         merge = self._merger
         if merge.dissimilar is not None:
             source, share = merge.dissimilar
@@ -122,15 +127,15 @@
             if self._notified_source is not None:
                 self._observer.expect_new_source()
             logs.event("membership.speaks", source=merge.current_source, nodes=len(entries))
-        told = list(entries.values()) if whole else changes(self._notified_entries, entries)
+        changed = list(entries.values()) if whole else diff_entries(self._notified_entries, entries)
         self._notified_entries, self._notified_source = entries, merge.current_source
-        self._observer.list_changed(Listing(0, whole, tuple(told)))
-        self._when_due()
+        self._observer.list_changed(Listing(0, whole, tuple(changed)))
+        self._schedule_tick()
 
-    def _when_due(self) -> None:
-        if self._due is not None:
-            self._due.cancel()
-            self._due = None
+    def _schedule_tick(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
         at = self._merger.next_change_at(self._loop.time()) if self._running else None
         if at is not None:
-            self._due = self._loop.call_at(at + 0.001, self._tick)
+            self._timer = self._loop.call_at(at + 0.001, self._tick)
