--- a/violetroute/ledger/__init__.py
+++ b/violetroute/ledger/__init__.py
@@ -1,7 +1,7 @@
-"""What was served, by tenant and class, cut into periods and exported once (`[ledger]`).
+"""The usage ledger (`[ledger]`): served requests by tenant, class and period, exported once.
 
-`periods`, `accounts`, `frames` and `export` decide and are pure; `store` and `files` keep what they
-decided; `outbox` hands batches over as files; `keeper` is the part that the daemon has.
+`periods`, `accounts`, `counters`, `frames` and `export` make the decisions and are pure; `store`
+and `files` persist them; `outbox` and `post` export batches; `service` runs it all in the daemon.
 """
 
 from .table import LedgerTable
--- a/violetroute/ledger/accounts.py
+++ b/violetroute/ledger/accounts.py
@@ -1,18 +1,17 @@
-"""The accounts: what is counted, cut, prepared, sent and confirmed.  Pure.
+"""The accounts: units, periods and batches, as an event-sourced state machine.  Pure.
 
-Decisions return records; `apply` alone changes the book, with a record that has just been decided
-or with one read from the log.  So what a restart finds is by construction what the records say,
-and each crash is a prefix of them.
+Methods that decide return records and change nothing; `apply` alone changes the book, with a new
+record or with one read from the log.  So a restart restores exactly what the records say, and the
+state after a crash is that of a prefix of them.
 
-What counts (`docs/design/ledger.md` has the reasons): a request is one unit of its tenant and
-class, in the period in which the proxy gives its client the served answer, by the wall clock.
-Nothing else is: no refusal, no failure, no attempt, no second copy, no answer after the client had
-gone.
+What counts (reasons in `docs/design/ledger.md`): a request is one unit of its tenant and class, in
+the period in which the proxy sends the served answer to its client, by the wall clock.  Nothing
+else counts: no refusal, failure, attempt, duplicate, or answer after the client has disconnected.
 
-A period closes `grace_s` after its end: its units become a batch, which never changes again.  What
-is counted for it later becomes a correction, a batch that names the period.  A batch is prepared
-(on disk before anybody hears of it), sent, and confirmed or held; it has one key for good, so a
-billing endpoint that has seen the key takes it for the same batch.
+A period closes `grace_s` after its end: its units become a batch, which is immutable.  Units that
+are counted for it later become a correction, a batch that names the period.  A batch is prepared
+(on disk before it is visible outside), sent, and confirmed or held.  Its key never changes, so that
+a billing endpoint recognizes a batch that it has already received.
 """
 
 from __future__ import annotations
@@ -24,19 +23,19 @@
 from .frames import VERSION, Record
 from .periods import Periods
 
-MAX_BATCH_LINES = 5000  # of a batch; more make several
-MAX_CLOSED_PERIODS = 10_000  # periods remembered as closed; older ones are taken for closed
+MAX_BATCH_LINES = 5000  # per batch; more lines make several batches
+MAX_CLOSED_PERIODS = 10_000  # periods remembered as closed; older ones count as closed
 MAX_GAPS = 1000
-MAX_BATCHES_IN_MEMORY = 8  # batches whose lines are; those behind them wait in files
-MAX_TENANT_BYTES = 256  # bytes of a tenant; a longer one is told by its beginning and a hash
+MAX_BATCHES_IN_MEMORY = 8  # batches whose lines stay in memory; later ones are in files
+MAX_TENANT_BYTES = 256  # bytes; a longer name is cut and ends in a hash
 
 Kind = Literal["period", "correction"]
-Key = tuple[str | None, str]  # tenant (None: those who had no place), class
+Key = tuple[str | None, str]  # tenant (None: those counted together), class
 
 
 @dataclass(slots=True)
 class Batch:
-    """Units of one period, for good."""
+    """Units of one period; immutable but for its state."""
 
     seq: int
     kind: Kind
@@ -44,14 +43,12 @@
     lines: list[tuple[str | None, str, int]]
     key: str
     state: Literal["prepared", "sent", "held"] = "prepared"
-    reason: str = ""  # it is held, or who signed a correction
-    spilled_units: int | None = (
-        None  # its lines are in a file of their own, and come to so many units
-    )
+    reason: str = ""  # why it is held, or who signed it and in which file
+    spilled_units: int | None = None  # its units while its lines are in a file
 
     @property
     def units(self) -> int:
-        """Sum of the lines, also while they are in a file of their own."""
+        """Sum of the lines, also while they are in a file."""
         return (
             sum(units for _, _, units in self.lines)
             if self.spilled_units is None
@@ -61,7 +58,7 @@
 
 @dataclass(slots=True)
 class Book:
-    """One proxy's accounts.  `grace_s` in s; all instants are Unix seconds."""
+    """The accounts of one proxy.  `grace_s` is in s; all times are Unix seconds."""
 
     periods: Periods
     grace_s: float = 60.0
@@ -69,46 +66,44 @@
     incarnation: int = 0
     nonce: str = ""
     next_seq: int = 1
-    last_key: str = ""  # the key of the batch that was confirmed last
-    unbatched_units: dict[int, dict[Key, int]] = field(
-        default_factory=dict
-    )  # by period, not in a batch
+    last_key: str = ""  # key of the last confirmed batch
+    unbatched_units: dict[int, dict[Key, int]] = field(default_factory=dict)  # by period
     closed: dict[int, None] = field(default_factory=dict)
-    closed_before: int = 0  # those that are forgotten
-    batches: dict[int, Batch] = field(default_factory=dict)  # those that are not confirmed
+    closed_before: int = 0  # older periods, which are not in `closed` any more
+    batches: dict[int, Batch] = field(default_factory=dict)  # by number, until confirmed
     confirmed_units: dict[int, int] = field(default_factory=dict)  # units confirmed, by period
     gaps: list[tuple[float, float, str]] = field(default_factory=list)
-    last_write_at: float = 0.0  # the last instant of which it is known that it was written
-    closed_cleanly: bool = True  # the process before had closed the book
+    last_write_at: float = 0.0  # Unix s of the last record with a time
+    closed_cleanly: bool = True  # whether the last process wrote an "end" record
     applied_corrections: dict[str, None] = field(
         default_factory=dict
-    )  # of signed corrections, by period
-    late_since: float | None = None  # units of closed periods wait since then
+    )  # "FILE/PERIOD" of signed files
+    late_since: float | None = None  # since when units of closed periods wait for a correction
 
-    # --- decisions: records to write ---
+    # --- decisions: records to apply and write ---
     def begin_records(self, name: str, nonce: str, now: float) -> list[Record]:
-        """A new process opens the book."""
+        """A new process opens the book.  Its gap is recorded if the last one did not close it."""
         records: list[Record] = []
-        if not self.closed_cleanly:  # what it had counted and not written is gone with it
+        if not self.closed_cleanly:  # its unwritten units are lost
             records += self.gap_records(self.last_write_at, now, "its process was killed")
         return [*records, ["begin", VERSION, name, self.incarnation + 1, nonce, now]]
 
     def end_records(self, now: float) -> list[Record]:
-        """The process ends, with all that it has counted written."""
+        """The process ends, after all its units were written."""
         return [["end", now]]
 
     def heartbeat_records(self, now: float) -> list[Record]:
-        """Nothing to say, and nothing was missed up to here."""
+        """There were no units, and none was missed until `now`."""
         return [["alive", now]]
 
     def usage_records(
         self, now: float, units: Mapping[tuple[int, str | None, str], int]
     ) -> list[Record]:
-        """What was served since the last time."""
+        """Units served since the last call, by period, tenant and class."""
         return [["count", now, [[*key, count] for key, count in units.items()]]] if units else []
 
     def batch_records(self, now: float) -> list[Record]:
-        """Batches of what is due: periods that have closed, and corrections of those before."""
+        """Batches of periods that now close, and corrections of periods that closed before."""
         records: list[Record] = []
         seq = self.next_seq
         for period in sorted(self.unbatched_units):
@@ -136,9 +131,9 @@
     def correction_records(
         self, mark: str, by: str, lines: Iterable[tuple[int, str | None, str, int]]
     ) -> list[Record]:
-        """Corrections (period, tenant, class, units that may be below 0) that an operator signed.
+        """Corrections signed by an operator: period, tenant, class, units (may be negative).
 
-        `mark` names the signed file: one that is met again after a crash is taken once.
+        `mark` is the name of the signed file.  A file found again after a crash is applied once.
         """
         of: dict[int, list[list[Any]]] = {}
         for period, tenant, cls, units in lines:
@@ -158,7 +153,7 @@
         ]
 
     def sent_records(self, seq: int) -> list[Record]:
-        """The batch is sent; no record if it was before.  KeyError for an unknown batch."""
+        """The batch is being sent; no record if it was before.  KeyError for an unknown batch."""
         return [] if self.batches[seq].state == "sent" else [["sent", seq]]
 
     def confirmed_records(self, seq: int) -> list[Record]:
@@ -170,12 +165,12 @@
         return [["held", seq, why]] if seq in self.batches else []
 
     def spill_records(self) -> list[Record]:
-        """Batches whose lines need not be in memory, so that an endpoint may be away for days."""
+        """Move lines of later batches to files, so that an endpoint may be down for days."""
         waiting = [batch for batch in self.batches.values() if batch.spilled_units is None]
         return [["away", batch.seq] for batch in waiting[MAX_BATCHES_IN_MEMORY:]]
 
     def restore_records(self, seq: int, lines: Iterable[Any]) -> list[Record]:
-        """The lines of a batch that were away."""
+        """Load the lines of a batch that were in a file."""
         return [["back", seq, list(lines)]]
 
     def gap_records(self, since: float, until: float, why: str) -> list[Record]:
@@ -183,12 +178,12 @@
         return [["gap", since, until, why]]
 
     def adopt_records(self, last: str, billed: Iterable[int], now: float) -> list[Record]:
-        """The endpoint knows of a later life of this ledger than its disk does.
+        """Adopt the endpoint's later state of this ledger.
 
-        Its disk is older than what was exported (restored), or new (lost).  `billed`: periods of
-        which the endpoint has had batches since the last that we know of.  Whatever we have of
-        them may have been in those, so it is held for an operator: never billed twice, and not
-        lost in silence either.
+        The disk is older than the exports (it was restored) or empty (it was lost).  `last`: the
+        key of the endpoint's last batch.  `billed`: periods of its batches after the last one that
+        we know.  Our units of these periods may be in those batches, so they are held for an
+        operator: never billed twice, and not lost unnoticed.
         """
         again = set(billed)
         records: list[Record] = [["adopt", last]]
@@ -208,23 +203,23 @@
         records.append(["gap", since, now, "its disk is older than its bills"])
         return records
 
-    # --- what they say ---
+    # --- queries ---
     @property
     def next_batch(self) -> Batch | None:
-        """The batch that is exported next."""
+        """The batch to export next; None if all are held or confirmed."""
         return next((batch for batch in self.batches.values() if batch.state != "held"), None)
 
     def closed_until(self, now: float) -> float:
         """The Unix second up to which every period is closed and confirmed.
 
-        What is held waits for an operator and holds up nobody: it comes as a correction.
+        Held batches don't delay it: they wait for an operator and are billed as corrections.
         """
         waits = [period for period in self.unbatched_units if not self._is_closed(period)]
         waits += [batch.period for batch in self.batches.values() if batch.state != "held"]
         return float(min([self.periods.of(now - self.grace_s), *waits]))
 
     def total_units(self, period: int) -> int:
-        """All units of a period that this book knows of, billed or not."""
+        """All units of a period, confirmed or not."""
         return (
             self.confirmed_units.get(period, 0)
             + sum(self.unbatched_units.get(period, {}).values())
@@ -237,9 +232,9 @@
     def _key(self, seq: int) -> str:
         return f"{self.name}/{self.incarnation}.{self.nonce}/{seq}"
 
-    # --- the one way to change ---
+    # --- state changes ---
     def apply(self, record: Record) -> None:
-        """ValueError for a record of a later version, or that can't follow what was before."""
+        """Apply one record.  ValueError if it is unknown or of a later version."""
         match record:
             case ["begin", version, name, incarnation, nonce, now]:
                 if version > VERSION:
@@ -292,7 +287,7 @@
     def _prepare(self, batch: Batch, from_counts: bool) -> None:
         self.batches[batch.seq] = batch
         self.next_seq = batch.seq + 1
-        if not from_counts:  # signed: its units were never counted here
+        if not from_counts:  # signed by an operator: its units were not counted here
             self.applied_corrections[batch.reason.rpartition(" ")[2]] = None
             if len(self.applied_corrections) > MAX_CLOSED_PERIODS:
                 del self.applied_corrections[next(iter(self.applied_corrections))]
@@ -311,7 +306,7 @@
             self.closed_before = oldest + 1
 
     def checkpoint(self) -> Record:
-        """All of it as one record: where a new file of the log begins."""
+        """The whole book as one record, the first of each log file."""
         return [
             "state",
             {
--- a/violetroute/ledger/export.py
+++ b/violetroute/ledger/export.py
@@ -1,17 +1,17 @@
-"""What a batch looks like outside, and what an endpoint's answer means.  Pure.
+"""Formats batches for export and interprets a billing endpoint's responses.  Pure.
 
-The convention towards a billing endpoint, all of it published:
+The protocol of a billing endpoint:
 
-- one POST a batch: JSON lines, the first of which is the batch itself, the others its units;
+- One POST per batch, of JSON lines: the first describes the batch, the others are its units.
 - `Idempotency-Key` (IETF draft-ietf-httpapi-idempotency-key-header): the batch's key, the same for
-  each try.  2xx: taken, now or before.  409: a try with this key is still under way.  422: the key
-  was used with another body, which is a fault of ours: the batch is held;
-- `Ledger-After`: the key of this ledger's batch before.  412 when it is not the last that the
-  endpoint has from this ledger; its body tells that one and the periods of the batches behind ours:
-  {"last": KEY, "periods": [UNIX SECONDS, ...]}.  So a ledger whose disk was restored or lost learns
-  of its later life before anything is billed twice;
-- 429 and 503 with `Retry-After`; any 3xx, other 4xx or 5xx, and every end without an answer: tried
-  again later.  A redirection is never followed: what stands in a ledger is nobody else's business.
+  each attempt.  2xx: accepted, now or before.  409: an attempt with this key is still in progress.
+  422: the key was used with another body, which is our fault; the batch is held.
+- `Ledger-After`: the key of this ledger's previous batch.  412 if the endpoint's last batch from
+  this ledger is another one; the body then has that batch and the periods of the batches after
+  ours: {"last": KEY, "periods": [UNIX SECONDS, ...]}.  So a ledger whose disk was restored or lost
+  learns about its later batches before anything is billed twice.
+- 429 and 503 may have `Retry-After`.  These, any 3xx, other 4xx or 5xx, and a missing response lead
+  to a later retry.  Redirects are never followed, since usage data is confidential.
 """
 
 from __future__ import annotations
@@ -28,18 +28,19 @@
 
 from .accounts import Batch
 
-MAX_RETRY_AFTER = 3600.0  # s for which an endpoint's word is heeded
-CLIENT_ERROR_RETRY = 60.0  # s at least after an answer that another try will hardly change
-MAX_KEY_CHARS = 400  # characters of a key
-MAX_FORK_PERIODS = 100_000  # of a 412
+MAX_RETRY_AFTER = 3600.0  # s; a longer Retry-After is cut to this
+CLIENT_ERROR_RETRY = 60.0  # s; shortest wait after a response that a retry rarely changes
+MAX_KEY_CHARS = 400  # of the key in a 412 response
+MAX_FORK_PERIODS = 100_000  # in a 412 response
 
 
 def idempotency_key(batch: Batch) -> str:
-    """As a structured header's string."""
+    """The batch's key as a string of a structured HTTP header."""
     return '"' + batch.key.replace("\\", "").replace('"', "") + '"'
 
 
 def batch_header(batch: Batch) -> dict[str, Any]:
+    """The first row of an exported batch."""
     return {
         "batch": batch.key,
         "seq": batch.seq,
@@ -53,14 +54,14 @@
 
 
 def json_lines(batch: Batch) -> bytes:
-    """The same bytes for the same batch, whoever asks and however often."""
+    """The batch as JSON lines; always the same bytes for the same batch."""
     rows: list[Any] = [batch_header(batch)]
     rows += [{"tenant": tenant, "class": cls, "units": units} for tenant, cls, units in batch.lines]
     return b"".join(msgspec.json.encode(row) + b"\n" for row in rows)
 
 
 def csv_lines(batch: Batch) -> bytes:
-    """For a spreadsheet: a cell that it would run begins with an apostrophe instead."""
+    """The batch as CSV.  A cell that a spreadsheet would evaluate gets a leading apostrophe."""
     text = io.StringIO()
     writer = csv.writer(text)
     writer.writerow(("batch", "kind", "period", "tenant", "class", "units"))
@@ -84,24 +85,24 @@
 
 
 def file_name(batch: Batch) -> str:
-    """Of a batch's file.  The ledger's own name is the operator's; no tenant is in it."""
+    """The name of a batch's file: from its key, which has the ledger's name and no tenant's."""
     safe = "".join(c if c.isalnum() or c in "._-" else "_" for c in batch.key)
     return safe.lstrip(".")
 
 
 @dataclass(frozen=True, slots=True)
 class ExportResult:
-    """What came of one try."""
+    """The result of one attempt to export a batch."""
 
     outcome: Literal["done", "again", "held", "fork"]
     reason: str = ""
-    wait: float = 0.0  # s before the next try, at least
-    last: str = ""  # of a fork
+    wait: float = 0.0  # s; shortest wait before the next attempt
+    last: str = ""  # "fork": the key of the endpoint's last batch
     periods: tuple[int, ...] = ()
 
 
 class SignedCorrections(msgspec.Struct, forbid_unknown_fields=True):
-    """A file of corrections: who signed them; period, tenant, class and units of each."""
+    """A file of corrections: who signed it, and lines of period, tenant, class and units."""
 
     by: str
     lines: list[tuple[int, str | None, str, int]]
@@ -113,7 +114,7 @@
 
 
 def interpret_response(status: int, headers: Mapping[str, str], body: bytes) -> ExportResult:
-    """Header names in small letters.  Never raises."""
+    """The meaning of a response.  Header names are in lower case.  Never raises."""
     if 200 <= status < 300:
         return ExportResult("done")
     if status == 412:
@@ -121,8 +122,8 @@
             fork = msgspec.json.decode(body, type=_Fork)
         except msgspec.DecodeError:
             return ExportResult("again", "412 that tells nothing", CLIENT_ERROR_RETRY)
-        plain = fork.last.isascii() and fork.last.isprintable() and '"' not in fork.last
-        if not plain or len(fork.last) > MAX_KEY_CHARS:  # it becomes a header of ours
+        is_plain = fork.last.isascii() and fork.last.isprintable() and '"' not in fork.last
+        if not is_plain or len(fork.last) > MAX_KEY_CHARS:  # we send it in a header
             return ExportResult("again", "412 with no key", CLIENT_ERROR_RETRY)
         if len(fork.periods) > MAX_FORK_PERIODS:
             return ExportResult("again", "412 that tells too much", CLIENT_ERROR_RETRY)
@@ -145,18 +146,19 @@
 
 
 class Backoff:
-    """When to try next: doubling, with full jitter from the seed, reset by a success."""
+    """Retry waits: they double with jitter from the seed, and a success resets them."""
 
-    def __init__(self, first: float, most: float, seed: str) -> None:
-        self._first, self._most = first, most
+    def __init__(self, first: float, max_wait: float, seed: str) -> None:
+        self._first, self._max_wait = first, max_wait
         self._random = random.Random(seed)
         self.failures = 0
 
     def succeeded(self) -> None:
+        """Reset the wait."""
         self.failures = 0
 
     def failed(self, at_least: float) -> float:
-        """Seconds until the next try."""
-        ceiling = min(self._most, self._first * 2.0 ** min(self.failures, 30))
+        """Seconds until the next attempt, `at_least` or more."""
+        ceiling = min(self._max_wait, self._first * 2.0 ** min(self.failures, 30))
         self.failures += 1
         return max(at_least, ceiling / 2.0 + self._random.uniform(0.0, ceiling / 2.0))
--- a/violetroute/ledger/files.py
+++ b/violetroute/ledger/files.py
@@ -1,8 +1,7 @@
-"""The ledger's folder: appending, syncing, replacing whole files.  Blocks; never on the loop's
-thread.
+"""File operations in the ledger's folder.  They block; don't call them on the event loop's thread.
 
-`Files` is what `store.py` asks of a disk and all that a test's disk has to play: a power cut keeps
-what was synced, and of the rest anything.
+`Files` is the interface that `store.py` needs and that a simulated disk in tests implements.  After
+a power cut, synced data is intact, and the rest may be kept, torn or lost.
 """
 
 from __future__ import annotations
@@ -18,40 +17,45 @@
 
 
 class Files(Protocol):
-    """One folder.  OSError from any call."""
+    """The operations on one folder.  Any call may raise OSError."""
 
     def lock(self) -> bool:
-        """Whether the folder is ours alone, now or already, until `close`."""
+        """Lock the folder until `close`.  False if another process has the lock."""
 
-    def names(self) -> list[str]: ...
+    def names(self) -> list[str]:
+        """The names of all files but the lock, sorted."""
 
-    def read(self, name: str) -> bytes: ...
+    def read(self, name: str) -> bytes:
+        """The contents of a file."""
 
     def append(self, name: str, data: bytes) -> None:
-        """At its end, which it makes if it is not there.  Kept from `sync` on."""
+        """Append to a file, creating it if needed.  Durable after `sync`."""
 
     def sync(self) -> None:
-        """All that was appended since the last time is kept."""
+        """Make all appended data durable."""
 
     def put(self, name: str, data: bytes) -> None:
-        """A whole file, in place of one before; kept once this returns, and never half of it."""
+        """Create or replace a file atomically.  Durable on return."""
 
-    def move(self, name: str, to: str) -> None: ...
+    def move(self, name: str, to: str) -> None:
+        """Rename a file, replacing one with the new name."""
 
-    def remove(self, name: str) -> None: ...
+    def remove(self, name: str) -> None:
+        """Delete a file if it exists."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Close all files, syncing appended data, and release the lock."""
 
 
 class Folder:
-    """A real folder."""
+    """A folder on a real disk."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
         self._lock = -1
-        self._open: dict[str, int] = {}  # files that are appended to
+        self._open: dict[str, int] = {}  # descriptors of files that are appended to
         self._unsynced: dict[str, None] = {}
-        self._new = False  # a name was made that the folder may not have kept
+        self._new = False  # a file was created and the folder not synced
 
     def lock(self) -> bool:
         self._path.mkdir(parents=True, exist_ok=True)
@@ -73,12 +77,12 @@
         descriptor = self._open.get(name)
         if descriptor is None:
             if len(self._open) >= 8:
-                self._let_go()
-            there = (self._path / name).exists()
+                self._close_all()
+            exists = (self._path / name).exists()
             descriptor = self._open[name] = os.open(
                 self._path / name, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o644
             )
-            self._new = self._new or not there
+            self._new = self._new or not exists
         view = memoryview(data)
         while view:
             view = view[os.write(descriptor, view) :]
@@ -93,10 +97,10 @@
             self._new = False
 
     def put(self, name: str, data: bytes) -> None:
-        aside = self._path / f"{name}.new"
-        write_synced(aside, data)
+        temporary = self._path / f"{name}.new"
+        write_synced(temporary, data)
         self._close(name)
-        os.replace(aside, self._path / name)
+        os.replace(temporary, self._path / name)
         sync_folder(self._path)
 
     def move(self, name: str, to: str) -> None:
@@ -109,12 +113,12 @@
             os.unlink(self._path / name)
 
     def close(self) -> None:
-        self._let_go()
+        self._close_all()
         if self._lock >= 0:
             os.close(self._lock)
             self._lock = -1
 
-    def _let_go(self) -> None:
+    def _close_all(self) -> None:
         for name in list(self._open):
             self._close(name)
 
@@ -127,7 +131,7 @@
 
 
 def folder_name(name: str) -> str:
-    """Of a proxy: a plain name as it is; no other can leave the folder, or be taken for one."""
+    """A safe folder name for a proxy: plain names are kept, others get a hash so none collide."""
     safe = "".join(c if c.isascii() and (c.isalnum() or c in "._-") else "_" for c in name)
     safe = safe.lstrip(".")[:100]
     if safe == name and safe:
--- a/violetroute/ledger/frames.py
+++ b/violetroute/ledger/frames.py
@@ -1,12 +1,12 @@
-"""Records of the ledger's log as bytes, and how much of a file can be believed.  Pure.
+"""Encodes records of the ledger's log as frames, and finds the valid part of a file.  Pure.
 
-A frame is length, CRC-32 and a MessagePack record.  Weighed: CRC-32C (a library more; zlib's runs
-at over 1 GB/s, and a flush has some kilobytes), a hash (nobody forges the log who could not forge
-it whole), SQLite's pages (see `docs/design/ledger.md`).
+A frame is a length, a CRC-32 and a MessagePack record.  Rejected: CRC-32C (needs another library;
+zlib's CRC-32 runs at over 1 GB/s, and a flush has a few kilobytes), a hash (whoever can forge a
+record can forge the whole log), SQLite's pages (see `docs/design/ledger.md`).
 
-A frame is believed if every one before it is.  What a power cut tears, drops or reorders was not
-synced, and nothing that was not synced has been told to anybody; so the first frame that does not
-add up is the end of the file, whatever stands behind it.
+A frame is valid if it and all frames before it are intact.  What a power cut tears, drops or
+reorders was not synced, and nothing is exported before it is synced; so the file ends at the first
+damaged frame, whatever follows it.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 MAGIC = b"lbledger"
 VERSION = 1
 FRAME_HEADER = struct.Struct("<II")
-MAX_RECORD_BYTES = 64 * 1024 * 1024  # bytes of a record: a checkpoint of a full book has a few
+MAX_RECORD_BYTES = 64 * 1024 * 1024  # a checkpoint of a full book has a few MiB
 
 Record = list[Any]
 
 
 def encode(records: Iterable[Record]) -> bytes:
-    """Frames of these records, one after the other."""
+    """The frames of these records, concatenated."""
     parts = []
     for record in records:
         body = msgspec.msgpack.encode(record)
@@ -38,24 +38,24 @@
 
 @dataclass(slots=True)
 class DecodedLog:
-    """What a file holds."""
+    """The valid part of a file."""
 
     records: list[Record]
-    valid_bytes: int  # bytes that can be believed
-    error: str = ""  # why what follows can't
+    valid_bytes: int  # length of the valid part
+    error: str = ""  # why the rest is not valid; empty if there is none
 
 
 def decode(data: bytes) -> DecodedLog:
-    """The records up to the first that does not add up.  Never raises."""
+    """The records before the first damaged frame.  Never raises."""
     if not data.startswith(MAGIC):
         return DecodedLog([], 0, "no ledger's file" if data else "empty")
-    found, place = DecodedLog([], len(MAGIC)), len(MAGIC)
-    while place < len(data):
-        if len(data) - place < FRAME_HEADER.size:
+    found, offset = DecodedLog([], len(MAGIC)), len(MAGIC)
+    while offset < len(data):
+        if len(data) - offset < FRAME_HEADER.size:
             found.error = "half a frame"
             break
-        length, check = FRAME_HEADER.unpack_from(data, place)
-        body = data[place + FRAME_HEADER.size : place + FRAME_HEADER.size + length]
+        length, check = FRAME_HEADER.unpack_from(data, offset)
+        body = data[offset + FRAME_HEADER.size : offset + FRAME_HEADER.size + length]
         if not 0 < length <= MAX_RECORD_BYTES or len(body) < length:
             found.error = "half a frame"
             break
@@ -70,6 +70,6 @@
             found.error = "a frame that adds up is no record"
             break
         found.records.append(record)
-        place += FRAME_HEADER.size + length
-        found.valid_bytes = place
+        offset += FRAME_HEADER.size + length
+        found.valid_bytes = offset
     return found
--- a/violetroute/ledger/outbox.py
+++ b/violetroute/ledger/outbox.py
@@ -1,4 +1,4 @@
-"""Batches handed over as files.  Blocks; never on the loop's thread."""
+"""Exports batches as files.  They block; don't call them on the event loop's thread."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def write_batch(folder: Path, batch: Batch, formats: Iterable[str]) -> None:
-    """One file a format, renamed into place; the same bytes however often.  OSError."""
+    """Write one file per format, atomically; repeated calls write the same bytes.  OSError."""
     folder.mkdir(parents=True, exist_ok=True)
     target, name = Folder(folder), file_name(batch)
     try:
@@ -26,7 +26,7 @@
 
 
 def write_closed_until(folder: Path, ledger: str, until: float) -> None:
-    """Say that all that ends by `until` (Unix s) is closed and has been handed over.  OSError."""
+    """Declare all periods that end by `until` (Unix s) closed and exported.  OSError."""
     folder.mkdir(parents=True, exist_ok=True)
     target = Folder(folder)
     try:
--- a/violetroute/ledger/post.py
+++ b/violetroute/ledger/post.py
@@ -1,4 +1,4 @@
-"""Sends a batch to the billing endpoint; `export` has the convention and reads the answer."""
+"""Sends batches to the billing endpoint, by the protocol that `export` describes."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
     last: str,
     done: Callable[[ExportResult], None],
 ) -> Call:
-    """One POST of the batch.  `last`: the key of the batch before it.
+    """POST a batch.  `last`: the key of the batch confirmed before it.
 
-    `done` is called once with what the endpoint said, or with "again" if no answer came.
+    `done` is called once, with the result of the answer, or with "again" if there is none.
     """
     body = json_lines(batch)
     headers = {
@@ -36,8 +36,12 @@
         body = compress(body)
         headers["Content-Encoding"] = "zstd"
 
-    def answered(status: int, told: dict[str, str], answer: bytes, why: str) -> None:
-        done(interpret_response(status, told, answer) if status else ExportResult("again", why))
+    def answered(status: int, response_headers: dict[str, str], answer: bytes, why: str) -> None:
+        done(
+            interpret_response(status, response_headers, answer)
+            if status
+            else ExportResult("again", why)
+        )
 
     return Call(
         net,
--- a/violetroute/ledger/store.py
+++ b/violetroute/ledger/store.py
@@ -1,14 +1,13 @@
-"""Keeps a book on a disk: a log that begins with a checkpoint, and what finds it again.
+"""Persists a book as a log that begins with a checkpoint, and recovers it.
 
-`log-N`: a checkpoint, whole or not there (`Files.put`), then frames.  A new file is begun at every
-start, when one has grown, and after any write or sync that failed: what the kernel says of a file
-after a failed fsync is not believed, since it may have thrown the pages away and say yes the next
-time.  The file before is kept until there is a newer one yet, so that a checkpoint that can't be
-read (a bad sector) costs what came after it and not the book.
+`log-N`: a checkpoint, written atomically (`Files.put`), then frames.  A new file is begun at every
+start, when the current one is large, and after any write or sync that failed.  After a failed fsync
+the kernel's word on a file can't be trusted: it may have dropped the pages and report success the
+next time.  The previous file is kept until there are two newer ones, so that an unreadable
+checkpoint (a bad sector) costs the records of its own file and not the whole book.
 
-`closed-DAY`: confirmed batches, each a zstd frame of the bytes that were exported; a batch may
-stand there twice after a crash and is known by its key.  `ids-PERIOD`: hashes of requests' ids, 8
-bytes each.
+`closed-DAY`: confirmed batches, each a zstd frame of the exported bytes.  After a crash a batch may
+be in it twice; its key identifies it.  `ids-PERIOD`: hashes of request ids, 8 bytes each.
 """
 
 from __future__ import annotations
@@ -24,7 +23,7 @@
 from .files import Files
 from .frames import MAGIC, Record, decode, encode
 
-MAX_SEGMENT_BYTES = 4 * 1024 * 1024  # bytes of a log's frames until a new one is begun
+MAX_SEGMENT_BYTES = 4 * 1024 * 1024  # frames in a log file, in bytes, before a new one is begun
 SIGNED_PREFIX = "signed-"
 
 
@@ -34,29 +33,29 @@
 
 @dataclass
 class Recovery:
-    """What was found at the start."""
+    """What was recovered at the start."""
 
     file: str = ""
     records: int = 0
     renamed_files: list[str] = field(
         default_factory=list
-    )  # what can't be read, under its new names
-    discarded_bytes: int = 0  # bytes behind the last record that adds up
+    )  # unreadable files, under their new names
+    discarded_bytes: int = 0  # bytes after the last valid record
     reason: str = ""
 
 
 class Store:
-    """One book's files.  Every call blocks; OSError from any."""
+    """The files of one book.  Every call blocks and may raise OSError."""
 
     def __init__(self, files: Files, name: str) -> None:
         self._files, self._name = files, name
         self._number, self._size = 0, 0
 
     def open(self, book: Book) -> Recovery:
-        """Read what there is into an empty book.
+        """Load the newest readable log file into an empty book.
 
-        Foreign if it is not `name`'s: nothing is changed then.  ValueError if a later version
-        wrote it.  A file that is no log any more is kept under another name.
+        Raises ForeignLedgerError, and changes nothing, if it is not `name`'s; raises ValueError if
+        a later version wrote it.  A file that is not a log is kept under another name.
         """
         found = Recovery()
         segments = sorted(
@@ -89,7 +88,7 @@
             book.apply(record)
 
     def rewrite(self, checkpoint: Record) -> None:
-        """A new log that begins with a book's checkpoint."""
+        """Begin a new log file with a checkpoint of the book, and delete files no longer needed."""
         data = MAGIC + encode([checkpoint])
         number = self._number + 1
         self._files.put(f"log-{number:08d}", data)
@@ -105,7 +104,7 @@
         ids: Mapping[int, bytes | bytearray],
         closed: Iterable[tuple[int, bytes]],
     ) -> None:
-        """Kept once this returns; `closed`: periods, and what is archived of them."""
+        """Write records durably, with id hashes by period and (period, batch) pairs to archive."""
         for period, data in closed:
             day = datetime.fromtimestamp(period, UTC).strftime("%Y%m%d")
             self._files.append(f"closed-{day}", compress(data))
@@ -118,18 +117,18 @@
         self._files.sync()
 
     def write_lines(self, seq: int, lines: object) -> None:
-        """The lines of a batch in a file of their own."""
+        """Write the lines of a batch to a file of its own."""
         self._files.put(f"batch-{seq}", MAGIC + encode([["lines", lines]]))
 
     def read_lines(self, seq: int) -> list[Any]:
-        """ValueError where they can't be read."""
+        """Read the lines of a batch from its file.  ValueError if it is damaged."""
         read = decode(self._files.read(f"batch-{seq}"))
         if len(read.records) != 1 or read.records[0][0] != "lines":
             raise ValueError(f"batch-{seq}: {read.error or 'no lines'}")
         return list(read.records[0][1])
 
     def read_corrections(self) -> dict[str, bytes]:
-        """Corrections that were put here to be taken on, by name."""
+        """The files of signed corrections in the folder, by name."""
         return {
             name: self._files.read(name)
             for name in self._files.names()
@@ -137,15 +136,17 @@
         }
 
     def remove_files(self, names: Iterable[str]) -> None:
+        """Delete files by name."""
         for name in names:
             self._files.remove(name)
 
     @property
     def segment_full(self) -> bool:
+        """Whether the current log file is large enough to begin a new one."""
         return self._size > MAX_SEGMENT_BYTES
 
     def remove_older_than(self, before: float) -> None:
-        """Forget what is older than this (Unix s)."""
+        """Delete archives and id hashes of periods before this time (Unix s)."""
         last_day = datetime.fromtimestamp(max(0.0, before), UTC).strftime("%Y%m%d")
         for name in self._files.names():
             kind, _, of = name.partition("-")
@@ -156,32 +157,32 @@
 
 
 def compress(data: bytes, level: int = 6) -> bytes:
-    """One zstd frame.  Imported where it is needed: a proxy without a ledger has no use for it."""
+    """Compress to one zstd frame.  zstandard is imported here since only the ledger needs it."""
     import zstandard
 
     return zstandard.ZstdCompressor(level=level).compress(data)
 
 
 def read_archive_frames(data: bytes) -> list[bytes]:
-    """The frames of a `closed-` file; one that was torn ends it."""
+    """The decompressed frames of a `closed-` file, up to the first torn one."""
     import zstandard
 
-    found, place = [], 0
-    while place < len(data):
+    found, offset = [], 0
+    while offset < len(data):
         reader = zstandard.ZstdDecompressor().decompressobj()
         try:
-            frame = reader.decompress(data[place:])
+            frame = reader.decompress(data[offset:])
         except zstandard.ZstdError:
             break
         if not reader.eof:
             break
         found.append(frame)
-        place = len(data) - len(reader.unused_data)
+        offset = len(data) - len(reader.unused_data)
     return found
 
 
 def open_or_set_aside(store: Store, files: Files, book: Book) -> Recovery:
-    """Read what there is into an empty book; another proxy's files are kept under other names."""
+    """Load the log into an empty book.  Files of another proxy's ledger are renamed and kept."""
     try:
         return store.open(book)
     except ForeignLedgerError as other:
@@ -192,7 +193,7 @@
 
 
 def log_recovery(found: Recovery) -> None:
-    """Log what could not be read at the start, if there was anything."""
+    """Log what could not be recovered at the start, if there was anything."""
     if found.reason or found.renamed_files:
         logs.event(
             "ledger.salvaged",
--- a/violetroute/membership/native.py
+++ b/violetroute/membership/native.py
@@ -91,8 +91,8 @@
 
     def _check_timeout(self) -> None:
         if self._loop.time() >= self._line_deadline:
-            # Seen when many nodes joined at once: a change that a stalled watch misses counts 6 s
-            # after its last line; with the retry wait of an ordinary end it came 1 to 3 s too late.
+            # A change that a stalled watch misses counts as notified 6 s after its last line. With
+            # the retry wait of an ordinary end, the run join+mass got it 1 to 3 s too late.
             self._end("silence" if self._notified else "no line in time", silent=True)
         else:
             self._timer = self._loop.call_at(self._line_deadline, self._check_timeout)
