--- a/snowstall/balance.py
+++ b/snowstall/balance.py
@@ -1,8 +1,6 @@
 """The request decisions of a sidecar proxy in front of a fleet of cache servers.
 
-D-Choices ("When Two Choices Are not Enough"): SpaceSaving counts keys, tail keys have two hashed
-candidates, head keys d, and the one with the least local load gets the request.  There is no I/O
-and no clock: events carry the time (ms).  Randomness comes from the seed.
+There is no I/O and no clock: events carry the time (ms), and randomness comes from the seed.
 """
 
 import math
@@ -30,13 +28,15 @@
 
 RETRY_RATE, RETRY_BURST = 0.15, 6.0  # retry budget: earned by each request, and saved up at most
 READMIT_MS = 30_000.0  # an ejected cache that no request could probe is used again after this
-STALL_DEVIATIONS, MIN_STALL_MS = 4.0, 100.0  # above the slowest mean; own pauses can be shorter
-MIN_SUBSCRIBE_MS, SUBSCRIBE_MS_PER_PROXY = 500.0, 50.0  # random wait: at least, and per proxy
-# Waits at most: after a failed call, a timed-out watch, at a local agent.  A change is due in 6 s.
+# A cache has stalled if it answers nothing for the slowest mean latency plus this many deviations,
+# and for at least this many ms, since this process may pause that long without a report.
+STALL_DEVIATIONS, MIN_STALL_MS = 4.0, 100.0
+MIN_SUBSCRIBE_MS, SUBSCRIBE_MS_PER_PROXY = 500.0, 50.0  # range of the wait before a subscription
+# Its bounds after a failed call, a timed-out watch, at a local agent: changes must arrive in 6 s.
 MAX_SUBSCRIBE_MS, MAX_RENEW_MS, LOCAL_AGENT_MS = 1_500.0, 1_000.0, 50.0
 HEDGE_DEVIATIONS = 3.0  # an answer this late, hit or miss, is probably stuck in an overload
 MAX_HEDGE_SHARE = 0.7  # of the latency target; a second copy sent later comes too late itself
-RETURN_FACTOR, RETURN_SLACK_MS = 1.3, 100.0  # times its backoff, plus: later returns count as new
+RETURN_FACTOR, RETURN_SLACK_MS = 1.3, 100.0  # returns after backoff * factor + slack count as new
 MIN_BACKOFF_MS = 40.0  # enough when nothing is shed: another cache may take the next try
 MAX_HOLD_SHARE = 0.5  # share of the client's time that a request waits for the first cache
 TURN_BUDGET_MS = 15.0  # of an event loop turn; the rest of it is for requests already accepted
@@ -57,7 +57,7 @@
         self._loop_overload = LoopOverload()
         self._subscribed = self._subscribing = False
         self._list_partial = False  # parts of the first list are missing
-        self._failures = 0
+        self._subscribe_failures = 0
 
     def on_list(
         self, now: float, kind: ListKind, members: Iterable[Member], more: bool = False
@@ -70,8 +70,10 @@
         actions: list[Action] = []
         if kind in (ListKind.FAILED, ListKind.TIMED_OUT):
             self._subscribed = self._subscribing = False
-            self._failures += 1
-            self._subscribe_later(actions, kind is ListKind.TIMED_OUT and self._failures == 1)
+            self._subscribe_failures += 1
+            self._subscribe_later(
+                actions, kind is ListKind.TIMED_OUT and self._subscribe_failures == 1
+            )
             return actions
         listed = {m.id: m for m in members}  # the later of two entries for one cache
         members = list(listed.values())
@@ -88,7 +90,7 @@
         self._list_partial = more and (self._list_partial or not self._ready)
         self._join(joined)
         if kind is not ListKind.CACHED and self._subscribing:
-            self._subscribing, self._subscribed, self._failures = False, True, 0
+            self._subscribing, self._subscribed, self._subscribe_failures = False, True, 0
         if kind is ListKind.CACHED and self.settings.must_subscribe:
             self._subscribe_later(actions)
         if not self._list_partial:
@@ -110,7 +112,7 @@
     def on_discovery_moved(self, now: float) -> list[Action]:
         """Subscribe at discovery's new address; unless that fails, changes count as received."""
         self._advance_clock(now)
-        self._subscribed, self._subscribing, self._failures = False, True, 0
+        self._subscribed, self._subscribing, self._subscribe_failures = False, True, 0
         return [messages.Subscribe()]
 
     def on_peer_reports(
@@ -202,7 +204,7 @@
         if not attempt.cache.in_flight:
             attempt.cache.unanswered_since = math.inf
         if outcome.closed or outcome.result is Result.OK:
-            self._finish(pending, actions)
+            self._finish_and_cancel(pending, actions)
         elif not pending.done and not pending.outstanding():
             self._retry_or_end(pending, outcome, actions)
         self._forget(pending)
@@ -237,7 +239,7 @@
                 attempt.cache_fault = attempt.cache_fault or self._is_cache_fault(pending, attempt)
             if pending.outstanding() and now - pending.arrived_at > pending.cls.latency_target:
                 self._record_load(pending, 1.0)  # already late when the client left
-            self._finish(pending, actions)
+            self._finish_and_cancel(pending, actions)
         return actions
 
     def on_timer(self, now: float, label: int) -> list[Action]:
@@ -268,7 +270,7 @@
         bound = min(MAX_RENEW_MS if soon else MAX_SUBSCRIBE_MS, self.settings.subscribe_within / 2)
         wait = min(bound, max(MIN_SUBSCRIBE_MS, SUBSCRIBE_MS_PER_PROXY * self.settings.proxies))
         if self.settings.local_agent:
-            wait = LOCAL_AGENT_MS * 2.0 ** min(2, self._failures)
+            wait = LOCAL_AGENT_MS * 2.0 ** min(2, self._subscribe_failures)
         actions.append(messages.Timer(wait * self._random.uniform(0.02, 1), messages.HOUSEKEEPING))
 
     def _dispatch(self, pending: Pending, actions: list[Action]) -> None:
@@ -299,7 +301,6 @@
         actions.append(messages.Send(pending.request.id, cache.id, 0.0, deliver_by, asking))
 
     def _may_hedge(self) -> bool:
-        """Whether a second copy is allowed, within the retry budget, and outside any overload."""
         affordable = self.settings.can_hedge and self._retries >= 1.0
         return affordable and self._error_share < MAX_ERROR_SHARE and self._admitted_share() >= 1.0
 
@@ -310,7 +311,7 @@
         cls = pending.cls
         if cls.effect is Effect.UNSAFE or not self._may_hedge():
             return
-        # alumni-tunis quiet: overdue requests were misses, and the copies fetched them again.
+        # Scenario alumni-tunis quiet: overdue requests were misses, and copies fetched them again.
         times = [m for m in (self._mean(cls, True), self._mean(cls, False)) if m.count]
         delay = max((m.value + HEDGE_DEVIATIONS * m.deviation for m in times), default=0.0)
         if sum(m.count for m in times) >= 10 and delay < MAX_HEDGE_SHARE * cls.latency_target:
@@ -375,7 +376,7 @@
             actions.append(messages.Refuse(pending.request.id, wait, reason))
         else:
             actions.append(messages.Fail(pending.request.id, reason))
-        self._finish(pending, actions)
+        self._finish_and_cancel(pending, actions)
 
     def _backoff(self, limiter: AdmissionLimiter) -> float:
         """Return a random backoff in ms that grows with the share of the load that is shed."""
@@ -383,8 +384,7 @@
         wait = min(bound, max(MIN_BACKOFF_MS, bound * (1.0 - limiter.admitted_share)))
         return wait * self._random.uniform(0.5, 1.0)
 
-    def _finish(self, pending: Pending, actions: list[Action]) -> None:
-        """End the request and cancel its attempts that are still in flight."""
+    def _finish_and_cancel(self, pending: Pending, actions: list[Action]) -> None:
         if pending.done:
             return
         pending.done = True
--- a/snowstall/caches.py
+++ b/snowstall/caches.py
@@ -108,10 +108,10 @@
         moved = 0
         while self._to_resize and moved < MAX_RESIZES_PER_TURN:
             cache = self._to_resize.pop()
-            before = cache.point_count
+            old_count = cache.point_count
             cache.resize(self._sizes.get(cache.id, cache.listed_weight))
-            if cache.point_count != before and cache.listed:
-                self._ring.resize(cache, before)
+            if cache.point_count != old_count and cache.listed:
+                self._ring.resize(cache, old_count)
                 moved += 1
         if moved:
             self._forget_orders()
@@ -151,14 +151,14 @@
         settings = self.settings
         if not cache.cold_since or settings.warm_time <= 0:
             return 1.0
-        done = (now - cache.cold_since) / settings.warm_time
-        return min(1.0, settings.cold_share + (1 - settings.cold_share) * max(0.0, done))
+        progress = (now - cache.cold_since) / settings.warm_time
+        return min(1.0, settings.cold_share + (1 - settings.cold_share) * max(0.0, progress))
 
     def _mean(self, cls: RequestClass, hit: bool) -> Mean:
-        place = (cls.name, hit)
-        mean = self._latencies.get(place)
+        key = (cls.name, hit)
+        mean = self._latencies.get(key)
         if mean is None:
-            mean = self._latencies[place] = Mean(cls.latency_target / 2)
+            mean = self._latencies[key] = Mean(cls.latency_target / 2)
         return mean
 
 
--- a/snowstall/choice.py
+++ b/snowstall/choice.py
@@ -1,4 +1,8 @@
-"""Chooses the cache for a request: the candidates of D-Choices, and which of them are usable."""
+"""Chooses the cache for a request by D-Choices ("When Two Choices Are not Enough").
+
+SpaceSaving counts keys.  A tail key has two hashed candidates, a head key has d, and the usable
+candidate with the least local load gets the request.
+"""
 
 import math
 from itertools import islice
@@ -47,12 +51,12 @@
             if warmth < 1.0:
                 if cache.in_flight:  # one request at a time: a burst can overload it
                     return False
-                take = warmth * (INITIAL_RAMP_SHARE + (1 - INITIAL_RAMP_SHARE) * warmth)
+                share = warmth * (INITIAL_RAMP_SHARE + (1 - INITIAL_RAMP_SHARE) * warmth)
                 # In an overload a share of the offered load is several times what caches serve.
-                take *= max(0.0, 1.0 - self._error_share - self._overload_share)
+                share *= max(0.0, 1.0 - self._error_share - self._overload_share)
                 if self._sizes:  # a plan may be wrong for a new cache: an even share at most
-                    take /= max(1.0, cache.weight)
-                return fraction(mix(key ^ cache.salt)) < take
+                    share /= max(1.0, cache.weight)
+                return fraction(mix(key ^ cache.salt)) < share
         return True
 
     def _candidates(self, pending: Pending, now: float) -> list[Cache]:
@@ -69,17 +73,17 @@
             order = self._ready
         else:
             order = self._placement(key, count + SPARE_CANDIDATES)
-        if count > MAX_SAMPLED and len(found := self._sample(order[:count], key, now)) >= 2:
-            return found
-        found = list(islice((c for c in order if self._takes_key(c, key, now)), count))
-        if len(found) > MAX_COMPARED:
-            found = self._random.sample(found, MAX_COMPARED)
-        return found
+        if count > MAX_SAMPLED and len(candidates := self._sample(order[:count], key, now)) >= 2:
+            return candidates
+        candidates = list(islice((c for c in order if self._takes_key(c, key, now)), count))
+        if len(candidates) > MAX_COMPARED:
+            candidates = self._random.sample(candidates, MAX_COMPARED)
+        return candidates
 
     def _sample(self, candidates: list[Cache], key: int, now: float) -> list[Cache]:
         """Return a random sample of usable candidates, without checking every one of many."""
-        drawn = self._random.sample(candidates, min(MAX_SAMPLED, len(candidates)))
-        return list(islice((c for c in drawn if self._takes_key(c, key, now)), MAX_COMPARED))
+        sample = self._random.sample(candidates, min(MAX_SAMPLED, len(candidates)))
+        return list(islice((c for c in sample if self._takes_key(c, key, now)), MAX_COMPARED))
 
     def _choose(self, pending: Pending, now: float) -> Cache | None:
         """Return the candidate with the lowest cost, or a fallback; None if no cache may run it."""
@@ -87,20 +91,20 @@
             return self._cheapest(self._origins, now)
         if self.ejected and (cache := self._choose_probe(pending, now)) is not None:
             return cache
-        found = self._candidates(pending, now) or self._fallback_candidates(pending, now)
-        found = [c for c in found if pending.may_send(c, now)]
-        if len(found) < 2:
-            return found[0] if found else None
+        candidates = self._candidates(pending, now) or self._fallback_candidates(pending, now)
+        candidates = [c for c in candidates if pending.may_send(c, now)]
+        if len(candidates) < 2:
+            return candidates[0] if candidates else None
         is_head = pending.key in self.head
-        if not is_head and self._prefers_second(pending.key, found[0], found[1]):
-            found[0], found[1] = found[1], found[0]
-        best, least = None, math.inf
-        for place, cache in enumerate(found):
+        if not is_head and self._prefers_second(pending.key, candidates[0], candidates[1]):
+            candidates[0], candidates[1] = candidates[1], candidates[0]
+        best, lowest_cost = None, math.inf
+        for position, cache in enumerate(candidates):
             # Ties are random, or new proxies would all send a head key to its first cache.
-            tie = self._random.random() - 1.0 if is_head else (0.0 if place == 0 else STICKINESS)
+            tie = self._random.random() - 1.0 if is_head else (0.0 if position == 0 else STICKINESS)
             cost = self._cost(cache, tie, now)
-            if cost < least:
-                best, least = cache, cost
+            if cost < lowest_cost:
+                best, lowest_cost = cache, cost
         return best
 
     def _choose_probe(self, pending: Pending, now: float) -> Cache | None:
@@ -108,8 +112,10 @@
         if self._probes < 1.0 or pending.cls.effect is not Effect.PURE:
             return None
         for cache in self._placement(pending.key, 2):
-            due = cache.id in self.ejected and now >= cache.excluded_until and not cache.in_flight
-            if due and cache.point_count and self._warmth(cache, now) >= 1.0:
+            may_probe = (
+                cache.id in self.ejected and now >= cache.excluded_until and not cache.in_flight
+            )
+            if may_probe and cache.point_count and self._warmth(cache, now) >= 1.0:
                 self._probes -= 1.0
                 return cache
         return None
@@ -123,8 +129,8 @@
         if first.kind == second.kind or self._sizes:  # a plan's sizes include speed
             return False
         kinds = [self._kinds.get(cache.kind) for cache in (first, second)]
-        one, two = (kind.value if kind else 1.0 for kind in kinds)
-        share: float = 1.0 / (1.0 + (one / max(two, 0.01)) ** SPEED_POWER)
+        first_slowness, second_slowness = (kind.value if kind else 1.0 for kind in kinds)
+        share: float = 1.0 / (1.0 + (first_slowness / max(second_slowness, 0.01)) ** SPEED_POWER)
         return fraction(mix(key, 3)) >= share
 
     def _cost(self, cache: Cache, tie: float, now: float) -> float:
--- a/snowstall/learning.py
+++ b/snowstall/learning.py
@@ -106,16 +106,16 @@
         quick miss rules out an overloaded origin; the time in flight rules out chance.  Drawback: a
         cache that serves the newest request first looks the same in an overload.
         """
-        passed = attempt.overtaken and self._quick_miss_sent_at > attempt.sent_at
-        return passed and self._is_overdue(cls, self._now - attempt.sent_at - attempt.paused_ms)
+        overtaken = attempt.overtaken and self._quick_miss_sent_at > attempt.sent_at
+        return overtaken and self._is_overdue(cls, self._now - attempt.sent_at - attempt.paused_ms)
 
     def _learn_outcome(self, pending: Pending, attempt: Attempt, outcome: Outcome) -> None:
         now, cache, result = self._now, attempt.cache, outcome.result
         self._learn_error(pending.cls, attempt, outcome)
         stalled = now - cache.unanswered_since > self._stalled_after
         full, late = result is Result.FULL, result is Result.LATE
-        full_alone = full and stalled and self._others_are_healthy(attempt)
-        attempt.cache_fault = self._is_cache_fault(pending, attempt) if late else full_alone
+        full_by_fault = full and stalled and self._others_are_healthy(attempt)
+        attempt.cache_fault = self._is_cache_fault(pending, attempt) if late else full_by_fault
         late = late and not attempt.cache_fault and self._is_overdue(pending.cls, outcome.latency)
         overloaded = (full and not stalled) or late
         self._overload_share += ERROR_GAIN * (overloaded - self._overload_share)
@@ -123,8 +123,10 @@
             if not pending.done:
                 # Late only through its fetch is no sign of a queue: many caches may be new.
                 fetch_time = self._fetch_time(pending.cls) if outcome.hit is False else 0.0
-                tardy = now - pending.arrived_at - fetch_time > pending.cls.latency_target
-                self._record_load(pending, (1.0 - pending.cls.late_value) * tardy, True, fetch_time)
+                missed_target = now - pending.arrived_at - fetch_time > pending.cls.latency_target
+                self._record_load(
+                    pending, (1.0 - pending.cls.late_value) * missed_target, True, fetch_time
+                )
             if cache.maybe_restarted:
                 # It was down though the list never said so: perhaps it restarted and is cold.
                 cache.maybe_restarted = False
@@ -175,9 +177,9 @@
 
     def _is_cache_fault(self, pending: Pending, attempt: Attempt) -> bool:
         """Whether the attempt's fate is the fault of its cache alone, and not of the load."""
-        out_for = self._now - attempt.sent_at - attempt.paused_ms
+        elapsed = self._now - attempt.sent_at - attempt.paused_ms
         stalled = (
-            attempt.cache.unanswered_since <= attempt.sent_at and out_for > self._stalled_after
+            attempt.cache.unanswered_since <= attempt.sent_at and elapsed > self._stalled_after
         )
         return (stalled and self._others_are_healthy(attempt)) or self._looks_dropped(
             pending.cls, attempt
