--- a/limebridge/scale/measure_connections.py
+++ b/limebridge/scale/measure_connections.py
@@ -194,7 +194,7 @@
         IDLE_TIMEOUT_S,
     )
     for number, listener in enumerate(listeners):
-        pool.place(number, Address(*listener.getsockname()))
+        pool.add(number, Address(*listener.getsockname()))
     before = resident_bytes()
     for number in range(CONNECTIONS_IN_ALL):
         pool.send(Attempt(number, 0, number % nodes, _command(number, 1), 0.0, 0.0))
--- a/tests/violetroute/test_list_applier.py
+++ b/tests/violetroute/test_list_applier.py
@@ -49,7 +49,7 @@
     def __init__(self) -> None:
         self.at: dict[int, Address] = {}
 
-    def place(self, cache_id: int, address: Address) -> None:
+    def add(self, cache_id: int, address: Address) -> None:
         self.at.setdefault(cache_id, address)
 
     def remove(self, cache_id: int) -> None:
--- a/tests/violetroute/upstream/test_pool.py
+++ b/tests/violetroute/upstream/test_pool.py
@@ -49,7 +49,7 @@
         self.ended: list[tuple[int, Result]] = []
         self.over: set[int] = set()  # requests for which nothing may begin any more
         self.pool = Pool(cast(Any, self), cast(Any, self), limit, 1.0, IDLE)
-        self.pool.place(1, HERE)
+        self.pool.add(1, HERE)
 
     def time(self) -> float:
         return self.now
@@ -159,7 +159,7 @@
 
 def test_no_more_descriptors_than_the_limit_and_the_oldest_idle_one_makes_way() -> None:
     world = World(limit=2)
-    world.pool.place(2, HERE)
+    world.pool.add(2, HERE)
     world.served(1)
     world.passes(0.1)
     world.send(2, node=2)
--- a/violetroute/__main__.py
+++ b/violetroute/__main__.py
@@ -177,10 +177,10 @@
 async def _open_sharing_socket(sharing: Sharing) -> IntrospectionSocket | None:
     from .sharing.factory import door_of
 
-    sharing_socket = door_of(sharing.table, sharing)
-    if sharing_socket is not None:
-        await sharing_socket.open()
-    return sharing_socket
+    introspection_socket = door_of(sharing.table, sharing)
+    if introspection_socket is not None:
+        await introspection_socket.open()
+    return introspection_socket
 
 
 async def _open_distribution_socket(
@@ -190,10 +190,10 @@
         return None
     from .distribution.make import door_of
 
-    sharing_socket = door_of(config.operator.distribution, service)
-    if sharing_socket is not None:
-        await sharing_socket.open()
-    return sharing_socket
+    introspection_socket = door_of(config.operator.distribution, service)
+    if introspection_socket is not None:
+        await introspection_socket.open()
+    return introspection_socket
 
 
 class EarlySignal:
@@ -207,12 +207,14 @@
         self.pending = False
 
     def record(self, number: int, frame: object) -> None:
+        """The signal handler."""
         self.pending = True
 
 
 async def serve(
     config: Config, log_handler: Logs, turns: Turns | None = None, early: EarlySignal | None = None
 ) -> int:
+    """Run the daemon until a signal and a drain end it; return the exit status."""
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(log_loop_exception)
     ended = asyncio.Event()
@@ -255,10 +257,10 @@
     logs.event("daemon.drains", proxy=config.name)
     if daemon.sharing is not None:
         daemon.sharing.leave()
-    handing_back = None if daemon.fleet is None else loop.create_task(daemon.fleet.close())
+    releasing_leases = None if daemon.fleet is None else loop.create_task(daemon.fleet.close())
     await daemon.listener.drain(daemon.drain_time())
-    if handing_back is not None:
-        await handing_back
+    if releasing_leases is not None:
+        await releasing_leases
     daemon.proxy.close()
     if daemon.sharing is not None:
         daemon.sharing.close()
@@ -275,6 +277,7 @@
 
 
 def main() -> int:
+    """Parse the command line, load the configuration and run the daemon."""
     parser = argparse.ArgumentParser(prog="violetroute", description="The limebridge proxy.")
     parser.add_argument(
         "--operator",
--- a/violetroute/estimate_log.py
+++ b/violetroute/estimate_log.py
@@ -13,9 +13,7 @@
 from . import logs
 
 MAX_NAMED_NODES = 8  # nodes named in one line
-MIN_LOG_INTERVAL = (
-    3.0  # s between two lines of one kind: a node that flaps is one line now and then
-)
+MIN_LOG_INTERVAL = 3.0  # s between two lines of one kind, so that a flapping node logs few lines
 
 
 class EstimateLog:
--- a/violetroute/listing.py
+++ b/violetroute/listing.py
@@ -156,7 +156,7 @@
             for cache_id in change.removed:
                 self._pool.remove(cache_id)
             if change.placed and entry.address is not None:
-                self._pool.place(member.id, entry.address)
+                self._pool.add(member.id, entry.address)
             members += change.members
         return members
 
--- a/violetroute/proxy.py
+++ b/violetroute/proxy.py
@@ -78,7 +78,7 @@
         )
         self._admission.classes = self._classes
         self.rejection = self._admission.rejection  # call once for each command
-        self._pool = Pool.of(self, net, config)
+        self._pool = Pool.from_config(self, net, config)
         self._slots = SlotMap()
         self._lists = ListApplier(loop, self.places, self._pool, self.clock, self._dispatch_members)
         self._watch = Membership(self, net, config.discovery, config.operator, self.clock)
@@ -103,7 +103,7 @@
     @property
     def nodes(self) -> list[int]:
         """Ids of the cache nodes that accept new attempts."""
-        return self._pool.ids()
+        return self._pool.node_ids()
 
     @property
     def list_source(self) -> object:
@@ -250,7 +250,7 @@
         change = self._lists.apply(listing, listing.whole or first, at_once=first)
         self._dispatch_members(change.members, kind)
         notify_placement(change, first, self._placement)
-        log_step(change, self._lists.waiting, len(self._pool.ids()))
+        log_step(change, self._lists.waiting, len(self._pool.node_ids()))
 
     def _dispatch_members(self, members: list[Member], kind: ListKind = ListKind.CHANGES) -> None:
         self._dispatch(None, self._balancer.on_list, kind, members, self._lists.waiting > 0)
@@ -293,7 +293,7 @@
         if type(action) is Send:  # several times faster than a match statement
             self._send(self._open[action.request_id], action)
         elif type(action) is Timer:
-            timer = self._loop.call_later(action.delay / 1000.0, self._timer, action.label)
+            timer = self._loop.call_later(action.delay / 1000.0, self._on_timer, action.label)
             if action.label == HOUSEKEEPING:  # other timers do nothing once their request is closed
                 self._housekeeping = timer
         elif type(action) is Refuse:
@@ -344,7 +344,7 @@
             and not (self._turns.reads_late(self._loop.time()) and request.answer.client_left())
         )
 
-    def _timer(self, label: int) -> None:
+    def _on_timer(self, label: int) -> None:
         request = self._open.get(label)
         if request is not None or label >= HOUSEKEEPING:
             self._dispatch(request, self._balancer.on_timer, label)
--- a/violetroute/transport/loop_lag.py
+++ b/violetroute/transport/loop_lag.py
@@ -76,7 +76,7 @@
         """Detect a pause: the last turn lacked CPU time, or its poll exceeded its timeout."""
         cpu = self._cpu()
         stolen = 0.0
-        if polled_at - began_at >= MIN_PAUSE:  # a lower bound: CPU use since the last reading
+        if polled_at - began_at >= MIN_PAUSE:  # CPU use since the last reading: a lower bound
             stolen = (polled_at - began_at) - (cpu - self._cpu_at[1])
         if timeout is not None:
             stolen = max(stolen, now - polled_at - max(0.0, timeout))
--- a/violetroute/transport/stream.py
+++ b/violetroute/transport/stream.py
@@ -25,9 +25,8 @@
 if TYPE_CHECKING:
     from .sockets import SocketNetwork
 
-PEEK = int(
-    socket.MSG_PEEK | socket.MSG_DONTWAIT
-)  # int: combining enum flags creates a new object each time
+# An int, since combining enum flags creates a new object each time.
+PEEK = int(socket.MSG_PEEK | socket.MSG_DONTWAIT)
 LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER 0: close discards undelivered data
 MAX_JOINED = 8 * 1024  # bytes; up to here joining parts is cheaper than sendmsg
 MAX_GATHERED = 64  # parts of one sendmsg; the kernel's limit is 1,024
--- a/violetroute/upstream/connection.py
+++ b/violetroute/upstream/connection.py
@@ -40,7 +40,8 @@
         self.stream: Stream | None = None  # from connect until the connection is lost
         self.up = False
         self.idle_since = 0.0
-        self.answered_at = -math.inf  # loop time of the last answer
+        # Loop time of the last answer; -inf: stray data can't follow an answer on a new connection.
+        self.answered_at = -math.inf
         self.idle_for = 0.0  # s before the current attempt
         self.used = False  # has answered, and the next answer has not begun
         self.retired = False  # its node was removed: no further attempt
@@ -59,6 +60,7 @@
         return _shared
 
     def received(self, count: int) -> None:
+        """Parse `count` bytes of the buffer as the reply of the current attempt."""
         if self.attempt is None:  # unsolicited data could pass for the next answer
             self._pool.unsolicited_data(self)
             self.close()
@@ -83,6 +85,7 @@
         self._end()
 
     def lost(self, error: OSError | None) -> None:
+        """End the attempt, if any, and leave the pool."""
         self._end()
         self._pool.closed(self)
 
@@ -100,7 +103,7 @@
         self.attempt, attempt.connection = attempt, self
         self.idle_for = self._pool.loop.time() - self.idle_since
         self._reply, self._asking = resp.Reply(), attempt.asking
-        now = self._pool.sink.clock()
+        now = self._pool.owner.clock()
         parts = attempt.command.encode(attempt.wait_until - now)
         assert self.stream is not None
         # Found by exploration: the network path failed while the process was paused, and recovered
@@ -168,7 +171,7 @@
             self.close()
         if reply.line is None:
             how, load = (*reply.extras, None, None)[:2]
-            self._pool.sink.attempt_ended(
+            self._pool.owner.attempt_ended(
                 attempt,
                 Result.OK,
                 reply.value,
@@ -180,7 +183,7 @@
         if self._pool.follows_redirects:
             redirect = parse_redirect(reply.line.text, self.node.address)
             if redirect is not None:
-                self._pool.sink.attempt_ended(
+                self._pool.owner.attempt_ended(
                     attempt, Result.ASK if redirect.is_ask else Result.MOVED, redirect=redirect
                 )
                 return
@@ -194,7 +197,7 @@
             # reported as failed.
             result = Result.MALFORMED
         report = resp.parse_report(rest.rpartition(b" ")[2]) if b"=" in rest else None
-        self._pool.sink.attempt_ended(attempt, result, report=report)
+        self._pool.owner.attempt_ended(attempt, result, report=report)
 
     def _detach_attempt(self) -> None:
         assert self.attempt is not None
@@ -212,7 +215,7 @@
             self._pool.record_reuse(self, broken=True)
         self._detach_attempt()
         self.close(discard=True)
-        self._pool.sink.attempt_ended(attempt, result)
+        self._pool.owner.attempt_ended(attempt, result)
 
     def give_up(self) -> None:
         """Close the connection of a cancelled or expired attempt.
--- a/violetroute/upstream/pool.py
+++ b/violetroute/upstream/pool.py
@@ -44,7 +44,7 @@
 
     def __init__(
         self,
-        sink: AttemptOwner,
+        owner: AttemptOwner,
         net: Network,
         limit: int,
         connect_timeout: float,
@@ -53,7 +53,7 @@
     ) -> None:
         self.limits = limits  # replaced on reload
         self.follows_redirects = False  # whether cluster redirects are parsed; replaced on reload
-        self.sink, self._net, self.loop = sink, net, net.loop
+        self.owner, self._net, self.loop = owner, net, net.loop
         self._limit = limit
         self.configure(connect_timeout, idle_timeout)
         # For each idle-time bucket: the share of broken reuses, and its last update (loop time).
@@ -65,9 +65,9 @@
         self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     @classmethod
-    def of(cls, sink: AttemptOwner, net: Network, config: Config) -> Pool:
+    def from_config(cls, owner: AttemptOwner, net: Network, config: Config) -> Pool:
         """A pool with the limits and times of the configuration."""
-        pool = cls(sink, net, config.upstream_sockets, config.connect_timeout, config.idle_timeout)
+        pool = cls(owner, net, config.upstream_sockets, config.connect_timeout, config.idle_timeout)
         pool.reload(config)
         return pool
 
@@ -81,12 +81,13 @@
         self._connect_timeout, self._idle_for = connect_timeout, idle_timeout * IDLE_TIME_SHARE
 
     # --- the list ---
-    def place(self, cache_id: int, address: Address) -> None:
+    def add(self, cache_id: int, address: Address) -> None:
         """Add a node at its address.  If the node has moved, the caller has removed it before."""
         if cache_id not in self._nodes:
             self._nodes[cache_id] = Node(address)
 
     def address(self, cache_id: int) -> Address | None:
+        """The node's address, or None for an unknown node."""
         node = self._nodes.get(cache_id)
         return None if node is None else node.address
 
@@ -105,11 +106,13 @@
             else:
                 connection.abort_if_unsent()
 
-    def ids(self) -> list[int]:
+    def node_ids(self) -> list[int]:
+        """The ids of all nodes."""
         return list(self._nodes)
 
     # --- attempts ---
     def send(self, attempt: Attempt) -> None:
+        """Send an attempt on an idle connection to its node, else on a new one once it opens."""
         node = self._nodes.get(attempt.cache_id)
         if node is None:
             self._fail(attempt, Result.NO_CONNECTION)
@@ -126,7 +129,7 @@
                 self.likely_alive(now - connection.idle_since, now)
                 and connection.no_pending_input()
             ):
-                if self.sink.may_send(attempt):
+                if self.owner.may_send(attempt):
                     node.idle.remove(connection)
                     connection.run(attempt)
                 else:
@@ -166,14 +169,14 @@
 
     def _fail(self, attempt: Attempt, result: Result) -> None:
         # Deferred, so that an outcome is not reported while the balancer's actions are performed.
-        self.loop.call_soon(self.sink.attempt_ended, attempt, result)
+        self.loop.call_soon(self.owner.attempt_ended, attempt, result)
 
     # --- connections ---
     def record_reuse(self, connection: NodeConnection, broken: bool) -> None:
         """Record whether a reused connection broke before the first byte of an answer."""
-        place = bisect_right(AGE_BOUNDS, connection.idle_for)
-        share, _ = self._break_shares[place]
-        self._break_shares[place] = share + AGE_LEARNING_RATE * (broken - share), self.loop.time()
+        bucket = bisect_right(AGE_BOUNDS, connection.idle_for)
+        share, _ = self._break_shares[bucket]
+        self._break_shares[bucket] = share + AGE_LEARNING_RATE * (broken - share), self.loop.time()
 
     def unsolicited_data(self, connection: NodeConnection) -> None:
         """Record how long after the last answer data came on an idle connection.
@@ -183,9 +186,9 @@
         """
         now = self.loop.time()
         age = now - connection.answered_at
-        late = min(MAX_QUIET_TIME, QUIET_TIME_FACTOR * age)
-        if age <= MAX_QUIET_TIME and late > self._decayed_stray_delay(now):
-            self._stray_delay, self._stray_seen_at = late, now
+        delay = min(MAX_QUIET_TIME, QUIET_TIME_FACTOR * age)
+        if age <= MAX_QUIET_TIME and delay > self._decayed_stray_delay(now):
+            self._stray_delay, self._stray_seen_at = delay, now
 
     def _decayed_stray_delay(self, now: float) -> float:
         return self._stray_delay * math.exp((self._stray_seen_at - now) / AGE_DECAY_TIME)
@@ -215,6 +218,7 @@
         )
 
     def opened(self, connection: NodeConnection) -> None:
+        """Take a connection whose connect succeeded, and offer it to a waiting attempt."""
         if connection.retired:
             connection.close()
             return
@@ -248,7 +252,7 @@
             attempt = opened_for if opened_for in node.waiting else next(iter(node.waiting))
             assert attempt is not None
             del node.waiting[attempt]
-            if self.sink.may_send(attempt):
+            if self.owner.may_send(attempt):
                 node.idle.remove(connection)
                 connection.run(attempt)
                 return
@@ -263,7 +267,7 @@
             node.idle.remove(connection)
         attempt, connection.opened_for = connection.opened_for, None
         if attempt is not None and node.waiting.pop(attempt, None) is not None:
-            self.sink.attempt_ended(attempt, Result.NO_CONNECTION)
+            self.owner.attempt_ended(attempt, Result.NO_CONNECTION)
 
     def _discard(self, connection: NodeConnection) -> None:
         if connection in connection.node.idle:
@@ -292,6 +296,7 @@
                 self._discard(connection)
 
     def close(self) -> None:
+        """Close all connections and stop the sweep."""
         self._sweep_timer.cancel()
         for connection in list(self._open):
             self._discard(connection)
