--- a/violetroute/listing.py
+++ b/violetroute/listing.py
@@ -156,7 +156,7 @@
             for cache_id in change.removed:
                 self._pool.remove(cache_id)
             if change.placed and entry.address is not None:
-                self._pool.place(member.id, entry.address)
+                self._pool.add(member.id, entry.address)
             members += change.members
         return members
 
@@ -175,4 +175,4 @@
     `whole`: set for the first list of the process.
     """
     nodes = ((number, ListedNode(e.instance, e.zone, e.kind)) for number, e in list_change.joining)
-    keeper.listed(whole, nodes, list_change.removed)
+    keeper.update_nodes(whole, nodes, list_change.removed)
