--- a/violetroute/clients/listener.py
+++ b/violetroute/clients/listener.py
@@ -8,7 +8,7 @@
 from violetroute import logs
 from violetroute.cluster import Dialect
 from violetroute.config.operator import Limits
-from violetroute.transport import Address, Door, Network
+from violetroute.transport import Address, ListeningSocket, Network
 
 from .answers import RequestHandler
 from .budget import Budget
@@ -49,7 +49,7 @@
         self._idle_limit = max(1, int(slots * limits.idle_share))
         self.budget = Budget(budget_bytes)
         self.draining = False
-        self._server_socket: Door | None = None
+        self._server_socket: ListeningSocket | None = None
         self._accept_timer: asyncio.TimerHandle | None = None  # set while accepting is paused
         self._slots_used = 0  # from accept until the stream is lost
         # Each connection is in one of these, longest in its state first.
--- a/violetroute/ledger/files.py
+++ b/violetroute/ledger/files.py
@@ -24,9 +24,11 @@
 
     def names(self) -> list[str]:
         """The names of all files but the lock, sorted."""
+        ...
 
     def read(self, name: str) -> bytes:
         """The contents of a file."""
+        ...
 
     def append(self, name: str, data: bytes) -> None:
         """Append to a file, creating it if needed.  Durable after `sync`."""
@@ -39,12 +41,15 @@
 
     def move(self, name: str, to: str) -> None:
         """Rename a file, replacing one with the new name."""
+        ...
 
     def remove(self, name: str) -> None:
         """Delete a file if it exists."""
+        ...
 
     def close(self) -> None:
         """Close all files, syncing appended data, and release the lock."""
+        ...
 
 
 class Folder:
--- a/violetroute/ledger/post.py
+++ b/violetroute/ledger/post.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from violetroute.transport import Network, parse_address
-from violetroute.transport.call import Call
+from violetroute.transport.http_call import HttpCall
 from violetroute.transport.tls import TlsKeys
 
 from .accounts import Batch
@@ -21,7 +21,7 @@
     batch: Batch,
     last: str,
     done: Callable[[ExportResult], None],
-) -> Call:
+) -> HttpCall:
     """POST a batch.  `last`: the key of the batch confirmed before it.
 
     `done` is called once, with the result of the answer, or with "again" if there is none.
@@ -43,7 +43,7 @@
             else ExportResult("again", why)
         )
 
-    return Call(
+    return HttpCall(
         net,
         parse_address(table.endpoint),
         keys,
