--- a/tests/violetroute/cluster/test_redirects.py
+++ b/tests/violetroute/cluster/test_redirects.py
@@ -107,7 +107,9 @@
 
 
 def moved(made: Balancer, attempt: int, to: int | None, result: Result = Result.MOVED) -> Any:
-    return made.on_outcome(1010.0 + attempt, Outcome(1, attempt, result, False, 1.0, to=to))[0]
+    return made.on_outcome(
+        1010.0 + attempt, Outcome(1, attempt, result, False, 1.0, redirect_to=to)
+    )[0]
 
 
 def test_the_slot_owner_is_tried_first_and_a_redirection_uses_no_retry_budget() -> None:
