--- a/tests/violetroute/ledger/test_ledger_daemon.py
+++ b/tests/violetroute/ledger/test_ledger_daemon.py
@@ -110,7 +110,7 @@
 def test_ten_answers_that_say_no_though_some_took_it_bill_once(
     tmp_path: Path, trouble: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("violetroute.ledger.export.CLIENT_ERROR_RETRY", 0.01)
+    monkeypatch.setattr("violetroute.ledger.export.SLOW_RETRY_WAIT", 0.01)
 
     async def part(rig: Rig, ledger: Ledger, billing: Billing, clock: Clock) -> None:
         left = [trouble] * 10
--- a/violetroute/ledger/accounts.py
+++ b/violetroute/ledger/accounts.py
@@ -75,9 +75,7 @@
     gaps: list[tuple[float, float, str]] = field(default_factory=list)
     last_write_at: float = 0.0  # Unix s of the last record with a time
     closed_cleanly: bool = True  # whether the last process wrote an "end" record
-    applied_corrections: dict[str, None] = field(
-        default_factory=dict
-    )  # "FILE/PERIOD" of signed files
+    applied_corrections: dict[str, None] = field(default_factory=dict)  # "FILE/PERIOD", if signed
     late_since: float | None = None  # since when units of closed periods wait for a correction
 
     # --- decisions: records to apply and write ---
@@ -122,34 +120,34 @@
                 ),
                 key=lambda line: (line[0] is None, line[0] or "", line[1]),
             )
-            for place in range(0, len(lines), MAX_BATCH_LINES):
-                part = lines[place : place + MAX_BATCH_LINES]
+            for index in range(0, len(lines), MAX_BATCH_LINES):
+                part = lines[index : index + MAX_BATCH_LINES]
                 records.append(["batch", seq, kind, period, part, self._key(seq), ""])
                 seq += 1
         return records
 
     def correction_records(
-        self, mark: str, by: str, lines: Iterable[tuple[int, str | None, str, int]]
+        self, file_name: str, signer: str, lines: Iterable[tuple[int, str | None, str, int]]
     ) -> list[Record]:
         """Corrections signed by an operator: period, tenant, class, units (may be negative).
 
-        `mark` is the name of the signed file.  A file found again after a crash is applied once.
+        `file_name`: of the signed file.  A file found again after a crash is applied once.
         """
-        of: dict[int, list[list[Any]]] = {}
+        by_period: dict[int, list[list[Any]]] = {}
         for period, tenant, cls, units in lines:
-            if units and f"{mark}/{period}" not in self.applied_corrections:
-                of.setdefault(period, []).append([tenant, cls, units])
+            if units and f"{file_name}/{period}" not in self.applied_corrections:
+                by_period.setdefault(period, []).append([tenant, cls, units])
         return [
             [
                 "batch",
-                self.next_seq + place,
+                self.next_seq + index,
                 "correction",
                 period,
-                kept,
-                self._key(self.next_seq + place),
-                f"{by} {mark}/{period}",
+                period_lines,
+                self._key(self.next_seq + index),
+                f"{signer} {file_name}/{period}",
             ]
-            for place, (period, kept) in enumerate(sorted(of.items()))
+            for index, (period, period_lines) in enumerate(sorted(by_period.items()))
         ]
 
     def sent_records(self, seq: int) -> list[Record]:
@@ -185,13 +183,13 @@
         we know.  Our units of these periods may be in those batches, so they are held for an
         operator: never billed twice, and not lost unnoticed.
         """
-        again = set(billed)
+        billed_periods = set(billed)
         records: list[Record] = [["adopt", last]]
         for batch in self.batches.values():
-            if batch.period in again and batch.state != "held":
+            if batch.period in billed_periods and batch.state != "held":
                 records.append(["held", batch.seq, "another life of this ledger has billed it"])
         seq = self.next_seq
-        for period in sorted(again & self.unbatched_units.keys()):
+        for period in sorted(billed_periods & self.unbatched_units.keys()):
             lines = [
                 [tenant, cls, units]
                 for (tenant, cls), units in self.unbatched_units[period].items()
@@ -199,7 +197,7 @@
             records.append(["batch", seq, "correction", period, lines, self._key(seq), ""])
             records.append(["held", seq, "another life of this ledger has billed it"])
             seq += 1
-        since = float(max(again, default=0))
+        since = float(max(billed_periods, default=0))
         records.append(["gap", since, now, "its disk is older than its bills"])
         return records
 
@@ -250,8 +248,8 @@
             case ["count", now, units]:
                 self.last_write_at = now
                 for period, tenant, cls, count in units:
-                    of = self.unbatched_units.setdefault(period, {})
-                    of[tenant, cls] = of.get((tenant, cls), 0) + count
+                    counts = self.unbatched_units.setdefault(period, {})
+                    counts[tenant, cls] = counts.get((tenant, cls), 0) + count
                     if self.late_since is None and self._is_closed(period):
                         self.late_since = now
             case ["batch", seq, kind, period, lines, key, why]:
@@ -292,10 +290,10 @@
             if len(self.applied_corrections) > MAX_CLOSED_PERIODS:
                 del self.applied_corrections[next(iter(self.applied_corrections))]
             return
-        of = self.unbatched_units[batch.period]
+        counts = self.unbatched_units[batch.period]
         for tenant, cls, _ in batch.lines:
-            del of[tenant, cls]
-        if not of:
+            del counts[tenant, cls]
+        if not counts:
             del self.unbatched_units[batch.period]
         if not any(self._is_closed(period) for period in self.unbatched_units):
             self.late_since = None
@@ -318,8 +316,8 @@
                 "last": self.last_key,
                 "counts": [
                     [period, tenant, cls, units]
-                    for period, of in self.unbatched_units.items()
-                    for (tenant, cls), units in of.items()
+                    for period, counts in self.unbatched_units.items()
+                    for (tenant, cls), units in counts.items()
                 ],
                 "closed": list(self.closed),
                 "closed_before": self.closed_before,
--- a/violetroute/ledger/counters.py
+++ b/violetroute/ledger/counters.py
@@ -1,10 +1,10 @@
 """Bounded counters of the units served since the last write.  Pure.
 
 While a write hangs or fails, the counters keep one number per period, tenant and class, so they
-don't grow with the requests.  At most `most` tenants are counted by name in a period.  Half of
-these places are reserved for tenants of the previous period, so that a flood of made-up tenants
-doesn't displace those who are billed every day.  Tenants without a place are counted together under
-None: the sum stays right, and every export shows how much that is.
+don't grow with the requests.  At most `max_tenants` are counted by name in a period.  Half of these
+places are reserved for tenants of the previous period, so that a flood of made-up tenants doesn't
+displace those who are billed every day.  Tenants without a place are counted together under None:
+the sum stays right, and every export shows how much that is.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 
 class UsageCounters:
-    """Units by period, tenant and class.  `most`: tenants counted by name in one period."""
+    """Units by period, tenant and class.  `max_tenants`: tenants counted by name in one period."""
 
-    def __init__(self, most: int, ids: bool = False) -> None:
-        self._max_tenants, self._keeps_ids = most, ids
+    def __init__(self, max_tenants: int, ids: bool = False) -> None:
+        self._max_tenants, self._keeps_ids = max_tenants, ids
         self.units: dict[tuple[int, str | None, str], int] = {}
         self.ids: dict[int, bytearray] = {}  # by period, 8 bytes each
         self.ids_dropped = self._pending_ids = 0
--- a/violetroute/ledger/export.py
+++ b/violetroute/ledger/export.py
@@ -29,7 +29,7 @@
 from .accounts import Batch
 
 MAX_RETRY_AFTER = 3600.0  # s; a longer Retry-After is cut to this
-CLIENT_ERROR_RETRY = 60.0  # s; shortest wait after a response that a retry rarely changes
+SLOW_RETRY_WAIT = 60.0  # s; shortest wait after a response that a retry rarely changes
 MAX_KEY_CHARS = 400  # of the key in a 412 response
 MAX_FORK_PERIODS = 100_000  # in a 412 response
 
@@ -121,24 +121,24 @@
         try:
             fork = msgspec.json.decode(body, type=_Fork)
         except msgspec.DecodeError:
-            return ExportResult("again", "412 that tells nothing", CLIENT_ERROR_RETRY)
+            return ExportResult("again", "412 with an invalid body", SLOW_RETRY_WAIT)
         is_plain = fork.last.isascii() and fork.last.isprintable() and '"' not in fork.last
         if not is_plain or len(fork.last) > MAX_KEY_CHARS:  # we send it in a header
-            return ExportResult("again", "412 with no key", CLIENT_ERROR_RETRY)
+            return ExportResult("again", "412 with an invalid key", SLOW_RETRY_WAIT)
         if len(fork.periods) > MAX_FORK_PERIODS:
-            return ExportResult("again", "412 that tells too much", CLIENT_ERROR_RETRY)
+            return ExportResult("again", "412 with too many periods", SLOW_RETRY_WAIT)
         return ExportResult(
             "fork", "the endpoint knows a later batch", last=fork.last, periods=tuple(fork.periods)
         )
     if status == 422:
-        return ExportResult("held", "the endpoint has this key with other contents")
+        return ExportResult("held", "the endpoint has other contents under this key")
     if status == 409:
-        return ExportResult("again", "409: a try before is under way")
+        return ExportResult("again", "409: an earlier attempt is in progress")
     if status in (429, 503):
         return ExportResult(
             "again", f"answered {status}", _retry_after(headers.get("retry-after", ""))
         )
-    return ExportResult("again", f"answered {status}", 0.0 if status >= 500 else CLIENT_ERROR_RETRY)
+    return ExportResult("again", f"answered {status}", 0.0 if status >= 500 else SLOW_RETRY_WAIT)
 
 
 def _retry_after(text: str) -> float:
--- a/violetroute/ledger/periods.py
+++ b/violetroute/ledger/periods.py
@@ -27,7 +27,7 @@
         try:
             self._zone: ZoneInfo | timezone = UTC if zone == "UTC" else ZoneInfo(zone)
         except (ZoneInfoNotFoundError, ValueError, OSError) as error:
-            raise ValueError(f"no such time zone: {zone}") from error
+            raise ValueError(f"unknown time zone: {zone}") from error
         self.minutes = minutes
         self._begins, self._ends = 0, 0  # bounds of the period used last
 
--- a/violetroute/ledger/service.py
+++ b/violetroute/ledger/service.py
@@ -115,8 +115,10 @@
         else:
             self.state = "open"
             log_recovery(found)
-            for period, of in self._book.unbatched_units.items():
-                self._counters.restore(period, {name: None for name, _ in of if name is not None})
+            for period, counts in self._book.unbatched_units.items():
+                self._counters.restore(
+                    period, {name: None for name, _ in counts if name is not None}
+                )
             logs.event(
                 "ledger.open",
                 incarnation=self._book.incarnation,
@@ -160,7 +162,7 @@
                 signed = msgspec.json.decode(data, type=SignedCorrections)
                 self._apply(self._book.correction_records(name, signed.by, signed.lines))
             except msgspec.DecodeError as wrong:
-                logs.event("ledger.held", batch=name, why=f"no corrections: {wrong}")
+                logs.event("ledger.held", batch=name, why=f"not a file of corrections: {wrong}")
         if names and self.state == "open":
             store = self._store
 
@@ -184,8 +186,8 @@
     def _count(self) -> None:
         units, ids = self._counters.collect()
         self._apply(self._book.usage_records(self._net.wall(), units))
-        for period, of in ids.items():
-            self._ids.setdefault(period, bytearray()).extend(of)
+        for period, hashes in ids.items():
+            self._ids.setdefault(period, bytearray()).extend(hashes)
 
     def _flush(self) -> None:
         """Write new units and the batches that are due."""
@@ -207,19 +209,19 @@
         records, self._unwritten = self._unwritten, []
         ids, self._ids = self._ids, {}
         closed, self._closed = self._closed, []
-        gone, self._obsolete = self._obsolete, []
+        obsolete, self._obsolete = self._obsolete, []
         checkpoint = self._book.checkpoint() if store.segment_full else None
-        retire = now - self._cleaned_at > RETENTION_INTERVAL
-        if retire:
+        delete_old = now - self._cleaned_at > RETENTION_INTERVAL
+        if delete_old:
             self._cleaned_at = now
         before = self._net.wall() - self.table.retain_days * 86_400.0
 
         def job() -> None:
             store.commit(records, ids, closed)
-            store.remove_files(gone)
+            store.remove_files(obsolete)
             if checkpoint is not None:
                 store.rewrite(checkpoint)
-            if retire:
+            if delete_old:
                 store.remove_older_than(before)
 
         def written(_: None, error: BaseException | None) -> None:
@@ -228,8 +230,8 @@
             if error is not None:
                 # The records are in the book, so the checkpoint that is written next has them.
                 self._closed = closed + self._closed
-                for period, of in self._ids.items():
-                    ids.setdefault(period, bytearray()).extend(of)
+                for period, hashes in self._ids.items():
+                    ids.setdefault(period, bytearray()).extend(hashes)
                 self._ids = ids
                 self._failed(error)
             elif then is not None and self.state == "open":
@@ -267,8 +269,8 @@
         lines = [(seq, list(self._book.batches[seq].lines)) for _, seq in records]
 
         def job() -> None:
-            for seq, of in lines:
-                store.write_lines(seq, of)
+            for seq, batch_lines in lines:
+                store.write_lines(seq, batch_lines)
 
         def written(_: None, error: BaseException | None) -> None:
             self._busy = False
@@ -324,11 +326,11 @@
             self._load_lines(batch)
             return
         self._apply(self._book.sent_records(batch.seq))
-        go = self._to_files if self.table.export == "files" else self._send
+        export = self._to_files if self.table.export == "files" else self._send
         if self._unwritten:
-            self._write(then=lambda: go(batch))
+            self._write(then=lambda: export(batch))
         else:
-            go(batch)
+            export(batch)
 
     def _to_files(self, batch: Batch) -> None:
         self._busy = True
--- a/violetroute/ledger/store.py
+++ b/violetroute/ledger/store.py
@@ -124,7 +124,7 @@
         """Read the lines of a batch from its file.  ValueError if it is damaged."""
         read = decode(self._files.read(f"batch-{seq}"))
         if len(read.records) != 1 or read.records[0][0] != "lines":
-            raise ValueError(f"batch-{seq}: {read.error or 'no lines'}")
+            raise ValueError(f"batch-{seq}: {read.error or 'no lines in it'}")
         return list(read.records[0][1])
 
     def read_corrections(self) -> dict[str, bytes]:
@@ -149,9 +149,9 @@
         """Delete archives and id hashes of periods before this time (Unix s)."""
         last_day = datetime.fromtimestamp(max(0.0, before), UTC).strftime("%Y%m%d")
         for name in self._files.names():
-            kind, _, of = name.partition("-")
-            if (kind == "closed" and of < last_day) or (
-                kind == "ids" and of.isdecimal() and int(of) < before
+            kind, _, date = name.partition("-")
+            if (kind == "closed" and date < last_day) or (
+                kind == "ids" and date.isdecimal() and int(date) < before
             ):
                 self._files.remove(name)
 
@@ -189,7 +189,7 @@
         for file in files.names():
             if not file.endswith(".foreign"):
                 files.move(file, f"{file}.foreign")
-        return Recovery(renamed_files=["*.foreign"], reason=f"it was the ledger of {other}")
+        return Recovery(renamed_files=["*.foreign"], reason=f"the folder had the ledger of {other}")
 
 
 def log_recovery(found: Recovery) -> None:
--- a/violetroute/membership/addresses.py
+++ b/violetroute/membership/addresses.py
@@ -22,9 +22,7 @@
     """The effects of applying one entry."""
 
     members: list[Member] = field(default_factory=list)  # updates to report to the balancer
-    removed: list[int] = field(
-        default_factory=list
-    )  # ids to stop sending to, reported before `members`
+    removed: list[int] = field(default_factory=list)  # ids to stop sending to, applied first
     placed: bool = False  # whether the entry's node is ready and owns its address
 
 
@@ -32,9 +30,8 @@
     """The listed nodes that are not gone, by address and by id."""
 
     def __init__(self) -> None:
-        self._by_address: dict[
-            Address, tuple[Member, bool]
-        ] = {}  # with whether its start time is inferred
+        # The node at each address, and whether its start time is inferred.
+        self._by_address: dict[Address, tuple[Member, bool]] = {}
         self._addresses: dict[int, Address] = {}
 
     def apply(self, member: Member, address: Address | None, inferred: bool = False) -> Change:
--- a/violetroute/membership/consul.py
+++ b/violetroute/membership/consul.py
@@ -24,7 +24,8 @@
 CALL_TIMEOUT = 3.0  # s until the first byte, beyond the wait that was requested
 BODY_IDLE_TIMEOUT = 3.0  # s between bytes of a body
 BODY_TIMEOUT = 10.0  # s for a whole body
-CONFIRM_MIN_INTERVAL = 0.1  # s from a request to its confirmation, if `least_interval_s` is longer
+# s after a request at which its confirmation may be sent, even if `least_interval_s` is longer.
+CONFIRM_INTERVAL = 0.1
 CONFIRM_TIMEOUT = 0.3  # s for a confirmation: a drain must take effect within 0.5 s
 
 _shared = memoryview(bytearray(READ_SIZE))
@@ -79,8 +80,8 @@
     def _schedule_request(self, confirm: bool = False) -> None:
         now = self._loop.time()
         interval = self._table.least_interval_s
-        if confirm:  # at most one per answer, and the guarantee on drains depends on it
-            interval = min(interval, CONFIRM_MIN_INTERVAL)
+        if confirm:  # at most one per answer; removals must take effect in time
+            interval = min(interval, CONFIRM_INTERVAL)
         at = max(self._not_before, self._requested_at + interval)
         if at > now:
             self._request_timer = self._loop.call_at(at, self._send_request, confirm)
@@ -123,7 +124,7 @@
             try:
                 instances = self._reader.read(body)
             except ValueError as error:
-                self._failed(f"no list of nodes: {error}")
+                self._failed(f"not a list of nodes: {error}")
                 return
             self._digest = digest
             if self._reader.skipped:
--- a/violetroute/membership/consul_health.py
+++ b/violetroute/membership/consul_health.py
@@ -158,7 +158,7 @@
         service, table = element.Service, self._table
         host = service.Address or element.Node.Address
         if not 0 < service.Port < 65536:
-            raise ValueError("no port")
+            raise ValueError("port out of range")
         address = parse_address(f"[{host}]:{service.Port}")
         meta = service.Meta or {}
         health = _health(element, table.drain_tag)
@@ -167,7 +167,7 @@
         started = float(meta.get(table.started_meta) or 0.0)
         cell = int(meta.get(table.cell_meta) or 0)
         if not (0.0 <= weight < math.inf and 0.0 <= started < math.inf):
-            raise ValueError("weight or start is no number")
+            raise ValueError("weight or start time out of range")
         if weight == 0.0 and health is not Health.DRAINS:
             health = Health.CRITICAL  # Consul's own DNS leaves it out too
         # The id defaults to the service's name, which is the same on all machines.
--- a/violetroute/membership/entries.py
+++ b/violetroute/membership/entries.py
@@ -57,19 +57,19 @@
     An invalid entry is skipped and logged, and the others are used.  If it were an error, each new
     watch would end at it, and losing the updates of the fleet costs more than losing one node.
     """
-    entries, senseless = [], 0
+    entries, invalid = [], 0
     try:
         for item in raw["instances"]:
             try:
                 entries.append(parse_entry(item))
             except INVALID_ENTRY_ERRORS:
-                senseless += 1
+                invalid += 1
         listing = Listing(
             int(raw.get("generation", 0)), bool(raw.get("reset", False)), tuple(entries)
         )
     except (KeyError, TypeError, AttributeError, OverflowError) as error:
         raise ValueError(f"not a list of cache nodes: {error!r}") from error
-    log_invalid_entries(senseless)
+    log_invalid_entries(invalid)
     return listing
 
 
@@ -85,7 +85,7 @@
     gone = state is CacheState.GONE  # its address is not needed
     weight, started_at = float(raw.get("weight", 1.0)), float(raw.get("startedAtMs", 0.0))
     if not (0.0 <= weight < math.inf and 0.0 <= started_at < math.inf):
-        raise ValueError("weight or start is no number")
+        raise ValueError("weight or start time out of range")
     return Entry(
         str(raw["instanceId"]),
         state,
--- a/violetroute/membership/file.py
+++ b/violetroute/membership/file.py
@@ -52,7 +52,7 @@
         try:
             stat = os.stat(self._path)
             if not S_ISREG(stat.st_mode):  # opening a pipe would block the daemon
-                raise ValueError(f"{self._path}: no regular file")
+                raise ValueError(f"{self._path}: not a regular file")
             identity = stat.st_ino, stat.st_mtime_ns, stat.st_size
             listing = None
             if identity != self._last_stat:
--- a/violetroute/membership/list_reader.py
+++ b/violetroute/membership/list_reader.py
@@ -121,7 +121,7 @@
             self._by_text = {}
             if len(self._addresses) > CACHED_TEXTS_SLACK + 2 * len(decoded.instances):
                 self._addresses = {}
-        entries, senseless = [], 0
+        entries, invalid = [], 0
         for raw in decoded.instances:
             entry_text = bytes(raw)
             entry = before.get(entry_text)
@@ -129,11 +129,11 @@
                 try:
                     entry = self._entry(entry_text)
                 except INVALID_ENTRY_ERRORS:
-                    senseless += 1
+                    invalid += 1
                     continue
             self._by_text[entry_text] = entry
             entries.append(entry)
-        log_invalid_entries(senseless)
+        log_invalid_entries(invalid)
         return Listing(decoded.generation, decoded.reset, tuple(entries))
 
     def _entry(self, text: bytes) -> Entry:
@@ -142,7 +142,7 @@
         except msgspec.MsgspecError:
             return parse_entry(json.loads(text))
         if not (0.0 <= decoded.weight < math.inf and 0.0 <= decoded.started_at_ms < math.inf):
-            raise ValueError("weight or start is no number")
+            raise ValueError("weight or start time out of range")
         state = LIFECYCLE_STATES[decoded.lifecycle]
         return Entry(
             decoded.instance_id,
--- a/violetroute/membership/native.py
+++ b/violetroute/membership/native.py
@@ -16,12 +16,8 @@
 # stalled watch misses 6 s after its last line. Each timeout here, the balancer's own retry wait and
 # the next answer have to fit in these 6 s, whatever happens in between.
 CONNECT_TIMEOUT = 1.5  # s to connect: a lost packet is retransmitted after 1 s
-CALL_TIMEOUT = (
-    2.5  # s from a call's start to its first line; discovery itself delays it by 1 to 2 s
-)
-LINE_TIMEOUT = (
-    2.7  # s without a complete line, bytes or not; discovery sends an empty one every 2 s
-)
+CALL_TIMEOUT = 2.5  # s from a call's start to its first line, which discovery delays by 1 to 2 s
+LINE_TIMEOUT = 2.7  # s without a complete line, bytes or not; an empty line comes every 2 s
 READ_SIZE = 16 * 1024  # bytes per read, into a buffer that all watches share
 
 _shared = memoryview(bytearray(READ_SIZE))
@@ -30,7 +26,10 @@
 class ListObserver(Interface):
     """Receives the lists of a watch, and its end."""
 
-    def list_changed(self, listing: Listing) -> None: ...
+    def list_changed(self, listing: Listing) -> None:
+        """Apply a full list or changes."""
+        ...
+
     def list_failed(self, silent: bool = False) -> None:
         """Handle the end of the watch; `silent`: it timed out waiting for a line."""
 
@@ -44,10 +43,12 @@
         self._reader = ListReader()
 
     def start(self, since: int) -> None:
+        """Start a call that reports the changes after generation `since`."""
         self.stop()
         self._call = DiscoveryCall(self._observer, self._net, self._address, since, self._reader)
 
     def stop(self) -> None:
+        """Stop the call without a report."""
         if self._call is not None:
             self._call.stop()
             self._call = None
--- a/violetroute/membership/query.py
+++ b/violetroute/membership/query.py
@@ -23,9 +23,7 @@
 
     reason: str
     wait: float = 0.0  # s to wait before the next request
-    drains_valid: bool = (
-        False  # a complete but old answer: its drains were true when it was written
-    )
+    drains_valid: bool = False  # complete but old: its drains were true when it was written
 
 
 class BlockingQuery:
--- a/violetroute/membership/source.py
+++ b/violetroute/membership/source.py
@@ -188,12 +188,15 @@
 
     # --- from the watch ---
     def expect_new_source(self) -> None:
+        """Treat the next full list as the first of another source."""
         self._names.expect_new_source()
 
     def list_changed(self, listing: Listing) -> None:
+        """Report a list or changes under the names that the proxy knows."""
         self._observer.list_changed(self._names.translate(listing))
 
     def list_failed(self, silent: bool = False) -> None:
+        """Report the end of the watch."""
         self._observer.list_failed(silent)
 
     def adopt_initial_list(self, listing: Listing) -> Listing:
--- a/violetroute/membership/sources.py
+++ b/violetroute/membership/sources.py
@@ -18,8 +18,13 @@
 class SourceWatch(Protocol):
     """A watch on one source, or on all of them."""
 
-    def start(self, since: int) -> None: ...
-    def stop(self) -> None: ...
+    def start(self, since: int) -> None:
+        """Start watching, from generation `since` if the source has generations."""
+        ...
+
+    def stop(self) -> None:
+        """Stop watching without a report."""
+        ...
 
 
 class MergedListObserver(ListObserver, Protocol):
@@ -117,18 +122,18 @@
     # --- reports ---
     def _report_changes(self) -> None:
         """Report what has changed, even if nothing: the balancer waits for a first answer."""
-        merge = self._merger
-        if merge.dissimilar is not None:
-            source, share = merge.dissimilar
+        merger = self._merger
+        if merger.dissimilar is not None:
+            source, share = merger.dissimilar
             logs.event("membership.unlike", source=source, share=round(share, 2))
-        entries = merge.entries(self._clock())
-        whole = merge.current_source != self._notified_source
+        entries = merger.entries(self._clock())
+        whole = merger.current_source != self._notified_source
         if whole:
             if self._notified_source is not None:
                 self._observer.expect_new_source()
-            logs.event("membership.speaks", source=merge.current_source, nodes=len(entries))
+            logs.event("membership.speaks", source=merger.current_source, nodes=len(entries))
         changed = list(entries.values()) if whole else diff_entries(self._notified_entries, entries)
-        self._notified_entries, self._notified_source = entries, merge.current_source
+        self._notified_entries, self._notified_source = entries, merger.current_source
         self._observer.list_changed(Listing(0, whole, tuple(changed)))
         self._schedule_tick()
 
--- a/violetroute/membership/staleness.py
+++ b/violetroute/membership/staleness.py
@@ -56,14 +56,15 @@
         self, now: float, wall: float, instances: Mapping[str, Instance], confirmed: bool = False
     ) -> bool:
         """Apply an answer.  Returns whether a consistent read from the leader has to confirm it."""
-        gone = [name for name in self._nodes if name not in instances]
+        missing = [name for name in self._nodes if name not in instances]
         self.unconfirmed, self.answer_empty = 0, bool(self._nodes) and not instances
-        if gone and (
-            self.answer_empty or (len(gone) > self.table.floor * len(self._nodes) and not confirmed)
+        if missing and (
+            self.answer_empty
+            or (len(missing) > self.table.floor * len(self._nodes) and not confirmed)
         ):
-            self.unconfirmed = len(gone)
+            self.unconfirmed = len(missing)
         else:
-            for name in gone:
+            for name in missing:
                 del self._nodes[name]
         for name, instance in instances.items():
             node = self._nodes.get(name)
@@ -76,8 +77,8 @@
             for name, node in self._nodes.items()
             if name in instances and node.instance.health is not Health.DRAINS
         ]
-        is_critical = sum(node.instance.health is Health.CRITICAL for node in listed)
-        self.panic_mode = is_critical > self.table.floor * len(listed)
+        critical = sum(node.instance.health is Health.CRITICAL for node in listed)
+        self.panic_mode = critical > self.table.floor * len(listed)
         return bool(self.unconfirmed) and not confirmed
 
     def apply_drains(self, instances: Mapping[str, Instance]) -> list[Entry]:
@@ -192,31 +193,32 @@
         return self._reported is not None
 
     def collect(
-        self, belief: CatalogueState, now: float, again: bool = False
+        self, catalogue: CatalogueState, now: float, repeat_drains: bool = False
     ) -> tuple[bool, list[Entry]]:
         """Whether this is the first, full list, and the entries to report.
 
-        `again`: report drains even if they are unchanged, since a new answer repeats them. In the
-        meantime the node may have restarted, by another source's report, and been drained again.
+        `repeat_drains`: report drains even if they are unchanged, since a new answer repeats them.
+        In the meantime the node may have restarted, by another source's report, and been drained
+        again.
         """
-        entries = belief.entries(now)
+        entries = catalogue.entries(now)
         whole, before = self._reported is None, self._reported or {}
         updates = []
         changed = diff_entries(before, entries)
-        if again:
+        if repeat_drains:
             changed += [
                 entry
                 for name, entry in entries.items()
                 if entry.state is CacheState.DRAINING and before.get(name) == entry
             ]
         for entry in changed:
-            if entry.state is CacheState.GONE and belief.is_registered(entry.instance):
+            if entry.state is CacheState.GONE and catalogue.is_registered(entry.instance):
                 entry = self._hints[entry.instance] = msgspec.structs.replace(entry, hint=True)
             updates.append(entry)
         for name in list(self._hints):
             if name in entries:
                 del self._hints[name]
-            elif not belief.is_registered(name):  # deregistered while it was out for its health
+            elif not catalogue.is_registered(name):  # deregistered while it was out for its health
                 updates.append(msgspec.structs.replace(self._hints.pop(name), hint=False))
         self._reported = entries
         return whole, updates
--- a/violetroute/membership/table.py
+++ b/violetroute/membership/table.py
@@ -20,9 +20,7 @@
 
     sources: tuple[Source, ...] = ()  # empty: Consul if [consul] has agents, else the platform
     file: str = ""  # for the source "file": a list in the platform's form
-    file_every_s: Annotated[float, msgspec.Meta(ge=0.02, le=0.4)] = (
-        0.2  # between checks for a change
-    )
+    file_every_s: Annotated[float, msgspec.Meta(ge=0.02, le=0.4)] = 0.2  # between checks
     patience_s: Seconds = 15.0  # for which an unavailable source stays current
     settle_s: Seconds = 5.0  # for which a recovered source must be up to be current again
     least_match: Share = 0.5  # fraction of the last source's nodes that the next must list
