--- a/violetroute/ledger/service.py
+++ b/violetroute/ledger/service.py
@@ -115,10 +115,8 @@
         else:
             self.state = "open"
             log_recovery(found)
-            for period, counts in self._book.unbatched_units.items():
-                self._counters.restore(
-                    period, {name: None for name, _ in counts if name is not None}
-                )
+            for period, keys in self._book.unbatched_units.items():
+                self._counters.restore(period, {name: None for name, _ in keys if name is not None})
             logs.event(
                 "ledger.open",
                 incarnation=self._book.incarnation,
