--- a/snowstall/attempts.py
+++ b/snowstall/attempts.py
@@ -7,7 +7,7 @@
 from .messages import Effect, Group, Request, RequestClass, Result
 
 BROKEN_CONNECTION_COST = 0.5  # of the retry budget: a broken connection caused little or no load
-REPEAT_MARGIN_MS = 200.0  # repeats stop so long before the window ends: a send may wait first
+REPEAT_MARGIN_MS = 200.0  # no repeats this close to the window's end: they may wait to connect
 MIN_TIME_SHARE = 0.4  # of the latency target; with less time even healthy caches seem to fail
 
 REDIRECTS = frozenset({Result.MOVED, Result.ASK})
--- a/snowstall/balance.py
+++ b/snowstall/balance.py
@@ -116,14 +116,14 @@
         return [messages.Subscribe()]
 
     def on_peer_reports(
-        self, now: float, bad: Iterable[int], outcomes: Iterable[LoadSample]
+        self, now: float, unhealthy: Iterable[int], samples: Iterable[LoadSample]
     ) -> list[Action]:
-        """Apply what other proxies saw: eject the caches `bad`, pass the samples to the limits."""
+        """Apply what other proxies saw: eject unhealthy caches, pass the samples to the limits."""
         self._advance_clock(now)
-        for cache in [self._caches[name] for name in bad if name in self._caches]:
+        for cache in [self._caches[name] for name in unhealthy if name in self._caches]:
             if now >= cache.excluded_until:
                 self._eject(cache, now)
-        for cached, badness, took, target, queued in outcomes:
+        for cached, badness, took, target, queued in samples:
             (self.cache_limiter if cached else self.origin_limiter).record_outcome(
                 badness, now, True, took, target, queued
             )
@@ -154,7 +154,7 @@
         """Take a request, to be answered exactly once.  ValueError: id in use, or unknown class."""
         self._advance_clock(now)
         if request.id in self._pending:
-            raise ValueError(f"request {request.id} was given before")
+            raise ValueError(f"request {request.id} is already pending")
         cls = self._classes.get(request.class_name)
         if cls is None:
             raise ValueError(f"request {request.id}: unknown class {request.class_name!r}")
--- a/snowstall/cache.py
+++ b/snowstall/cache.py
@@ -37,7 +37,7 @@
         self.cache, self.sent_at, self.in_flight = cache, now, True
         self.overtaken = False  # a request sent there later was answered quickly
         self.paused_ms = 0.0  # time that this process was paused while it was in flight
-        self.cache_fault = False  # the cache has probably dropped it
+        self.cache_fault = False  # its failure says something about this cache, not about the load
         self.cache_error = False  # an error of the cache and not of the origin
         self.ran = True  # it may have run; False once an outcome proves that it did not
 
--- a/snowstall/caches.py
+++ b/snowstall/caches.py
@@ -66,12 +66,12 @@
             cache.slow_weight = cache.slow_sum = 0.0
         return None
 
-    def _join(self, fresh: list[Cache]) -> None:
+    def _join(self, caches: list[Cache]) -> None:
         """Add new caches to the ring and forget the remembered orders."""
-        if fresh:
-            self._ready += fresh
+        if caches:
+            self._ready += caches
             self._ready.sort(key=attrgetter("id"))
-            self._ring.add(fresh)
+            self._ring.add(caches)
             self._forget_orders()
         self._head_due = self._now
 
@@ -98,7 +98,10 @@
         ValueError for a size that is negative or not finite.
         """
         self._advance_clock(now)
-        require(all(0.0 <= size < math.inf for size in sizes.values()), "a size is no number")
+        require(
+            all(0.0 <= size < math.inf for size in sizes.values()),
+            "a size must be finite and not negative",
+        )
         self._sizes = {name: min(MAX_SIZE, size) for name, size in sizes.items()}
         self._to_resize = list(self._ready)
         return self._resize_some()
--- a/snowstall/choice.py
+++ b/snowstall/choice.py
@@ -14,9 +14,7 @@
 from .messages import Effect
 
 MAX_COMPARED = 12  # candidates compared per request; of more a random sample
-MAX_SAMPLED = (
-    4 * MAX_COMPARED
-)  # sample of a longer candidate list, large enough to find usable ones
+MAX_SAMPLED = 4 * MAX_COMPARED  # candidates checked of a longer list, enough to find usable ones
 MAX_FALLBACK_SCAN = 256  # caches scanned if no candidate takes the key; of more a random sample
 SPARE_CANDIDATES = 3  # candidates in addition, to replace cold or ejected ones
 STICKINESS = 1.2  # load by which a tail key's second cache must be better: a copy costs a fetch
--- a/snowstall/learning.py
+++ b/snowstall/learning.py
@@ -58,6 +58,10 @@
     def _record_load(
         self, pending: Pending, badness: float, queued: bool = False, fetch_time: float = 0
     ) -> None:
+        """Report how a request ended to its limiter, and to other proxies if the client is patient.
+
+        Requests that say nothing about the load, and failures of a single cache, are left out.
+        """
         if pending.representative and not (
             badness and any(a.cache_fault for a in pending.attempts)
         ):
@@ -77,6 +81,7 @@
                 )
 
     def _fetch_time(self, cls: RequestClass) -> float:
+        """Return how much longer misses take than hits on average; 0 while that is unknown."""
         hits, misses = self._mean(cls, True), self._mean(cls, False)
         return max(0.0, misses.value - hits.value) * (min(hits.count, misses.count) >= MIN_ANSWERS)
 
--- a/tests/snowstall/test_rules.py
+++ b/tests/snowstall/test_rules.py
@@ -286,7 +286,7 @@
     with pytest.raises(ValueError, match="stepped back"):
         balancer.on_timer(9.0, 1)
     balancer.on_request(10.0, Request(1, "read", 400.0))
-    with pytest.raises(ValueError, match="given before"):
+    with pytest.raises(ValueError, match="already pending"):
         balancer.on_request(10.0, Request(1, "read", 400.0))
     with pytest.raises(ValueError, match="unknown class"):
         balancer.on_request(10.0, Request(2, "other", 400.0))
