--- a/tests/support/plain_node_health.py
+++ b/tests/support/plain_node_health.py
@@ -6,6 +6,7 @@
 from dataclasses import dataclass, field
 from statistics import median
 
+from violetroute.sharing.decaying_outcomes import HALF_LIFE, WEIGHT_LEAST
 from violetroute.sharing.node_health import (
     BAD_LEAST,
     BAD_SHARE,
@@ -22,7 +23,6 @@
     WELL_SHARE,
     WITNESSES,
 )
-from violetroute.sharing.tally import HALF_LIFE, WEIGHT_LEAST
 from violetroute.sharing.wire import HealthReport
 
 
--- a/tests/violetroute/sharing/test_sharing_anti_entropy_bytes.py
+++ b/tests/violetroute/sharing/test_sharing_anti_entropy_bytes.py
@@ -17,9 +17,9 @@
     SENT_BYTES_S,
     WINDOW,
 )
+from violetroute.sharing.byte_pacer import Pace
 from violetroute.sharing.digest import bucket_count, member_hash, pack_short
 from violetroute.sharing.outgoing import Out
-from violetroute.sharing.pace import Pace
 from violetroute.sharing.wire import (
     ANTI_ENTROPY,
     BucketMembers,
--- a/tests/violetroute/sharing/test_sharing_digest.py
+++ b/tests/violetroute/sharing/test_sharing_digest.py
@@ -10,6 +10,7 @@
 from limebridge.scale.virtual_members import VirtualMembers
 from tests.support.work import operations
 from violetroute.sharing import wire
+from violetroute.sharing.byte_pacer import Pace
 from violetroute.sharing.digest import (
     MemberDigests,
     bucket_count,
@@ -20,7 +21,6 @@
     unpack_short,
 )
 from violetroute.sharing.members import MEMBERS_MOST, Members
-from violetroute.sharing.pace import Pace
 from violetroute.sharing.wire import (
     BUCKET_DIGESTS_MOST,
     BUCKETS_MOST,
--- a/tests/violetroute/sharing/test_sharing_node_cost.py
+++ b/tests/violetroute/sharing/test_sharing_node_cost.py
@@ -14,8 +14,8 @@
 
 from tests.support.plain_node_health import PlainNodeHealth
 from tests.support.work import operations
+from violetroute.sharing.decaying_outcomes import HALF_LIFE
 from violetroute.sharing.node_health import NodeHealth
-from violetroute.sharing.tally import HALF_LIFE
 from violetroute.sharing.wire import HealthReport
 
 SMALL, LARGE = 100, 2_000
--- a/tests/violetroute/sharing/test_sharing_node_memory.py
+++ b/tests/violetroute/sharing/test_sharing_node_memory.py
@@ -17,7 +17,7 @@
 import pytest
 
 from tests.support.work import operations
-from violetroute.sharing.fading_queue import FadingQueue
+from violetroute.sharing.expiry_queue import FadingQueue
 from violetroute.sharing.node_health import EXPIRED_MOST, TALLIES_MOST, NodeHealth
 from violetroute.sharing.row_lists import NO_ROW, RowLists
 from violetroute.sharing.wire import HealthReport
--- a/violetroute/sharing/anti_entropy.py
+++ b/violetroute/sharing/anti_entropy.py
@@ -32,6 +32,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
+from .byte_pacer import Pace
 from .digest import (
     bucket_count,
     differing,
@@ -41,7 +42,6 @@
 )
 from .member_list import MemberList
 from .outgoing import Out
-from .pace import Pace
 from .rumors import entry_of, rumor_of
 from .wire import (
     HELD_MOST,
--- a/violetroute/sharing/member_list.py
+++ b/violetroute/sharing/member_list.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 
 from .digest import MemberDigests
-from .doubted import Doubted
+from .not_alive import Doubted
 from .rumors import Member
 from .seeds import Seeds
 from .up_names import UpNames
--- a/violetroute/sharing/node_health.py
+++ b/violetroute/sharing/node_health.py
@@ -35,10 +35,10 @@
 from dataclasses import dataclass, field
 from statistics import median
 
+from .decaying_outcomes import HALF_LIFE, WEIGHT_LEAST, Tally
+from .outcome_table import TallyTable
 from .own_outcomes import OwnOutcomes
 from .row_lists import NO_ROW
-from .tally import HALF_LIFE, WEIGHT_LEAST, Tally
-from .tally_table import TallyTable
 from .wire import HealthReport
 
 WITNESSES = 3
--- a/violetroute/sharing/tally_table.py
+++ b/violetroute/sharing/outcome_table.py
@@ -10,9 +10,9 @@
 import math
 from array import array
 
-from .fading_queue import FadingQueue
+from .decaying_outcomes import HALF_LIFE, WEIGHT_LEAST
+from .expiry_queue import FadingQueue
 from .row_lists import RowLists
-from .tally import HALF_LIFE, WEIGHT_LEAST
 
 
 class TallyTable:
--- a/violetroute/sharing/own_outcomes.py
+++ b/violetroute/sharing/own_outcomes.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
+from .decaying_outcomes import WEIGHT_LEAST, Tally
 from .ordered import OrderedEntries
-from .tally import WEIGHT_LEAST, Tally
 
 Turn = tuple[int, int, int]  # the last report that told of a node, the node's place, the node
 
--- a/violetroute/sharing/service.py
+++ b/violetroute/sharing/service.py
@@ -29,7 +29,7 @@
 from .loans import Terms
 from .members import Members
 from .probe import TICK_S
-from .rate import Rate
+from .rate_limiter import Rate
 from .report_budget import ReportBudget, default_rate
 from .table import SharingTable
 from .wire import Counted, Envelope, HealthReport, Item, Keys, Lend, LoadReport, Numbers, Spare
