--- a/benchmarks/emulated_fleet.py
+++ b/benchmarks/emulated_fleet.py
@@ -26,7 +26,7 @@
         self.places, self.judged = Places(), deque[Judged]()
         self.bad: list[int] = []
 
-    def others(self, bad: list[int], outcomes: list[Judged]) -> None:
+    def apply_peer_reports(self, bad: list[int], outcomes: list[Judged]) -> None:
         self.bad = bad
 
 
@@ -44,11 +44,11 @@
         for number in range(count):
             self.start(number)
         if settled:
-            own = [sharing.members.own() for sharing in self.here]
+            own = [sharing.members.own_rumor() for sharing in self.here]
             for sharing in self.here:
                 for rumor in own:
                     if rumor.name != sharing.name:
-                        sharing.members.know(rumor, self.kernel.now)
+                        sharing.members.add_member(rumor, self.kernel.now)
 
     def start(self, number: int) -> None:
         net = SocketNetwork(
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -90,7 +90,7 @@
     )
     gone = fleet.here[3]
     gone._timer.cancel()
-    gone._box.close()
+    gone._mailbox.close()
     at = fleet.kernel.now
     fleet.told.clear()
     fleet.run(40.0 + 20.0 * math.log10(count))
@@ -117,7 +117,7 @@
     fleet = Emulated(count)
     nodes = [Member(number, CacheState.READY, started_at=1.0) for number in range(1, NODES + 1)]
     for sharing in fleet.here:
-        sharing.listed(nodes)
+        sharing.update_nodes(nodes)
     bad_from, rng = fleet.kernel.now + calm, random.Random(2)
     false = 0
     avoided: dict[int, float] = {}
@@ -129,7 +129,7 @@
         if node not in proxy.bad:
             # One in a hundred fails anywhere.
             fails = (node == 1 and now >= bad_from) or rng.random() < 0.01
-            sharing.met(node, Result.LATE if fails else Result.OK)
+            sharing.record_attempt(node, Result.LATE if fails else Result.OK)
         false += sum(bad != 1 or now < bad_from for bad in proxy.bad)
         if 1 in proxy.bad and now >= bad_from:
             avoided.setdefault(place, now - bad_from)
@@ -170,8 +170,8 @@
         merged = merge(made)
         top = [key for key, _ in exact.most_common(10)]
         size = len(
-            wire.packed(
-                wire.Counted(
+            wire.encode_item(
+                wire.HeavyHitterReport(
                     "key",
                     [k << 40 for k, _, _ in made[0].top()],
                     [c for _, c, _ in made[0].top()],
@@ -205,7 +205,7 @@
     net = SocketNetwork(loop, make=loop.kernel.maker("p"), clock=lambda: 1.7e9)
     table = SharingTable(listen="127.0.0.1:20000", proxies=1, budget=(BudgetTable("all", 1e6),))
     sharing = Sharing(table, KEYS, "p", "a", 1000.0, net, Quiet())
-    sharing.listed([Member(number, CacheState.READY) for number in range(NODES)])
+    sharing.update_nodes([Member(number, CacheState.READY) for number in range(NODES)])
     rng = random.Random(1)
     keys = [rng.getrandbits(52) for _ in range(10_000)]
     took = []
@@ -213,8 +213,8 @@
         began = time.process_time()
         for place in range(rounds):
             sharing.admits("t", "lookup")
-            sharing.asked("t", keys[place % 10_000])
-            sharing.met(place % NODES, Result.OK)
+            sharing.record_request("t", keys[place % 10_000])
+            sharing.record_attempt(place % NODES, Result.OK)
         took.append((time.process_time() - began) / rounds * 1e6)
     return {"us_a_request": round(statistics.median(took), 2)}
 
@@ -272,7 +272,9 @@
     fleet.run(3.0)
     target, rng = fleet.here[0], random.Random(3)
     good = KEYS.seal(
-        wire.Envelope("p1", "l1", 1, 10**6, "p0", "l0", 0, 0, [wire.raw(wire.packed(wire.Ping(1)))])
+        wire.Envelope(
+            "p1", "l1", 1, 10**6, "p0", "l0", 0, 0, [wire.raw(wire.encode_item(wire.Ping(1)))]
+        )
     )
     origin = Address("127.0.0.1", 20_001)
     before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
--- a/benchmarks/sharing_tick.py
+++ b/benchmarks/sharing_tick.py
@@ -23,7 +23,7 @@
 SUSPECTS = (0, 100, 1_000)
 WAITING = (0, 8, 512)
 BAD = (0, 43)
-WITNESSES = 16  # members that have told of each node
+MIN_WITNESSES = 16  # members that have told of each node
 ROUNDS = 40  # of one measurement
 
 
@@ -34,9 +34,9 @@
 
     members = Members("me", "l", 1, "here", "", 1.0, ("seed",), random.Random(1), 0.0)
     for number in range(MEMBERS):
-        members.know(Rumor(f"p{number}", "l", 1, "a", f"at{number}"), 0.0)
+        members.add_member(Rumor(f"p{number}", "l", 1, "a", f"at{number}"), 0.0)
     for number in range(suspects):
-        members.heard(0.05, "x", "l", 1, Rumor(f"p{number}", "l", 1, "s", by="x"))
+        members.receive(0.05, "x", "l", 1, Rumor(f"p{number}", "l", 1, "s", by="x"))
     members._probe_at = 1e9
     now = 0.1
     began = time.process_time()
@@ -72,24 +72,24 @@
     chance = random.Random(1)
     rounds = Rounds("a", True, 0.0, chance)
     nodes = range(1, NODES + 1)
-    rounds.listed([Member(node, CacheState.READY, started_at=1.0) for node in nodes])
+    rounds.update_nodes([Member(node, CacheState.READY, started_at=1.0) for node in nodes])
     up = [f"m{number}" for number in range(MEMBERS)]
     for node in nodes:
-        for witness in range(WITNESSES):
+        for witness in range(MIN_WITNESSES):
             failed = 2.0 if trouble and node <= bad else 0.0
-            rounds.heard(0.0, up[witness], "a", HealthReport(node, 1, 2.6 - failed, failed), 0.0)
+            rounds.receive(0.0, up[witness], "a", HealthReport(node, 1, 2.6 - failed, failed), 0.0)
     now, used = 0.0, 0.0
     for _ in range(ROUNDS):
         now += 0.5
         began = time.process_time()
         for _ in range(5):  # requests that a hollow proxy pretends
             node = chance.randrange(1, NODES + 1)
-            rounds.met(now, node, Result.LATE if node <= bad else Result.OK)
-        for name in chance.sample(up[:WITNESSES], 2):
+            rounds.record_attempt(now, node, Result.LATE if node <= bad else Result.OK)
+        for name in chance.sample(up[:MIN_WITNESSES], 2):
             for node in chance.sample(nodes, 24):
                 failed = 2.0 if trouble and node <= bad else 0.0
-                rounds.heard(now, name, "a", HealthReport(node, 1, 2.6 - failed, failed), 0.0)
-        rounds.next(now, up, [], {}, False)
+                rounds.receive(now, name, "a", HealthReport(node, 1, 2.6 - failed, failed), 0.0)
+        rounds.run_round(now, up, [], {}, False)
         used += time.process_time() - began
     return used / ROUNDS * 1e6
 
--- a/limebridge/faults/budgets.py
+++ b/limebridge/faults/budgets.py
@@ -18,9 +18,9 @@
 from dataclasses import dataclass, field, fields, replace
 from typing import Any, Literal
 
-from violetroute.sharing.loans import Loans, Terms
+from violetroute.sharing.loans import Loans, LoanTerms
 
-TERMS = Terms(loan_s=1.0, drift=0.05, floor=0.25)
+TERMS = LoanTerms(loan_s=1.0, drift=0.05, floor=0.25)
 RATES = (0.95, 1.05, 1.0)  # of the names' clocks
 STEP = 0.5  # s of an event "time"
 HOME = 100
@@ -130,7 +130,7 @@
 
     def _ask(self, place: int, other: int, amount: int) -> None:
         self.left["asks"] -= 1
-        number = self.loans[place].ask(self.clock(place), f"p{other}")
+        number = self.loans[place].new_request(self.clock(place), f"p{other}")
         incarnation = self.name(place)
         self._send(Message("ask", incarnation, f"p{other}", number, amount, incarnation))
 
@@ -160,7 +160,7 @@
                 self._hear_lend(place, message)
             case "back":
                 now = self.clock(place)
-                self.loans[place].returned(now, message.borrower, message.number)
+                self.loans[place].accept_return(now, message.borrower, message.number)
 
     def _take_from_net(self, message: Message) -> None:
         """Deliver a message; while copies are left, it may come once more."""
@@ -173,7 +173,7 @@
 
     def _hear_ask(self, place: int, message: Message) -> None:
         now, borrower = self.clock(place), message.borrower
-        amount = self.loans[place].asked(now, borrower, message.number, message.amount, 0)
+        amount = self.loans[place].grant(now, borrower, message.number, message.amount, 0)
         sender, to = self.name(place), borrower.partition("/")[0]
         self._send(Message("lend", sender, to, message.number, amount, borrower))
 
@@ -183,7 +183,7 @@
             return
         now, loans = self.clock(place), self.loans[place]
         lender = message.sender.partition("/")[0]
-        granted = loans.granted(now, lender, message.number, message.amount)
+        granted = loans.accept_grant(now, lender, message.number, message.amount)
         if granted or not message.amount or not self.left["backs"]:
             return
         number = loans.number_to_refuse(lender, message.number)
@@ -205,13 +205,13 @@
             tuple(
                 (
                     loans._number,
-                    tuple(sorted(loans._asked.items())),
-                    tuple(sorted(loans._held.items(), key=lambda at: at[0])),
+                    tuple(sorted(loans._requests.items())),
+                    tuple(sorted(loans._borrowed.items(), key=lambda at: at[0])),
                     tuple(
                         sorted((borrower, tuple(lent)) for borrower, lent in loans._lent.items())
                     ),
-                    tuple(sorted(loans._seen.items())),
-                    loans._full_at,
+                    tuple(sorted(loans._last_request.items())),
+                    loans._home_available_at,
                 )
                 for loans in self.loans
             ),
@@ -232,7 +232,7 @@
 
 def _copy(loans: Loans) -> Loans:
     made = copy.copy(loans)
-    made._asked, made._held = loans._asked.copy(), loans._held.copy()
-    made._seen = loans._seen.copy()
+    made._requests, made._borrowed = loans._requests.copy(), loans._borrowed.copy()
+    made._last_request = loans._last_request.copy()
     made._lent = {borrower: list(lent) for borrower, lent in loans._lent.items()}
     return made
--- a/limebridge/faults/sharing/memory.py
+++ b/limebridge/faults/sharing/memory.py
@@ -54,7 +54,7 @@
     def __init__(self) -> None:
         self.places, self.judged = Places(), deque[Judged]()
 
-    def others(self, bad: list[int], outcomes: list[Judged]) -> None:
+    def apply_peer_reports(self, bad: list[int], outcomes: list[Judged]) -> None:
         pass
 
 
@@ -211,19 +211,25 @@
     def _floor(self, process: Process) -> None:
         """Who has been asked for more than its part for long has all of that, whoever borrows."""
         sharing, now = process.sharing, self.kernel.now
-        if sharing is None or now < process.clock.until or sharing.members.twin is not None:
+        if sharing is None or now < process.clock.until or sharing.members.duplicate is not None:
             process.needs = math.inf
             return
         loans, clock = sharing.budgets["all"].loans, process.clock.time()
-        if 1000.0 * self.rates[process.number] < 1.5 * loans.home or clock < loans.home_whole_at:
+        if (
+            1000.0 * self.rates[process.number] < 1.5 * loans.home
+            or clock < loans.home_available_at
+        ):
             process.needs = math.inf
             return
         process.needs = min(process.needs, now)
-        if now - process.needs > KNOWN + 1.2 * self.plan.loan_s and loans.own(clock) < loans.home:
+        if (
+            now - process.needs > KNOWN + 1.2 * self.plan.loan_s
+            and loans.own_authority(clock) < loans.home
+        ):
             self.violations.append(
                 Violation(
                     "floor",
-                    f"{process.owner} has {loans.own(clock) / 1000.0:.3f} of "
+                    f"{process.owner} has {loans.own_authority(clock) / 1000.0:.3f} of "
                     f"its {loans.home / 1000.0:.3f} at {now - self.seen.began:.3f}",
                 )
             )
--- a/limebridge/rehearsal/fleet.py
+++ b/limebridge/rehearsal/fleet.py
@@ -70,11 +70,11 @@
 
     def settle(self, now: float) -> None:
         """Each knows all, and had a word of it."""
-        own = [(sharing.name, sharing.members.own()) for sharing in self.here]
+        own = [(sharing.name, sharing.members.own_rumor()) for sharing in self.here]
         for sharing in self.here:
             for name, rumor in own:
                 if name != sharing.name and name not in sharing.members.members:
-                    sharing.members.know(rumor, now)
+                    sharing.members.add_member(rumor, now)
 
     def cost(self, seconds: float) -> dict[str, float]:
         """Datagrams and bytes a second of one member."""
--- a/limebridge/scale/hollow.py
+++ b/limebridge/scale/hollow.py
@@ -130,7 +130,7 @@
         )
         if fleet:
             self._know(self.sharing.members, fleet)
-        self.sharing.listed(setup.nodes)
+        self.sharing.update_nodes(setup.nodes)
         if setup.requests > 0.0:
             self._pretend(setup.requests, setup.failed_share, len(setup.nodes))
 
@@ -138,7 +138,7 @@
         now = self.loop.time()
         for rumor in fleet:
             if rumor.name != self.place.name:
-                members.know(rumor, now)
+                members.add_member(rumor, now)
 
     def _pretend(self, requests: float, failed_share: float, nodes: int) -> None:
         """Outcomes of a few requests, a batch each PRETEND_EVERY_S."""
@@ -150,13 +150,13 @@
         if sharing is None:
             return
         for _ in range(round(requests * PRETEND_EVERY_S)):
-            sharing.asked("", self._random.randrange(KEYS))
+            sharing.record_request("", self._random.randrange(KEYS))
             if nodes:
                 failed = self._random.random() < failed_share
                 result = Result.LATE if failed else Result.OK
-                sharing.met(self._random.randrange(1, nodes + 1), result)
+                sharing.record_attempt(self._random.randrange(1, nodes + 1), result)
 
-    def others(self, bad: list[int], outcomes: list[Judged]) -> None:
+    def apply_peer_reports(self, bad: list[int], outcomes: list[Judged]) -> None:
         """What others met: a proxy would pass it to its balancer."""
 
     # --- distribution ---
--- a/limebridge/scale/measure_judgements.py
+++ b/limebridge/scale/measure_judgements.py
@@ -53,16 +53,16 @@
     fleet = _told_member(size)
     member, rounds = fleet.members[0], fleet.members[0].rounds
     nodes = range(1, load_target().nodes + 1)
-    rounds.listed([Member(node, CacheState.READY, started_at=1.0) for node in nodes])
+    rounds.update_nodes([Member(node, CacheState.READY, started_at=1.0) for node in nodes])
     before = resident_bytes()
     now = fleet.kernel.now
     for other in map(name, range(1, size)):
         for node in nodes:
-            rounds.heard(now, other, "a", wire.HealthReport(node, 1, CALM_WEIGHT, 0.0), 0.0)
+            rounds.receive(now, other, "a", wire.HealthReport(node, 1, CALM_WEIGHT, 0.0), 0.0)
     memory = resident_bytes() - before
-    rounds.heard(now, name(1), "a", wire.HealthReport(1, 1, 0.0, CALM_WEIGHT), 0.0)
+    rounds.receive(now, name(1), "a", wire.HealthReport(1, 1, 0.0, CALM_WEIGHT), 0.0)
     up = member.members.up()
-    seconds = cpu_seconds(lambda: rounds.next(now + 1.0, up, [], {}, False))
+    seconds = cpu_seconds(lambda: rounds.run_round(now + 1.0, up, [], {}, False))
     return memory, seconds
 
 
@@ -72,7 +72,7 @@
     with quiet(LOG_LEVEL):
         member = fleet.add()
         for number in range(1, size):
-            member.members.know(fleet.rumor(number), fleet.kernel.now)
+            member.members.add_member(fleet.rumor(number), fleet.kernel.now)
     return fleet
 
 
@@ -106,7 +106,7 @@
         self._weights = list(itertools.accumulate(weights))
         self._owed = 0.0  # requests that are due, with a fraction
         nodes = range(1, self._nodes + 1)
-        member.listed([Member(node, CacheState.READY, started_at=1.0) for node in nodes])
+        member.update_nodes([Member(node, CacheState.READY, started_at=1.0) for node in nodes])
 
     def run(self, seconds: float) -> None:
         """So much virtual time under load."""
@@ -124,11 +124,11 @@
     def _request(self) -> None:
         node = self._random.randrange(1, self._nodes + 1)
         fails = node <= self._bad
-        self._member.met(node, Result.LATE if fails else Result.OK)
+        self._member.record_attempt(node, Result.LATE if fails else Result.OK)
         if not self._everything:
             return
         (key,) = self._random.choices(range(KEYS), cum_weights=self._weights)
-        self._member.asked(f"tenant-{key % TENANTS}", key << 30)
+        self._member.record_request(f"tenant-{key % TENANTS}", key << 30)
         self._host.judged.append((True, float(fails), LATENCY_MS, AIM_MS, False))
 
 
--- a/limebridge/scale/virtual_members.py
+++ b/limebridge/scale/virtual_members.py
@@ -46,7 +46,7 @@
         self.places = Places()
         self.judged: deque[Judged] = deque()
 
-    def others(self, bad: list[int], outcomes: list[Judged]) -> None:
+    def apply_peer_reports(self, bad: list[int], outcomes: list[Judged]) -> None:
         """What others met is not used here."""
 
 
@@ -90,11 +90,11 @@
         """Start the whole fleet, each member knowing all others, as after a long time."""
         for _ in range(self.fleet_size):
             self.add()
-        own = [member.members.own() for member in self.members]
+        own = [member.members.own_rumor() for member in self.members]
         for member in self.members:
             for rumor in own:
                 if rumor.name != member.name:
-                    member.members.know(rumor, self.kernel.now)
+                    member.members.add_member(rumor, self.kernel.now)
 
     def rumor(self, number: int) -> wire.Rumor:
         """What a member that is only played would say of itself."""
@@ -106,7 +106,7 @@
     def introduce(self, to: Sharing, number: int) -> None:
         """A datagram of a member that is only played: `to` hears of it as of any other."""
         rumor = self.rumor(number)
-        items = [wire.raw(wire.packed(item)) for item in (wire.Ping(number + 1), rumor)]
+        items = [wire.raw(wire.encode_item(item)) for item in (wire.Ping(number + 1), rumor)]
         envelope = wire.Envelope(
             rumor.name,
             rumor.life,
@@ -128,7 +128,7 @@
     def kill(self, member: Sharing) -> None:
         """End a member without a word to the others."""
         member._timer.cancel()
-        member._box.close()
+        member._mailbox.close()
 
     def _watch_changes(self, sharing: Sharing) -> None:
         before = sharing.members._changed
--- a/tests/limebridge/faults/test_sharing_whole.py
+++ b/tests/limebridge/faults/test_sharing_whole.py
@@ -8,7 +8,7 @@
 
 from limebridge.faults.budgets import Bounds, World
 from limebridge.faults.state_space import check
-from violetroute.sharing.loans import Held, Loans, Terms
+from violetroute.sharing.loans import BorrowedLoan, Loans, LoanTerms
 
 # Small enough for the suite; benchmarks/sharing.py follows millions.
 SMALL = Bounds(times=3, asks=2, backs=1, copies=1, crashes=1)
@@ -22,20 +22,20 @@
 
 def from_the_receipt(patch: pytest.MonkeyPatch) -> None:
     """A loan begins when its answer comes."""
-    granted = Loans.granted
+    granted = Loans.accept_grant
 
     def late(self: Loans, now: float, lender: str, number: int, amount: int) -> bool:
-        if lender in self._asked:
-            self._asked[lender] = self._asked[lender][0], now
+        if lender in self._requests:
+            self._requests[lender] = self._requests[lender][0], now
         return granted(self, now, lender, number, amount)
 
-    patch.setattr(Loans, "granted", late)
+    patch.setattr(Loans, "accept_grant", late)
 
 
 def returned_twice(patch: pytest.MonkeyPatch) -> None:
     """A return ends whatever stands, also what was lent after it."""
     patch.setattr(
-        Loans, "returned", lambda self, now, borrower, number: self._lent.pop(borrower, None)
+        Loans, "accept_return", lambda self, now, borrower, number: self._lent.pop(borrower, None)
     )
 
 
@@ -43,7 +43,7 @@
     """A new incarnation has all of its home part."""
     made = Loans.__init__
 
-    def full(self: Loans, home: int, terms: Terms, now: float) -> None:
+    def full(self: Loans, home: int, terms: LoanTerms, now: float) -> None:
         made(self, home, terms, now - terms.loan_s)
 
     patch.setattr(Loans, "__init__", full)
@@ -51,14 +51,14 @@
 
 def no_drift(patch: pytest.MonkeyPatch) -> None:
     """Two clocks are taken to run alike."""
-    patch.setattr(Terms, "kept_s", property(lambda self: self.loan_s))
+    patch.setattr(LoanTerms, "borrower_s", property(lambda self: self.loan_s))
 
 
 def last_loan_alone(patch: pytest.MonkeyPatch) -> None:
     """A smaller renewal frees the rest at once, though its answer may never come."""
     patch.setattr(
         Loans,
-        "lent",
+        "lent_total",
         lambda self, now: sum(
             loans[-1].amount for loans in self._lent.values() if now < loans[-1].until
         ),
@@ -68,13 +68,13 @@
 def any_answer(patch: pytest.MonkeyPatch) -> None:
     """An answer to an ask that was given up counts for the one that is open."""
 
-    def granted(self: Loans, now: float, lender: str, number: int, amount: int) -> bool:
-        asked = self._asked.pop(lender, None)
+    def accept_grant(self: Loans, now: float, lender: str, number: int, amount: int) -> bool:
+        asked = self._requests.pop(lender, None)
         if asked is not None and amount:
-            self._held[lender] = Held(number, amount, asked[1] + self._terms.kept_s)
+            self._borrowed[lender] = BorrowedLoan(number, amount, asked[1] + self._terms.borrower_s)
         return asked is not None
 
-    patch.setattr(Loans, "granted", granted)
+    patch.setattr(Loans, "accept_grant", accept_grant)
 
 
 def late_answer_returned(patch: pytest.MonkeyPatch) -> None:
@@ -88,8 +88,8 @@
         Loans,
         "give_back",
         lambda self, lender: max(
-            self._asked.get(lender, (0, 0.0))[0],
-            self._held[lender].number if lender in self._held else 0,
+            self._requests.get(lender, (0, 0.0))[0],
+            self._borrowed[lender].number if lender in self._borrowed else 0,
         ),
     )
 
--- a/tests/limebridge/scale/test_scale_membership.py
+++ b/tests/limebridge/scale/test_scale_membership.py
@@ -18,12 +18,12 @@
 from limebridge.scale.run_plan import RunPlan
 from limebridge.scale.traffic import Counters, Shape
 from limebridge.scale.virtual_members import VirtualMembers
-from violetroute.sharing.anti_entropy import CHECK_S
+from violetroute.sharing.anti_entropy import COMPARE_INTERVAL_S
 from violetroute.sharing.members import Members
-from violetroute.sharing.outgoing import Out
+from violetroute.sharing.outgoing import Outgoing
 from violetroute.sharing.wire import Digests, Keys
 
-Compared = Callable[[float, str, Digests], list[Out]]
+Compared = Callable[[float, str, Digests], list[Outgoing]]
 SMALL = RunPlan(
     proxies=10, sites=4, regions=2, nodes=5, real=1, controls=3, seconds=4.0, warm_seconds=0.5
 )
@@ -92,11 +92,11 @@
         Members(f"p{number}", "x", 1, "at", "", 1.0, (), Random(number), 0.0)
         for number in range(count)
     ]
-    waits = [member._anti_entropy.check_at for member in members]
+    waits = [member._anti_entropy.compare_at for member in members]
     # Waits between CHECK_S / 2 and 1.5 CHECK_S: a renewal process of 1 / CHECK_S events a second.
-    share = sum(wait < CHECK_S / 2.0 for wait in waits) / count
+    share = sum(wait < COMPARE_INTERVAL_S / 2.0 for wait in waits) / count
     assert 0.46 < share < 0.54
-    assert min(waits) >= 0.0 and max(waits) <= CHECK_S
+    assert min(waits) >= 0.0 and max(waits) <= COMPARE_INTERVAL_S
 
 
 def test_a_fleet_at_rest_sends_no_lists() -> None:
@@ -104,15 +104,15 @@
     fleet.add_all()
     checks = [0]
     for member in fleet.members:
-        compared = member.members._anti_entropy._compared
+        compared = member.members._anti_entropy._handle_digests
 
         def counted(
             now: float, name: str, item: Digests, compared: Compared = compared
-        ) -> list[Out]:
+        ) -> list[Outgoing]:
             checks[0] += 1
             assert not item.digests
             return compared(now, name, item)
 
-        member.members._anti_entropy._compared = counted  # type: ignore[method-assign]
+        member.members._anti_entropy._handle_digests = counted  # type: ignore[method-assign]
     fleet.run(60.0)
-    assert 0.8 < checks[0] / (20 * 60.0 / CHECK_S) < 1.2
+    assert 0.8 < checks[0] / (20 * 60.0 / COMPARE_INTERVAL_S) < 1.2
--- a/tests/planted_sharing/lender_goes_on.py
+++ b/tests/planted_sharing/lender_goes_on.py
@@ -4,7 +4,9 @@
 
 
 def plant() -> None:
-    Loans.earned = lambda self, since, now, lent: (
+    Loans.accrued = lambda self, since, now, lent: (
         self.home * (now - since)
-        + sum(loan.amount * max(0.0, min(now, loan.until) - since) for loan in self._held.values())
+        + sum(
+            loan.amount * max(0.0, min(now, loan.until) - since) for loan in self._borrowed.values()
+        )
     )
--- a/tests/planted_sharing/no_way_back.py
+++ b/tests/planted_sharing/no_way_back.py
@@ -4,4 +4,4 @@
 
 
 def plant() -> None:
-    Members._again = lambda self: []
+    Members._reconnect = lambda self: []
--- a/tests/planted_sharing/renewed_for_ever.py
+++ b/tests/planted_sharing/renewed_for_ever.py
@@ -5,6 +5,6 @@
 
 def plant() -> None:
     def lendable(self: Loans, now: float, need: int) -> int:
-        return 0 if self.aside or now < self._full_at else self.home - self.floor
+        return 0 if self.suspended or now < self._home_available_at else self.home - self.floor
 
     Loans.lendable = lendable
--- a/tests/support/members_net.py
+++ b/tests/support/members_net.py
@@ -6,8 +6,8 @@
 from collections import Counter
 
 from violetroute.sharing.members import Members
-from violetroute.sharing.outgoing import Out
-from violetroute.sharing.wire import ANTI_ENTROPY, Item, packed
+from violetroute.sharing.outgoing import Outgoing
+from violetroute.sharing.wire import ANTI_ENTROPY, Item, encode_item
 
 TICK_S = 0.1
 PERIOD_S = 1.0
@@ -16,13 +16,13 @@
 class OldMembers(Members):
     """A member of the build before anti-entropy: skips its items, walks through pages."""
 
-    def heard(
+    def receive(
         self, now: float, name: str, life: str, incarnation: int, item: Item, place: str = ""
-    ) -> list[Out]:
+    ) -> list[Outgoing]:
         """As the older build, which does not know these kinds."""
         if isinstance(item, ANTI_ENTROPY):
             return []
-        return super().heard(now, name, life, incarnation, item, place)
+        return super().receive(now, name, life, incarnation, item, place)
 
 
 class Net:
@@ -67,7 +67,7 @@
         for member in self.here.values():
             for other in self.here.values():
                 if other is not member:
-                    member.know(other.own(), self.now)
+                    member.add_member(other.own_rumor(), self.now)
 
     def run(self, seconds: float) -> None:
         """Let so much time pass."""
@@ -96,19 +96,19 @@
             for name, life in lives
         )
 
-    def _send(self, sender: Members, outs: list[Out]) -> None:
+    def _send(self, sender: Members, outs: list[Outgoing]) -> None:
         for out in outs:
-            place = sender.of(out.to)[1] if out.to else out.place
+            place = sender.lookup(out.to)[1] if out.to else out.place
             self._count(sender.name, place, out)
             if self._draw.random() >= self.loss:
                 paced = all(isinstance(item, ANTI_ENTROPY) for item in out.items)
                 rumors = () if paced else sender.rumors()
                 self._way += [(sender, place, item) for item in (*out.items, *rumors)]
 
-    def _count(self, sender: str, place: str, out: Out) -> None:
+    def _count(self, sender: str, place: str, out: Outgoing) -> None:
         for item in out.items:
             if isinstance(item, ANTI_ENTROPY):
-                size = len(packed(item))
+                size = len(encode_item(item))
                 self.items.append((sender, place, item))
                 self.sent[sender] += size
                 self.got[place] += size
@@ -117,7 +117,7 @@
         there = self.here.get(place)
         if there is not None:
             origin = sender.name  # places are called as names
-            answers = there.heard(
+            answers = there.receive(
                 self.now, sender.name, sender.life, sender.incarnation, item, origin
             )
             self._send(there, answers)
--- a/tests/support/one_member.py
+++ b/tests/support/one_member.py
@@ -6,7 +6,7 @@
 
 from violetroute.sharing.digest import pack_short
 from violetroute.sharing.members import Members
-from violetroute.sharing.outgoing import Out
+from violetroute.sharing.outgoing import Outgoing
 from violetroute.sharing.wire import (
     BucketRequest,
     Compare,
@@ -21,8 +21,8 @@
     """One that knows these, of the life x and incarnation 1."""
     made = kind("me", "x", 1, "me", "", 1.0, (), random.Random(1), now)
     for name in names:
-        made.know(Rumor(name, "x", 1, "a", name), now)
-    made._probe_at = made._again_at = 1e9
+        made.add_member(Rumor(name, "x", 1, "a", name), now)
+    made._probe_at = made._reconnect_at = 1e9
     return made
 
 
@@ -31,18 +31,18 @@
     return [MemberEntry(name, "x", incarnation, name) for name in names]
 
 
-def hears(of: Members, now: float, *items: Item) -> list[Out]:
+def hears(of: Members, now: float, *items: Item) -> list[Outgoing]:
     """Items of p0."""
-    return [out for item in items for out in of.heard(now, "p0", "x", 1, item, "p0")]
+    return [out for item in items for out in of.receive(now, "p0", "x", 1, item, "p0")]
 
 
-def of_kind(outs: list[Out], kind: type[Item]) -> list[Item]:
+def of_kind(outs: list[Outgoing], kind: type[Item]) -> list[Item]:
     return [item for out in outs for item in out.items if isinstance(item, kind)]
 
 
 def compared(of: Members, now: float, count: int = 2, buckets: int = 1) -> list[BucketRequest]:
     """Let it compare with a list of which every bucket differs; what it asks for."""
-    of._anti_entropy.check_at = now
+    of._anti_entropy.compare_at = now
     (compare,) = of_kind(of.tick(now), Compare)
     assert isinstance(compare, Compare)
     digests = Digests(compare.number, count, 99, pack_short(range(1, buckets + 1)))
--- a/tests/support/plain_node_health.py
+++ b/tests/support/plain_node_health.py
@@ -6,22 +6,22 @@
 from dataclasses import dataclass, field
 from statistics import median
 
-from violetroute.sharing.decaying_outcomes import HALF_LIFE, WEIGHT_LEAST
+from violetroute.sharing.decaying_outcomes import HALF_LIFE_S, MIN_WEIGHT
 from violetroute.sharing.node_health import (
-    BAD_LEAST,
     BAD_SHARE,
-    CUT_LEAST,
-    CUT_SHARE,
-    MEMBERS_MOST,
-    NODES_MOST,
-    OWN_ENOUGH,
-    TALLIES_LEAST,
-    TALLIES_MOST,
-    TELLS_MOST,
-    TROUBLED_S,
-    WEIGHT_MOST,
-    WELL_SHARE,
-    WITNESSES,
+    ISOLATED_SHARE,
+    MAX_MEMBERS,
+    MAX_NODES,
+    MAX_OUTCOME_ROWS,
+    MAX_RELATIVE_WEIGHT,
+    MAX_REPORTED_NODES,
+    MIN_BAD_OUTCOMES,
+    MIN_ISOLATED_NODES,
+    MIN_ROWS_PER_NODE,
+    MIN_WITNESSES,
+    RECOVERED_SHARE,
+    SUFFICIENT_OWN_OUTCOMES,
+    TROUBLE_TTL_S,
 )
 from violetroute.sharing.wire import HealthReport
 
@@ -36,7 +36,7 @@
 
     def fade(self, now: float) -> None:
         if now > self.at:
-            left = 0.5 ** ((now - self.at) / HALF_LIFE)
+            left = 0.5 ** ((now - self.at) / HALF_LIFE_S)
             self.good, self.bad, self.at = self.good * left, self.bad * left, now
 
     @property
@@ -69,16 +69,16 @@
         self._troubled_until = 0.0
 
     # --- the list ---
-    def listed(self, node: int, started: float) -> None:
+    def add_node(self, node: int, started: float) -> None:
         """It is there, and began then (ms)."""
         known = self._nodes.get(node)
         if known is None:
-            if len(self._nodes) < NODES_MOST:
+            if len(self._nodes) < MAX_NODES:
                 self._nodes[node] = _Node(int(started))
         elif int(started) > known.started:
             self._nodes[node] = _Node(int(started))
 
-    def gone(self, node: int) -> None:
+    def remove_node(self, node: int) -> None:
         self._nodes.pop(node, None)
 
     # --- evidence ---
@@ -97,28 +97,30 @@
         node = self._nodes.get(report.node)
         if node is None or report.started != node.started:
             return  # another list, or another start: whichever of both is late, it says nothing
-        left = 0.5 ** (age / HALF_LIFE)
+        left = 0.5 ** (age / HALF_LIFE_S)
         node.said.pop(member, None)
-        if len(node.said) >= self._tallies_most:
+        if len(node.said) >= self._max_rows_per_node:
             del node.said[next(iter(node.said))]  # the one heard longest ago
         node.said[member] = Tally(report.good * left, report.bad * left, now)
-        if report.bad * left >= WEIGHT_LEAST:
-            self._troubled_until = node.troubled_until = now + TROUBLED_S
+        if report.bad * left >= MIN_WEIGHT:
+            self._troubled_until = node.troubled_until = now + TROUBLE_TTL_S
         self._zones[member] = zone
 
     @property
-    def _tallies_most(self) -> int:
+    def _max_rows_per_node(self) -> int:
         """Members whose word is kept for one node."""
-        return min(MEMBERS_MOST, max(TALLIES_LEAST, TALLIES_MOST // max(1, len(self._nodes))))
+        return min(
+            MAX_MEMBERS, max(MIN_ROWS_PER_NODE, MAX_OUTCOME_ROWS // max(1, len(self._nodes)))
+        )
 
-    def left(self, member: str) -> None:
+    def forget_member(self, member: str) -> None:
         """Its word goes with it."""
         self._zones.pop(member, None)
         for node in self._nodes.values():
             node.said.pop(member, None)
 
     # --- telling ---
-    def reports_to_send(self, now: float, most: int = TELLS_MOST) -> list[HealthReport]:
+    def reports_to_send(self, now: float, most: int = MAX_REPORTED_NODES) -> list[HealthReport]:
         """What of our own is told next: the worst first, the others in turn.
 
         At most half are troubled nodes: a report with more would show a member that is cut off.
@@ -126,12 +128,10 @@
         for node in self._nodes.values():
             node.own.fade(now)
         known = [
-            (number, node)
-            for number, node in self._nodes.items()
-            if node.own.weight >= WEIGHT_LEAST
+            (number, node) for number, node in self._nodes.items() if node.own.weight >= MIN_WEIGHT
         ]
-        troubled = [at for at in known if at[1].own.bad >= WEIGHT_LEAST]
-        sound = [at for at in known if at[1].own.bad < WEIGHT_LEAST]
+        troubled = [at for at in known if at[1].own.bad >= MIN_WEIGHT]
+        sound = [at for at in known if at[1].own.bad < MIN_WEIGHT]
         troubled.sort(key=lambda at: -at[1].own.bad)
         chosen, others = troubled[: most // 4], troubled[most // 4 :]
         chosen += sorted(others, key=lambda at: at[1].told)[: most // 2 - len(chosen)]
@@ -141,14 +141,14 @@
             for number, node in chosen
         ]
 
-    def told(self, reports: Iterable[HealthReport]) -> None:
+    def mark_sent(self, reports: Iterable[HealthReport]) -> None:
         """These were sent: the others' turn comes first."""
         self._reports += 1
         for report in reports:
             self._nodes[report.node].told = self._reports
 
     # --- judging ---
-    def judge(self, now: float) -> list[int]:
+    def unhealthy_nodes(self, now: float) -> list[int]:
         """Nodes that seem bad by what others saw, and not by what we did."""
         if now >= self._troubled_until:
             for node in self._nodes.values():
@@ -165,7 +165,7 @@
                 found.append(number)
         if not found:
             return []
-        cut = self.cut(now)
+        cut = self.isolated_members(now)
         for number in list(found):
             node = self._nodes[number]
             if cut and not self._is_bad(node, cut):
@@ -176,11 +176,11 @@
     def _fade(self, node: _Node, now: float) -> None:
         for member, tally in list(node.said.items()):
             tally.fade(now)
-            if tally.weight < WEIGHT_LEAST:
+            if tally.weight < MIN_WEIGHT:
                 del node.said[member]
         node.own.fade(now)
 
-    def cut(self, now: float) -> set[str]:
+    def isolated_members(self, now: float) -> set[str]:
         """Members who see trouble nearly everywhere.  Looks at all that was said: ask rarely."""
         if now >= self._troubled_until:
             return set()
@@ -195,22 +195,22 @@
         return {
             member
             for member, nodes in spoke.items()
-            if nodes >= CUT_LEAST and troubled[member] >= CUT_SHARE * nodes
+            if nodes >= MIN_ISOLATED_NODES and troubled[member] >= ISOLATED_SHARE * nodes
         }
 
     def _is_bad(self, node: _Node, cut: set[str]) -> bool:
-        if node.own.weight >= OWN_ENOUGH:
+        if node.own.weight >= SUFFICIENT_OWN_OUTCOMES:
             return False  # the module has seen it itself
         said = {member: tally for member, tally in node.said.items() if member not in cut}
         near = {
             member: tally for member, tally in said.items() if self._zones.get(member) == self._zone
         }
-        votes = list((near if len(near) >= WITNESSES else said).values())
-        if len(votes) < WITNESSES:
+        votes = list((near if len(near) >= MIN_WITNESSES else said).values())
+        if len(votes) < MIN_WITNESSES:
             return False
-        most = WEIGHT_MOST * median(tally.weight for tally in votes)
+        most = MAX_RELATIVE_WEIGHT * median(tally.weight for tally in votes)
         weights = [min(tally.weight, most) for tally in votes]
         bad = sum(weight * tally.share for weight, tally in zip(weights, votes, strict=True))
         if node.bad:
-            return bad > WELL_SHARE * sum(weights)
-        return bad >= BAD_LEAST and bad > BAD_SHARE * sum(weights)
+            return bad > RECOVERED_SHARE * sum(weights)
+        return bad >= MIN_BAD_OUTCOMES and bad > BAD_SHARE * sum(weights)
--- a/tests/violetroute/sharing/test_sharing.py
+++ b/tests/violetroute/sharing/test_sharing.py
@@ -21,24 +21,24 @@
 from violetroute.config import ConfigError
 from violetroute.config.operator import load_operator
 from violetroute.sharing import wire
-from violetroute.sharing.budget import Ask, Budget, evenly, home_part
+from violetroute.sharing.budget import Budget, RequestLoan, fair_share, home_part
 from violetroute.sharing.factory import safely
 from violetroute.sharing.heavy_hitters import HeavyHitters, Summary, merge
-from violetroute.sharing.loans import ASKS_MOST, LENT_MOST, SEEN_MOST, Loans, Terms
-from violetroute.sharing.members import MEMBERS_MOST, Members, Out
+from violetroute.sharing.loans import MAX_BORROWERS, MAX_LENT, MAX_OPEN_REQUESTS, Loans, LoanTerms
+from violetroute.sharing.members import MAX_MEMBERS, Members, Outgoing
 from violetroute.sharing.node_health import NodeHealth
-from violetroute.sharing.relays import RELAYS_MOST
-from violetroute.sharing.rumors import MOST, overrides
+from violetroute.sharing.relays import MAX_RELAYS
+from violetroute.sharing.rumors import MAX_WAITING, overrides
 from violetroute.sharing.wire import (
-    Counted,
     Envelope,
     HealthReport,
+    HeavyHitterReport,
     Keys,
     Nack,
-    Need,
-    Numbers,
     Ping,
+    PingRequest,
     Rumor,
+    SequenceNumbers,
 )
 
 KEYS = Keys([b"the fleet's secret key"])
@@ -133,7 +133,7 @@
 
 # --- budgets ---
 def budget(proxies: int = 2, per_s: float = 20.0, now: float = 0.0) -> Budget:
-    return Budget("b", per_s, proxies, Terms(1.0, 0.05), 0.1, now, random.Random(1))
+    return Budget("b", per_s, proxies, LoanTerms(1.0, 0.05), 0.1, now, random.Random(1))
 
 
 def test_a_new_life_spends_its_floor_until_the_longest_loan_is_over() -> None:
@@ -150,10 +150,10 @@
             each.tick(now, [])
     for n in range(200):
         borrower.spend(2.05 + n / 200.0)
-    (ask,) = (a for a in borrower.tick(3.1, ["lender"]) if isinstance(a, Ask))
-    amount = lender.asked(3.1, "borrower/1", ask.number, ask.amount)
+    (ask,) = (a for a in borrower.tick(3.1, ["lender"]) if isinstance(a, RequestLoan))
+    amount = lender.grant(3.1, "borrower/1", ask.number, ask.amount)
     assert amount == 9_500  # all but the floor
-    assert borrower.granted(3.1, "lender", ask.number, amount) is None
+    assert borrower.accept_grant(3.1, "lender", ask.number, amount) is None
     assert lender.loans.authority(3.1) == 500 and borrower.loans.authority(3.1) == 19_500
     assert borrower.loans.authority(4.01) == 10_000  # its clock may be slow
     assert lender.loans.authority(4.05) == 500 and lender.loans.authority(4.11) == 10_000
@@ -163,9 +163,9 @@
     lender = budget()
     for n in range(100):
         lender.spend(2.0 + n / 100.0)
-    assert lender.asked(3.0, "a/1", 1, 9_000) == 0
-    assert evenly(100, [10, 500, 500]) == 45 and evenly(100, [10, 20]) == 20
-    assert evenly(0, [5]) == 0 and home_part(100.0, 7) == 14_285
+    assert lender.grant(3.0, "a/1", 1, 9_000) == 0
+    assert fair_share(100, [10, 500, 500]) == 45 and fair_share(100, [10, 20]) == 20
+    assert fair_share(0, [5]) == 0 and home_part(100.0, 7) == 14_285
 
 
 def test_a_lender_that_needs_its_part_has_it_back_when_the_loan_is_over() -> None:
@@ -173,44 +173,44 @@
     number, at = 0, 2.0
     while at < 3.0:  # nobody asks it: it lends, again and again
         number += 1
-        assert lender.asked(at, "a/1", number, 9_500) == 9_500
+        assert lender.grant(at, "a/1", number, 9_500) == 9_500
         at += 0.25
     while at < 6.0:  # it is asked for all that it has, and the borrower asks on
         number += 1
         for step in range(5):
             lender.spend(at + step / 20.0)
-        lent = lender.asked(at, "a/1", number, 9_500)
+        lent = lender.grant(at, "a/1", number, 9_500)
         assert lent <= 9_500 if at < 4.5 else lent == 0
         at += 0.25
-    assert lender.loans.own(6.0) == 10_000
+    assert lender.loans.own_authority(6.0) == 10_000
 
 
 def test_one_that_stands_aside_renews_no_loan() -> None:
     lender = budget()
-    assert lender.asked(2.0, "a/1", 1, 5_000) == 5_000
-    lender.aside(True, 2.2)  # its part is another process's from now on
-    assert lender.asked(2.5, "a/1", 2, 5_000) == 0
-    assert lender.loans.lent(3.1) == 0
+    assert lender.grant(2.0, "a/1", 1, 5_000) == 5_000
+    lender.set_suspended(True, 2.2)  # its part is another process's from now on
+    assert lender.grant(2.5, "a/1", 2, 5_000) == 0
+    assert lender.loans.lent_total(3.1) == 0
 
 
 def test_borrowers_come_and_go_for_ever_and_it_goes_on_lending() -> None:
     lender, at = budget(), 2.0
-    for life in range(SEEN_MOST + 10):  # names of a platform that draws new ones at each start
+    for life in range(MAX_BORROWERS + 10):  # names of a platform that draws new ones at each start
         at += 2.0
-        assert lender.asked(at, f"p/{life}", 1, 1_000) == 1_000
-        lender.told(at, f"p{life}", 500)
-        lender.left(f"p{life}")
-    assert len(lender.loans._seen) <= SEEN_MOST and not lender._spares
+        assert lender.grant(at, f"p/{life}", 1, 1_000) == 1_000
+        lender.record_spare(at, f"p{life}", 500)
+        lender.forget_member(f"p{life}")
+    assert len(lender.loans._last_request) <= MAX_BORROWERS and not lender._spare_reports
 
 
 def test_who_said_lately_that_it_has_something_is_asked_first() -> None:
     members = [f"m{n}" for n in range(200)]
     for after, first in ((1.0, True), (6.0, False)):  # then it may have none any more
         one = budget()
-        one.told(2.0, "m7", 4_000)
+        one.record_spare(2.0, "m7", 4_000)
         for n in range(100):
             one.spend(2.0 + after + n / 100.0)
-        asks = [a for a in one.tick(3.0 + after, members) if isinstance(a, Ask)]
+        asks = [a for a in one.tick(3.0 + after, members) if isinstance(a, RequestLoan)]
         assert (asks[0].to == "m7") is first
 
 
@@ -232,14 +232,14 @@
 def test_whatever_happens_the_sum_of_four_lives_is_never_above(
     steps: list[tuple[str, int, int, int]],
 ) -> None:
-    terms, rates = Terms(1.0, 0.05), (0.95, 1.05, 1.0, 1.02)
+    terms, rates = LoanTerms(1.0, 0.05), (0.95, 1.05, 1.0, 1.02)
     now, lives = 10.0, [0] * 4
     loans = [Loans(10_000, terms, 10.0 * rate - 1.0) for rate in rates]
     net: list[tuple[str, int, int, int, int, int]] = []  # kind, from, to, life, number, amount
     for what, here, there, amount in steps:
         clock = [now * rate for rate in rates]
         if what == "ask" and here != there and not loans[here].awaits_answer(str(there)):
-            number = loans[here].ask(clock[here], str(there))
+            number = loans[here].new_request(clock[here], str(there))
             net.append(("ask", here, there, lives[here], number, amount))
         elif what == "back" and here != there:
             number = loans[here].give_back(str(there))
@@ -250,13 +250,13 @@
                 net.remove(message)
             kind, sender, to, life, number, much = message
             if kind == "ask":
-                lent = loans[to].asked(clock[to], f"{sender}/{life}", number, much, 0)
+                lent = loans[to].grant(clock[to], f"{sender}/{life}", number, much, 0)
                 net.append(("lend", to, sender, life, number, lent))
             elif kind == "back":
-                loans[to].returned(clock[to], f"{sender}/{life}", number)
+                loans[to].accept_return(clock[to], f"{sender}/{life}", number)
             elif (
                 life == lives[to]
-                and not loans[to].granted(clock[to], str(sender), number, much)
+                and not loans[to].accept_grant(clock[to], str(sender), number, much)
                 and much
             ):
                 unwanted = loans[to].number_to_refuse(str(sender), number)
@@ -273,7 +273,7 @@
 
 # --- datagrams ---
 def envelope(number: int = 1, name: str = "a", life: str = "l", **more: Any) -> Envelope:
-    items = [wire.raw(wire.packed(item)) for item in more.pop("items", [Ping(1)])]
+    items = [wire.raw(wire.encode_item(item)) for item in more.pop("items", [Ping(1)])]
     return Envelope(
         name,
         life,
@@ -322,7 +322,7 @@
 
 
 def test_numbers_refuse_what_came_before_and_know_how_old_an_answer_is() -> None:
-    numbers = Numbers()
+    numbers = SequenceNumbers()
     assert [numbers.is_new("a", "l", n) for n in (5, 3, 5, 3, 4, 70, 5, 7, 1)] == [
         True,
         True,
@@ -369,15 +369,15 @@
         )
         return made
 
-    def put(self, sender: Members, out: Out) -> None:
-        to = sender.of(out.to)[1] if out.to else out.place
+    def put(self, sender: Members, out: Outgoing) -> None:
+        to = sender.lookup(out.to)[1] if out.to else out.place
         self.sent += 1
         place = sender._place
         if to not in self.here or self.cut(place, to) or self.random.random() < self.loss:
             return
         for item in (*out.items, *sender.rumors()):
             there = self.here[to]
-            for answer in there.heard(
+            for answer in there.receive(
                 self.now, sender.name, sender.life, sender.incarnation, item, place
             ):
                 self.put(there, answer)
@@ -446,11 +446,11 @@
     fleet.run(8.0)
     fleet.start("p3", "y", 1_000, place="elsewhere")
     fleet.run(12.0)
-    assert fleet.here["p3"].twin is not None and fleet.here["elsewhere"].twin is None
-    assert fleet.here["p6"].of("p3")[:2] == ("y", "elsewhere")
+    assert fleet.here["p3"].duplicate is not None and fleet.here["elsewhere"].duplicate is None
+    assert fleet.here["p6"].lookup("p3")[:2] == ("y", "elsewhere")
     del fleet.here["elsewhere"]
     fleet.run(45.0)
-    assert fleet.here["p3"].twin is None and fleet.here["p6"].of("p3")[:2] == ("x", "p3")
+    assert fleet.here["p3"].duplicate is None and fleet.here["p6"].lookup("p3")[:2] == ("x", "p3")
 
 
 def test_word_of_a_life_that_is_over_changes_nothing() -> None:
@@ -462,17 +462,19 @@
 
 def test_what_members_make_one_keep_is_bounded() -> None:
     one = Members("p0", "l", 1, "here", "", 1.0, [], random.Random(1), 0.0)
-    for number in range(MEMBERS_MOST + 50):
-        one.heard(1.0, "p1", "l", 1, Rumor(f"p{number}", "l", 1, "a", f"at{number}"))
-    assert len(one.members) == MEMBERS_MOST
-    for number in range(RELAYS_MOST + 50):
-        answers = one.heard(1.0, "p1", "l", 1, Need(number, "p2"))
-    assert answers[0].items == (Nack(RELAYS_MOST + 49),)
-    assert len(one._rumors._waiting) <= MOST
-    loans = Loans(10**9, Terms(), -10.0)
-    lent = [loans.asked(1.0, f"p{n}/1", 1, 100, 0) for n in range(LENT_MOST + 50)]
-    assert lent.count(100) == LENT_MOST
-    assert [loans.ask(1.0, f"p{n}") > 0 for n in range(ASKS_MOST + 5)].count(True) == ASKS_MOST
+    for number in range(MAX_MEMBERS + 50):
+        one.receive(1.0, "p1", "l", 1, Rumor(f"p{number}", "l", 1, "a", f"at{number}"))
+    assert len(one.members) == MAX_MEMBERS
+    for number in range(MAX_RELAYS + 50):
+        answers = one.receive(1.0, "p1", "l", 1, PingRequest(number, "p2"))
+    assert answers[0].items == (Nack(MAX_RELAYS + 49),)
+    assert len(one._rumors._waiting) <= MAX_WAITING
+    loans = Loans(10**9, LoanTerms(), -10.0)
+    lent = [loans.grant(1.0, f"p{n}/1", 1, 100, 0) for n in range(MAX_LENT + 50)]
+    assert lent.count(100) == MAX_LENT
+    assert [loans.new_request(1.0, f"p{n}") > 0 for n in range(MAX_OPEN_REQUESTS + 5)].count(
+        True
+    ) == MAX_OPEN_REQUESTS
 
 
 def test_a_life_whose_clock_was_set_back_is_believed_all_the_same() -> None:
@@ -481,11 +483,11 @@
     del fleet.here["p4"]
     fleet.start("p4", "after", 0)
     fleet.run(60.0)
-    assert fleet.here["p2"].of("p4")[0] == "after" and fleet.whole()
+    assert fleet.here["p2"].lookup("p4")[0] == "after" and fleet.whole()
 
 
 # --- judgements ---
-def heard(
+def with_reports(
     saws: dict[str, dict[int, tuple[float, float]]],
     zones: dict[str, str] | None = None,
     nodes: int = 10,
@@ -494,7 +496,7 @@
     """By member and node: good and bad."""
     made = NodeHealth(zone)
     for node in range(nodes):
-        made.listed(node, 5.0)
+        made.add_node(node, 5.0)
     for member, told in saws.items():
         for node, (good, bad) in told.items():
             made.merge_report(
@@ -508,14 +510,14 @@
 
 
 def test_several_witnesses_make_a_hint_and_two_do_not() -> None:
-    assert heard({f"m{n}": sees(3) for n in range(3)}).judge(1.0) == [3]
-    assert heard({f"m{n}": sees(3) for n in range(2)}).judge(1.0) == []
-    fades = heard({f"m{n}": sees(3) for n in range(3)})
-    assert fades.judge(20.0) == []
+    assert with_reports({f"m{n}": sees(3) for n in range(3)}).unhealthy_nodes(1.0) == [3]
+    assert with_reports({f"m{n}": sees(3) for n in range(2)}).unhealthy_nodes(1.0) == []
+    fades = with_reports({f"m{n}": sees(3) for n in range(3)})
+    assert fades.unhealthy_nodes(20.0) == []
 
 
 def test_who_is_cut_off_itself_convinces_nobody() -> None:
-    assert heard({f"m{n}": sees(*range(9)) for n in range(5)}).judge(1.0) == []
+    assert with_reports({f"m{n}": sees(*range(9)) for n in range(5)}).unhealthy_nodes(1.0) == []
 
 
 @pytest.mark.parametrize("witnesses", [8, 16, 40])
@@ -526,43 +528,43 @@
         f"liar{n}": {node: (0.0, 1e6) if node == 4 else (2.0, 0.0) for node in range(10)}
         for n in range(liars)
     }
-    assert heard(said).judge(1.0) == []
+    assert with_reports(said).unhealthy_nodes(1.0) == []
     # Nor do they hide what the others see.
     said = {f"m{n}": sees(4) for n in range(witnesses - liars)}
     said |= {f"liar{n}": {4: (1e6, 0.0)} for n in range(liars)}
-    assert heard(said).judge(1.0) == [4]
+    assert with_reports(said).unhealthy_nodes(1.0) == [4]
 
 
 def test_own_evidence_the_own_zone_and_a_new_start_come_first() -> None:
     bad = {f"m{n}": sees(3) for n in range(4)}
-    own = heard(bad)
+    own = with_reports(bad)
     for _ in range(5):
         own.record_outcome(1.0, 3, False)
-    assert own.judge(1.0) == []
+    assert own.unhealthy_nodes(1.0) == []
     far = {f"f{n}": "far" for n in range(4)} | {f"n{n}": "a" for n in range(3)}
     near = {f"n{n}": sees() for n in range(3)}
     said = {f"f{n}": sees(3) for n in range(4)} | near
-    assert heard(said, far).judge(1.0) == []
-    assert heard(said, far, zone="other").judge(1.0) == [3]
-    anew = heard(bad)
-    anew.listed(3, 9.0)
-    assert anew.judge(1.0) == []
+    assert with_reports(said, far).unhealthy_nodes(1.0) == []
+    assert with_reports(said, far, zone="other").unhealthy_nodes(1.0) == [3]
+    anew = with_reports(bad)
+    anew.add_node(3, 9.0)
+    assert anew.unhealthy_nodes(1.0) == []
     for member in bad:
         anew.merge_report(
             1.0, member, "a", HealthReport(3, 5, 0.0, 9.0), 0.0
         )  # of the start before
-    assert anew.judge(1.0) == []
+    assert anew.unhealthy_nodes(1.0) == []
     for member in bad:
         anew.merge_report(1.0, member, "a", HealthReport(3, 9, 0.0, 9.0), 0.0)
-    assert anew.judge(1.0) == [3]
+    assert anew.unhealthy_nodes(1.0) == [3]
 
 
 def test_single_failures_anywhere_make_no_hint() -> None:
-    assert heard({f"m{n}": {3: (0.0, 0.5)} for n in range(3)}).judge(1.0) == []
+    assert with_reports({f"m{n}": {3: (0.0, 0.5)} for n in range(3)}).unhealthy_nodes(1.0) == []
 
 
 def test_what_is_told_is_ones_own_and_the_worst_first() -> None:
-    made = heard({f"m{n}": sees(1) for n in range(4)})
+    made = with_reports({f"m{n}": sees(1) for n in range(4)})
     for node in range(10):
         made.record_outcome(1.0, node, node == 7)
     told = made.reports_to_send(1.0, 4)
@@ -592,13 +594,15 @@
 def test_a_member_that_left_or_is_silent_counts_no_more() -> None:
     hitters = HeavyHitters("key", 0.0)
     hitters.add(0.0, 7)
-    hitters.merge_report(0.0, "m", Counted("key", [9], [50.0], [0.0]), 0.0)
-    hitters.merge_report(0.0, "n", Counted("key", [8], [40.0], [0.0]), 0.0)
-    hitters.merge_report(0.0, "o", Counted("key", [8, 9], [40.0], [0.0]), 0.0)  # makes no sense
-    assert [key for key, _, _ in hitters.of_fleet(0.0).top()] == [9, 8, 7]
+    hitters.merge_report(0.0, "m", HeavyHitterReport("key", [9], [50.0], [0.0]), 0.0)
+    hitters.merge_report(0.0, "n", HeavyHitterReport("key", [8], [40.0], [0.0]), 0.0)
+    hitters.merge_report(
+        0.0, "o", HeavyHitterReport("key", [8, 9], [40.0], [0.0]), 0.0
+    )  # makes no sense
+    assert [key for key, _, _ in hitters.fleet_summary(0.0).top()] == [9, 8, 7]
     hitters.forget_member("n")
-    assert [key for key, _, _ in hitters.of_fleet(0.0).top()] == [9, 7]
-    assert [key for key, _, _ in hitters.of_fleet(11.0).top()] == [7]
+    assert [key for key, _, _ in hitters.fleet_summary(0.0).top()] == [9, 7]
+    assert [key for key, _, _ in hitters.fleet_summary(11.0).top()] == [7]
 
 
 # --- what it must not do ---
@@ -613,9 +617,9 @@
 def test_a_proxy_of_its_own_name_above_it_takes_all_its_authority() -> None:
     one = budget()
     assert one.loans.authority(2.0) == 10_000
-    one.aside(True, 2.0)
+    one.set_suspended(True, 2.0)
     assert one.loans.authority(2.0) == 0 and not one.spend(2.5)
-    one.aside(False, 5.0)
+    one.set_suspended(False, 5.0)
     assert one.loans.authority(5.5) == 500 and one.loans.authority(6.1) == 10_000
 
 
--- a/tests/violetroute/sharing/test_sharing_anti_entropy.py
+++ b/tests/violetroute/sharing/test_sharing_anti_entropy.py
@@ -8,7 +8,7 @@
 
 from tests.support.members_net import Net, OldMembers
 from violetroute.sharing.anti_entropy import (
-    CHECK_S,
+    COMPARE_INTERVAL_S,
 )
 from violetroute.sharing.wire import (
     BucketMembers,
@@ -16,7 +16,7 @@
     Compare,
     Digests,
     Rumor,
-    packed,
+    encode_item,
 )
 
 FLEET = 300
@@ -55,8 +55,10 @@
     answers = [item for _, _, item in net.items if isinstance(item, Digests)]
     assert len(questions) + len(answers) == len(net.items)
     assert all(not item.digests for item in answers)
-    assert 40 * 60.0 / CHECK_S / 2 < len(questions) < 40 * 60.0 / CHECK_S * 1.5
-    assert max(len(packed(item)) for _, _, item in net.items) <= 24
+    assert (
+        40 * 60.0 / COMPARE_INTERVAL_S / 2 < len(questions) < 40 * 60.0 / COMPARE_INTERVAL_S * 1.5
+    )
+    assert max(len(encode_item(item)) for _, _, item in net.items) <= 24
 
 
 def test_one_difference_costs_one_bucket_and_the_members_that_differ() -> None:
@@ -65,8 +67,8 @@
     net.idle = set(net.here) - {"p0"}
     other = Rumor("q", "x", 5, "a", "q")
     for name in net.idle:
-        net.here[name].know(other, net.now)
-    net.run(3.0 * CHECK_S)
+        net.here[name].add_member(other, net.now)
+    net.run(3.0 * COMPARE_INTERVAL_S)
     assert net.here["p0"].is_up("q", "x")
     answers = [item for _, _, item in net.items if isinstance(item, BucketMembers)]
     assert [[entry.name for entry in item.members] for item in answers] == [["q"]]
@@ -79,8 +81,8 @@
     net.idle = {"p1"}
     for number in range(20):
         side = net.here[f"p{number % 2}"]
-        side.know(Rumor(f"q{number}", "x", 5, "a", f"q{number}"), net.now)
-    net.run(2.0 * CHECK_S)
+        side.add_member(Rumor(f"q{number}", "x", 5, "a", f"q{number}"), net.now)
+    net.run(2.0 * COMPARE_INTERVAL_S)
     assert net.here["p0"].size == net.here["p1"].size == 22
 
 
@@ -101,7 +103,7 @@
     del net.here["p9"]
     gone = Rumor("p9", "x", 1, "d", by="p0")
     for name in ("p0", "p1", "p2", "p3"):
-        net.here[name].heard(net.now, "p8", "x", 1, gone)
+        net.here[name].receive(net.now, "p8", "x", 1, gone)
         net.here[name]._rumors.drop("p9")
     for _ in range(50):
         net.run(1.0)
--- a/tests/violetroute/sharing/test_sharing_anti_entropy_bytes.py
+++ b/tests/violetroute/sharing/test_sharing_anti_entropy_bytes.py
@@ -11,15 +11,15 @@
 from violetroute.sharing import anti_entropy
 from violetroute.sharing.anti_entropy import (
     ANSWER_BYTES,
-    ASKED_BYTES_S,
     BURST_S,
     DATAGRAM_BYTES,
+    REQUESTED_BYTES_S,
     SENT_BYTES_S,
     WINDOW,
 )
-from violetroute.sharing.byte_pacer import Pace
+from violetroute.sharing.byte_pacer import BytePacer
 from violetroute.sharing.digest import bucket_count, member_hash, pack_short
-from violetroute.sharing.outgoing import Out
+from violetroute.sharing.outgoing import Outgoing
 from violetroute.sharing.wire import (
     ANTI_ENTROPY,
     BucketMembers,
@@ -28,7 +28,7 @@
     Digests,
     Ping,
     Rumor,
-    packed,
+    encode_item,
 )
 
 FLEET = 200
@@ -40,7 +40,9 @@
     for step in range(seconds * 100):
         now = step / 100.0
         for item in (BucketRequest(step, 16, step % 16), Ping(step)):
-            sent += sum(len(packed(each)) for each in of_kind(hears(one, now, item), BucketMembers))
+            sent += sum(
+                len(encode_item(each)) for each in of_kind(hears(one, now, item), BucketMembers)
+            )
     assert sent <= SENT_BYTES_S * (seconds + BURST_S) + ANSWER_BYTES
     assert sent > SENT_BYTES_S * seconds / 2
 
@@ -53,12 +55,12 @@
         for request in waiting:
             names = [f"{request.number} {number:030}" for number in range(25)]
             answer = BucketMembers(request.number, 128, request.index, entries(*names))
-            got += len(packed(answer))
+            got += len(encode_item(answer))
             asked += of_kind(hears(one, now, answer), BucketRequest)  # type: ignore[arg-type]
         asked += of_kind(one.tick(now), BucketRequest)  # type: ignore[arg-type]
-        most = ASKED_BYTES_S * (now + BURST_S) + WINDOW * (ANSWER_BYTES + DATAGRAM_BYTES)
+        most = REQUESTED_BYTES_S * (now + BURST_S) + WINDOW * (ANSWER_BYTES + DATAGRAM_BYTES)
         assert got <= most
-    assert got > ASKED_BYTES_S * seconds / 2
+    assert got > REQUESTED_BYTES_S * seconds / 2
 
 
 def test_without_bytes_left_nothing_is_asked_and_nothing_is_pushed() -> None:
@@ -66,12 +68,12 @@
     for spent, pushed in ((0.0, 1), (2.0 * SENT_BYTES_S * BURST_S, 0)):
         one = member("p0")
         (request,) = compared(one, 1.0)
-        one._anti_entropy._sent.spend(1.0, spent)
+        one._anti_entropy._sent_pacer.spend(1.0, spent)
         answer = BucketMembers(request.number, 1, 0, [], wanted)
         assert len(hears(one, 1.0, answer)) == pushed
     one = member("p0")
     requests = compared(one, 1.0, buckets=16)
-    one._anti_entropy._sent.spend(1.0, 2.0 * SENT_BYTES_S * BURST_S)
+    one._anti_entropy._sent_pacer.spend(1.0, 2.0 * SENT_BYTES_S * BURST_S)
     for request in requests:
         assert not hears(one, 1.0, BucketMembers(request.number, 16, request.index, []))
     assert not of_kind(one.tick(1.1), BucketRequest)
@@ -80,19 +82,19 @@
 
 def test_all_that_is_sent_is_paid_for() -> None:
     one = member(*(f"p{number}" for number in range(50)))
-    pace = one._anti_entropy._sent
+    pace = one._anti_entropy._sent_pacer
 
-    def paid(work: Callable[[], list[Out]]) -> float:
+    def paid(work: Callable[[], list[Outgoing]]) -> float:
         """Bytes that the work's items were counted for, less their own bytes."""
         before = pace._level
         sent = [item for out in work() for item in out.items if isinstance(item, ANTI_ENTROPY)]
         assert sent
-        return before - pace._level - sum(len(packed(item)) for item in sent)
+        return before - pace._level - sum(len(encode_item(item)) for item in sent)
 
     now = 0.0
-    one._anti_entropy.check_at = now
+    one._anti_entropy.compare_at = now
     assert paid(lambda: one.tick(now)) > 0.0
-    check = one._anti_entropy._check
+    check = one._anti_entropy._comparison
     assert check is not None
     digests = Digests(check.number, 60, 1, pack_short([1]))
     assert paid(lambda: hears(one, now, digests)) > 0.0
@@ -123,20 +125,20 @@
     names = [f"{number:02}" + "n" * 62 for number in range(size)]
     one = member()
     for name in names:
-        one.know(Rumor(name, "l" * 32, 2**53, "a", "a" * 64, "z" * 64), 0.0)
+        one.add_member(Rumor(name, "l" * 32, 2**53, "a", "a" * 64, "z" * 64), 0.0)
     held = pack_short(range(100))
     answer = of_kind(hears(one, 1.0, BucketRequest(2**53, 1, 0, held)), BucketMembers)
     most = anti_entropy.ITEM_BYTES + 40
-    assert answer and all(len(packed(item)) <= most for item in answer)
-    assert sum(len(packed(item)) for item in answer) <= ANSWER_BYTES + 500
-    assert len(packed(Digests(2**53, 4096, 2**63 - 1, bytes(512)))) <= most + 80
+    assert answer and all(len(encode_item(item)) <= most for item in answer)
+    assert sum(len(encode_item(item)) for item in answer) <= ANSWER_BYTES + 500
+    assert len(encode_item(Digests(2**53, 4096, 2**63 - 1, bytes(512)))) <= most + 80
 
 
 def test_a_tick_a_comparison_and_a_bucket_cost_the_same_in_a_large_fleet() -> None:
     costs = []
     for size in (500, 2000):
         one = member(*(f"p{number}" for number in range(size)))
-        one._anti_entropy.check_at = 1e9
+        one._anti_entropy.compare_at = 1e9
         each = size // 16
         costs.append(
             [
@@ -159,11 +161,13 @@
     def paid(*times: float) -> float:
         """Bytes that answers at these times to two questions are counted for."""
         one = member(*(f"p{number}" for number in range(50)))
-        one._anti_entropy._sent = Pace(1e-6, 1e12, 0.0)  # so full that nothing is refilled
-        before = one._anti_entropy._sent._level
+        one._anti_entropy._sent_pacer = BytePacer(
+            1e-6, 1e12, 0.0
+        )  # so full that nothing is refilled
+        before = one._anti_entropy._sent_pacer._level
         for index, now in enumerate(times):
             assert hears(one, now, BucketRequest(index, 4, index))
-        return before - one._anti_entropy._sent._level
+        return before - one._anti_entropy._sent_pacer._level
 
     assert paid(1.0, 2.0) - paid(1.0, 1.0) == pytest.approx(DATAGRAM_BYTES, abs=1.0)
     assert paid(1.0) > DATAGRAM_BYTES
--- a/tests/violetroute/sharing/test_sharing_anti_entropy_messages.py
+++ b/tests/violetroute/sharing/test_sharing_anti_entropy_messages.py
@@ -9,35 +9,35 @@
 
 from tests.support.one_member import compared, entries, hears, member, of_kind
 from violetroute.sharing.anti_entropy import (
-    ANSWER_S,
-    CHECK_MOST_S,
-    CHECK_S,
-    CHECK_SOON_S,
-    OLD_AFTER,
-    PAUSE_S,
-    TRIES,
+    ANSWER_TIMEOUT_S,
+    BACKOFF_S,
+    COMPARE_INTERVAL_S,
+    COMPARE_SOON_S,
+    LEGACY_AFTER,
+    MAX_ATTEMPTS,
+    MAX_COMPARE_INTERVAL_S,
     WINDOW,
-    Question,
+    BucketQuery,
 )
 from violetroute.sharing.digest import member_hash, pack_short
 from violetroute.sharing.members import Members
-from violetroute.sharing.outgoing import Out
+from violetroute.sharing.outgoing import Outgoing
 from violetroute.sharing.wire import (
-    HELD_MOST,
-    SHORT,
+    MAX_HELD_BYTES,
+    SHORT_BYTES,
     BucketMembers,
     BucketRequest,
     Compare,
     Digests,
     MemberEntry,
-    Page,
+    PageRequest,
     Rumor,
 )
 
 
 def test_an_answer_of_digests_counts_once_and_only_for_its_question() -> None:
     one = member("p0")
-    one._anti_entropy.check_at = 1.0
+    one._anti_entropy.compare_at = 1.0
     (compare,) = of_kind(one.tick(1.0), Compare)
     assert isinstance(compare, Compare)
     answer = Digests(compare.number, 2, 99, pack_short([1]))
@@ -45,11 +45,11 @@
     assert len(of_kind(hears(one, 1.0, answer), BucketRequest)) == 1
     assert not hears(one, 1.0, answer, answer)
     late = member("p0")
-    late._anti_entropy.check_at = 1.0
+    late._anti_entropy.compare_at = 1.0
     (compare,) = of_kind(late.tick(1.0), Compare)
     assert isinstance(compare, Compare)
-    late.tick(1.1 + ANSWER_S)
-    assert not hears(late, 1.2 + ANSWER_S, Digests(compare.number, 2, 99, pack_short([1])))
+    late.tick(1.1 + ANSWER_TIMEOUT_S)
+    assert not hears(late, 1.2 + ANSWER_TIMEOUT_S, Digests(compare.number, 2, 99, pack_short([1])))
 
 
 @pytest.mark.parametrize(
@@ -57,7 +57,7 @@
 )
 def test_digests_that_make_no_sense_start_nothing(digests: bytes) -> None:
     one = member("p0")
-    one._anti_entropy.check_at = 1.0
+    one._anti_entropy.compare_at = 1.0
     (compare,) = of_kind(one.tick(1.0), Compare)
     assert isinstance(compare, Compare)
     assert not hears(one, 1.0, Digests(compare.number, 2, 99, digests))
@@ -79,7 +79,7 @@
     assert not hears(one, 1.0, BucketRequest(1, 4, 0))
     assert hears(one, 1.0, BucketRequest(1, 8, 0))
     for buckets, asks in ((4, False), (8, True)):
-        one._anti_entropy.check_at = 1.0
+        one._anti_entropy.compare_at = 1.0
         (compare,) = of_kind(one.tick(1.0), Compare)
         assert isinstance(compare, Compare)
         digests = Digests(compare.number, 601, 99, pack_short(range(1, buckets + 1)))
@@ -117,21 +117,21 @@
             if isinstance(out.items[0], BucketRequest):
                 peers.append(out.to)
                 times.append(now)
-    assert len(peers) == TRIES - 1 and len(set(peers)) > 1
+    assert len(peers) == MAX_ATTEMPTS - 1 and len(set(peers)) > 1
     waits = [later - earlier for earlier, later in pairwise([1.0, *times])]
-    assert waits[0] >= ANSWER_S + 0.1
-    assert waits[-1] >= ANSWER_S + 0.5 * 2 ** (TRIES - 2) * PAUSE_S
+    assert waits[0] >= ANSWER_TIMEOUT_S + 0.1
+    assert waits[-1] >= ANSWER_TIMEOUT_S + 0.5 * 2 ** (MAX_ATTEMPTS - 2) * BACKOFF_S
 
 
 def test_an_answer_ends_the_backoff_and_no_other_question_waits_for_it() -> None:
     one = member("p0", "p1", "p2")
     requests = compared(one, 1.0, buckets=8)
-    one.tick(1.1 + ANSWER_S)
-    assert one._anti_entropy._pause > PAUSE_S
+    one.tick(1.1 + ANSWER_TIMEOUT_S)
+    assert one._anti_entropy._backoff > BACKOFF_S
     first = requests[0]
-    one._anti_entropy._exchange.open[first.number] = Question(first.index)  # type: ignore[union-attr]
-    hears(one, 1.2 + ANSWER_S, BucketMembers(first.number, 8, first.index, []))
-    assert one._anti_entropy._pause == PAUSE_S
+    one._anti_entropy._exchange.open[first.number] = BucketQuery(first.index)  # type: ignore[union-attr]
+    hears(one, 1.2 + ANSWER_TIMEOUT_S, BucketMembers(first.number, 8, first.index, []))
+    assert one._anti_entropy._backoff == BACKOFF_S
 
 
 def test_the_next_comparison_comes_soon_after_news_and_as_usual_after_equal_lists() -> None:
@@ -140,20 +140,20 @@
         for _ in range(6):  # nothing new: the time between two has doubled
             (request,) = compared(one, now)
             hears(one, now, BucketMembers(request.number, 1, 0, []))
-            now = one._anti_entropy.check_at
+            now = one._anti_entropy.compare_at
         if news:
             (request,) = compared(one, now)
             hears(one, now, BucketMembers(request.number, 1, 0, entries("p1")))
-            assert one._anti_entropy.check_at - now <= 1.5 * CHECK_SOON_S
+            assert one._anti_entropy.compare_at - now <= 1.5 * COMPARE_SOON_S
         else:
-            one._anti_entropy.check_at = now
+            one._anti_entropy.compare_at = now
             (compare,) = of_kind(one.tick(now), Compare)
             assert isinstance(compare, Compare)
             hears(one, now, Digests(compare.number, 2, one._list.digests.whole))
-            assert CHECK_SOON_S < one._anti_entropy.check_at - now <= 1.5 * CHECK_S
+            assert COMPARE_SOON_S < one._anti_entropy.compare_at - now <= 1.5 * COMPARE_INTERVAL_S
         (request,) = compared(one, now)
         hears(one, now, BucketMembers(request.number, 1, 0, []))
-        assert one._anti_entropy.check_at - now <= 1.5 * CHECK_S
+        assert one._anti_entropy.compare_at - now <= 1.5 * COMPARE_INTERVAL_S
 
 
 def test_members_do_not_compare_in_step() -> None:
@@ -175,7 +175,7 @@
 
 def asked_peers(one: Members, count: int) -> list[str]:
     """Whom it asks for buckets after p0 has told of a list of so many, of which all differ."""
-    one._anti_entropy.check_at = 1.0
+    one._anti_entropy.compare_at = 1.0
     (compare,) = of_kind(one.tick(1.0), Compare)
     assert isinstance(compare, Compare)
     out = hears(one, 1.0, Digests(compare.number, count, 99, pack_short(range(1, 17))))
@@ -201,29 +201,32 @@
     asked = compared(one, 1.0, count=250, buckets=64)
     assert [request.index for request in asked] != [0, 1, 2, 3]
     one = member("p0", *(f"q{number}" for number in range(254)))
-    assert max(len(one._list.digests.members(2, index)) for index in (0, 1)) * SHORT > HELD_MOST
+    assert (
+        max(len(one._list.digests.members(2, index)) for index in (0, 1)) * SHORT_BYTES
+        > MAX_HELD_BYTES
+    )
     asked = compared(one, 1.0, count=256, buckets=2)
-    assert max(len(request.held) for request in asked) == HELD_MOST
+    assert max(len(request.held) for request in asked) == MAX_HELD_BYTES
 
 
 def test_digests_of_a_stranger_are_asked_about_at_a_member() -> None:
     one = member("p1")
     one._list.seeds._members["seed"] = 0
-    one._again_at = 1.0
+    one._reconnect_at = 1.0
     (out,) = [out for out in one.tick(1.0) if out.place == "seed"]
     (compare,) = of_kind([out], Compare)
     assert isinstance(compare, Compare)
     answer = Digests(compare.number, 2, 99, pack_short([1]))
-    outs = one.heard(1.0, "p9", "x", 1, answer, "seed")
+    outs = one.receive(1.0, "p9", "x", 1, answer, "seed")
     assert [out.to for out in outs] == ["p1"]
 
 
 def test_a_seed_is_greeted_with_a_comparison_unless_one_is_open() -> None:
     one = member("p0")
-    one._anti_entropy.check_at = 1e9
+    one._anti_entropy.compare_at = 1e9
     assert len(one._anti_entropy.greeting(1.0)) == 1
     assert one._anti_entropy.greeting(1.0) == ()
-    one.tick(1.1 + ANSWER_S)  # no answer: nothing is known of a member that may be there
+    one.tick(1.1 + ANSWER_TIMEOUT_S)  # no answer: nothing is known of a member that may be there
     assert one._anti_entropy._unanswered == 0
     compared(one, 3.0)
     assert one._anti_entropy.greeting(3.0) == ()
@@ -236,7 +239,7 @@
         hears(one, 1.0, Rumor("p1", "x", 1, state, "p1", by="p0"))
         compared(one, 1.0)
         (out,) = hears(one, 1.0, BucketMembers(7, 1, 0, entries("p1")))
-        assert out == Out("p0", "", (Rumor("p1", "x", 1, told, "p1", by="me"),))
+        assert out == Outgoing("p0", "", (Rumor("p1", "x", 1, told, "p1", by="me"),))
         assert not one.is_up("p1", "x")
         hears(one, 1.0, BucketMembers(7, 1, 0, entries("p1", incarnation=2)))
         assert one.is_up("p1", "x")
@@ -256,7 +259,7 @@
                 hears(one, now, BucketMembers(request.number, 1, 0, []))
     assert len(checks) < 18
     waits = [later - earlier for earlier, later in pairwise(checks)]
-    assert max(waits) <= 1.5 * CHECK_MOST_S + 0.2
+    assert max(waits) <= 1.5 * MAX_COMPARE_INTERVAL_S + 0.2
 
 
 def test_what_is_learned_here_is_not_sent_on_as_rumors() -> None:
@@ -272,7 +275,7 @@
     both = one._list.digests.whole
     assert both == member_hash("me", "x", 1) ^ member_hash("p0", "x", 1)
     hears(one, 1.0, Rumor("me", "y", 5, "a", "elsewhere"))
-    assert one.twin is not None
+    assert one.duplicate is not None
     assert one._list.digests.whole == member_hash("me", "y", 5) ^ member_hash("p0", "x", 1)
     (answer,) = of_kind(hears(one, 1.0, BucketRequest(1, 1, 0)), BucketMembers)
     assert isinstance(answer, BucketMembers)
@@ -293,16 +296,16 @@
     while now < 200.0:
         now += 0.1
         asked += [(now, len(out.items)) for out in one.tick(now)]
-    assert [items for _, items in asked[: OLD_AFTER + 1]] == [1] * OLD_AFTER + [2]
+    assert [items for _, items in asked[: LEGACY_AFTER + 1]] == [1] * LEGACY_AFTER + [2]
     waits = [later[0] - earlier[0] for earlier, later in pairwise(asked)]
-    assert max(waits) <= ANSWER_S + 1.5 * CHECK_S + 0.2
+    assert max(waits) <= ANSWER_TIMEOUT_S + 1.5 * COMPARE_INTERVAL_S + 0.2
     one._anti_entropy._page_at = 0.0
-    one._anti_entropy.check_at = now
+    one._anti_entropy.compare_at = now
     (compare,) = of_kind(one.tick(now), Compare)
     assert isinstance(compare, Compare)
     whole = one._list.digests.whole
     hears(one, now, Digests(compare.number, 2, whole))
-    one._anti_entropy.check_at, one._anti_entropy._page_at = now, 0.0
+    one._anti_entropy.compare_at, one._anti_entropy._page_at = now, 0.0
     (out,) = one.tick(now)
     assert len(out.items) == 1
 
@@ -312,5 +315,5 @@
     pages, now = 0, 0.0
     while now < 600.0:
         now += 0.5
-        pages += len(of_kind(one.tick(now), Page))
+        pages += len(of_kind(one.tick(now), PageRequest))
     assert 2 <= pages <= 14
--- a/tests/violetroute/sharing/test_sharing_cost.py
+++ b/tests/violetroute/sharing/test_sharing_cost.py
@@ -15,7 +15,7 @@
 from tests.support.work import operations
 from violetroute.sharing.members import FORGET_S, HELPERS, Members
 from violetroute.sharing.probe import Probe, suspicion_time
-from violetroute.sharing.rumors import EACH, MOST, SPREAD, Rumors
+from violetroute.sharing.rumors import MAX_WAITING, RETRANSMIT_FACTOR, RUMORS_PER_DATAGRAM, Rumors
 from violetroute.sharing.wire import Rumor
 
 SMALL, LARGE = 100, 2_000
@@ -25,15 +25,15 @@
     """One that knows so many others."""
     made = Members("me", "l", 1, "here", "", 1.0, seeds, random.Random(1), 0.0)
     for number in range(count):
-        made.know(Rumor(f"p{number}", "l", 1, "a", f"at{number}"), 0.0)
-    made._probe_at = made._again_at = made._anti_entropy.check_at = 1e9
+        made.add_member(Rumor(f"p{number}", "l", 1, "a", f"at{number}"), 0.0)
+    made._probe_at = made._reconnect_at = made._anti_entropy.compare_at = 1e9
     return made
 
 
 def suspect(members: Members, now: float, count: int) -> None:
     """So many of them are suspected by another."""
     for number in range(count):
-        members.heard(now, "x", "l", 1, Rumor(f"p{number}", "l", 1, "s", by="x"))
+        members.receive(now, "x", "l", 1, Rumor(f"p{number}", "l", 1, "s", by="x"))
 
 
 # --- suspicions ---
@@ -52,7 +52,7 @@
     for count in (SMALL, LARGE):
         members = fleet(count)
         for number in range(count):
-            members.heard(0.05, "x", "l", 1, Rumor(f"p{number}", "l", 1, "d", by="x"))
+            members.receive(0.05, "x", "l", 1, Rumor(f"p{number}", "l", 1, "d", by="x"))
         members.tick(0.1)
         members.up()
         costs.append(operations(lambda members=members: members.tick(0.2)))  # type: ignore[misc]
@@ -62,7 +62,7 @@
 class PlainMembers(Members):
     """Looks at each member at each tick."""
 
-    def _suspicions(self, now: float, late: bool) -> None:
+    def _expire_suspects(self, now: float, late: bool) -> None:
         size, health = self.size, self.health
         for member in sorted(self.members.values(), key=lambda each: (each.since, each.name)):
             time = suspicion_time(size, self._period, member.confirmations, health)
@@ -72,10 +72,10 @@
                 and now >= member.not_before
                 and not (late and self._postpone(member, now))
             ):
-                self._take(member.rumored("d", self.name), now)
+                self._take(member.rumor_in_state("d", self.name), now)
         for member in list(self.members.values()):
             if not member.up and now - member.since >= FORGET_S:
-                self._doubted.forget(member.name)
+                self._not_alive.forget(member.name)
                 del self.members[member.name]
                 self._changed(member.name, "", member.state)
 
@@ -85,8 +85,8 @@
     costs = []
     for count in (SMALL, LARGE):
         members = fleet(count, ("at7", "seed"))
-        members.heard(0.05, "x", "l", 1, Rumor("p3", "l", 1, "d", by="x"))
-        costs.append(operations(lambda members=members: members._again(0.1)))  # type: ignore[misc]
+        members.receive(0.05, "x", "l", 1, Rumor("p3", "l", 1, "d", by="x"))
+        costs.append(operations(lambda members=members: members._reconnect(0.1)))  # type: ignore[misc]
     assert costs[1] <= costs[0] * 1.1
 
 
@@ -96,11 +96,13 @@
         members = fleet(count)
         members.up()
         probe = Probe("p7", "l", 1, 0.0, 1.0)
-        costs.append(operations(lambda members=members, probe=probe: members._help(probe)))  # type: ignore[misc]
+        costs.append(
+            operations(lambda members=members, probe=probe: members._request_helpers(probe))
+        )  # type: ignore[misc]
     assert costs[1] <= costs[0] * 1.5  # draws that come twice are drawn again
     members = fleet(HELPERS + 1)
     for _ in range(50):
-        asked = [out.to for out in members._help(Probe("p2", "l", 1, 0.0, 1.0))[1:]]
+        asked = [out.to for out in members._request_helpers(Probe("p2", "l", 1, 0.0, 1.0))[1:]]
         assert sorted(asked) == ["p0", "p1", "p3"]
 
 
@@ -115,7 +117,7 @@
     members = Members("me", "l", 1, "s3", "", 1.0, ("s1", "s2", "s3"), random.Random(1), 0.0)
     for step, (name, incarnation, state, place) in enumerate(heard):
         rumor = Rumor(f"p{name}", "l", incarnation, state, place, "", "x")
-        members.heard(step * 9.0, "x", "l", 1, rumor)
+        members.receive(step * 9.0, "x", "l", 1, rumor)
         members.tick(step * 9.0 + 0.1)
         known = {member.place for member in members.members.values() if member.up}
         assert members._seeds.unknown() == [seed for seed in ("s1", "s2") if seed not in known]
@@ -139,7 +141,7 @@
         lambda rumors: rumors.add(Rumor("new", "l", 1, "s", by="x")),
     ):
         costs = []
-        for count in (SMALL, MOST):
+        for count in (SMALL, MAX_WAITING):
             rumors = waiting(count)
             costs.append(operations(lambda rumors=rumors, work=work: work(rumors)))  # type: ignore[misc]
         assert costs[1] <= costs[0] * 1.5 + 100  # and the one that makes room for the new one
@@ -152,7 +154,7 @@
         self.waiting: dict[str, tuple[Rumor, int]] = {}
 
     def add(self, rumor: Rumor) -> None:
-        if rumor.name not in self.waiting and len(self.waiting) >= MOST:
+        if rumor.name not in self.waiting and len(self.waiting) >= MAX_WAITING:
             del self.waiting[max(self.waiting, key=lambda name: self.waiting[name][1])]
         self.waiting[rumor.name] = rumor, 0
 
@@ -160,9 +162,11 @@
         self.waiting.pop(name, None)
 
     def next(self, size: int) -> list[Rumor]:
-        times = math.ceil(SPREAD * math.log10(size + 9))
+        times = math.ceil(RETRANSMIT_FACTOR * math.log10(size + 9))
         found = []
-        for name in sorted(self.waiting, key=lambda name: self.waiting[name][1])[:EACH]:
+        for name in sorted(self.waiting, key=lambda name: self.waiting[name][1])[
+            :RUMORS_PER_DATAGRAM
+        ]:
             rumor, sent = self.waiting[name]
             found.append(rumor)
             if sent + 1 >= times:
@@ -182,7 +186,7 @@
 )
 
 
-@pytest.mark.parametrize("most", [MOST, 20])
+@pytest.mark.parametrize("most", [MAX_WAITING, 20])
 def test_rumors_leave_in_the_order_of_a_sort_of_all_that_wait(most: int) -> None:
     @settings(max_examples=200, deadline=None)
     @given(said)
@@ -200,8 +204,8 @@
             assert set(kept._waiting) == set(plain.waiting)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("violetroute.sharing.rumors.MOST", most)
-        patch.setattr(f"{__name__}.MOST", most)
+        patch.setattr("violetroute.sharing.rumors.MAX_WAITING", most)
+        patch.setattr(f"{__name__}.MAX_WAITING", most)
         check()
 
 
@@ -249,7 +253,7 @@
             match step:
                 case ("hear", name, incarnation, state, by):
                     rumor = Rumor(f"p{name}", "l", incarnation, state, "at", "", f"p{by}")
-                    members.heard(now, "x", "l", 1, rumor)
+                    members.receive(now, "x", "l", 1, rumor)
                 case ("health", health):
                     members.health = health
                 case _:
--- a/tests/violetroute/sharing/test_sharing_digest.py
+++ b/tests/violetroute/sharing/test_sharing_digest.py
@@ -10,7 +10,7 @@
 from limebridge.scale.virtual_members import VirtualMembers
 from tests.support.work import operations
 from violetroute.sharing import wire
-from violetroute.sharing.byte_pacer import Pace
+from violetroute.sharing.byte_pacer import BytePacer
 from violetroute.sharing.digest import (
     MemberDigests,
     bucket_count,
@@ -20,12 +20,12 @@
     pack_short,
     unpack_short,
 )
-from violetroute.sharing.members import MEMBERS_MOST, Members
+from violetroute.sharing.members import MAX_MEMBERS, Members
 from violetroute.sharing.wire import (
-    BUCKET_DIGESTS_MOST,
-    BUCKETS_MOST,
-    ITEMS_MOST,
-    SHORT,
+    MAX_BUCKET_DIGESTS_BYTES,
+    MAX_BUCKETS,
+    MAX_ITEMS,
+    SHORT_BYTES,
     BucketMembers,
     BucketRequest,
     Compare,
@@ -34,7 +34,7 @@
     Item,
     Keys,
     Rumor,
-    packed,
+    encode_item,
     raw,
 )
 
@@ -60,13 +60,13 @@
         name = f"p{draw.randrange(40):02}" if step % 10 else "me"
         incarnation = incarnations[name] = incarnations.get(name, 0) + draw.randrange(2)
         rumor = Rumor(name, "l", incarnation, draw.choice("aaasdl"), "127.0.0.1:2", "z", "p99")
-        members.heard(now, "stranger", "x", 1, rumor, "127.0.0.1:3")
+        members.receive(now, "stranger", "x", 1, rumor, "127.0.0.1:3")
         if draw.random() < 0.1:
             now += 70.0  # the dead are forgotten
             members.tick(now)
         digests, anew = members._list.digests, rebuilt(members)
         assert (digests.whole, digests.count) == (anew.whole, anew.count)
-        for buckets in (1, 4, BUCKETS_MOST):
+        for buckets in (1, 4, MAX_BUCKETS):
             assert digests.of_buckets(buckets) == anew.of_buckets(buckets)
             index = draw.randrange(buckets)
             assert digests.members(buckets, index) == anew.members(buckets, index)
@@ -77,14 +77,14 @@
     small.put("p7", "x", 1)
     for number in range(500):
         large.put(f"p{number}", "x", 1)
-    for buckets in (1, 2, 8, 64, BUCKETS_MOST):
+    for buckets in (1, 2, 8, 64, MAX_BUCKETS):
         where = [small.members(buckets, index) for index in range(buckets)]
         (index,) = [index for index, names in enumerate(where) if names]
         assert "p7" in large.members(buckets, index).values()
         large.put("p7", "y", 2)
         assert differing(small.of_buckets(buckets), large.of_buckets(buckets)).count(index) == 1
         large.put("p7", "x", 1)
-    held = [len(large.members(BUCKETS_MOST, index)) for index in range(BUCKETS_MOST)]
+    held = [len(large.members(MAX_BUCKETS, index)) for index in range(MAX_BUCKETS)]
     assert sum(held) == 500 and max(held) < 20
 
 
@@ -95,11 +95,11 @@
 
 
 def test_bucket_counts_are_powers_of_two_that_grow_with_the_list() -> None:
-    counts = [bucket_count(members) for members in range(MEMBERS_MOST + 1)]
-    assert counts == sorted(counts) and counts[0] == 1 and counts[-1] == BUCKETS_MOST
+    counts = [bucket_count(members) for members in range(MAX_MEMBERS + 1)]
+    assert counts == sorted(counts) and counts[0] == 1 and counts[-1] == MAX_BUCKETS
     assert all(is_bucket_count(count) for count in set(counts))
     assert [n for n in range(-1, 300) if is_bucket_count(n)] == [1, 2, 4, 8, 16, 32, 64, 128]
-    assert BUCKETS_MOST * SHORT == BUCKET_DIGESTS_MOST
+    assert MAX_BUCKETS * SHORT_BYTES == MAX_BUCKET_DIGESTS_BYTES
 
 
 def test_short_hashes_are_read_back() -> None:
@@ -118,7 +118,7 @@
 
 
 def test_a_pace_is_overdrawn_by_one_use_at_most() -> None:
-    pace = Pace(100.0, 2.0, 0.0)
+    pace = BytePacer(100.0, 2.0, 0.0)
     assert pace.allows(0.0)
     pace.spend(0.0, 700.0)
     assert not pace.allows(4.9) and pace.allows(5.1)
@@ -132,7 +132,7 @@
 BAD = [
     ["d", -1, 1, 1],
     ["d", 1, 1, 2**63],
-    ["D", 1, 1, 1, bytes(BUCKET_DIGESTS_MOST + 1)],
+    ["D", 1, 1, 1, bytes(MAX_BUCKET_DIGESTS_BYTES + 1)],
     ["e", 1, 0, 0, b""],
     ["e", 1, 129, 0, b""],
     ["e", 1, 4, 128, b""],
@@ -151,13 +151,13 @@
 
 def test_items_are_read_back_and_those_that_make_no_sense_are_skipped() -> None:
     data = [raw(wire._pack.encode(each)) for each in BAD]
-    data += [raw(packed(each)) for each in GOOD]
-    assert len(data) <= ITEMS_MOST
+    data += [raw(encode_item(each)) for each in GOOD]
+    assert len(data) <= MAX_ITEMS
     assert wire.items(Envelope("a", "x", 1, 1, "b", "", 0, 0, data)) == GOOD
 
 
 def test_a_later_builds_fields_are_skipped() -> None:
-    later = [[*msgspec.msgpack.decode(packed(each)), "a later field"] for each in GOOD]
+    later = [[*msgspec.msgpack.decode(encode_item(each)), "a later field"] for each in GOOD]
     data = [raw(wire._pack.encode(each)) for each in later]
     assert wire.items(Envelope("a", "x", 1, 1, "b", "", 0, 0, data)) == GOOD
 
@@ -169,15 +169,15 @@
     for number in range(20):
         one.members._rumors.add(fleet.rumor(number + 1))
     sent = list[bytes]()
-    one._box.send = lambda data, address: sent.append(data)  # type: ignore[method-assign]
-    one._put(fleet.members[1].name, "", Compare(1, 2, 3))
+    one._mailbox.send = lambda data, address: sent.append(data)  # type: ignore[method-assign]
+    one._queue(fleet.members[1].name, "", Compare(1, 2, 3))
     one._flush(fleet.kernel.now)
-    for out in one.members.heard(
+    for out in one.members.receive(
         fleet.kernel.now, fleet.members[1].name, fleet.members[1].life, 1, BucketRequest(1, 8, 0)
     ):
-        one._put(out.to, out.place, *out.items)
+        one._queue(out.to, out.place, *out.items)
     one._flush(fleet.kernel.now)
-    one._put(fleet.members[1].name, "", wire.Ping(1), Compare(1, 2, 3))
+    one._queue(fleet.members[1].name, "", wire.Ping(1), Compare(1, 2, 3))
     one._flush(fleet.kernel.now)
     keys: Keys = one._keys
     kinds = [
@@ -185,6 +185,6 @@
         for data in sent
         if (envelope := keys.open(data)) is not None
     ]
-    assert len(kinds) == len(sent) and all(len(data) <= wire.DATAGRAM_MOST for data in sent)
+    assert len(kinds) == len(sent) and all(len(data) <= wire.MAX_DATAGRAM_BYTES for data in sent)
     assert kinds[0] == {Compare} and kinds[-1] == {wire.Ping, Compare, Rumor}
     assert kinds[1:-1] and all(kind == {BucketMembers} for kind in kinds[1:-1])
--- a/tests/violetroute/sharing/test_sharing_late.py
+++ b/tests/violetroute/sharing/test_sharing_late.py
@@ -7,9 +7,9 @@
 import pytest
 
 from tests.violetroute.sharing.test_sharing_talk import One
-from violetroute.sharing.members import HEALTH_MOST, Members, Out
-from violetroute.sharing.probe import LATE_SHARE, POSTPONED_SHARE, TICK_S, is_late, suspicion_time
-from violetroute.sharing.wire import Ack, Nack, Need, Ping, Rumor
+from violetroute.sharing.members import MAX_HEALTH, Members, Outgoing
+from violetroute.sharing.probe import LATE_SHARE, POSTPONE_SHARE, TICK_S, is_late, suspicion_time
+from violetroute.sharing.wire import Ack, Nack, Ping, PingRequest, Rumor
 
 PERIOD = 1.0  # s
 STOPPED_S = 5.0
@@ -37,14 +37,14 @@
         self.hears(Rumor("p1", "l1", 1, "a", "at1"))
         self.told.clear()
 
-    def hears(self, *items: Rumor | Ack | Need, name: str = "p1") -> list[Out]:
+    def hears(self, *items: Rumor | Ack | PingRequest, name: str = "p1") -> list[Outgoing]:
         return [
             out
             for item in items
-            for out in self.members.heard(self.now, name, "l1", 1, item, "at1")
+            for out in self.members.receive(self.now, name, "l1", 1, item, "at1")
         ]
 
-    def tick(self, after: float = TICK) -> list[Out]:
+    def tick(self, after: float = TICK) -> list[Outgoing]:
         self.now += after
         return self.members.tick(self.now)
 
@@ -90,7 +90,7 @@
     one.hears(Rumor("p2", "l1", 1, "a", "at2"))
     one.until_probed()
     one.tick(STOPPED_S)
-    helped = [item for out in one.tick() for item in out.items if isinstance(item, Need)]
+    helped = [item for out in one.tick() for item in out.items if isinstance(item, PingRequest)]
     assert [item.target for item in helped] == ["p1"]
     assert one.state() == "a"
     one.tick(STOPPED_S)  # late again: postponed once is all
@@ -123,24 +123,24 @@
     one.hears(Rumor("p1", "l1", 1, "s", by="p9"), name="p9")
     one.tick(200.0)
     assert one.state() == "s"
-    one.tick(POSTPONED_SHARE * PERIOD + TICK)
+    one.tick(POSTPONE_SHARE * PERIOD + TICK)
     assert one.state() == "d"
 
 
 def test_a_twin_is_not_taken_for_dead_by_a_late_tick() -> None:
     one = Watcher()
-    one.members.heard(one.now, "p0", "other", 9, Ping(1), "elsewhere")
-    assert one.members.twin is not None
+    one.members.receive(one.now, "p0", "other", 9, Ping(1), "elsewhere")
+    assert one.members.duplicate is not None
     one.tick(200.0)
-    assert one.members.twin is not None
-    one.tick(POSTPONED_SHARE * PERIOD + TICK)
-    assert one.members.twin is None
+    assert one.members.duplicate is not None
+    one.tick(POSTPONE_SHARE * PERIOD + TICK)
+    assert one.members.duplicate is None
 
 
 def test_who_is_late_does_not_say_that_it_is_well_and_heard_nothing() -> None:
     for stopped, nacks in ((0.1, 1), (STOPPED_S, 0)):
         one = Watcher()
-        one.hears(Need(7, "p1"), name="p1")
+        one.hears(PingRequest(7, "p1"), name="p1")
         one.tick(0.3)
         one.tick(0.2)
         said = [item for out in one.tick(stopped) for item in out.items if isinstance(item, Nack)]
@@ -150,9 +150,9 @@
 @pytest.mark.parametrize("every", [0.1, 0.5, 1.0, 4.0, 10.0])
 def test_who_is_always_late_finds_a_dead_member_within_the_stated_bound(every: float) -> None:
     """The bound of docs/design/fleet-sharing.md."""
-    slowest = (1 + HEALTH_MOST) * PERIOD
-    judged = 2.0 * (every + POSTPONED_SHARE * PERIOD) + 2.0 * every  # a probe's end, a suspect's
-    bound = 2.0 * slowest + suspicion_time(2, PERIOD, 0, HEALTH_MOST) + judged
+    slowest = (1 + MAX_HEALTH) * PERIOD
+    judged = 2.0 * (every + POSTPONE_SHARE * PERIOD) + 2.0 * every  # a probe's end, a suspect's
+    bound = 2.0 * slowest + suspicion_time(2, PERIOD, 0, MAX_HEALTH) + judged
     assert Watcher().until_dead(every) <= bound
 
 
--- a/tests/violetroute/sharing/test_sharing_node_cost.py
+++ b/tests/violetroute/sharing/test_sharing_node_cost.py
@@ -14,22 +14,22 @@
 
 from tests.support.plain_node_health import PlainNodeHealth
 from tests.support.work import operations
-from violetroute.sharing.decaying_outcomes import HALF_LIFE
+from violetroute.sharing.decaying_outcomes import HALF_LIFE_S
 from violetroute.sharing.node_health import NodeHealth
 from violetroute.sharing.wire import HealthReport
 
 SMALL, LARGE = 100, 2_000
-BAD, WITNESSES = 10, 6
+BAD, MIN_WITNESSES = 10, 6
 
 
 def busy(nodes: int) -> NodeHealth:
     """Every node was met and told of; BAD of them are bad."""
     made = NodeHealth("a")
     for node in range(nodes):
-        made.listed(node, 1.0)
+        made.add_node(node, 1.0)
         for _ in range(3):
             made.record_outcome(0.0, node, False)
-        for witness in range(WITNESSES):
+        for witness in range(MIN_WITNESSES):
             bad = 3.0 if node < BAD else 0.0
             made.merge_report(0.0, f"m{witness}", "a", HealthReport(node, 1, 3.0 - bad, bad), 0.0)
     return made
@@ -44,9 +44,9 @@
         node_health.reports_to_send(0.3)
 
         def round_(node_health: NodeHealth = node_health) -> None:
-            node_health.told(node_health.reports_to_send(0.5))
-            node_health.judge(0.5)
-            node_health.cut(0.5)
+            node_health.mark_sent(node_health.reports_to_send(0.5))
+            node_health.unhealthy_nodes(0.5)
+            node_health.isolated_members(0.5)
 
         costs.append(operations(round_))
     assert costs[1] <= costs[0] * 1.2
@@ -57,20 +57,20 @@
     for nodes in (SMALL, LARGE):
         node_health = busy(nodes)
         node_health.merge_report(0.0, "x", "a", HealthReport(3, 1, 3.0, 0.0), 0.0)
-        costs.append(operations(lambda node_health=node_health: node_health.left("x")))  # type: ignore[misc]
+        costs.append(operations(lambda node_health=node_health: node_health.forget_member("x")))  # type: ignore[misc]
     assert costs[1] <= costs[0] * 1.2
 
 
 def test_what_is_kept_of_what_fades_is_bounded_by_what_is_remembered() -> None:
     node_health = NodeHealth("a")
-    node_health.listed(1, 1.0)
+    node_health.add_node(1, 1.0)
     for number in range(20_000):
         node_health.merge_report(
             number / 1e3, f"m{number % 5}", "a", HealthReport(1, 1, 1e6, 1.0), 0.0
         )
-    table = node_health._tallies
+    table = node_health._table
     assert len(table.node) == 5  # one row a member, used again for each report
-    assert len(table.fading._first) == len(table.fading._order) < 100  # buckets, in 20 s of reports
+    assert len(table.expiry._first) == len(table.expiry._order) < 100  # buckets, in 20 s of reports
 
 
 NODES = 7
@@ -104,14 +104,14 @@
         case ("tell", most, sent):
             told = health.reports_to_send(now, most)
             if sent:
-                health.told(told)
+                health.mark_sent(told)
             return told
         case ("left", member):
-            health.left(f"m{member}")
+            health.forget_member(f"m{member}")
         case ("gone", node):
-            health.gone(node)
+            health.remove_node(node)
         case ("listed", node, started):
-            health.listed(node, float(started))
+            health.add_node(node, float(started))
     return None
 
 
@@ -120,13 +120,13 @@
 def test_it_decides_as_a_walk_over_all_nodes_does(given_steps: list[tuple[Any, ...]]) -> None:
     kept, plain, now = NodeHealth("a"), PlainNodeHealth("a"), 0.0
     for node in range(NODES):
-        kept.listed(node, 1.0)
-        plain.listed(node, 1.0)
+        kept.add_node(node, 1.0)
+        plain.add_node(node, 1.0)
     for step in given_steps:
         if step[0] == "time":
-            now += step[1] * HALF_LIFE
-            assert kept.judge(now) == plain.judge(now)
-            assert set(kept.cut(now)) == plain.cut(now)
+            now += step[1] * HALF_LIFE_S
+            assert kept.unhealthy_nodes(now) == plain.unhealthy_nodes(now)
+            assert set(kept.isolated_members(now)) == plain.isolated_members(now)
         else:
             assert do(kept, step, now) == do(plain, step, now)
 
@@ -135,8 +135,8 @@
 def test_it_decides_as_a_walk_over_all_nodes_does_in_rounds_of_a_fleet(seed: int) -> None:
     chance, kept, plain = random.Random(seed), NodeHealth("a"), PlainNodeHealth("a")
     for node in range(40):
-        kept.listed(node, 1.0)
-        plain.listed(node, 1.0)
+        kept.add_node(node, 1.0)
+        plain.add_node(node, 1.0)
     judged = 0
     for number in range(200):
         now = 0.5 * number
@@ -149,8 +149,8 @@
                 saw = HealthReport(node, 1, chance.uniform(0.0, 4.0) * (node not in bad), wrong)
                 for health in (kept, plain):
                     health.merge_report(now, f"m{member}", zone, saw, 0.0)
-        found = kept.judge(now)
+        found = kept.unhealthy_nodes(now)
         judged += len(found)
-        assert found == plain.judge(now)
-        assert set(kept.cut(now)) == plain.cut(now)
+        assert found == plain.unhealthy_nodes(now)
+        assert set(kept.isolated_members(now)) == plain.isolated_members(now)
     assert judged > 100
--- a/tests/violetroute/sharing/test_sharing_node_memory.py
+++ b/tests/violetroute/sharing/test_sharing_node_memory.py
@@ -17,14 +17,14 @@
 import pytest
 
 from tests.support.work import operations
-from violetroute.sharing.expiry_queue import FadingQueue
-from violetroute.sharing.node_health import EXPIRED_MOST, TALLIES_MOST, NodeHealth
+from violetroute.sharing.expiry_queue import ExpiryQueue
+from violetroute.sharing.node_health import MAX_EXPIRED_PER_ROUND, MAX_OUTCOME_ROWS, NodeHealth
 from violetroute.sharing.row_lists import NO_ROW, RowLists
 from violetroute.sharing.wire import HealthReport
 
 PROXY_BYTES = 64_000_000  # of control, at the target
 SHARE = 1 / 20
-BYTES_MOST = PROXY_BYTES * SHARE / TALLIES_MOST
+BYTES_MOST = PROXY_BYTES * SHARE / MAX_OUTCOME_ROWS
 NODES = 1_200
 Heard = tuple[float, str, HealthReport]
 
@@ -49,7 +49,7 @@
 def again_and_again() -> Iterator[Heard]:
     """The same members tell of the same nodes, with less each time: each fades before the last."""
     for turn in range(4):
-        for member in range(TALLIES_MOST // NODES):
+        for member in range(MAX_OUTCOME_ROWS // NODES):
             for node in range(NODES):
                 yield turn * 0.5, f"proxy-{member}", HealthReport(node, 1, 80.0 / 8**turn, 0.1)
 
@@ -58,7 +58,7 @@
     """Bytes, and tallies that are kept."""
     node_health = NodeHealth("a")
     for node in range(NODES):
-        node_health.listed(node, 1.0)
+        node_health.add_node(node, 1.0)
     gc.collect()
     tracemalloc.start()
     try:
@@ -79,12 +79,12 @@
     patterns: Callable[[], Iterator[Heard]],
 ) -> None:
     size, tallies = taken(patterns())
-    assert tallies > 0.9 * TALLIES_MOST
+    assert tallies > 0.9 * MAX_OUTCOME_ROWS
     assert size / tallies <= BYTES_MOST
 
 
 def kept_tallies(node_health: NodeHealth) -> int:
-    return sum(len(node.said) for node in node_health._nodes.values())
+    return sum(len(node.rows) for node in node_health._nodes.values())
 
 
 def test_a_calm_round_drops_and_looks_at_so_many_and_in_the_end_all_are_gone() -> None:
@@ -93,17 +93,17 @@
     for members in (300, 1_200):
         node_health = NodeHealth("a")
         for node in range(8):
-            node_health.listed(node, 1.0)
+            node_health.add_node(node, 1.0)
             for member in range(members):
                 report = HealthReport(node, 1, 1.0 + member, 0.0)
                 node_health.merge_report(0.0, f"m{member}", "a", report, 0.0)
         before = kept_tallies(node_health)
-        costs.append(operations(lambda node_health=node_health: node_health.judge(1e6)))  # type: ignore[misc]
-        assert 0 < before - kept_tallies(node_health) <= EXPIRED_MOST
-        for _ in range(8 * members // EXPIRED_MOST + 8):
-            node_health.judge(1e6)
-        assert kept_tallies(node_health) == 0 == len(node_health._tallies)
-        assert not node_health._witnesses and not node_health._tallies.fading._first
+        costs.append(operations(lambda node_health=node_health: node_health.unhealthy_nodes(1e6)))  # type: ignore[misc]
+        assert 0 < before - kept_tallies(node_health) <= MAX_EXPIRED_PER_ROUND
+        for _ in range(8 * members // MAX_EXPIRED_PER_ROUND + 8):
+            node_health.unhealthy_nodes(1e6)
+        assert kept_tallies(node_health) == 0 == len(node_health._table)
+        assert not node_health._witnesses and not node_health._table.expiry._first
     assert costs[1] < costs[0] * 1.2
 
 
@@ -111,7 +111,7 @@
     """Reports of any weight, so that later ones often fade first."""
     chance, node_health, now = random.Random(1), NodeHealth("a"), 100.0
     for node in range(6):
-        node_health.listed(node, 1.0)
+        node_health.add_node(node, 1.0)
     for _ in range(300):
         now += chance.choice([0.0, 0.1, 0.5, 3.0])
         for _ in range(chance.randrange(8)):
@@ -119,9 +119,9 @@
             report = HealthReport(node, 1, good, chance.choice([0.0, 1.0]))
             node_health.merge_report(now, f"m{chance.randrange(9)}", "a", report, 0.0)
         node_health._troubled_until = now + 1.0
-        node_health.cut(now)
-        table = node_health._tallies
-        rows = [row for node in node_health._nodes.values() for row in node.said.values()]
+        node_health.isolated_members(now)
+        table = node_health._table
+        rows = [row for node in node_health._nodes.values() for row in node.rows.values()]
         assert all(table.until[row] >= now for row in rows)
         assert len(rows) == len(table) == sum(w.nodes for w in node_health._witnesses.values())
 
@@ -147,7 +147,7 @@
 
 
 def test_the_queue_gives_what_has_faded_and_forgets_what_was_removed() -> None:
-    queue = FadingQueue()
+    queue = ExpiryQueue()
     for row, until in enumerate([7.0, 1.0, 30.0, 1.2, 6.8]):
         queue.append_row()
         queue.add(row, until)
--- a/tests/violetroute/sharing/test_sharing_reports.py
+++ b/tests/violetroute/sharing/test_sharing_reports.py
@@ -11,10 +11,15 @@
 from snowstall import CacheState, Judged, Member, Result
 from violetroute.sharing.budget import Budget
 from violetroute.sharing.gossip import TROUBLE_FANOUT, Report, Rounds
-from violetroute.sharing.loans import Terms
-from violetroute.sharing.node_health import EXPIRED_MOST, TALLIES_LEAST, TALLIES_MOST, NodeHealth
+from violetroute.sharing.loans import LoanTerms
+from violetroute.sharing.node_health import (
+    MAX_EXPIRED_PER_ROUND,
+    MAX_OUTCOME_ROWS,
+    MIN_ROWS_PER_NODE,
+    NodeHealth,
+)
 from violetroute.sharing.report_budget import ByteBucket, ReportBudget, default_rate
-from violetroute.sharing.wire import Counted, HealthReport, Item, LoadReport, Spare
+from violetroute.sharing.wire import HealthReport, HeavyHitterReport, Item, LoadReport, SpareReport
 
 ENVELOPE = 160  # bytes
 BAD_REQUEST: Judged = (True, 1.0, 20.0, 300.0, False)
@@ -25,14 +30,16 @@
 def reports(rounds: Rounds, seconds: int, bad: int, nodes: int = 1200) -> list[Report]:
     """Of so long, with that many bad nodes, 540 requests a second."""
     chance, found = random.Random(1), list[Report]()
-    rounds.listed([Member(node, CacheState.READY, started_at=1.0) for node in range(1, nodes + 1)])
+    rounds.update_nodes(
+        [Member(node, CacheState.READY, started_at=1.0) for node in range(1, nodes + 1)]
+    )
     for half in range(2 * seconds):
         now = 0.5 * half
         for _ in range(270):
             node = chance.randrange(1, nodes + 1)
-            rounds.met(now, node, Result.LATE if node <= bad else Result.OK)
-            rounds.asked(now, f"t{node % 50}", node)
-        found += rounds.next(now, UP, [BAD_REQUEST] * 9, {}, False).reports
+            rounds.record_attempt(now, node, Result.LATE if node <= bad else Result.OK)
+            rounds.record_request(now, f"t{node % 50}", node)
+        found += rounds.run_round(now, UP, [BAD_REQUEST] * 9, {}, False).reports
     return found
 
 
@@ -58,7 +65,7 @@
 def test_no_kind_of_report_and_no_bad_node_starves() -> None:
     budget = ReportBudget(600.0, ENVELOPE, 0.0)
     items = told(reports(Rounds("a", True, 0.0, random.Random(1), budget), 120, bad=120))
-    assert {LoadReport, HealthReport, Counted} == {type(item) for item in items}
+    assert {LoadReport, HealthReport, HeavyHitterReport} == {type(item) for item in items}
     assert {item.node for item in items if isinstance(item, HealthReport) and item.bad} == set(
         range(1, 121)
     )
@@ -74,8 +81,8 @@
     budget = ReportBudget(600.0, ENVELOPE, 0.0)
     rounds = Rounds("a", True, 0.0, random.Random(1), budget)
     reports(rounds, 30, bad=0)
-    rounds.met(30.0, 7, Result.LATE)
-    health = rounds.next(30.0, UP, [], {}, False).reports[1]
+    rounds.record_attempt(30.0, 7, Result.LATE)
+    health = rounds.run_round(30.0, UP, [], {}, False).reports[1]
     assert [item.node for item in health.items if isinstance(item, HealthReport) and item.bad] == [
         7
     ]
@@ -100,12 +107,12 @@
     rounds = Rounds("a", True, 0.0, random.Random(1), budget)
     budgets = {
         f"a budget with a long name {number:03}": Budget(
-            f"b{number}", 1e6, 2, Terms(1.0, 0.05), 0.1, 0.0, random.Random(1)
+            f"b{number}", 1e6, 2, LoanTerms(1.0, 0.05), 0.1, 0.0, random.Random(1)
         )
         for number in range(64)
     }
-    found = [rounds.next(5.0 + 0.5 * step, UP, [], budgets, False) for step in range(8)]
-    assert len([item for item in found[0].reports[0].items if isinstance(item, Spare)]) == 64
+    found = [rounds.run_round(5.0 + 0.5 * step, UP, [], budgets, False) for step in range(8)]
+    assert len([item for item in found[0].reports[0].items if isinstance(item, SpareReport)]) == 64
     assert [len(round_.reports[0].to) for round_ in found if round_.reports] == [1] + [0] * 7
 
 
@@ -117,14 +124,14 @@
 # --- what is heard ---
 def tallies(node_health: NodeHealth) -> int:
     """How many are kept, of all members at all nodes."""
-    return sum(len(node.said) for node in node_health._nodes.values())
+    return sum(len(node.rows) for node in node_health._nodes.values())
 
 
-def heard(members: int, nodes: int, weight: float = 2.6) -> NodeHealth:
+def with_reports(members: int, nodes: int, weight: float = 2.6) -> NodeHealth:
     """Each member has told of each node, in calm."""
     node_health = NodeHealth("a")
     for node in range(nodes):
-        node_health.listed(node, 1.0)
+        node_health.add_node(node, 1.0)
     for member in range(members):
         for node in range(nodes):
             node_health.merge_report(
@@ -134,28 +141,30 @@
 
 
 def test_what_faded_is_dropped_in_calm_a_bounded_part_a_round() -> None:
-    node_health = heard(10, 500)
+    node_health = with_reports(10, 500)
     assert tallies(node_health) == 5000
     before = tallies(node_health)
     for number in range(20):
-        assert node_health.judge(30.0 + 0.5 * number) == []
+        assert node_health.unhealthy_nodes(30.0 + 0.5 * number) == []
         dropped, before = before - tallies(node_health), tallies(node_health)
-        assert dropped <= EXPIRED_MOST < 64 * 10
+        assert dropped <= MAX_EXPIRED_PER_ROUND < 64 * 10
     assert tallies(node_health) == 0
 
 
 @pytest.mark.parametrize(("members", "nodes"), [(200, 400), (40, 1200), (10, 4096)])
 def test_what_is_heard_is_bounded_whatever_is_told(members: int, nodes: int) -> None:
-    assert tallies(heard(members, nodes, 1e6)) <= max(TALLIES_MOST, TALLIES_LEAST * nodes)
+    assert tallies(with_reports(members, nodes, 1e6)) <= max(
+        MAX_OUTCOME_ROWS, MIN_ROWS_PER_NODE * nodes
+    )
 
 
 def test_a_small_fleet_keeps_every_members_word() -> None:
-    assert tallies(heard(350, 46)) == 350 * 46
+    assert tallies(with_reports(350, 46)) == 350 * 46
 
 
 def test_the_newest_word_of_a_node_is_kept() -> None:
-    node_health = heard(40, 1200)
+    node_health = with_reports(40, 1200)
     for member in ("x", "y", "z"):
         node_health.merge_report(1.0, member, "a", HealthReport(5, 1, 0.0, 3.0), 0.0)
     node_health.merge_report(1.0, "m39", "a", HealthReport(5, 1, 0.0, 3.0), 0.0)
-    assert {"x", "y", "z", "m39"} <= set(node_health._nodes[5].said)
+    assert {"x", "y", "z", "m39"} <= set(node_health._nodes[5].rows)
--- a/tests/violetroute/sharing/test_sharing_talk.py
+++ b/tests/violetroute/sharing/test_sharing_talk.py
@@ -26,21 +26,21 @@
 )
 from violetroute.membership import Places
 from violetroute.sharing import service, wire
-from violetroute.sharing.gossip import CALM_FANOUT, OUTCOME_AGE_MOST_S, TROUBLE_FANOUT, Rounds
-from violetroute.sharing.introspection import look
-from violetroute.sharing.load_reports import OUTCOMES_MOST, LoadReports
+from violetroute.sharing.gossip import CALM_FANOUT, MAX_OUTCOME_AGE_S, TROUBLE_FANOUT, Rounds
+from violetroute.sharing.introspection import view
+from violetroute.sharing.load_reports import MAX_OUTCOMES, LoadReports
 from violetroute.sharing.service import Sharing
 from violetroute.sharing.table import BudgetTable, SharingTable
 from violetroute.sharing.wire import (
     Ack,
-    Ask,
-    Back,
     Envelope,
     HealthReport,
     Item,
     Keys,
-    Lend,
     LoadReport,
+    LoanGrant,
+    LoanRequest,
+    LoanReturn,
     Ping,
     Rumor,
 )
@@ -57,7 +57,7 @@
         self.places, self.judged = Places(), deque[Judged]()
         self.told: list[tuple[list[int], list[Judged]]] = []
 
-    def others(self, bad: list[int], outcomes: list[Judged]) -> None:
+    def apply_peer_reports(self, bad: list[int], outcomes: list[Judged]) -> None:
         self.told.append((bad, outcomes))
 
 
@@ -79,7 +79,7 @@
         )
         self.proxy = Proxy()
         self.sharing = Sharing(table, KEYS, "p0", "a", 1000.0, net, self.proxy, life="l0")
-        send = self.sharing._box.send
+        send = self.sharing._mailbox.send
 
         def kept(data: bytes, address: Address) -> bool:
             opened = KEYS.open(data)
@@ -87,7 +87,7 @@
             self.sent.append(opened)
             return send(data, address)
 
-        self.sharing._box.send = kept  # type: ignore[method-assign]
+        self.sharing._mailbox.send = kept  # type: ignore[method-assign]
         self.number = 0
         self.hears(Rumor("p1", "l1", 1, "a", "127.0.0.1:7001"))
 
@@ -114,7 +114,7 @@
                 to_life,
                 heard,
                 int(wall * 1000.0),
-                [wire.raw(wire.packed(item)) for item in items],
+                [wire.raw(wire.encode_item(item)) for item in items],
             )
         )
         self.sharing.datagram(data, ORIGIN)
@@ -139,13 +139,16 @@
 def test_an_ask_that_comes_twice_is_one_and_a_return_frees_it() -> None:
     one = One()
     one.run(1.5)
-    data = one.hears(Ask("b", 1, 5_000))
-    assert one.said(Lend) == [Lend("b", 1, 5_000)] and one.loans.lent(one.kernel.now) == 5_000
+    data = one.hears(LoanRequest("b", 1, 5_000))
+    assert (
+        one.said(LoanGrant) == [LoanGrant("b", 1, 5_000)]
+        and one.loans.lent_total(one.kernel.now) == 5_000
+    )
     one.sharing.datagram(data, ORIGIN)  # the network's copy
-    one.hears(Ask("b", 1, 5_000))  # the member's own
-    assert one.loans.lent(one.kernel.now) == 5_000
-    one.hears(Back("b", 1))
-    assert one.loans.lent(one.kernel.now) == 0
+    one.hears(LoanRequest("b", 1, 5_000))  # the member's own
+    assert one.loans.lent_total(one.kernel.now) == 5_000
+    one.hears(LoanReturn("b", 1))
+    assert one.loans.lent_total(one.kernel.now) == 0
 
 
 @pytest.mark.parametrize(
@@ -157,28 +160,28 @@
 ) -> None:
     one = One()
     one.run(1.5)
-    number = one.loans.ask(one.kernel.now, "p1")
-    one.hears(Lend("b", number, 5_000), **wrong)
-    assert one.loans.held(one.kernel.now) == 0
-    one.hears(Lend("b", number, 5_000))
-    assert one.loans.held(one.kernel.now) == 5_000
+    number = one.loans.new_request(one.kernel.now, "p1")
+    one.hears(LoanGrant("b", number, 5_000), **wrong)
+    assert one.loans.borrowed_total(one.kernel.now) == 0
+    one.hears(LoanGrant("b", number, 5_000))
+    assert one.loans.borrowed_total(one.kernel.now) == 5_000
 
 
 def test_word_that_is_old_or_of_no_known_age_is_not_taken() -> None:
     one = One()
-    one.sharing.listed([Member(5, CacheState.READY, started_at=1.0)])
+    one.sharing.update_nodes([Member(5, CacheState.READY, started_at=1.0)])
     node = one.sharing.rounds.node_health._nodes[5]  # type: ignore[union-attr]
     one.hears(HealthReport(5, 1, 0.0, 3.0), at=WALL + one.kernel.now - 6.0)  # written long ago
     one.hears(HealthReport(5, 1, 0.0, 3.0), at=WALL + one.kernel.now + 600.0)  # or by another clock
-    assert not node.said
+    assert not node.rows
     one.run(3.0)  # it is asked whether it is there, and shows what it has had
     heard = next(e.number for e in one.sent if e.to == "p1")
     one.hears(HealthReport(5, 1, 0.0, 3.0), heard=heard, at=0.0)
-    assert list(node.said) == ["p1"]
+    assert list(node.rows) == ["p1"]
     one.run(6.0)
-    node.said.clear()
+    node.rows.clear()
     one.hears(HealthReport(5, 1, 0.0, 3.0), heard=heard, at=WALL + one.kernel.now)
-    assert not node.said  # held back since: by our own clock, whatever it says
+    assert not node.rows  # held back since: by our own clock, whatever it says
 
 
 def test_one_member_is_taken_so_often_and_no_more_and_what_is_sent_is_bounded() -> None:
@@ -186,14 +189,14 @@
     before = one.sharing.received
     for _ in range(1_000):
         one.hears(Ping(7))
-    assert one.sharing.received - before <= service.TAKEN_BURST
+    assert one.sharing.received - before <= service.RECEIVE_BURST
     assert one.sharing.refused >= 700
     for number in range(2, 6):  # others have room of their own, and are answered no further
         before = one.sharing.received
         for _ in range(150):
             one.hears(Ping(7), name=f"p{number}", life="l")
         assert one.sharing.received - before == 150
-    assert len(one.sent) <= service.SENT_BURST
+    assert len(one.sent) <= service.SEND_BURST
 
 
 def test_a_datagram_that_comes_twice_is_taken_once() -> None:
@@ -218,7 +221,7 @@
     assert told() == ["sharing.spent"]
     one.run(6.0)
     assert told() == ["sharing.spent", "sharing.room"]
-    (shown,) = look(one.sharing, "budgets")["budgets"]
+    (shown,) = view(one.sharing, "budgets")["budgets"]
     assert shown["let_in"] + shown["turned_away"] == 600
 
 
@@ -259,7 +262,7 @@
             1.0, f"m{number}", load_report(1.0 if lies else 0.0, 1e6 if lies else 4.0)
         )
     found = reports.end_round(1.5, (), 1.0)
-    assert 0 < len(found) <= OUTCOMES_MOST and all(
+    assert 0 < len(found) <= MAX_OUTCOMES and all(
         badness <= 0.2 / 1.1 + 1e-9 for _, badness, *_ in found
     )
 
@@ -274,54 +277,57 @@
 def test_a_round_tells_few_in_calm_many_of_trouble_and_nothing_beside_a_twin() -> None:
     up = [f"m{number}" for number in range(100)]
     rounds = Rounds("a", True, 0.0, random.Random(1))
-    rounds.listed([Member(5, CacheState.READY, started_at=1.0)])
-    rounds.met(1.0, 5, Result.OK)
-    rounds.met(1.0, 5, Result.FULL)  # tells of the load, not of the node
-    calm = rounds.next(1.0, up, [], {}, False)
+    rounds.update_nodes([Member(5, CacheState.READY, started_at=1.0)])
+    rounds.record_attempt(1.0, 5, Result.OK)
+    rounds.record_attempt(1.0, 5, Result.FULL)  # tells of the load, not of the node
+    calm = rounds.run_round(1.0, up, [], {}, False)
     assert len(calm.to) == CALM_FANOUT and HealthReport(5, 1, 1.0, 0.0) in calm.items
-    rounds.met(1.5, 5, Result.LATE)
+    rounds.record_attempt(1.5, 5, Result.LATE)
     assert not rounds.due(1.3) and rounds.due(1.7)
-    assert len(rounds.next(1.7, up, [], {}, False).to) == TROUBLE_FANOUT
-    assert rounds.next(2.4, up, [], {}, True).to == []
+    assert len(rounds.run_round(1.7, up, [], {}, False).to) == TROUBLE_FANOUT
+    assert rounds.run_round(2.4, up, [], {}, True).to == []
     for member in ("m1", "m2", "m3"):
-        rounds.heard(3.0, member, "a", HealthReport(5, 1, 0.0, 3.0), 0.0)
-        too_old = OUTCOME_AGE_MOST_S + 0.1
-        rounds.heard(3.0, member, "a", load_report(1.0), too_old)
-    first, second = (rounds.next(at, up, [], {}, False) for at in (3.1, 3.7))
-    assert (first.bad, first.new, second.bad, second.new) == ([5], [5], [5], [])
+        rounds.receive(3.0, member, "a", HealthReport(5, 1, 0.0, 3.0), 0.0)
+        too_old = MAX_OUTCOME_AGE_S + 0.1
+        rounds.receive(3.0, member, "a", load_report(1.0), too_old)
+    first, second = (rounds.run_round(at, up, [], {}, False) for at in (3.1, 3.7))
+    assert (first.unhealthy, first.newly_unhealthy, second.unhealthy, second.newly_unhealthy) == (
+        [5],
+        [5],
+        [5],
+        [],
+    )
     assert not first.outcomes
-    rounds.left("m1")
-    assert rounds.next(4.3, up, [], {}, False).bad == []  # two are left
+    rounds.forget_member("m1")
+    assert rounds.run_round(4.3, up, [], {}, False).unhealthy == []  # two are left
 
 
 def test_a_hint_ends_with_the_trouble_and_the_proxy_is_told_so() -> None:
     one = One()
-    one.sharing.listed([Member(5, CacheState.READY, started_at=1.0)])
+    one.sharing.update_nodes([Member(5, CacheState.READY, started_at=1.0)])
     for name in ("p1", "p2", "p3"):
         one.hears(Rumor(name, "l1", 1, "a", "127.0.0.1:7009"), name=name)
         one.hears(HealthReport(5, 1, 0.0, 3.0), name=name)
     one.run(1.0)
     assert one.proxy.told[-1][0] == [5]
-    assert [node["avoided"] for node in look(one.sharing, "beliefs")["nodes"]] == [True]
+    assert [node["avoided"] for node in view(one.sharing, "beliefs")["nodes"]] == [True]
     one.run(25.0)
     assert one.proxy.told[-1][0] == []
-    assert [node["avoided"] for node in look(one.sharing, "beliefs")["nodes"]] == [False]
+    assert [node["avoided"] for node in view(one.sharing, "beliefs")["nodes"]] == [False]
 
 
 def test_a_hint_that_ended_does_not_make_the_next_one_easier() -> None:
     rounds = Rounds("a", True, 0.0, random.Random(1))
-    rounds.listed([Member(5, CacheState.READY, started_at=1.0)])
+    rounds.update_nodes([Member(5, CacheState.READY, started_at=1.0)])
     members = ("m1", "m2", "m3")
     for member in members:
-        rounds.heard(1.0, member, "a", HealthReport(5, 1, 0.0, 3.0), 0.0)
-    assert rounds.next(1.1, members, [], {}, False).bad == [5]
-    ended = rounds.next(40.0, members, [], {}, False)
-    assert (ended.bad, ended.ended) == ([], [5])
-    for member in members:
-        rounds.heard(
-            41.0, member, "a", HealthReport(5, 1, 0.6, 0.4), 0.0
-        )  # too little to be held for bad
-    assert rounds.next(41.1, members, [], {}, False).bad == []
+        rounds.receive(1.0, member, "a", HealthReport(5, 1, 0.0, 3.0), 0.0)
+    assert rounds.run_round(1.1, members, [], {}, False).unhealthy == [5]
+    ended = rounds.run_round(40.0, members, [], {}, False)
+    assert (ended.unhealthy, ended.recovered) == ([], [5])
+    for member in members:  # 0.4 of 1.0 bad: below BAD_SHARE
+        rounds.receive(41.0, member, "a", HealthReport(5, 1, 0.6, 0.4), 0.0)
+    assert rounds.run_round(41.1, members, [], {}, False).unhealthy == []
 
 
 def test_sums_that_make_no_sense_are_left_out() -> None:
--- a/tests/violetroute/sharing/test_sharing_up_names.py
+++ b/tests/violetroute/sharing/test_sharing_up_names.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from violetroute.sharing.members import PAGE, Members
-from violetroute.sharing.wire import Page, Paged, Rumor
+from violetroute.sharing.members import PAGE_MEMBERS, Members
+from violetroute.sharing.wire import PageEnd, PageRequest, Rumor
 
 
 def rebuilt(members: Members) -> list[str]:
@@ -17,9 +17,9 @@
 
 def page(members: Members, asking: str, after: str) -> tuple[list[str], str]:
     """Names of one page, and the last of it if more follow."""
-    (out,) = members.heard(1.0, asking, "another life", 1, Page(after), "127.0.0.1:9")
+    (out,) = members.receive(1.0, asking, "another life", 1, PageRequest(after), "127.0.0.1:9")
     names = [item.name for item in out.items if isinstance(item, Rumor)]
-    (last,) = [item.last for item in out.items if isinstance(item, Paged)]
+    (last,) = [item.last for item in out.items if isinstance(item, PageEnd)]
     return names[1:], last  # without its own
 
 
@@ -35,7 +35,7 @@
         incarnation = incarnations[name] = incarnations.get(name, 0) + draw.randrange(2)
         state = draw.choice("aaasdl")
         rumor = Rumor(name, "l", incarnation, state, "127.0.0.1:2", "z", "p99")
-        members.heard(now, "stranger", "x", 1, rumor, "127.0.0.1:3")
+        members.receive(now, "stranger", "x", 1, rumor, "127.0.0.1:3")
         if draw.random() < 0.1:
             now += 70.0  # the dead are forgotten
             members.tick(now)
@@ -43,5 +43,5 @@
         assert members.size == 1 + len(rebuilt(members))
         asking, after = f"p{draw.randrange(40):02}", draw.choice(["", f"p{draw.randrange(40):02}"])
         there = sorted(each for each in rebuilt(members) if each > after and each != asking)
-        last = there[PAGE - 1] if len(there) > PAGE else ""
-        assert page(members, asking, after) == (there[:PAGE], last)
+        last = there[PAGE_MEMBERS - 1] if len(there) > PAGE_MEMBERS else ""
+        assert page(members, asking, after) == (there[:PAGE_MEMBERS], last)
--- a/violetroute/__main__.py
+++ b/violetroute/__main__.py
@@ -173,9 +173,9 @@
 
 
 async def _door(sharing: Sharing) -> LocalDoor | None:
-    from .sharing.factory import door_of
+    from .sharing.factory import introspection_listener
 
-    door = door_of(sharing.table, sharing)
+    door = introspection_listener(sharing.table, sharing)
     if door is not None:
         await door.open()
     return door
--- a/violetroute/distribution/signing.py
+++ b/violetroute/distribution/signing.py
@@ -16,12 +16,12 @@
 import secrets
 from dataclasses import dataclass
 
-from violetroute.sharing.wire import SEAL, Keys
+from violetroute.sharing.wire import SEAL_BYTES, Keys
 
 HEADER = "MAC"
 HEADER_NAME = b"mac"  # as h11 gives it
 NONCE_BYTES = 12
-SIGNATURE_BYTES = 1 + SEAL
+SIGNATURE_BYTES = 1 + SEAL_BYTES
 REQUEST_PURPOSE, ANSWER_PURPOSE = b"lb-http-request", b"lb-http-answer"
 
 
--- a/violetroute/proxy.py
+++ b/violetroute/proxy.py
@@ -252,7 +252,7 @@
         for listed in self.parts.listed:
             listed(members)
 
-    def others(self, bad: list[int], outcomes: list[Judged]) -> None:
+    def apply_peer_reports(self, bad: list[int], outcomes: list[Judged]) -> None:
         """What other proxies met at the nodes."""
         self._tell(None, self._balancer.on_others, bad, outcomes)
 
--- a/violetroute/sharing/byte_pacer.py
+++ b/violetroute/sharing/byte_pacer.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Pace:
+class BytePacer:
     """A token bucket that may be overdrawn by one use, and allows none until that is paid for."""
 
     __slots__ = ("_at", "_burst", "_level", "_rate")
--- a/violetroute/sharing/decaying_outcomes.py
+++ b/violetroute/sharing/decaying_outcomes.py
@@ -4,21 +4,21 @@
 
 from dataclasses import dataclass
 
-HALF_LIFE = 4.0  # s: of 46 proxies that see little three have met a bad node within one
-WEIGHT_LEAST = 0.2  # outcomes: what has faded further says nothing
+HALF_LIFE_S = 4.0  # s: of 46 proxies that see little three have met a bad node within one
+MIN_WEIGHT = 0.2  # outcomes: what has faded further says nothing
 
 
 @dataclass(slots=True)
-class Tally:
+class DecayingOutcomes:
     """Outcomes that fade."""
 
     good: float = 0.0
     bad: float = 0.0
     at: float = 0.0
 
-    def fade(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         if now > self.at:
-            left = 0.5 ** ((now - self.at) / HALF_LIFE)
+            left = 0.5 ** ((now - self.at) / HALF_LIFE_S)
             self.good, self.bad, self.at = self.good * left, self.bad * left, now
 
     @property
@@ -26,6 +26,6 @@
         return self.good + self.bad
 
     @property
-    def share(self) -> float:
+    def bad_share(self) -> float:
         """Of trouble; the same however far the tally has faded."""
         return self.bad / max(self.good + self.bad, 1e-9)
--- a/violetroute/sharing/digest.py
+++ b/violetroute/sharing/digest.py
@@ -18,24 +18,24 @@
 from hashlib import blake2b
 
 from .rumors import Member
-from .wire import BUCKETS_MOST, SHORT, Rumor
+from .wire import MAX_BUCKETS, SHORT_BYTES, Rumor
 
-LEAVES = BUCKETS_MOST  # in which hashes are kept; a bucket is one of them or several neighbours
+LEAVES = MAX_BUCKETS  # in which hashes are kept; a bucket is one of them or several neighbours
 BUCKET_MEMBERS = 16  # of one bucket on average, until there are BUCKETS_MOST of them
-SHORT_MASK = 2 ** (8 * SHORT) - 1
+SHORT_MASK = 2 ** (8 * SHORT_BYTES) - 1
 
 
 def bucket_count(members: int) -> int:
     """The number of buckets for so many members: a power of two."""
     buckets = 1
-    while buckets < BUCKETS_MOST and members > BUCKET_MEMBERS * buckets:
+    while buckets < MAX_BUCKETS and members > BUCKET_MEMBERS * buckets:
         buckets *= 2
     return buckets
 
 
 def is_bucket_count(buckets: int) -> bool:
     """Whether lists can be divided into so many buckets."""
-    return 1 <= buckets <= BUCKETS_MOST and buckets & (buckets - 1) == 0
+    return 1 <= buckets <= MAX_BUCKETS and buckets & (buckets - 1) == 0
 
 
 def member_hash(name: str, life: str, incarnation: int) -> int:
@@ -46,13 +46,13 @@
 
 def pack_short(values: Iterable[int]) -> bytes:
     """The last SHORT bytes of each hash or digest."""
-    return b"".join((value & SHORT_MASK).to_bytes(SHORT, "big") for value in values)
+    return b"".join((value & SHORT_MASK).to_bytes(SHORT_BYTES, "big") for value in values)
 
 
 def unpack_short(data: bytes) -> list[int]:
     """What `pack_short` gave, without an incomplete last one."""
-    ends = range(SHORT, len(data) + 1, SHORT)
-    return [int.from_bytes(data[end - SHORT : end], "big") for end in ends]
+    ends = range(SHORT_BYTES, len(data) + 1, SHORT_BYTES)
+    return [int.from_bytes(data[end - SHORT_BYTES : end], "big") for end in ends]
 
 
 class MemberDigests:
--- a/violetroute/sharing/expiry_queue.py
+++ b/violetroute/sharing/expiry_queue.py
@@ -15,7 +15,7 @@
 BUCKET_S = 0.5  # as often as node health looks
 
 
-class FadingQueue:
+class ExpiryQueue:
     """Rows by number. Times: s."""
 
     __slots__ = ("_bucket", "_first", "_lists", "_order")
--- a/violetroute/sharing/factory.py
+++ b/violetroute/sharing/factory.py
@@ -11,21 +11,21 @@
 from violetroute.transport import Network
 from violetroute.transport.local import LocalDoor
 
-from .introspection import look
+from .introspection import view
 from .service import Host, Sharing
 from .table import SharingTable, read_keys
 
 T = TypeVar("T")
 
 
-class Heard(Host, Protocol):
+class ProxyHost(Host, Protocol):
     """The proxy."""
 
     parts: Parts
 
 
 def make_sharing(
-    table: SharingTable, name: str, zone: str, max_backoff: float, net: Network, proxy: Heard
+    table: SharingTable, name: str, zone: str, max_backoff: float, net: Network, proxy: ProxyHost
 ) -> Sharing:
     """OSError where it cannot listen, OSError or ValueError where the key can't be read."""
     sharing = Sharing(table, read_keys(table.key_file), name, zone, max_backoff, net, proxy)
@@ -33,23 +33,23 @@
     return sharing
 
 
-def attach(sharing: Sharing, proxy: Heard) -> None:
+def attach(sharing: Sharing, proxy: ProxyHost) -> None:
     """It hears of requests, attempts and lists from now on."""
     parts = proxy.parts
     if sharing.rounds.node_health is not None:
-        parts.ended.append(safely(sharing.met))
-        parts.listed.append(safely(sharing.listed))
-        sharing.listed(proxy.places.members())
-    parts.taken.append(safely(sharing.asked))
+        parts.ended.append(safely(sharing.record_attempt))
+        parts.listed.append(safely(sharing.update_nodes))
+        sharing.update_nodes(proxy.places.members())
+    parts.taken.append(safely(sharing.record_request))
     parts.admits = safely(sharing.admits)
 
 
-def safely(told: Callable[..., T]) -> Callable[..., T | None]:
+def safely(hook: Callable[..., T]) -> Callable[..., T | None]:
     """A fault of ours costs no request: it is told, and the request goes its way."""
 
     def call(*args: object) -> T | None:
         try:
-            return told(*args)
+            return hook(*args)
         except Exception as error:
             logs.event("daemon.fault", what="in sharing", error=error)
             return None
@@ -57,5 +57,5 @@
     return call
 
 
-def door_of(table: SharingTable, sharing: Sharing) -> LocalDoor | None:
-    return LocalDoor(table.socket, partial(look, sharing)) if table.socket else None
+def introspection_listener(table: SharingTable, sharing: Sharing) -> LocalDoor | None:
+    return LocalDoor(table.socket, partial(view, sharing)) if table.socket else None
--- a/violetroute/sharing/gossip.py
+++ b/violetroute/sharing/gossip.py
@@ -1,12 +1,12 @@
 """What a proxy tells of itself unasked, to how many, and what it makes of the others'.  Pure.
 
 A round each ROUND_S: what its requests met, what came of them, what it has to spare, what is asked
-for most.  In calm it goes to CALM_FANOUT members by chance; while trouble is fresh to
+for most.  In calm it goes to CALM_FANOUT members by random; while trouble is fresh to
 TROUBLE_FANOUT, since of a large fleet three must have met a node before anybody believes it.  So
 what a member sends does not grow with the fleet, and what is heard is a sample of it.
 
-What is heard is of an age: beyond REPORT_AGE_MOST_S it is left alone, what came of requests beyond
-OUTCOME_AGE_MOST_S, also where it has stood here meanwhile because this process was stopped.
+What is heard is of an age: beyond MAX_REPORT_AGE_S it is left alone, what came of requests beyond
+MAX_OUTCOME_AGE_S, also where it has stood here meanwhile because this process was stopped.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 from .load_reports import LoadReports
 from .node_health import NodeHealth
 from .report_budget import ByteBucket, ReportBudget
-from .wire import Counted, HealthReport, Item, LoadReport, Spare
+from .wire import HealthReport, HeavyHitterReport, Item, LoadReport, SpareReport
 
 ROUND_S = 0.5  # s between two rounds
 CALM_FANOUT, TROUBLE_FANOUT = 2, 16  # members that a round tells
 URGENT_BADNESS = 0.5  # bad outcomes from which it tells many
-REPORT_AGE_MOST_S = 5.0  # s
-OUTCOME_AGE_MOST_S = 1.0  # s
-HITTERS_S = 1.0  # s between two tellings of counts, at least
+MAX_REPORT_AGE_S = 5.0  # s
+MAX_OUTCOME_AGE_S = 1.0  # s
+HITTERS_INTERVAL_S = 1.0  # s between two tellings of counts, at least
 SAMPLED_SHARE = 0.25  # of the requests: a full summary costs as much as all else here
 # What tells of the node; other results tell of the load or of the client.
 BAD_RESULTS = frozenset({Result.LATE, Result.RESET, Result.NO_CONNECTION})
@@ -56,9 +56,13 @@
 
     to: list[str] = field(default_factory=list)  # members that are told of anything
     reports: list[Report] = field(default_factory=list)
-    bad: list[int] = field(default_factory=list)  # nodes that seem so by what others met
-    new: list[int] = field(default_factory=list)  # of them, those that did not the round before
-    ended: list[int] = field(default_factory=list)  # that seemed bad the round before, and do not
+    unhealthy: list[int] = field(default_factory=list)  # nodes that seem so by what others met
+    newly_unhealthy: list[int] = field(
+        default_factory=list
+    )  # of them, those that did not the round before
+    recovered: list[int] = field(
+        default_factory=list
+    )  # that seemed bad the round before, and do not
     outcomes: list[Judged] = field(default_factory=list)  # of others' requests
 
     @property
@@ -75,87 +79,91 @@
         zone: str,
         judge: bool,
         now: float,
-        chance: RandomSource,
+        random: RandomSource,
         budget: ReportBudget | None = None,
     ) -> None:
-        self._chance, self._budget = chance, budget
+        self._random, self._budget = random, budget
         self.node_health = NodeHealth(zone) if judge else None
         self.load_reports = LoadReports()
         self.heavy_hitters = {kind: HeavyHitters(kind, now) for kind in ("tenant", "key")}
-        self._at = now + ROUND_S * chance.random()  # those started together do not tell together
-        self._count_at = now
-        self._bad: list[int] = []
+        self._round_at = (
+            now + ROUND_S * random.random()
+        )  # those started together do not tell together
+        self._hitters_at = now
+        self._unhealthy: list[int] = []
 
     # --- its own ---
-    def met(self, now: float, node: int, result: Result) -> None:
+    def record_attempt(self, now: float, node: int, result: Result) -> None:
         """How an attempt ended at a node."""
         if self.node_health is not None and (result is Result.OK or result in BAD_RESULTS):
             self.node_health.record_outcome(now, node, result is not Result.OK)
 
-    def asked(self, now: float, tenant: str, key: int) -> None:
+    def record_request(self, now: float, tenant: str, key: int) -> None:
         """A request was let in."""
-        if self._chance.random() < SAMPLED_SHARE:
+        if self._random.random() < SAMPLED_SHARE:
             self.heavy_hitters["key"].add(now, key & (2**63 - 1), 1.0 / SAMPLED_SHARE)
         if tenant:
             self.heavy_hitters["tenant"].add(now, hash_of(tenant))
 
-    def listed(self, members: Iterable[Member]) -> None:
+    def update_nodes(self, members: Iterable[Member]) -> None:
         """Nodes that serve, and those that do not any more."""
         if self.node_health is not None:
             for member in members:
                 if member.state is CacheState.READY:
-                    self.node_health.listed(member.id, member.started_at)
+                    self.node_health.add_node(member.id, member.started_at)
                 else:
-                    self.node_health.gone(member.id)
+                    self.node_health.remove_node(member.id)
 
     # --- the others' ---
-    def heard(
+    def receive(
         self,
         now: float,
         member: str,
         zone: str,
-        item: HealthReport | LoadReport | Counted,
+        item: HealthReport | LoadReport | HeavyHitterReport,
         age: float,
     ) -> None:
         """Word of a member that is up, written `age` s ago at most."""
-        if age > REPORT_AGE_MOST_S:
+        if age > MAX_REPORT_AGE_S:
             return
-        if isinstance(item, Counted):
+        if isinstance(item, HeavyHitterReport):
             if item.kind in self.heavy_hitters:
                 self.heavy_hitters[item.kind].merge_report(now, member, item, age)
         elif self.node_health is None:
             return
         elif isinstance(item, HealthReport):
             self.node_health.merge_report(now, member, zone, item, age)
-        elif age <= OUTCOME_AGE_MOST_S:
+        elif age <= MAX_OUTCOME_AGE_S:
             self.load_reports.merge_report(now, member, item)
 
-    def left(self, member: str) -> None:
+    def forget_member(self, member: str) -> None:
         """Its word goes with it."""
         for hitters in self.heavy_hitters.values():
             hitters.forget_member(member)
         if self.node_health is not None:
-            self.node_health.left(member)
+            self.node_health.forget_member(member)
 
     # --- a round ---
     def due(self, now: float) -> bool:
-        return now >= self._at
+        return now >= self._round_at
 
-    def next(
+    def run_round(
         self,
         now: float,
         up: Sequence[str],
         judged: Iterable[Judged],
         budgets: Mapping[str, Budget],
-        silent: bool,
+        send_nothing: bool,
     ) -> Round:
         """`up`: the other members.  `judged`: what came of own requests since the last round.
-        `silent`: it tells nothing, since another process has its name; it hears all the same.
+        `send_nothing`: it tells nothing, since another process has its name; it hears all the same.
         """
-        self._at = now + ROUND_S * (0.8 + 0.4 * self._chance.random())
+        self._round_at = now + ROUND_S * (0.8 + 0.4 * self._random.random())
         round_, worst = Round(), 0.0
         load: list[Item] = [
-            Spare(name, spare) for name, budget in budgets.items() if (spare := budget.spare(now))
+            SpareReport(name, spare)
+            for name, budget in budgets.items()
+            if (spare := budget.spare(now))
         ]
         health: list[HealthReport] = []
         if self.node_health is not None:
@@ -163,27 +171,27 @@
             own_load = self.load_reports.reports_to_send(judged)
             load += own_load
             worst = max((*(s.bad for s in health), *(s.bad for s in own_load)), default=0.0)
-            self._judge(round_, now, self.node_health)
+            self._apply_reports(round_, now, self.node_health)
         hitters: list[Item] = []
-        if now >= self._count_at:
+        if now >= self._hitters_at:
             kinds = self.heavy_hitters.values()
             hitters += [kind.report(now) for kind in kinds if kind.own.counters]
-        if (load or health or hitters) and not silent:
+        if (load or health or hitters) and not send_nothing:
             many = TROUBLE_FANOUT if worst >= URGENT_BADNESS else CALM_FANOUT
-            to = self._chance.sample(up, min(many, len(up)))
-            self._report(round_, now, to, load, health, hitters)
+            to = self._random.sample(up, min(many, len(up)))
+            self._build_reports(round_, now, to, load, health, hitters)
         return round_
 
-    def _judge(self, round_: Round, now: float, node_health: NodeHealth) -> None:
+    def _apply_reports(self, round_: Round, now: float, node_health: NodeHealth) -> None:
         """What this proxy takes from the others' reports in this round."""
-        round_.bad = node_health.judge(now)
-        round_.new = [node for node in round_.bad if node not in self._bad]
-        round_.ended = [node for node in self._bad if node not in round_.bad]
-        self._bad = round_.bad
-        cut_off = node_health.cut(now)
-        round_.outcomes = self.load_reports.end_round(now, cut_off, OUTCOME_AGE_MOST_S)
-
-    def _report(
+        round_.unhealthy = node_health.unhealthy_nodes(now)
+        round_.newly_unhealthy = [node for node in round_.unhealthy if node not in self._unhealthy]
+        round_.recovered = [node for node in self._unhealthy if node not in round_.unhealthy]
+        self._unhealthy = round_.unhealthy
+        isolated = node_health.isolated_members(now)
+        round_.outcomes = self.load_reports.end_round(now, isolated, MAX_OUTCOME_AGE_S)
+
+    def _build_reports(
         self,
         round_: Round,
         now: float,
@@ -199,22 +207,22 @@
             round_.reports = [Report(load, to), Report([*health], to), Report(hitters, to)]
         else:
             budget.refill(now)
-            if urgent and budget.health.affords(now, budget.size(health), True) < len(to):
+            if urgent and budget.health.affordable_copies(now, budget.size(health), True) < len(to):
                 sound = [report for report in health if report.bad < URGENT_BADNESS]
                 health = urgent + sound[: len(urgent)]
             round_.reports = [
-                self._within(budget, budget.load, now, to, load, True),
-                self._within(budget, budget.health, now, to, [*health], bool(urgent)),
-                self._within(budget, budget.hitters, now, to, hitters, True),
+                self._limit_report(budget, budget.load, now, to, load, True),
+                self._limit_report(budget, budget.health, now, to, [*health], bool(urgent)),
+                self._limit_report(budget, budget.hitters, now, to, hitters, True),
             ]
         if self.node_health is not None and round_.reports[1].to:
-            self.node_health.told(health)
+            self.node_health.mark_sent(health)
         if round_.reports[2].to:
-            self._count_at = now + HITTERS_S
+            self._hitters_at = now + HITTERS_INTERVAL_S
         round_.to = max((report.to for report in round_.reports), key=len)
 
     @staticmethod
-    def _within(
+    def _limit_report(
         budget: ReportBudget,
         bucket: ByteBucket,
         now: float,
--- a/violetroute/sharing/heavy_hitters.py
+++ b/violetroute/sharing/heavy_hitters.py
@@ -15,12 +15,12 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from .wire import Counted
+from .wire import HeavyHitterReport
 
 SIZE = 32  # counters of one summary, and so of one datagram
 HALF_LIFE_S = 10.0  # after which half of a count is left
 STALE_S = 10.0  # without a report, after which a member's counts are left out
-MEMBERS_MOST = 1024
+MAX_MEMBERS = 1024
 
 
 @dataclass(slots=True)
@@ -43,17 +43,17 @@
         elif len(self.counters) < self.size:
             self.counters[key] = Counter(weight)
         else:
-            least = min(self.counters, key=lambda known: self.counters[known].count)
-            count = self.counters.pop(least).count
+            min_count = min(self.counters, key=lambda known: self.counters[known].count)
+            count = self.counters.pop(min_count).count
             self.counters[key] = Counter(count + weight, count)
 
-    def fade(self, left: float) -> None:
+    def decay(self, left: float) -> None:
         for counter in self.counters.values():
             counter.count *= left
             counter.error *= left
 
     @property
-    def least(self) -> float:
+    def min_count(self) -> float:
         """What a key that is not here may have had."""
         if len(self.counters) < self.size:
             return 0.0
@@ -71,15 +71,15 @@
     """Of all together; the order does not matter, since the cut is made once, at the end."""
     merged = Summary(size)
     every = list(summaries)
-    leasts = [summary.least for summary in every]
+    min_counts = [summary.min_count for summary in every]
     keys = {key for summary in every for key in summary.counters}
     all_: dict[int, Counter] = {}
     for key in keys:
         count = error = 0.0
-        for summary, least in zip(every, leasts, strict=True):
+        for summary, min_count in zip(every, min_counts, strict=True):
             counter = summary.counters.get(key)
-            count += least if counter is None else counter.count
-            error += least if counter is None else counter.error
+            count += min_count if counter is None else counter.count
+            error += min_count if counter is None else counter.error
         all_[key] = Counter(count, error)
     for key in sorted(all_, key=lambda key: (-all_[key].count, key))[:size]:
         merged.counters[key] = all_[key]
@@ -99,23 +99,23 @@
 
     def _fade(self, now: float) -> None:
         if now - self._at >= HALF_LIFE_S / 50.0:
-            self.own.fade(0.5 ** ((now - self._at) / HALF_LIFE_S))
+            self.own.decay(0.5 ** ((now - self._at) / HALF_LIFE_S))
             self._at = now
 
-    def report(self, now: float) -> Counted:
+    def report(self, now: float) -> HeavyHitterReport:
         """What this member saw itself, for the others."""
         self._fade(now)
         top = self.own.top()
-        return Counted(
+        return HeavyHitterReport(
             self.kind,
             [key for key, _, _ in top],
             [round(c, 1) for _, c, _ in top],
             [round(e, 1) for _, _, e in top],
         )
 
-    def merge_report(self, now: float, member: str, counted: Counted, age: float) -> None:
+    def merge_report(self, now: float, member: str, counted: HeavyHitterReport, age: float) -> None:
         """Take another member's report, written `age` s ago, in place of its last one."""
-        if member not in self._others and len(self._others) >= MEMBERS_MOST:
+        if member not in self._others and len(self._others) >= MAX_MEMBERS:
             return
         if not len(counted.keys) == len(counted.counts) == len(counted.errors) <= self._size:
             return
@@ -129,7 +129,7 @@
         """It has left: its counts go with it."""
         self._others.pop(member, None)
 
-    def of_fleet(self, now: float) -> Summary:
+    def fleet_summary(self, now: float) -> Summary:
         """Of all that were heard of lately, and of this one."""
         self._fade(now)
         every = [self.own]
--- a/violetroute/sharing/introspection.py
+++ b/violetroute/sharing/introspection.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from .budget import UNIT, Budget
+from .budget import UNITS_PER_REQUEST, Budget
 from .loans import StandingLoan
 from .service import Sharing
 
@@ -12,9 +12,9 @@
 SHOWN_HITTERS = 10  # of each kind
 
 
-def look(sharing: Sharing, what: str) -> dict[str, Any]:
+def view(sharing: Sharing, what: str) -> dict[str, Any]:
     """KeyError for what there is not."""
-    views = {"members": _members, "beliefs": _beliefs, "budgets": _budgets}
+    views = {"members": _members, "beliefs": _health_estimates, "budgets": _budgets}
     return views[what](sharing, sharing.loop.time())
 
 
@@ -23,7 +23,7 @@
         "name": sharing.name,
         "life": sharing.life,
         "health": sharing.members.health,
-        "twin": sharing.members.twin is not None,
+        "twin": sharing.members.duplicate is not None,
         "sent": sharing.sent,
         "received": sharing.received,
         "refused": sharing.refused,
@@ -36,16 +36,18 @@
                 "address": member.place,
                 "zone": member.zone,
                 "since_s": round(now - member.since, 1),
-                "heard_s": round(now - member.heard_at, 1) if member.heard_at > 0.0 else None,
+                "heard_s": round(now - member.last_contact_at, 1)
+                if member.last_contact_at > 0.0
+                else None,
             }
             for member in sharing.members.members.values()
         ],
     }
 
 
-def _beliefs(sharing: Sharing, now: float) -> dict[str, Any]:
+def _health_estimates(sharing: Sharing, now: float) -> dict[str, Any]:
     node_health = sharing.rounds.node_health
-    nodes = [] if node_health is None else node_health.beliefs(now)
+    nodes = [] if node_health is None else node_health.estimates(now)
     return {
         "nodes": [
             {
@@ -60,7 +62,7 @@
         "counts": {
             kind: [
                 [f"{key:016x}", round(count, 1), round(error, 1)]
-                for key, count, error in hitters.of_fleet(now).top()[:SHOWN_HITTERS]
+                for key, count, error in hitters.fleet_summary(now).top()[:SHOWN_HITTERS]
             ]
             for kind, hitters in sharing.rounds.heavy_hitters.items()
         },
@@ -69,7 +71,7 @@
 
 def _budgets(sharing: Sharing, now: float) -> dict[str, Any]:
     return {
-        "proxies": sharing.divided,
+        "proxies": sharing.budget_proxies,
         "budgets": [_budget(name, budget, now) for name, budget in sharing.budgets.items()],
     }
 
@@ -78,17 +80,17 @@
     loans = budget.loans
     return {
         "name": name,
-        "own": loans.own(now) / UNIT,
-        "home": loans.home / UNIT,
+        "own": loans.own_authority(now) / UNITS_PER_REQUEST,
+        "home": loans.home / UNITS_PER_REQUEST,
         "asked_per_s": round(budget.demand(now), 2),
-        "may_spend": loans.authority(now) / UNIT,
-        "let_in": budget.let_in,
-        "turned_away": budget.turned_away,
-        "whole_in_s": round(max(0.0, loans.home_whole_at - now), 2),
-        "borrowed": [_shown(loan) for loan in loans.borrowed(now)],
-        "lent": [_shown(loan) for loan in loans.lent_out(now)],
+        "may_spend": loans.authority(now) / UNITS_PER_REQUEST,
+        "let_in": budget.admitted,
+        "turned_away": budget.rejected,
+        "whole_in_s": round(max(0.0, loans.home_available_at - now), 2),
+        "borrowed": [_shown(loan) for loan in loans.borrowed_loans(now)],
+        "lent": [_shown(loan) for loan in loans.lent_loans(now)],
     }
 
 
 def _shown(loan: StandingLoan) -> list[Any]:
-    return [loan.member, loan.amount / UNIT, round(loan.left_s, 2)]
+    return [loan.member, loan.amount / UNITS_PER_REQUEST, round(loan.left_s, 2)]
--- a/violetroute/sharing/load_reports.py
+++ b/violetroute/sharing/load_reports.py
@@ -19,11 +19,11 @@
 
 from .wire import LoadReport
 
-MEMBER_WEIGHT_MOST = 2.0  # times the median member's count
-MEMBERS_LEAST = 3  # members that have to be heard in a round
+MAX_RELATIVE_WEIGHT = 2.0  # times the median member's count
+MIN_MEMBERS = 3  # members that have to be heard in a round
 REPORTED_PER_OUTCOME = 4.0  # outcomes heard that make one of those that the module takes
-OUTCOMES_MOST = 8  # that it takes in a round: its own must not drown
-MEMBERS_MOST = 256  # heard in one round
+MAX_OUTCOMES = 8  # that it takes in a round: its own must not drown
+MAX_MEMBERS = 256  # heard in one round
 
 
 class LoadReports:
@@ -52,11 +52,11 @@
             and report.queued <= report.count
             and report.aim > 0.0
             and report.count >= 1.0
-            and len(self._heard) < MEMBERS_MOST
+            and len(self._heard) < MAX_MEMBERS
         ):
             self._heard[member, report.kept] = report, now
 
-    def end_round(self, now: float, cut: Collection[str], age: float) -> list[Judged]:
+    def end_round(self, now: float, isolated: Collection[str], age: float) -> list[Judged]:
         """What the module takes of this round; the next begins.
 
         What was heard before a stop of this process, more than `age` s ago, is of another hour.
@@ -64,22 +64,22 @@
         heard, self._heard = self._heard, {}
         found: list[Judged] = []
         for kept in (True, False):
-            said = [
+            reports = [
                 report
                 for (member, which), (report, at) in heard.items()
-                if which is kept and member not in cut and now - at <= age
+                if which is kept and member not in isolated and now - at <= age
             ]
-            if len(said) < MEMBERS_LEAST:
+            if len(reports) < MIN_MEMBERS:
                 continue
-            most = MEMBER_WEIGHT_MOST * median(report.count for report in said)
-            shares = [min(1.0, most / report.count) for report in said]
+            most = MAX_RELATIVE_WEIGHT * median(report.count for report in reports)
+            shares = [min(1.0, most / report.count) for report in reports]
             count, bad, took, aim, queued = (
                 sum(
                     share * getattr(report, name)
-                    for share, report in zip(shares, said, strict=True)
+                    for share, report in zip(shares, reports, strict=True)
                 )
                 for name in ("count", "bad", "took", "aim", "queued")
             )
             one = kept, bad / count, took / count, aim / count, queued > count / 2.0
-            found += [one] * min(OUTCOMES_MOST, round(count / REPORTED_PER_OUTCOME))
+            found += [one] * min(MAX_OUTCOMES, round(count / REPORTED_PER_OUTCOME))
         return found
--- a/violetroute/sharing/member_list.py
+++ b/violetroute/sharing/member_list.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 
 from .digest import MemberDigests
-from .not_alive import Doubted
+from .not_alive import NotAliveMembers
 from .rumors import Member
 from .seeds import Seeds
 from .up_names import UpNames
@@ -21,7 +21,7 @@
     def __init__(self, seeds: Iterable[str], own_place: str) -> None:
         self.members: dict[str, Member] = {}
         self.up = UpNames()
-        self.doubted = Doubted()
+        self.not_alive = NotAliveMembers()
         self.seeds = Seeds(seeds, own_place)
         self.digests = MemberDigests()  # with the process that is listed under one's own name
 
@@ -45,10 +45,10 @@
             self.seeds.joined(known.place)
         if known.up != was_up:
             self.up.changed(known)
-        self.doubted.file(known)
+        self.not_alive.file(known)
         self.digests.file(known)
 
     def forget(self, name: str) -> Member:
         """One that is not up any more.  KeyError if it is not known."""
-        self.doubted.forget(name)
+        self.not_alive.forget(name)
         return self.members.pop(name)
--- a/violetroute/sharing/members.py
+++ b/violetroute/sharing/members.py
@@ -15,7 +15,8 @@
 start, raised whenever it denies something: so a life that comes back is above the one before, with
 or without a disk; where the clock was set back it hears that it is dead, and goes above that.  Two
 that run under one name hear of each other as of a higher incarnation of another life: the lower one
-stands aside (`twin`), says nothing of itself any more, and comes back when the other is dead.  What
+stands aside (`duplicate`),
+says nothing of itself any more, and comes back when the other is dead.  What
 a process of another life answers is no life sign of the one that is listed.
 
 Bounds: members, suspectors of each, rumors that wait, relayed asks; datagrams sent a period.
@@ -30,29 +31,29 @@
 
 from .anti_entropy import AntiEntropy
 from .member_list import MemberList
-from .outgoing import Out
-from .probe import POSTPONED_SHARE, Probe, is_late, suspicion_time
+from .outgoing import Outgoing
+from .probe import POSTPONE_SHARE, Probe, is_late, suspicion_time
 from .relays import Relay, Relays
-from .rumors import CONFIRMED, Member, Rumors, overrides
+from .rumors import MAX_CONFIRMATIONS, Member, Rumors, overrides
 from .wire import (
     ANTI_ENTROPY,
     Ack,
     Item,
     Nack,
-    Need,
-    Page,
-    Paged,
+    PageEnd,
+    PageRequest,
     Ping,
+    PingRequest,
     Rumor,
 )
 
-MEMBERS_MOST = 4096
+MAX_MEMBERS = 4096
 HELPERS = 3  # that are asked to ask
 DIRECT_SHARE = 0.35  # of a period until helpers are asked
 RELAY_SHARE = 0.8  # of the rest until a helper says that it heard nothing either
-HEALTH_MOST = 6  # how slow one's own bad health makes one
-PAGE = 12  # members of one page
-AGAIN_S = 3.0  # s between two asks of who is thought dead, or of a seed
+MAX_HEALTH = 6  # how slow one's own bad health makes one
+PAGE_MEMBERS = 12  # members of one page
+RECONNECT_S = 3.0  # s between two asks of who is thought dead, or of a seed
 FORGET_S = 60.0  # s after which the dead are forgotten: they have been asked again by then
 
 
@@ -77,23 +78,23 @@
         self._random, self._changed = random, changed
         self._list = MemberList(seeds, place)
         self.members = self._list.members
-        self._up, self._doubted = self._list.up, self._list.doubted
+        self._up, self._not_alive = self._list.up, self._list.not_alive
         self._seeds = self._list.seeds
         self.health = 0  # 0 is well
-        self.twin: Member | None = None  # another life of our name, above us
+        self.duplicate: Member | None = None  # another life of our name, above us
         self._order: list[str] = []
         self._probe: Probe | None = None
         self._probe_at = now + period * random.random()
-        self._again_at = now + min(period, 0.2) * random.random()
+        self._reconnect_at = now + min(period, 0.2) * random.random()
         self._number = random.getrandbits(30)
         self._rumors = Rumors()
         self._relays = Relays()
         take = partial(self._take, send_on=False)  # who lacks it finds that by comparing
-        self._anti_entropy = AntiEntropy(self._list, self._listed, take, random, now)
+        self._anti_entropy = AntiEntropy(self._list, self._listed_self, take, random, now)
         self._ticked_at = now
         self._postponed = False  # by the last tick, an end of a probe or of a suspicion
         self.leaving = False
-        self._list.digests.file(self._listed())
+        self._list.digests.file(self._listed_self())
 
     # --- what is known ---
     def up(self) -> list[str]:
@@ -109,55 +110,57 @@
         """Of the fleet as it is believed, this one with it."""
         return 1 + self._up.count
 
-    def of(self, name: str) -> tuple[str, str, str]:
+    def lookup(self, name: str) -> tuple[str, str, str]:
         """Life, place and zone; "" each of one that is not known."""
         member = self.members.get(name)
         return ("", "", "") if member is None else (member.life, member.place, member.zone)
 
-    def own(self) -> Rumor:
+    def own_rumor(self) -> Rumor:
         state = "l" if self.leaving else "a"
         return Rumor(self.name, self.life, self.incarnation, state, self._place, self._zone)
 
     # --- time ---
-    def tick(self, now: float) -> list[Out]:
+    def tick(self, now: float) -> list[Outgoing]:
         """What is to be sent by now.  Called each TICK_S, or the ticks count as late."""
         late = is_late(now - self._ticked_at, self._period)
         self._ticked_at, self._postponed = now, False
         # A process that is late itself cannot say that it is well and heard nothing.
         over = self._relays.overdue(now)
-        out = [Out(relay.requester, "", (Nack(relay.number),)) for relay in over if not late]
+        out = [Outgoing(relay.requester, "", (Nack(relay.number),)) for relay in over if not late]
         probe = self._probe
         if probe is not None:
-            if probe.helped_at <= now < probe.end:
-                probe.helped_at = math.inf
-                out += self._help(probe)
+            if probe.helpers_at <= now < probe.end:
+                probe.helpers_at = math.inf
+                out += self._request_helpers(probe)
             elif now >= probe.end and not (late and self._postpone(probe, now)):
-                self._failed(probe, now)
+                self._probe_failed(probe, now)
         if self._probe is None and now >= self._probe_at:
-            out += self._begin(now)
-        self._suspicions(now, late)
+            out += self._begin_probe(now)
+        self._expire_suspects(now, late)
         if self._postponed:
-            self._unwell(1)
-        if now >= self._again_at:
-            self._again_at = now + AGAIN_S * (0.75 + 0.5 * self._random.random())
-            out += self._again(now)
+            self._adjust_health(1)
+        if now >= self._reconnect_at:
+            self._reconnect_at = now + RECONNECT_S * (0.75 + 0.5 * self._random.random())
+            out += self._reconnect(now)
         return out + self._anti_entropy.tick(now)
 
     def _postpone(self, judged: Probe | Member, now: float) -> bool:
         """Let what lies unread in the socket be read first; False if that was done before."""
         if not math.isinf(judged.not_before):
             return False
-        judged.not_before = now + POSTPONED_SHARE * self._period
+        judged.not_before = now + POSTPONE_SHARE * self._period
         self._postponed = True
         return True
 
-    def _begin(self, now: float) -> list[Out]:
+    def _begin_probe(self, now: float) -> list[Outgoing]:
         period = self._period * (1 + self.health)
         self._probe_at = now + period
-        if self.twin is not None:  # nobody asks it any more: it hears of the other by asking
+        if self.duplicate is not None:  # nobody asks it any more: it hears of the other by asking
             names = self.up()
             self._number += 1
-            return [Out(self._random.choice(names), "", (Ping(self._number),))] if names else []
+            return (
+                [Outgoing(self._random.choice(names), "", (Ping(self._number),))] if names else []
+            )
         while self._order:
             member = self.members.get(self._order.pop())
             if member is not None and member.up:
@@ -173,79 +176,93 @@
             member.name, member.life, self._number, now + period * DIRECT_SHARE, now + period
         )
         # With its own word: who was thought dead and forgotten is a stranger that asks.
-        return [Out(member.name, "", (Ping(self._number), self.own(), *self._buddy(member)))]
+        return [
+            Outgoing(
+                member.name,
+                "",
+                (Ping(self._number), self.own_rumor(), *self._notify_suspect(member)),
+            )
+        ]
 
-    def _buddy(self, member: Member) -> tuple[Item, ...]:
+    def _notify_suspect(self, member: Member) -> tuple[Item, ...]:
         """Who is suspected hears so first of all, and can deny it."""
         return (member.rumor(self.name),) if member.state != "a" else ()
 
-    def _help(self, probe: Probe) -> list[Out]:
+    def _request_helpers(self, probe: Probe) -> list[Outgoing]:
         names = self.up()
-        drawn = self._random.sample(names, min(HELPERS + 1, len(names)))  # the target too, perhaps
-        helpers = [name for name in drawn if name != probe.target][:HELPERS]
+        sampled = self._random.sample(
+            names, min(HELPERS + 1, len(names))
+        )  # the target too, perhaps
+        helpers = [name for name in sampled if name != probe.target][:HELPERS]
         probe.helpers = len(helpers)
         return [
-            Out(probe.target, "", (Ping(probe.number),)),
-            *(Out(name, "", (Need(probe.number, probe.target),)) for name in helpers),
+            Outgoing(probe.target, "", (Ping(probe.number),)),
+            *(Outgoing(name, "", (PingRequest(probe.number, probe.target),)) for name in helpers),
         ]
 
-    def _failed(self, probe: Probe, now: float) -> None:
+    def _probe_failed(self, probe: Probe, now: float) -> None:
         self._probe = None
         # Helpers that are silent too speak of our own health, those that answer do not.
-        self._unwell(1 if probe.helpers == 0 else probe.helpers - probe.nacks)
+        self._adjust_health(1 if probe.helpers == 0 else probe.helpers - probe.nacks)
         member = self.members.get(probe.target)
         if member is not None and member.up and member.life == probe.life:
-            self._take(member.rumored("s", self.name), now)
+            self._take(member.rumor_in_state("s", self.name), now)
 
-    def _unwell(self, by: int) -> None:
-        self.health = max(0, min(HEALTH_MOST, self.health + by))
+    def _adjust_health(self, by: int) -> None:
+        self.health = max(0, min(MAX_HEALTH, self.health + by))
 
-    def _suspicions(self, now: float, late: bool) -> None:
-        if not self._doubted and self.twin is None:
+    def _expire_suspects(self, now: float, late: bool) -> None:
+        if not self._not_alive and self.duplicate is None:
             return
-        self._judge_suspects(now, late)
-        for name in self._doubted.forgettable(now, FORGET_S):
+        self._declare_dead(now, late)
+        for name in self._not_alive.expired(now, FORGET_S):
             self._changed(name, "", self._list.forget(name).state)
 
-    def _judge_suspects(self, now: float, late: bool) -> None:
+    def _declare_dead(self, now: float, late: bool) -> None:
         size, health = self.size, self.health  # those that a tick takes for dead change them
-        times = [suspicion_time(size, self._period, n, health) for n in range(CONFIRMED + 1)]
-        for name in self._doubted.overdue(now, times):
+        times = [
+            suspicion_time(size, self._period, n, health) for n in range(MAX_CONFIRMATIONS + 1)
+        ]
+        for name in self._not_alive.overdue(now, times):
             suspect = self.members[name]
-            if self._is_over(suspect, now, late):
-                self._take(suspect.rumored("d", self.name), now)
-        twin = self.twin
-        if twin is not None and now - twin.since >= times[0] and self._is_over(twin, now, late):
-            self._alone_again(twin.incarnation)
+            if self._suspicion_ended(suspect, now, late):
+                self._take(suspect.rumor_in_state("d", self.name), now)
+        duplicate = self.duplicate
+        if (
+            duplicate is not None
+            and now - duplicate.since >= times[0]
+            and self._suspicion_ended(duplicate, now, late)
+        ):
+            self._resume(duplicate.incarnation)
 
-    def _is_over(self, suspect: Member, now: float, late: bool) -> bool:
+    def _suspicion_ended(self, suspect: Member, now: float, late: bool) -> bool:
         """Whether one whose time is over had that time indeed."""
         return now >= suspect.not_before and not (late and self._postpone(suspect, now))
 
-    def _again(self, now: float) -> list[Out]:
+    def _reconnect(self, now: float) -> list[Outgoing]:
         """Those thought dead may be back, and seeds may know a part that we do not."""
         out = []
-        if dead := self._doubted.dead:
+        if dead := self._not_alive.dead:
             member = self.members[self._random.choice(dead)[1]]
             self._number += 1
-            out.append(Out(member.name, "", (Ping(self._number), member.rumor(self.name))))
+            out.append(Outgoing(member.name, "", (Ping(self._number), member.rumor(self.name))))
         if unknown := self._seeds.unknown():
             self._number += 1
-            items = (Ping(self._number), self.own(), *self._anti_entropy.greeting(now))
-            out.append(Out("", self._random.choice(unknown), items))
+            items = (Ping(self._number), self.own_rumor(), *self._anti_entropy.greeting(now))
+            out.append(Outgoing("", self._random.choice(unknown), items))
         return out
 
     # --- what comes ---
-    def heard(
+    def receive(
         self, now: float, name: str, life: str, incarnation: int, item: Item, place: str = ""
-    ) -> list[Out]:
+    ) -> list[Outgoing]:
         """An item of one of ours.  `place`: where it came from, for answers to strangers."""
         if name == self.name:
-            return self._namesake(now, life, incarnation, place)
+            return self._handle_duplicate(now, life, incarnation, place)
         member = self.members.get(name)
         ours = member is not None and member.life == life
         if member is not None and ours:
-            member.heard_at = now
+            member.last_contact_at = now
         # One that is not, or not any more, who is listed under its name is answered where it is.
         back, at = (name, "") if ours else ("", place)
         match item:
@@ -253,34 +270,34 @@
                 answer: list[Item] = [Ack(number)]
                 if member is not None and not (ours and member.up):
                     answer.append(member.rumor(self.name))
-                return [Out(back, at, (*answer, self.own()))]
+                return [Outgoing(back, at, (*answer, self.own_rumor()))]
             case Ack(number):
-                return self._acked(number, name, life)
+                return self._handle_ack(number, name, life)
             case Nack(number):
                 if self._probe is not None and self._probe.number == number:
                     self._probe.nacks = min(self._probe.helpers, self._probe.nacks + 1)
-            case Need(number, target):
+            case PingRequest(number, target):
                 known = self.members.get(target)
                 if known is None or self._relays.full:
-                    return [Out(back, at, (Nack(number),))]
+                    return [Outgoing(back, at, (Nack(number),))]
                 self._number += 1
                 until = now + self._period * (1.0 - DIRECT_SHARE) * RELAY_SHARE
                 self._relays.add(self._number, Relay(name, number, until, known.life))
-                return [Out(target, "", (Ping(self._number),))]
+                return [Outgoing(target, "", (Ping(self._number),))]
             case Rumor():
                 return self._take(item, now)
-            case Page(after):
-                return [Out(back, at, self._page(name, after))]
-            case Paged(last) if last:
-                return [Out(back, at, (Page(last),))]
+            case PageRequest(after):
+                return [Outgoing(back, at, self._member_page(name, after))]
+            case PageEnd(last) if last:
+                return [Outgoing(back, at, (PageRequest(last),))]
             case _ if isinstance(item, ANTI_ENTROPY):
-                return self._anti_entropy.heard(now, back, at, item)
+                return self._anti_entropy.receive(now, back, at, item)
         return []
 
-    def _acked(self, number: int, name: str, life: str) -> list[Out]:
+    def _handle_ack(self, number: int, name: str, life: str) -> list[Outgoing]:
         relay = self._relays.answered(number, life)
         if relay is not None:
-            return [Out(relay.requester, "", (Ack(relay.number),))]
+            return [Outgoing(relay.requester, "", (Ack(relay.number),))]
         probe = self._probe
         if (
             probe is not None
@@ -288,49 +305,53 @@
             and (name != probe.target or life == probe.life)
         ):
             self._probe = None
-            self._unwell(-1)
+            self._adjust_health(-1)
         return []
 
-    def _page(self, name: str, after: str) -> tuple[Item, ...]:
+    def _member_page(self, name: str, after: str) -> tuple[Item, ...]:
         # Two more: who asks is left out, and whether others follow has to be known.
-        there = [member for member in self._up.after(after, PAGE + 2) if member != name]
-        here = there[:PAGE]
+        there = [member for member in self._up.after(after, PAGE_MEMBERS + 2) if member != name]
+        here = there[:PAGE_MEMBERS]
         rumors = [self.members[member].rumor() for member in here]
-        return (self.own(), *rumors, Paged(here[-1] if len(there) > len(here) else ""))
+        return (self.own_rumor(), *rumors, PageEnd(here[-1] if len(there) > len(here) else ""))
 
-    def _namesake(self, now: float, life: str, incarnation: int, place: str) -> list[Out]:
+    def _handle_duplicate(
+        self, now: float, life: str, incarnation: int, place: str
+    ) -> list[Outgoing]:
         """A process of our own name: the higher one is the name's."""
         if life == self.life:
             return []
         if incarnation > self.incarnation:
-            self._stand_aside(Member(self.name, life, incarnation, "a", place, "", now))
+            self._step_down(Member(self.name, life, incarnation, "a", place, "", now))
             return []
-        return [Out("", place, (self.own(),))] if place and self.twin is None else []
+        return (
+            [Outgoing("", place, (self.own_rumor(),))] if place and self.duplicate is None else []
+        )
 
-    def _stand_aside(self, twin: Member) -> None:
-        before = self.twin
-        if before is None or twin.incarnation >= before.incarnation:
-            self.twin = twin
-            self._list.digests.file(self._listed())
+    def _step_down(self, duplicate: Member) -> None:
+        before = self.duplicate
+        if before is None or duplicate.incarnation >= before.incarnation:
+            self.duplicate = duplicate
+            self._list.digests.file(self._listed_self())
             if before is None:
                 self._rumors.drop(self.name)
-                self._changed(self.name, "twin", "a")
+                self._changed(self.name, "duplicate", "a")
 
-    def _alone_again(self, above: int) -> None:
-        self.twin, self.incarnation = None, max(self.incarnation, above) + 1
-        self._changed(self.name, "a", "twin")
-        self._tell_own()
+    def _resume(self, above: int) -> None:
+        self.duplicate, self.incarnation = None, max(self.incarnation, above) + 1
+        self._changed(self.name, "a", "duplicate")
+        self._announce_self()
 
     # --- rumors ---
-    def _take(self, rumor: Rumor, now: float, send_on: bool = True) -> list[Out]:
+    def _take(self, rumor: Rumor, now: float, send_on: bool = True) -> list[Outgoing]:
         if rumor.name == self.name:
-            self._of_me(rumor, now)
+            self._handle_rumor_about_self(rumor, now)
             return []
         known = self.members.get(rumor.name)
         if known is None:
-            if rumor.state in ("d", "l") or len(self.members) >= MEMBERS_MOST:
+            if rumor.state in ("d", "l") or len(self.members) >= MAX_MEMBERS:
                 return []  # of whom nothing is known nothing need be forgotten
-            known = self.know(rumor, now)
+            known = self.add_member(rumor, now)
             self._changed(rumor.name, "a", "")
             if rumor.state == "a":
                 if send_on:
@@ -338,7 +359,7 @@
                 return []
         if known.same_suspicion(rumor):
             if known.confirm(rumor.by):
-                self._doubted.file(known)
+                self._not_alive.file(known)
                 self._rumors.add(rumor)
             return []
         if not overrides(rumor, known.state, known.life, known.incarnation):
@@ -351,48 +372,48 @@
             self._rumors.add(rumor)
         return []
 
-    def know(self, rumor: Rumor, now: float) -> Member:
+    def add_member(self, rumor: Rumor, now: float) -> Member:
         """Take one that is not known yet for alive, without sending it on."""
         known = self._list.add(rumor, now)
         self._order.insert(int(self._random.random() * (len(self._order) + 1)), rumor.name)
         return known
 
-    def _listed(self) -> Rumor:
+    def _listed_self(self) -> Rumor:
         """The process that others are to list under this name."""
-        return self.own() if self.twin is None else self.twin.rumor()
+        return self.own_rumor() if self.duplicate is None else self.duplicate.rumor()
 
-    def _tell_own(self) -> None:
+    def _announce_self(self) -> None:
         """This process has another incarnation."""
-        self._list.digests.file(self._listed())
-        self._rumors.add(self.own())
+        self._list.digests.file(self._listed_self())
+        self._rumors.add(self.own_rumor())
 
-    def _of_me(self, rumor: Rumor, now: float) -> None:
+    def _handle_rumor_about_self(self, rumor: Rumor, now: float) -> None:
         if rumor.life != self.life:
             if rumor.state in ("a", "s"):
                 if rumor.incarnation > self.incarnation:
-                    self._stand_aside(
+                    self._step_down(
                         Member(self.name, rumor.life, rumor.incarnation, "a", rumor.place, "", now)
                     )
-            elif self.twin is not None and rumor.life == self.twin.life:
-                self._alone_again(rumor.incarnation)
-            elif self.twin is None and rumor.incarnation >= self.incarnation:
+            elif self.duplicate is not None and rumor.life == self.duplicate.life:
+                self._resume(rumor.incarnation)
+            elif self.duplicate is None and rumor.incarnation >= self.incarnation:
                 self.incarnation = rumor.incarnation + 1
-                self._tell_own()
+                self._announce_self()
         elif rumor.state != "a" and not self.leaving and rumor.incarnation >= self.incarnation:
             self.incarnation = rumor.incarnation + 1
-            self._unwell(1)
-            self._tell_own()
+            self._adjust_health(1)
+            self._announce_self()
 
     def rumors(self) -> list[Rumor]:
         """What goes with the next datagram."""
         return self._rumors.next(self.size)
 
-    def leave(self) -> list[Out]:
+    def leave(self) -> list[Outgoing]:
         """The process ends: some are told, who tell the others."""
         self.leaving = True
-        self._list.digests.file(self._listed())
+        self._list.digests.file(self._listed_self())
         names = self.up()
         return [
-            Out(name, "", (self.own(),))
+            Outgoing(name, "", (self.own_rumor(),))
             for name in self._random.sample(names, min(2 * HELPERS, len(names)))
         ]
--- a/violetroute/sharing/not_alive.py
+++ b/violetroute/sharing/not_alive.py
@@ -11,19 +11,21 @@
 from collections.abc import Iterator, Sequence
 
 from .ordered import OrderedEntries
-from .rumors import CONFIRMED, Member
+from .rumors import MAX_CONFIRMATIONS, Member
 
-Since = tuple[float, str]  # s since when, and the member's name
+StateSince = tuple[float, str]  # s since when, and the member's name
 
 
-class Doubted:
+class NotAliveMembers:
     """All members of one view that are not plainly alive."""
 
     def __init__(self) -> None:
-        self._suspects = tuple(OrderedEntries[Since]() for _ in range(CONFIRMED + 1))
-        self._dead = OrderedEntries[Since]()
-        self._left = OrderedEntries[Since]()
-        self._entries: dict[str, tuple[OrderedEntries[Since], Since]] = {}  # where each one is
+        self._suspects = tuple(OrderedEntries[StateSince]() for _ in range(MAX_CONFIRMATIONS + 1))
+        self._dead = OrderedEntries[StateSince]()
+        self._left = OrderedEntries[StateSince]()
+        self._entries: dict[
+            str, tuple[OrderedEntries[StateSince], StateSince]
+        ] = {}  # where each one is
 
     def file(self, member: Member) -> None:
         """Its state, or who suspects it, has changed."""
@@ -63,19 +65,19 @@
         ]
         return [name for _, name in sorted(due)]
 
-    def forgettable(self, now: float, after: float) -> list[str]:
+    def expired(self, now: float, after: float) -> list[str]:
         """Those that have been dead, or have left, for so many seconds."""
         return [
             name for entries in (self._dead, self._left) for _, name in _older(entries, now, after)
         ]
 
     @property
-    def dead(self) -> Sequence[Since]:
+    def dead(self) -> Sequence[StateSince]:
         """Those thought dead; the longest ago first."""
         return self._dead.entries
 
 
-def _older(entries: OrderedEntries[Since], now: float, age: float) -> Iterator[Since]:
+def _older(entries: OrderedEntries[StateSince], now: float, age: float) -> Iterator[StateSince]:
     for entry in entries.entries:
         if now - entry[0] < age:
             return
--- a/violetroute/sharing/outcome_table.py
+++ b/violetroute/sharing/outcome_table.py
@@ -10,12 +10,12 @@
 import math
 from array import array
 
-from .decaying_outcomes import HALF_LIFE, WEIGHT_LEAST
-from .expiry_queue import FadingQueue
+from .decaying_outcomes import HALF_LIFE_S, MIN_WEIGHT
+from .expiry_queue import ExpiryQueue
 from .row_lists import RowLists
 
 
-class TallyTable:
+class OutcomeTable:
     """Rows by number. `now`, `at` and `until`: s."""
 
     __slots__ = (
@@ -23,7 +23,7 @@
         "at",
         "bad",
         "by_member",
-        "fading",
+        "expiry",
         "good",
         "member",
         "node",
@@ -40,7 +40,7 @@
         self.until = array("d")  # when the row has faded
         self.trouble = array("b")  # whether the member saw trouble there
         self.by_member = RowLists()
-        self.fading = FadingQueue()
+        self.expiry = ExpiryQueue()
         self._free: list[int] = []
 
     def __len__(self) -> int:
@@ -53,20 +53,20 @@
         self.node[row], self.member[row] = node, member
         self.good[row], self.bad[row], self.at[row] = good, bad, now
         self.trouble[row] = 0
-        self.until[row] = _fades_at(good + bad, now)
-        self.fading.add(row, max(now, self.until[row]))
+        self.until[row] = _expires_at(good + bad, now)
+        self.expiry.add(row, max(now, self.until[row]))
         return row
 
     def remove(self, row: int) -> None:
         """Free a row, which is in no list of `by_member` any more."""
-        self.fading.remove(row)
+        self.expiry.remove(row)
         self.member[row] = ""
         self._free.append(row)
 
-    def fade(self, row: int, now: float) -> None:
+    def decay(self, row: int, now: float) -> None:
         """Count the outcomes for what they are worth now."""
         if now > self.at[row]:
-            left = 0.5 ** ((now - self.at[row]) / HALF_LIFE)
+            left = 0.5 ** ((now - self.at[row]) / HALF_LIFE_S)
             self.good[row] *= left
             self.bad[row] *= left
             self.at[row] = now
@@ -75,7 +75,7 @@
         """Outcomes, as of the time to which the row has faded."""
         return self.good[row] + self.bad[row]
 
-    def share(self, row: int) -> float:
+    def bad_share(self, row: int) -> float:
         """Of trouble; the same however far the row has faded."""
         return self.bad[row] / max(self.good[row] + self.bad[row], 1e-9)
 
@@ -85,12 +85,12 @@
             column.append(0)
         self.member.append("")
         self.by_member.append_row()
-        self.fading.append_row()
+        self.expiry.append_row()
         return row
 
 
-def _fades_at(weight: float, at: float) -> float:
+def _expires_at(weight: float, at: float) -> float:
     """When a weight falls to WEIGHT_LEAST; minus infinity if it is below that already."""
-    if weight < WEIGHT_LEAST:
+    if weight < MIN_WEIGHT:
         return -math.inf
-    return at + HALF_LIFE * math.log2(weight / WEIGHT_LEAST)
+    return at + HALF_LIFE_S * math.log2(weight / MIN_WEIGHT)
--- a/violetroute/sharing/own_outcomes.py
+++ b/violetroute/sharing/own_outcomes.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from .decaying_outcomes import WEIGHT_LEAST, Tally
+from .decaying_outcomes import MIN_WEIGHT, DecayingOutcomes
 from .ordered import OrderedEntries
 
 Turn = tuple[int, int, int]  # the last report that told of a node, the node's place, the node
@@ -19,8 +19,8 @@
 @dataclass(slots=True)
 class _Node:
     place: int  # in the order in which the nodes were listed
-    tally: Tally = field(default_factory=Tally)
-    told: int = 0  # the last report that told of it
+    outcomes: DecayingOutcomes = field(default_factory=DecayingOutcomes)
+    last_report: int = 0  # the last report that told of it
 
 
 class OwnOutcomes:
@@ -33,18 +33,18 @@
         self._sound = OrderedEntries[Turn]()  # of the others those that were met
         self._turns: dict[int, Turn] = {}  # by node, as in `_sound`
 
-    def listed(self, node: int) -> None:
+    def add_node(self, node: int) -> None:
         """A node that was not there."""
         self._listed += 1
         self._nodes[node] = _Node(self._listed)
 
-    def restarted(self, node: int) -> None:
+    def reset_node(self, node: int) -> None:
         """What was met there is of the node's start before."""
         place = self._nodes[node].place
-        self.gone(node)
+        self.remove_node(node)
         self._nodes[node] = _Node(place)
 
-    def gone(self, node: int) -> None:
+    def remove_node(self, node: int) -> None:
         """It is not listed any more."""
         self._nodes.pop(node, None)
         self._troubled.pop(node, None)
@@ -53,26 +53,26 @@
     def record(self, now: float, node: int, bad: bool) -> None:
         """How a request ended at a node that is listed."""
         known = self._nodes[node]
-        known.tally.fade(now)
-        known.tally.good += not bad
-        known.tally.bad += bad
+        known.outcomes.decay(now)
+        known.outcomes.good += not bad
+        known.outcomes.bad += bad
         if bad:
             self._end_turn(node)
             self._troubled[node] = known
         elif node not in self._troubled:
             self._await_turn(node, known)
 
-    def tally(self, now: float, node: int) -> Tally:
+    def outcomes(self, now: float, node: int) -> DecayingOutcomes:
         """Of a node that is listed."""
-        tally = self._nodes[node].tally
-        tally.fade(now)
-        return tally
+        outcomes = self._nodes[node].outcomes
+        outcomes.decay(now)
+        return outcomes
 
-    def share(self, node: int) -> float:
+    def bad_share(self, node: int) -> float:
         """Of trouble, at a node that is listed."""
-        return self._nodes[node].tally.share
+        return self._nodes[node].outcomes.bad_share
 
-    def next_report(self, now: float, most: int) -> list[tuple[int, Tally]]:
+    def next_report(self, now: float, most: int) -> list[tuple[int, DecayingOutcomes]]:
         """Nodes to tell of and what was met there.
 
         At most half are troubled nodes: a report with more would show a member that is cut off. A
@@ -80,29 +80,29 @@
         """
         troubled = self._worst_first(now)
         chosen, others = troubled[: most // 4], troubled[most // 4 :]
-        others.sort(key=lambda node: self._nodes[node].told)
+        others.sort(key=lambda node: self._nodes[node].last_report)
         chosen += others[: most // 2 - len(chosen)]
         chosen += self._sound_in_turn(now, most - len(chosen))
-        return [(node, self._nodes[node].tally) for node in chosen]
+        return [(node, self._nodes[node].outcomes) for node in chosen]
 
-    def told(self, nodes: Iterable[int]) -> None:
+    def mark_sent(self, nodes: Iterable[int]) -> None:
         """A report that tells of these was sent: the others' turn comes first."""
         self._reports += 1
         for node in nodes:
-            self._nodes[node].told = self._reports
+            self._nodes[node].last_report = self._reports
             if node in self._turns:
                 self._end_turn(node)
                 self._await_turn(node, self._nodes[node])
 
     def _worst_first(self, now: float) -> list[int]:
         for node, known in list(self._troubled.items()):
-            known.tally.fade(now)
-            if known.tally.bad < WEIGHT_LEAST:
+            known.outcomes.decay(now)
+            if known.outcomes.bad < MIN_WEIGHT:
                 del self._troubled[node]
                 self._await_turn(node, known)
         return sorted(
             self._troubled,
-            key=lambda node: (-self._troubled[node].tally.bad, self._troubled[node].place),
+            key=lambda node: (-self._troubled[node].outcomes.bad, self._troubled[node].place),
         )
 
     def _sound_in_turn(self, now: float, count: int) -> list[int]:
@@ -111,7 +111,7 @@
         for _, _, node in self._sound.entries:
             if len(found) == count:
                 break
-            alive = self.tally(now, node).weight >= WEIGHT_LEAST
+            alive = self.outcomes(now, node).weight >= MIN_WEIGHT
             (found if alive else faded).append(node)
         for node in faded:
             self._end_turn(node)
@@ -119,7 +119,7 @@
 
     def _await_turn(self, node: int, known: _Node) -> None:
         if node not in self._turns:
-            turn = self._turns[node] = known.told, known.place, node
+            turn = self._turns[node] = known.last_report, known.place, node
             self._sound.add(turn)
 
     def _end_turn(self, node: int) -> None:
--- a/violetroute/sharing/probe.py
+++ b/violetroute/sharing/probe.py
@@ -5,13 +5,13 @@
 import math
 from dataclasses import dataclass
 
-from .rumors import CONFIRMED
+from .rumors import MAX_CONFIRMATIONS
 
 TICK_S = 0.1  # s between two ticks of a process that gets the CPU
 LATE_SHARE = 0.25  # of a period that a tick may come late and still prove something
-POSTPONED_SHARE = 0.65  # of a period for which a late tick postpones, as long as helpers have
-SUSPICION = 4.0  # periods times the fleet's size's logarithm, when many suspect
-SUSPICION_ALONE = 3.0  # times that, when one does alone
+POSTPONE_SHARE = 0.65  # of a period for which a late tick postpones, as long as helpers have
+SUSPICION_FACTOR = 4.0  # periods times the fleet's size's logarithm, when many suspect
+UNCONFIRMED_FACTOR = 3.0  # times that, when one does alone
 
 
 @dataclass(slots=True)
@@ -21,7 +21,7 @@
     target: str
     life: str
     number: int
-    helped_at: float  # s; when helpers are asked, infinity once they were
+    helpers_at: float  # s; when helpers are asked, infinity once they were
     until: float  # s; when it has failed, unless that is postponed
     nacks: int = 0
     helpers: int = 0
@@ -48,7 +48,7 @@
     It shrinks with each of the `confirmed` others that suspect it too, and grows with the
     logarithm of the fleet's size and with one's own bad health.
     """
-    least = SUSPICION * max(1.0, math.log10(max(1, size))) * period
-    most = SUSPICION_ALONE * least
-    share = math.log(confirmed + 1) / math.log(CONFIRMED + 1)
+    least = SUSPICION_FACTOR * max(1.0, math.log10(max(1, size))) * period
+    most = UNCONFIRMED_FACTOR * least
+    share = math.log(confirmed + 1) / math.log(MAX_CONFIRMATIONS + 1)
     return max(least, most - (most - least) * share) * (1 + health / 2.0)
--- a/violetroute/sharing/rate_limiter.py
+++ b/violetroute/sharing/rate_limiter.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Rate:
+class RateLimiter:
     """So many a second."""
 
     __slots__ = ("_at", "_burst", "_level", "_rate")
--- a/violetroute/sharing/relays.py
+++ b/violetroute/sharing/relays.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-RELAYS_MOST = 256
+MAX_RELAYS = 256
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +26,7 @@
     @property
     def full(self) -> bool:
         """Whether no more are taken."""
-        return len(self._open) >= RELAYS_MOST
+        return len(self._open) >= MAX_RELAYS
 
     def add(self, number: int, relay: Relay) -> None:
         """The target was sent a ping with this number."""
--- a/violetroute/sharing/report_budget.py
+++ b/violetroute/sharing/report_budget.py
@@ -17,16 +17,16 @@
 
 HEALTH_SHARE, LOAD_SHARE, HITTERS_SHARE = 0.5, 0.25, 0.25  # of the rate, by kind of report
 BURST_S = 30.0  # s of its rate that a bucket holds
-BURST_LEAST = 2.0 * wire.DATAGRAM_MOST  # bytes: or a large report would never fit
+MIN_BURST_BYTES = 2.0 * wire.MAX_DATAGRAM_BYTES  # bytes: or a large report would never fit
 URGENT_SHARE = 0.5  # of a full bucket
-FULL_LESS = 1.0  # bytes by which a bucket that counts as full may be short
+FULL_MARGIN_BYTES = 1.0  # bytes by which a bucket that counts as full may be short
 FLEET_RATE = 1.43e6  # bytes/s that all proxies together send by default: 550 each of 2,600
-RATE_LEAST = 550.0  # bytes/s of one proxy by default, in a fleet of any size
+MIN_RATE = 550.0  # bytes/s of one proxy by default, in a fleet of any size
 
 
 def default_rate(proxies: int) -> float:
     """Bytes a second for one of so many proxies, where the operator's file gives none."""
-    return max(RATE_LEAST, FLEET_RATE / proxies)
+    return max(MIN_RATE, FLEET_RATE / proxies)
 
 
 class ByteBucket:
@@ -34,22 +34,22 @@
 
     def __init__(self, rate: float, now: float) -> None:
         self._rate, self._at = rate, now
-        self.burst = max(BURST_LEAST, BURST_S * rate)  # bytes that may be sent at once
+        self.burst = max(MIN_BURST_BYTES, BURST_S * rate)  # bytes that may be sent at once
         self._level = self.burst
 
     def resize(self, rate: float, now: float) -> None:
         """Another rate from now on; what was saved up stays, as far as it fits."""
         self.refill(now)
-        self._rate, self.burst = rate, max(BURST_LEAST, BURST_S * rate)
+        self._rate, self.burst = rate, max(MIN_BURST_BYTES, BURST_S * rate)
         self._level = min(self._level, self.burst)
 
     def take(self, now: float, size: int, wanted: int, urgent: bool) -> int:
         """How many copies of `size` bytes may be sent now, at most `wanted`; they are paid for."""
-        copies = min(wanted, self.affords(now, size, urgent))
+        copies = min(wanted, self.affordable_copies(now, size, urgent))
         self._level -= copies * size
         return copies
 
-    def affords(self, now: float, size: int, urgent: bool) -> int:
+    def affordable_copies(self, now: float, size: int, urgent: bool) -> int:
         """How many copies of `size` bytes may be sent now.
 
         One of a report that is larger than what a full bucket gives may be sent while the bucket is
@@ -57,7 +57,7 @@
         """
         self.refill(now)
         kept = 0.0 if urgent else URGENT_SHARE * self.burst
-        if size > self.burst - kept and self._level >= self.burst - FULL_LESS:
+        if size > self.burst - kept and self._level >= self.burst - FULL_MARGIN_BYTES:
             return 1
         return max(0, int((self._level - kept) // size))
 
@@ -95,9 +95,9 @@
 
     def size(self, items: Sequence[Item]) -> int:
         """Bytes of the datagrams that carry these items, at most."""
-        room, free, datagrams, content = wire.DATAGRAM_MOST - self._envelope, 0, 0, 0
+        room, free, datagrams, content = wire.MAX_DATAGRAM_BYTES - self._envelope, 0, 0, 0
         for item in items:
-            length = len(wire.packed(item))
+            length = len(wire.encode_item(item))
             if length > free:
                 datagrams, free = datagrams + 1, room
             free -= length
--- a/violetroute/sharing/rumors.py
+++ b/violetroute/sharing/rumors.py
@@ -9,10 +9,10 @@
 from .ordered import OrderedEntries
 from .wire import MemberEntry, Rumor
 
-SPREAD = 6.0  # times the fleet's size's logarithm: how often a rumor is sent on
-MOST = 512  # that wait
-EACH = 8  # that go with one datagram
-CONFIRMED = 3  # others whose suspicion makes its time as short as it gets
+RETRANSMIT_FACTOR = 6.0  # times the fleet's size's logarithm: how often a rumor is sent on
+MAX_WAITING = 512  # that wait
+RUMORS_PER_DATAGRAM = 8  # that go with one datagram
+MAX_CONFIRMATIONS = 3  # others whose suspicion makes its time as short as it gets
 
 State = Literal["a", "s", "d", "l"]
 
@@ -28,7 +28,7 @@
     place: str
     zone: str
     since: float
-    heard_at: float = -math.inf  # a word of its own came
+    last_contact_at: float = -math.inf  # a word of its own came
     suspected_by: frozenset[str] = frozenset()
     not_before: float = -math.inf  # s; a late tick postponed the end of its suspicion until then
     number: int = 0  # in the order in which members were added
@@ -43,22 +43,22 @@
         return max(0, len(self.suspected_by) - 1)
 
     def rumor(self, by: str = "") -> Rumor:
-        return self.rumored(self.state, by)
+        return self.rumor_in_state(self.state, by)
 
-    def rumored(self, state: State, by: str) -> Rumor:
+    def rumor_in_state(self, state: State, by: str) -> Rumor:
         """A rumor that it is in this state, by who says so."""
         return Rumor(self.name, self.life, self.incarnation, state, self.place, self.zone, by)
 
-    def is_over(self, entry: MemberEntry) -> bool:
+    def has_ended(self, entry: MemberEntry) -> bool:
         """Whether the process that an entry tells of has ended, as far as is known."""
         return not self.up and self.incarnation >= entry.incarnation
 
-    def objection(self, by: str) -> Rumor:
+    def correction(self, by: str) -> Rumor:
         """What one is told who still lists this member, which is not up any more.
 
         One that is dead is told of as suspected: so it is asked there too, and can deny it.
         """
-        return self.rumored("l" if self.state == "l" else "s", by)
+        return self.rumor_in_state("l" if self.state == "l" else "s", by)
 
     def same_suspicion(self, rumor: Rumor) -> bool:
         """Whether the rumor is of the suspicion that is known already."""
@@ -71,7 +71,7 @@
 
     def confirm(self, by: str) -> bool:
         """One more suspects it; False if it is known to, or enough do."""
-        if not by or by in self.suspected_by or len(self.suspected_by) > CONFIRMED:
+        if not by or by in self.suspected_by or len(self.suspected_by) > MAX_CONFIRMATIONS:
             return False
         self.suspected_by |= {by}
         return True
@@ -108,7 +108,7 @@
             self._ordered.remove(waiting[1])
             number = waiting[1][1]
         else:
-            if len(self._waiting) >= MOST:
+            if len(self._waiting) >= MAX_WAITING:
                 most_often = self._ordered.entries[-1][0]
                 self.drop(self._ordered.first_from((most_often,))[2])
             number = self._number = self._number + 1
@@ -124,9 +124,9 @@
         """What goes with the next datagram, in a fleet of this size."""
         if not self._waiting:
             return []
-        times = math.ceil(SPREAD * math.log10(size + 9))
+        times = math.ceil(RETRANSMIT_FACTOR * math.log10(size + 9))
         found = []
-        for sent, number, name in self._ordered.take(EACH):
+        for sent, number, name in self._ordered.take(RUMORS_PER_DATAGRAM):
             rumor = self._waiting[name][0]
             found.append(rumor)
             if sent + 1 >= times:
