--- a/violetroute/sharing/service.py
+++ b/violetroute/sharing/service.py
@@ -5,8 +5,8 @@
 rumors of the hour.  Nothing here waits for anything, and no request waits for it: `admits` looks at
 what is in hand.
 
-Bounds: datagrams read in one turn (the seam's), taken from one member a second (TAKEN_S), and sent
-by this one a second, whatever is to be told: what does not fit is told later or not.
+Bounds: datagrams read in one turn (the seam's), taken from one member a second (RECEIVE_RATE), and
+sent by this one a second, whatever is to be told: what does not fit is told later or not.
 """
 
 from __future__ import annotations
@@ -24,21 +24,31 @@
 from violetroute.transport import Address, Network, parse_address
 
 from . import wire
-from .budget import Ask, Back, Budget
-from .gossip import REPORT_AGE_MOST_S, Rounds
-from .loans import Terms
+from .budget import Budget, RequestLoan, ReturnLoan
+from .gossip import MAX_REPORT_AGE_S, Rounds
+from .loans import LoanTerms
 from .members import Members
 from .probe import TICK_S
-from .rate_limiter import Rate
+from .rate_limiter import RateLimiter
 from .report_budget import ReportBudget, default_rate
 from .table import SharingTable
-from .wire import Counted, Envelope, HealthReport, Item, Keys, Lend, LoadReport, Numbers, Spare
-
-TAKEN_S, TAKEN_BURST = 100.0, 200.0  # datagrams of one member a second, and at once
-SENT_S, SENT_BURST = 200.0, 200.0  # datagrams of ours
-LEAST_BACKOFF = 40.0  # ms
-REPORTS = (HealthReport, LoadReport, Counted)
-LOANS = (Lend, Spare, wire.Ask, wire.Back)
+from .wire import (
+    Envelope,
+    HealthReport,
+    HeavyHitterReport,
+    Item,
+    Keys,
+    LoadReport,
+    LoanGrant,
+    SequenceNumbers,
+    SpareReport,
+)
+
+RECEIVE_RATE, RECEIVE_BURST = 100.0, 200.0  # datagrams of one member a second, and at once
+SEND_RATE, SEND_BURST = 200.0, 200.0  # datagrams of ours
+MIN_BACKOFF_MS = 40.0  # ms
+REPORTS = (HealthReport, LoadReport, HeavyHitterReport)
+LOANS = (LoanGrant, SpareReport, wire.LoanRequest, wire.LoanReturn)
 
 
 class Host(Protocol):
@@ -47,7 +57,7 @@
     places: Places
     judged: deque[Judged]  # what came of its own requests, until it is taken out
 
-    def others(self, bad: list[int], outcomes: list[Judged]) -> None:
+    def apply_peer_reports(self, bad: list[int], outcomes: list[Judged]) -> None:
         """What others met: all nodes that seem bad now, and what came of their requests."""
 
 
@@ -72,9 +82,9 @@
         self._random = random.Random(f"{name}/{self.life}")
         now = self.loop.time()
         address = parse_address(table.listen)
-        self._ways = {who: parse_address(at) for who, at in table.ways.items()}
-        self._box = net.mailbox(address, self, wire.DATAGRAM_MOST)
-        place = f"{address.host}:{self._box.address.port}"
+        self._address_overrides = {who: parse_address(at) for who, at in table.ways.items()}
+        self._mailbox = net.mailbox(address, self, wire.MAX_DATAGRAM_BYTES)
+        place = f"{address.host}:{self._mailbox.address.port}"
         self.members = Members(
             self.name,
             self.life,
@@ -85,17 +95,17 @@
             table.seeds,
             self._random,
             now,
-            self._changed,
+            self._member_changed,
         )
-        self._terms = Terms(table.loan_s, table.drift)
+        self._terms = LoanTerms(table.loan_s, table.drift)
         self.budgets: dict[str, Budget] = {}
-        self._by_request: dict[tuple[str, str], list[Budget]] = {}
+        self._budgets_by_request: dict[tuple[str, str], list[Budget]] = {}
         self._report_budget = ReportBudget(self._report_rate, self._envelope_size(), now)
         self.rounds = Rounds(zone, table.judge, now, self._random, self._report_budget)
-        self._numbers = Numbers()
-        self._out: dict[tuple[str, str], list[Item]] = {}
-        self._taken: dict[str, Rate] = {}
-        self._sending = Rate(SENT_S, SENT_BURST, now)
+        self._numbers = SequenceNumbers()
+        self._outgoing: dict[tuple[str, str], list[Item]] = {}
+        self._receive_limits: dict[str, RateLimiter] = {}
+        self._send_limit = RateLimiter(SEND_RATE, SEND_BURST, now)
         self.refused = self.sent = self.received = self.bytes_sent = 0
         self.configure(table)
         self._timer = self.loop.call_later(TICK_S * self._random.random(), self._tick)
@@ -114,16 +124,16 @@
             else:
                 budget.resize(each.per_s, size, now)
             self.budgets[each.name] = budget
-            budget.aside(self.members.twin is not None, now)
+            budget.set_suspended(self.members.duplicate is not None, now)
         for budget in kept.values():
-            self._back(budget.name, budget.end(now))
+            self._return_loans(budget.name, budget.return_all(now))
         self.table = table
-        self.divided = self._proxies
-        self._by_request.clear()
+        self.budget_proxies = self._proxies
+        self._budgets_by_request.clear()
 
     @property
     def _proxies(self) -> int:
-        """By which budgets are divided: never fewer than are heard of."""
+        """By which budgets are budget_proxies: never fewer than are heard of."""
         return max(self.table.proxies, self.members.size)
 
     @property
@@ -142,29 +152,29 @@
     def leave(self) -> None:
         """The process drains: it asks for nothing new, and others are told."""
         for out in self.members.leave():
-            self._put(out.to, out.place, *out.items)
+            self._queue(out.to, out.place, *out.items)
         self._flush(self.loop.time())
 
     def close(self) -> None:
         """What is borrowed goes back, and some hear that this one leaves."""
         now = self.loop.time()
         for budget in self.budgets.values():
-            self._back(budget.name, budget.end(now))
+            self._return_loans(budget.name, budget.return_all(now))
         for out in self.members.leave():
-            self._put(out.to, out.place, *out.items)
+            self._queue(out.to, out.place, *out.items)
         self._flush(now)
         self._timer.cancel()
-        self._box.close()
+        self._mailbox.close()
 
     # --- from requests ---
     def admits(self, tenant: str, class_name: str) -> float | None:
         """None, or the ms after which a request beyond a budget may find room."""
         place = tenant, class_name
-        budgets = self._by_request.get(place)
+        budgets = self._budgets_by_request.get(place)
         if budgets is None:
-            if len(self._by_request) >= 10_000:
-                self._by_request.clear()  # tenants are made up by who asks
-            budgets = self._by_request[place] = [
+            if len(self._budgets_by_request) >= 10_000:
+                self._budgets_by_request.clear()  # tenants are made up by who asks
+            budgets = self._budgets_by_request[place] = [
                 self.budgets[each.name]
                 for each in self.table.budget
                 if each.tenant in ("", tenant) and each.class_name in ("", class_name)
@@ -176,44 +186,44 @@
             if not budget.spend(now):
                 for other in spent:
                     other.refund()
-                wait = max(LEAST_BACKOFF, budget.wait(now) * 1000.0)  # spread, not all at once
+                wait = max(MIN_BACKOFF_MS, budget.wait_s(now) * 1000.0)  # spread, not all at once
                 return min(self.max_backoff, wait * self._random.uniform(1.0, 1.5))
             spent.append(budget)
         return None
 
-    def met(self, node: int, result: Result) -> None:
+    def record_attempt(self, node: int, result: Result) -> None:
         """How an attempt ended at a node."""
-        self.rounds.met(self.loop.time(), node, result)
+        self.rounds.record_attempt(self.loop.time(), node, result)
 
-    def asked(self, tenant: str, key: int) -> None:
+    def record_request(self, tenant: str, key: int) -> None:
         """A request was let in."""
-        self.rounds.asked(self.loop.time(), tenant, key)
+        self.rounds.record_request(self.loop.time(), tenant, key)
 
-    def listed(self, members: Sequence[Member]) -> None:
+    def update_nodes(self, members: Sequence[Member]) -> None:
         """Nodes that serve, and those that do not any more."""
-        self.rounds.listed(members)
+        self.rounds.update_nodes(members)
 
     # --- time ---
     def _tick(self) -> None:
         self._timer = self.loop.call_later(TICK_S * (0.9 + 0.2 * self._random.random()), self._tick)
         now = self.loop.time()
         for out in self.members.tick(now):
-            self._put(out.to, out.place, *out.items)
+            self._queue(out.to, out.place, *out.items)
         up = self.members.up()
         for name, budget in self.budgets.items():
             for action in budget.tick(now, up):
-                if isinstance(action, Ask):
-                    self._put(action.to, "", wire.Ask(name, action.number, action.amount))
+                if isinstance(action, RequestLoan):
+                    self._queue(action.to, "", wire.LoanRequest(name, action.number, action.amount))
                 else:
-                    self._put(action.to, "", wire.Back(name, action.number))
-            if budget.turns(now):
-                self._tell_turns(budget, now)
+                    self._queue(action.to, "", wire.LoanReturn(name, action.number))
+            if budget.exhaustion_changed(now):
+                self._log_exhaustion(budget, now)
         if self.rounds.due(now):
             self._round(now, up)
         self._flush(now)
 
-    def _tell_turns(self, budget: Budget, now: float) -> None:
-        if budget.shut:
+    def _log_exhaustion(self, budget: Budget, now: float) -> None:
+        if budget.exhausted:
             logs.event(
                 "sharing.spent",
                 budget=budget.name,
@@ -225,55 +235,57 @@
 
     def _round(self, now: float, up: list[str]) -> None:
         host = self.host
-        done = self.rounds.next(now, up, host.judged, self.budgets, self.members.twin is not None)
+        done = self.rounds.run_round(
+            now, up, host.judged, self.budgets, self.members.duplicate is not None
+        )
         host.judged.clear()
-        for node in done.new:
+        for node in done.newly_unhealthy:
             logs.event("sharing.avoided", node=host.places.name(node))
-        if done.bad or done.ended or done.outcomes:
-            host.others(done.bad, done.outcomes)
+        if done.unhealthy or done.recovered or done.outcomes:
+            host.apply_peer_reports(done.unhealthy, done.outcomes)
         for report in done.reports:
             for name in report.to:
-                self._put(name, "", *report.items)
+                self._queue(name, "", *report.items)
 
-    def _changed(self, name: str, state: str, was: str) -> None:
+    def _member_changed(self, name: str, state: str, was: str) -> None:
         """How a member stands, or this one."""
         now = self.loop.time()
         if name == self.name:
-            if state == "twin":
+            if state == "duplicate":
                 logs.event("sharing.twin", proxy=name)
             else:
                 logs.event("sharing.alone_again", proxy=name)
             for budget in self.budgets.values():
-                budget.aside(state == "twin", now)
+                budget.set_suspended(state == "duplicate", now)
             return
         if state == "a":
             logs.event("sharing.joined", proxy=name)
         elif state in ("d", "l"):
             logs.event("sharing.gone", proxy=name, how="left" if state == "l" else "dead")
-            self.rounds.left(name)
+            self.rounds.forget_member(name)
             for budget in self.budgets.values():
-                budget.left(name)
+                budget.forget_member(name)
             self._numbers.forget(name)
-            self._taken.pop(name, None)
-        if self.members.size > self.table.proxies >= self.divided:
+            self._receive_limits.pop(name, None)
+        if self.members.size > self.table.proxies >= self.budget_proxies:
             logs.event("sharing.too_many", proxies=self.table.proxies, heard=self.members.size)
-        if self._proxies != self.divided:
-            self.divided = self._proxies
+        if self._proxies != self.budget_proxies:
+            self.budget_proxies = self._proxies
             self._report_budget.resize(self._report_rate, now)
             for each in self.table.budget:
-                self.budgets[each.name].resize(each.per_s, self.divided, now)
+                self.budgets[each.name].resize(each.per_s, self.budget_proxies, now)
 
     # --- sending ---
-    def _put(self, to: str, place: str, *items: Item) -> None:
-        self._out.setdefault((to, "" if to else place), []).extend(items)
+    def _queue(self, to: str, place: str, *items: Item) -> None:
+        self._outgoing.setdefault((to, "" if to else place), []).extend(items)
 
-    def _back(self, budget: str, backs: list[Back]) -> None:
+    def _return_loans(self, budget: str, backs: list[ReturnLoan]) -> None:
         for back in backs:
-            self._put(back.to, "", wire.Back(budget, back.number))
+            self._queue(back.to, "", wire.LoanReturn(budget, back.number))
 
     def _flush(self, now: float) -> None:
         """All that was put, in datagrams as full as they may be."""
-        out, self._out = self._out, {}
+        out, self._outgoing = self._outgoing, {}
         for (to, place), items in out.items():
             address = self._address(to, place)
             if address is None:
@@ -285,8 +297,8 @@
             paced = all(isinstance(item, wire.ANTI_ENTROPY) for item in items)
             rumors = () if paced else self.members.rumors()
             for item in (*items, *rumors):
-                data = wire.packed(item)
-                if len(data) > free or len(raw) >= wire.ITEMS_MOST:
+                data = wire.encode_item(item)
+                if len(data) > free or len(raw) >= wire.MAX_ITEMS:
                     self._send(now, to, address, raw)
                     raw, free = [], room
                 raw.append(data)
@@ -294,18 +306,18 @@
             self._send(now, to, address, raw)
 
     def _address(self, to: str, place: str) -> Address | None:
-        way = self._ways.get(to)
+        way = self._address_overrides.get(to)
         if way is not None:
             return way
         try:
-            return parse_address(self.members.of(to)[1] if to else place)
+            return parse_address(self.members.lookup(to)[1] if to else place)
         except ValueError:
             return None  # a member that has said nothing of its place yet
 
     def _send(self, now: float, to: str, address: Address, raw: list[bytes]) -> None:
-        if not raw or not self._sending.take(now):
+        if not raw or not self._send_limit.take(now):
             return
-        life = self.members.of(to)[0]
+        life = self.members.lookup(to)[0]
         data = self._keys.seal(
             Envelope(
                 self.name,
@@ -314,14 +326,14 @@
                 self._numbers.next(to, now),
                 to,
                 life,
-                self._numbers.heard(to, life) if life else 0,
+                self._numbers.highest_received(to, life) if life else 0,
                 int(self._net.wall() * 1000.0),
                 [wire.raw(each) for each in raw],
             )
         )
         self.sent += 1
         self.bytes_sent += len(data)
-        self._box.send(data, address)
+        self._mailbox.send(data, address)
 
     # --- what comes ---
     def datagram(self, data: bytes, origin: Address) -> None:
@@ -334,7 +346,7 @@
         name, life = envelope.name, envelope.life
         if (
             life == self.life
-            or not self._may_take(name, now)
+            or not self._may_receive(name, now)
             or not self._numbers.is_new(name, life, envelope.number)
         ):
             self.refused += 1
@@ -345,28 +357,28 @@
         for item in wire.items(envelope):
             if isinstance(item, REPORTS):
                 if self.members.is_up(name, life):
-                    self.rounds.heard(now, name, self.members.of(name)[2], item, age)
+                    self.rounds.receive(now, name, self.members.lookup(name)[2], item, age)
             elif isinstance(item, LOANS):
                 budget = self.budgets.get(item.budget)
                 # An answer counts for the life that asked, whoever has its name by now.
                 if (
                     budget is not None
                     and self.members.is_up(name, life)
-                    and (envelope.to_life == self.life or not isinstance(item, Lend))
+                    and (envelope.to_life == self.life or not isinstance(item, LoanGrant))
                 ):
-                    self._lend_or_borrow(now, name, life, item, budget)
+                    self._handle_loan_item(now, name, life, item, budget)
             else:
-                for out in self.members.heard(now, name, life, envelope.incarnation, item, place):
-                    self._put(out.to, out.place, *out.items)
-        if self._out:
+                for out in self.members.receive(now, name, life, envelope.incarnation, item, place):
+                    self._queue(out.to, out.place, *out.items)
+        if self._outgoing:
             self._flush(now)
 
-    def _may_take(self, name: str, now: float) -> bool:
-        rate = self._taken.get(name)
+    def _may_receive(self, name: str, now: float) -> bool:
+        rate = self._receive_limits.get(name)
         if rate is None:
-            if len(self._taken) >= wire.LIVES_MOST:
-                self._taken.clear()
-            rate = self._taken[name] = Rate(TAKEN_S, TAKEN_BURST, now)
+            if len(self._receive_limits) >= wire.MAX_SENDERS:
+                self._receive_limits.clear()
+            rate = self._receive_limits[name] = RateLimiter(RECEIVE_RATE, RECEIVE_BURST, now)
         return rate.take(now)
 
     def _age(self, envelope: Envelope, now: float) -> float:
@@ -376,18 +388,20 @@
             if age is not None:
                 return age
         apart = self._net.wall() - envelope.at / 1000.0
-        return max(0.0, apart) if abs(apart) <= REPORT_AGE_MOST_S else math.inf
+        return max(0.0, apart) if abs(apart) <= MAX_REPORT_AGE_S else math.inf
 
-    def _lend_or_borrow(self, now: float, name: str, life: str, item: Any, budget: Budget) -> None:
+    def _handle_loan_item(
+        self, now: float, name: str, life: str, item: Any, budget: Budget
+    ) -> None:
         match item:
-            case Spare():
-                budget.told(now, name, item.amount)
-            case wire.Ask():
-                amount = budget.asked(now, f"{name}/{life}", item.number, item.amount)
-                self._put(name, "", Lend(budget.name, item.number, amount))
-            case Lend():
-                back = budget.granted(now, name, item.number, item.amount)
+            case SpareReport():
+                budget.record_spare(now, name, item.amount)
+            case wire.LoanRequest():
+                amount = budget.grant(now, f"{name}/{life}", item.number, item.amount)
+                self._queue(name, "", LoanGrant(budget.name, item.number, amount))
+            case LoanGrant():
+                back = budget.accept_grant(now, name, item.number, item.amount)
                 if back is not None:
-                    self._back(budget.name, [back])
-            case wire.Back():
-                budget.returned(now, f"{name}/{life}", item.number)
+                    self._return_loans(budget.name, [back])
+            case wire.LoanReturn():
+                budget.accept_return(now, f"{name}/{life}", item.number)
--- a/violetroute/sharing/table.py
+++ b/violetroute/sharing/table.py
@@ -49,11 +49,13 @@
 
 def read_keys(path: str) -> Keys:
     """The lines of the key's file, the first one seals.  OSError, ValueError."""
-    from .wire import KEY_LEAST, KEY_MOST, Keys  # nothing of it where it is off
+    from .wire import MAX_KEY_BYTES, MIN_KEY_BYTES, Keys  # nothing of it where it is off
 
     with open(path, "rb") as file:
-        data = file.read(4 * KEY_MOST + 1)
+        data = file.read(4 * MAX_KEY_BYTES + 1)
     lines = [line.strip() for line in data.splitlines() if line.strip()]
-    if not 1 <= len(lines) <= 2 or any(not KEY_LEAST <= len(line) <= KEY_MOST for line in lines):
-        raise ValueError(f"one or two lines of {KEY_LEAST} to {KEY_MOST} bytes are wanted")
+    if not 1 <= len(lines) <= 2 or any(
+        not MIN_KEY_BYTES <= len(line) <= MAX_KEY_BYTES for line in lines
+    ):
+        raise ValueError(f"one or two lines of {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes are wanted")
     return Keys(lines)
--- a/violetroute/sharing/wire.py
+++ b/violetroute/sharing/wire.py
@@ -28,15 +28,15 @@
 
 import msgspec
 
-DATAGRAM_MOST = 1200  # bytes: passes every path without being cut
+MAX_DATAGRAM_BYTES = 1200  # bytes: passes every path without being cut
 MAGIC = b"LBf\x01"
-SEAL = 16  # bytes
-HEAD = len(MAGIC) + 1 + SEAL
-KEY_LEAST, KEY_MOST = 16, 64  # bytes of a key
-ITEMS_MOST = 64  # of one datagram
-LIVES_MOST = 4096  # senders whose numbers are known
+SEAL_BYTES = 16  # bytes
+HEADER_BYTES = len(MAGIC) + 1 + SEAL_BYTES
+MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 64  # bytes of a key
+MAX_ITEMS = 64  # of one datagram
+MAX_SENDERS = 4096  # senders whose numbers are known
 WINDOW = 64  # numbers behind the highest that may still come
-SENT_MOST = 32  # of our own numbers to one member whose time is known: those on their way
+MAX_SENT_NUMBERS = 32  # of our own numbers to one member whose time is known: those on their way
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 Life = Annotated[str, msgspec.Meta(min_length=1, max_length=32)]
@@ -46,13 +46,13 @@
 Amount = Annotated[int, msgspec.Meta(ge=0, le=2**40)]
 Small = Annotated[float, msgspec.Meta(ge=0.0, le=1e6)]
 Hash = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
-SHORT = 4  # bytes of a shortened hash or digest
-BUCKETS_MOST = 128  # into which a list of members is divided
-BUCKET_DIGESTS_MOST = BUCKETS_MOST * SHORT  # bytes of the digests of all buckets
-HELD_MOST = 512  # bytes of hashes of one bucket's members
-Buckets = Annotated[int, msgspec.Meta(ge=1, le=BUCKETS_MOST)]
-BucketIndex = Annotated[int, msgspec.Meta(ge=0, lt=BUCKETS_MOST)]
-Hashes = Annotated[bytes, msgspec.Meta(max_length=HELD_MOST)]
+SHORT_BYTES = 4  # bytes of a shortened hash or digest
+MAX_BUCKETS = 128  # into which a list of members is divided
+MAX_BUCKET_DIGESTS_BYTES = MAX_BUCKETS * SHORT_BYTES  # bytes of the digests of all buckets
+MAX_HELD_BYTES = 512  # bytes of hashes of one bucket's members
+Buckets = Annotated[int, msgspec.Meta(ge=1, le=MAX_BUCKETS)]
+BucketIndex = Annotated[int, msgspec.Meta(ge=0, lt=MAX_BUCKETS)]
+Hashes = Annotated[bytes, msgspec.Meta(max_length=MAX_HELD_BYTES)]
 
 
 class Item(msgspec.Struct, frozen=True, array_like=True, gc=False):
@@ -73,7 +73,7 @@
     number: Number
 
 
-class Need(Item, frozen=True, tag="q"):
+class PingRequest(Item, frozen=True, tag="q"):
     """Ask `target` for me."""
 
     number: Number
@@ -92,13 +92,13 @@
     by: Annotated[str, msgspec.Meta(max_length=64)] = ""  # who suspects
 
 
-class Page(Item, frozen=True, tag="g"):
+class PageRequest(Item, frozen=True, tag="g"):
     """Asks for members whose names come after this one."""
 
     after: Annotated[str, msgspec.Meta(max_length=64)] = ""
 
 
-class Paged(Item, frozen=True, tag="G"):
+class PageEnd(Item, frozen=True, tag="G"):
     """The last of those that came with this; "": there are no more."""
 
     last: Annotated[str, msgspec.Meta(max_length=64)] = ""
@@ -128,7 +128,7 @@
     number: Number
     count: Number
     whole: Hash
-    digests: Annotated[bytes, msgspec.Meta(max_length=BUCKET_DIGESTS_MOST)] = b""
+    digests: Annotated[bytes, msgspec.Meta(max_length=MAX_BUCKET_DIGESTS_BYTES)] = b""
 
 
 class BucketRequest(Item, frozen=True, tag="e"):
@@ -156,24 +156,24 @@
 ANTI_ENTROPY = (Compare, Digests, BucketRequest, BucketMembers)
 
 
-class Spare(Item, frozen=True, tag="s"):
+class SpareReport(Item, frozen=True, tag="s"):
     budget: Budget
     amount: Amount
 
 
-class Ask(Item, frozen=True, tag="b"):
+class LoanRequest(Item, frozen=True, tag="b"):
     budget: Budget
     number: Number
     amount: Amount
 
 
-class Lend(Item, frozen=True, tag="l"):
+class LoanGrant(Item, frozen=True, tag="l"):
     budget: Budget
     number: Number
     amount: Amount
 
 
-class Back(Item, frozen=True, tag="k"):
+class LoanReturn(Item, frozen=True, tag="k"):
     budget: Budget
     number: Number
 
@@ -198,7 +198,7 @@
     queued: Small
 
 
-class Counted(Item, frozen=True, tag="c"):
+class HeavyHitterReport(Item, frozen=True, tag="c"):
     """Heavy hitters of one kind: keyed hashes, counts and by how much these may be too high."""
 
     kind: Annotated[str, msgspec.Meta(max_length=16)]
@@ -207,25 +207,25 @@
     errors: list[Small]
 
 
-Any_ = (
+AnyItem = (
     Ping
     | Ack
     | Nack
-    | Need
+    | PingRequest
     | Rumor
-    | Page
-    | Paged
+    | PageRequest
+    | PageEnd
     | Compare
     | Digests
     | BucketRequest
     | BucketMembers
-    | Spare
-    | Ask
-    | Lend
-    | Back
+    | SpareReport
+    | LoanRequest
+    | LoanGrant
+    | LoanReturn
     | HealthReport
     | LoadReport
-    | Counted
+    | HeavyHitterReport
 )
 
 
@@ -240,14 +240,14 @@
     to_life: Annotated[str, msgspec.Meta(max_length=32)]
     heard: Number
     at: Number  # ms of the sender's wall clock
-    items: Annotated[list[msgspec.Raw], msgspec.Meta(max_length=ITEMS_MOST)]
+    items: Annotated[list[msgspec.Raw], msgspec.Meta(max_length=MAX_ITEMS)]
 
 
-_item, _envelope = msgspec.msgpack.Decoder(Any_), msgspec.msgpack.Decoder(Envelope)
+_item, _envelope = msgspec.msgpack.Decoder(AnyItem), msgspec.msgpack.Decoder(Envelope)
 _pack = msgspec.msgpack.Encoder()
 
 
-def packed(item: Item | MemberEntry) -> bytes:
+def encode_item(item: Item | MemberEntry) -> bytes:
     return _pack.encode(item)
 
 
@@ -260,8 +260,8 @@
     """The first seals, all open.  ValueError for one that is no key."""
 
     def __init__(self, keys: list[bytes]) -> None:
-        if not keys or any(not KEY_LEAST <= len(key) <= KEY_MOST for key in keys):
-            raise ValueError(f"a key has {KEY_LEAST} to {KEY_MOST} bytes")
+        if not keys or any(not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES for key in keys):
+            raise ValueError(f"a key has {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes")
         self._keys = {
             hashlib.blake2b(key, digest_size=1, person=b"limebridge-key").digest(): key
             for key in reversed(keys)
@@ -288,10 +288,10 @@
 
     def open(self, data: bytes) -> Envelope | None:
         """None for what nobody of ours has written, or is no envelope."""
-        if not HEAD < len(data) <= DATAGRAM_MOST or data[:4] != MAGIC:
+        if not HEADER_BYTES < len(data) <= MAX_DATAGRAM_BYTES or data[:4] != MAGIC:
             return None
-        key, body = self._keys.get(data[4:5]), data[HEAD:]
-        if key is None or not hmac.compare_digest(_mac(key, body), data[5:HEAD]):
+        key, body = self._keys.get(data[4:5]), data[HEADER_BYTES:]
+        if key is None or not hmac.compare_digest(_mac(key, body), data[5:HEADER_BYTES]):
             return None
         try:
             return _envelope.decode(body)
@@ -300,7 +300,7 @@
 
 
 def _mac(key: bytes, body: bytes, purpose: bytes = b"") -> bytes:
-    return hashlib.blake2b(body, key=key, digest_size=SEAL, person=purpose).digest()
+    return hashlib.blake2b(body, key=key, digest_size=SEAL_BYTES, person=purpose).digest()
 
 
 def items(envelope: Envelope) -> list[Any]:
@@ -316,40 +316,51 @@
 
 def room(name: str, to: str) -> int:
     """Bytes for items in a datagram between two of these names, whatever its numbers are."""
-    return DATAGRAM_MOST - HEAD - 2 * 34 - len(name.encode()) - len(to.encode()) - 4 - 4 * 9 - 10
+    return (
+        MAX_DATAGRAM_BYTES
+        - HEADER_BYTES
+        - 2 * 34
+        - len(name.encode())
+        - len(to.encode())
+        - 4
+        - 4 * 9
+        - 10
+    )
 
 
 @dataclass(slots=True)
-class _From:
+class _ReceivedNumbers:
     """Numbers of one life."""
 
     highest: int = 0
     came: int = 0  # bits: which of those behind the highest
 
 
-class Numbers:
+class SequenceNumbers:
     """Ours, and those that came; and how old a datagram can be at most."""
 
     __slots__ = ("_came", "_number", "_sent")
 
     def __init__(self) -> None:
         self._number = 0
-        self._came: OrderedDict[tuple[str, str], _From] = OrderedDict()  # by name and life
+        self._came: OrderedDict[tuple[str, str], _ReceivedNumbers] = (
+            OrderedDict()
+        )  # by name and life
         self._sent: dict[str, OrderedDict[int, float]] = {}  # by member: number, when
 
     def next(self, to: str, now: float) -> int:
         """The number of what is sent now to this member."""
         self._number += 1
         if to:
-            if to not in self._sent and len(self._sent) >= LIVES_MOST:
+            if to not in self._sent and len(self._sent) >= MAX_SENDERS:
                 self._sent.pop(next(iter(self._sent)))
             sent = self._sent.setdefault(to, OrderedDict())
             sent[self._number] = now
-            if len(sent) > SENT_MOST:
+            if len(sent) > MAX_SENT_NUMBERS:
                 sent.popitem(last=False)
         return self._number
 
-    def heard(self, name: str, life: str) -> int:
+    def highest_received(self, name: str, life: str) -> int:
         """The highest number had from that life."""
         known = self._came.get((name, life))
         return 0 if known is None else known.highest
@@ -358,9 +369,9 @@
         """Whether that number has not come before and is not too far behind."""
         known = self._came.get((name, life))
         if known is None:
-            if len(self._came) >= LIVES_MOST:
+            if len(self._came) >= MAX_SENDERS:
                 self._came.popitem(last=False)
-            self._came[name, life] = _From(number, 1)
+            self._came[name, life] = _ReceivedNumbers(number, 1)
             return True
         self._came.move_to_end((name, life))
         if number > known.highest:
