--- a/benchmarks/emulated_fleet.py
+++ b/benchmarks/emulated_fleet.py
@@ -9,8 +9,8 @@
 from limebridge.virtual.kernel import Kernel
 from limebridge.virtual.loop import VirtualLoop
 from limebridge.virtual.session import quiet
-from snowstall import Judged
-from violetroute.membership import Places
+from snowstall import LoadSample
+from violetroute.membership import NodeAddresses
 from violetroute.sharing import wire
 from violetroute.sharing.service import Sharing
 from violetroute.sharing.table import SharingTable
@@ -23,10 +23,10 @@
     """A proxy that remembers which nodes it was told to leave alone."""
 
     def __init__(self) -> None:
-        self.places, self.judged = Places(), deque[Judged]()
+        self.places, self.judged = NodeAddresses(), deque[LoadSample]()
         self.bad: list[int] = []
 
-    def apply_peer_reports(self, bad: list[int], outcomes: list[Judged]) -> None:
+    def apply_peer_reports(self, bad: list[int], outcomes: list[LoadSample]) -> None:
         self.bad = bad
 
 
--- a/limebridge/effect.py
+++ b/limebridge/effect.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from violetroute.config import Config, Operator
-from violetroute.membership import order
+from violetroute.membership import source_order
 
 
 def _source(name: str, operator: Operator) -> str:
@@ -18,7 +18,7 @@
     return {
         "operator's file": path or "none: defaults",
         "log": f"{operator.log.level}, {operator.log.format}",
-        "nodes from": ", else ".join(_source(name, operator) for name in order(operator)),
+        "nodes from": ", else ".join(_source(name, operator) for name in source_order(operator)),
         "placement": "off" if planned is None else f"{operator.placement.file} ({planned} nodes)",
         "cluster": operator.cluster.appear,
         "ledger": "off"
@@ -41,7 +41,7 @@
         "discovery": f"{config.discovery.host}:{config.discovery.port}",
         "client connections": config.client_sockets,
         "node connections": config.upstream_sockets,
-        "room for values, KiB": config.value_room // 1024,
+        "room for values, KiB": config.client_memory_bytes // 1024,
         "known nodes": len(config.known.entries),
         "classes": [
             f"{c.name} ({c.effect.value}, {c.deadline:g} ms)" for c in config.settings.classes
--- a/limebridge/scale/virtual_members.py
+++ b/limebridge/scale/virtual_members.py
@@ -13,8 +13,8 @@
 
 from limebridge.virtual import Kernel, VirtualLoop
 from limebridge.virtual.session import quiet
-from snowstall import Judged
-from violetroute.membership import Places
+from snowstall import LoadSample
+from violetroute.membership import NodeAddresses
 from violetroute.sharing import wire
 from violetroute.sharing.service import Sharing
 from violetroute.sharing.table import SharingTable
@@ -43,10 +43,10 @@
     """A proxy without requests, as `violetroute.sharing` sees it."""
 
     def __init__(self) -> None:
-        self.places = Places()
-        self.judged: deque[Judged] = deque()
+        self.places = NodeAddresses()
+        self.judged: deque[LoadSample] = deque()
 
-    def apply_peer_reports(self, bad: list[int], outcomes: list[Judged]) -> None:
+    def apply_peer_reports(self, bad: list[int], outcomes: list[LoadSample]) -> None:
         """What others met is not used here."""
 
 
--- a/tests/limebridge/virtual/test_virtual.py
+++ b/tests/limebridge/virtual/test_virtual.py
@@ -15,10 +15,10 @@
 from violetroute.clients import Listener
 from violetroute.config import parse
 from violetroute.membership import Listing
-from violetroute.membership.native import Watch
+from violetroute.membership.native import DiscoveryWatch
 from violetroute.proxy import Proxy
 from violetroute.transport import Address
-from violetroute.transport.loop_lag import PAUSE
+from violetroute.transport.loop_lag import MIN_PAUSE
 from violetroute.transport.sockets import SocketNetwork
 
 
@@ -75,7 +75,7 @@
     async def part() -> None:
         discovery = await Discovery().start()
         net = SocketNetwork(loop, make=kernel.maker("p"))
-        watch = Watch(Ear(), Address("127.0.0.1", discovery.port), net)
+        watch = DiscoveryWatch(Ear(), Address("127.0.0.1", discovery.port), net)
         watch.start(0)
         await asyncio.sleep(1.0)
         for writer in list(discovery.open):
@@ -107,7 +107,7 @@
         config = parse(raw)
         net = SocketNetwork(loop, make=kernel.maker("proxy"), clock=lambda: kernel.now)
         proxy = Proxy(config, net)
-        listener = Listener(proxy, config.client_sockets, config.value_room, net)
+        listener = Listener(proxy, config.client_sockets, config.client_memory_bytes, net)
         port = listener.start(config.listen).port
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         answers = []
@@ -134,4 +134,4 @@
 
 def test_the_kit_and_the_daemon_agree_which_pause_a_process_sees() -> None:
     """The virtual process has the judge's constant, so that it plays older builds as well."""
-    assert PAUSE_SEEN == PAUSE
+    assert PAUSE_SEEN == MIN_PAUSE
--- a/tests/violetroute/fleet/test_fleet_guards.py
+++ b/tests/violetroute/fleet/test_fleet_guards.py
@@ -41,8 +41,8 @@
 from violetroute.fleet.table import FleetTable
 from violetroute.ledger.accounts import Book
 from violetroute.ledger.periods import Periods
-from violetroute.placement import Keeper, PlacementTable, Plan
-from violetroute.placement import keeper as placement
+from violetroute.placement import PlacementTable, Plan, PlanManager
+from violetroute.placement import plan_manager as placement
 from violetroute.transport import Address
 from violetroute.transport.sockets import SocketNetwork
 from violetroute.transport.writer import ThreadWriter
@@ -332,23 +332,23 @@
 def test_a_ledger_has_closed_what_is_over_counted_and_confirmed() -> None:
     book = Book(Periods("UTC", 5), grace_s=60.0)
     now = 3000.0
-    assert book.through(now) == 2700.0  # the period that began at 2,700 is open
-    assert book.through(3059.0) == 2700.0 and book.through(3060.0) == 3000.0
-    for record in book.counted(now, {(2400, "t", "c"): 3}):
+    assert book.closed_until(now) == 2700.0  # the period that began at 2,700 is open
+    assert book.closed_until(3059.0) == 2700.0 and book.closed_until(3060.0) == 3000.0
+    for record in book.usage_records(now, {(2400, "t", "c"): 3}):
         book.apply(record)
-    assert book.through(now) == 2400.0
-    for record in book.cut(now):
+    assert book.closed_until(now) == 2400.0
+    for record in book.batch_records(now):
         book.apply(record)
-    assert book.through(now) == 2400.0  # prepared, and not handed over
+    assert book.closed_until(now) == 2400.0  # prepared, and not handed over
     (seq,) = book.batches
     held = Book(Periods("UTC", 5), grace_s=60.0)
     held.apply(book.checkpoint())
-    for record in book.confirms(seq):
+    for record in book.confirmed_records(seq):
         book.apply(record)
-    assert book.through(now) == 2700.0
-    for record in held.holds(seq, "an operator has to look"):
+    assert book.closed_until(now) == 2700.0
+    for record in held.held_records(seq, "an operator has to look"):
         held.apply(record)
-    assert held.through(now) == 2700.0  # it holds up nobody
+    assert held.closed_until(now) == 2700.0  # it holds up nobody
 
 
 # --- the loop ---
@@ -360,8 +360,8 @@
     path.write_bytes(msgspec.json.encode(Plan(1, 0.0, {"a": 1.0}, fence=1)))
     load = placement.load_plan
     monkeypatch.setattr(placement, "load_plan", lambda of: reads.append(1) or load(of))
-    keeper = Keeper(loop, lambda: 0.0, lambda sizes: None)
-    keeper.take(None, PlacementTable(file=str(path), every_s=0.001))
+    keeper = PlanManager(loop, lambda: 0.0, lambda sizes: None)
+    keeper.set_plan(None, PlacementTable(file=str(path), every_s=0.001))
     loop.run_until_complete(asyncio.sleep(3.0))
     assert len(reads) == 1 and keeper._plan is not None
     path.write_bytes(msgspec.json.encode(Plan(1, 0.0, {"a": 1.0}, fence=22)))
--- a/tests/violetroute/test_list_applier.py
+++ b/tests/violetroute/test_list_applier.py
@@ -10,8 +10,8 @@
 import pytest
 
 from snowstall import CacheState, Member
-from violetroute.listing import SLICE, ListApplier
-from violetroute.membership import Entry, Listing, Places, as_member, stable_hash
+from violetroute.listing import NODES_PER_SLICE, ListApplier
+from violetroute.membership import Entry, Listing, NodeAddresses, as_member, stable_hash
 from violetroute.transport import Address
 from violetroute.upstream import Pool
 
@@ -49,7 +49,7 @@
     def __init__(self) -> None:
         self.at: dict[int, Address] = {}
 
-    def place(self, cache_id: int, address: Address) -> None:
+    def add(self, cache_id: int, address: Address) -> None:
         self.at.setdefault(cache_id, address)
 
     def remove(self, cache_id: int) -> None:
@@ -60,7 +60,7 @@
     """The applier with what it applies to; `ready` are the nodes that may be asked."""
 
     def __init__(self) -> None:
-        self.turns, self.places, self.pool = Turns(), Places(), NodesOfPool()
+        self.turns, self.places, self.pool = Turns(), NodeAddresses(), NodesOfPool()
         self.ready: dict[int, Member] = {}
         self.steps: list[list[Member]] = []
         self.lists = ListApplier(
@@ -114,7 +114,7 @@
     assert not any(name(number) in applied.pool.at for number in range(50))
     applied.settle()
     assert len(applied.ready) == 150
-    assert max(map(len, applied.steps[2:])) <= SLICE
+    assert max(map(len, applied.steps[2:])) <= NODES_PER_SLICE
 
 
 def test_a_node_that_drains_while_it_waits_is_never_asked() -> None:
@@ -177,14 +177,14 @@
     """The plain way: each entry in the order of the list, all in one turn."""
 
     def __init__(self) -> None:
-        self.places, self.ready = Places(), dict[int, Member]()
+        self.places, self.ready = NodeAddresses(), dict[int, Member]()
 
     def take(self, entries: tuple[Entry, ...], whole: bool) -> None:
         members: list[Member] = []
         for one in {each.instance: each for each in entries}.values():
-            members += self.places.take(as_member(one, NOW), one.address).members
+            members += self.places.apply(as_member(one, NOW), one.address).members
         if whole:
-            self.places.keep(member.id for member in members)
+            self.places.retain(member.id for member in members)
             self.ready = {}
         for member in {member.id: member for member in members}.values():
             if member.state is READY:
--- a/violetroute/sharing/factory.py
+++ b/violetroute/sharing/factory.py
@@ -7,9 +7,9 @@
 from typing import Protocol, TypeVar
 
 from violetroute import logs
-from violetroute.parts import Parts
+from violetroute.hooks import EventHooks
 from violetroute.transport import Network
-from violetroute.transport.local import LocalDoor
+from violetroute.transport.introspection_socket import IntrospectionSocket
 
 from .introspection import view
 from .service import Host, Sharing
@@ -21,7 +21,7 @@
 class ProxyHost(Host, Protocol):
     """The proxy."""
 
-    parts: Parts
+    hooks: EventHooks
 
 
 def make_sharing(
@@ -35,13 +35,13 @@
 
 def attach(sharing: Sharing, proxy: ProxyHost) -> None:
     """It hears of requests, attempts and lists from now on."""
-    parts = proxy.parts
+    hooks = proxy.hooks
     if sharing.rounds.node_health is not None:
-        parts.ended.append(safely(sharing.record_attempt))
-        parts.listed.append(safely(sharing.update_nodes))
+        hooks.on_attempt_ended.append(safely(sharing.record_attempt))
+        hooks.on_list_change.append(safely(sharing.update_nodes))
         sharing.update_nodes(proxy.places.members())
-    parts.taken.append(safely(sharing.record_request))
-    parts.admits = safely(sharing.admits)
+    hooks.on_accepted.append(safely(sharing.record_request))
+    hooks.admission_check = safely(sharing.admits)
 
 
 def safely(hook: Callable[..., T]) -> Callable[..., T | None]:
@@ -57,5 +57,5 @@
     return call
 
 
-def introspection_listener(table: SharingTable, sharing: Sharing) -> LocalDoor | None:
-    return LocalDoor(table.socket, partial(view, sharing)) if table.socket else None
+def introspection_listener(table: SharingTable, sharing: Sharing) -> IntrospectionSocket | None:
+    return IntrospectionSocket(table.socket, partial(view, sharing)) if table.socket else None
--- a/violetroute/sharing/service.py
+++ b/violetroute/sharing/service.py
@@ -18,9 +18,9 @@
 from collections.abc import Sequence
 from typing import Any, Protocol
 
-from snowstall import Judged, Member, Result
+from snowstall import LoadSample, Member, Result
 from violetroute import logs
-from violetroute.membership import Places
+from violetroute.membership import NodeAddresses
 from violetroute.transport import Address, Network, parse_address
 
 from . import wire
@@ -54,10 +54,10 @@
 class Host(Protocol):
     """What the proxy is asked for."""
 
-    places: Places
-    judged: deque[Judged]  # what came of its own requests, until it is taken out
+    places: NodeAddresses
+    judged: deque[LoadSample]  # what came of its own requests, until it is taken out
 
-    def apply_peer_reports(self, bad: list[int], outcomes: list[Judged]) -> None:
+    def apply_peer_reports(self, bad: list[int], outcomes: list[LoadSample]) -> None:
         """What others met: all nodes that seem bad now, and what came of their requests."""
 
 
@@ -83,7 +83,7 @@
         now = self.loop.time()
         address = parse_address(table.listen)
         self._address_overrides = {who: parse_address(at) for who, at in table.ways.items()}
-        self._mailbox = net.mailbox(address, self, wire.MAX_DATAGRAM_BYTES)
+        self._mailbox = net.bind_datagram_socket(address, self, wire.MAX_DATAGRAM_BYTES)
         place = f"{address.host}:{self._mailbox.address.port}"
         self.members = Members(
             self.name,
@@ -240,7 +240,7 @@
         )
         host.judged.clear()
         for node in done.newly_unhealthy:
-            logs.event("sharing.avoided", node=host.places.name(node))
+            logs.event("sharing.avoided", node=host.places.describe(node))
         if done.unhealthy or done.recovered or done.outcomes:
             host.apply_peer_reports(done.unhealthy, done.outcomes)
         for report in done.reports:
