--- a/tests/limebridge/scale/test_scale_membership.py
+++ b/tests/limebridge/scale/test_scale_membership.py
@@ -20,10 +20,10 @@
 from limebridge.scale.virtual_members import VirtualMembers
 from violetroute.sharing.anti_entropy import COMPARE_INTERVAL_S
 from violetroute.sharing.members import Members
-from violetroute.sharing.outgoing import Outgoing
+from violetroute.sharing.outgoing import Send
 from violetroute.sharing.wire import Digests, Keys
 
-Compared = Callable[[float, str, Digests], list[Outgoing]]
+Compared = Callable[[float, str, Digests], list[Send]]
 SMALL = RunPlan(
     proxies=10, sites=4, regions=2, nodes=5, real=1, controls=3, seconds=4.0, warm_seconds=0.5
 )
@@ -108,7 +108,7 @@
 
         def counted(
             now: float, name: str, item: Digests, compared: Compared = compared
-        ) -> list[Outgoing]:
+        ) -> list[Send]:
             checks[0] += 1
             assert not item.digests
             return compared(now, name, item)
--- a/tests/support/members_net.py
+++ b/tests/support/members_net.py
@@ -6,7 +6,7 @@
 from collections import Counter
 
 from violetroute.sharing.members import Members
-from violetroute.sharing.outgoing import Outgoing
+from violetroute.sharing.outgoing import Send
 from violetroute.sharing.wire import ANTI_ENTROPY, Item, encode_item
 
 TICK_S = 0.1
@@ -18,7 +18,7 @@
 
     def receive(
         self, now: float, name: str, life: str, incarnation: int, item: Item, place: str = ""
-    ) -> list[Outgoing]:
+    ) -> list[Send]:
         """As the older build, which does not know these kinds."""
         if isinstance(item, ANTI_ENTROPY):
             return []
@@ -96,7 +96,7 @@
             for name, life in lives
         )
 
-    def _send(self, sender: Members, outs: list[Outgoing]) -> None:
+    def _send(self, sender: Members, outs: list[Send]) -> None:
         for out in outs:
             place = sender.lookup(out.to)[1] if out.to else out.place
             self._count(sender.name, place, out)
@@ -105,7 +105,7 @@
                 rumors = () if paced else sender.rumors()
                 self._way += [(sender, place, item) for item in (*out.items, *rumors)]
 
-    def _count(self, sender: str, place: str, out: Outgoing) -> None:
+    def _count(self, sender: str, place: str, out: Send) -> None:
         for item in out.items:
             if isinstance(item, ANTI_ENTROPY):
                 size = len(encode_item(item))
--- a/tests/support/one_member.py
+++ b/tests/support/one_member.py
@@ -6,7 +6,7 @@
 
 from violetroute.sharing.digest import pack_short
 from violetroute.sharing.members import Members
-from violetroute.sharing.outgoing import Outgoing
+from violetroute.sharing.outgoing import Send
 from violetroute.sharing.wire import (
     BucketRequest,
     Compare,
@@ -31,12 +31,12 @@
     return [MemberEntry(name, "x", incarnation, name) for name in names]
 
 
-def hears(of: Members, now: float, *items: Item) -> list[Outgoing]:
+def hears(of: Members, now: float, *items: Item) -> list[Send]:
     """Items of p0."""
     return [out for item in items for out in of.receive(now, "p0", "x", 1, item, "p0")]
 
 
-def of_kind(outs: list[Outgoing], kind: type[Item]) -> list[Item]:
+def of_kind(outs: list[Send], kind: type[Item]) -> list[Item]:
     return [item for out in outs for item in out.items if isinstance(item, kind)]
 
 
--- a/tests/violetroute/sharing/test_sharing.py
+++ b/tests/violetroute/sharing/test_sharing.py
@@ -25,7 +25,7 @@
 from violetroute.sharing.factory import safely
 from violetroute.sharing.heavy_hitters import HeavyHitters, Summary, merge
 from violetroute.sharing.loans import MAX_BORROWERS, MAX_LENT, MAX_OPEN_REQUESTS, Loans, LoanTerms
-from violetroute.sharing.members import MAX_MEMBERS, Members, Outgoing
+from violetroute.sharing.members import MAX_MEMBERS, Members, Send
 from violetroute.sharing.node_health import NodeHealth
 from violetroute.sharing.relays import MAX_RELAYS
 from violetroute.sharing.rumors import MAX_WAITING, overrides
@@ -369,7 +369,7 @@
         )
         return made
 
-    def put(self, sender: Members, out: Outgoing) -> None:
+    def put(self, sender: Members, out: Send) -> None:
         to = sender.lookup(out.to)[1] if out.to else out.place
         self.sent += 1
         place = sender._place
--- a/tests/violetroute/sharing/test_sharing_anti_entropy_bytes.py
+++ b/tests/violetroute/sharing/test_sharing_anti_entropy_bytes.py
@@ -19,7 +19,7 @@
 )
 from violetroute.sharing.byte_pacer import BytePacer
 from violetroute.sharing.digest import bucket_count, member_hash, pack_short
-from violetroute.sharing.outgoing import Outgoing
+from violetroute.sharing.outgoing import Send
 from violetroute.sharing.wire import (
     ANTI_ENTROPY,
     BucketMembers,
@@ -84,7 +84,7 @@
     one = member(*(f"p{number}" for number in range(50)))
     pace = one._anti_entropy._sent_pacer
 
-    def paid(work: Callable[[], list[Outgoing]]) -> float:
+    def paid(work: Callable[[], list[Send]]) -> float:
         """Bytes that the work's items were counted for, less their own bytes."""
         before = pace._level
         sent = [item for out in work() for item in out.items if isinstance(item, ANTI_ENTROPY)]
--- a/tests/violetroute/sharing/test_sharing_anti_entropy_messages.py
+++ b/tests/violetroute/sharing/test_sharing_anti_entropy_messages.py
@@ -21,7 +21,7 @@
 )
 from violetroute.sharing.digest import member_hash, pack_short
 from violetroute.sharing.members import Members
-from violetroute.sharing.outgoing import Outgoing
+from violetroute.sharing.outgoing import Send
 from violetroute.sharing.wire import (
     MAX_HELD_BYTES,
     SHORT_BYTES,
@@ -239,7 +239,7 @@
         hears(one, 1.0, Rumor("p1", "x", 1, state, "p1", by="p0"))
         compared(one, 1.0)
         (out,) = hears(one, 1.0, BucketMembers(7, 1, 0, entries("p1")))
-        assert out == Outgoing("p0", "", (Rumor("p1", "x", 1, told, "p1", by="me"),))
+        assert out == Send("p0", "", (Rumor("p1", "x", 1, told, "p1", by="me"),))
         assert not one.is_up("p1", "x")
         hears(one, 1.0, BucketMembers(7, 1, 0, entries("p1", incarnation=2)))
         assert one.is_up("p1", "x")
--- a/tests/violetroute/sharing/test_sharing_late.py
+++ b/tests/violetroute/sharing/test_sharing_late.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.violetroute.sharing.test_sharing_talk import One
-from violetroute.sharing.members import MAX_HEALTH, Members, Outgoing
+from violetroute.sharing.members import MAX_HEALTH, Members, Send
 from violetroute.sharing.probe import LATE_SHARE, POSTPONE_SHARE, TICK_S, is_late, suspicion_time
 from violetroute.sharing.wire import Ack, Nack, Ping, PingRequest, Rumor
 
@@ -37,14 +37,14 @@
         self.hears(Rumor("p1", "l1", 1, "a", "at1"))
         self.told.clear()
 
-    def hears(self, *items: Rumor | Ack | PingRequest, name: str = "p1") -> list[Outgoing]:
+    def hears(self, *items: Rumor | Ack | PingRequest, name: str = "p1") -> list[Send]:
         return [
             out
             for item in items
             for out in self.members.receive(self.now, name, "l1", 1, item, "at1")
         ]
 
-    def tick(self, after: float = TICK) -> list[Outgoing]:
+    def tick(self, after: float = TICK) -> list[Send]:
         self.now += after
         return self.members.tick(self.now)
 
--- a/violetroute/sharing/anti_entropy.py
+++ b/violetroute/sharing/anti_entropy.py
@@ -41,7 +41,7 @@
     unpack_short,
 )
 from .member_list import MemberList
-from .outgoing import Outgoing
+from .outgoing import Send
 from .rumors import entry_of, rumor_of
 from .wire import (
     MAX_HELD_BYTES,
@@ -137,7 +137,7 @@
         self._requested_pacer = BytePacer(REQUESTED_BYTES_S, BURST_S, now)
 
     # --- time ---
-    def tick(self, now: float) -> list[Outgoing]:
+    def tick(self, now: float) -> list[Send]:
         """What is to be asked by now."""
         self._expire(now)
         if self._exchange is not None:
@@ -151,9 +151,9 @@
         busy = self._comparison is not None or self._exchange is not None
         return () if busy else (self._compare(now, ""),)
 
-    def _begin_comparison(self, now: float) -> Outgoing:
+    def _begin_comparison(self, now: float) -> Send:
         peer = self._random.choice(self._members.up.names())
-        return Outgoing(peer, "", (self._compare(now, peer), *self._legacy_page_request(now)))
+        return Send(peer, "", (self._compare(now, peer), *self._legacy_page_request(now)))
 
     def _legacy_page_request(self, now: float) -> tuple[Item, ...]:
         """The query of an older build, where members seem to be of it."""
@@ -193,8 +193,8 @@
         wait = COMPARE_SOON_S if self._unanswered <= LEGACY_AFTER else COMPARE_INTERVAL_S
         self.compare_at = now + wait * self._jitter()
 
-    def _request_buckets(self, now: float) -> list[Outgoing]:
-        exchange, out = self._exchange, list[Outgoing]()
+    def _request_buckets(self, now: float) -> list[Send]:
+        exchange, out = self._exchange, list[Send]()
         if exchange is None:
             return []
         while exchange.waiting and len(exchange.open) < WINDOW and self._may_request(now):
@@ -208,7 +208,7 @@
         paused = now < self._backoff_until or not self._members.up.names()
         return not paused and self._requested_pacer.allows(now) and self._sent_pacer.allows(now)
 
-    def _request_bucket(self, now: float, exchange: Exchange, query: BucketQuery) -> Outgoing:
+    def _request_bucket(self, now: float, exchange: Exchange, query: BucketQuery) -> Send:
         number, peer = self._next_number(), exchange.peer
         if query.attempts or exchange.any_peer or not peer:
             peer = self._random.choice(self._members.up.names())
@@ -219,7 +219,7 @@
         hashes = pack_short(held)[:MAX_HELD_BYTES]
         items = (BucketRequest(number, exchange.buckets, query.index, hashes),)
         self._charge(now, peer, items)
-        return Outgoing(peer, "", items)
+        return Send(peer, "", items)
 
     def _end_exchange(self, now: float, exchange: Exchange) -> None:
         self._exchange = None
@@ -246,16 +246,16 @@
         return self._number
 
     # --- what comes ---
-    def receive(self, now: float, name: str, place: str, item: Item) -> list[Outgoing]:
+    def receive(self, now: float, name: str, place: str, item: Item) -> list[Send]:
         """An item of anti-entropy.  Answers go to the name, or to the place of a stranger."""
         match item:
             case Compare():
-                return [Outgoing(name, place, (self._digests_for(now, name or place, item),))]
+                return [Send(name, place, (self._digests_for(now, name or place, item),))]
             case Digests():
                 return self._handle_digests(now, name, item)
             case BucketRequest():
                 answer = self._missing_members(now, name or place, item)
-                return [Outgoing(name, place, answer)] if answer else []
+                return [Send(name, place, answer)] if answer else []
             case BucketMembers():
                 return self._handle_members(now, name, place, item)
         return []
@@ -270,7 +270,7 @@
         self._charge(now, to, (answer,))
         return answer
 
-    def _handle_digests(self, now: float, name: str, item: Digests) -> list[Outgoing]:
+    def _handle_digests(self, now: float, name: str, item: Digests) -> list[Send]:
         check = self._comparison
         if check is None or check.number != item.number:
             return []
@@ -346,13 +346,11 @@
         self._apply_rumor(rumor_of(entry), now)
         return None
 
-    def _handle_members(
-        self, now: float, name: str, place: str, item: BucketMembers
-    ) -> list[Outgoing]:
+    def _handle_members(self, now: float, name: str, place: str, item: BucketMembers) -> list[Send]:
         before = self._digests.whole
         over = [rumor for entry in item.members if (rumor := self._merge(entry, now))]
         self._requested_pacer.spend(now, DATAGRAM_BYTES / WINDOW + _size((item,)))
-        out = [Outgoing(name, place, tuple(over))] if over else []
+        out = [Send(name, place, tuple(over))] if over else []
         exchange = self._exchange
         if exchange is None:
             return out
@@ -364,7 +362,7 @@
         self._backoff = BACKOFF_S
         return out + self._push(now, name, place, item) + self._request_buckets(now)
 
-    def _push(self, now: float, name: str, place: str, item: BucketMembers) -> list[Outgoing]:
+    def _push(self, now: float, name: str, place: str, item: BucketMembers) -> list[Send]:
         """The members that the other side said it lacks."""
         here = self._digests.members(item.buckets, item.index) if item.wanted else {}
         names = [here[value] for value in unpack_short(item.wanted) if value in here]
@@ -372,7 +370,7 @@
             return []
         items = self._items(names, 0, item.buckets, item.index)
         self._charge(now, name or place, items)
-        return [Outgoing(name, place, items)]
+        return [Send(name, place, items)]
 
 
 def _size(items: tuple[Item, ...]) -> float:
--- a/violetroute/sharing/members.py
+++ b/violetroute/sharing/members.py
@@ -1,25 +1,25 @@
-"""Who is there: membership by gossip, after SWIM with suspicion, and Lifeguard's own health.  Pure.
+"""Membership by gossip: SWIM with suspicion, and Lifeguard's local health.  Pure.
 
 Sources: Das, Gupta, Motivala, "SWIM" (2002); Dadgar, Phillips, Currey, "Lifeguard" (2018).
 
-Each period one member is asked, in an order that is shuffled anew each round, so that each is asked
-within two rounds.  Who does not answer is asked through others; who does not answer them either is
-suspected, and is dead when nobody has heard it deny that for a time that shrinks with the number of
-those who suspect it too.  What changed is told with whatever is sent anyway, so a member's share of
-the traffic does not grow with the fleet.
+Each period, one member is probed with a ping.  The order is shuffled anew after each round over all
+members, so each member is probed within two rounds.  A member that sends no ack is probed through
+helpers (indirect probe).  If that fails too, it is suspected, and declared dead unless it refutes
+the suspicion in time.  This time shrinks with each further member that suspects it.  Rumors of
+changes travel in datagrams that are sent anyway, so one member's traffic does not grow with the
+fleet.
 
-One's own health: whose asking fails, or who has to deny that it is dead, asks more slowly and waits
-longer, for then it is likely itself that is slow or cut off.
+Local health: a member whose probes fail, or that has to refute a suspicion, is likely slow or
+partitioned itself.  It probes less often and gives suspects more time.
 
-A name is one process's.  Its life is a nonce, its incarnation the wall clock's milliseconds of its
-start, raised whenever it denies something: so a life that comes back is above the one before, with
-or without a disk; where the clock was set back it hears that it is dead, and goes above that.  Two
-that run under one name hear of each other as of a higher incarnation of another life: the lower one
-stands aside (`duplicate`),
-says nothing of itself any more, and comes back when the other is dead.  What
-a process of another life answers is no life sign of the one that is listed.
+A name belongs to one process.  `life` is a random ID of that process.  `incarnation` starts as the
+wall clock in ms at the start and rises with each refutation, so a restarted process is above its
+predecessor without storing anything.  If the clock was set back, it receives a rumor that it is
+dead and raises its incarnation above that one.  If two processes have one name, the one with the
+lower incarnation steps down (`duplicate`): it no longer announces itself, and resumes when the
+other one is dead.  An ack of one process is no sign of life of another one with the same name.
 
-Bounds: members, suspectors of each, rumors that wait, relayed asks; datagrams sent a period.
+Bounds: members, members that suspect one, queued rumors, relayed probes, datagrams sent a period.
 """
 
 from __future__ import annotations
@@ -31,34 +31,24 @@
 
 from .anti_entropy import AntiEntropy
 from .member_list import MemberList
-from .outgoing import Outgoing
+from .outgoing import Send
 from .probe import POSTPONE_SHARE, Probe, is_late, suspicion_time
 from .relays import Relay, Relays
 from .rumors import MAX_CONFIRMATIONS, Member, Rumors, overrides
-from .wire import (
-    ANTI_ENTROPY,
-    Ack,
-    Item,
-    Nack,
-    PageEnd,
-    PageRequest,
-    Ping,
-    PingRequest,
-    Rumor,
-)
+from .wire import ANTI_ENTROPY, Ack, Item, Nack, PageEnd, PageRequest, Ping, PingRequest, Rumor
 
 MAX_MEMBERS = 4096
-HELPERS = 3  # that are asked to ask
-DIRECT_SHARE = 0.35  # of a period until helpers are asked
-RELAY_SHARE = 0.8  # of the rest until a helper says that it heard nothing either
-MAX_HEALTH = 6  # how slow one's own bad health makes one
-PAGE_MEMBERS = 12  # members of one page
-RECONNECT_S = 3.0  # s between two asks of who is thought dead, or of a seed
-FORGET_S = 60.0  # s after which the dead are forgotten: they have been asked again by then
+HELPERS = 3  # members that send an indirect probe
+DIRECT_SHARE = 0.35  # of a period until the indirect probe starts
+RELAY_SHARE = 0.8  # of the rest of the period, after which a helper sends a nack
+MAX_HEALTH = 6  # upper bound of the local health score; 0 is healthy
+PAGE_MEMBERS = 12  # members in the answer to one `PageRequest`
+RECONNECT_S = 3.0  # between two pings of a dead member or of a seed
+FORGET_S = 60.0  # until dead members are forgotten; several reconnects were tried by then
 
 
 class Members:
-    """One life's view.  `now`: s of its clock, in every call."""
+    """One process's view of the membership.  `now`: s of its monotonic clock, in every call."""
 
     def __init__(
         self,
@@ -80,8 +70,8 @@
         self.members = self._list.members
         self._up, self._not_alive = self._list.up, self._list.not_alive
         self._seeds = self._list.seeds
-        self.health = 0  # 0 is well
-        self.duplicate: Member | None = None  # another life of our name, above us
+        self.health = 0  # local health score; 0 is healthy
+        self.duplicate: Member | None = None  # a process with our name and a higher incarnation
         self._order: list[str] = []
         self._probe: Probe | None = None
         self._probe_at = now + period * random.random()
@@ -89,44 +79,46 @@
         self._number = random.getrandbits(30)
         self._rumors = Rumors()
         self._relays = Relays()
-        take = partial(self._take, send_on=False)  # who lacks it finds that by comparing
+        take = partial(self._take, send_on=False)  # other members find it by anti-entropy
         self._anti_entropy = AntiEntropy(self._list, self._listed_self, take, random, now)
         self._ticked_at = now
-        self._postponed = False  # by the last tick, an end of a probe or of a suspicion
+        self._postponed = False  # whether this tick postponed the end of a probe or a suspicion
         self.leaving = False
         self._list.digests.file(self._listed_self())
 
     # --- what is known ---
     def up(self) -> list[str]:
-        """Names of those that are there, without this one."""
+        """Names of the other members that are alive or suspected."""
         return self._up.names()
 
     def is_up(self, name: str, life: str) -> bool:
+        """Whether this process is listed under this name as alive or suspected."""
         member = self.members.get(name)
         return member is not None and member.up and member.life == life
 
     @property
     def size(self) -> int:
-        """Of the fleet as it is believed, this one with it."""
+        """Members that are alive or suspected, including this one."""
         return 1 + self._up.count
 
     def lookup(self, name: str) -> tuple[str, str, str]:
-        """Life, place and zone; "" each of one that is not known."""
+        """Life, address and zone of a member; each "" if it is not known."""
         member = self.members.get(name)
         return ("", "", "") if member is None else (member.life, member.place, member.zone)
 
     def own_rumor(self) -> Rumor:
+        """The rumor that announces this process: alive, or left while it shuts down."""
         state = "l" if self.leaving else "a"
         return Rumor(self.name, self.life, self.incarnation, state, self._place, self._zone)
 
     # --- time ---
-    def tick(self, now: float) -> list[Outgoing]:
-        """What is to be sent by now.  Called each TICK_S, or the ticks count as late."""
+    def tick(self, now: float) -> list[Send]:
+        """Messages to send now.  Must be called each TICK_S, else the tick counts as late."""
         late = is_late(now - self._ticked_at, self._period)
         self._ticked_at, self._postponed = now, False
-        # A process that is late itself cannot say that it is well and heard nothing.
+        # A nack claims that this helper is healthy; a late tick disproves that.
         over = self._relays.overdue(now)
-        out = [Outgoing(relay.requester, "", (Nack(relay.number),)) for relay in over if not late]
+        out = [Send(relay.requester, "", (Nack(relay.number),)) for relay in over if not late]
         probe = self._probe
         if probe is not None:
             if probe.helpers_at <= now < probe.end:
@@ -136,7 +128,7 @@
                 self._probe_failed(probe, now)
         if self._probe is None and now >= self._probe_at:
             out += self._begin_probe(now)
-        self._expire_suspects(now, late)
+        self._check_suspects(now, late)
         if self._postponed:
             self._adjust_health(1)
         if now >= self._reconnect_at:
@@ -144,23 +136,21 @@
             out += self._reconnect(now)
         return out + self._anti_entropy.tick(now)
 
-    def _postpone(self, judged: Probe | Member, now: float) -> bool:
-        """Let what lies unread in the socket be read first; False if that was done before."""
-        if not math.isinf(judged.not_before):
+    def _postpone(self, overdue: Probe | Member, now: float) -> bool:
+        """Postpone the timeout once, so that unread datagrams are read; False if done before."""
+        if not math.isinf(overdue.not_before):
             return False
-        judged.not_before = now + POSTPONE_SHARE * self._period
+        overdue.not_before = now + POSTPONE_SHARE * self._period
         self._postponed = True
         return True
 
-    def _begin_probe(self, now: float) -> list[Outgoing]:
+    def _begin_probe(self, now: float) -> list[Send]:
         period = self._period * (1 + self.health)
         self._probe_at = now + period
-        if self.duplicate is not None:  # nobody asks it any more: it hears of the other by asking
+        if self.duplicate is not None:  # nobody probes this one: acks report on the other one
             names = self.up()
             self._number += 1
-            return (
-                [Outgoing(self._random.choice(names), "", (Ping(self._number),))] if names else []
-            )
+            return [Send(self._random.choice(names), "", (Ping(self._number),))] if names else []
         while self._order:
             member = self.members.get(self._order.pop())
             if member is not None and member.up:
@@ -175,34 +165,26 @@
         self._probe = Probe(
             member.name, member.life, self._number, now + period * DIRECT_SHARE, now + period
         )
-        # With its own word: who was thought dead and forgotten is a stranger that asks.
-        return [
-            Outgoing(
-                member.name,
-                "",
-                (Ping(self._number), self.own_rumor(), *self._notify_suspect(member)),
-            )
-        ]
+        # The own rumor makes this member known again to one that has forgotten it.
+        return [Send(member.name, "", (Ping(self._number), self.own_rumor(), *self._buddy(member)))]
 
-    def _notify_suspect(self, member: Member) -> tuple[Item, ...]:
-        """Who is suspected hears so first of all, and can deny it."""
+    def _buddy(self, member: Member) -> tuple[Item, ...]:
+        """Lifeguard's buddy system: the ping tells a suspect that it is suspected."""
         return (member.rumor(self.name),) if member.state != "a" else ()
 
-    def _request_helpers(self, probe: Probe) -> list[Outgoing]:
+    def _request_helpers(self, probe: Probe) -> list[Send]:
         names = self.up()
-        sampled = self._random.sample(
-            names, min(HELPERS + 1, len(names))
-        )  # the target too, perhaps
-        helpers = [name for name in sampled if name != probe.target][:HELPERS]
+        picked = self._random.sample(names, min(HELPERS + 1, len(names)))  # the target too, perhaps
+        helpers = [name for name in picked if name != probe.target][:HELPERS]
         probe.helpers = len(helpers)
         return [
-            Outgoing(probe.target, "", (Ping(probe.number),)),
-            *(Outgoing(name, "", (PingRequest(probe.number, probe.target),)) for name in helpers),
+            Send(probe.target, "", (Ping(probe.number),)),
+            *(Send(name, "", (PingRequest(probe.number, probe.target),)) for name in helpers),
         ]
 
     def _probe_failed(self, probe: Probe, now: float) -> None:
         self._probe = None
-        # Helpers that are silent too speak of our own health, those that answer do not.
+        # A helper without a nack is evidence of bad local health; one with a nack is not.
         self._adjust_health(1 if probe.helpers == 0 else probe.helpers - probe.nacks)
         member = self.members.get(probe.target)
         if member is not None and member.up and member.life == probe.life:
@@ -211,7 +193,7 @@
     def _adjust_health(self, by: int) -> None:
         self.health = max(0, min(MAX_HEALTH, self.health + by))
 
-    def _expire_suspects(self, now: float, late: bool) -> None:
+    def _check_suspects(self, now: float, late: bool) -> None:
         if not self._not_alive and self.duplicate is None:
             return
         self._declare_dead(now, late)
@@ -219,58 +201,54 @@
             self._changed(name, "", self._list.forget(name).state)
 
     def _declare_dead(self, now: float, late: bool) -> None:
-        size, health = self.size, self.health  # those that a tick takes for dead change them
+        size, health = self.size, self.health  # before members declared dead change them
         times = [
             suspicion_time(size, self._period, n, health) for n in range(MAX_CONFIRMATIONS + 1)
         ]
         for name in self._not_alive.overdue(now, times):
             suspect = self.members[name]
-            if self._suspicion_ended(suspect, now, late):
+            if self._is_dead(suspect, now, late):
                 self._take(suspect.rumor_in_state("d", self.name), now)
-        duplicate = self.duplicate
-        if (
-            duplicate is not None
-            and now - duplicate.since >= times[0]
-            and self._suspicion_ended(duplicate, now, late)
-        ):
-            self._resume(duplicate.incarnation)
+        other = self.duplicate
+        if other is not None and now - other.since >= times[0] and self._is_dead(other, now, late):
+            self._resume(other.incarnation)
 
-    def _suspicion_ended(self, suspect: Member, now: float, late: bool) -> bool:
-        """Whether one whose time is over had that time indeed."""
+    def _is_dead(self, suspect: Member, now: float, late: bool) -> bool:
+        """Whether a suspect whose time is over is dead; a late tick postpones the decision."""
         return now >= suspect.not_before and not (late and self._postpone(suspect, now))
 
-    def _reconnect(self, now: float) -> list[Outgoing]:
-        """Those thought dead may be back, and seeds may know a part that we do not."""
+    def _reconnect(self, now: float) -> list[Send]:
+        """Ping a dead member, which may be back, and a seed, which may know other members."""
         out = []
         if dead := self._not_alive.dead:
             member = self.members[self._random.choice(dead)[1]]
             self._number += 1
-            out.append(Outgoing(member.name, "", (Ping(self._number), member.rumor(self.name))))
+            out.append(Send(member.name, "", (Ping(self._number), member.rumor(self.name))))
         if unknown := self._seeds.unknown():
             self._number += 1
             items = (Ping(self._number), self.own_rumor(), *self._anti_entropy.greeting(now))
-            out.append(Outgoing("", self._random.choice(unknown), items))
+            out.append(Send("", self._random.choice(unknown), items))
         return out
 
     # --- what comes ---
     def receive(
         self, now: float, name: str, life: str, incarnation: int, item: Item, place: str = ""
-    ) -> list[Outgoing]:
-        """An item of one of ours.  `place`: where it came from, for answers to strangers."""
+    ) -> list[Send]:
+        """Handle an item of a member.  `place`: its origin, for answers to unknown senders."""
         if name == self.name:
-            return self._handle_duplicate(now, life, incarnation, place)
+            return self._from_duplicate(now, life, incarnation, place)
         member = self.members.get(name)
         ours = member is not None and member.life == life
         if member is not None and ours:
             member.last_contact_at = now
-        # One that is not, or not any more, who is listed under its name is answered where it is.
-        back, at = (name, "") if ours else ("", place)
+        # A process that is not the listed one of its name is answered at its origin.
+        to, address = (name, "") if ours else ("", place)
         match item:
             case Ping(number):
                 answer: list[Item] = [Ack(number)]
                 if member is not None and not (ours and member.up):
                     answer.append(member.rumor(self.name))
-                return [Outgoing(back, at, (*answer, self.own_rumor()))]
+                return [Send(to, address, (*answer, self.own_rumor()))]
             case Ack(number):
                 return self._handle_ack(number, name, life)
             case Nack(number):
@@ -279,25 +257,25 @@
             case PingRequest(number, target):
                 known = self.members.get(target)
                 if known is None or self._relays.full:
-                    return [Outgoing(back, at, (Nack(number),))]
+                    return [Send(to, address, (Nack(number),))]
                 self._number += 1
                 until = now + self._period * (1.0 - DIRECT_SHARE) * RELAY_SHARE
                 self._relays.add(self._number, Relay(name, number, until, known.life))
-                return [Outgoing(target, "", (Ping(self._number),))]
+                return [Send(target, "", (Ping(self._number),))]
             case Rumor():
                 return self._take(item, now)
             case PageRequest(after):
-                return [Outgoing(back, at, self._member_page(name, after))]
+                return [Send(to, address, self._member_page(name, after))]
             case PageEnd(last) if last:
-                return [Outgoing(back, at, (PageRequest(last),))]
+                return [Send(to, address, (PageRequest(last),))]
             case _ if isinstance(item, ANTI_ENTROPY):
-                return self._anti_entropy.receive(now, back, at, item)
+                return self._anti_entropy.receive(now, to, address, item)
         return []
 
-    def _handle_ack(self, number: int, name: str, life: str) -> list[Outgoing]:
+    def _handle_ack(self, number: int, name: str, life: str) -> list[Send]:
         relay = self._relays.answered(number, life)
         if relay is not None:
-            return [Outgoing(relay.requester, "", (Ack(relay.number),))]
+            return [Send(relay.requester, "", (Ack(relay.number),))]
         probe = self._probe
         if (
             probe is not None
@@ -309,24 +287,20 @@
         return []
 
     def _member_page(self, name: str, after: str) -> tuple[Item, ...]:
-        # Two more: who asks is left out, and whether others follow has to be known.
+        # Two more: the requester is left out, and one more shows that others follow.
         there = [member for member in self._up.after(after, PAGE_MEMBERS + 2) if member != name]
         here = there[:PAGE_MEMBERS]
         rumors = [self.members[member].rumor() for member in here]
         return (self.own_rumor(), *rumors, PageEnd(here[-1] if len(there) > len(here) else ""))
 
-    def _handle_duplicate(
-        self, now: float, life: str, incarnation: int, place: str
-    ) -> list[Outgoing]:
-        """A process of our own name: the higher one is the name's."""
+    def _from_duplicate(self, now: float, life: str, incarnation: int, place: str) -> list[Send]:
+        """Handle a process with our name: the higher incarnation keeps the name."""
         if life == self.life:
             return []
         if incarnation > self.incarnation:
             self._step_down(Member(self.name, life, incarnation, "a", place, "", now))
             return []
-        return (
-            [Outgoing("", place, (self.own_rumor(),))] if place and self.duplicate is None else []
-        )
+        return [Send("", place, (self.own_rumor(),))] if place and self.duplicate is None else []
 
     def _step_down(self, duplicate: Member) -> None:
         before = self.duplicate
@@ -343,14 +317,14 @@
         self._announce_self()
 
     # --- rumors ---
-    def _take(self, rumor: Rumor, now: float, send_on: bool = True) -> list[Outgoing]:
+    def _take(self, rumor: Rumor, now: float, send_on: bool = True) -> list[Send]:
         if rumor.name == self.name:
             self._handle_rumor_about_self(rumor, now)
             return []
         known = self.members.get(rumor.name)
         if known is None:
             if rumor.state in ("d", "l") or len(self.members) >= MAX_MEMBERS:
-                return []  # of whom nothing is known nothing need be forgotten
+                return []  # an end of an unknown member changes nothing
             known = self.add_member(rumor, now)
             self._changed(rumor.name, "a", "")
             if rumor.state == "a":
@@ -373,17 +347,17 @@
         return []
 
     def add_member(self, rumor: Rumor, now: float) -> Member:
-        """Take one that is not known yet for alive, without sending it on."""
+        """Add an unknown member as alive and to the probe order, without sending the rumor on."""
         known = self._list.add(rumor, now)
         self._order.insert(int(self._random.random() * (len(self._order) + 1)), rumor.name)
         return known
 
     def _listed_self(self) -> Rumor:
-        """The process that others are to list under this name."""
+        """The process that holds this name: this one, or its duplicate."""
         return self.own_rumor() if self.duplicate is None else self.duplicate.rumor()
 
     def _announce_self(self) -> None:
-        """This process has another incarnation."""
+        """Announce a new incarnation of this process."""
         self._list.digests.file(self._listed_self())
         self._rumors.add(self.own_rumor())
 
@@ -405,15 +379,15 @@
             self._announce_self()
 
     def rumors(self) -> list[Rumor]:
-        """What goes with the next datagram."""
+        """Rumors to piggyback on the next datagram."""
         return self._rumors.next(self.size)
 
-    def leave(self) -> list[Outgoing]:
-        """The process ends: some are told, who tell the others."""
+    def leave(self) -> list[Send]:
+        """Announce the shutdown to a few members, which pass it on."""
         self.leaving = True
         self._list.digests.file(self._listed_self())
         names = self.up()
         return [
-            Outgoing(name, "", (self.own_rumor(),))
+            Send(name, "", (self.own_rumor(),))
             for name in self._random.sample(names, min(2 * HELPERS, len(names)))
         ]
--- a/violetroute/sharing/outgoing.py
+++ b/violetroute/sharing/outgoing.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outgoing:
+class Send:
     """To be sent: to a member by name, or to a place of which the name is not known yet."""
 
     to: str
--- a/violetroute/sharing/service.py
+++ b/violetroute/sharing/service.py
@@ -1,12 +1,13 @@
-"""The socket and the timer of what proxies tell each other; decides nothing itself.
+"""The socket and the timer of the gossip between proxies; takes no decisions itself.
 
-One datagram port, one timer.  Each datagram is opened (`wire`), its items go to whom they concern,
-and what comes of them is gathered by member and leaves in as few datagrams as it fits in, with the
-rumors of the hour.  Nothing here waits for anything, and no request waits for it: `admits` looks at
-what is in hand.
+There is one datagram port and one timer.  A datagram is authenticated and decoded (`wire`), its
+items go to the parts that handle them, and the resulting items are collected by member and leave in
+as few datagrams as possible, with rumors in the remaining space.  Nothing here waits for anything,
+and no request waits for it: `admits` looks at local state only.
 
-Bounds: datagrams read in one turn (the seam's), taken from one member a second (RECEIVE_RATE), and
-sent by this one a second, whatever is to be told: what does not fit is told later or not.
+Bounds: datagrams read in one turn of the loop (by the transport), received from one member a second
+(RECEIVE_RATE), and sent a second (SEND_RATE).  A datagram beyond the send limit is dropped; not all
+of its items are sent again.
 """
 
 from __future__ import annotations
@@ -44,25 +45,25 @@
     SpareReport,
 )
 
-RECEIVE_RATE, RECEIVE_BURST = 100.0, 200.0  # datagrams of one member a second, and at once
-SEND_RATE, SEND_BURST = 200.0, 200.0  # datagrams of ours
-MIN_BACKOFF_MS = 40.0  # ms
+RECEIVE_RATE, RECEIVE_BURST = 100.0, 200.0  # datagrams of one member: a second, at once
+SEND_RATE, SEND_BURST = 200.0, 200.0  # datagrams of this proxy: a second, at once
+MIN_BACKOFF_MS = 40.0
 REPORTS = (HealthReport, LoadReport, HeavyHitterReport)
 LOANS = (LoanGrant, SpareReport, wire.LoanRequest, wire.LoanReturn)
 
 
 class Host(Protocol):
-    """What the proxy is asked for."""
+    """What the gossip service needs of the proxy."""
 
     places: NodeAddresses
-    judged: deque[LoadSample]  # what came of its own requests, until it is taken out
+    judged: deque[LoadSample]  # outcomes of its own requests; the service empties it
 
     def apply_peer_reports(self, bad: list[int], outcomes: list[LoadSample]) -> None:
-        """What others met: all nodes that seem bad now, and what came of their requests."""
+        """Take all nodes that peers report as unhealthy, and outcomes of the peers' requests."""
 
 
 class Sharing:
-    """One proxy's part in the fleet's talk."""
+    """The gossip service of one proxy."""
 
     def __init__(
         self,
@@ -110,9 +111,8 @@
         self.configure(table)
         self._timer = self.loop.call_later(TICK_S * self._random.random(), self._tick)
 
-    # --- from the daemon ---
     def configure(self, table: SharingTable) -> None:
-        """Budgets from now on: those that stay keep what they hold."""
+        """Apply new settings; budgets that stay keep their loans and tokens."""
         now, size = self.loop.time(), max(table.proxies, self.members.size)
         kept, self.budgets = self.budgets, {}
         for each in table.budget:
@@ -133,12 +133,12 @@
 
     @property
     def _proxies(self) -> int:
-        """By which budgets are budget_proxies: never fewer than are heard of."""
+        """Proxies among which budgets are divided; at least as many as are known members."""
         return max(self.table.proxies, self.members.size)
 
     @property
     def _report_rate(self) -> float:
-        """Bytes a second for the reports of all rounds."""
+        """Bytes a second for the reports of all gossip rounds."""
         return self.table.report_bytes_per_s or default_rate(self._proxies)
 
     def _envelope_size(self) -> int:
@@ -150,13 +150,13 @@
         )
 
     def leave(self) -> None:
-        """The process drains: it asks for nothing new, and others are told."""
+        """Announce that this process drains."""
         for out in self.members.leave():
             self._queue(out.to, out.place, *out.items)
         self._flush(self.loop.time())
 
     def close(self) -> None:
-        """What is borrowed goes back, and some hear that this one leaves."""
+        """Return all loans, announce the shutdown to a few members, and close the socket."""
         now = self.loop.time()
         for budget in self.budgets.values():
             self._return_loans(budget.name, budget.return_all(now))
@@ -166,14 +166,13 @@
         self._timer.cancel()
         self._mailbox.close()
 
-    # --- from requests ---
     def admits(self, tenant: str, class_name: str) -> float | None:
-        """None, or the ms after which a request beyond a budget may find room."""
+        """None if all budgets admit the request; else ms after which the client may retry."""
         place = tenant, class_name
         budgets = self._budgets_by_request.get(place)
         if budgets is None:
             if len(self._budgets_by_request) >= 10_000:
-                self._budgets_by_request.clear()  # tenants are made up by who asks
+                self._budgets_by_request.clear()  # clients invent tenant names
             budgets = self._budgets_by_request[place] = [
                 self.budgets[each.name]
                 for each in self.table.budget
@@ -186,24 +185,25 @@
             if not budget.spend(now):
                 for other in spent:
                     other.refund()
-                wait = max(MIN_BACKOFF_MS, budget.wait_s(now) * 1000.0)  # spread, not all at once
-                return min(self.max_backoff, wait * self._random.uniform(1.0, 1.5))
+                wait = max(MIN_BACKOFF_MS, budget.wait_s(now) * 1000.0)
+                return min(
+                    self.max_backoff, wait * self._random.uniform(1.0, 1.5)
+                )  # spread retries
             spent.append(budget)
         return None
 
     def record_attempt(self, node: int, result: Result) -> None:
-        """How an attempt ended at a node."""
+        """Record the result of an attempt at a node."""
         self.rounds.record_attempt(self.loop.time(), node, result)
 
     def record_request(self, tenant: str, key: int) -> None:
-        """A request was let in."""
+        """Record an admitted request for the heavy hitters."""
         self.rounds.record_request(self.loop.time(), tenant, key)
 
     def update_nodes(self, members: Sequence[Member]) -> None:
-        """Nodes that serve, and those that do not any more."""
+        """Apply a change of the node list; nodes that no longer serve are forgotten."""
         self.rounds.update_nodes(members)
 
-    # --- time ---
     def _tick(self) -> None:
         self._timer = self.loop.call_later(TICK_S * (0.9 + 0.2 * self._random.random()), self._tick)
         now = self.loop.time()
@@ -248,7 +248,7 @@
                 self._queue(name, "", *report.items)
 
     def _member_changed(self, name: str, state: str, was: str) -> None:
-        """How a member stands, or this one."""
+        """React to a new state of a member, or of this process (alive or duplicate)."""
         now = self.loop.time()
         if name == self.name:
             if state == "duplicate":
@@ -275,7 +275,6 @@
             for each in self.table.budget:
                 self.budgets[each.name].resize(each.per_s, self.budget_proxies, now)
 
-    # --- sending ---
     def _queue(self, to: str, place: str, *items: Item) -> None:
         self._outgoing.setdefault((to, "" if to else place), []).extend(items)
 
@@ -284,7 +283,7 @@
             self._queue(back.to, "", wire.LoanReturn(budget, back.number))
 
     def _flush(self, now: float) -> None:
-        """All that was put, in datagrams as full as they may be."""
+        """Send all queued items, in as few datagrams as possible."""
         out, self._outgoing = self._outgoing, {}
         for (to, place), items in out.items():
             address = self._address(to, place)
@@ -293,7 +292,7 @@
             room = wire.room(self.name, to)
             raw: list[bytes] = []
             free = room
-            # Anti-entropy keeps to its own bytes a second, and rumors would add to them.
+            # Anti-entropy has its own limit of bytes a second, which rumors would exceed.
             paced = all(isinstance(item, wire.ANTI_ENTROPY) for item in items)
             rumors = () if paced else self.members.rumors()
             for item in (*items, *rumors):
@@ -312,7 +311,7 @@
         try:
             return parse_address(self.members.lookup(to)[1] if to else place)
         except ValueError:
-            return None  # a member that has said nothing of its place yet
+            return None  # the member has not announced its address yet
 
     def _send(self, now: float, to: str, address: Address, raw: list[bytes]) -> None:
         if not raw or not self._send_limit.take(now):
@@ -335,9 +334,8 @@
         self.bytes_sent += len(data)
         self._mailbox.send(data, address)
 
-    # --- what comes ---
     def datagram(self, data: bytes, origin: Address) -> None:
-        """From a stranger, until the seal says otherwise."""
+        """Handle a datagram; its sender is not trusted until its MAC is verified."""
         envelope = self._keys.open(data)
         now = self.loop.time()
         if envelope is None or envelope.to not in ("", self.name):
@@ -360,13 +358,13 @@
                     self.rounds.receive(now, name, self.members.lookup(name)[2], item, age)
             elif isinstance(item, LOANS):
                 budget = self.budgets.get(item.budget)
-                # An answer counts for the life that asked, whoever has its name by now.
+                # A grant is valid only for the process that requested it, not for its successor.
                 if (
                     budget is not None
                     and self.members.is_up(name, life)
                     and (envelope.to_life == self.life or not isinstance(item, LoanGrant))
                 ):
-                    self._handle_loan_item(now, name, life, item, budget)
+                    self._handle_loan(now, name, life, item, budget)
             else:
                 for out in self.members.receive(now, name, life, envelope.incarnation, item, place):
                     self._queue(out.to, out.place, *out.items)
@@ -382,7 +380,7 @@
         return rate.take(now)
 
     def _age(self, envelope: Envelope, now: float) -> float:
-        """Seconds ago that it was written at most; infinite where nothing says so."""
+        """Upper bound in s of the age of a datagram; infinite if there is no evidence."""
         if envelope.to_life == self.life:
             age = self._numbers.age(envelope.name, envelope.heard, now)
             if age is not None:
@@ -390,9 +388,7 @@
         apart = self._net.wall() - envelope.at / 1000.0
         return max(0.0, apart) if abs(apart) <= MAX_REPORT_AGE_S else math.inf
 
-    def _handle_loan_item(
-        self, now: float, name: str, life: str, item: Any, budget: Budget
-    ) -> None:
+    def _handle_loan(self, now: float, name: str, life: str, item: Any, budget: Budget) -> None:
         match item:
             case SpareReport():
                 budget.record_spare(now, name, item.amount)
