--- a/violetroute/sharing/service.py
+++ b/violetroute/sharing/service.py
@@ -2,12 +2,11 @@
 
 There is one datagram port and one timer.  A datagram is authenticated and decoded (`wire`), its
 items go to the parts that handle them, and the resulting items are collected by member and leave in
-as few datagrams as possible, with rumors in the remaining space.  Nothing here waits for anything,
-and no request waits for it: `admits` looks at local state only.
+as few datagrams as possible, with rumors in the remaining space.  Nothing here blocks, and no
+request waits for another proxy: `admits` looks at local state only.
 
 Bounds: datagrams read in one turn of the loop (by the transport), received from one member a second
-(RECEIVE_RATE), and sent a second (SEND_RATE).  A datagram beyond the send limit is dropped; not all
-of its items are sent again.
+(RECEIVE_RATE), and sent a second.  Those beyond SEND_RATE are dropped; a part is sent again later.
 """
 
 from __future__ import annotations
@@ -133,7 +132,7 @@
 
     @property
     def _proxies(self) -> int:
-        """Proxies among which budgets are divided; at least as many as are known members."""
+        """Proxies among which budgets are divided; at least as many as known members."""
         return max(self.table.proxies, self.members.size)
 
     @property
@@ -185,10 +184,8 @@
             if not budget.spend(now):
                 for other in spent:
                     other.refund()
-                wait = max(MIN_BACKOFF_MS, budget.wait_s(now) * 1000.0)
-                return min(
-                    self.max_backoff, wait * self._random.uniform(1.0, 1.5)
-                )  # spread retries
+                wait = max(MIN_BACKOFF_MS, budget.wait_s(now) * 1000.0)  # jitter spreads retries
+                return min(self.max_backoff, wait * self._random.uniform(1.0, 1.5))
             spent.append(budget)
         return None
 
