--- a/violetroute/__main__.py
+++ b/violetroute/__main__.py
@@ -175,9 +175,9 @@
 
 
 async def _open_sharing_socket(sharing: Sharing) -> IntrospectionSocket | None:
-    from .sharing.factory import door_of
+    from .sharing.factory import introspection_listener
 
-    introspection_socket = door_of(sharing.table, sharing)
+    introspection_socket = introspection_listener(sharing.table, sharing)
     if introspection_socket is not None:
         await introspection_socket.open()
     return introspection_socket
