--- a/snowstall/caches.py
+++ b/snowstall/caches.py
@@ -66,12 +66,12 @@
             cache.slow_weight = cache.slow_sum = 0.0
         return None
 
-    def _join(self, fresh: list[Cache]) -> None:
+    def _join(self, caches: list[Cache]) -> None:
         """Add new caches to the ring and forget the remembered orders."""
-        if fresh:
-            self._ready += fresh
+        if caches:
+            self._ready += caches
             self._ready.sort(key=attrgetter("id"))
-            self._ring.add(fresh)
+            self._ring.add(caches)
             self._forget_orders()
         self._head_due = self._now
 
@@ -98,7 +98,10 @@
         ValueError for a size that is negative or not finite.
         """
         self._advance_clock(now)
-        require(all(0.0 <= size < math.inf for size in sizes.values()), "a size is no number")
+        require(
+            all(0.0 <= size < math.inf for size in sizes.values()),
+            "a size must be finite and not negative",
+        )
         self._sizes = {name: min(MAX_SIZE, size) for name, size in sizes.items()}
         self._to_resize = list(self._ready)
         return self._resize_some()
@@ -108,10 +111,10 @@
         moved = 0
         while self._to_resize and moved < MAX_RESIZES_PER_TURN:
             cache = self._to_resize.pop()
-            before = cache.point_count
+            old_count = cache.point_count
             cache.resize(self._sizes.get(cache.id, cache.listed_weight))
-            if cache.point_count != before and cache.listed:
-                self._ring.resize(cache, before)
+            if cache.point_count != old_count and cache.listed:
+                self._ring.resize(cache, old_count)
                 moved += 1
         if moved:
             self._forget_orders()
@@ -151,14 +154,14 @@
         settings = self.settings
         if not cache.cold_since or settings.warm_time <= 0:
             return 1.0
-        done = (now - cache.cold_since) / settings.warm_time
-        return min(1.0, settings.cold_share + (1 - settings.cold_share) * max(0.0, done))
+        progress = (now - cache.cold_since) / settings.warm_time
+        return min(1.0, settings.cold_share + (1 - settings.cold_share) * max(0.0, progress))
 
     def _mean(self, cls: RequestClass, hit: bool) -> Mean:
-        place = (cls.name, hit)
-        mean = self._latencies.get(place)
+        key = (cls.name, hit)
+        mean = self._latencies.get(key)
         if mean is None:
-            mean = self._latencies[place] = Mean(cls.latency_target / 2)
+            mean = self._latencies[key] = Mean(cls.latency_target / 2)
         return mean
 
 
