--- a/tests/violetroute/clients/test_read_delay.py
+++ b/tests/violetroute/clients/test_read_delay.py
@@ -15,10 +15,10 @@
     now: float,
     count: int = 100,
     emptied: bool = True,
-    lost: float = 0.0,
+    paused_for: float = 0.0,
 ) -> float:
     """The estimated delay of the command that is read, in seconds."""
-    read_delay.begin_read(turn, now, lost)
+    read_delay.begin_read(turn, now, paused_for)
     age = read_delay.delay(now)
     if read_delay.marked:
         read_delay.end_read(count, now, emptied, BUFFER)
@@ -41,7 +41,7 @@
 
 def test_a_pause_marks_all_data_until_the_buffer_is_empty() -> None:
     read_delay = ReadDelay()
-    assert read(read_delay, 5, 10.0, 16_384, emptied=False, lost=0.8) == pytest.approx(0.8)
+    assert read(read_delay, 5, 10.0, 16_384, emptied=False, paused_for=0.8) == pytest.approx(0.8)
     assert read(read_delay, 6, 10.01, 300) == pytest.approx(0.81)
 
 
@@ -49,17 +49,17 @@
     # Found by exploration: a read that emptied the buffer was taken for the last data of the pause,
     # although the sender's kernel held the rest behind a closed window.
     read_delay = ReadDelay()
-    read(read_delay, 5, 10.0, BUFFER // 4, lost=0.8)
+    read(read_delay, 5, 10.0, BUFFER // 4, paused_for=0.8)
     assert read(read_delay, 6, 10.01) == pytest.approx(0.81)
     assert read(read_delay, 7, 10.0 + WINDOW_REOPEN_TIME) == 0.0
 
 
 def test_two_pauses_count_from_the_first_while_not_all_is_read() -> None:
     read_delay = ReadDelay()
-    read(read_delay, 5, 10.0, 16_384, emptied=False, lost=0.8)
-    assert read(read_delay, 6, 10.5, lost=0.4) == pytest.approx(1.3)
+    read(read_delay, 5, 10.0, 16_384, emptied=False, paused_for=0.8)
+    assert read(read_delay, 6, 10.5, paused_for=0.4) == pytest.approx(1.3)
     assert read(read_delay, 7, 10.6) == 0.0
-    assert read(read_delay, 8, 11.0, lost=0.3) == pytest.approx(0.3)
+    assert read(read_delay, 8, 11.0, paused_for=0.3) == pytest.approx(0.3)
 
 
 def test_data_not_read_for_lack_of_budget_counts_from_then() -> None:
@@ -72,7 +72,7 @@
 
 def test_a_client_that_sends_more_than_is_read_is_not_marked_for_good() -> None:
     read_delay = ReadDelay()
-    read(read_delay, 5, 10.0, lost=0.5, count=BUFFER, emptied=False)
+    read(read_delay, 5, 10.0, paused_for=0.5, count=BUFFER, emptied=False)
     read_delay.pause_reading(10.05)
     now = 10.05
     for turn in range(6, 60):  # reading stops again each time, and some data is always left
--- a/violetroute/clients/connection.py
+++ b/violetroute/clients/connection.py
@@ -132,16 +132,16 @@
                         break
                     args = self._decoder.command()
                     if args is not None:
-                        self._command(args, args.pop())
+                        self._run_command(args, args.pop())
                         if self._decoder.idle:
                             break
                         continue
                 token = self._decoder.next()
                 if token is None:
                     break
-                whole = self._assembly.take(token, self, self._budget_granted)
-                if whole is not None:
-                    self._command(whole)
+                complete = self._assembly.take(token, self, self._budget_granted)
+                if complete is not None:
+                    self._run_command(complete)
         except resp.ProtocolError as error:
             self._new_answer().finish(b"-ERR %b\r\n" % str(error).encode())
             self.end_after_answers()
@@ -161,7 +161,7 @@
         self.since = self._loop.time()  # the proxy caused the wait: restart the client's time limit
         self._loop.call_soon(self._pump)
 
-    def _command(self, args: list[bytes | bytearray] | list[bytes], head: bytes = b"") -> None:
+    def _run_command(self, args: list[bytes | bytearray] | list[bytes], head: bytes = b"") -> None:
         dialect = self._listener.dialect
         if dialect is not None:
             if self._answer_dialect(dialect, args):
@@ -201,10 +201,10 @@
         """Answer a command about the connection or the cluster; False if it is a request."""
         if self._session is None:
             self._session = dialect.session()
-        said = dialect.answer(self._session, args)
-        if said is None:
+        reply = dialect.answer(self._session, args)
+        if reply is None:
             return False
-        self._new_charged_answer().finish(said)
+        self._new_charged_answer().finish(reply)
         if self._session.ends:
             self.end_after_answers()
         return True
@@ -241,11 +241,11 @@
         stream = self._stream
         if stream is None or stream.closing or self.lingering_since or self._pumping:
             return
-        held_up = self._assembly.awaited_bytes > 0 or (
+        blocked = self._assembly.awaited_bytes > 0 or (
             not self._assembly.missing_arguments and self._at_capacity
         )
         # Input on a connection that is about to end stays unread: its client retries.
-        pause = held_up or self._decoder.unread > READ_SIZE or self.ending or self.draining
+        pause = blocked or self._decoder.unread > READ_SIZE or self.ending or self.draining
         if pause != self._reading_paused:
             self._reading_paused = pause
             if pause:
@@ -254,7 +254,7 @@
             self._listener.set_reading(self, not pause)
         if self._answers:
             self._listener.mark_serving(self)
-        elif self.ending or (self.draining and not held_up):
+        elif self.ending or (self.draining and not blocked):
             self.end()
         elif self._assembly.missing_arguments or not self._decoder.idle:
             self._listener.mark_partial(self)
--- a/violetroute/clients/listener.py
+++ b/violetroute/clients/listener.py
@@ -183,9 +183,7 @@
             if self._server_socket is None or not connection.has_unread_input():
                 connection.end()
         else:
-            if (
-                connection.state is self._idle
-            ):  # answered within the turn: its idle time starts again
+            if connection.state is self._idle:  # answered within the turn: restart its idle time
                 del self._idle[connection]
                 connection.state = None
             self._set_state(connection, self._idle)
@@ -282,9 +280,7 @@
         await asyncio.sleep(ACCEPT_AFTER_TERM)
         self._accept_backlog()
         for connection in [*self._awaiting_first_byte, *self._partial]:
-            if (
-                not connection.has_unread_input()
-            ):  # otherwise it ends after its answer or time limit
+            if not connection.has_unread_input():  # otherwise after its answer or time limit
                 connection.drain()
         for connection in list(self._serving):
             if connection.has_unread_input():  # commands behind the current ones: answered too
--- a/violetroute/clients/read_delay.py
+++ b/violetroute/clients/read_delay.py
@@ -70,16 +70,17 @@
         else:
             self._next_since = now
 
-    def begin_read(self, turn: int, now: float, lost: float) -> None:
-        """Before a read.  `lost`: seconds since the start of a pause that ended with this turn; 0
-        without one.
+    def begin_read(self, turn: int, now: float, paused_for: float) -> None:
+        """Before a read.
+
+        `paused_for`: seconds since the start of a pause that ended with this turn; 0 without one.
         """
         if self._since is not None and (
             (self._clear_at is not None and now >= self._clear_at) or turn > self._accepted + 1 >= 1
         ):  # the second case: the data arrived after the accept
             self._since = None
-        if lost and (self._since is None or now - lost < self._since):
-            self._mark(now - lost)
+        if paused_for and (self._since is None or now - paused_for < self._since):
+            self._mark(now - paused_for)
         self._accepted = -1
         self._read_at = now
 
--- a/violetroute/placement/plan.py
+++ b/violetroute/placement/plan.py
@@ -26,13 +26,11 @@
     file: str = ""  # the plan file; read at the start and on SIGHUP
     least_match: Share = 0.5  # fraction of the listed nodes that a plan has to cover
     moved_per_s: Annotated[float, msgspec.Meta(gt=0.0, le=1.0)] = 0.02  # fraction of
-    #                           the keys that may move when the plan changes
+    #                           the keys that may move per second when the plan changes
     every_s: Annotated[float, msgspec.Meta(ge=0.0, le=3600.0)] = 0.0  # between checks for a
     #                           changed file; 0: only with SIGHUP
     seen: str = ""  # file that keeps the highest accepted version over restarts
-    stale_h: Annotated[float, msgspec.Meta(gt=0.0, le=100_000.0)] = (
-        168.0  # age from which it is logged
-    )
+    stale_h: Annotated[float, msgspec.Meta(gt=0.0, le=100_000.0)] = 168.0  # age to be logged
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -136,7 +134,8 @@
     """Replace the file atomically.  Raises OSError.
 
     It survives a kill of the process, but not always a power cut: requests would wait for an fsync.
-    If an older plan is accepted after one, the owner restores the plan file at its next check.
+    If an older plan is accepted after a power cut, the owner rewrites the plan file at its next
+    check.
     """
     with open(f"{path}.new", "wb") as file:
         file.write(msgspec.json.encode(version))
--- a/violetroute/resp/commands.py
+++ b/violetroute/resp/commands.py
@@ -15,9 +15,7 @@
 
 _ARGUMENT_COUNTS = {b"OBJ.GET": 4, b"OBJ.SET": 5}
 _WAIT_OPTION = re.compile(rb"(?:^|,)(d=[^,]*)")
-_WAIT_FORMAT = re.compile(
-    rb"[0-9]{1,9}(\.[0-9]{1,9})?"
-)  # ms; float() alone accepts many more forms
+_WAIT_FORMAT = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")  # ms; float() accepts more forms
 _MAX_CACHED_OPTIONS = 512  # entries: option lists without their wait, one per class and tenant
 _MAX_CACHED_BYTES = 128  # of an option list that is cached
 _options_cache: dict[tuple[bytes, bytes], tuple[str, str, bool]] = {}
@@ -81,9 +79,8 @@
     known = _options_cache.get((before, after))
     if known is None:
         known = _parse_options(options)
-        if (
-            b"k=" not in options and len(options) <= _MAX_CACHED_BYTES
-        ):  # idempotency keys do not repeat
+        # Idempotency keys do not repeat, so a list with one is not cached.
+        if b"k=" not in options and len(options) <= _MAX_CACHED_BYTES:
             if len(_options_cache) >= _MAX_CACHED_OPTIONS:
                 _options_cache.clear()
             _options_cache[before, after] = known
