--- a/tests/bad_builds/no_shedding.py
+++ b/tests/bad_builds/no_shedding.py
@@ -5,5 +5,5 @@
 
 
 def plant():
-    AdmissionLimiter.admits = lambda self, worth, draw: True
-    Balancer.on_arrival = lambda self, now, class_name, stood, left, spent, taken: None
+    AdmissionLimiter.admits = lambda self, value, now: True
+    Balancer.on_arrival = lambda self, now, class_name, unread, left, spent, taken: None
--- a/tests/bad_builds/same_wait.py
+++ b/tests/bad_builds/same_wait.py
@@ -4,4 +4,4 @@
 
 
 def plant():
-    Balancer._backoff = lambda self, gate: self.settings.max_backoff
+    Balancer._backoff = lambda self, limiter: self.settings.max_backoff
--- a/tests/snowstall/test_overload.py
+++ b/tests/snowstall/test_overload.py
@@ -170,8 +170,8 @@
     for number in numbers:
         driver.outcome(number, Result.LATE, 400.0)
     assert driver.balancer.origin_limiter.limit < math.inf
-    away = len(driver.balancer.ejected)
-    assert away <= 5  # never all, however they fail
+    ejected_count = len(driver.balancer.ejected)
+    assert ejected_count <= 5  # never all, however they fail
 
 
 def test_a_pause_of_this_process_stalls_no_cache() -> None:
@@ -332,7 +332,7 @@
             now: float,
             patient: bool,
             delay: float,
-            latency_target: float,
+            target: float,
             queued: bool,
         ) -> None:
             samples.append((badness, delay))
@@ -375,9 +375,8 @@
 
 def test_the_limit_keeps_a_share_of_the_recent_peak_and_a_minimum() -> None:
     limiter = make_limiter()
-    now = send_with_outcome(
-        limiter, send_with_outcome(limiter, 0.0, 500, 0.0), 100, 1.0
-    )  # 10 s of answers in time, 2 s of failures
+    # 10 s of answers in time, then 2 s of failures.
+    now = send_with_outcome(limiter, send_with_outcome(limiter, 0.0, 500, 0.0), 100, 1.0)
     assert 10.0 < limiter.limit < 25.0
     send_with_outcome(limiter, now, 6000, 1.0)
     assert 0.2 <= limiter.limit < 1.0
@@ -403,9 +402,8 @@
 def test_an_expected_return_counts_once_and_expires() -> None:
     limiter = make_limiter()
     limiter.record_refusal(7, 400.0, 0.0, 100.0)
-    assert (
-        limiter.record_request(LOOKUP, "t", 7, 330.0, 50.0) == 2.0
-    )  # another client, for a hot key
+    # Another timeout is another client, for a hot key.
+    assert limiter.record_request(LOOKUP, "t", 7, 330.0, 50.0) == 2.0
     assert limiter.record_request(LOOKUP, "t", 7, 401.0, 50.0) == 0.6
     assert limiter.record_request(LOOKUP, "t", 7, 400.0, 60.0) == 2.0
     limiter.record_refusal(7, 400.0, 100.0, 100.0)
@@ -538,13 +536,13 @@
 
 def test_a_written_key_is_not_cached_and_writes_go_to_the_origin_limit() -> None:
     driver = make_warm()
-    is_kept = driver.balancer._is_cached
-    assert is_kept(1) and not is_kept(500)
+    is_cached = driver.balancer._is_cached
+    assert is_cached(1) and not is_cached(500)
     number, _ = driver.send(key=1, cls=OPTOUT)
     assert driver.balancer._pending[number].limiter is driver.balancer.origin_limiter
     driver.outcome(number, Result.OK, 20.0)
-    assert not is_kept(1)
-    assert is_sent(driver, 1) and is_kept(1)
+    assert not is_cached(1)
+    assert is_sent(driver, 1) and is_cached(1)
 
 
 def test_a_restarted_or_gone_cache_has_no_cached_keys() -> None:
