--- a/tests/violetroute/test_beliefs.py
+++ b/tests/violetroute/test_beliefs.py
@@ -1,4 +1,4 @@
-"""What the log says of nodes and load: once a change of mind, bounded in length."""
+"""EstimateLog: each change of an estimate is logged once, with a bounded line."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     return found
 
 
-def test_each_state_is_told_once(said: list[tuple[str, dict[str, object]]]) -> None:
+def test_each_state_is_logged_once(said: list[tuple[str, dict[str, object]]]) -> None:
     now = [0.0]
     made = EstimateLog(lambda: now[0], lambda node: f"10.0.0.{node}:1")
     for _ in range(3):
@@ -32,7 +32,7 @@
         ("admission.limited", {"of": "fetched", "a_second": 41.7}),
     ]
     now[0] += MIN_LOG_INTERVAL
-    made.update({2: 0}, math.inf, 30.0)  # better, not well: nothing new
+    made.update({2: 0}, math.inf, 30.0)  # fewer suspected nodes, but still some: no line
     assert len(said) == 2
     made.update({2: 0, 3: 0}, math.inf, 30.0)
     assert said[2][1]["count"] == 2
@@ -42,31 +42,33 @@
     assert [name for name, _ in said[3:]] == ["nodes.trusted", "admission.open"]
 
 
-def test_what_comes_and_goes_is_a_line_now_and_then(
+def test_a_flapping_state_is_logged_at_intervals(
     said: list[tuple[str, dict[str, object]]],
 ) -> None:
     now = [0.0]
     made = EstimateLog(lambda: now[0], str)
-    for turn in range(600):  # half a minute of looks
+    for turn in range(600):  # half a minute of updates
         now[0] += 0.05
         made.update({1: 0} if turn % 2 else {}, *[5.0 if turn % 2 else math.inf] * 2)
     assert 2 <= len(said) <= 2 * (30.0 / MIN_LOG_INTERVAL + 1)
     last = {name.partition(".")[0]: name for name, _ in said}
     now[0] += MIN_LOG_INTERVAL
-    made.update({}, math.inf, math.inf)  # what is so in the end is told in the end
+    made.update({}, math.inf, math.inf)  # the final state is logged
     now[0] += MIN_LOG_INTERVAL
     made.update({}, math.inf, math.inf)
     last |= {name.partition(".")[0]: name for name, _ in said}
     assert last == {"nodes": "nodes.trusted", "admission": "admission.open"}
 
 
-def test_a_large_fleet_is_named_in_part(said: list[tuple[str, dict[str, object]]]) -> None:
+def test_only_some_nodes_of_a_large_fleet_are_named(
+    said: list[tuple[str, dict[str, object]]],
+) -> None:
     EstimateLog(lambda: 0.0, str).update(range(100), math.inf, math.inf)
     ((_, fields),) = said
     assert fields["count"] == 100 and len(str(fields["nodes"]).split()) == MAX_NAMED_NODES
 
 
-def test_a_limit_that_spreads_from_the_database_to_the_nodes_is_told(
+def test_a_limit_that_extends_from_the_database_to_the_nodes_is_logged(
     said: list[tuple[str, dict[str, object]]],
 ) -> None:
     now = [0.0]
--- a/tests/violetroute/test_crossings_process.py
+++ b/tests/violetroute/test_crossings_process.py
@@ -1,4 +1,4 @@
-"""Crossings at a process: signals against its start, its settings and what it has taken."""
+"""Races between signals and the start, the settings and the open requests of a process."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 SHORT = [cls | {"deadlineMs": 200.0, "promiseMs": 100.0} for cls in SETTINGS["classes"]]
 
 
-def test_a_hangup_that_crosses_the_start_is_not_lost(tmp_path: Path) -> None:
-    # Found by reading: it was ignored until the loop stood.  The file is a pipe here, so that the
-    # signal comes exactly between the daemon's opening of the old one and its first line.
+def test_a_hangup_during_start_up_is_not_lost(tmp_path: Path) -> None:
+    # A SIGHUP was ignored until the event loop ran.  The file is a pipe here, so that the signal
+    # arrives between the daemon's opening of the old file and its first line.
     async def play() -> None:
         before, after = await Discovery().start(), await Discovery().start()
         node = await CacheNode().start()
@@ -52,10 +52,10 @@
 
 
 @pytest.mark.parametrize("longer", [True, False])
-def test_a_drain_lasts_as_long_as_what_was_taken_may_be_answered(
+def test_a_drain_lasts_until_the_longest_open_deadline(
     longer: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Found by reading: it lasted as long as the deadlines of the process's start.
+    # A drain was limited by the deadlines of the configuration at start-up.
     async def play() -> None:
         discovery, node = await Discovery().start(), await CacheNode().start()
         raw = configuration(discovery.port, [node.entry("s-0")])
@@ -72,7 +72,7 @@
 
         node.behaviour = never
         _, writer = await asyncio.open_connection("127.0.0.1", port)
-        if not longer:  # taken before the reload, under the longer deadlines
+        if not longer:  # accepted before the reload, with the longer deadline
             writer.write(get(1))
             await until(lambda: node.commands)
         monkeypatch.setattr(program, "load", lambda operator, merged, with_known: second)
@@ -92,15 +92,15 @@
     asyncio.run(play())
 
 
-def test_new_settings_hold_for_connections_to_nodes_that_are_open_already() -> None:
-    # Found by reading: pool and limits kept the figures of the process's start.
+def test_new_settings_apply_to_open_node_connections() -> None:
+    # The pool and its limits kept the settings of the start-up.
     async def part(here: Scene) -> None:
         reader, writer = await here.client()
         writer.write(get(1))
         await read_answer(reader)
         caps = SETTINGS["caps"] | {"connIdleMs": 400.0, "connectTimeoutMs": 100.0}
         here.proxy.reload(parse(here.raw | {"settings": SETTINGS | {"caps": caps}}))
-        await asyncio.sleep(0.4 * IDLE_TIME_SHARE + 0.01)  # the node may close it from here on
+        await asyncio.sleep(0.4 * IDLE_TIME_SHARE + 0.01)  # from now on the node may close it
         writer.write(get(2))
         await read_answer(reader)
         assert here.nodes[0].connections == 2
@@ -117,7 +117,7 @@
     async def part(here: Scene) -> None:
         trouble = asyncio.ensure_future(away(here))
         await here.until(lambda: not here.discovery.open)
-        idle = [await here.client() for _ in range(200)]  # more than all that there are
+        idle = [await here.client() for _ in range(200)]  # more than the descriptors available
         await trouble
         back = here.loop.time()
         await here.until(lambda: here.discovery.open)
--- a/tests/violetroute/test_large_lists.py
+++ b/tests/violetroute/test_large_lists.py
@@ -1,4 +1,4 @@
-"""A real daemon before thousands of cache nodes: requests in time while the list changes."""
+"""A real daemon with thousands of cache nodes answers in time while the list changes."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 NODES = 3200
 FIFTH = range(0, NODES, 5)
 RATE = 60.0  # requests a second
-WAIT = 0.5  # s that each client waits
-SLACK = 0.05  # s by which each time limit is longer on sockets
-BEFORE, AFTER = 1.0, 3.0  # s of requests on each side of the change
+WAIT = 0.5  # s; each client's wait
+SLACK = 0.05  # s; tolerance of each time limit over sockets
+BEFORE, AFTER = 1.0, 3.0  # s of requests before and after the change
 
 
 def settings() -> dict[str, Any]:
@@ -36,7 +36,7 @@
 
 @dataclass
 class LargeFleet:
-    """The daemon with its discovery, its nodes and a crowd of clients."""
+    """The daemon with discovery, its nodes and many clients."""
 
     daemon: Program
     discovery: Discovery
@@ -47,7 +47,7 @@
         await self.crowd.play(RATE, seconds)
 
     async def judge(self) -> None:
-        """Every request has its final answer in time, and nearly all are served."""
+        """Check that all requests are answered in time and nearly all are served."""
         await self.crowd.rest()
         late = [ask for ask in self.crowd.asks if waited(ask) > WAIT + SLACK]
         worst = max(map(waited, self.crowd.asks))
@@ -59,13 +59,13 @@
 
 
 def waited(ask: Ask) -> float:
-    """Seconds from the question to its end."""
+    """Seconds from a request to its answer."""
     return ask.answered_at - ask.asked_at
 
 
 @asynccontextmanager
 async def large_fleet(tmp_path: Path) -> AsyncIterator[LargeFleet]:
-    """Requests flow through a daemon that has its list from the configuration and from a watch."""
+    """A daemon under load, with its list from the configuration and from a watch."""
     nodes = await LargeList(NODES).listen(free_ports(1)[0])
     discovery = await Discovery().start()
     raw = configuration(discovery.port, nodes.nodes(), listen=free_ports(1)[0])
@@ -89,7 +89,7 @@
 
 @pytest.mark.long
 def test_no_answer_is_late_while_a_fifth_of_3200_nodes_drains(tmp_path: Path) -> None:
-    """Incident 65d06d: the daemon stood for seconds in the turn that took such a list."""
+    """Incident 65d06d: one iteration of the event loop took seconds to apply such a list."""
 
     async def play() -> None:
         async with large_fleet(tmp_path) as fleet:
@@ -103,7 +103,7 @@
 
 @pytest.mark.long
 def test_no_answer_is_late_while_a_whole_list_lacks_a_fifth_of_3200_nodes(tmp_path: Path) -> None:
-    """Incident 65d06d, by another way: nodes that a whole list does not name are removed."""
+    """A variant of incident 65d06d: a whole list removes the nodes that it does not name."""
 
     async def play() -> None:
         async with large_fleet(tmp_path) as fleet:
@@ -117,8 +117,8 @@
 
 
 @pytest.mark.long
-def test_a_whole_list_of_3200_nodes_is_taken_from_one_watch(tmp_path: Path) -> None:
-    """Found with incident 65d06d: lists over 512 KiB ended each watch, and nothing was told."""
+def test_a_whole_list_of_3200_nodes_does_not_end_the_watch(tmp_path: Path) -> None:
+    """Found with incident 65d06d: a list over 512 KiB ended each watch, without a log line."""
 
     async def play() -> None:
         async with large_fleet(tmp_path) as fleet:
--- a/tests/violetroute/test_list_applier.py
+++ b/tests/violetroute/test_list_applier.py
@@ -1,4 +1,4 @@
-"""Lists of nodes in slices: what leaves counts at once, and the end is that of one list at once."""
+"""ListApplier: leaving nodes are applied at once, joining ones in slices with the same result."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Turns:
-    """The loop's part that is used: callbacks of the next turns, run by hand."""
+    """A stand-in for the event loop: callbacks of later iterations, run by hand."""
 
     def __init__(self) -> None:
         self.due: list[tuple[asyncio.Handle, Callable[[], None]]] = []
@@ -34,7 +34,7 @@
         return False
 
     def run_one(self) -> bool:
-        """Whether there was a callback."""
+        """Run the next callback; return whether there was one."""
         if not self.due:
             return False
         handle, work = self.due.pop(0)
@@ -44,7 +44,7 @@
 
 
 class NodesOfPool:
-    """The pool, as far as lists go."""
+    """A stand-in for the pool: the addresses of its nodes."""
 
     def __init__(self) -> None:
         self.at: dict[int, Address] = {}
@@ -57,7 +57,7 @@
 
 
 class Applied:
-    """The applier with what it applies to; `ready` are the nodes that may be asked."""
+    """A ListApplier with its stand-ins; `ready` holds the nodes in service."""
 
     def __init__(self) -> None:
         self.turns, self.places, self.pool = Turns(), NodeAddresses(), NodesOfPool()
@@ -105,7 +105,7 @@
     return applied
 
 
-def test_what_leaves_counts_in_the_turn_of_its_list_ahead_of_what_comes() -> None:
+def test_leaving_nodes_are_applied_at_once_and_before_joining_ones() -> None:
     applied = fleet(100)
     coming = [entry(number) for number in range(100, 200)]
     leaving = [entry(number, DRAINING) for number in range(50)]
@@ -117,7 +117,7 @@
     assert max(map(len, applied.steps[2:])) <= NODES_PER_SLICE
 
 
-def test_a_node_that_drains_while_it_waits_is_never_asked() -> None:
+def test_a_node_that_drains_while_waiting_never_enters_service() -> None:
     applied = fleet(3)
     applied.take(*map(entry, range(10, 60)))
     applied.take(entry(59, DRAINING), entry(58, GONE))
@@ -126,7 +126,7 @@
     assert not any(m.id == name(59) and m.state is READY for step in applied.steps for m in step)
 
 
-def test_a_whole_list_takes_back_what_waits_and_is_not_in_it() -> None:
+def test_a_whole_list_removes_waiting_nodes_that_it_does_not_name() -> None:
     applied = fleet(3)
     applied.take(*map(entry, range(10, 60)))
     applied.take(entry(0), entry(20), whole=True)
@@ -135,27 +135,27 @@
     assert set(applied.ready) == {name(0), name(20)} == set(applied.pool.at)
 
 
-def test_another_start_of_a_node_that_serves_counts_at_once() -> None:
-    """Rule four: until the start is known the node passes for a warm one."""
+def test_a_restart_of_a_node_in_service_is_applied_at_once() -> None:
+    """Otherwise requests go to the cold node as if it were warm."""
     applied = fleet(100)
     applied.take(*(entry(number, started=5e5) for number in range(90)))
     assert sum(member.started_at == 5e5 for member in applied.ready.values()) == 90
 
 
-def test_a_list_that_says_nothing_new_costs_no_step_of_any_node() -> None:
+def test_an_unchanged_list_applies_nothing() -> None:
     applied = fleet(100)
     applied.take(*map(entry, range(100)), whole=True)
     assert applied.steps[-1] == [] and not applied.turns.due
 
 
-def test_a_drain_that_is_told_again_counts_again() -> None:
+def test_a_repeated_drain_is_applied_again() -> None:
     applied = fleet(3)
     applied.take(entry(1, DRAINING))
     applied.take(entry(1, DRAINING))
     assert [member.state for member in applied.steps[-1]] == [DRAINING]
 
 
-def test_a_node_that_was_displaced_comes_back_with_the_next_whole_list() -> None:
+def test_a_displaced_node_returns_with_the_next_whole_list() -> None:
     applied = fleet(3)
     applied.take(entry(7, host=1, started=5e5))
     applied.settle()
@@ -165,7 +165,7 @@
     assert set(applied.ready) == set(map(name, range(3))) == set(applied.pool.at)
 
 
-def test_nothing_is_applied_after_the_end() -> None:
+def test_nothing_is_applied_after_close() -> None:
     applied = fleet(3)
     applied.take(*map(entry, range(10, 60)))
     applied.lists.close()
@@ -174,7 +174,7 @@
 
 
 class AtOnce:
-    """The plain way: each entry in the order of the list, all in one turn."""
+    """The reference: applies the entries in list order, all at once."""
 
     def __init__(self) -> None:
         self.places, self.ready = NodeAddresses(), dict[int, Member]()
@@ -194,8 +194,8 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_slices_end_where_one_list_at_once_ends(seed: int) -> None:
-    """Addresses of their own, changes in any order, lists that overtake the slices."""
+def test_slices_end_in_the_same_state_as_one_list_applied_at_once(seed: int) -> None:
+    """Random changes, with lists that arrive before the slices of earlier ones are applied."""
     chance = random.Random(seed)
     sliced, plain = fleet(10), AtOnce()
     plain.take(tuple(map(entry, range(10))), True)
@@ -210,7 +210,7 @@
         whole = chance.random() < 0.2
         sliced.take(*entries, whole=whole)
         plain.take(tuple(entries), whole)
-        assert set(sliced.ready) <= set(plain.ready), "nothing that should not be asked"
+        assert set(sliced.ready) <= set(plain.ready), "a node is in service that should not be"
         for _ in range(chance.choice((0, 1, 3, 50))):
             sliced.turns.run_one()
         assert set(sliced.pool.at) == set(sliced.ready)
--- a/tests/violetroute/test_logs.py
+++ b/tests/violetroute/test_logs.py
@@ -1,4 +1,4 @@
-"""The log: events by name, their limits, and a reader that does not read."""
+"""The log: events with names and fields, line limits, and a pipe that is not read."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Written:
-    """Where lines go, and the clock by which they are limited."""
+    """A sink for log lines, and the clock of the line limits."""
 
     def __init__(self) -> None:
         self.lines: list[bytes] = []
@@ -85,21 +85,23 @@
     for _ in range(10):
         logs.event("daemon.paused", ms=1)
         logs.event("daemon.drains", proxy="n0")
-    logs.event("daemon.drained", proxy="n0")  # another event has its own
+    logs.event("daemon.drained", proxy="n0")  # each event has its own limit
     assert [line["event"] for line in written.objects] == ["daemon.paused"] * 3 + ["daemon.drained"]
     written.now += 1.0
     logs.event("daemon.paused", ms=2)
     assert written.objects[-1]["held_back"] == 7
 
 
-def test_the_level_holds(install: Callable[..., Written]) -> None:
+def test_events_below_the_level_are_not_logged(install: Callable[..., Written]) -> None:
     written = install(level="error")
     logs.event("daemon.listens", address="", proxy="")
     logs.event("requests.fault", what="x")
     assert [line["event"] for line in written.objects] == ["requests.fault"]
 
 
-def test_a_fault_brings_the_end_of_its_trace_within_a_line(install: Callable[..., Written]) -> None:
+def test_an_exception_is_logged_with_the_end_of_its_traceback(
+    install: Callable[..., Written],
+) -> None:
     written = install()
 
     def deep(level: int) -> None:
@@ -122,7 +124,7 @@
     ["file \udcff", ["file \udcff"], {"\udcff": 1}, Path("/file \udcff"), {1, 2}, 2**80],
     ids=["text", "list", "key", "path", "set", "number"],
 )
-def test_a_field_that_cannot_be_encoded_is_still_a_line(
+def test_a_field_that_cannot_be_encoded_is_logged_escaped(
     install: Callable[..., Written], form: str, value: object
 ) -> None:
     written = install(format=form)
@@ -138,14 +140,14 @@
     assert ("file" in said) == ("file" in str(value))
 
 
-def test_what_libraries_say_goes_the_same_way(install: Callable[..., Written]) -> None:
+def test_messages_of_libraries_are_logged_as_events(install: Callable[..., Written]) -> None:
     written = install()
     logging.getLogger("asyncio").warning("slow %s", "thing")
     (line,) = written.objects
     assert (line["event"], line["text"]) == (FOREIGN, "slow thing")
 
 
-def test_lines_that_nobody_took_are_counted(install: Callable[..., Written]) -> None:
+def test_dropped_lines_are_counted(install: Callable[..., Written]) -> None:
     written = install()
     written.full = True
     for _ in range(4):
@@ -156,7 +158,7 @@
     assert written.objects[0]["lines"] == 4
 
 
-def test_a_full_pipe_is_not_waited_for() -> None:
+def test_a_full_pipe_does_not_block() -> None:
     reading, writing = os.pipe()
     fcntl.fcntl(writing, fcntl.F_SETPIPE_SZ, 4096)
     writer = LineWriter(writing)
@@ -172,7 +174,7 @@
 
 
 def used_events() -> dict[str, set[str]]:
-    """Every `logs.event` in the daemon's sources with the fields it gives."""
+    """Every event that the daemon's sources log, with the fields it is given."""
     found: dict[str, set[str]] = {}
     for path in (ROOT / "violetroute").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -183,9 +185,9 @@
     return found
 
 
-def test_events_sources_and_the_operators_page_say_the_same() -> None:
+def test_events_sources_and_the_operators_page_agree() -> None:
     used = used_events()
-    own = {DROPPED: {"lines"}, FOREIGN: {"text"}}  # said by the log itself
+    own = {DROPPED: {"lines"}, FOREIGN: {"text"}}  # logged by the handler itself
     assert used | own == {name: set(event.fields) for name, event in EVENTS.items()}
     page = (ROOT / "docs" / "operators" / "logs.md").read_text()
     rows = re.findall(r"^\| `([a-z_]+\.[a-z_]+)` \| (\w+) \| ([^|]*) \|", page, re.MULTILINE)
@@ -196,7 +198,7 @@
     }
 
 
-def test_the_distributions_page_has_every_event_of_its_own() -> None:
+def test_the_distribution_page_names_every_distribution_event() -> None:
     page = (ROOT / "docs" / "operators" / "distribution.md").read_text()
     rows = re.findall(r"^\| `((?:distribution|control)\.[a-z_]+)` \|", page, re.MULTILINE)
     events = [name for name in EVENTS if name.split(".")[0] in ("distribution", "control")]
@@ -205,7 +207,7 @@
     assert named - {"distribution.md"} <= set(events)
 
 
-def test_a_log_that_nobody_reads_and_a_broken_file_stop_nothing(tmp_path: Path) -> None:
+def test_an_unread_log_and_an_invalid_file_do_not_stop_the_daemon(tmp_path: Path) -> None:
     async def play() -> None:
         node, discovery = await CacheNode().start(), await Discovery().start()
         raw = configuration(discovery.port, [node.entry("s-0")])
@@ -217,7 +219,7 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "tests.support.program_without_lag",  # it refuses no command on a busy machine
+            "tests.support.program_without_lag",  # no command is rejected on a busy machine
             "--operator",
             str(operator),
             cwd=ROOT,
--- a/tests/violetroute/test_own_load.py
+++ b/tests/violetroute/test_own_load.py
@@ -1,4 +1,4 @@
-"""The proxy at its own limit: what stood unread, what is refused, whose turn it is."""
+"""Overload of the proxy's own event loop: unread commands, rejections, fairness, pauses."""
 
 from __future__ import annotations
 
@@ -64,18 +64,18 @@
 
 def test_a_burst_or_a_pause_is_no_overload() -> None:
     made = balancer()
-    for now in range(0, 1000, 10):  # 300 ms unread at a time, but not all the while
+    for now in range(0, 1000, 10):  # 300 ms unread at times, but not throughout
         assert arrives(made, now, stood=300.0 if now % 40 else 1.0) is None
 
 
-def test_a_standing_overload_refuses_what_is_worth_least_and_ends_at_once() -> None:
+def test_a_lasting_overload_rejects_low_value_requests_and_ends_at_once() -> None:
     made = balancer()
     assert arrives(made, 0.0) is None
     now = LOOP_DELAY_INTERVAL_MS
     backoff = arrives(made, now)
-    assert backoff is not None and 40.0 < backoff <= 1000.0, "it tells when to come again"
+    assert backoff is not None and 40.0 < backoff <= 1000.0, "the backoff is given"
     assert arrives(made, now, spent=TURN_BUDGET_MS - 1.0) is None, "room in this turn"
-    assert arrives(made, now, "optout") is None, "worth more"
+    assert arrives(made, now, "optout") is None, "a higher value"
     assert arrives(made, now, "optout", spent=TURN_BUDGET_MS * HIGH_VALUE_TURN_FACTOR) is not None
     assert arrives(made, now, spent=0.0, taken=MAX_PER_CONNECTION) is not None, (
         "it is the others' turn"
@@ -84,15 +84,15 @@
     assert arrives(made, now + 1.0) is None
 
 
-def test_what_stood_beyond_its_time_is_refused_in_any_state() -> None:
+def test_an_expired_command_is_rejected_in_any_state() -> None:
     assert arrives(balancer(), 0.0, "optout", stood=700.0, left=-1.0, spent=0.0) is not None
 
 
-def test_a_pause_of_the_process_is_held_against_no_cache() -> None:
+def test_a_process_pause_does_not_count_against_any_cache() -> None:
     def spoil(paused: bool) -> tuple[Balancer, int]:
-        """Requests whose attempts were out over a pause and came back late, or never."""
+        """Requests whose attempts were in flight during a pause and ended late or never."""
         made, now, number = balancer(), 0.0, 0
-        for _ in range(40):  # what is usual: 20 ms
+        for _ in range(40):  # the usual latency: 20 ms
             number, now = number + 1, now + 25.0
             made.on_request(now - 20.0, Request(number, "lookup", now + 580.0, number))
             made.on_outcome(now, Outcome(number, 0, Result.OK, True, 20.0, True))
@@ -116,7 +116,7 @@
         return made, refused
 
     assert spoil(paused=True)[1] == 0
-    assert spoil(paused=False)[1] > 0, "else this test shows nothing"
+    assert spoil(paused=False)[1] > 0, "without the pause the failures must count"
 
 
 def test_a_pause_keeps_the_window_of_a_keyed_repeat() -> None:
@@ -131,7 +131,7 @@
     assert not [action for action in actions if isinstance(action, Send)]
 
 
-def test_a_process_that_was_stopped_serves_on(tmp_path: Path) -> None:
+def test_a_process_serves_on_after_sigstop_and_sigcont(tmp_path: Path) -> None:
     async def part() -> None:
         held: list[asyncio.StreamWriter] = []
 
@@ -169,7 +169,7 @@
 
 
 class Late(Turns):
-    """Says that commands stood for so long, all in one turn."""
+    """Reports a fixed time for which commands were readable and unread."""
 
     def __init__(self, stood: float = 0.0) -> None:
         super().__init__()
@@ -179,7 +179,7 @@
         return self.seconds
 
 
-def test_an_unsafe_request_that_waited_past_its_time_is_refused_and_never_sent() -> None:
+def test_an_expired_unsafe_request_is_refused_and_never_sent() -> None:
     async def part() -> None:
         node, turns = CacheNode(), Late(9.0)
         async with Rig(node, turns=turns) as rig:
@@ -192,7 +192,7 @@
     asyncio.run(part())
 
 
-def test_the_time_for_which_it_stood_is_the_clients_and_not_given_again() -> None:
+def test_time_spent_unread_is_deducted_from_the_clients_wait() -> None:
     async def part() -> None:
         node = CacheNode()
         async with Rig(node, turns=Late(5.0)) as rig:
@@ -203,8 +203,8 @@
     asyncio.run(part())
 
 
-def test_it_counts_against_the_deadline_where_the_client_says_more() -> None:
-    # A wait beyond the class's deadline is not believed, so it cannot make up for the time.
+def test_time_spent_unread_is_deducted_from_the_class_deadline_if_shorter() -> None:
+    # A wait beyond the class's deadline is cut to it, so it cannot make up for the unread time.
     async def part() -> None:
         node, turns = CacheNode(), Late(6.0)
         async with Rig(node, turns=turns) as rig:  # the deadline is 10 s
@@ -217,7 +217,7 @@
     asyncio.run(part())
 
 
-def test_one_that_pipelines_leaves_the_others_their_turn() -> None:
+def test_a_pipelining_client_does_not_starve_the_others() -> None:
     async def part() -> None:
         node, turns = CacheNode(), Late(0.02)
         async with Rig(node, turns=turns) as rig:
@@ -228,7 +228,7 @@
 
             async with asyncio.timeout(20.0):
                 while not (await burst(MAX_PER_CONNECTION + 1))[-1].startswith(b"-BUSY"):
-                    pass  # until the overload has stood for its interval
+                    pass  # until the overload has lasted for its interval
             answers = await burst(128)
             assert [a.startswith(b"value of") for a in answers] == [True] * MAX_PER_CONNECTION + [
                 False
@@ -242,31 +242,31 @@
     asyncio.run(part())
 
 
-def test_refused_clients_that_ask_on_keep_their_connection() -> None:
-    # Answered at once, they counted as idle since their first command and were closed first.
+def test_rejected_clients_that_retry_keep_their_connection() -> None:
+    # Rejected at once, they counted as idle since their first command and were closed first.
     async def part() -> None:
         async with Rig(CacheNode(), turns=Late(9.0), sockets=80) as rig:
             reader, writer = await rig.client()
             writer.write(get(0))
             assert (await read_answer(reader)).startswith(b"-BUSY")
             stay = [await rig.client() for _ in range(rig.config.client_sockets - 2)]
-            for number, (_, other) in enumerate(stay):  # these ask once
+            for number, (_, other) in enumerate(stay):  # these send one request
                 other.write(get(number + 1))
             first = stay[0][0]
             assert (await read_answer(first)).startswith(b"-BUSY")
             number = 1000
             async with asyncio.timeout(20.0):
-                while not first.at_eof():  # the longest idle makes room, and it is not us
+                while not first.at_eof():  # the longest idle one is closed, not this one
                     number += 1
                     writer.write(get(number))
                     assert (await read_answer(reader)).startswith(b"-BUSY")
                     await asyncio.sleep(0.01)
 
-    stall_free_loop.run(part())  # who is not run for 2 s is idle, on the machine's clock
+    stall_free_loop.run(part())  # a 2 s stall of this process would make them idle
 
 
 class Unread:
-    """To a client that takes nothing: the first write already waits for it."""
+    """A stream to a client that reads nothing: the first write stays buffered."""
 
     def peer_ended(self) -> bool:
         return False
@@ -292,7 +292,7 @@
     def resume(self) -> None:
         self.reading = True
 
-    def quiet(self) -> bool:
+    def no_pending_input(self) -> bool:
         return True
 
     def receive_buffer(self) -> int:
@@ -308,11 +308,11 @@
     end = close = abort
 
 
-def test_refusals_that_are_not_read_stop_the_reading() -> None:
+def test_unread_refusals_stop_reading_from_the_client() -> None:
     async def part() -> None:
         async with Rig(CacheNode(), turns=Late(9.0)) as rig:
             connection = ClientConnection(rig.listener)
-            rig.listener._slots_used += 1  # as if it had been accepted
+            rig.listener._slots_used += 1  # as for an accepted connection
             stream = Unread(connection)
             connection.accepted(stream)  # type: ignore[arg-type]
             for number in range(10 * rig.config.limits.depth):
@@ -329,7 +329,7 @@
     asyncio.run(part())
 
 
-def test_node_sockets_come_first_and_clients_in_turn() -> None:
+def test_node_sockets_come_first_and_client_sockets_rotate() -> None:
     pairs = [socket.socketpair() for _ in range(6)]
     now = [0.0]
     selector = TurnSelector(lambda: now[0])
@@ -346,8 +346,8 @@
         order = [key.fd for key, _ in selector.select(0)]
         assert len(order) == 6 and set(order[:2]) == nodes
         firsts.add(order[2])
-    assert firsts == {ours.fileno() for ours, _ in pairs} - nodes, "each client was the first"
-    # What was ready at this poll became so after the one before: half a turn, by estimate.
+    assert firsts == {ours.fileno() for ours, _ in pairs} - nodes, "each client came first once"
+    # Sockets ready at this poll became readable after the one before: the estimate is the midpoint.
     assert (
         turns.readable_for(39.0) == 0.5
         and turns.readable_for(41.0) == 2.5
@@ -361,7 +361,7 @@
             end.close()
 
 
-def test_a_turn_without_the_cpu_is_a_pause_and_a_long_one_with_it_is_not() -> None:
+def test_only_a_turn_that_lacked_cpu_time_is_a_pause() -> None:
     now, cpu, told = [0.0], [0.0], list[float]()
     selector = TurnSelector(lambda: now[0], lambda: cpu[0])
     Turns(selector).call_on_pause(told.append)
@@ -369,12 +369,12 @@
     for worked, passed in ((0.3, 0.3), (0.02, 0.05), (0.01, 0.32)):
         now[0], cpu[0] = now[0] + passed, cpu[0] + worked
         selector.select(0)
-    assert len(told) == 1 and 0.28 < told[0] < 0.32, "less what was used since the last reading"
+    assert len(told) == 1 and 0.28 < told[0] < 0.32, "less the CPU time used since the last reading"
     selector.close()
 
 
-def test_a_backlog_is_answered_whole_when_the_end_or_a_reload_comes_upon_it(tmp_path: Path) -> None:
-    """SIGTERM, and SIGHUP, in the midst of more than was read: each command has its answer."""
+def test_a_backlog_is_answered_in_full_across_a_drain_or_a_reload(tmp_path: Path) -> None:
+    """SIGTERM or SIGHUP arrives with commands unread; each command is answered."""
 
     async def part(number: signal.Signals) -> None:
         node, discovery = await CacheNode().start(), await Discovery().start()
@@ -412,9 +412,9 @@
         asyncio.run(part(number))
 
 
-def test_an_overload_of_refused_clients_alone_ends_when_its_cause_does() -> None:
-    # Nothing but refused clients who come back when they were told to: each costs a refusal a
-    # time, none is sent on, and the first that comes after the cause has gone is served.
+def test_an_overload_of_rejected_clients_alone_ends_with_its_cause() -> None:
+    # All clients are rejected and retry after the given backoff.  A retry costs only a rejection,
+    # and the first one after the cause has ended is served.
     async def part() -> None:
         node, turns = CacheNode(), Late(9.0)
         async with Rig(node, turns=turns) as rig:
@@ -433,7 +433,9 @@
                     refusals += 1
                     if refusals == 60:
                         turns.seconds = 0.0
-                    assert turns.seconds == 0.0 or not node.commands, "sent on in the overload"
+                    assert turns.seconds == 0.0 or not node.commands, (
+                        "sent to a node during the overload"
+                    )
                     await asyncio.sleep(int(answer[6:]) / 1000.0)
                 writer.close()
                 assert answer == b"value of id%d" % (client * 1000 + tries)
@@ -441,7 +443,7 @@
 
             tries = await soon(asyncio.gather(*(returns(client) for client in range(20))))
             assert sum(tries) == refusals + 20 == len(node.commands) + refusals
-            assert min(tries) >= 2, "each was refused and came back"
+            assert min(tries) >= 2, "each client was rejected and retried"
             await until(lambda: not rig.listener.connections)
             assert not rig.proxy.open_requests and rig.listener.budget.used == 0
 
--- a/tests/violetroute/test_program.py
+++ b/tests/violetroute/test_program.py
@@ -1,4 +1,4 @@
-"""The program as `run` starts it: configuration, signals, exit."""
+"""The program as a process: configuration, signals and exit."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     until,
 )
 
-WITHOUT_LAG = "tests.support.program_without_lag"  # takes each command, also without the CPU
+WITHOUT_LAG = "tests.support.program_without_lag"  # admits each command, even without CPU time
 
 
 class Program:
@@ -83,7 +83,7 @@
     raw = configuration(discovery.port, [node.entry("s-0")], listen=free_ports(1)[0], **settings)
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw))
-    # The environment names discovery as at the start, as it does in service.
+    # As in service, the environment still names the discovery address of the start.
     process = await launch(path, module, PROXY_DISCOVERY=raw["discovery"])
     one = Program(process, path, raw)
     try:
@@ -95,7 +95,7 @@
             await one.ended()
 
 
-def test_hangup_moves_the_watch_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+def test_hangup_moves_the_watch_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     # SIGHUP ended the process, and PROXY_DISCOVERY kept the old address for good.
     async def play() -> None:
         node = await CacheNode().start()
@@ -112,7 +112,7 @@
                 one.configure(bad)
                 await until(lambda count=count: len(one.log) > count)
                 assert "not reloaded" in one.log[-1] and len(one.log) == count + 1
-            assert old.open, "the old watch goes on"
+            assert old.open, "the old watch is still open"
             one.configure(json.dumps(one.raw | {"discovery": f"127.0.0.1:{new.port}"}))
             await until(lambda: new.open and not old.open)
             assert new.asked == ["/v1/servers?follow=1&since=0"]
@@ -129,7 +129,7 @@
     asyncio.run(play())
 
 
-def test_discovery_that_fails_after_a_move_is_asked_again(tmp_path: Path) -> None:
+def test_a_failed_request_after_a_discovery_move_is_retried(tmp_path: Path) -> None:
     async def play() -> None:
         node = await CacheNode().start()
         old, new = await Discovery().start(), await Discovery().start()
@@ -151,7 +151,7 @@
     ["", "{", "[]", "{}", '{"settings": {}}', "[" * 100_000],
     ids=["empty", "cut", "array", "nothing", "no figures", "deep"],
 )
-def test_bad_configuration_is_one_line_and_no_start(tmp_path: Path, text: str) -> None:
+def test_an_invalid_configuration_prints_one_line_and_exits(tmp_path: Path, text: str) -> None:
     async def play() -> None:
         path = tmp_path / "config.json"
         path.write_text(text)
@@ -163,7 +163,7 @@
     asyncio.run(play())
 
 
-def test_termination_under_load_answers_what_was_taken(tmp_path: Path) -> None:
+def test_termination_under_load_answers_accepted_requests(tmp_path: Path) -> None:
     async def play() -> None:
         go = asyncio.Event()
 
@@ -172,7 +172,7 @@
             writer.write(reply(words[2]))
 
         node, discovery = await CacheNode(waits).start(), await Discovery().start()
-        # The program itself refuses commands in its own overload, and a busy machine makes one.
+        # The program rejects commands when its event loop lags, as on a busy machine.
         async with program(tmp_path, discovery, node, WITHOUT_LAG) as one:
             clients = [
                 await soon(asyncio.open_connection("127.0.0.1", one.port)) for _ in range(24)
@@ -185,7 +185,7 @@
             late = await soon(asyncio.open_connection("127.0.0.1", one.port))
             late[1].write(get(500))  # new ones go on coming for a moment
             await until(lambda: len(node.commands) == 33)
-            one.process.send_signal(signal.SIGHUP)  # both change nothing any more
+            one.process.send_signal(signal.SIGHUP)  # both have no effect during the drain
             one.process.terminate()
             go.set()
             for number, (reader, _) in enumerate(clients[:16]):
@@ -203,7 +203,7 @@
     asyncio.run(play())
 
 
-def test_an_address_in_use_is_one_line_and_no_start(tmp_path: Path) -> None:
+def test_an_address_in_use_prints_one_line_and_exits(tmp_path: Path) -> None:
     async def play() -> None:
         taken = await CacheNode().start()
         path = tmp_path / "config.json"
--- a/tests/violetroute/test_refusals.py
+++ b/tests/violetroute/test_refusals.py
@@ -1,4 +1,4 @@
-"""The log says why requests were not served, and what a long turn was busy with."""
+"""Log lines for unserved requests and for long iterations of the event loop."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     return found
 
 
-def test_refusals_are_told_by_reason_once_a_second_and_at_the_end(said: Said) -> None:
+def test_refusals_are_logged_by_reason_once_a_second_and_at_close(said: Said) -> None:
     async def play() -> None:
         refusals = RefusalCounter(asyncio.get_running_loop())
         for reason in ("admission", "no_node", "admission"):
@@ -38,7 +38,7 @@
     asyncio.run(play())
 
 
-def test_a_request_that_no_node_may_take_is_told_with_its_reason(said: Said) -> None:
+def test_a_request_without_an_eligible_node_is_logged_with_its_reason(said: Said) -> None:
     async def play() -> None:
         async with Rig() as rig:
             answer = (await rig.ask(get(1, wait=200)))[0]
@@ -48,7 +48,7 @@
     asyncio.run(play())
 
 
-def test_a_request_whose_attempts_failed_is_told_with_its_reason(said: Said) -> None:
+def test_a_request_whose_attempts_failed_is_logged_with_its_reason(said: Said) -> None:
     async def fails(words: list[bytes], writer: asyncio.StreamWriter) -> None:
         writer.write(b"-ERR failed\r\n")
 
@@ -60,7 +60,7 @@
     asyncio.run(play())
 
 
-def test_what_is_served_is_not_told(said: Said) -> None:
+def test_served_requests_are_not_logged(said: Said) -> None:
     async def play() -> None:
         async with Rig(await CacheNode(serves).start()) as rig:
             await rig.ask(get(1))
@@ -69,7 +69,7 @@
     asyncio.run(play())
 
 
-def test_a_long_turn_is_told_with_what_it_did(said: Said) -> None:
+def test_a_long_turn_is_logged_with_its_work(said: Said) -> None:
     now = [100.0]
     selector = TurnSelector(clock=lambda: now[0], cpu=lambda: now[0])
     turn_log = LongTurnLog(Turns(selector), [1, 2])
--- a/tests/violetroute/test_turns_of_lists.py
+++ b/tests/violetroute/test_turns_of_lists.py
@@ -23,10 +23,10 @@
 
 NODES = 3200
 FIFTH = range(0, NODES, 5)
-TURN = 0.010  # s of CPU of one turn, for any change
-FIRST = 0.100  # s of CPU for the first list
+TURN = 0.010  # s of CPU time in one loop iteration, for any change
+FIRST = 0.100  # s of CPU time for the first list
 ROUNDS = 4
-MOST_ROUNDS = 40  # until one of each turn was within its bound
+MOST_ROUNDS = 40  # repeats until each iteration was once within its bound
 RESTARTED_AT_MS = 1_695_000_000_000
 
 
@@ -41,14 +41,14 @@
 
 
 class Large:
-    """A proxy that is told of lists as its watch would be."""
+    """A proxy that receives lists as from its watch."""
 
     def __init__(self) -> None:
         self.target, self._reader = ProxyOnVirtualNetwork(), ListReader()
         self.proxy = self.target.proxy
 
     def take(self, line: bytes) -> float:
-        """CPU seconds of the turn that reads the line and applies what counts at once."""
+        """CPU seconds to read a list and apply what takes effect at once."""
         self.target.advance(1.0)
         return cpu_seconds(lambda: self._take(line))
 
@@ -58,7 +58,7 @@
         self.proxy._watch.list_changed(self._reader.read(found))
 
     def slices(self) -> Iterator[float]:
-        """CPU seconds of each turn that brings nodes into service."""
+        """CPU seconds of each slice."""
         while self.proxy._lists.waiting:
             yield cpu_seconds(self.proxy._lists._next_slice)
 
@@ -90,7 +90,7 @@
 
 @pytest.mark.parametrize("change", CHANGES)
 def test_no_turn_of_a_change_takes_over_10_ms_of_cpu(large: Large, change: str) -> None:
-    """Incident 65d06d: one turn took 2.2 s, and every request waited for it."""
+    """Incident 65d06d: one iteration took 2.2 s, and every request waited for it."""
     least = [math.inf] * len(CHANGES[change](0))
     least_slice = math.inf
     for number in range(MOST_ROUNDS):
@@ -125,8 +125,8 @@
     assert min(took) <= TURN, took
 
 
-def test_a_batch_of_one_fifth_costs_by_its_entries(large: Large) -> None:
-    """An entry of it may cost four times what it costs where there are 200 nodes."""
+def test_the_cost_of_a_batch_is_proportional_to_its_entries(large: Large) -> None:
+    """With 3,200 nodes, an entry may cost at most four times as much as with 200."""
 
     def least(target: Large, numbers: range) -> float:
         costs = []
--- a/tests/violetroute/transport/test_tls.py
+++ b/tests/violetroute/transport/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS over the seam, and keys that change in service; certificates by trustme."""
+"""TLS streams, and certificates that change in service; certificates are made by trustme."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class Owner:
-    """A handler that notes what it is told."""
+    """A handler that records its callbacks."""
 
     def __init__(self) -> None:
         self.data, self.told = bytearray(), []  # type: ignore[var-annotated]
@@ -98,7 +98,7 @@
     writer.close()
 
 
-def test_a_megabyte_goes_and_comes_also_through_a_pause_and_ends_in_order(tmp_path: Path) -> None:
+def test_a_megabyte_is_echoed_across_a_pause_and_ends_in_order(tmp_path: Path) -> None:
     authority = trustme.CA()
 
     async def part(stream: TlsStream, owner: Owner) -> None:
@@ -120,7 +120,7 @@
     connected(tmp_path, part, echoes, server(authority), TlsFiles(ca_file(authority, tmp_path)))
 
 
-def test_an_end_below_in_a_pause_waits_for_what_is_unread(tmp_path: Path) -> None:
+def test_an_end_during_a_pause_is_reported_after_the_unread_data(tmp_path: Path) -> None:
     authority = trustme.CA()
 
     async def part(stream: TlsStream, owner: Owner) -> None:
@@ -135,7 +135,7 @@
     connected(tmp_path, part, echoes, server(authority), TlsFiles(ca_file(authority, tmp_path)))
 
 
-def test_what_is_written_before_the_handshake_is_bounded(tmp_path: Path) -> None:
+def test_data_written_before_the_handshake_is_bounded(tmp_path: Path) -> None:
     async def part(stream: TlsStream, owner: Owner) -> None:
         for _ in range(MAX_HELD // 1000 + 1):
             stream.write(b"x" * 1000)
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize("wrong", ["authority", "name", "plain", "silent", "no certificate"])
-def test_a_peer_that_is_not_who_it_should_be_is_never_opened(tmp_path: Path, wrong: str) -> None:
+def test_a_peer_that_fails_verification_is_never_opened(tmp_path: Path, wrong: str) -> None:
     authority, other = trustme.CA(), trustme.CA()
     context = {
         "authority": server(other),
@@ -162,7 +162,9 @@
 
     async def part(stream: TlsStream, owner: Owner) -> None:
         stream.write(b"a token that nobody else may see")
-        if wrong == "no certificate":  # TLS 1.3: the server ends it after our handshake is done
+        if (
+            wrong == "no certificate"
+        ):  # TLS 1.3: the server rejects it after the client's handshake is done
             await until(lambda: owner.has("opened", "ended") or owner.has("opened", "lost"))
         else:
             await until(lambda: owner.has("lost"))
@@ -179,7 +181,7 @@
     )
 
 
-def test_a_stream_without_usable_files_is_lost_and_says_why(tmp_path: Path) -> None:
+def test_a_stream_without_usable_files_is_lost_with_the_reason(tmp_path: Path) -> None:
     async def part(stream: TlsStream, owner: Owner) -> None:
         await until(lambda: owner.has("lost"))
         assert "none.pem" in owner.told[0][1]
@@ -187,7 +189,7 @@
     connected(tmp_path, part, echoes, None, TlsFiles(str(tmp_path / "none.pem")))
 
 
-def test_keys_are_read_anew_when_they_change_and_kept_when_they_break(
+def test_changed_keys_are_reloaded_and_unusable_ones_ignored(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     said: list[str] = []
@@ -226,7 +228,7 @@
     asyncio.run(run())
 
 
-def test_consul_is_followed_over_tls_with_a_certificate_of_ours(tmp_path: Path) -> None:
+def test_consul_is_followed_over_tls_with_a_client_certificate(tmp_path: Path) -> None:
     authority, ours = trustme.CA(), trustme.CA()
     mine = ours.issue_cert("proxy.example")
     mine.private_key_and_cert_chain_pem.write_to_path(str(tmp_path / "mine.pem"))
@@ -246,7 +248,7 @@
     )
 
 
-def test_an_authority_that_is_replaced_in_service_is_taken_on(tmp_path: Path) -> None:
+def test_an_authority_replaced_in_service_is_used(tmp_path: Path) -> None:
     old, new = trustme.CA(), trustme.CA()
 
     async def part(rig: Rig, agent: Consul, catalogue: Catalogue) -> None:
@@ -254,7 +256,7 @@
         await agent.stop()
         asked = len(agent.asked)
         await agent.start(agent.port, server(new))
-        ca_file(new, tmp_path)  # no signal is needed
+        ca_file(new, tmp_path)  # without a signal
         await until(lambda: len(agent.asked) > asked)
         catalogue.maintain("c0", True)
         await until(lambda: not rig.proxy.nodes)
@@ -262,7 +264,7 @@
     follow(tmp_path, part, server(old), tls_ca_file=ca_file(old, tmp_path))
 
 
-def test_files_that_cannot_be_used_refuse_the_whole_configuration(tmp_path: Path) -> None:
+def test_unusable_tls_files_make_the_configuration_invalid(tmp_path: Path) -> None:
     raw: Any = configuration(1, [])
     authority = trustme.CA()
     path = ca_file(authority, tmp_path)
@@ -280,7 +282,7 @@
         f"tls_ca_file = '{tmp_path}/none.pem'",
         f"tls_ca_file = '{path}'\ntls_cert_file = '{path}'",
         f"tls_ca_file = '{path}'\ntls_cert_file = '{locked}'",
-    ):  # asks nobody for a word
+    ):  # no password prompt
         with pytest.raises(ConfigError, match=r"\[consul\] tls files: .*pem") as raised:
             loaded(tmp_path, raw, f"[consul]\n{text}")
         assert "\n" not in str(raised.value)
@@ -288,7 +290,7 @@
     assert loaded(tmp_path, raw, f"[consul]\ntls_ca_file = '{path}'")
 
 
-def test_a_peer_that_goes_in_the_midst_of_the_handshake(tmp_path: Path) -> None:
+def test_a_peer_that_closes_during_the_handshake(tmp_path: Path) -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read(10)
         writer.close()
--- a/tests/violetroute/transport/test_transport.py
+++ b/tests/violetroute/transport/test_transport.py
@@ -1,4 +1,4 @@
-"""The seam's promises on real sockets: what the kernel can do to a stream, caused."""
+"""The guarantees of the transport interface on real sockets, under kernel events and errors."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Peer:
-    """A handler that notes what it was told; `on` reacts from within the call."""
+    """A handler that records its callbacks; `on` runs code within them."""
 
     def __init__(self, **on: Callable[[], None]) -> None:
         self._buffer = memoryview(bytearray(65536))
@@ -67,7 +67,7 @@
         before = len(os.listdir("/proc/self/fd"))
         await part(SocketNetwork(loop))
         await asyncio.sleep(0)
-        assert len(os.listdir("/proc/self/fd")) == before, "a descriptor is left open"
+        assert len(os.listdir("/proc/self/fd")) == before, "a descriptor leaked"
         assert not faults
 
     asyncio.run(run())
@@ -81,7 +81,7 @@
 
 
 async def pair(net: SocketNetwork, peer: Peer) -> socket.socket:
-    """`peer` connected to a plain socket, which is returned."""
+    """Connect `peer` to a plain socket, which is returned."""
     with listening() as door:
         peer.stream = net.connect(Address(LOOPBACK, door.getsockname()[1]), peer, 5.0)
         await until(lambda: "opened" in peer.told)
@@ -90,7 +90,7 @@
 
 
 async def taken(far: socket.socket) -> int:
-    """Bytes that come until the end."""
+    """The number of bytes received until the end."""
     loop, got = asyncio.get_running_loop(), 0
     while piece := await loop.sock_recv(far, 1 << 20):
         got += len(piece)
@@ -102,15 +102,15 @@
     sock.close()
 
 
-def test_a_large_write_is_kept_and_follows_and_the_taking_is_told_once() -> None:
+def test_a_large_write_is_buffered_and_drained_is_called_once() -> None:
     async def part(net: SocketNetwork) -> None:
         peer = Peer()
         far = await pair(net, peer)
         far.setblocking(False)
         assert peer.stream is not None
         big = os.urandom(8 * 1024 * 1024)
-        assert not peer.stream.write_all([b"head", big]), "no kernel takes that at once"
-        assert not peer.stream.write(b"tail"), "behind what waits"
+        assert not peer.stream.write_all([b"head", big]), "larger than the kernel's buffer"
+        assert not peer.stream.write(b"tail"), "buffered after the earlier data"
         assert 0 < peer.stream.unsent <= len(big) + 8
         got = bytearray()
         loop = asyncio.get_running_loop()
@@ -127,8 +127,8 @@
     play(part)
 
 
-def test_what_came_before_a_reset_is_read_although_a_write_failed_first() -> None:
-    # asyncio's own transport closes at the failed write and throws the answer away.
+def test_data_received_before_a_reset_is_read_after_a_failed_write() -> None:
+    # An asyncio transport would close at the failed write and discard the received data.
     async def part(net: SocketNetwork) -> None:
         peer = Peer()
         far = await pair(net, peer)
@@ -138,7 +138,7 @@
         far.sendall(b"answer")
         far.close()
         peer.stream.resume()
-        while peer.stream.write(b"x"):  # until the reset is known
+        while peer.stream.write(b"x"):  # until the reset is detected
             pass
         assert "lost" not in peer.told and peer.stream.unsent
         await until(lambda: "lost" in peer.told)
@@ -162,7 +162,7 @@
     play(part)
 
 
-def test_half_close_follows_what_was_written_and_reading_goes_on() -> None:
+def test_half_close_follows_written_data_and_reading_goes_on() -> None:
     async def part(net: SocketNetwork) -> None:
         peer = Peer()
         far = await pair(net, peer)
@@ -183,7 +183,7 @@
     play(part)
 
 
-def test_the_peers_half_close_while_our_write_waits_loses_nothing() -> None:
+def test_a_half_close_of_the_peer_loses_no_buffered_write() -> None:
     async def part(net: SocketNetwork) -> None:
         peer = Peer()
         far = await pair(net, peer)
@@ -203,7 +203,7 @@
     play(part)
 
 
-def test_one_callback_ends_itself_and_another_of_the_same_batch() -> None:
+def test_a_callback_can_abort_its_own_stream_and_others_of_the_same_poll() -> None:
     async def part(net: SocketNetwork) -> None:
         streams: list[Peer] = []
 
@@ -217,7 +217,7 @@
             streams.append(Peer(received=all_end))
             fars.append(await pair(net, streams[-1]))
         for far in fars:
-            far.sendall(b"x")  # both are ready in the same poll
+            far.sendall(b"x")  # both become ready in one poll
         await until(lambda: all("lost" in peer.told for peer in streams))
         assert sorted(peer.told.count("received") for peer in streams) == [0, 1]
         for far in fars:
@@ -226,7 +226,7 @@
     play(part)
 
 
-def test_a_descriptor_number_reused_in_the_same_turn_gets_no_event_of_the_old() -> None:
+def test_a_descriptor_number_reused_in_the_same_turn_gets_no_old_event() -> None:
     async def part(net: SocketNetwork) -> None:
         door = listening()
         address = Address(LOOPBACK, door.getsockname()[1])
@@ -234,7 +234,7 @@
         fresh = Peer()
 
         def swap() -> None:
-            if fresh.stream is None:  # the first of the two that is told
+            if fresh.stream is None:  # the first of the two callbacks
                 for victim in victims:
                     assert victim.stream is not None
                 numbers = {v.stream.descriptor for v in victims if v.stream is not None}
@@ -264,7 +264,7 @@
     play(part)
 
 
-def test_ten_thousand_connects_that_are_called_off_leave_nothing() -> None:
+def test_ten_thousand_aborted_connects_leave_nothing_behind() -> None:
     async def part(net: SocketNetwork) -> None:
         door = listening(1)
         address = Address(LOOPBACK, door.getsockname()[1])
@@ -279,16 +279,16 @@
         assert peer_count == 10_000
         door.close()
         loop: Any = asyncio.get_running_loop()
-        assert sum(not timer._cancelled for timer in loop._scheduled) <= 1, "a timer is left"
+        assert sum(not timer._cancelled for timer in loop._scheduled) <= 1, "a timer leaked"
 
     play(part)
 
 
-def test_a_connect_that_nobody_answers_ends_at_its_limit() -> None:
+def test_an_unanswered_connect_ends_at_its_time_limit() -> None:
     async def part(net: SocketNetwork) -> None:
         with listening(0) as door:
             address = Address(LOOPBACK, door.getsockname()[1])
-            peers = [Peer() for _ in range(4)]  # more than the backlog: the rest get no answer
+            peers = [Peer() for _ in range(4)]  # more than the backlog, so some are not answered
             for peer in peers:
                 peer.stream = net.connect(address, peer, 0.2)
             await until(lambda: all(peer.told for peer in peers))
@@ -302,20 +302,20 @@
     play(part)
 
 
-def test_a_refused_connect_is_told_later_and_never_opened() -> None:
+def test_a_refused_connect_is_reported_later_and_never_opened() -> None:
     async def part(net: SocketNetwork) -> None:
         with listening() as door:
             address = Address(LOOPBACK, door.getsockname()[1])
         peer = Peer()
         peer.stream = net.connect(address, peer, 5.0)
-        assert not peer.told, "never from within the call"
+        assert not peer.told, "no callback during the call"
         await until(lambda: peer.told)
         assert peer.told == ["lost"] and isinstance(peer.error, ConnectionRefusedError)
 
     play(part)
 
 
-def test_no_descriptor_left_is_an_end_for_a_connect_and_an_error_for_an_accept() -> None:
+def test_without_descriptors_a_connect_is_lost_and_an_accept_raises() -> None:
     async def part(net: SocketNetwork) -> None:
         waits: list[int] = []
         door = net.listen(Address(LOOPBACK, 0), 16, lambda: waits.append(1))
@@ -344,7 +344,7 @@
             assert peer.told == ["lost"]
             assert peer.error is not None and peer.error.errno == errno.EMFILE
             taken = Peer()
-            stream = door.accept(taken)  # who waited goes on waiting
+            stream = door.accept(taken)  # the waiting connection stays queued
             assert stream is not None
             far.sendall(b"hello")
             await until(lambda: taken.data == b"hello")
@@ -355,7 +355,7 @@
     play(part)
 
 
-def test_who_has_reset_before_the_accept_ends_like_any_other() -> None:
+def test_a_connection_reset_before_the_accept_is_lost() -> None:
     async def part(net: SocketNetwork) -> None:
         door = net.listen(Address(LOOPBACK, 0), 16, lambda: None)
         reset(socket.create_connection((LOOPBACK, door.address.port)))
@@ -368,7 +368,7 @@
     play(part)
 
 
-def test_a_fault_of_one_owner_ends_its_stream_and_no_other() -> None:
+def test_an_exception_of_an_owner_ends_only_its_stream() -> None:
     async def run() -> None:
         loop = asyncio.get_running_loop()
         faults: list[dict[str, Any]] = []
@@ -393,7 +393,7 @@
     asyncio.run(run())
 
 
-def test_quiet_tells_of_what_the_loop_has_not_yet_told() -> None:
+def test_no_pending_input_sees_data_that_the_loop_has_not_reported() -> None:
     async def part(net: SocketNetwork) -> None:
         peer = Peer()
         far = await pair(net, peer)
@@ -412,7 +412,7 @@
     play(part)
 
 
-def test_after_the_end_every_call_does_nothing_and_says_so() -> None:
+def test_calls_after_the_end_have_no_effect() -> None:
     async def part(net: SocketNetwork) -> None:
         peer = Peer()
         far = await pair(net, peer)
@@ -432,7 +432,7 @@
     play(part)
 
 
-def test_nothing_is_received_while_a_close_waits_for_the_kernel() -> None:
+def test_nothing_is_received_while_a_close_drains() -> None:
     async def part(net: SocketNetwork) -> None:
         peer = Peer()
         far = await pair(net, peer)
@@ -442,7 +442,7 @@
         peer.stream.close()
         assert peer.stream.closing and "lost" not in peer.told
         far.sendall(b"too late")
-        with contextlib.suppress(ConnectionResetError):  # as input was unread at the close
+        with contextlib.suppress(ConnectionResetError):  # since input was unread at the close
             await taken(far)
         await until(lambda: "lost" in peer.told)
         assert peer.told == ["opened", "lost"] and not peer.data
@@ -451,7 +451,7 @@
     play(part)
 
 
-def test_a_failed_write_is_not_taken_however_it_is_made() -> None:
+def test_a_failed_write_is_reported_by_each_way_of_writing() -> None:
     async def part(net: SocketNetwork) -> None:
         for write in ("write", "write_all"):
             peer = Peer()
@@ -469,7 +469,7 @@
     play(part)
 
 
-def test_a_half_close_of_what_was_reset_is_told() -> None:
+def test_a_half_close_after_a_reset_is_reported() -> None:
     async def part(net: SocketNetwork) -> None:
         peer = Peer()
         far = await pair(net, peer)
@@ -483,7 +483,7 @@
     play(part)
 
 
-def test_discarding_sends_a_reset_in_place_of_what_is_left() -> None:
+def test_discarding_sends_a_reset_instead_of_the_remaining_data() -> None:
     async def part(net: SocketNetwork) -> None:
         peer = Peer()
         far = await pair(net, peer)
@@ -499,7 +499,7 @@
     play(part)
 
 
-def test_priority_ends_with_the_stream_and_is_nobody_elses() -> None:
+def test_priority_ends_with_its_stream() -> None:
     async def part(net: SocketNetwork) -> None:
         prefers: dict[int, bool] = {}
         net.turns.prefer = prefers.__setitem__  # type: ignore[method-assign]
@@ -520,7 +520,7 @@
     play(part)
 
 
-def test_a_listener_that_cannot_be_leaves_no_descriptor() -> None:
+def test_a_failed_listen_leaves_no_descriptor() -> None:
     async def part(net: SocketNetwork) -> None:
         with listening() as door, pytest.raises(OSError, match="in use"):
             net.listen(Address(LOOPBACK, door.getsockname()[1]), 4, lambda: None)
@@ -528,7 +528,7 @@
     play(part)
 
 
-def test_reading_asked_for_while_connecting_waits_for_the_connection() -> None:
+def test_resume_while_connecting_waits_for_the_connection() -> None:
     async def part(net: SocketNetwork) -> None:
         peer = Peer()
         with listening() as door:
--- a/tests/violetroute/upstream/test_crossings_nodes.py
+++ b/tests/violetroute/upstream/test_crossings_nodes.py
@@ -1,4 +1,4 @@
-"""Crossings at connections to cache nodes: an event that comes between a decision and its bytes."""
+"""Races at connections to cache nodes: events between a decision and the bytes it sends."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from violetroute.upstream.pool import MIN_QUIET_TIME
 
 
-def test_a_new_connection_that_its_node_has_closed_by_then_ends_its_attempt_at_once() -> None:
-    # Found by reading: the attempt stayed behind with no connection, up to its deadline.
+def test_a_new_connection_that_is_already_closed_ends_its_attempt_at_once() -> None:
+    # The attempt was left without a connection until its deadline.
     world = World()
     world.send(1)
     handler, stream = world.streams[0]
-    stream.is_quiet = False  # the node's end stands there as the connection is told of
+    stream.is_quiet = False  # the node has closed before the connection is reported
     handler.opened()
     assert stream.closing and not stream.written
     handler.lost(None)
@@ -21,13 +21,13 @@
 
 
 def written(world: World) -> list[bytes]:
-    """The ids of what was written, in the order of the connections."""
+    """The ids of the written commands, in the order of the connections."""
     return [data.split(b"\r\n")[6] for _, stream in world.streams for data in stream.written]
 
 
-def test_nothing_is_written_for_what_is_over_when_its_connection_comes() -> None:
-    # Found by reading: where settings forbid to cancel, an attempt that waited for its connection
-    # was written after its request had been answered, or its client had gone.
+def test_an_attempt_that_ended_while_waiting_for_its_connection_is_not_sent() -> None:
+    # Without cancellation, an attempt that waited for its connection was sent after its request
+    # had been answered or its client had disconnected.
     world = World()
     world.send(1)
     world.over.add(1)
@@ -37,10 +37,10 @@
     assert world.ended == [(1, Result.NEVER_SENT)] and not stream.written and not stream.closing
     world.passes(MIN_QUIET_TIME * 1.1)
     world.send(2)
-    assert written(world) == [b"id2"] and len(world.streams) == 1  # it was opened for something
+    assert written(world) == [b"id2"] and len(world.streams) == 1  # the connection is used for 2
 
 
-def test_nor_when_a_connection_is_free_again_or_one_of_another_comes_first() -> None:
+def test_an_ended_attempt_is_not_sent_on_a_reused_or_another_connection() -> None:
     world = World()
     world.send(1)
     world.streams[0][0].opened()
@@ -48,7 +48,7 @@
     world.send(3)
     world.over.add(2)
     world.answers(0)
-    world.passes(MIN_QUIET_TIME * 1.1)  # the first one is free: 2 waits longest, and is over
+    world.passes(MIN_QUIET_TIME * 1.1)  # the first one is free: 2 waits longest, but has ended
     world.passes(0.0)
     assert world.ended == [(1, Result.OK), (2, Result.NEVER_SENT)]
     assert written(world) == [b"id1", b"id3"] and len(world.streams[0][1].written) == 2
@@ -57,7 +57,7 @@
     assert written(world) == [b"id1", b"id3"]
 
 
-def test_an_idle_connection_is_kept_by_what_may_not_be_sent_any_more() -> None:
+def test_an_attempt_that_may_not_be_sent_leaves_the_idle_connection_open() -> None:
     world = World()
     world.served(1)
     world.passes(0.05)
@@ -69,34 +69,34 @@
     assert len(world.streams) == 1 and len(world.streams[0][1].written) == 2
 
 
-def test_a_connection_is_left_alone_for_longer_where_second_answers_come_later() -> None:
-    # Measured on join+brink: 8 of 10 second answers came more than 2 ms after the first.
+def test_the_quiet_time_grows_with_the_delay_of_second_answers() -> None:
+    # In the scenario join+brink, 8 of 10 second answers came over 2 ms after the first.
     world = World()
     world.served(1)
     world.now += 0.02
     handler, stream = world.streams[0]
-    handler.received(1)  # a second answer begins, and ends its connection
+    handler.received(1)  # a second answer begins, which closes the connection
     assert stream.closing
     handler.lost(None)
     world.served(2)
     world.passes(0.03)
     world.send(3)
-    assert len(world.streams) == 3  # 0.04 s is twice what was seen
+    assert len(world.streams) == 3  # 0.04 s is twice the observed delay
     world.passes(0.01)
     world.send(4)
     assert len(world.streams) == 3 and len(world.streams[1][1].written) == 2
     world.streams[2][0].opened()
     world.answers(2)
     world.passes(40.0)
-    world.served(5)  # long ago: forgotten
+    world.served(5)  # the observed delay has decayed
     world.passes(MIN_QUIET_TIME * 1.1)
     before = len(world.streams)
     world.send(6)
     assert len(world.streams) == before
 
 
-def test_what_cannot_be_told_from_half_a_line_proves_nothing() -> None:
-    # Half a line that crosses the next command reads as its answer: `-BUSY ` and the real one.
+def test_a_reply_that_may_be_a_partial_stray_line_is_malformed() -> None:
+    # A partial line `-BUSY ` received as the next command is sent merges with the real answer.
     for late, result in (
         (b"-BUSY *3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n", Result.MALFORMED),
         (b"-BUSY 5\r\n-BUSY 5\r\n", Result.MALFORMED),
@@ -112,8 +112,8 @@
         assert world.ended == [(1, result)] and stream.closing == (result is Result.MALFORMED)
 
 
-def test_noise_long_after_an_answer_or_before_any_teaches_nothing() -> None:
-    # Found in a second reading: each such byte had all connections left alone for 0.1 s.
+def test_noise_long_after_an_answer_or_before_any_does_not_change_the_quiet_time() -> None:
+    # Each such byte kept all connections from reuse for 0.1 s.
     for answered in (True, False):
         world = World()
         if answered:
--- a/tests/violetroute/upstream/test_nodes.py
+++ b/tests/violetroute/upstream/test_nodes.py
@@ -1,4 +1,4 @@
-"""Cache nodes and discovery that are late, wrong, gone or elsewhere, over loopback sockets."""
+"""Cache nodes and discovery that are slow, faulty, gone or moved, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -53,8 +53,8 @@
 
 
 @pytest.mark.parametrize("name", MALFORMED)
-def test_a_spoilt_answer_is_tried_again_and_never_passed_on(name: str) -> None:
-    # What had no line end, or a length that was too large, held its request to its deadline.
+def test_a_malformed_answer_is_retried_and_never_passed_on(name: str) -> None:
+    # A reply without a line end, or with too large a length, kept its request open to its deadline.
     async def part(rig: Rig, node: CacheNode) -> None:
         async def spoils_first(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             if len(node.commands) == 2:
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("surplus", [reply(b"value of another"), b"\x00noise", b"*3\r\n"])
-def test_what_comes_behind_an_answer_meets_no_other_request(surplus: bytes) -> None:
+def test_extra_data_after_an_answer_reaches_no_other_request(surplus: bytes) -> None:
     async def part(rig: Rig, node: CacheNode) -> None:
         async def brings_more(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             writer.write(reply(b"value of " + words[2]))
@@ -111,7 +111,7 @@
     "load",
     [bulk(b"inflight=many"), bulk(b"\xff\xfe"), b":7\r\n", bulk(b"inflight=nan"), b"$99\r\nshort"],
 )
-def test_a_load_report_that_cannot_be_read_costs_no_value(load: bytes) -> None:
+def test_an_invalid_load_report_does_not_lose_the_value(load: bytes) -> None:
     async def part(rig: Rig, node: CacheNode) -> None:
         async def odd(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             writer.write(b"*3\r\n" + bulk(words[2]) + bulk(b"hit") + load)
@@ -123,7 +123,7 @@
     play(part)
 
 
-def test_a_late_answer_reaches_nobody_else() -> None:
+def test_a_late_answer_reaches_no_other_request() -> None:
     async def part(rig: Rig, node: CacheNode) -> None:
         held: list[tuple[asyncio.StreamWriter, bytes]] = []
 
@@ -157,7 +157,7 @@
     play(part, count=2)
 
 
-def test_a_draining_node_may_finish_what_it_has() -> None:
+def test_a_draining_node_finishes_its_current_command() -> None:
     async def part(rig: Rig, node: CacheNode) -> None:
         go = asyncio.Event()
 
@@ -193,8 +193,8 @@
     play(part)
 
 
-def test_an_address_under_a_new_id_is_one_node() -> None:
-    # The old id, not yet told to be gone, sent the new and cold node all its share.
+def test_a_node_with_a_new_id_at_the_same_address_replaces_the_old_one() -> None:
+    # The old id, not yet reported gone, gave the new, cold node its full share of requests.
     async def part(rig: Rig, node: CacheNode) -> None:
         await rig.watched()
         rig.discovery.tell(node.entry("s-new", startedAtMs=5))
@@ -208,7 +208,7 @@
     play(part)
 
 
-def test_ids_that_are_ever_new_leave_nothing_behind() -> None:
+def test_ever_new_node_ids_leave_no_state_behind() -> None:
     async def part(rig: Rig, node: CacheNode) -> None:
         await rig.watched()
         last = "s-0"
@@ -224,7 +224,7 @@
     play(part)
 
 
-def test_discovery_that_ends_or_talks_nonsense_is_asked_again() -> None:
+def test_discovery_that_ends_or_sends_invalid_data_is_requested_again() -> None:
     async def part(rig: Rig, node: CacheNode) -> None:
         for nonsense in (b'{"instances": 5}', b"[" * 50_000):
             await rig.watched()
@@ -268,9 +268,9 @@
 BRISK = [{"name": "lookup", "promiseMs": 200.0, "deadlineMs": 400.0, "effect": "pure"}]
 
 
-def test_swallowed_commands_shed_no_traffic() -> None:
-    # Nodes that let some commands without a byte and answer the others quickly: the losses
-    # closed the gate, and most requests were refused before any node was asked.
+def test_unanswered_commands_do_not_cause_load_shedding() -> None:
+    # Nodes left some commands unanswered and answered the others quickly.  The losses lowered the
+    # admission limit, and most requests were rejected without an attempt.
     async def part(rig: Rig, *nodes: CacheNode) -> None:
         async def swallows_some(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             if int(words[2][2:]) % 4:
@@ -285,14 +285,14 @@
             await asyncio.sleep(0.008)
         answers = [answer for task in asked for answer in await task]
         reached = {words[2] for node in nodes for words in node.commands}
-        assert len(reached) >= 230, "next to none was refused unasked"
-        assert answers.count(b"v") >= 165, "of 180 that were not swallowed"
+        assert len(reached) >= 230, "nearly all requests reach a node"
+        assert answers.count(b"v") >= 165, "of 180 that were answered"
 
     play(part, count=4, classes=BRISK)
 
 
-def test_clients_without_patience_shed_none_of_the_others() -> None:
-    # Two in three give less time than the nodes take.  These failures closed the gate.
+def test_clients_with_short_waits_do_not_cause_load_shedding() -> None:
+    # Two in three clients wait for less than the nodes take; this lowered the admission limit.
     async def part(rig: Rig, node: CacheNode) -> None:
         async def takes_its_time(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.12)
@@ -313,8 +313,8 @@
     play(part, classes=BRISK)
 
 
-def test_a_node_that_alone_answers_errors_is_left_out_and_its_errors_tried_elsewhere() -> None:
-    # Each of its errors was passed on as a refusal, and it kept its share of the requests.
+def test_a_single_erring_node_is_avoided_and_its_requests_are_retried() -> None:
+    # Each error was passed on as a refusal, and the node kept its share of requests.
     async def part(rig: Rig, broken: CacheNode, *others: CacheNode) -> None:
         async def takes_its_time(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.02)
@@ -336,14 +336,14 @@
         assert all(answer.startswith(b"value") for answer in await ask(0, 80))
         broken.behaviour, before = errs, len(broken.commands)
         served = sum(answer.startswith(b"value") for answer in await ask(100, 160))
-        assert len(broken.commands) > before, "it was asked at first"
+        assert len(broken.commands) > before, "it got requests at first"
         assert served >= 152, f"{served} of 160 served"
 
     play(part, count=4)
 
 
-def test_errors_from_all_nodes_alike_are_not_tried_again() -> None:
-    # They come from the origin, which each further attempt would ask once more.
+def test_errors_from_all_nodes_are_not_retried() -> None:
+    # They come from the origin, to which each retry would send another request.
     async def part(rig: Rig, *nodes: CacheNode) -> None:
         async def errs(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             writer.write(b"-ERR failed\r\n")
@@ -359,7 +359,7 @@
 
 
 class Tight(socket.socket):
-    """Kernel buffers as small as they get: a long command stands half written."""
+    """A socket with minimal kernel buffers, so that a long command is sent only in part."""
 
     def __init__(self, *args: Any, **more: Any) -> None:
         super().__init__(*args, **more)
@@ -367,11 +367,11 @@
             self.setsockopt(socket.SOL_SOCKET, option, 1)
 
 
-def test_a_command_half_written_to_a_node_that_drains_never_becomes_whole(
+def test_a_partially_sent_command_to_a_draining_node_is_never_completed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Taken out, this guard was missed by every test: the rest followed once the node read on,
-    # however long after it was told to drain.
+    # Without this rule, the rest of the command followed once the node read on, however long after
+    # the drain, and no other test failed.
     monkeypatch.setattr(socket, "socket", Tight)
     value = b"x" * 60_000
     came, reads_on, done, got = asyncio.Event(), asyncio.Event(), asyncio.Event(), bytearray()
@@ -410,21 +410,21 @@
     play(part)
 
 
-def test_a_connection_that_has_answered_is_used_again() -> None:
+def test_a_connection_is_reused_after_an_answer() -> None:
     async def run() -> None:
         node = CacheNode(serves)
         async with Rig(node) as rig:
             for number in range(10):
                 assert await rig.ask(get(number)) == [b"value of id%d" % number]
-                await asyncio.sleep(2 * MIN_QUIET_TIME)  # it may speak out of turn until then
-            assert node.connections < 4  # a late quiet moment may cost one
+                await asyncio.sleep(2 * MIN_QUIET_TIME)  # stray data may follow until then
+            assert node.connections < 4  # a late wake-up may cost one
 
     stall_free_loop.run(run())
 
 
-def test_what_is_told_of_an_attempt_after_its_outcome_is_nothing() -> None:
-    # Nothing here tells it twice (only `_finish` of the module cancels, and connections let go of
-    # their attempt first), but the promise is made to all that tell; 632 tests did without it.
+def test_a_second_outcome_of_an_attempt_is_ignored() -> None:
+    # No caller reports twice today: the balancer cancels only in `_finish`, and connections detach
+    # their attempt first.  The guarantee holds for any caller, and 632 tests passed without it.
     held = asyncio.Event()
 
     async def holds(words: list[bytes], writer: asyncio.StreamWriter) -> None:
@@ -448,10 +448,10 @@
     stall_free_loop.run(run())
 
 
-def test_a_keyed_command_that_its_node_does_not_have_by_the_windows_end_is_called_off(
+def test_a_keyed_command_not_delivered_within_its_window_is_given_up(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The daemon's own clock: the kernel's behind it is coarse, and may be late by half a second.
+    # Checks the daemon's timer; the kernel's timeout is coarse and may be half a second late.
     monkeypatch.setattr(Pool, "delivered", lambda self, attempt: False)
     classes = [cls | {"keyTtlMs": 150.0} for cls in SETTINGS["classes"]]
     ended = asyncio.Event()
@@ -467,6 +467,8 @@
             asked_at = asyncio.get_running_loop().time()
             assert (await rig.ask(put(1, wait=8000)))[0].startswith(b"-")
             await soon(ended.wait())
-            assert asyncio.get_running_loop().time() - asked_at < 4.0  # not at its client's time
+            assert (
+                asyncio.get_running_loop().time() - asked_at < 4.0
+            )  # not only when its client gives up
 
     stall_free_loop.run(run())
--- a/tests/violetroute/upstream/test_pool.py
+++ b/tests/violetroute/upstream/test_pool.py
@@ -1,4 +1,4 @@
-"""The pool alone: what it opens, uses again and closes, on a clock and a network of its own."""
+"""The pool alone, on a fake clock and network: which connections it opens, reuses and closes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from violetroute.upstream.pool import AGE_DECAY_TIME, MIN_QUIET_TIME, SWEEP_INTERVAL
 
 HERE = Address("127.0.0.1", 1)
-IDLE = 10.0  # s after which a node closes; the pool keeps connections for 0.6 of that
+IDLE = 10.0  # s; a node's idle timeout, of which the pool uses 0.6
 
 
 class Stream:
@@ -39,7 +39,7 @@
 
 
 class World:
-    """Loop, network and sink in one: time stands still until it is told to move."""
+    """A fake event loop, network and owner of attempts; time moves only by `passes`."""
 
     def __init__(self, limit: int = 10) -> None:
         self.loop = self
@@ -47,7 +47,7 @@
         self.timers: list[tuple[float, Any, tuple[Any, ...]]] = []
         self.streams: list[tuple[Any, Stream]] = []
         self.ended: list[tuple[int, Result]] = []
-        self.over: set[int] = set()  # requests for which nothing may begin any more
+        self.over: set[int] = set()  # requests whose attempts may not be sent any more
         self.pool = Pool(cast(Any, self), cast(Any, self), limit, 1.0, IDLE)
         self.pool.add(1, HERE)
 
@@ -98,23 +98,23 @@
         handler.received(len(data))
 
     def served(self, number: int) -> None:
-        """One request on a connection of its own, up to its answer."""
+        """Send a request on a connection of its own, and answer it."""
         self.send(number)
         self.streams[-1][0].opened()
         self.answers(-1)
 
 
-def test_what_was_only_waiting_for_a_connection_cannot_have_run() -> None:
+def test_an_attempt_waiting_for_a_connection_cannot_have_run() -> None:
     world = World()
     waiting = world.send(1)
     assert world.pool.give_up(waiting) is False
     running = world.send(2)
     world.streams[0][0].opened()
     assert world.streams[0][1].written and world.pool.give_up(running) is True
-    assert world.streams[0][1].discarded  # what has not arrived must not do so later
+    assert world.streams[0][1].discarded  # undelivered data must not arrive later
 
 
-def test_a_connection_of_a_node_that_left_ends_with_its_answer() -> None:
+def test_a_connection_to_a_removed_node_is_closed_after_its_answer() -> None:
     world = World()
     world.send(1)
     handler, stream = world.streams[0]
@@ -125,10 +125,10 @@
     assert world.ended == [(1, Result.OK)] and stream.closing and not stream.discarded
 
 
-def test_a_connection_is_used_again_only_once_it_was_quiet_for_a_moment() -> None:
+def test_a_connection_is_reused_only_after_the_quiet_time() -> None:
     world = World()
     world.served(1)
-    world.send(2)  # at once: a new one is opened
+    world.send(2)  # within the quiet time: a new connection is opened
     assert len(world.streams) == 2
     world.streams[1][0].opened()
     world.passes(MIN_QUIET_TIME * 1.1)
@@ -136,12 +136,12 @@
     assert len(world.streams) == 2 and len(world.streams[0][1].written) == 2
     world.answers(0)
     world.passes(MIN_QUIET_TIME * 1.1)
-    world.streams[0][1].is_quiet = False  # something stands behind the answer
+    world.streams[0][1].is_quiet = False  # data is pending after the answer
     world.send(4)
     assert len(world.streams) == 3 and world.streams[0][1].closing
 
 
-def test_a_connection_that_was_idle_for_too_long_is_not_used_and_is_swept_away() -> None:
+def test_a_connection_idle_for_too_long_is_not_reused_and_is_closed() -> None:
     world = World()
     world.served(1)
     assert world.pool.likely_alive(IDLE * 0.6 - 0.1, world.now)
@@ -157,7 +157,7 @@
     assert world.streams[0][1].closing and not world.streams[0][1].discarded
 
 
-def test_no_more_descriptors_than_the_limit_and_the_oldest_idle_one_makes_way() -> None:
+def test_the_socket_limit_holds_and_the_oldest_idle_connection_is_closed() -> None:
     world = World(limit=2)
     world.pool.add(2, HERE)
     world.served(1)
@@ -170,12 +170,12 @@
     assert world.ended[-1] == (4, Result.NEVER_SENT) and len(world.streams) == 3
 
 
-def test_kept_connections_that_break_are_kept_for_less_until_it_is_forgotten() -> None:
-    # The pool trusted the stated idle time; nodes closed after a tenth of it, unheard.
+def test_connections_that_break_when_reused_are_kept_for_less_time_for_a_while() -> None:
+    # Nodes closed connections after a tenth of the idle timeout that the pool relied on.
     world, age = World(), 0.005
 
     def reused() -> bool:
-        """One more request at this age: whether it got the kept connection, which breaks."""
+        """Send a request at this idle time; whether it reused the connection, which then breaks."""
         world.served(1)
         handler, stream = world.streams[-1]
         world.passes(age)
@@ -193,7 +193,7 @@
 
     tries = [reused() for _ in range(20)]
     assert tries[0] and sum(tries) < 5 and not tries[-1]
-    assert world.pool.likely_alive(0.05, world.now)  # other ages are judged apart
+    assert world.pool.likely_alive(0.05, world.now)  # other idle times are not affected
     assert not world.pool.likely_alive(age, world.now)
     assert world.pool.likely_alive(age, world.now + 4 * AGE_DECAY_TIME)
 
@@ -201,7 +201,7 @@
 @pytest.mark.parametrize(
     ("left", "expected"), [(2500.0, 2.0), (600.0, 0.3), (-5.0, 0.001), (None, 0.0)]
 )
-def test_the_kernel_is_told_by_when_a_command_has_to_be_there(
+def test_the_delivery_bound_of_a_command_is_passed_to_the_kernel(
     left: float | None, expected: float
 ) -> None:
     world = World()
