--- a/tests/violetroute/test_crossings_process.py
+++ b/tests/violetroute/test_crossings_process.py
@@ -28,7 +28,7 @@
 def test_a_hangup_during_start_up_is_not_lost(tmp_path: Path) -> None:
     # A SIGHUP was ignored until the event loop ran.  The file is a pipe here, so that the signal
     # arrives between the daemon's opening of the old file and its first line.
-    async def play() -> None:
+    async def scenario() -> None:
         before, after = await Discovery().start(), await Discovery().start()
         node = await CacheNode().start()
         raw = configuration(before.port, [node.entry("s-0")], listen=free_ports(1)[0])
@@ -48,7 +48,7 @@
             for each in (before, after, node):
                 await each.stop()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("longer", [True, False])
@@ -56,7 +56,7 @@
     longer: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # A drain was limited by the deadlines of the configuration at start-up.
-    async def play() -> None:
+    async def scenario() -> None:
         discovery, node = await Discovery().start(), await CacheNode().start()
         raw = configuration(discovery.port, [node.entry("s-0")])
         first, second = parse(raw), parse(raw | {"settings": SETTINGS | {"classes": SHORT}})
@@ -89,12 +89,12 @@
         for each in (discovery, node):
             await each.stop()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_new_settings_apply_to_open_node_connections() -> None:
     # The pool and its limits kept the settings of the start-up.
-    async def part(here: Scene) -> None:
+    async def scenario(here: Scene) -> None:
         reader, writer = await here.client()
         writer.write(get(1))
         await read_answer(reader)
@@ -110,11 +110,11 @@
         writer.write(get(3))
         assert (await read_answer(reader)).startswith(b"-") and here.loop.time() - begun < 0.5
 
-    scene(part)
+    scene(scenario)
 
 
 def test_idle_clients_leave_descriptors_for_discovery_and_nodes_while_it_is_down() -> None:
-    async def part(here: Scene) -> None:
+    async def scenario(here: Scene) -> None:
         trouble = asyncio.ensure_future(away(here))
         await here.until(lambda: not here.discovery.open)
         idle = [await here.client() for _ in range(200)]  # more than the descriptors available
@@ -130,4 +130,4 @@
             each.close()
         assert await stopped and here.process.left()["descriptors"] == 0
 
-    scene(part, nodes=2, sockets=64)
+    scene(scenario, nodes=2, sockets=64)
--- a/tests/violetroute/test_large_lists.py
+++ b/tests/violetroute/test_large_lists.py
@@ -43,10 +43,10 @@
     nodes: LargeList
     crowd: Crowd
 
-    async def play(self, seconds: float) -> None:
-        await self.crowd.play(RATE, seconds)
+    async def run(self, seconds: float) -> None:
+        await self.crowd.run(RATE, seconds)
 
-    async def judge(self) -> None:
+    async def check_answers(self) -> None:
         """Check that all requests are answered in time and nearly all are served."""
         await self.crowd.rest()
         late = [ask for ask in self.crowd.asks if waited(ask) > WAIT + SLACK]
@@ -91,39 +91,39 @@
 def test_no_answer_is_late_while_a_fifth_of_3200_nodes_drains(tmp_path: Path) -> None:
     """Incident 65d06d: one iteration of the event loop took seconds to apply such a list."""
 
-    async def play() -> None:
+    async def run() -> None:
         async with large_fleet(tmp_path) as fleet:
-            await fleet.play(BEFORE)
+            await fleet.run(BEFORE)
             fleet.discovery.tell(*fleet.nodes.nodes(FIFTH, "terminating"))
-            await fleet.play(AFTER)
-            await fleet.judge()
+            await fleet.run(AFTER)
+            await fleet.check_answers()
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 @pytest.mark.long
 def test_no_answer_is_late_while_a_whole_list_lacks_a_fifth_of_3200_nodes(tmp_path: Path) -> None:
     """A variant of incident 65d06d: a whole list removes the nodes that it does not name."""
 
-    async def play() -> None:
+    async def run() -> None:
         async with large_fleet(tmp_path) as fleet:
-            await fleet.play(BEFORE)
+            await fleet.run(BEFORE)
             left = [number for number in range(NODES) if number not in FIFTH]
             fleet.discovery.tell(*fleet.nodes.nodes(left), reset=True)
-            await fleet.play(AFTER)
-            await fleet.judge()
+            await fleet.run(AFTER)
+            await fleet.check_answers()
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 @pytest.mark.long
 def test_a_whole_list_of_3200_nodes_does_not_end_the_watch(tmp_path: Path) -> None:
     """Found with incident 65d06d: a list over 512 KiB ended each watch, without a log line."""
 
-    async def play() -> None:
+    async def run() -> None:
         async with large_fleet(tmp_path) as fleet:
             fleet.discovery.tell(*fleet.nodes.nodes(), reset=True)
-            await fleet.play(AFTER)
-            await fleet.judge()
+            await fleet.run(AFTER)
+            await fleet.check_answers()
 
-    asyncio.run(play())
+    asyncio.run(run())
--- a/tests/violetroute/test_list_applier.py
+++ b/tests/violetroute/test_list_applier.py
@@ -68,10 +68,10 @@
             self.places,
             cast(Pool, self.pool),
             lambda: NOW,
-            self.told,
+            self.on_members,
         )
 
-    def told(self, members: list[Member]) -> None:
+    def on_members(self, members: list[Member]) -> None:
         self.steps.append(members)
         for member in {member.id: member for member in members}.values():
             if member.state is READY:
@@ -79,10 +79,10 @@
             else:
                 self.ready.pop(member.id, None)
 
-    def take(self, *entries: Entry, whole: bool = False, at_once: bool = False) -> None:
-        self.told(self.lists.apply(Listing(1, whole, entries), whole, at_once).members)
+    def apply(self, *entries: Entry, whole: bool = False, at_once: bool = False) -> None:
+        self.on_members(self.lists.apply(Listing(1, whole, entries), whole, at_once).members)
 
-    def settle(self) -> None:
+    def run_all(self) -> None:
         while self.turns.run_one():
             pass
 
@@ -100,7 +100,7 @@
 
 def fleet(count: int) -> Applied:
     applied = Applied()
-    applied.take(*map(entry, range(count)), whole=True, at_once=True)
+    applied.apply(*map(entry, range(count)), whole=True, at_once=True)
     assert len(applied.ready) == count and not applied.turns.due
     return applied
 
@@ -109,67 +109,67 @@
     applied = fleet(100)
     coming = [entry(number) for number in range(100, 200)]
     leaving = [entry(number, DRAINING) for number in range(50)]
-    applied.take(*coming, *leaving)
+    applied.apply(*coming, *leaving)
     assert not any(name(number) in applied.ready for number in range(50))
     assert not any(name(number) in applied.pool.at for number in range(50))
-    applied.settle()
+    applied.run_all()
     assert len(applied.ready) == 150
     assert max(map(len, applied.steps[2:])) <= NODES_PER_SLICE
 
 
 def test_a_node_that_drains_while_waiting_never_enters_service() -> None:
     applied = fleet(3)
-    applied.take(*map(entry, range(10, 60)))
-    applied.take(entry(59, DRAINING), entry(58, GONE))
-    applied.settle()
+    applied.apply(*map(entry, range(10, 60)))
+    applied.apply(entry(59, DRAINING), entry(58, GONE))
+    applied.run_all()
     assert name(59) not in applied.ready and name(58) not in applied.ready
     assert not any(m.id == name(59) and m.state is READY for step in applied.steps for m in step)
 
 
 def test_a_whole_list_removes_waiting_nodes_that_it_does_not_name() -> None:
     applied = fleet(3)
-    applied.take(*map(entry, range(10, 60)))
-    applied.take(entry(0), entry(20), whole=True)
+    applied.apply(*map(entry, range(10, 60)))
+    applied.apply(entry(0), entry(20), whole=True)
     assert set(applied.ready) == {name(0)}
-    applied.settle()
+    applied.run_all()
     assert set(applied.ready) == {name(0), name(20)} == set(applied.pool.at)
 
 
 def test_a_restart_of_a_node_in_service_is_applied_at_once() -> None:
     """Otherwise requests go to the cold node as if it were warm."""
     applied = fleet(100)
-    applied.take(*(entry(number, started=5e5) for number in range(90)))
+    applied.apply(*(entry(number, started=5e5) for number in range(90)))
     assert sum(member.started_at == 5e5 for member in applied.ready.values()) == 90
 
 
 def test_an_unchanged_list_applies_nothing() -> None:
     applied = fleet(100)
-    applied.take(*map(entry, range(100)), whole=True)
+    applied.apply(*map(entry, range(100)), whole=True)
     assert applied.steps[-1] == [] and not applied.turns.due
 
 
 def test_a_repeated_drain_is_applied_again() -> None:
     applied = fleet(3)
-    applied.take(entry(1, DRAINING))
-    applied.take(entry(1, DRAINING))
+    applied.apply(entry(1, DRAINING))
+    applied.apply(entry(1, DRAINING))
     assert [member.state for member in applied.steps[-1]] == [DRAINING]
 
 
 def test_a_displaced_node_returns_with_the_next_whole_list() -> None:
     applied = fleet(3)
-    applied.take(entry(7, host=1, started=5e5))
-    applied.settle()
+    applied.apply(entry(7, host=1, started=5e5))
+    applied.run_all()
     assert name(1) not in applied.ready and name(7) in applied.ready
-    applied.take(*map(entry, range(3)), whole=True)
-    applied.settle()
+    applied.apply(*map(entry, range(3)), whole=True)
+    applied.run_all()
     assert set(applied.ready) == set(map(name, range(3))) == set(applied.pool.at)
 
 
 def test_nothing_is_applied_after_close() -> None:
     applied = fleet(3)
-    applied.take(*map(entry, range(10, 60)))
+    applied.apply(*map(entry, range(10, 60)))
     applied.lists.close()
-    applied.settle()
+    applied.run_all()
     assert len(applied.ready) == 3
 
 
@@ -179,7 +179,7 @@
     def __init__(self) -> None:
         self.places, self.ready = NodeAddresses(), dict[int, Member]()
 
-    def take(self, entries: tuple[Entry, ...], whole: bool) -> None:
+    def apply(self, entries: tuple[Entry, ...], whole: bool) -> None:
         members: list[Member] = []
         for one in {each.instance: each for each in entries}.values():
             members += self.places.apply(as_member(one, NOW), one.address).members
@@ -198,7 +198,7 @@
     """Random changes, with lists that arrive before the slices of earlier ones are applied."""
     chance = random.Random(seed)
     sliced, plain = fleet(10), AtOnce()
-    plain.take(tuple(map(entry, range(10))), True)
+    plain.apply(tuple(map(entry, range(10))), True)
     starts: dict[int, float] = {}
     for _ in range(60):
         entries = []
@@ -208,12 +208,12 @@
             state = chance.choices((READY, DRAINING, GONE), (6, 2, 1))[0]
             entries.append(entry(number, state, started=starts.get(number, 0.0)))
         whole = chance.random() < 0.2
-        sliced.take(*entries, whole=whole)
-        plain.take(tuple(entries), whole)
+        sliced.apply(*entries, whole=whole)
+        plain.apply(tuple(entries), whole)
         assert set(sliced.ready) <= set(plain.ready), "a node is in service that should not be"
         for _ in range(chance.choice((0, 1, 3, 50))):
             sliced.turns.run_one()
         assert set(sliced.pool.at) == set(sliced.ready)
-    sliced.settle()
+    sliced.run_all()
     assert sliced.ready == plain.ready
     assert set(sliced.pool.at) == set(plain.ready)
--- a/tests/violetroute/test_logs.py
+++ b/tests/violetroute/test_logs.py
@@ -135,9 +135,9 @@
         logs.event("daemon.fault", what="x", error=error)
     logging.getLogger("asyncio").warning("slow \udcff")
     assert len(written.lines) == 3
-    said = b"".join(written.lines).decode()
-    assert "config.unusable" in said and "ud800" in said and "slow " in said
-    assert ("file" in said) == ("file" in str(value))
+    output = b"".join(written.lines).decode()
+    assert "config.unusable" in output and "ud800" in output and "slow " in output
+    assert ("file" in output) == ("file" in str(value))
 
 
 def test_messages_of_libraries_are_logged_as_events(install: Callable[..., Written]) -> None:
@@ -208,7 +208,7 @@
 
 
 def test_an_unread_log_and_an_invalid_file_do_not_stop_the_daemon(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         node, discovery = await CacheNode().start(), await Discovery().start()
         raw = configuration(discovery.port, [node.entry("s-0")])
         config, operator = tmp_path / "config.json", tmp_path / "operator.toml"
@@ -227,13 +227,13 @@
             env=environment(config),
         )
         os.close(writing)
-        said = bytearray()
+        output = bytearray()
         os.set_blocking(reading, False)
 
         def listens() -> re.Match[bytes] | None:
             with contextlib.suppress(BlockingIOError):
-                said.extend(os.read(reading, 65536))
-            return re.search(rb"listens on: address=[\d.]+:(\d+)", said)
+                output.extend(os.read(reading, 65536))
+            return re.search(rb"listens on: address=[\d.]+:(\d+)", output)
 
         try:
             await until(listens)
@@ -246,9 +246,9 @@
                 writer.write(get(number))
                 assert await read_answer(reader) == b"value of id%d" % number
             os.set_blocking(reading, False)
-            said.clear()
+            output.clear()
             listens()
-            assert b"per_secnd" in said and b"did you mean per_second?" in said
+            assert b"per_secnd" in output and b"did you mean per_second?" in output
             process.terminate()
             assert await soon(process.wait()) == 0
         finally:
@@ -259,4 +259,4 @@
             await node.stop()
             await discovery.stop()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/violetroute/test_own_load.py
+++ b/tests/violetroute/test_own_load.py
@@ -132,7 +132,7 @@
 
 
 def test_a_process_serves_on_after_sigstop_and_sigcont(tmp_path: Path) -> None:
-    async def part() -> None:
+    async def scenario() -> None:
         held: list[asyncio.StreamWriter] = []
 
         async def hold(words: list[bytes], writer: asyncio.StreamWriter) -> None:
@@ -165,7 +165,7 @@
         await node.stop()
         await discovery.stop()
 
-    asyncio.run(part())
+    asyncio.run(scenario())
 
 
 class Late(Turns):
@@ -180,7 +180,7 @@
 
 
 def test_an_expired_unsafe_request_is_refused_and_never_sent() -> None:
-    async def part() -> None:
+    async def scenario() -> None:
         node, turns = CacheNode(), Late(9.0)
         async with Rig(node, turns=turns) as rig:
             for answer in await rig.ask(get(1, cls=b"once"), put(2)):
@@ -189,23 +189,23 @@
             turns.seconds = 0.0
             assert await rig.ask(get(3, cls=b"once")) == [b"value of id3"]
 
-    asyncio.run(part())
+    asyncio.run(scenario())
 
 
 def test_time_spent_unread_is_deducted_from_the_clients_wait() -> None:
-    async def part() -> None:
+    async def scenario() -> None:
         node = CacheNode()
         async with Rig(node, turns=Late(5.0)) as rig:
             assert await rig.ask(get(1, wait=8000)) == [b"value of id1"]
             left = int(node.commands[0][3].rpartition(b"d=")[2])
             assert left <= 3000
 
-    asyncio.run(part())
+    asyncio.run(scenario())
 
 
 def test_time_spent_unread_is_deducted_from_the_class_deadline_if_shorter() -> None:
     # A wait beyond the class's deadline is cut to it, so it cannot make up for the unread time.
-    async def part() -> None:
+    async def scenario() -> None:
         node, turns = CacheNode(), Late(6.0)
         async with Rig(node, turns=turns) as rig:  # the deadline is 10 s
             assert await rig.ask(get(1, wait=60_000)) == [b"value of id1"]
@@ -214,11 +214,11 @@
             assert (await rig.ask(get(2, wait=60_000)))[0].startswith(b"-BUSY")
             assert len(node.commands) == 1
 
-    asyncio.run(part())
+    asyncio.run(scenario())
 
 
 def test_a_pipelining_client_does_not_starve_the_others() -> None:
-    async def part() -> None:
+    async def scenario() -> None:
         node, turns = CacheNode(), Late(0.02)
         async with Rig(node, turns=turns) as rig:
             numbers = iter(range(1, 10_000))
@@ -239,12 +239,12 @@
             turns.seconds = 0.0
             assert all(a.startswith(b"value of") for a in await burst(64)), "full service again"
 
-    asyncio.run(part())
+    asyncio.run(scenario())
 
 
 def test_rejected_clients_that_retry_keep_their_connection() -> None:
     # Rejected at once, they counted as idle since their first command and were closed first.
-    async def part() -> None:
+    async def scenario() -> None:
         async with Rig(CacheNode(), turns=Late(9.0), sockets=80) as rig:
             reader, writer = await rig.client()
             writer.write(get(0))
@@ -262,7 +262,7 @@
                     assert (await read_answer(reader)).startswith(b"-BUSY")
                     await asyncio.sleep(0.01)
 
-    stall_free_loop.run(part())  # a 2 s stall of this process would make them idle
+    stall_free_loop.run(scenario())  # a 2 s stall of this process would make them idle
 
 
 class Unread:
@@ -309,7 +309,7 @@
 
 
 def test_unread_refusals_stop_reading_from_the_client() -> None:
-    async def part() -> None:
+    async def scenario() -> None:
         async with Rig(CacheNode(), turns=Late(9.0)) as rig:
             connection = ClientConnection(rig.listener)
             rig.listener._slots_used += 1  # as for an accepted connection
@@ -326,7 +326,7 @@
             stream.abort()
             assert rig.listener.budget.used == 0
 
-    asyncio.run(part())
+    asyncio.run(scenario())
 
 
 def test_node_sockets_come_first_and_client_sockets_rotate() -> None:
@@ -362,21 +362,23 @@
 
 
 def test_only_a_turn_that_lacked_cpu_time_is_a_pause() -> None:
-    now, cpu, told = [0.0], [0.0], list[float]()
+    now, cpu, pauses = [0.0], [0.0], list[float]()
     selector = TurnSelector(lambda: now[0], lambda: cpu[0])
-    Turns(selector).call_on_pause(told.append)
+    Turns(selector).call_on_pause(pauses.append)
     selector.select(0)
     for worked, passed in ((0.3, 0.3), (0.02, 0.05), (0.01, 0.32)):
         now[0], cpu[0] = now[0] + passed, cpu[0] + worked
         selector.select(0)
-    assert len(told) == 1 and 0.28 < told[0] < 0.32, "less the CPU time used since the last reading"
+    assert len(pauses) == 1 and 0.28 < pauses[0] < 0.32, (
+        "less the CPU time used since the last reading"
+    )
     selector.close()
 
 
 def test_a_backlog_is_answered_in_full_across_a_drain_or_a_reload(tmp_path: Path) -> None:
     """SIGTERM or SIGHUP arrives with commands unread; each command is answered."""
 
-    async def part(number: signal.Signals) -> None:
+    async def scenario(number: signal.Signals) -> None:
         node, discovery = await CacheNode().start(), await Discovery().start()
         path = tmp_path / number.name
         path.mkdir()
@@ -409,13 +411,13 @@
         await discovery.stop()
 
     for number in (signal.SIGTERM, signal.SIGHUP):
-        asyncio.run(part(number))
+        asyncio.run(scenario(number))
 
 
 def test_an_overload_of_rejected_clients_alone_ends_with_its_cause() -> None:
     # All clients are rejected and retry after the given backoff.  A retry costs only a rejection,
     # and the first one after the cause has ended is served.
-    async def part() -> None:
+    async def scenario() -> None:
         node, turns = CacheNode(), Late(9.0)
         async with Rig(node, turns=turns) as rig:
             refusals = 0
@@ -447,4 +449,4 @@
             await until(lambda: not rig.listener.connections)
             assert not rig.proxy.open_requests and rig.listener.budget.used == 0
 
-    asyncio.run(part())
+    asyncio.run(scenario())
--- a/tests/violetroute/test_program.py
+++ b/tests/violetroute/test_program.py
@@ -97,7 +97,7 @@
 
 def test_hangup_moves_the_watch_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     # SIGHUP ended the process, and PROXY_DISCOVERY kept the old address for good.
-    async def play() -> None:
+    async def scenario() -> None:
         node = await CacheNode().start()
         old, new = await Discovery().start(), await Discovery().start()
         async with program(tmp_path, old, node) as one:
@@ -126,11 +126,11 @@
         for part in (node, old, new):
             await part.stop()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_failed_request_after_a_discovery_move_is_retried(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         node = await CacheNode().start()
         old, new = await Discovery().start(), await Discovery().start()
         new.refuse = True
@@ -143,7 +143,7 @@
         for part in (node, old, new):
             await part.stop()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -152,7 +152,7 @@
     ids=["empty", "cut", "array", "nothing", "no figures", "deep"],
 )
 def test_an_invalid_configuration_prints_one_line_and_exits(tmp_path: Path, text: str) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         path = tmp_path / "config.json"
         path.write_text(text)
         process = await launch(path)
@@ -160,11 +160,11 @@
         assert process.returncode == 2
         assert errors.startswith(b"violetroute: ") and errors.count(b"\n") == 1
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_termination_under_load_answers_accepted_requests(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         go = asyncio.Event()
 
         async def waits(words: list[bytes], writer: asyncio.StreamWriter) -> None:
@@ -200,11 +200,11 @@
         for part in (node, discovery):
             await part.stop()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_an_address_in_use_prints_one_line_and_exits(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         taken = await CacheNode().start()
         path = tmp_path / "config.json"
         path.write_text(json.dumps(configuration(1, [], listen=taken.port)))
@@ -214,4 +214,4 @@
         assert errors.startswith(b"violetroute: cannot listen") and errors.count(b"\n") == 1
         await taken.stop()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/violetroute/test_refusals.py
+++ b/tests/violetroute/test_refusals.py
@@ -17,59 +17,59 @@
 
 
 @pytest.fixture
-def said(monkeypatch: pytest.MonkeyPatch) -> Said:
+def events(monkeypatch: pytest.MonkeyPatch) -> Said:
     found: Said = []
     monkeypatch.setattr(logs, "event", lambda name, **fields: found.append((name, fields)))
     return found
 
 
-def test_refusals_are_logged_by_reason_once_a_second_and_at_close(said: Said) -> None:
-    async def play() -> None:
+def test_refusals_are_logged_by_reason_once_a_second_and_at_close(events: Said) -> None:
+    async def scenario() -> None:
         refusals = RefusalCounter(asyncio.get_running_loop())
         for reason in ("admission", "no_node", "admission"):
             refusals.count(reason)
         refusals.close()
         refusals.close()
-        assert said == [("requests.refused", {"count": 3, "reasons": "admission:2 no_node:1"})]
+        assert events == [("requests.refused", {"count": 3, "reasons": "admission:2 no_node:1"})]
         refusals.count("budget")
-        await until(lambda: len(said) == 2)
-        assert said[1] == ("requests.refused", {"count": 1, "reasons": "budget:1"})
+        await until(lambda: len(events) == 2)
+        assert events[1] == ("requests.refused", {"count": 1, "reasons": "budget:1"})
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_request_without_an_eligible_node_is_logged_with_its_reason(said: Said) -> None:
-    async def play() -> None:
+def test_a_request_without_an_eligible_node_is_logged_with_its_reason(events: Said) -> None:
+    async def scenario() -> None:
         async with Rig() as rig:
             answer = (await rig.ask(get(1, wait=200)))[0]
             assert answer.startswith(b"-")
-        assert ("requests.refused", {"count": 1, "reasons": "no_node:1"}) in said
+        assert ("requests.refused", {"count": 1, "reasons": "no_node:1"}) in events
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_request_whose_attempts_failed_is_logged_with_its_reason(said: Said) -> None:
+def test_a_request_whose_attempts_failed_is_logged_with_its_reason(events: Said) -> None:
     async def fails(words: list[bytes], writer: asyncio.StreamWriter) -> None:
         writer.write(b"-ERR failed\r\n")
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with Rig(await CacheNode(fails).start()) as rig:
             await rig.ask(put(1, cls=b"once"))
-        assert ("requests.refused", {"count": 1, "reasons": "attempts:1"}) in said
+        assert ("requests.refused", {"count": 1, "reasons": "attempts:1"}) in events
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_served_requests_are_not_logged(said: Said) -> None:
-    async def play() -> None:
+def test_served_requests_are_not_logged(events: Said) -> None:
+    async def scenario() -> None:
         async with Rig(await CacheNode(serves).start()) as rig:
             await rig.ask(get(1))
-        assert not [name for name, _ in said if name == "requests.refused"]
+        assert not [name for name, _ in events if name == "requests.refused"]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_long_turn_is_logged_with_its_work(said: Said) -> None:
+def test_a_long_turn_is_logged_with_its_work(events: Said) -> None:
     now = [100.0]
     selector = TurnSelector(clock=lambda: now[0], cpu=lambda: now[0])
     turn_log = LongTurnLog(Turns(selector), [1, 2])
@@ -81,7 +81,7 @@
     selector.select(0)
     now[0] += 2 * LONG_TURN
     selector.select(0)
-    assert said == [
+    assert events == [
         ("daemon.long_turn", {"ms": 60, "doing": "list of 640", "open": 2}),
         ("daemon.long_turn", {"ms": 100, "doing": "requests", "open": 2}),
     ]
--- a/tests/violetroute/transport/test_tls.py
+++ b/tests/violetroute/transport/test_tls.py
@@ -40,11 +40,11 @@
     """A handler that records its callbacks."""
 
     def __init__(self) -> None:
-        self.data, self.told = bytearray(), []  # type: ignore[var-annotated]
+        self.data, self.callbacks = bytearray(), []  # type: ignore[var-annotated]
         self._buffer = memoryview(bytearray(4096))
 
     def opened(self) -> None:
-        self.told.append("opened")
+        self.callbacks.append("opened")
 
     def buffer(self) -> memoryview:
         return self._buffer
@@ -53,15 +53,15 @@
         self.data += self._buffer[:count]
 
     def ended(self) -> None:
-        self.told.append("ended")
+        self.callbacks.append("ended")
 
     def drained(self) -> None: ...
 
     def lost(self, error: OSError | None) -> None:
-        self.told.append(("lost", str(error or "")))
+        self.callbacks.append(("lost", str(error or "")))
 
-    def has(self, *told: str) -> bool:
-        return [t if isinstance(t, str) else t[0] for t in self.told] == list(told)
+    def has(self, *callbacks: str) -> bool:
+        return [t if isinstance(t, str) else t[0] for t in self.callbacks] == list(callbacks)
 
 
 def connected(
@@ -85,8 +85,8 @@
         )
         await part(stream, owner)
         stream.abort()
-        await until(lambda: owner.told and owner.told[-1][0] == "lost")
-        assert sum(told[0] == "lost" for told in owner.told) == 1
+        await until(lambda: owner.callbacks and owner.callbacks[-1][0] == "lost")
+        assert sum(callbacks[0] == "lost" for callbacks in owner.callbacks) == 1
         listening.close()
 
     asyncio.run(run())
@@ -128,9 +128,9 @@
         await until(lambda: owner.data)
         stream.pause()
         stream.ended()
-        assert "ended" not in owner.told
+        assert "ended" not in owner.callbacks
         stream.resume()
-        await until(lambda: "ended" in owner.told)
+        await until(lambda: "ended" in owner.callbacks)
 
     connected(tmp_path, part, echoes, server(authority), TlsFiles(ca_file(authority, tmp_path)))
 
@@ -140,7 +140,7 @@
         for _ in range(MAX_HELD // 1000 + 1):
             stream.write(b"x" * 1000)
         await until(lambda: owner.has("lost"))
-        assert "before the handshake" in owner.told[0][1]
+        assert "before the handshake" in owner.callbacks[0][1]
 
     connected(tmp_path, part, echoes, None, TlsFiles(ca_file(trustme.CA(), tmp_path)))
 
@@ -168,7 +168,7 @@
             await until(lambda: owner.has("opened", "ended") or owner.has("opened", "lost"))
         else:
             await until(lambda: owner.has("lost"))
-            assert owner.told[-1][1]
+            assert owner.callbacks[-1][1]
         assert not owner.data
 
     connected(
@@ -184,7 +184,7 @@
 def test_a_stream_without_usable_files_is_lost_with_the_reason(tmp_path: Path) -> None:
     async def part(stream: TlsStream, owner: Owner) -> None:
         await until(lambda: owner.has("lost"))
-        assert "none.pem" in owner.told[0][1]
+        assert "none.pem" in owner.callbacks[0][1]
 
     connected(tmp_path, part, echoes, None, TlsFiles(str(tmp_path / "none.pem")))
 
--- a/tests/violetroute/upstream/test_crossings_nodes.py
+++ b/tests/violetroute/upstream/test_crossings_nodes.py
@@ -16,7 +16,7 @@
     handler.opened()
     assert stream.closing and not stream.written
     handler.lost(None)
-    world.passes(0.0)
+    world.advance(0.0)
     assert world.ended == [(1, Result.NO_CONNECTION)]
 
 
@@ -30,12 +30,12 @@
     # had been answered or its client had disconnected.
     world = World()
     world.send(1)
-    world.over.add(1)
+    world.ended.add(1)
     handler, stream = world.streams[0]
     handler.opened()
-    world.passes(0.0)
+    world.advance(0.0)
     assert world.ended == [(1, Result.NEVER_SENT)] and not stream.written and not stream.closing
-    world.passes(MIN_QUIET_TIME * 1.1)
+    world.advance(MIN_QUIET_TIME * 1.1)
     world.send(2)
     assert written(world) == [b"id2"] and len(world.streams) == 1  # the connection is used for 2
 
@@ -46,10 +46,10 @@
     world.streams[0][0].opened()
     world.send(2)
     world.send(3)
-    world.over.add(2)
+    world.ended.add(2)
     world.answers(0)
-    world.passes(MIN_QUIET_TIME * 1.1)  # the first one is free: 2 waits longest, but has ended
-    world.passes(0.0)
+    world.advance(MIN_QUIET_TIME * 1.1)  # the first one is free: 2 waits longest, but has ended
+    world.advance(0.0)
     assert world.ended == [(1, Result.OK), (2, Result.NEVER_SENT)]
     assert written(world) == [b"id1", b"id3"] and len(world.streams[0][1].written) == 2
     world.streams[1][0].opened()
@@ -60,10 +60,10 @@
 def test_an_attempt_that_may_not_be_sent_leaves_the_idle_connection_open() -> None:
     world = World()
     world.served(1)
-    world.passes(0.05)
-    world.over.add(2)
+    world.advance(0.05)
+    world.ended.add(2)
     world.send(2)
-    world.passes(0.0)
+    world.advance(0.0)
     assert world.ended[-1] == (2, Result.NEVER_SENT) and len(world.streams) == 1
     world.send(3)
     assert len(world.streams) == 1 and len(world.streams[0][1].written) == 2
@@ -79,17 +79,17 @@
     assert stream.closing
     handler.lost(None)
     world.served(2)
-    world.passes(0.03)
+    world.advance(0.03)
     world.send(3)
     assert len(world.streams) == 3  # 0.04 s is twice the observed delay
-    world.passes(0.01)
+    world.advance(0.01)
     world.send(4)
     assert len(world.streams) == 3 and len(world.streams[1][1].written) == 2
     world.streams[2][0].opened()
     world.answers(2)
-    world.passes(40.0)
+    world.advance(40.0)
     world.served(5)  # the observed delay has decayed
-    world.passes(MIN_QUIET_TIME * 1.1)
+    world.advance(MIN_QUIET_TIME * 1.1)
     before = len(world.streams)
     world.send(6)
     assert len(world.streams) == before
--- a/tests/violetroute/upstream/test_nodes.py
+++ b/tests/violetroute/upstream/test_nodes.py
@@ -28,11 +28,11 @@
 from violetroute.upstream.pool import MIN_QUIET_TIME
 
 
-def play(part: Callable[..., Awaitable[None]], count: int = 1, **limits: Any) -> None:
+def run_scenario(scenario: Callable[..., Awaitable[None]], count: int = 1, **limits: Any) -> None:
     async def run() -> None:
         nodes = [CacheNode() for _ in range(count)]
         async with Rig(*nodes, **limits) as rig:
-            await part(rig, *nodes)
+            await scenario(rig, *nodes)
 
     stall_free_loop.run(run())
 
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize("name", MALFORMED)
 def test_a_malformed_answer_is_retried_and_never_passed_on(name: str) -> None:
     # A reply without a line end, or with too large a length, kept its request open to its deadline.
-    async def part(rig: Rig, node: CacheNode) -> None:
+    async def scenario(rig: Rig, node: CacheNode) -> None:
         async def spoils_first(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             if len(node.commands) == 2:
                 writer.write(MALFORMED[name])
@@ -70,12 +70,12 @@
         assert loop.time() - before < 4.0, "not held to its deadline of 8 s"
         assert await rig.ask(get(2)) == [b"value of id2"]
 
-    play(part)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("cls", [b"optout", b"once"])
 def test_a_write_that_may_have_run_is_repeated_only_with_a_key(cls: bytes) -> None:
-    async def part(rig: Rig, node: CacheNode) -> None:
+    async def scenario(rig: Rig, node: CacheNode) -> None:
         async def spoils(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             writer.write(b"noise")
 
@@ -89,12 +89,12 @@
             assert answer.startswith(b"-BUSY ") and len(sent) > 1
             assert len({words[3].partition(b",k=")[2] for words in sent}) == 1
 
-    play(part)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("surplus", [reply(b"value of another"), b"\x00noise", b"*3\r\n"])
 def test_extra_data_after_an_answer_reaches_no_other_request(surplus: bytes) -> None:
-    async def part(rig: Rig, node: CacheNode) -> None:
+    async def scenario(rig: Rig, node: CacheNode) -> None:
         async def brings_more(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             writer.write(reply(b"value of " + words[2]))
             await writer.drain()
@@ -104,7 +104,7 @@
         for number in range(30):
             assert await rig.ask(get(number)) == [b"value of id%d" % number]
 
-    play(part)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -112,7 +112,7 @@
     [bulk(b"inflight=many"), bulk(b"\xff\xfe"), b":7\r\n", bulk(b"inflight=nan"), b"$99\r\nshort"],
 )
 def test_an_invalid_load_report_does_not_lose_the_value(load: bytes) -> None:
-    async def part(rig: Rig, node: CacheNode) -> None:
+    async def scenario(rig: Rig, node: CacheNode) -> None:
         async def odd(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             writer.write(b"*3\r\n" + bulk(words[2]) + bulk(b"hit") + load)
 
@@ -120,11 +120,11 @@
         for number in range(5):
             assert await rig.ask(get(number)) == [b"id%d" % number]
 
-    play(part)
+    run_scenario(scenario)
 
 
 def test_a_late_answer_reaches_no_other_request() -> None:
-    async def part(rig: Rig, node: CacheNode) -> None:
+    async def scenario(rig: Rig, node: CacheNode) -> None:
         held: list[tuple[asyncio.StreamWriter, bytes]] = []
 
         async def holds_first(words: list[bytes], writer: asyncio.StreamWriter) -> None:
@@ -141,11 +141,11 @@
         for number in range(1, 10):
             assert await rig.ask(get(number)) == [b"value of id%d" % number]
 
-    play(part)
+    run_scenario(scenario)
 
 
 def test_a_draining_node_gets_nothing_new() -> None:
-    async def part(rig: Rig, one: CacheNode, two: CacheNode) -> None:
+    async def scenario(rig: Rig, one: CacheNode, two: CacheNode) -> None:
         await rig.watched()
         rig.discovery.tell(one.entry("s-0", "terminating"))
         await until(lambda: len(rig.proxy.nodes) == 1)
@@ -154,11 +154,11 @@
             assert await rig.ask(get(number, key=b"%d" % number)) == [b"value of id%d" % number]
         assert len(one.commands) == before and len(two.commands) >= 40
 
-    play(part, count=2)
+    run_scenario(scenario, count=2)
 
 
 def test_a_draining_node_finishes_its_current_command() -> None:
-    async def part(rig: Rig, node: CacheNode) -> None:
+    async def scenario(rig: Rig, node: CacheNode) -> None:
         go = asyncio.Event()
 
         async def waits(words: list[bytes], writer: asyncio.StreamWriter) -> None:
@@ -176,11 +176,11 @@
         assert await read_answer(reader) == b"value of id1"
         writer.close()
 
-    play(part)
+    run_scenario(scenario)
 
 
 def test_a_node_at_a_new_address_is_reached_there() -> None:
-    async def part(rig: Rig, node: CacheNode) -> None:
+    async def scenario(rig: Rig, node: CacheNode) -> None:
         other = await CacheNode().start()
         await rig.watched()
         assert await rig.ask(get(1)) == [b"value of id1"]
@@ -190,12 +190,12 @@
         assert len(other.commands) == 1
         await other.stop()
 
-    play(part)
+    run_scenario(scenario)
 
 
 def test_a_node_with_a_new_id_at_the_same_address_replaces_the_old_one() -> None:
     # The old id, not yet reported gone, gave the new, cold node its full share of requests.
-    async def part(rig: Rig, node: CacheNode) -> None:
+    async def scenario(rig: Rig, node: CacheNode) -> None:
         await rig.watched()
         rig.discovery.tell(node.entry("s-new", startedAtMs=5))
         await until(lambda: rig.proxy.generation == 100)
@@ -205,11 +205,11 @@
         await until(lambda: rig.proxy.generation == 101)
         assert await rig.ask(get(2)) == [b"value of id2"]
 
-    play(part)
+    run_scenario(scenario)
 
 
 def test_ever_new_node_ids_leave_no_state_behind() -> None:
-    async def part(rig: Rig, node: CacheNode) -> None:
+    async def scenario(rig: Rig, node: CacheNode) -> None:
         await rig.watched()
         last = "s-0"
         for number in range(60):
@@ -221,11 +221,11 @@
         assert len(rig.proxy.nodes) == 1
         await until(lambda: len(node.open) <= 1)
 
-    play(part)
+    run_scenario(scenario)
 
 
 def test_discovery_that_ends_or_sends_invalid_data_is_requested_again() -> None:
-    async def part(rig: Rig, node: CacheNode) -> None:
+    async def scenario(rig: Rig, node: CacheNode) -> None:
         for nonsense in (b'{"instances": 5}', b"[" * 50_000):
             await rig.watched()
             asked = len(rig.discovery.asked)
@@ -241,11 +241,11 @@
         await until(lambda: rig.proxy.generation == 100)
         assert await rig.ask(get(1)) == [b"value of id1"]
 
-    play(part)
+    run_scenario(scenario)
 
 
 def test_no_descriptor_is_left_open_when_nodes_never_answer() -> None:
-    async def part(rig: Rig, node: CacheNode) -> None:
+    async def scenario(rig: Rig, node: CacheNode) -> None:
         async def never(words: list[bytes], writer: asyncio.StreamWriter) -> None: ...
 
         node.behaviour = never
@@ -262,7 +262,7 @@
         for _, writer in clients:
             writer.close()
 
-    play(part, sockets=80)
+    run_scenario(scenario, sockets=80)
 
 
 BRISK = [{"name": "lookup", "promiseMs": 200.0, "deadlineMs": 400.0, "effect": "pure"}]
@@ -271,7 +271,7 @@
 def test_unanswered_commands_do_not_cause_load_shedding() -> None:
     # Nodes left some commands unanswered and answered the others quickly.  The losses lowered the
     # admission limit, and most requests were rejected without an attempt.
-    async def part(rig: Rig, *nodes: CacheNode) -> None:
+    async def scenario(rig: Rig, *nodes: CacheNode) -> None:
         async def swallows_some(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             if int(words[2][2:]) % 4:
                 await asyncio.sleep(0.01)
@@ -288,12 +288,12 @@
         assert len(reached) >= 230, "nearly all requests reach a node"
         assert answers.count(b"v") >= 165, "of 180 that were answered"
 
-    play(part, count=4, classes=BRISK)
+    run_scenario(scenario, count=4, classes=BRISK)
 
 
 def test_clients_with_short_waits_do_not_cause_load_shedding() -> None:
     # Two in three clients wait for less than the nodes take; this lowered the admission limit.
-    async def part(rig: Rig, node: CacheNode) -> None:
+    async def scenario(rig: Rig, node: CacheNode) -> None:
         async def takes_its_time(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.12)
             writer.write(reply(b"v"))
@@ -310,12 +310,12 @@
         refusals = [answer for task in hurried for answer in await task]
         assert all(answer.startswith(b"-BUSY ") for answer in refusals)
 
-    play(part, classes=BRISK)
+    run_scenario(scenario, classes=BRISK)
 
 
 def test_a_single_erring_node_is_avoided_and_its_requests_are_retried() -> None:
     # Each error was passed on as a refusal, and the node kept its share of requests.
-    async def part(rig: Rig, broken: CacheNode, *others: CacheNode) -> None:
+    async def scenario(rig: Rig, broken: CacheNode, *others: CacheNode) -> None:
         async def takes_its_time(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.02)
             await serves(words, writer)
@@ -339,12 +339,12 @@
         assert len(broken.commands) > before, "it got requests at first"
         assert served >= 152, f"{served} of 160 served"
 
-    play(part, count=4)
+    run_scenario(scenario, count=4)
 
 
 def test_errors_from_all_nodes_are_not_retried() -> None:
     # They come from the origin, to which each retry would send another request.
-    async def part(rig: Rig, *nodes: CacheNode) -> None:
+    async def scenario(rig: Rig, *nodes: CacheNode) -> None:
         async def errs(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             writer.write(b"-ERR failed\r\n")
 
@@ -355,7 +355,7 @@
         asked = [words[2] for node in nodes for words in node.commands]
         assert len(asked) == len(set(asked)), "one attempt each"
 
-    play(part, count=4)
+    run_scenario(scenario, count=4)
 
 
 class Tight(socket.socket):
@@ -388,7 +388,7 @@
         writer.close()
         done.set()
 
-    async def part(rig: Rig, node: CacheNode) -> None:
+    async def scenario(rig: Rig, node: CacheNode) -> None:
         server = await asyncio.start_server(stuck, "127.0.0.1", 0, limit=1024)
         other = CacheNode()
         other.port = server.sockets[0].getsockname()[1]
@@ -407,7 +407,7 @@
         assert 0 < len(got) < len(value)
         assert [words[2] for words in node.commands] == [b"id1"]
 
-    play(part)
+    run_scenario(scenario)
 
 
 def test_a_connection_is_reused_after_an_answer() -> None:
--- a/tests/violetroute/upstream/test_pool.py
+++ b/tests/violetroute/upstream/test_pool.py
@@ -39,7 +39,7 @@
 
 
 class World:
-    """A fake event loop, network and owner of attempts; time moves only by `passes`."""
+    """A fake event loop, network and owner of attempts; time moves only by `advance`."""
 
     def __init__(self, limit: int = 10) -> None:
         self.loop = self
@@ -47,7 +47,7 @@
         self.timers: list[tuple[float, Any, tuple[Any, ...]]] = []
         self.streams: list[tuple[Any, Stream]] = []
         self.ended: list[tuple[int, Result]] = []
-        self.over: set[int] = set()  # requests whose attempts may not be sent any more
+        self.ended: set[int] = set()  # requests whose attempts may not be sent any more
         self.pool = Pool(cast(Any, self), cast(Any, self), limit, 1.0, IDLE)
         self.pool.add(1, HERE)
 
@@ -57,29 +57,29 @@
     def clock(self) -> float:
         return self.now * 1000.0
 
-    def call_soon(self, what: Any, *args: Any) -> None:
-        self.call_later(0.0, what, *args)
+    def call_soon(self, callback: Any, *args: Any) -> None:
+        self.call_later(0.0, callback, *args)
 
-    def call_later(self, delay: float, what: Any, *args: Any) -> asyncio.TimerHandle:
-        self.timers.append((self.now + delay, what, args))
+    def call_later(self, delay: float, callback: Any, *args: Any) -> asyncio.TimerHandle:
+        self.timers.append((self.now + delay, callback, args))
         return cast(asyncio.TimerHandle, self)
 
     def cancel(self) -> None:
         pass
 
-    def passes(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         self.now += seconds
         due = [timer for timer in self.timers if timer[0] <= self.now]
         self.timers = [timer for timer in self.timers if timer[0] > self.now]
-        for _, what, args in due:
-            what(*args)
+        for _, callback, args in due:
+            callback(*args)
 
     def connect(self, address: Address, handler: Any, limit: float, first: bool) -> Stream:
         self.streams.append((handler, Stream()))
         return self.streams[-1][1]
 
     def may_send(self, attempt: Attempt) -> bool:
-        return attempt.request_id not in self.over
+        return attempt.request_id not in self.ended
 
     def attempt_ended(self, attempt: Attempt, result: Result, *_: Any, **__: Any) -> None:
         attempt.ended = True
@@ -131,11 +131,11 @@
     world.send(2)  # within the quiet time: a new connection is opened
     assert len(world.streams) == 2
     world.streams[1][0].opened()
-    world.passes(MIN_QUIET_TIME * 1.1)
+    world.advance(MIN_QUIET_TIME * 1.1)
     world.send(3)
     assert len(world.streams) == 2 and len(world.streams[0][1].written) == 2
     world.answers(0)
-    world.passes(MIN_QUIET_TIME * 1.1)
+    world.advance(MIN_QUIET_TIME * 1.1)
     world.streams[0][1].is_quiet = False  # data is pending after the answer
     world.send(4)
     assert len(world.streams) == 3 and world.streams[0][1].closing
@@ -151,9 +151,9 @@
     assert len(world.streams) == 2 and world.streams[0][1].closing
     world = World()
     world.served(1)
-    world.passes(IDLE * 0.6 - SWEEP_INTERVAL)
+    world.advance(IDLE * 0.6 - SWEEP_INTERVAL)
     assert not world.streams[0][1].closing
-    world.passes(SWEEP_INTERVAL + 0.1)
+    world.advance(SWEEP_INTERVAL + 0.1)
     assert world.streams[0][1].closing and not world.streams[0][1].discarded
 
 
@@ -161,12 +161,12 @@
     world = World(limit=2)
     world.pool.add(2, HERE)
     world.served(1)
-    world.passes(0.1)
+    world.advance(0.1)
     world.send(2, node=2)
     world.send(3, node=2)
     assert world.streams[0][1].closing and len(world.streams) == 3
     world.send(4)
-    world.passes(0.0)
+    world.advance(0.0)
     assert world.ended[-1] == (4, Result.NEVER_SENT) and len(world.streams) == 3
 
 
@@ -178,7 +178,7 @@
         """Send a request at this idle time; whether it reused the connection, which then breaks."""
         world.served(1)
         handler, stream = world.streams[-1]
-        world.passes(age)
+        world.advance(age)
         world.send(2)
         again = len(stream.written) == 2
         if again:
