--- a/tests/violetroute/test_large_lists.py
+++ b/tests/violetroute/test_large_lists.py
@@ -44,7 +44,7 @@
     crowd: Crowd
 
     async def run(self, seconds: float) -> None:
-        await self.crowd.run(RATE, seconds)
+        await self.crowd.play(RATE, seconds)
 
     async def check_answers(self) -> None:
         """Check that all requests are answered in time and nearly all are served."""
--- a/tests/violetroute/upstream/test_crossings_nodes.py
+++ b/tests/violetroute/upstream/test_crossings_nodes.py
@@ -30,7 +30,7 @@
     # had been answered or its client had disconnected.
     world = World()
     world.send(1)
-    world.ended.add(1)
+    world.unsendable.add(1)
     handler, stream = world.streams[0]
     handler.opened()
     world.advance(0.0)
@@ -46,7 +46,7 @@
     world.streams[0][0].opened()
     world.send(2)
     world.send(3)
-    world.ended.add(2)
+    world.unsendable.add(2)
     world.answers(0)
     world.advance(MIN_QUIET_TIME * 1.1)  # the first one is free: 2 waits longest, but has ended
     world.advance(0.0)
@@ -61,7 +61,7 @@
     world = World()
     world.served(1)
     world.advance(0.05)
-    world.ended.add(2)
+    world.unsendable.add(2)
     world.send(2)
     world.advance(0.0)
     assert world.ended[-1] == (2, Result.NEVER_SENT) and len(world.streams) == 1
--- a/tests/violetroute/upstream/test_pool.py
+++ b/tests/violetroute/upstream/test_pool.py
@@ -47,7 +47,7 @@
         self.timers: list[tuple[float, Any, tuple[Any, ...]]] = []
         self.streams: list[tuple[Any, Stream]] = []
         self.ended: list[tuple[int, Result]] = []
-        self.ended: set[int] = set()  # requests whose attempts may not be sent any more
+        self.unsendable: set[int] = set()  # requests whose attempts may not be sent any more
         self.pool = Pool(cast(Any, self), cast(Any, self), limit, 1.0, IDLE)
         self.pool.add(1, HERE)
 
@@ -79,7 +79,7 @@
         return self.streams[-1][1]
 
     def may_send(self, attempt: Attempt) -> bool:
-        return attempt.request_id not in self.ended
+        return attempt.request_id not in self.unsendable
 
     def attempt_ended(self, attempt: Attempt, result: Result, *_: Any, **__: Any) -> None:
         attempt.ended = True
