--- a/tests/violetroute/test_crossings_process.py
+++ b/tests/violetroute/test_crossings_process.py
@@ -75,7 +75,7 @@
         if not longer:  # accepted before the reload, with the longer deadline
             writer.write(get(1))
             await until(lambda: node.commands)
-        monkeypatch.setattr(program, "load", lambda operator, merged, with_known: second)
+        monkeypatch.setattr(program, "load", lambda operator, merge_tables, read_known: second)
         daemon.reload()
         if longer:
             writer.write(get(1))
--- a/violetroute/__main__.py
+++ b/violetroute/__main__.py
@@ -87,7 +87,7 @@
         if tables is not None and tables.position:
             merged, origin = tables.merged, f"position {tables.position}"
         try:
-            config = load(operator=self.config.operator_path, merged=merged, with_known=False)
+            config = load(operator=self.config.operator_path, merge_tables=merged, read_known=False)
         except ConfigError as error:
             return str(error)
         self._replace(config, origin)
@@ -175,9 +175,9 @@
 
 
 async def _open_sharing_socket(sharing: Sharing) -> IntrospectionSocket | None:
-    from .sharing.factory import door_of
+    from .sharing.factory import introspection_listener
 
-    introspection_socket = door_of(sharing.table, sharing)
+    introspection_socket = introspection_listener(sharing.table, sharing)
     if introspection_socket is not None:
         await introspection_socket.open()
     return introspection_socket
--- a/violetroute/proxy.py
+++ b/violetroute/proxy.py
@@ -257,7 +257,7 @@
         for on_list_change in self.hooks.on_list_change:
             on_list_change(members)
 
-    def others(self, bad: list[int], outcomes: list[LoadSample]) -> None:
+    def apply_peer_reports(self, bad: list[int], outcomes: list[LoadSample]) -> None:
         """Pass on what peers report: unhealthy nodes and request outcomes."""
         self._dispatch(None, self._balancer.on_peer_reports, bad, outcomes)
 
