--- a/violetroute/clients/connection.py
+++ b/violetroute/clients/connection.py
@@ -179,9 +179,9 @@
             if dialect is not None and (moved := dialect.moved_reply(command.key)) is not None:
                 self._new_charged_answer().finish(moved)
                 return
-            refusal = handler.rejection(command, self._requests_this_turn(), delay)
-            if refusal is not None:  # often in an overload of this process: must be cheap
-                self._refuse(refusal)
+            rejection = handler.rejection(command, self._requests_this_turn(), delay)
+            if rejection is not None:  # often in an overload of this process: must be cheap
+                self._reject(rejection)
                 return
             answer = self._new_charged_answer()
             handler.take(command, answer)
@@ -216,12 +216,12 @@
             self._loop_turn, self._taken_in_turn = turn, 0
         return self._taken_in_turn
 
-    def _refuse(self, refusal: bytes) -> None:
+    def _reject(self, rejection: bytes) -> None:
         # Queued if the client does not read: only so do depth and the budget bound rejections.
         if self._answers or self._assembly.charged or self._stream is None or self._stream.unsent:
-            self._new_charged_answer().finish(refusal)
+            self._new_charged_answer().finish(rejection)
         else:
-            self._write(refusal)
+            self._write(rejection)
 
     def _new_charged_answer(self) -> Answer:
         """Append an answer that takes over the budget bytes of the current command."""
@@ -300,16 +300,16 @@
         if stream is None or self._flushing:
             return
         self._flushing = True
-        moved = False
+        progressed = False
         while self._answers and not stream.unsent and not stream.closing:
             if not self._answers[0].done:
                 break
             data = self._answers.popleft().take_unwritten()
             self.budget.release(len(data))
             self._write(data)
-            moved = True
+            progressed = True
         self._flushing = False
-        if moved and not self._pumping:
+        if progressed and not self._pumping:
             self._pump()
 
     def end_after_answers(self) -> None:
