--- a/tests/violetroute/ledger/test_ledger.py
+++ b/tests/violetroute/ledger/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger's pure parts: periods, book, records, tally, what goes outside."""
+"""The ledger's pure parts: periods, book, records, counters and export formats."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from violetroute.ledger.periods import Periods
 from violetroute.ledger.store import ForeignLedgerError, Store, compress, read_archive_frames
 
-START = 1_700_000_100  # a cut of five minutes
+START = 1_700_000_100  # a boundary of five-minute periods
 
 
 def book() -> Book:
@@ -53,11 +53,14 @@
     "zone", ["UTC", "Europe/Rome", "Australia/Lord_Howe", "Asia/Kathmandu", "America/St_Johns"]
 )
 @pytest.mark.parametrize("minutes", [5, 15, 60])
-def test_periods_follow_one_another_through_every_change_of_the_clock(
-    zone: str, minutes: int
-) -> None:
+def test_periods_are_contiguous_through_every_clock_change(zone: str, minutes: int) -> None:
     cuts, tz = Periods(zone, minutes), ZoneInfo(zone)
-    for begin in (1_774_500_000, 1_775_000_000, 1_792_700_000, 1_793_400_000):  # changes of 2026
+    for begin in (
+        1_774_500_000,
+        1_775_000_000,
+        1_792_700_000,
+        1_793_400_000,
+    ):  # clock changes of 2026
         at = cuts.of(begin)
         while at < begin + 200_000:
             end = cuts.end(at)
@@ -68,14 +71,14 @@
             at = end
 
 
-def test_a_zone_that_there_is_not_is_refused() -> None:
+def test_an_unknown_time_zone_is_rejected() -> None:
     for wrong in ("Europe/Catania", "../etc", ""):
         with pytest.raises(ValueError, match="zone"):
             Periods(wrong, 15)
 
 
 # --- book ---
-def test_a_period_closes_after_its_grace_and_what_is_late_is_a_correction() -> None:
+def test_a_period_closes_after_its_grace_and_late_units_are_a_correction() -> None:
     made = book()
     count(made, START + 10, acme=3, zeta=1)
     assert made.batch_records(START + 359) == []
@@ -86,7 +89,7 @@
     count(made, START + 20, acme=2)  # the clock has stepped back
     assert (
         decide(made, made.batch_records(START + 21)) == []
-    )  # late ones are gathered for the grace
+    )  # late units are collected for `grace_s`
     decide(made, made.batch_records(START + 381))
     late = list(made.batches.values())[1]
     assert (late.kind, late.period, late.lines) == ("correction", START, [("acme", "lookup", 2)])
@@ -96,7 +99,7 @@
     assert made.next_batch is None and made.total_units(START) == 6 and made.last_key == late.key
 
 
-def test_a_process_that_was_killed_is_named_as_a_gap_and_one_that_ended_is_not() -> None:
+def test_a_killed_process_leaves_a_gap_and_a_closed_one_does_not() -> None:
     made = book()
     decide(made, made.heartbeat_records(START + 50))
     decide(made, made.begin_records("p1", "m", START + 80))
@@ -106,7 +109,7 @@
     assert len(made.gaps) == 1 and made.incarnation == 3
 
 
-def test_a_later_life_that_the_endpoint_knows_bills_nothing_twice() -> None:
+def test_a_later_state_at_the_endpoint_bills_no_unit_twice() -> None:
     made = book()
     count(made, START + 10, acme=3)
     decide(made, made.batch_records(START + 400))
@@ -122,7 +125,7 @@
     assert made.next_batch is not None and made.next_batch.period == START + 600
 
 
-def test_a_signed_correction_is_taken_once() -> None:
+def test_a_signed_correction_is_applied_once() -> None:
     made = book()
     lines: list[tuple[int, str | None, str, int]] = [
         (START, "acme", "lookup", -2),
@@ -137,7 +140,7 @@
     assert other.correction_records("signed-1.json", "marta", lines) == []
 
 
-def test_what_is_kept_for_ever_is_bounded() -> None:
+def test_the_books_memory_is_bounded() -> None:
     made = Book(Periods("UTC", 5), grace_s=0.0)
     decide(made, made.begin_records("p1", "n", 0.0))
     for place in range(MAX_CLOSED_PERIODS + 50):
@@ -145,7 +148,7 @@
         made.apply(["batch", place + 1, "period", place * 300, [["a", "c", 1]], f"k{place}", ""])
         made.apply(["done", place + 1])
     assert len(made.closed) == len(made.confirmed_units) == MAX_CLOSED_PERIODS
-    made.apply(["count", 5.0, [[300, "a", "c", 1]]])  # forgotten, and so taken for closed
+    made.apply(["count", 5.0, [[300, "a", "c", 1]]])  # no longer remembered, so it counts as closed
     assert made.late_since == 5.0
 
 
@@ -219,7 +222,7 @@
     ),
     st.data(),
 )
-def test_a_file_is_believed_up_to_the_first_record_that_does_not_add_up(
+def test_a_file_is_read_up_to_the_first_damaged_record(
     records: list[Any], data: st.DataObject
 ) -> None:
     whole = frames.MAGIC + frames.encode(records)
@@ -228,9 +231,9 @@
     torn = frames.decode(whole[:place])
     assert torn.records == records[: len(torn.records)] and torn.valid_bytes <= place
     if place < len(whole):
-        spoilt = bytearray(whole)
-        spoilt[place] ^= data.draw(st.integers(1, 255))
-        found = frames.decode(bytes(spoilt))
+        damaged = bytearray(whole)
+        damaged[place] ^= data.draw(st.integers(1, 255))
+        found = frames.decode(bytes(damaged))
         assert found.records == records[: len(found.records)] and found.error
 
 
@@ -238,7 +241,7 @@
     return Store(disk, name), Book(Periods("UTC", 5), 60.0)
 
 
-def test_a_checkpoint_that_cannot_be_read_costs_what_came_after_it() -> None:
+def test_an_unreadable_checkpoint_costs_only_the_records_of_its_file() -> None:
     disk = CutDisk()
     one, made = store(disk)
     one.open(made)
@@ -256,7 +259,7 @@
     assert disk.names()[-1] > newest and f"{newest}.bad" in disk.names()
 
 
-def test_somebody_elses_ledger_is_not_opened_and_not_changed() -> None:
+def test_another_proxys_ledger_is_not_opened_and_not_changed() -> None:
     disk = CutDisk()
     one, made = store(disk)
     decide(made, made.begin_records("p1", "n", START))
@@ -267,7 +270,7 @@
     assert disk._now == before
 
 
-def test_a_later_versions_ledger_is_not_opened() -> None:
+def test_a_ledger_of_a_later_version_is_not_opened() -> None:
     disk = CutDisk()
     one, made = store(disk)
     record = made.checkpoint()
@@ -277,7 +280,7 @@
         store(disk)[0].open(store(disk)[1])
 
 
-def test_archives_are_read_up_to_what_was_torn_and_old_ones_go() -> None:
+def test_archives_are_read_up_to_a_torn_frame_and_old_ones_are_deleted() -> None:
     disk = CutDisk()
     one, _ = store(disk)
     one.commit(
@@ -293,8 +296,8 @@
     assert disk.names() == [name, f"ids-{START}"]
 
 
-# --- tally ---
-def test_a_crowd_of_tenants_takes_half_of_the_places_and_the_sum_is_right() -> None:
+# --- counters ---
+def test_a_flood_of_tenants_takes_half_of_the_places_and_the_sum_is_right() -> None:
     counters = UsageCounters(10)
     for number in range(4):
         counters.add(300, f"regular{number}", "c", b"")
@@ -308,7 +311,7 @@
     assert units[600, None, "c"] == 9995 == counters.others and sum(units.values()) == 10_008
 
 
-def test_long_names_are_told_by_a_part_and_a_hash() -> None:
+def test_long_names_are_cut_and_end_in_a_hash() -> None:
     one, other = "x" * 4096, "x" * 4095 + "y"
     assert len(shortened_tenant(one).encode()) <= 256 and shortened_tenant(one) != shortened_tenant(
         other
@@ -316,19 +319,21 @@
     assert shortened_tenant("è" * 128) == "è" * 128 != shortened_tenant("è" * 129)
 
 
-# --- outside ---
-NASTY = ["../../x", 'a"b,c\nd', "=1+1", "+x", "-x", "@x", "\tx", "è" * 100, "(others)", "'"]
+# --- export ---
+HOSTILE_NAMES = ["../../x", 'a"b,c\nd', "=1+1", "+x", "-x", "@x", "\tx", "è" * 100, "(others)", "'"]
 
 
-def test_no_tenant_can_break_an_export_or_run_in_a_spreadsheet() -> None:
-    lines: list[tuple[str | None, str, int]] = [(name, "c", n) for n, name in enumerate(NASTY)]
+def test_no_tenant_breaks_an_export_or_is_evaluated_by_a_spreadsheet() -> None:
+    lines: list[tuple[str | None, str, int]] = [
+        (name, "c", n) for n, name in enumerate(HOSTILE_NAMES)
+    ]
     batch = Batch(7, "period", START, [*lines, (None, "c", 9)], "../p/1.ab/7")
     told = [json.loads(line) for line in export.json_lines(batch).splitlines()]
-    assert [line["tenant"] for line in told[1:]] == [*NASTY, None]
+    assert [line["tenant"] for line in told[1:]] == [*HOSTILE_NAMES, None]
     assert told[0]["units"] == sum(line["units"] for line in told[1:]) == batch.units
     rows = list(csv.reader(io.StringIO(export.csv_lines(batch).decode())))[1:]
     assert all(row[3][0] not in "=+-@\t\r" for row in rows) and rows[-1][3] == "(others)"
-    assert [row[3].removeprefix("'") for row in rows[:-1]][:3] == NASTY[:3]
+    assert [row[3].removeprefix("'") for row in rows[:-1]][:3] == HOSTILE_NAMES[:3]
     assert rows[-3][3] == "'(others)"
     assert "/" not in export.file_name(batch) and not export.file_name(batch).startswith(".")
 
@@ -351,7 +356,7 @@
         (412, {}, b'{"last": "k", "periods": [300]}', ("fork", 0.0)),
     ],
 )
-def test_what_an_endpoints_answer_means(
+def test_responses_of_the_endpoint(
     status: int, headers: dict[str, str], body: bytes, expected: tuple[str, float]
 ) -> None:
     found = export.interpret_response(status, headers, body)
@@ -380,11 +385,11 @@
         ({"folder": "x", "tenants": 1}, "tenants"),
     ],
 )
-def test_a_table_that_cannot_be_meant_names_its_key(table: dict[str, Any], key: str) -> None:
+def test_an_invalid_table_is_rejected_with_its_key(table: dict[str, Any], key: str) -> None:
     with pytest.raises(ConfigError, match=rf"\[ledger\].* ?{key}"):
         parse_operator({"ledger": table}, "op.toml")
 
 
-def test_a_batch_says_when_its_period_began() -> None:
+def test_a_batch_has_the_start_of_its_period() -> None:
     batch = Batch(1, "period", START, [("a", "c", 1)], "k")
     assert export.batch_header(batch)["begins"] == datetime.fromtimestamp(START, UTC).isoformat()
--- a/tests/violetroute/ledger/test_ledger_crash.py
+++ b/tests/violetroute/ledger/test_ledger_crash.py
@@ -1,4 +1,4 @@
-"""The ledger through kills, power cuts, bad disks and endpoints, in memory."""
+"""The ledger through kills, power cuts, faulty disks and endpoints, on a simulated clock."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     logging.disable(logging.NOTSET)
 
 
-def over(outcome: Any) -> int:
+def overbilled(outcome: Any) -> int:
     return sum((outcome.billed - outcome.served).values())
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_kills_troubles_and_clock_steps_lose_what_was_in_memory_and_double_nothing(
+def test_kills_faults_and_clock_steps_lose_only_unwritten_units_and_double_none(
     seed: int,
 ) -> None:
     outcome = play(Trial(seed, minutes=8.0, kills=15))
@@ -35,29 +35,31 @@
 
 @pytest.mark.parametrize("part", range(8))
 def test_power_cuts_at_any_write(part: int) -> None:
-    # benchmarks/ledger.py plays each of more than 2,000.
+    # benchmarks/ledger.py cuts at each of more than 2,000 writes.
     for cut_at in range(1 + part, 120, 8):
         outcome = play(
             Trial(part, minutes=5.5, kills=0, cut_at=cut_at, troubles=False, steps=False)
         )
         assert outcome.doubled == 0 and outcome.killed == 1
-        assert outcome.missing <= 15  # what was counted in one flush, and in the write under way
+        assert outcome.missing <= 15  # units of one flush and of the write in progress
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_restored_disk_bills_nothing_twice(seed: int) -> None:
+def test_a_restored_disk_bills_no_unit_twice(seed: int) -> None:
     outcome = play(Trial(seed, kills=2, restored=True))
-    assert over(outcome) == 0 and outcome.gaps
+    assert overbilled(outcome) == 0 and outcome.gaps
     assert sum(outcome.held.values()) + outcome.missing > 0
 
 
-def test_without_the_endpoints_word_a_restored_disk_would(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_the_endpoints_state_a_restored_disk_bills_twice(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(Book, "adopt_records", lambda self, last, billed, now: [["adopt", last]])
-    assert any(over(play(Trial(seed, kills=2, restored=True))) for seed in range(12))
+    assert any(overbilled(play(Trial(seed, kills=2, restored=True))) for seed in range(12))
 
 
-def planted_double(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A batch is prepared anew after a crash, under a new key."""
+def inject_double(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Injected bug: after a crash a batch is prepared again, under a new key."""
     monkeypatch.setattr(Book, "sent_records", lambda self, seq: [])
     begin = Book.begin_records
 
@@ -71,14 +73,18 @@
     monkeypatch.setattr(Book, "adopt_records", lambda self, last, billed, now: [["adopt", last]])
 
 
-def planted_loss(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What waited when a write failed is forgotten."""
+def inject_loss(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Injected bug: records that wait when a write fails are lost."""
     monkeypatch.setattr(service.Ledger, "_rewrite", lambda self: setattr(self, "state", "open"))
 
 
-@pytest.mark.parametrize(("plant", "what"), [(planted_double, "doubled"), (planted_loss, "lost")])
-def test_planted_faults_are_found(monkeypatch: pytest.MonkeyPatch, plant: Any, what: str) -> None:
-    plant(monkeypatch)
+@pytest.mark.parametrize(
+    ("inject_bug", "what"), [(inject_double, "doubled"), (inject_loss, "lost")]
+)
+def test_injected_bugs_are_detected(
+    monkeypatch: pytest.MonkeyPatch, inject_bug: Any, what: str
+) -> None:
+    inject_bug(monkeypatch)
     found = 0
     for seed in range(12):
         outcome = play(Trial(seed, minutes=12.0, kills=25))
--- a/tests/violetroute/ledger/test_ledger_daemon.py
+++ b/tests/violetroute/ledger/test_ledger_daemon.py
@@ -1,4 +1,4 @@
-"""The ledger in the daemon: real sockets, a real disk, real kills."""
+"""The ledger in the daemon, with real sockets, a real disk and killed processes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Clock:
-    """A wall that a test moves."""
+    """A wall clock that tests set."""
 
     def __init__(self) -> None:
         self.now = START
@@ -71,7 +71,7 @@
         assert await rig.ask(get(number)) == [b"value of id%d" % number]
 
 
-def test_what_is_served_is_billed_once_its_period_has_closed(tmp_path: Path) -> None:
+def test_served_requests_are_billed_after_their_period_closes(tmp_path: Path) -> None:
     async def part(rig: Rig, ledger: Ledger, billing: Billing, clock: Clock) -> None:
         await ask(rig, 0, 5)
         clock.now += 400.0
@@ -81,12 +81,12 @@
     run(part, tmp_path)
 
 
-def test_an_endpoint_that_is_away_for_days_costs_no_memory_and_gets_all_in_order(
+def test_an_endpoint_that_is_down_for_days_costs_no_memory_and_receives_all_in_order(
     tmp_path: Path,
 ) -> None:
     async def part(rig: Rig, ledger: Ledger, billing: Billing, clock: Clock) -> None:
-        away = [True]
-        billing.trouble = lambda: "lost before" if away[0] else ""
+        endpoint_down = [True]
+        billing.trouble = lambda: "lost before" if endpoint_down[0] else ""
         for number in range(30):
             ledger.served(f"t{number}", "lookup", b"")
             await until(lambda: not ledger._counters.units)
@@ -94,7 +94,7 @@
         await until(lambda: sum(not each.lines for each in ledger._book.batches.values()) == 22)
         assert ledger._book.total_units(int(START)) == 1
         (tmp_path / "ledgers" / "p1" / "batch-30").write_bytes(b"noise")
-        away[0] = False
+        endpoint_down[0] = False
         await until(lambda: [b.state for b in ledger._book.batches.values()] == ["held"])
         assert sum(billing.billed.values()) == 29
         (held,) = ledger._book.batches.values()
@@ -107,14 +107,14 @@
 
 
 @pytest.mark.parametrize("trouble", ["lost after", "500 after", "cut after", "redirect", "noise"])
-def test_ten_answers_that_say_no_though_some_took_it_bill_once(
+def test_ten_failed_attempts_of_which_some_were_accepted_bill_once(
     tmp_path: Path, trouble: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("violetroute.ledger.export.SLOW_RETRY_WAIT", 0.01)
 
     async def part(rig: Rig, ledger: Ledger, billing: Billing, clock: Clock) -> None:
-        left = [trouble] * 10
-        billing.trouble = lambda: left.pop() if left else ""
+        faults_left = [trouble] * 10
+        billing.trouble = lambda: faults_left.pop() if faults_left else ""
         await ask(rig, 0, 3)
         clock.now += 400.0
         await until(lambda: ledger._book.last_key)
@@ -123,20 +123,20 @@
     run(part, tmp_path, retry_most_s=0.02)
 
 
-def test_a_disk_that_hangs_or_is_full_is_noticed_by_no_request(
+def test_a_hanging_or_full_disk_delays_no_request(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    goes_on, full = threading.Event(), [True]
+    resume, full = threading.Event(), [True]
     append, put = Folder.append, Folder.put
 
     def hangs(self: Folder, name: str, data: bytes) -> None:
-        goes_on.wait(20.0)
+        resume.wait(20.0)
         if full[0]:
             raise OSError(28, "No space left on device")
         append(self, name, data)
 
     def refuses(self: Folder, name: str, data: bytes) -> None:
-        if full[0] and goes_on.is_set():
+        if full[0] and resume.is_set():
             raise OSError(28, "No space left on device")
         put(self, name, data)
 
@@ -146,9 +146,9 @@
         monkeypatch.setattr(Folder, "put", refuses)
         await ask(rig, 0, 1)
         await until(lambda: ledger._busy)
-        await ask(rig, 1, 20)  # each is answered while the write hangs
+        await ask(rig, 1, 20)  # all are answered while the write hangs
         assert ledger._busy
-        goes_on.set()
+        resume.set()
         await until(lambda: ledger.state == "failed")
         await ask(rig, 30, 5)
         full[0] = False
@@ -158,7 +158,7 @@
     run(part, tmp_path)
 
 
-def test_two_processes_of_one_name_are_told_apart_and_the_second_takes_over(tmp_path: Path) -> None:
+def test_a_second_process_of_the_same_name_waits_and_takes_over(tmp_path: Path) -> None:
     async def part(rig: Rig, ledger: Ledger, billing: Billing, clock: Clock) -> None:
         await until(lambda: ledger.state == "open")
         other = Ledger(ledger.table, "p1", SocketNetwork(asyncio.get_running_loop(), clock=clock))
@@ -175,7 +175,7 @@
     run(part, tmp_path)
 
 
-def test_somebody_elses_disk_is_kept_aside(tmp_path: Path) -> None:
+def test_another_proxys_files_are_renamed_and_kept(tmp_path: Path) -> None:
     async def part(rig: Rig, ledger: Ledger, billing: Billing, clock: Clock) -> None:
         await until(lambda: ledger.state == "open")
         await ask(rig, 0, 1)
@@ -188,7 +188,7 @@
     assert names == ["lock", "log-00000001.foreign", "log-00000002"]
 
 
-def test_over_tls_with_a_key_that_is_replaced_in_service(tmp_path: Path) -> None:
+def test_over_tls_with_a_key_that_is_replaced_while_running(tmp_path: Path) -> None:
     authority, ours = trustme.CA(), trustme.CA()
     server = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
     authority.issue_cert("127.0.0.1").configure_cert(server)
@@ -206,7 +206,7 @@
         issued.private_key_pem.write_to_path(files["tls_key_file"])
         issued.cert_chain_pems[0].write_to_path(files["tls_cert_file"])
 
-    key(trustme.CA())  # of an authority that the endpoint does not know
+    key(trustme.CA())  # by a CA that the endpoint does not trust
 
     async def part(rig: Rig, ledger: Ledger, billing: Billing, clock: Clock) -> None:
         await ask(rig, 0, 2)
@@ -225,7 +225,7 @@
     )
 
 
-def test_files_are_written_whole_and_named_without_any_tenant(tmp_path: Path) -> None:
+def test_files_are_written_atomically_and_named_without_tenants(tmp_path: Path) -> None:
     out = tmp_path / "out"
 
     async def part(rig: Rig, ledger: Ledger, billing: Billing, clock: Clock) -> None:
@@ -242,10 +242,10 @@
     assert folder_name("a/b") != folder_name("a_b") and folder_name("...").startswith("proxy-")
 
 
-def test_proxies_that_are_killed_bill_after_reconciling_what_nodes_served(tmp_path: Path) -> None:
+def test_killed_proxies_bill_all_units_after_reconciling_with_the_nodes(tmp_path: Path) -> None:
     report = asyncio.run(play(tmp_path, kills=4, seconds=6.0))
     assert report.kills == 4 and sum(report.served.values()) > 300
     assert report.before is not None and report.after is not None
     assert report.doubled == 0
-    assert report.before.short <= report.kills * 30  # half a second of them
+    assert report.before.short <= report.kills * 30  # units of half a second
     assert report.after.differences == []
--- a/tests/violetroute/membership/test_consul.py
+++ b/tests/violetroute/membership/test_consul.py
@@ -1,4 +1,4 @@
-"""Consul's catalogue: what it means, what is believed of it, and the watch through troubles."""
+"""Consul as a source: parsing, accepting answers, and the watch through faults."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 READY, DRAINING, GONE = CacheState.READY, CacheState.DRAINING, CacheState.GONE
 
 
-# --- meaning ---
+# --- parsing ---
 def element(**more: Any) -> dict[str, Any]:
     service = {"ID": "c1", "Service": "cache", "Address": "10.0.0.1", "Port": 6379} | more
     return {
@@ -48,7 +48,7 @@
     return HealthReader(table).read(json.dumps(elements).encode())
 
 
-def test_an_instance_with_all_that_its_meta_says() -> None:
+def test_an_instance_with_all_meta_fields() -> None:
     found = read(
         element(
             Meta={"zone": "paterno", "machine_type": "old", "cell": "3", "started_at_ms": "1700"},
@@ -74,7 +74,7 @@
         ([("_node_maintenance", "passing")], Health.PASSING),
     ],
 )
-def test_states_by_the_worst_check_and_maintenance_as_a_plan(
+def test_health_is_the_worst_check_and_maintenance_is_a_drain(
     checks: list[tuple[str, str]], health: Health
 ) -> None:
     one = element(Weights={"Passing": 4, "Warning": 2})
@@ -84,14 +84,14 @@
     assert found.weight == (2.0 if health is Health.WARNING else 4.0)
 
 
-def test_a_drain_by_tag_and_a_weight_of_nought() -> None:
+def test_the_drain_tag_and_a_weight_of_zero() -> None:
     assert read(element(Tags=["draining"]))["c1"].health is Health.DRAINS
     one = element(Weights={"Passing": 4, "Warning": 0})
     one["Checks"][0]["Status"] = "warning"
     assert read(one)["c1"].health is Health.CRITICAL
 
 
-def test_addresses_fall_back_to_the_machine_and_may_be_ipv6() -> None:
+def test_addresses_default_to_the_machines_and_may_be_ipv6() -> None:
     assert read(element(Address=""))["c1"].address == Address("10.0.0.9", 6379)
     assert read(element(Address="fd00::1"))["c1"].address == Address("fd00::1", 6379)
 
@@ -109,7 +109,7 @@
         {"ID": 7},
     ],
 )
-def test_an_instance_that_makes_no_sense_is_left_out_and_the_others_hold(
+def test_an_invalid_instance_is_skipped_and_the_others_are_used(
     wrong: dict[str, Any],
 ) -> None:
     reader = HealthReader(TABLE)
@@ -117,7 +117,7 @@
     assert set(found) == {"c2"} and reader.skipped == 3
 
 
-def test_ids_that_are_alike_on_several_machines_stay_apart() -> None:
+def test_equal_ids_on_several_machines_are_distinguished() -> None:
     one, two, three = element(), element(Port=2), element(ID="cache", Port=3)
     two["Node"] = {"Node": "m2", "Address": "10.0.0.2"}
     assert set(read(one, two, three)) == {"c1", "c1@m2", "m1"}
@@ -134,7 +134,7 @@
         ),
     )
 )
-def test_no_json_does_more_than_a_value_error(value: Any) -> None:
+def test_any_json_is_read_or_raises_value_error(value: Any) -> None:
     try:
         assert isinstance(read(value), dict)
         assert isinstance(HealthReader(TABLE).read(json.dumps(value).encode()), dict)
@@ -142,7 +142,7 @@
         pass
 
 
-# --- belief ---
+# --- accepted state ---
 def some(count: int, health: Health = Health.PASSING, start: int = 0) -> dict[str, Instance]:
     return {
         f"c{n}": Instance(f"c{n}", Address("10.0.0.1", 1000 + n), health)
@@ -154,7 +154,7 @@
     return {name: entry.state for name, entry in belief.entries(now).items()}
 
 
-def test_a_plan_is_kept_at_once_whatever_else_is_doubted() -> None:
+def test_a_drain_applies_in_panic_mode() -> None:
     belief = CatalogueState(TABLE)
     belief.apply(0.0, 1e9, some(4))
     seen = some(4, Health.CRITICAL) | {"c0": replace(some(1)["c0"], health=Health.DRAINS)}
@@ -163,7 +163,7 @@
     assert states(belief) == {"c0": DRAINING, "c1": READY, "c2": READY, "c3": READY}
 
 
-def test_health_is_not_believed_with_more_than_the_floor_critical() -> None:
+def test_health_is_ignored_with_more_than_the_floor_critical() -> None:
     belief = CatalogueState(TABLE)
     belief.apply(0.0, 1e9, some(4))
     belief.apply(1.0, 1e9, some(4) | some(2, Health.CRITICAL))
@@ -172,7 +172,7 @@
     assert belief.panic_mode and set(states(belief)) == {"c0", "c1", "c2", "c3"}
 
 
-def test_a_single_deregistration_holds_at_once_many_are_asked_about() -> None:
+def test_one_deregistration_applies_at_once_and_many_need_confirmation() -> None:
     belief = CatalogueState(TABLE)
     belief.apply(0.0, 1e9, some(4))
     assert not belief.apply(1.0, 1e9, some(3))
@@ -183,7 +183,7 @@
     assert set(states(belief)) == {"c0"}
 
 
-def test_an_emptied_catalogue_is_never_believed() -> None:
+def test_an_empty_answer_is_never_accepted() -> None:
     belief = CatalogueState(TABLE)
     belief.apply(0.0, 1e9, some(4))
     assert belief.apply(1.0, 1e9, {})
@@ -193,13 +193,13 @@
     assert not belief.answer_empty
 
 
-def test_a_node_that_flaps_waits_longer_each_time_and_is_not_cold_again() -> None:
+def test_a_flapping_node_waits_longer_each_time_and_does_not_count_as_restarted() -> None:
     belief = CatalogueState(TABLE)
     belief.apply(0.0, 1e9, some(4))
     first = belief.entries(0.0)["c0"].started_at
     ready = returns = 0
     here = True
-    for step in range(200):  # 300 ms each, a minute
+    for step in range(200):  # of 300 ms each, over a minute
         now = 0.3 * step
         sick = step % 2 == 1
         belief.apply(now, 1e9 + now, some(4) | (some(1, Health.CRITICAL) if sick else {}))
@@ -216,7 +216,7 @@
     assert "c0" not in states(belief, due - 0.01) and "c0" in states(belief, due)
 
 
-def test_one_short_absence_costs_nothing() -> None:
+def test_after_one_short_critical_period_a_node_returns_at_once() -> None:
     belief = CatalogueState(TABLE)
     belief.apply(0.0, 1e9, some(4))
     belief.apply(1.0, 1e9, some(4) | some(1, Health.CRITICAL))
@@ -224,10 +224,10 @@
     assert states(belief, 1.3)["c0"] is READY and belief.next_change_at(1.3) is None
 
 
-def test_cold_starts_new_ids_addresses_start_times_and_long_absences() -> None:
+def test_new_ids_addresses_start_times_and_long_critical_periods_count_as_restarts() -> None:
     belief = CatalogueState(TABLE)
     belief.apply(0.0, 1e9, some(4))
-    assert belief.entries(0.0)["c0"].started_at == 0.0  # it may have been there for long
+    assert belief.entries(0.0)["c0"].started_at == 0.0  # it may have been running for long
     belief.apply(1.0, 2e9, some(5))
     assert belief.entries(1.0)["c4"].started_at == 2e9
     moved = {"c1": replace(some(2)["c1"], address=Address("10.0.0.7", 1))}
@@ -242,7 +242,7 @@
     assert belief.entries(10.0)["c3"].started_at == 0.0
 
 
-def test_changes_say_what_is_new_different_or_gone() -> None:
+def test_diff_entries_has_new_changed_and_gone_entries() -> None:
     one, two = (Entry(n, READY, Address("10.0.0.1", 1), "", "", 0, 1.0, 0.0) for n in ("a", "b"))
     assert diff_entries({"a": one, "b": two}, {"a": one, "b": two}) == []
     assert diff_entries(
@@ -254,7 +254,7 @@
     assert diff_entries({"a": one}, {}) == [msgspec.structs.replace(one, state=GONE, address=None)]
 
 
-def test_a_drain_in_an_answer_that_is_old_is_kept_and_nothing_else_of_it() -> None:
+def test_only_the_drains_of_an_old_answer_apply() -> None:
     belief = CatalogueState(TABLE)
     belief.apply(0.0, 1e9, some(4))
     old = {
@@ -267,7 +267,7 @@
 
 
 # --- query ---
-def test_the_index_by_the_published_rules() -> None:
+def test_the_index_follows_consuls_rules() -> None:
     query = BlockingQuery(ConsulTable(tag="x y", consistency="stale", datacenter="d"))
     assert query.target() == "/v1/health/service/cache?dc=d&tag=x+y&stale"
     for header, index in (
@@ -303,16 +303,14 @@
         (200, {"x-consul-results-filtered-by-acls": "true"}, "may not see", 0.0),
     ],
 )
-def test_answers_that_tell_nothing(
-    status: int, headers: dict[str, str], reason: str, wait: float
-) -> None:
+def test_unusable_answers(status: int, headers: dict[str, str], reason: str, wait: float) -> None:
     query = BlockingQuery(TABLE)
     refused = query.check(status, headers | {"x-consul-index": "8"})
     assert isinstance(refused, UnusableAnswer) and reason in refused.reason and refused.wait == wait
-    assert query.index == 0  # such an answer's index would hide the next change
+    assert query.index == 0  # keeping such an answer's index would hide the next change
 
 
-# --- one name for a node ---
+# --- node names ---
 def entry(name: str, port: int, state: CacheState = READY) -> Entry:
     return Entry(
         name, state, None if state is GONE else Address("10.0.0.1", port), "", "", 0, 1.0, 0.0
@@ -331,7 +329,7 @@
     assert names(told) == ["s-1", "s-2", "c3"]
     assert names(names_map.translate(Listing(2, False, (entry("c1", 1, DRAINING),)))) == ["s-1"]
     assert names(names_map.translate(Listing(3, False, (entry("c1", 1, GONE),)))) == ["s-1"]
-    # One that comes back has its name again; a new one at a known address is a new node.
+    # A node that returns has its name again; a new name at a known address is a new node.
     assert names(names_map.translate(Listing(4, False, (entry("c1", 1), entry("c9", 2))))) == [
         "s-1",
         "c9",
@@ -341,7 +339,7 @@
     assert names(told) == ["s-2", "c3"]
 
 
-def test_a_drain_ahead_of_a_new_sources_first_list_is_of_the_node_at_its_address() -> None:
+def test_a_drain_before_a_new_sources_first_list_applies_to_the_node_at_its_address() -> None:
     names_map = NodeNames()
     names_map.translate(Listing(1, True, (entry("s-1", 1), entry("s-2", 2))))
     names_map.expect_new_source()
@@ -354,7 +352,7 @@
     ]
 
 
-def test_drains_in_answers_that_count_for_nothing_else_are_told_before_the_first_list() -> None:
+def test_drains_in_unusable_answers_apply_before_the_first_list() -> None:
     async def part(setting: Setting) -> None:
         setting.agent.headers = {"X-Consul-KnownLeader": "false"}
         setting.catalogue.maintain("c1", True)
@@ -373,18 +371,16 @@
 
 
 def test_a_new_name_in_the_same_source_is_a_new_node_also_in_its_first_whole_list() -> None:
-    # With the old name it would inherit a warm node's standing: rule four.
+    # With the old name it would be treated as a warm node.
     names_map = NodeNames()
-    names_map.translate(
-        Listing(1, False, (entry("s-1", 1), entry("s-2", 2)))
-    )  # handed over at the start
+    names_map.translate(Listing(1, False, (entry("s-1", 1), entry("s-2", 2))))  # the initial list
     assert names(names_map.translate(Listing(2, True, (entry("s-9", 1), entry("s-2", 2))))) == [
         "s-9",
         "s-2",
     ]
 
 
-# --- the stand-in, driven by a client that others wrote ---
+# --- the Consul stand-in, checked with an independent client ---
 def test_py_consul_registers_blocks_and_sees_changes() -> None:
     async def run() -> None:
         agent = await Consul().start()
@@ -420,7 +416,7 @@
 
 # --- the watch in the daemon ---
 class Setting:
-    """A proxy that follows Consul, nodes that are registered there, and its discovery unused."""
+    """A proxy that watches Consul, with registered nodes; its discovery is unused."""
 
     def __init__(self, rig: Rig, catalogue: Catalogue, agents: list[Consul]) -> None:
         self.rig, self.catalogue, self.agents = rig, catalogue, agents
@@ -430,7 +426,7 @@
         return self.agents[0]
 
     def used(self) -> set[str]:
-        """The nodes that may get something new."""
+        """The nodes that may receive new requests."""
         known = set(self.rig.proxy.nodes)
         return {
             name
@@ -461,12 +457,12 @@
         )
         async with Rig(*nodes, operator=operator) as rig:
             setting = Setting(rig, catalogue, started)
-            # The platform's names last: the nodes were handed over under them at the start.
+            # The platform's names stay: the initial list had the nodes under them.
             await until(lambda: started[0].asked or agents > 1)
             await setting.uses("s-0", "s-1", "s-2", "s-3")
             await until(lambda: any("index" in asked for a in started for asked in a.asked))
             await part(setting)
-            assert not rig.discovery.asked  # the platform's list is not asked beside it
+            assert not rig.discovery.asked  # the platform's list is not requested too
         for agent in started:
             await agent.stop()
 
@@ -490,15 +486,15 @@
     follow(part)
 
 
-def test_a_drain_among_many_changes_and_in_an_answer_that_broke_off_before() -> None:
+def test_a_drain_among_many_changes_and_after_a_truncated_answer() -> None:
     async def part(setting: Setting) -> None:
-        setting.agent.cut = 700  # in the midst of the body
+        setting.agent.cut = 700  # in the middle of the body
         for number in range(30):
             setting.catalogue.register(f"x{number}", 1 + number, service="other")
         setting.catalogue.check("c3", "warning")
         setting.catalogue.maintain("c0", True)
         await setting.asks_again()
-        assert setting.used() == {"s-0", "s-1", "s-2", "s-3"}  # nothing of half an answer counts
+        assert setting.used() == {"s-0", "s-1", "s-2", "s-3"}  # a truncated answer is not used
         setting.agent.cut = 0
         await setting.uses("s-1", "s-2", "s-3")
 
@@ -526,7 +522,7 @@
 
 
 @pytest.mark.parametrize("trouble", TROUBLES)
-def test_an_outage_freezes_the_list_and_the_return_brings_what_was_missed(trouble: str) -> None:
+def test_an_outage_freezes_the_list_and_recovery_applies_missed_changes(trouble: str) -> None:
     async def part(setting: Setting) -> None:
         agent = setting.agent
         before = dict(vars(agent))
@@ -538,7 +534,7 @@
         failed = asyncio.Event()
         told = setting.rig.proxy.list_failed
         setting.rig.proxy.list_failed = lambda silent=False: (failed.set(), told(silent))  # type: ignore
-        setting.catalogue.check("c3", "critical")  # unheard of, or not believed
+        setting.catalogue.check("c3", "critical")  # not received, or not accepted
         await soon(failed.wait())
         assert setting.used() == {"s-0", "s-1", "s-2", "s-3"}
         assert await setting.rig.ask(get(7)) == [b"value of id7"]
@@ -554,7 +550,7 @@
 
 
 @pytest.mark.parametrize("header", ["X-Consul-KnownLeader", "X-Consul-LastContact"])
-def test_a_drain_is_kept_that_only_an_old_answer_tells_of(header: str) -> None:
+def test_a_drain_applies_that_only_an_old_answer_has(header: str) -> None:
     async def part(setting: Setting) -> None:
         setting.agent.headers = {header: "false" if "Leader" in header else "60000"}
         setting.catalogue.maintain("c0", True)
@@ -563,7 +559,7 @@
     follow(part)
 
 
-def test_another_agent_is_asked_when_one_fails() -> None:
+def test_another_agent_is_used_when_one_fails() -> None:
     async def part(setting: Setting) -> None:
         first = next(agent for agent in setting.agents if agent.asked)
         await first.stop()
@@ -583,7 +579,7 @@
     follow(part)
 
 
-def test_an_emptied_catalogue_changes_nothing_and_a_halved_one_is_confirmed() -> None:
+def test_an_empty_catalogue_changes_nothing_and_a_halved_one_is_confirmed() -> None:
     async def part(setting: Setting) -> None:
         catalogue = setting.catalogue
         kept = dict(catalogue.services)
@@ -594,7 +590,7 @@
         catalogue.services.update(kept)
         catalogue.change()
         await setting.asks_again()
-        # A replica that lags says three are gone; the leader knows better.
+        # A lagging replica reports three as gone; the leader does not.
         catalogue.deregister("c1", "c2", "c3")
         setting.agent.freeze()
         catalogue.services.update(kept)
@@ -610,9 +606,11 @@
     follow(part)
 
 
-def test_asks_are_limited_whatever_happens() -> None:
+def test_the_rate_of_requests_is_limited() -> None:
     async def part(setting: Setting) -> None:
-        setting.agent.headers = {"X-Consul-Index": "0"}  # never blocks: each ask returns at once
+        setting.agent.headers = {
+            "X-Consul-Index": "0"
+        }  # never blocks: each request returns at once
         setting.catalogue.change()
         await setting.asks_again()
         loop = asyncio.get_running_loop()
@@ -623,8 +621,8 @@
     follow(part, least_interval_s=0.2)
 
 
-def test_the_leader_is_asked_in_time_however_few_asks_are_allowed() -> None:
-    # What it confirms has to be kept within 500 ms of the answer that was doubted.
+def test_the_confirmation_comes_in_time_with_a_long_request_interval() -> None:
+    # A confirmed removal must take effect within 500 ms of the unconfirmed answer.
     async def part(setting: Setting) -> None:
         loop = asyncio.get_running_loop()
         setting.catalogue.deregister("c1", "c2", "c3")
@@ -635,7 +633,7 @@
     follow(part, least_interval_s=3.0, wait_s=60.0)
 
 
-def test_a_retry_after_is_heeded() -> None:
+def test_retry_after_is_respected() -> None:
     async def part(setting: Setting) -> None:
         loop, agent = asyncio.get_running_loop(), setting.agent
         agent.status, agent.retry_after = 429, "2"
@@ -648,15 +646,13 @@
         began = loop.time()
         agent.status = 200
         await until(lambda: len(agent.asked) > count)
-        assert loop.time() - began > 1.5  # the module's own wait is half a second at most
+        assert loop.time() - began > 1.5  # the balancer's own retry wait is half a second at most
 
     follow(part)
 
 
 @pytest.mark.parametrize("slow", ["drips", "stands still"])
-def test_a_body_that_does_not_come_to_its_end_is_given_up(
-    slow: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_an_unfinished_body_times_out(slow: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watching, "BODY_TIMEOUT", 0.4)
     monkeypatch.setattr(watching, "BODY_IDLE_TIMEOUT", 0.2)
     said: list[str] = []
@@ -679,7 +675,7 @@
     follow(part)
 
 
-def test_bytes_behind_an_answer_are_not_the_next_one() -> None:
+def test_bytes_after_an_answer_are_not_parsed_as_the_next_one() -> None:
     async def part(setting: Setting) -> None:
         def framed(body: bytes) -> bytes:
             return b"HTTP/1.1 200 X\r\nX-Consul-Index: 99\r\nContent-Length: %d\r\n\r\n%b" % (
@@ -702,17 +698,17 @@
         await setting.asks_again()
         setting.catalogue.maintain("c3", True)
         await setting.uses("s-0", "s-1", "s-2")
-        assert set(told) == {DRAINING}  # nobody has gone in between
+        assert set(told) == {DRAINING}  # no node was gone in between
 
     follow(part)
 
 
-def test_an_answer_with_too_many_instances_is_refused() -> None:
+def test_an_answer_with_too_many_instances_is_rejected() -> None:
     with pytest.raises(ValueError, match="more than"):
         HealthReader(TABLE).read(b"[" + b"{}," * 20_000 + b"{}]")
 
 
-def test_the_token_rotates_and_is_not_told(tmp_path: Path, caplog: Any) -> None:
+def test_the_token_rotates_and_is_not_logged(tmp_path: Path, caplog: Any) -> None:
     path = tmp_path / "token"
     path.write_text("one\n")
 
@@ -740,7 +736,7 @@
     assert "two" not in caplog.text
 
 
-def test_the_move_from_the_platforms_list_to_consul_and_back_under_load() -> None:
+def test_switching_from_the_platform_to_consul_and_back_under_load() -> None:
     async def run() -> None:
         catalogue = Catalogue()
         agent = await Consul(catalogue).start()
@@ -789,7 +785,7 @@
     stall_free_loop.run(run())
 
 
-def test_wrong_agents_are_named() -> None:
+def test_invalid_agents_are_reported() -> None:
     for agents, said in (
         (["consul.local:8500"], "not an address"),
         (["127.0.0.1"], "not an"),
@@ -800,8 +796,8 @@
         assert said in str(raised.value)
 
 
-def test_a_drain_in_a_new_answer_that_says_the_same_counts_anew() -> None:
-    # In between another source may have told of a start, and the node been drained once more.
+def test_an_unchanged_drain_in_a_new_answer_is_reported_again() -> None:
+    # In between another source may have reported a restart, and the node was drained again.
     def tells(again: bool) -> list[tuple[str, CacheState]]:
         belief, pending = CatalogueState(TABLE), PendingUpdates()
         belief.apply(0.0, 1e9, some(1, Health.DRAINS) | {"x": some(2)["c1"]})
@@ -811,7 +807,7 @@
     assert tells(True) == [("c0", CacheState.DRAINING)] and tells(False) == []
 
 
-def test_another_index_tells_the_drains_again_and_a_wait_that_ran_out_does_not() -> None:
+def test_drains_are_repeated_with_another_index_and_not_after_an_expired_wait() -> None:
     async def part(setting: Setting) -> None:
         setting.catalogue.maintain("c1", True)
         await setting.uses("s-0", "s-2", "s-3")
@@ -822,7 +818,7 @@
             told.extend(e.instance for e in listing.entries),
             taken(listing),
         )[1]
-        await setting.asks_again()  # waits that ran out
+        await setting.asks_again()  # expired waits
         assert told == []
         setting.catalogue.change()
         await until(lambda: told == ["s-1"])
--- a/tests/violetroute/membership/test_consul_morning.py
+++ b/tests/violetroute/membership/test_consul_morning.py
@@ -1,4 +1,4 @@
-"""The user's proof: Consul delays, drops and flaps through a morning load on real sockets."""
+"""Consul delays, drops and flaps while clients send an increasing load over real sockets."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 from violetroute.upstream import Attempt
 
 CLASS = {"name": "lookup", "promiseMs": 300.0, "deadlineMs": 600.0, "effect": "pure", "worth": 2.0}
-STRAY_S = 0.55  # s after the last answer in which a send that comes after it is still found
+STRAY_S = 0.55  # s after the last answer in which a later send is still detected
 ORDER = {"heard": 0, "asked": 1, "arrived": 2, "accepted": 3, "answered": 4, "expired": 5}
 
 
 class Seen:
-    """All that peers saw, for the judge, who wants it in the order of time."""
+    """Collects the events that peers saw, for the checker, which needs them in order of time."""
 
     def __init__(self) -> None:
         self.events: list[tuple[float, str, tuple[Any, ...]]] = []
-        self.times = SendTimes()  # of the proxy itself
+        self.times = SendTimes()  # send and answer times in the proxy itself
         self.sent_late: list[tuple[str, str, float]] = []  # node, id, s after the final answer
 
     def arrived(self, at: float, node: str, id_: str, sent_at: float) -> None:
@@ -65,9 +65,12 @@
 
 
 @pytest.mark.parametrize("stall_s", [0.0, 0.7])
-def test_no_request_is_lost_and_no_drain_broken_in_a_rough_morning(stall_s: float) -> None:
-    # The crowd asks by the clock, so a process that gets no CPU for 0.7 s would ask all at once
-    # what it missed, beyond any limit.  The clock stands meanwhile; one stall is made for certain.
+def test_no_request_is_lost_and_no_drain_violated_while_consul_is_unreliable(
+    stall_s: float,
+) -> None:
+    # The clients send by the clock, so after 0.7 s without CPU the process would send all missed
+    # requests at once, beyond any limit.  The clock therefore stops during a stall.  One variant
+    # forces a stall.
     async def run() -> None:
         loop, seen, catalogue = asyncio.get_running_loop(), Seen(), Catalogue()
         agents = [await Consul(catalogue, n).start() for n in range(2)]
@@ -90,7 +93,7 @@
             catalogue.register(node.name, node.port, address="127.0.0.1")
 
         def told(target: str, body: bytes) -> None:
-            if catalogue.services["c1"].checks:  # its drain is in the answer
+            if catalogue.services["c1"].checks:  # the answer has its drain
                 seen.events.append((loop.time(), "heard", ("c1", False)))
 
         for agent in agents:
@@ -118,15 +121,15 @@
                 both(lambda agent: setattr(agent, "delay", 0.15))
                 catalogue.check("c0", "critical")
                 await asyncio.sleep(0.2)
-                catalogue.maintain("c1", True)  # a drain, told late
+                catalogue.maintain("c1", True)  # a drain, reported late
                 await until(lambda: len(rig.proxy.nodes) == 4)
                 both(lambda agent: setattr(agent, "delay", 0.0))
-                for status in ("passing", "critical") * 4:  # it flaps
+                for status in ("passing", "critical") * 4:  # flapping
                     catalogue.check("c2", status)
                     await asyncio.sleep(0.05)
                 catalogue.check("c2", "passing")
                 await until(lambda: len(rig.proxy.nodes) == 4)
-                for agent in agents:  # gone in the midst of it, while a node dies
+                for agent in agents:  # agents stop under load, while a node dies
                     await agent.stop()
                 await nodes[3].die()
                 await asyncio.sleep(0.25)
@@ -142,7 +145,7 @@
                 await until(lambda: len(rig.proxy.nodes) == 4)
 
             troubles = asyncio.create_task(morning())
-            for rate in (80.0, 160.0, 240.0):  # a ramp
+            for rate in (80.0, 160.0, 240.0):  # increasing load
                 await crowd.play(rate, 0.8)
             while not troubles.done():
                 await crowd.play(160.0, 0.1)
@@ -158,7 +161,9 @@
         judge = seen.judged()
         assert judge.broken == []
         assert seen.sent_late == []
-        assert len(seen.times.answered) >= 0.95 * crowd.asked  # none was judged by guess
+        assert (
+            len(seen.times.answered) >= 0.95 * crowd.asked
+        )  # the answer time is known for nearly all
         assert crowd.kinds()["served"] > 0.95 * crowd.asked
         assert any(what == "heard" for _, what, _ in seen.events)
 
@@ -166,8 +171,8 @@
 
 
 @pytest.mark.parametrize("after_s", [0.0, 0.005, 0.1])
-def test_a_proxy_that_sends_after_its_final_answer_is_found(after_s: float) -> None:
-    # Planted: the request that was just answered is sent to a node once more, unasked.
+def test_a_proxy_that_sends_after_its_final_answer_is_detected(after_s: float) -> None:
+    # Injected bug: a request that was just answered is sent to a node again.
     async def run() -> None:
         loop, seen = asyncio.get_running_loop(), Seen()
         node = FleetNode(
--- a/tests/violetroute/membership/test_crossings_lists.py
+++ b/tests/violetroute/membership/test_crossings_lists.py
@@ -1,4 +1,4 @@
-"""Crossings at discovery: what it has to tell against calls that fail, wait, end or never begin."""
+"""Races at discovery: changes of the list against calls that fail, stall, end or never begin."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from violetroute.membership.list_reader import LINE_LIMIT, ObjectSplitter, WatchError
 from violetroute.membership.native import CONNECT_TIMEOUT, LINE_TIMEOUT
 
-TOLD = 6.0  # s after discovery had it and could be reached, a change counts as told
-GRACE = 0.5  # s that a drain may take from then on
+TOLD = 6.0  # s after which a change counts as notified, once discovery has it and is reachable
+GRACE = 0.5  # s that a drain may take after that
 Trouble = Callable[[Scene], Awaitable[None]]
 
 
 async def refuses(here: Scene) -> None:
-    """503 to each call."""
+    """Discovery answers 503 to each call."""
     here.discovery.refuse = True
     for writer in list(here.discovery.open):
         writer.transport.abort()
@@ -30,21 +30,21 @@
 
 
 async def unreachable(here: Scene) -> None:
-    """Watches stay open and say nothing; connects never come up."""
+    """Open watches receive nothing, and connects never succeed."""
     here.kernel.block(here.discovery.port)
     await asyncio.sleep(9.0)
     here.kernel.heal(here.discovery.port)
 
 
 async def silent(here: Scene) -> None:
-    """It takes connections and calls and answers none: what it says is lost on the way."""
+    """Connections and calls are accepted, but all bytes from discovery are dropped."""
     here.kernel.block(here.discovery.port, to=False)
     await asyncio.sleep(9.0)
     here.kernel.heal(here.discovery.port)
 
 
 async def away(here: Scene) -> None:
-    """Its connections are refused: there is no process."""
+    """Connections are refused: there is no process."""
     port, asked = here.discovery.port, here.discovery.asked
     await here.discovery.stop()
     await asyncio.sleep(9.0)
@@ -53,7 +53,7 @@
 
 
 async def paused(here: Scene) -> None:
-    """The process stands, and with it what it would have heard."""
+    """The proxy's process is paused and receives nothing."""
     here.process.pause(9.0)
     await asyncio.sleep(9.0)
 
@@ -63,16 +63,16 @@
     "trouble", [refuses, unreachable, silent, away, paused], ids=lambda trouble: trouble.__name__
 )
 @pytest.mark.parametrize("seed", range(6))
-def test_a_drain_is_kept_6_s_after_discovery_had_it_and_could_be_reached(
+def test_a_drain_applies_6_s_after_discovery_has_it_and_is_reachable(
     trouble: Trouble, mode: str, seed: int
 ) -> None:
-    """The worst of the module's waits, the call's own limits and what was under way just then."""
+    """Covers the longest retry wait, the call's timeouts and calls in progress at that time."""
 
     async def part(here: Scene) -> None:
         await here.until(lambda: here.discovery.open)
         here.discovery.tell(*here.entries(), reset=True)
         reader, writer = await here.client()
-        for number in range(30):  # a first half second of service, then trouble
+        for number in range(30):  # half a second of normal service before the fault
             writer.write(get(number))
             await read_answer(reader)
         await trouble(here)
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"])
 @pytest.mark.parametrize("seed", range(6))
-def test_what_a_watch_misses_that_fell_silent_is_kept_6_s_after_its_last_word(
+def test_a_drain_that_a_stalled_watch_misses_applies_6_s_after_its_last_line(
     mode: str, seed: int
 ) -> None:
     async def part(here: Scene) -> None:
@@ -125,8 +125,8 @@
     scene(part, nodes=2, seed=seed, membershipMode=mode, balancers=700)
 
 
-def test_pushed_lists_are_followed_from_the_start_and_a_drain_is_kept_at_once() -> None:
-    # Found on a made-up customer: with membershipMode `automatic` no watch was ever opened.
+def test_lists_are_watched_from_the_start_and_a_drain_applies_at_once() -> None:
+    # Guards against a fault with membershipMode `automatic`: no watch was ever opened.
     async def part(here: Scene) -> None:
         await here.until(lambda: here.discovery.open, GRACE)
         reader, writer = await here.client()
@@ -138,7 +138,9 @@
             await read_answer(reader)
             await asyncio.sleep(0.01)
         assert all(at <= told + GRACE for at, port, _ in here.begun if port == drained)
-        for each in list(here.discovery.open):  # what its agent has counts, watch or none
+        for each in list(
+            here.discovery.open
+        ):  # a change counts once discovery has it, with or without a watch
             each.transport.abort()
         await here.until(lambda: not here.discovery.open)
         await here.until(lambda: here.discovery.open, GRACE)
@@ -160,7 +162,7 @@
 
 
 @pytest.mark.parametrize("text", [b"}", b"nonsense", b'{"a": ', b"]["])
-def test_what_is_no_list_is_given_on_to_be_refused_or_ends_at_its_bound(text: bytes) -> None:
+def test_text_that_is_no_list_is_passed_on_or_ends_at_the_size_limit(text: bytes) -> None:
     splitter = ObjectSplitter()
     with pytest.raises((ValueError, WatchError)):
         for _ in range(LINE_LIMIT):
@@ -169,7 +171,7 @@
                 json.loads(found)
 
 
-def test_an_indented_list_is_taken_from_a_watch() -> None:
+def test_a_watch_accepts_an_indented_list() -> None:
     async def part() -> None:
         nodes = [CacheNode(), CacheNode()]
         async with Rig(*nodes) as rig:
@@ -184,8 +186,8 @@
     asyncio.run(part())
 
 
-def test_a_line_that_never_ends_is_a_silence() -> None:
-    # Found by reading: each byte put the end off, up to 8 s over one line.
+def test_a_line_that_never_ends_times_out() -> None:
+    # Guards against a timeout that each byte restarted: one line could take up to 8 s.
     async def part(here: Scene) -> None:
         await here.until(lambda: here.discovery.open)
         writer = next(iter(here.discovery.open))
@@ -198,7 +200,7 @@
     scene(part)
 
 
-def test_a_call_whose_connection_never_stands_is_given_up_within_its_time() -> None:
+def test_a_call_that_never_connects_times_out() -> None:
     async def part(here: Scene) -> None:
         here.kernel.block(here.discovery.port)
         waits: list[float] = []
--- a/tests/violetroute/membership/test_list_reader.py
+++ b/tests/violetroute/membership/test_list_reader.py
@@ -1,4 +1,4 @@
-"""What discovery sends, read in bounded time and memory; the good entries of a bad list hold."""
+"""Parsing of discovery's lists: bounded time and memory, and invalid entries are skipped."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from violetroute.membership.list_reader import LINE_LIMIT, ListReader, ObjectSplitter, WatchError
 from violetroute.transport import Address, parse_address
 
-CPU_FOR_TEN_THOUSAND = 0.3  # s; a list of 10,000 was not bounded by any time before
+CPU_FOR_TEN_THOUSAND = 0.3  # s; guards against parsing time that blocks the event loop
 
 
 def instance(number: int, **fields: object) -> dict[str, Any]:
@@ -61,7 +61,7 @@
 ]
 
 
-def test_the_quick_way_reads_what_the_plain_one_reads() -> None:
+def test_list_reader_and_parse_listing_give_equal_results() -> None:
     """Each bad and odd entry alone among good ones, and all of them together."""
     cases = [[one] for one in BAD + ODD] + [BAD + ODD]
     for entries in cases:
@@ -70,7 +70,7 @@
             assert ListReader().read(text) == parse_listing(json.loads(text))
 
 
-def test_an_entry_that_says_the_same_is_the_same_object() -> None:
+def test_an_unchanged_entry_is_the_same_object() -> None:
     reader = ListReader()
     first = reader.read(line(*map(instance, range(5))))
     again = reader.read(line(instance(2), instance(3, weight=2.0), instance(4)))
@@ -79,7 +79,7 @@
     assert reader.read(line(instance(1))).entries[0] == first.entries[1]
 
 
-def test_what_is_kept_is_bounded_by_the_lists() -> None:
+def test_caches_are_bounded_by_the_size_of_the_lists() -> None:
     reader = ListReader()
     for start in range(0, 200_000, 1000):
         reader.read(line(*map(instance, range(start, start + 1000)), reset=False))
@@ -87,12 +87,12 @@
 
 
 @pytest.mark.parametrize("text", [b"[]", b"5", b"{}", b'{"instances": 5}', b'{"instances": [}'])
-def test_what_is_no_list_is_a_value_error(text: bytes) -> None:
+def test_text_that_is_no_list_raises_value_error(text: bytes) -> None:
     with pytest.raises(ValueError):
         ListReader().read(text)
 
 
-def test_ten_thousand_entries_are_read_and_one_of_a_megabyte_harms_no_other() -> None:
+def test_ten_thousand_entries_and_an_entry_of_a_megabyte_are_read() -> None:
     text = line(*map(instance, range(10_000)))
     assert ObjectSplitter().feed(text) == text and len(text) <= LINE_LIMIT
     assert cpu_seconds(lambda: ListReader().read(text)) <= CPU_FOR_TEN_THOUSAND
@@ -101,7 +101,7 @@
     assert [e.instance for e in ListReader().read(text).entries] == ["s-0", "s-1", "s-2"]
 
 
-def test_a_list_beyond_the_bound_ends_the_watch() -> None:
+def test_a_list_over_the_size_limit_ends_the_watch() -> None:
     with pytest.raises(WatchError):
         ObjectSplitter().feed(line(instance(1, note="x" * LINE_LIMIT)))
 
@@ -115,11 +115,11 @@
         ("[1.2.3.4]:80", "1.2.3.4"),
     ],
 )
-def test_addresses_are_kept_in_one_form(text: str, host: str) -> None:
+def test_addresses_are_normalized(text: str, host: str) -> None:
     assert parse_address(text) == Address(host, 80)
 
 
 @pytest.mark.parametrize("text", ["1.2.3:80", "01.2.3.4:80", "1.2.3.4", "a:80", "1.2.3.4:x", ":80"])
-def test_what_is_no_address_is_a_value_error(text: str) -> None:
+def test_an_invalid_address_raises_value_error(text: str) -> None:
     with pytest.raises(ValueError, match="not an address"):
         parse_address(text)
--- a/tests/violetroute/membership/test_sources.py
+++ b/tests/violetroute/membership/test_sources.py
@@ -1,4 +1,4 @@
-"""Several sources of one list: who speaks, whose drains count, and the file as a source."""
+"""Several sources of the list: selection, removals from all of them, and the file source."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 def merge() -> ListMerger:
-    """Both sources have told the same four nodes; a speaks."""
+    """Both sources have reported the same four nodes; `a` is current."""
     made = ListMerger(("a", "b"), TABLE, 0.0)
     made.apply(0.0, WALL, "a", some(4))
     made.apply(0.0, WALL, "b", some(4))
@@ -68,8 +68,8 @@
     return set(made.entries(WALL))
 
 
-# --- who speaks ---
-def test_a_lower_source_speaks_at_the_start_only_after_the_first_ones_patience() -> None:
+# --- selection ---
+def test_a_lower_source_is_selected_at_the_start_only_after_the_patience_of_the_first() -> None:
     made = ListMerger(("a", "b"), TABLE, 0.0)
     made.apply(1.0, WALL, "b", some(2))
     assert (
@@ -83,12 +83,12 @@
     assert made.current_source == "b"
 
 
-def test_a_silent_speaker_goes_on_for_its_patience_and_comes_back_settled() -> None:
+def test_an_unavailable_source_stays_current_for_its_patience_and_returns_after_settling() -> None:
     made = merge()
     assert made.current_source == "a" and made.next_change_at(0.0) is None
     made.apply(1.0, WALL, "b", whole(*(entry(f"n{n}") for n in (0, 1, 9))))
     made.source_failed(2.0, "a")
-    made.source_failed(5.0, "a")  # asked again in vain: it counts from the first time
+    made.source_failed(5.0, "a")  # another failure: the time counts from the first one
     assert made.next_change_at(5.0) == 12.0
     made.tick(11.9)
     assert made.current_source == "a"
@@ -99,12 +99,12 @@
     made.source_failed(22.0, "a")
     made.apply(23.0, WALL, "a", some(4))
     made.tick(27.9)
-    assert made.current_source == "b"  # it has not been there for five seconds on end
+    assert made.current_source == "b"  # it was not available for five seconds without a break
     made.tick(28.0)
     assert made.current_source == "a"
 
 
-def test_a_higher_source_that_is_back_speaks_at_once_when_the_speaker_is_away() -> None:
+def test_a_recovered_higher_source_is_selected_at_once_if_the_current_one_is_unavailable() -> None:
     made = merge()
     made.source_failed(1.0, "a")
     made.tick(11.0)
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize(("listing", "share"), [(some(1), 0.25), (some(4, 4), 0.0)])
-def test_a_list_of_other_nodes_does_not_follow(listing: Listing, share: float) -> None:
+def test_a_source_that_lists_other_nodes_is_not_selected(listing: Listing, share: float) -> None:
     made = merge()
     made.apply(0.5, WALL, "b", listing)
     made.source_failed(1.0, "a")
@@ -126,7 +126,7 @@
     assert made.current_source == "b" and made.dissimilar is None
 
 
-def test_an_empty_list_is_nobodys() -> None:
+def test_an_empty_list_is_not_selected() -> None:
     made = ListMerger(("a", "b"), TABLE, 0.0)
     made.apply(0.0, WALL, "a", whole())
     made.apply(0.0, WALL, "b", some(2))
@@ -135,21 +135,21 @@
     assert made.current_source == "b"
 
 
-# --- drains and goings ---
+# --- drains and removals ---
 @pytest.mark.parametrize("name", ["n1", "x1"])  # the other source may name it differently
-def test_a_drain_counts_whoever_tells_of_it_until_it_is_taken_back(name: str) -> None:
+def test_a_drain_from_any_source_applies_until_that_source_withdraws_it(name: str) -> None:
     made = merge()
     made.apply(1.0, WALL, "b", Listing(2, False, (entry(name, DRAINING, port=1001),)))
     assert states(made)["n1"] is DRAINING
     made.apply(2.0, WALL, "a", some(4))
-    assert states(made)["n1"] is DRAINING  # the speaker's word does not end it
+    assert states(made)["n1"] is DRAINING  # the current source's list does not end it
     made.source_failed(3.0, "b")
-    assert states(made)["n1"] is DRAINING  # nor its source's silence
+    assert states(made)["n1"] is DRAINING  # nor the failure of its source
     made.apply(4.0, WALL, "b", Listing(3, False, (entry(name, READY, port=1001),)))
     assert states(made)["n1"] is READY
 
 
-def test_a_going_counts_whoever_tells_of_it() -> None:
+def test_a_removal_from_any_source_applies() -> None:
     made = merge()
     made.apply(1.0, WALL, "b", Listing(2, False, (entry("n1", GONE),)))
     assert names(made) == {"n0", "n2", "n3"}
@@ -157,7 +157,7 @@
     assert names(made) == {"n0", "n3"}
 
 
-def test_a_drain_is_kept_when_its_source_no_longer_speaks() -> None:
+def test_a_drain_applies_after_its_source_is_no_longer_current() -> None:
     made = merge()
     made.apply(1.0, WALL, "a", Listing(2, False, (entry("n1", DRAINING),)))
     made.source_failed(2.0, "a")
@@ -165,7 +165,7 @@
     assert made.current_source == "b" and states(made)["n1"] is DRAINING
 
 
-def test_a_later_start_ends_a_drain_but_not_one_that_is_yet_to_come() -> None:
+def test_a_later_start_ends_a_drain_unless_it_is_in_the_future() -> None:
     made = merge()
     made.apply(1.0, WALL, "b", Listing(2, False, (entry("n1", DRAINING),)))
     made.apply(2.0, WALL, "a", Listing(2, False, (entry("n1", started=WALL + 500.0),)))
@@ -173,7 +173,7 @@
     assert states(made, WALL + 600.0)["n1"] is READY
 
 
-def test_a_drain_that_is_told_again_is_one_of_the_later_start() -> None:
+def test_a_repeated_drain_applies_to_the_later_start() -> None:
     made = merge()
     made.apply(1.0, WALL, "b", Listing(2, False, (entry("n1", DRAINING),)))
     made.apply(2.0, WALL, "a", Listing(2, False, (entry("n1", started=WALL + 500.0),)))
@@ -181,14 +181,14 @@
     assert states(made, WALL + 1000.0)["n1"] is DRAINING
 
 
-def test_a_going_by_name_counts_whatever_the_sources_say_of_its_start() -> None:
+def test_a_removal_by_name_applies_whatever_the_reported_start_time() -> None:
     made = merge()
     made.apply(1.0, WALL, "a", Listing(2, False, (entry("n1", started=WALL - 60_000.0),)))
     made.apply(2.0, WALL, "b", Listing(2, False, (entry("n1", GONE),)))
     assert names(made) == {"n0", "n2", "n3"}
 
 
-def test_being_registered_anew_is_no_later_start() -> None:
+def test_a_new_registration_is_no_later_start() -> None:
     made, belief = ListMerger(("a", "b"), TABLE, 0.0), CatalogueState(ConsulTable())
     node = {
         f"n{number}": Instance(f"n{number}", Address("10.0.0.1", 1000 + number), Health.PASSING)
@@ -209,7 +209,7 @@
     assert states(made, WALL + 9000.0)["n1"] is READY
 
 
-def test_who_starts_at_the_address_of_one_that_is_gone_stays() -> None:
+def test_a_node_that_starts_at_a_removed_nodes_address_stays() -> None:
     made = merge()
     made.apply(
         1.0,
@@ -221,24 +221,24 @@
     assert names(made) == {"n0", "n2", "n3", "m1"}
 
 
-def test_a_list_that_loses_most_tells_of_no_single_node() -> None:
+def test_a_list_that_loses_most_nodes_removes_none() -> None:
     made = merge()
     made.apply(1.0, WALL, "b", some(1))
     assert names(made) == {"n0", "n1", "n2", "n3"}
 
 
-def test_a_node_that_is_critical_elsewhere_is_no_plan() -> None:
+def test_a_critical_node_of_another_source_is_no_planned_removal() -> None:
     made = merge()
     made.apply(1.0, WALL, "b", Listing(2, False, (entry("n1", GONE, hint=True),)))
     assert states(made)["n1"] is READY
 
 
-def test_plans_are_bounded_and_the_oldest_make_way() -> None:
+def test_removals_are_bounded_and_the_oldest_are_dropped() -> None:
     made = merge()
     for number in range(MAX_REMOVALS + 5):
         made.apply(1.0, WALL, "b", Listing(2, False, (entry(f"n{number}", GONE),)))
     assert len(made._sources["b"].removals) == MAX_REMOVALS
-    assert names(made) == {"n0", "n1", "n2", "n3"}  # theirs were the first
+    assert names(made) == {"n0", "n1", "n2", "n3"}  # their removals were the oldest
 
 
 Step = st.tuples(
@@ -250,7 +250,7 @@
 
 
 @given(st.lists(Step, max_size=40))
-def test_whatever_is_told_a_drain_holds_and_the_speaker_is_one_that_was_heard(
+def test_in_any_sequence_drains_hold_and_the_current_source_has_reported(
     steps: list[Any],
 ) -> None:
     made, now, heard = ListMerger(("a", "b", "c"), TABLE, 0.0), 0.0, set()
@@ -274,8 +274,8 @@
         assert not ready_entries & set().union(*drains.values())
 
 
-# --- what Consul's watch tells on ---
-def test_a_deregistration_of_a_critical_node_is_told_as_a_plan() -> None:
+# --- reports of Consul's watch ---
+def test_a_deregistration_of_a_critical_node_is_reported_as_planned() -> None:
     belief, pending = CatalogueState(ConsulTable()), PendingUpdates()
 
     def seen(**healths: Health) -> list[Entry]:
@@ -298,8 +298,8 @@
     assert seen(**good) == []
 
 
-# --- the catalogue's endpoint ---
-def test_the_catalogue_is_read_without_checks_and_with_the_drain_tag() -> None:
+# --- the catalog endpoint ---
+def test_the_catalog_endpoint_is_read_without_checks_and_with_the_drain_tag() -> None:
     table = ConsulTable(endpoint="catalog")
     assert BlockingQuery(table).target() == "/v1/catalog/service/cache"
     row = {
@@ -329,7 +329,7 @@
     }
 
 
-def test_an_agents_cache_is_asked_and_its_age_heeded_but_not_for_the_leaders_word() -> None:
+def test_the_agents_cache_is_used_within_its_age_limit_but_not_for_confirmations() -> None:
     query = BlockingQuery(ConsulTable(cached=True, stale_within_s=10.0))
     assert query.target().endswith("?cached") and "cached" not in query.target(confirm=True)
     assert query.check(200, {"age": "10", "x-cache": "HIT"}) is None
@@ -339,7 +339,7 @@
 
 
 # --- on real sockets ---
-def test_consul_the_platform_and_a_file_follow_one_another_under_load(tmp_path: Path) -> None:
+def test_switching_between_consul_platform_and_file_under_load(tmp_path: Path) -> None:
     async def run() -> None:
         catalogue = Catalogue()
         agent = await Consul(catalogue).start()
@@ -392,7 +392,7 @@
             asking = asyncio.create_task(load())
             rig.proxy.reload(replace(rig.config, operator=operator))
             await until(lambda: speaks() == "consul")
-            write(0)  # the lowest tells of a drain
+            write(0)  # the lowest source reports a drain
             await until(lambda: used() == {"s-1", "s-2"})
             await agent.stop()
             await until(lambda: speaks() == "platform")
@@ -402,7 +402,7 @@
             await until(lambda: speaks() == "file")
             write(1)
             await until(lambda: used() == {"s-0", "s-2"})
-            path.write_text("{")  # torn: the last list holds, and it is looked at again
+            path.write_text("{")  # half written: the last list stays, and the file is read again
             await until(lambda: rig.proxy._watch._watch._running.get("file", 1))  # type: ignore[attr-defined]
             write()
             await until(lambda: used() == {"s-0", "s-1", "s-2"})
@@ -419,7 +419,7 @@
     asyncio.run(run())
 
 
-def test_a_file_alone_is_a_source_and_its_mistakes_change_nothing(tmp_path: Path) -> None:
+def test_a_file_is_the_only_source_and_invalid_contents_change_nothing(tmp_path: Path) -> None:
     async def run() -> None:
         nodes = [await CacheNode(serves).start() for _ in range(2)]
         path = tmp_path / "nodes.json"
@@ -435,7 +435,7 @@
                     ),
                 )
             )
-            # At a known address the node keeps the name that it had.
+            # At a known address the node keeps its name.
             await until(lambda: rig.proxy.nodes == [stable_hash(b"s-0")])
             watch = rig.proxy._watch._watch
             for wrong in ("[]", "{", '{"instances": 3}', "x" * (4 * 1024 * 1024 + 1)):
@@ -449,7 +449,7 @@
     asyncio.run(run())
 
 
-def test_a_pipe_in_place_of_the_file_stops_nothing(tmp_path: Path) -> None:
+def test_a_pipe_in_place_of_the_file_does_not_block(tmp_path: Path) -> None:
     async def run() -> None:
         path = tmp_path / "nodes.json"
         os.mkfifo(path)
@@ -470,7 +470,7 @@
     asyncio.run(run())
 
 
-def test_wrong_sources_are_named() -> None:
+def test_invalid_sources_are_reported() -> None:
     for table, said in (
         ({"sources": ["consul"]}, "agents names nobody"),
         ({"sources": ["file"]}, "file names none"),
@@ -490,7 +490,7 @@
     return [(member.id, member.state) for member in change.members]
 
 
-def test_of_two_nodes_at_an_address_the_later_started_is_there() -> None:
+def test_of_two_nodes_at_an_address_the_later_started_has_it() -> None:
     places = NodeAddresses()
     assert places.apply(Member(1, started_at=5.0), HERE).placed
     early = places.apply(Member(2, started_at=4.0), HERE)
@@ -501,7 +501,7 @@
 
 
 @pytest.mark.parametrize("started", [0.0, 4.0, 5.0])
-def test_an_entry_for_the_address_of_a_node_that_drains_is_gone(started: float) -> None:
+def test_an_earlier_started_entry_for_a_draining_nodes_address_is_gone(started: float) -> None:
     places = NodeAddresses()
     drains = places.apply(Member(1, DRAINING, started_at=5.0), HERE)
     assert not drains.placed and 1 in drains.removed
@@ -511,7 +511,7 @@
     assert told(again) == [(3, READY), (1, GONE)] and again.placed
 
 
-def test_a_start_that_is_inferred_settles_nothing_against_a_drain() -> None:
+def test_an_inferred_start_time_does_not_override_a_drain() -> None:
     places = NodeAddresses()
     places.apply(Member(1, started_at=5.0), HERE)
     assert places.apply(Member(2, started_at=9.0), HERE, inferred=True).placed
@@ -521,7 +521,7 @@
     assert places.apply(Member(2, started_at=9.0), HERE).placed
 
 
-def test_a_node_that_moves_or_goes_leaves_its_address() -> None:
+def test_a_node_that_moves_or_is_removed_frees_its_address() -> None:
     places = NodeAddresses()
     places.apply(Member(1), HERE)
     moved = places.apply(Member(1), THERE)
@@ -532,7 +532,7 @@
     assert places.retain([3]) == [2] and places.retain([3]) == []
 
 
-def test_before_anyone_speaks_a_drain_counts_for_the_list_that_holds() -> None:
+def test_before_a_source_is_current_a_drain_applies_to_the_initial_list() -> None:
     made = ListMerger(("a", "b"), TABLE, 0.0)
     made.set_initial_list(some(3).entries)
     made.apply(1.0, WALL, "b", Listing(2, False, (entry("n1", DRAINING), entry("n2", GONE))))
