--- a/tests/violetroute/test_turns_of_lists.py
+++ b/tests/violetroute/test_turns_of_lists.py
@@ -1,7 +1,7 @@
-"""CPU of the turns of the event loop in which a list of 3,200 nodes is taken.
+"""CPU time of the event loop iterations that apply a list of 3,200 nodes.
 
-All requests wait for each turn.  With a tenth of a core 10 ms of CPU are 100 ms for everybody.  The
-least of some rounds counts: other work on the machine makes CPU time longer and never shorter.
+All requests wait for each iteration; with a tenth of a core, 10 ms of CPU delay them by 100 ms.
+The least of several rounds counts, since other work on the machine only ever increases CPU time.
 """
 
 from __future__ import annotations
--- a/tests/violetroute/transport/test_tls.py
+++ b/tests/violetroute/transport/test_tls.py
@@ -19,7 +19,7 @@
 from violetroute.membership import ConsulTable
 from violetroute.transport import Address
 from violetroute.transport.sockets import SocketNetwork
-from violetroute.transport.tls import MAX_HELD, TlsFiles, TlsKeys, TlsStream
+from violetroute.transport.tls import MAX_PENDING_WRITES, TlsFiles, TlsKeys, TlsStream
 
 
 def server(authority: trustme.CA, *names: str, demands: trustme.CA | None = None) -> ssl.SSLContext:
@@ -137,7 +137,7 @@
 
 def test_data_written_before_the_handshake_is_bounded(tmp_path: Path) -> None:
     async def part(stream: TlsStream, owner: Owner) -> None:
-        for _ in range(MAX_HELD // 1000 + 1):
+        for _ in range(MAX_PENDING_WRITES // 1000 + 1):
             stream.write(b"x" * 1000)
         await until(lambda: owner.has("lost"))
         assert "before the handshake" in owner.callbacks[0][1]
--- a/violetroute/logs.py
+++ b/violetroute/logs.py
@@ -250,13 +250,13 @@
         _log.log(definition.level, definition.says, exc_info=error, extra=extra)
 
 
-class _Held:
+class _LineCounter:
     """The lines of one event in the current second, and those suppressed."""
 
-    __slots__ = ("began_at", "count", "held")
+    __slots__ = ("began_at", "count", "suppressed")
 
     def __init__(self) -> None:
-        self.began_at, self.count, self.held = -1.0, 0, 0
+        self.began_at, self.count, self.suppressed = -1.0, 0, 0
 
 
 class Logs(logging.Handler):
@@ -271,7 +271,7 @@
     ) -> None:
         super().__init__()
         self._write, self._clock, self._wall = write, clock, wall
-        self._held: dict[str, _Held] = {}
+        self._counters: dict[str, _LineCounter] = {}
         self._dropped = 0
         self.configure(table)
 
@@ -291,30 +291,30 @@
         fields: dict[str, object] = dict(getattr(record, "fields", ()))
         if name == FOREIGN:
             fields["text"] = record.getMessage()
-        held = self._held.setdefault(name, _Held())
+        counter = self._counters.setdefault(name, _LineCounter())
         now = self._clock()
-        if not 0.0 <= now - held.began_at < 1.0:
-            held.began_at, held.count = now, 0
-        if held.count >= self._table.events.get(name, self._table.per_second):
-            held.held += 1
+        if not 0.0 <= now - counter.began_at < 1.0:
+            counter.began_at, counter.count = now, 0
+        if counter.count >= self._table.events.get(name, self._table.per_second):
+            counter.suppressed += 1
             return
-        held.count += 1
-        if held.held:
-            fields["held_back"], held.held = held.held, 0
+        counter.count += 1
+        if counter.suppressed:
+            fields["held_back"], counter.suppressed = counter.suppressed, 0
         if record.exc_info and record.exc_info[1] is not None:
             fields["trace"] = "".join(traceback.format_exception(record.exc_info[1]))[-MAX_TRACE:]
         if self._dropped:
-            lost, self._dropped = self._dropped, 0
-            if not self._put(logging.WARNING, DROPPED, {"lines": lost}):
-                self._dropped = lost + 1
+            dropped, self._dropped = self._dropped, 0
+            if not self._write_event(logging.WARNING, DROPPED, {"lines": dropped}):
+                self._dropped = dropped + 1
                 return
-        if not self._put(record.levelno, name, fields):
+        if not self._write_event(record.levelno, name, fields):
             self._dropped += 1
 
-    def _put(self, level: int, name: str, fields: dict[str, object]) -> bool:
+    def _write_event(self, level: int, name: str, fields: dict[str, object]) -> bool:
         at = datetime.fromtimestamp(self._wall(), UTC).isoformat(timespec="milliseconds")
         at = at.replace("+00:00", "Z")
-        cut = {key: _bounded(key, value) for key, value in fields.items()}
+        cut = {key: _encodable_field(key, value) for key, value in fields.items()}
         says, word = EVENTS[name].says, logging.getLevelName(level)
         if self._table.format == "json":
             return self._write(
@@ -323,11 +323,11 @@
                 )
                 + b"\n"
             )
-        words = " ".join(f"{key}={_plain(value)}" for key, value in cut.items())
+        words = " ".join(f"{key}={_text_field(value)}" for key, value in cut.items())
         return self._write(f"{at} {word} {name} {says}: {words}\n".encode())
 
 
-def _bounded(key: str, value: object) -> object:
+def _encodable_field(key: str, value: object) -> object:
     """A field's value in a form that JSON and UTF-8 can encode, with bounded text.
 
     File names and error texts can hold lone surrogates, which UTF-8 cannot encode; they are
@@ -349,7 +349,7 @@
     return text.encode("utf-8", "backslashreplace").decode()
 
 
-def _plain(value: object) -> str:
+def _text_field(value: object) -> str:
     """A field's value in a text line, quoted if it holds blanks, quotes, = or unprintables."""
     text = str(value)
     if text and text.isprintable() and not set(text) & set(' "='):
--- a/violetroute/proxy.py
+++ b/violetroute/proxy.py
@@ -285,7 +285,7 @@
             for action in event(self.clock(), *args):
                 self._perform(action)
         except Exception:
-            log_fault("in handling an event")
+            log_fault("while handling an event")
             if request is not None and not request.answered:
                 self._answer(request, FAILED)
 
--- a/violetroute/transport/datagrams.py
+++ b/violetroute/transport/datagrams.py
@@ -59,7 +59,7 @@
                     self._handler.datagram(data, Address(origin[0], origin[1]))
                 except Exception as error:  # must not lose the other datagrams
                     self._loop.call_exception_handler(
-                        {"message": "in taking a datagram", "exception": error}
+                        {"message": "exception in a datagram handler", "exception": error}
                     )
 
     def close(self) -> None:
--- a/violetroute/transport/http_call.py
+++ b/violetroute/transport/http_call.py
@@ -78,7 +78,7 @@
         )
         self._status, self._headers = 0, dict[str, str]()
         self._body = bytearray()
-        self._timer: Any = net.loop.call_later(time_limit, self._finish, "no answer in time")
+        self._timer: Any = net.loop.call_later(time_limit, self._finish, "no response in time")
         self._stream: Stream = (
             TlsStream(net, address, self, time_limit, keys)
             if keys is not None
@@ -112,7 +112,7 @@
             self._http.receive_data(bytes(_shared[:count]))
             self._read()
         except (h11.RemoteProtocolError, ValueError) as error:
-            self._finish(f"no HTTP: {error}")
+            self._finish(f"invalid HTTP response: {error}")
 
     def ended(self) -> None:
         try:
@@ -120,10 +120,10 @@
             self._read()
         except (h11.RemoteProtocolError, ValueError):
             pass
-        self._finish("the answer broke off")
+        self._finish("the response ended early")
 
     def lost(self, error: OSError | None) -> None:
-        self._finish(str(error or "the connection is gone"))
+        self._finish(str(error or "connection closed"))
 
     def drained(self) -> None:
         pass
@@ -139,7 +139,7 @@
                 case h11.Data(data=data):
                     self._body += data
                     if len(self._body) > self._max_body:
-                        raise ValueError("the answer is too large")
+                        raise ValueError("the response body is too large")
                 case h11.EndOfMessage():
                     self._finish("", whole=True)
                 case h11.NEED_DATA | h11.PAUSED | h11.ConnectionClosed():
--- a/violetroute/transport/stream.py
+++ b/violetroute/transport/stream.py
@@ -330,6 +330,6 @@
 
     def _fault(self, error: Exception) -> None:
         self._loop.call_exception_handler(
-            {"message": "fault in the handler of a stream", "exception": error}
+            {"message": "exception in a stream handler", "exception": error}
         )
         self.abort()
--- a/violetroute/transport/tls.py
+++ b/violetroute/transport/tls.py
@@ -21,7 +21,7 @@
 from .interfaces import Data, Handler, Network, Stream
 
 READ_SIZE = 16 * 1024
-MAX_HELD = 256 * 1024  # bytes of data written before the handshake is done
+MAX_PENDING_WRITES = 256 * 1024  # bytes of data written before the handshake is done
 
 _shared = memoryview(bytearray(READ_SIZE))
 
@@ -101,7 +101,7 @@
     """A TLS client connection: a Stream to its owner, and the Handler of the TCP stream below.
 
     `opened` is called once the peer is verified; connect and handshake together have `time_limit`
-    seconds.  Data written before, up to MAX_HELD bytes, is sent then.
+    seconds.  Data written before, up to MAX_PENDING_WRITES bytes, is sent then.
     """
 
     def __init__(
@@ -109,11 +109,11 @@
     ) -> None:
         self._handler, self._loop = handler, net.loop
         self._in, self._out = ssl.MemoryBIO(), ssl.MemoryBIO()
-        self._up = self._lost_reported = self._ended = self._paused = False
+        self._handshake_done = self._lost_reported = self._ended = self._paused = False
         self._error: OSError | None = None
-        self._held: deque[bytes] = deque()
+        self._pending_writes: deque[bytes] = deque()
         self.closing = False
-        self._limit: asyncio.TimerHandle | None = None
+        self._handshake_timer: asyncio.TimerHandle | None = None
         self._tls: ssl.SSLObject | None = None
         try:
             self._tls = keys.context().wrap_bio(
@@ -125,7 +125,7 @@
         if self._tls is None:
             self._lower.abort()
         else:
-            self._limit = self._loop.call_later(time_limit, self._handshake_timed_out)
+            self._handshake_timer = self._loop.call_later(time_limit, self._handshake_timed_out)
 
     # --- as a Stream ---
     @property
@@ -134,23 +134,23 @@
 
     @descriptor.setter
     def descriptor(self, value: int) -> None:
-        raise AttributeError("the stream below has it")
+        raise AttributeError("read-only: it belongs to the lower stream")
 
     @property
     def unsent(self) -> int:
-        return self._lower.unsent + sum(map(len, self._held))
+        return self._lower.unsent + sum(map(len, self._pending_writes))
 
     @unsent.setter
     def unsent(self, value: int) -> None:
-        raise AttributeError("the stream below has it")
+        raise AttributeError("read-only: it belongs to the lower stream")
 
     def write(self, data: Data) -> bool:
         if self.closing:
             return False
-        if not self._up:
-            self._held.append(bytes(data))
-            if self.unsent > MAX_HELD:
-                self._fail(OSError("too much written before the handshake"))
+        if not self._handshake_done:
+            self._pending_writes.append(bytes(data))
+            if self.unsent > MAX_PENDING_WRITES:
+                self._fail(OSError("too much data written before the handshake"))
             return False
         assert self._tls is not None
         try:
@@ -180,7 +180,7 @@
 
     def end(self) -> None:
         """Send the TLS close_notify, and half-close the stream below."""
-        if self._up and not self.closing and self._tls is not None:
+        if self._handshake_done and not self.closing and self._tls is not None:
             with contextlib.suppress(ssl.SSLError):  # the peer's close_notify has not arrived yet
                 self._tls.unwrap()
             self._flush()
@@ -195,7 +195,7 @@
         self._lower.abort(discard)
 
     def delivered(self) -> bool:
-        return not self._held and self._lower.delivered()
+        return not self._pending_writes and self._lower.delivered()
 
     def no_pending_input(self) -> bool:
         return not self._in.pending and self._lower.no_pending_input()
@@ -212,20 +212,20 @@
 
     def received(self, count: int) -> None:
         self._in.write(_shared[:count])
-        if not self._up:
+        if not self._handshake_done:
             self._handshake()
-        if self._up:
+        if self._handshake_done:
             self._read()
 
     def ended(self) -> None:
         self._in.write_eof()
-        if not self._up:
-            self._fail(OSError("ended in the midst of the handshake"))
+        if not self._handshake_done:
+            self._fail(OSError("connection closed during the TLS handshake"))
         else:
             self._read()  # reports the end after the remaining data, also after a pause
 
     def drained(self) -> None:
-        if self._up:
+        if self._handshake_done:
             self._handler.drained()
 
     def lost(self, error: OSError | None) -> None:
@@ -247,18 +247,18 @@
             self._flush()  # sends the TLS alert
             self._fail(error)
             return
-        self._up = True
-        if self._limit is not None:
-            self._limit.cancel()
+        self._handshake_done = True
+        if self._handshake_timer is not None:
+            self._handshake_timer.cancel()
         self._flush()
-        held, self._held = self._held, deque()
+        pending, self._pending_writes = self._pending_writes, deque()
         self._handler.opened()
-        for data in held:
+        for data in pending:
             self.write(data)
 
     def _read(self) -> None:
         """Pass decrypted data to the owner."""
-        while self._up and not self.closing and not self._paused and not self._ended:
+        while self._handshake_done and not self.closing and not self._paused and not self._ended:
             assert self._tls is not None
             buffer = self._handler.buffer()
             try:
@@ -293,7 +293,7 @@
         return not self._lower.unsent
 
     def _handshake_timed_out(self) -> None:
-        self._fail(OSError("no handshake in time"))
+        self._fail(OSError("TLS handshake timed out"))
 
     def _fail(self, error: OSError) -> None:
         self._error = self._error or error
@@ -301,7 +301,7 @@
 
     def _mark_closed(self) -> None:
         self.closing = True
-        self._held.clear()
-        if self._limit is not None:
-            self._limit.cancel()
-            self._limit = None
+        self._pending_writes.clear()
+        if self._handshake_timer is not None:
+            self._handshake_timer.cancel()
+            self._handshake_timer = None
