--- a/tests/violetroute/sharing/test_sharing_digest.py
+++ b/tests/violetroute/sharing/test_sharing_digest.py
@@ -185,6 +185,6 @@
         for data in sent
         if (envelope := keys.open(data)) is not None
     ]
-    assert len(kinds) == len(sent) and all(len(data) <= wire.MAX_DATAGRAM_BYTES for data in sent)
+    assert len(kinds) == len(sent) and all(len(data) <= wire.MAX_DATAGRAM for data in sent)
     assert kinds[0] == {Compare} and kinds[-1] == {wire.Ping, Compare, Rumor}
     assert kinds[1:-1] and all(kind == {BucketMembers} for kind in kinds[1:-1])
--- a/violetroute/sharing/anti_entropy.py
+++ b/violetroute/sharing/anti_entropy.py
@@ -1,28 +1,28 @@
 """Anti-entropy: two members compare their lists by digests and exchange what differs.  Pure.
 
-Rumors tell of changes while they are new.  Who missed them, or has just started, learns the rest
-here, as in Demers et al., "Epidemic Algorithms for Replicated Database Maintenance" (1987).
+Rumors spread changes while they are new.  A member that missed them, or has just started, learns
+the rest here; see Demers et al., "Epidemic Algorithms for Replicated Database Maintenance" (1987).
 
-    asker -> peer   Compare         the digest of my whole list
-    peer -> asker   Digests         the digest of mine; where it differs, those of its buckets
-    asker -> peer   BucketRequest   the hashes that I hold of one bucket that differs
-    peer -> asker   BucketMembers   the members that you lack, the hashes that I lack (push-pull)
-    asker -> peer   BucketMembers   the members of these hashes
+    requester -> peer   Compare         the digest of the requester's whole list
+    peer -> requester   Digests         the peer's digest; if it differs, those of its buckets
+    requester -> peer   BucketRequest   the hashes that the requester has of one differing bucket
+    peer -> requester   BucketMembers   missing members, and hashes that the peer lacks (push-pull)
+    requester -> peer   BucketMembers   the members of these hashes
 
-An answer names its query by number.  Who answers keeps no state.  An answer that is lost is
-asked for again, from another member, with a backoff; one that comes late or twice brings facts that
-are merged by incarnation as any rumor is, and nothing follows from it.  What is still missing after
-an exchange shows in the next comparison.
+An answer carries the number of its request.  The peer keeps no state.  If an answer is lost, the
+request is repeated to another member, with backoff.  A late or duplicate answer is harmless: its
+members are merged by incarnation as rumors are.  What is still missing after an exchange shows in
+the next comparison.
 
-A member that one side knows to be over is not taken up again: the other side is told of it.  While
-an exchange brings nothing new, the time until the next comparison doubles.
+An entry of a member that is known to be dead or gone is not merged; the sender gets a rumor of it.
+While exchanges bring nothing new, the interval between comparisons doubles.
 
-Bounds: one comparison and one exchange at a time, WINDOW questions of it open, BUCKETS_MOST that
-wait, each asked TRIES times.  SENT_BYTES_S for all that is sent, ASKED_BYTES_S for the answers that
-are asked for: a whole fleet that restarts at once exchanges SENT_BYTES_S a member.
+Bounds: one comparison and one exchange at a time, WINDOW open requests in it, MAX_BUCKETS waiting,
+MAX_ATTEMPTS for each.  SENT_BYTES_S for all that is sent, REQUESTED_BYTES_S for requested answers:
+if a whole fleet restarts at once, each member sends SENT_BYTES_S.
 
-A build before this one does not answer `Compare`.  After OLD_AFTER comparisons in a row without an
-answer, a page of the list is asked for beside each next one, as that build does.
+Builds before this one do not answer `Compare`.  After LEGACY_AFTER unanswered comparisons in a row,
+each further one also requests a page of the member list, which those builds answer.
 """
 
 from __future__ import annotations
@@ -57,39 +57,39 @@
     encode_item,
 )
 
-COMPARE_INTERVAL_S = 10.0  # s between two comparisons, on average
-COMPARE_SOON_S = 1.0  # s, after an exchange that brought something new
-MAX_COMPARE_INTERVAL_S = 80.0  # s, after several that brought nothing
-ANSWER_TIMEOUT_S = 1.0  # s until a query counts as not answered
-BACKOFF_S, MAX_BACKOFF_S = 0.25, 2.0  # s without questions after one that was not answered
-WINDOW = 4  # questions for buckets that are open
-MAX_ATTEMPTS = 4  # for one bucket in one exchange
-SENT_BYTES_S = 2048.0  # of questions and answers; the rest of the allowance is others'
-REQUESTED_BYTES_S = 4096.0  # of answers: a newcomer to 2,600 asks for about 150 KB
-BURST_S = 2.0  # s of these rates that may go at once
-DATAGRAM_BYTES = 160  # beside its items, with the headers of UDP and IP
-OVERHEAD_SHARE = 0.15  # of its bytes that an item adds to that, for what needs further datagrams
-ITEM_BYTES = 480  # of members in one item: two fit in a datagram, one also with the longest names
-ANSWER_BYTES = 2000  # of one answer; what is beyond is asked for again
-MAX_COARSENESS = 8  # buckets of ours that one of another's may be: work is bounded by that
-FAR_BEHIND = 2  # who knows fewer than one in so many of another's members is a newcomer
-LEGACY_AFTER = 3  # comparisons in a row without an answer: these may be older builds
-PAGE_S = 10.0  # s at most between two walks through the pages of an older build
-PAGE_MEMBERS_BASE = 50  # members; for more the walks are rarer
+COMPARE_INTERVAL_S = 10.0  # between two comparisons, on average
+COMPARE_SOON_S = 1.0  # after an exchange that found differences
+MAX_COMPARE_INTERVAL_S = 80.0  # after several exchanges without differences
+ANSWER_TIMEOUT_S = 1.0  # of a request
+BACKOFF_S, MAX_BACKOFF_S = 0.25, 2.0  # pause after an unanswered request: first, longest
+WINDOW = 4  # open bucket requests
+MAX_ATTEMPTS = 4  # of requests for one bucket in one exchange
+SENT_BYTES_S = 2048.0  # bytes/s of requests and answers sent; other traffic needs the rest
+REQUESTED_BYTES_S = 4096.0  # bytes/s of answers; a new member of 2,600 needs about 150 KB
+BURST_S = 2.0  # seconds of these rates that may be used at once
+DATAGRAM_BYTES = 160  # overhead of a datagram without items, with UDP and IP headers
+OVERHEAD_SHARE = 0.15  # of the bytes of items, for the overhead of further datagrams
+ITEM_BYTES = 480  # of members in an item: two fit a datagram, one does with the longest names
+ANSWER_BYTES = 2000  # of one answer; the rest is requested again
+MAX_COARSENESS = 8  # own buckets in one bucket of a peer; bounds the work of an answer
+FAR_BEHIND = 2  # a list shorter than 1/FAR_BEHIND of the peer's belongs to a new member
+LEGACY_AFTER = 3  # unanswered comparisons in a row; the peers may be older builds
+PAGE_S = 10.0  # longest interval between two page walks in a small fleet
+PAGE_MEMBERS_BASE = 50  # members that add PAGE_S to that interval
 
 
 @dataclass(slots=True)
 class Comparison:
-    """A comparison that is not answered yet."""
+    """A comparison without an answer yet; `until`: s, its timeout."""
 
-    peer: str  # "": whoever is at a seed's address
+    peer: str  # "": unknown member at a seed's address
     number: int
     until: float
 
 
 @dataclass(slots=True)
 class BucketQuery:
-    """One bucket that is asked for."""
+    """One bucket to request; `until`: s, the timeout of the open request."""
 
     index: int
     attempts: int = 0
@@ -98,18 +98,18 @@
 
 @dataclass(slots=True)
 class Exchange:
-    """What differed from one peer's list, and is asked for bucket by bucket."""
+    """The buckets that differ from one peer's list, and their requests."""
 
     peer: str
-    any_peer: bool  # whether others are asked too: all know more than a newcomer
+    any_peer: bool  # a new member may request from all peers: all know more than it does
     buckets: int
     waiting: list[BucketQuery]
-    open: dict[int, BucketQuery] = field(default_factory=dict)  # by number
+    open: dict[int, BucketQuery] = field(default_factory=dict)  # by request number
     found_differences: bool = False
 
 
 class AntiEntropy:
-    """One member's part.  `now`: s, in every call."""
+    """Anti-entropy of one member.  `now`: s, in every call."""
 
     def __init__(
         self,
@@ -119,7 +119,7 @@
         random: Random,
         now: float,
     ) -> None:
-        """`own`: the process that is listed under this name; `take`: another's word of one."""
+        """`own`: the process that holds this name; `take`: applies a rumor from a peer."""
         self._members, self._digests = members, members.digests
         self._own_rumor, self._apply_rumor, self._random = own, take, random
         self.compare_at = now + COMPARE_INTERVAL_S * random.random()
@@ -127,18 +127,18 @@
         self._number = random.getrandbits(30)
         self._comparison: Comparison | None = None
         self._exchange: Exchange | None = None
-        self._unanswered = 0  # comparisons in a row
-        self._page_at = -math.inf  # before it no older build's query is sent
+        self._unanswered = 0  # comparisons in a row without an answer
+        self._page_at = -math.inf  # earliest time of the next legacy page request
         self._backoff, self._backoff_until = BACKOFF_S, -math.inf
         self._sent_pacer = BytePacer(SENT_BYTES_S, BURST_S, now)
         self._last_sent_to: tuple[float, str] | None = (
-            None  # when and to whom the last datagram went
+            None  # time and receiver of the last datagram
         )
         self._requested_pacer = BytePacer(REQUESTED_BYTES_S, BURST_S, now)
 
-    # --- time ---
+    # --- requests ---
     def tick(self, now: float) -> list[Send]:
-        """What is to be asked by now."""
+        """Expire open requests; the comparisons and bucket requests to send now."""
         self._expire(now)
         if self._exchange is not None:
             return self._request_buckets(now)
@@ -147,7 +147,7 @@
         return []
 
     def greeting(self, now: float) -> tuple[Item, ...]:
-        """A comparison for whoever is at a seed's address, unless another one is open."""
+        """A comparison with the unknown member at a seed's address, unless one is open."""
         busy = self._comparison is not None or self._exchange is not None
         return () if busy else (self._compare(now, ""),)
 
@@ -156,7 +156,7 @@
         return Send(peer, "", (self._compare(now, peer), *self._legacy_page_request(now)))
 
     def _legacy_page_request(self, now: float) -> tuple[Item, ...]:
-        """The query of an older build, where members seem to be of it."""
+        """The page request of older builds, if the peers seem to run one."""
         if self._unanswered < LEGACY_AFTER or now < self._page_at:
             return ()
         names = self._members.up.names()
@@ -173,10 +173,10 @@
         return compare
 
     def _expire(self, now: float) -> None:
-        check = self._comparison
-        if check is not None and now >= check.until:
+        comparison = self._comparison
+        if comparison is not None and now >= comparison.until:
             self._comparison = None
-            if check.peer:
+            if comparison.peer:
                 self._comparison_timed_out(now)
         exchange = self._exchange
         if exchange is None:
@@ -234,7 +234,7 @@
         self._interval = min(MAX_COMPARE_INTERVAL_S, 2.0 * self._interval)
 
     def _charge(self, now: float, to: str, items: tuple[Item, ...]) -> None:
-        """Count what is sent; what goes to one member at one time shares a datagram."""
+        """Charge sent bytes; items to one member at one time share a datagram."""
         shares, self._last_sent_to = self._last_sent_to == (now, to), (now, to)
         self._sent_pacer.spend(now, _size(items) + (0.0 if shares else DATAGRAM_BYTES))
 
@@ -245,9 +245,9 @@
         self._number += 1
         return self._number
 
-    # --- what comes ---
+    # --- incoming items ---
     def receive(self, now: float, name: str, place: str, item: Item) -> list[Send]:
-        """An item of anti-entropy.  Answers go to the name, or to the place of a stranger."""
+        """Handle an item.  Answers go to the member, or to the address of an unknown sender."""
         match item:
             case Compare():
                 return [Send(name, place, (self._digests_for(now, name or place, item),))]
@@ -261,7 +261,7 @@
         return []
 
     def _digests_for(self, now: float, to: str, compare: Compare) -> Digests:
-        """Without those of buckets where nothing differs, or no bytes are left for now."""
+        """The answer to `Compare`; bucket digests only if lists differ and the rate allows."""
         digests = b""
         if compare.whole != self._digests.whole and self._sent_pacer.allows(now):
             larger = max(compare.count, self._digests.count)
@@ -271,8 +271,8 @@
         return answer
 
     def _handle_digests(self, now: float, name: str, item: Digests) -> list[Send]:
-        check = self._comparison
-        if check is None or check.number != item.number:
+        comparison = self._comparison
+        if comparison is None or comparison.number != item.number:
             return []
         self._comparison, self._unanswered = None, 0
         if item.whole == self._digests.whole:
@@ -283,7 +283,7 @@
         if item.count * FAR_BEHIND < self._digests.count or not self._is_usable_bucket_count(
             buckets
         ):
-            # A newcomer asks for itself; one without bytes left is not asked further.
+            # A new member requests on its own; without digests there is nothing to request.
             self.compare_at = now + COMPARE_SOON_S * self._jitter()
             return []
         indexes = differing(
@@ -296,12 +296,12 @@
         return self._request_buckets(now)
 
     def _is_usable_bucket_count(self, buckets: int) -> bool:
-        """Whether it makes sense to divide our list into so many buckets."""
+        """Whether this number is valid and not too coarse for the own list."""
         fine_enough = buckets * MAX_COARSENESS >= bucket_count(self._digests.count)
         return is_bucket_count(buckets) and fine_enough
 
     def _missing_members(self, now: float, to: str, item: BucketRequest) -> tuple[Item, ...]:
-        """The members of a bucket that the asker does not hold, and the hashes that we don't."""
+        """The members of a bucket that the requester lacks, and the hashes that we lack."""
         if not self._is_usable_bucket_count(item.buckets) or item.index >= item.buckets:
             return ()
         if not self._sent_pacer.allows(now):
@@ -318,7 +318,7 @@
     def _items(
         self, names: list[str], number: int, buckets: int, index: int, wanted: bytes = b""
     ) -> tuple[Item, ...]:
-        """Items that carry these members, as many as ANSWER_BYTES hold; one at least."""
+        """Items with these members, up to ANSWER_BYTES; at least one item."""
         parts: list[list[MemberEntry]] = [[]]
         free, total = ITEM_BYTES - len(wanted), 0
         for name in names:
@@ -339,7 +339,7 @@
         return entry_of(self._own_rumor() if member is None else member)
 
     def _merge(self, entry: MemberEntry, now: float) -> Rumor | None:
-        """Take another's word that a member is up; the answer to it if that is known to be over."""
+        """Merge an entry of a peer; a rumor for the peer if the member is dead or has left."""
         known = self._members.members.get(entry.name)
         if known is not None and known.has_ended(entry):
             return known.correction(self._own_rumor().name)
@@ -363,7 +363,7 @@
         return out + self._push(now, name, place, item) + self._request_buckets(now)
 
     def _push(self, now: float, name: str, place: str, item: BucketMembers) -> list[Send]:
-        """The members that the other side said it lacks."""
+        """Send the members that the peer lacks."""
         here = self._digests.members(item.buckets, item.index) if item.wanted else {}
         names = [here[value] for value in unpack_short(item.wanted) if value in here]
         if not names or not self._sent_pacer.allows(now):
@@ -374,5 +374,5 @@
 
 
 def _size(items: tuple[Item, ...]) -> float:
-    """Bytes that these items take, with what they need of further datagrams."""
+    """Bytes of these items, with their share of datagram overhead."""
     return (1.0 + OVERHEAD_SHARE) * sum(len(encode_item(item)) for item in items)
--- a/violetroute/sharing/budget.py
+++ b/violetroute/sharing/budget.py
@@ -1,17 +1,18 @@
-"""What one life spends of one budget, whom it asks for more, and what it gives back.  Pure.
+"""Spending of one budget in one process, and when it requests and returns loans.  Pure.
 
-A bucket is filled by the authority at hand (`loans`).  It holds `burst_s` of it and one request at
-least, so in any window of t seconds the fleet spends at most
+A token bucket is filled at the rate of the current authority (`loans`).  It holds `burst_s` of that
+rate, and at least one request.  So in any window of t seconds the fleet spends at most
 
     budget * t + the sum over its proxies of max(1, burst_s * authority)
 
-which for even parts is budget * (t + burst_s), or a request a proxy where the parts are that small.
-A process that is stopped between taking a token and sending does so later: as many requests as one
-turn of its loop had taken on.
+which for equal parts is budget * (t + burst_s), or one request a proxy if the parts are that small.
+A process that is stopped between taking a token and sending sends later: at most as many requests
+as one turn of its event loop has admitted.
 
-Whom to ask: those who said lately that they have something to spare, the most first, then others
-by random; few at once, fewer the longer nobody has any.  Demand is what was asked of this
-proxy, let in or not, so that a need shows before it is met.
+Loans are requested first from members that recently reported spare capacity, the greatest first,
+then from random members.  A tick sends few requests, and the interval between rounds grows while
+nobody has spare capacity.  Demand counts all requests that reach this proxy, admitted or not, so
+that a lack shows before it is met.
 """
 
 from __future__ import annotations
@@ -23,24 +24,26 @@
 
 from .loans import MIN_LOAN, Loans, LoanTerms
 
-UNITS_PER_REQUEST = 1000  # thousandths of a request
-DEMAND_WINDOW_S = 1.0  # over which demand is averaged
-HEADROOM_FACTOR = 1.3  # times its demand that a proxy wants to have, and keeps when it lends
-RETURN_FACTOR = 2.0  # times: a borrower beyond that gives back
-MAX_REQUESTS_PER_TICK = 8  # asks that one tick sends
-ANSWER_TIMEOUT_S = 0.4  # s for an answer
-MAX_REQUEST_INTERVAL_S = 1.0  # s between two rounds of asking while nobody has any
-REOPEN_S = 5.0  # s without a request turned away after which a budget counts as open
-MAX_SPARE_AGE_S = 5.0  # s for which another's word of what it has to spare is believed
+UNITS_PER_REQUEST = 1000  # amounts are in thousandths of a request
+DEMAND_WINDOW_S = 1.0  # time constant of the exponential average of demand
+HEADROOM_FACTOR = 1.3  # a proxy wants this times its demand, and keeps it when it lends
+RETURN_FACTOR = 2.0  # a borrower returns what exceeds this times its demand
+MAX_REQUESTS_PER_TICK = 8  # loan requests
+ANSWER_TIMEOUT_S = 0.4  # of a loan request
+MAX_REQUEST_INTERVAL_S = 1.0  # between two rounds of requests without a loan
+REOPEN_S = 5.0  # without a rejected request, until a budget is no longer logged as exhausted
+MAX_SPARE_AGE_S = 5.0  # older reports of spare capacity are ignored
 
 
 class RandomSource(Protocol):
+    """`random.Random`, or a test's replacement."""
+
     def random(self) -> float: ...
 
 
 @dataclass(frozen=True, slots=True)
 class RequestLoan:
-    """To be sent to that member."""
+    """Send a loan request to a member; `amount` in thousandths of a request a second."""
 
     to: str
     number: int
@@ -49,12 +52,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReturnLoan:
+    """Tell a lender that its loans up to `number` are given up."""
+
     to: str
     number: int
 
 
 class Budget:
-    """`per_s`: of the whole fleet, `proxies` of it at most.  `burst_s`: what a bucket holds."""
+    """One budget in one process.  `now`: s, in every call."""
 
     def __init__(
         self,
@@ -66,23 +71,23 @@
         now: float,
         random: RandomSource,
     ) -> None:
+        """`per_s`: of the whole fleet; `proxies`: its maximal size; `burst_s`: size of a bucket."""
         self.name, self._terms, self._random, self.burst_s = name, terms, random, burst_s
         self.loans = Loans(home_part(per_s, proxies), terms, now)
         self._level = 0.0  # thousandths of a request that may be spent at once
         self._filled_at = now
         self._demand, self._demand_at = 0.0, now  # requests, decayed over DEMAND_WINDOW_S
         self._spare_reports: dict[str, tuple[int, float]] = {}
-        self._recent_requests: dict[
-            str, tuple[int, float]
-        ] = {}  # by life: what it asks for, and when
+        # Amount and time (s) of the last loan request, by the borrower's life.
+        self._recent_requests: dict[str, tuple[int, float]] = {}
         self._next_request_at, self._request_interval = now, ANSWER_TIMEOUT_S / 4.0
         self.admitted = self.rejected = 0
-        self.exhausted = False  # requests are turned away, as it was told last
+        self.exhausted = False  # as logged last
         self._rejected_at = -math.inf
 
     # --- spending ---
     def spend(self, now: float) -> bool:
-        """One request wants to be let in."""
+        """Count one request; True if it is admitted, which takes a token."""
         self._decay(now)
         self._demand += 1.0
         self._fill(now)
@@ -95,26 +100,27 @@
         return True
 
     def exhaustion_changed(self, now: float) -> bool:
-        """Whether `shut` has changed: shut by the first that is turned away, open after a while.
+        """Update `exhausted` and return whether it changed, for the log.
 
-        Once a state, not once a request: at its bound a budget goes to and fro many times a second.
+        A rejected request sets it; REOPEN_S without one clears it.  At its limit a budget rejects
+        and admits many times a second, which must not be logged each time.
         """
         exhausted = now - self._rejected_at < REOPEN_S
         changed, self.exhausted = exhausted != self.exhausted, exhausted
         return changed
 
     def refund(self) -> None:
-        """What was let in was not, for another budget's sake."""
+        """Undo `spend`, since another budget rejects the request."""
         self._level += UNITS_PER_REQUEST
         self.admitted -= 1
 
     def wait_s(self, now: float) -> float:
-        """Seconds until a request that is turned away now would find what it needs."""
+        """Seconds until there is a token for a request that is rejected now."""
         rate = max(self.loans.authority(now), 1)
         return max(0.0, UNITS_PER_REQUEST - self._level) / rate
 
     def demand(self, now: float) -> float:
-        """Requests a second that were asked of this proxy lately."""
+        """Recent requests a second at this proxy, admitted or rejected."""
         self._decay(now)
         return self._demand / DEMAND_WINDOW_S
 
@@ -124,7 +130,7 @@
             self._demand_at = now
 
     def _fill(self, now: float) -> None:
-        """Before anything changes what may be spent: what it was so far is counted so far."""
+        """Add the tokens accrued so far; must run before any change of the authority."""
         if now <= self._filled_at:
             return
         since, self._filled_at = self._filled_at, now
@@ -133,18 +139,18 @@
         self._level = min(most, max(0.0, self._level + self.loans.accrued(since, now, lent)))
 
     def _wanted(self, now: float, times: float = HEADROOM_FACTOR) -> int:
-        """Thousandths that its own requests are worth; a trickle wants nothing of others."""
+        """Authority wanted for the own demand; 0 for a trickle, which is not worth a loan."""
         demand = self.demand(now)
         return int(demand * times * UNITS_PER_REQUEST) if demand >= 0.05 else 0
 
     # --- lending ---
     def spare(self, now: float) -> int:
-        """What others may be told that they can ask for."""
+        """Amount to report to other members as spare; 0 if it is too small for a loan."""
         spare = self.loans.spare(now, self._wanted(now))
         return spare if spare >= MIN_LOAN else 0
 
     def grant(self, now: float, borrower: str, number: int, amount: int) -> int:
-        """What that life is lent."""
+        """Answer a loan request: the amount lent, at most a fair share of what all request."""
         self._fill(now)
         self._recent_requests = {
             life: (most, at)
@@ -159,27 +165,28 @@
         return self.loans.grant(now, borrower, number, min(amount, fair), need)
 
     def accept_return(self, now: float, borrower: str, number: int) -> None:
+        """End the loans of a borrower's process up to `number`."""
         self._fill(now)
         self._recent_requests.pop(borrower, None)
         self.loans.accept_return(now, borrower, number)
 
     # --- borrowing ---
     def record_spare(self, now: float, member: str, spare: int) -> None:
-        """A member says what it has to spare."""
+        """Record a member's report of spare capacity; may bring the next request forward."""
         self._spare_reports[member] = spare, now
         if spare >= MIN_LOAN:
             self._next_request_at = min(self._next_request_at, now)
 
     def forget_member(self, member: str) -> None:
-        """It is there no more: what it said counts for nothing."""
+        """Forget the report of a member that is dead or has left."""
         self._spare_reports.pop(member, None)
 
     def accept_grant(self, now: float, lender: str, number: int, amount: int) -> ReturnLoan | None:
-        """An answer; what is to be told the lender if it came too late to be believed."""
+        """Take a lender's answer; the return to send if it came too late."""
         self._fill(now)
         before = self.loans.borrowed_total(now)
         if self.loans.accept_grant(now, lender, number, amount):
-            self._spare_reports.pop(lender, None)  # this was it
+            self._spare_reports.pop(lender, None)  # the report is used up
             if self.loans.borrowed_total(now) > before:
                 self._request_interval = ANSWER_TIMEOUT_S / 4.0
             return None
@@ -187,14 +194,14 @@
         return ReturnLoan(lender, number) if number else None
 
     def tick(self, now: float, members: Sequence[str]) -> list[RequestLoan | ReturnLoan]:
-        """What is to be sent now.  `members`: those that are up, without this one."""
+        """Loan requests and returns to send now.  `members`: the other members that are up."""
         self._fill(now)
         loans = self.loans
         loans.drop_overdue(now, ANSWER_TIMEOUT_S)
         actions: list[RequestLoan | ReturnLoan] = []
         if loans.suspended:
             return actions
-        # Who has lent of its home part gets it back by lending less, not by asking others.
+        # No lack: a lent part of the home part comes back, since its renewal is not granted.
         lack = self._wanted(now) - max(loans.authority(now), loans.home)
         actions += self._renew(now)
         if lack < 0:
@@ -205,7 +212,7 @@
         return actions
 
     def _renew(self, now: float) -> list[RequestLoan | ReturnLoan]:
-        """Loans that are half over: asked for anew while there is a use for them."""
+        """Renew loans at half their time, as far as their amount is still wanted."""
         due = self.loans.due_for_renewal(now)
         if not due:
             return []
@@ -232,7 +239,7 @@
         known.sort(key=lambda at: (-at[0], at[1]))
         there = set(members)
         order = [name for _, name in known if name in there]
-        # A fleet that all knows of one with something to spare must not ask it alone.
+        # If all proxies know only one lender, they must not all request from it alone.
         order += (
             [
                 members[int(self._random.random() * len(members))]
@@ -248,7 +255,7 @@
                 break
             if self.loans.awaits_answer(name):
                 continue
-            # What stands is asked for again with it: the answer takes its place.
+            # The new loan replaces an active one of this lender, so it includes its amount.
             number = self.loans.new_request(now, name)
             if number:
                 amount = lack + held.get(name, 0)
@@ -259,7 +266,7 @@
         return actions
 
     def _give_back(self, now: float) -> list[RequestLoan | ReturnLoan]:
-        """Loans that are not needed, the least first, while enough is left."""
+        """Return the smallest loans while RETURN_FACTOR times the demand is left."""
         actions: list[RequestLoan | ReturnLoan] = []
         surplus = self.loans.authority(now) - self._wanted(now, RETURN_FACTOR)
         for lender, amount, _ in sorted(
@@ -273,19 +280,19 @@
 
     # --- the fleet ---
     def set_suspended(self, on: bool, now: float) -> None:
-        """Another process of our name is there, or is gone."""
+        """Suspend while another process has our name: no authority and an empty bucket."""
         if on != self.loans.suspended:
             self._fill(now)
             self.loans.set_suspended(on, now)
             self._level = 0.0
 
     def resize(self, per_s: float, proxies: int, now: float) -> None:
-        """By new settings, or where more proxies are heard of than the settings know."""
+        """Change the rate, or the number of proxies if more are known than configured."""
         self._fill(now)
         self.loans.resize(home_part(per_s, proxies), now)
 
     def return_all(self, now: float) -> list[ReturnLoan]:
-        """The process ends: what it holds goes back."""
+        """Give up all borrowed loans; the returns to send."""
         self._fill(now)
         return [
             ReturnLoan(lender, self.loans.give_back(lender))
@@ -294,7 +301,7 @@
 
 
 def fair_share(pot: int, wants: Sequence[int]) -> int:
-    """What each may have at most, so that who wants less has it all and the others as much."""
+    """Max-min fairness: the maximum for each, so that smaller wants are met in full."""
     left = len(wants)
     for want in sorted(wants):
         if want * left >= pot:
@@ -304,5 +311,5 @@
 
 
 def home_part(per_s: float, proxies: int) -> int:
-    """Thousandths of a request a second of each of so many; what does not divide is nobody's."""
+    """Home part of one proxy in thousandths of a request a second; a remainder is unused."""
     return int(per_s * UNITS_PER_REQUEST) // max(1, proxies)
--- a/violetroute/sharing/expiry_queue.py
+++ b/violetroute/sharing/expiry_queue.py
@@ -1,7 +1,7 @@
-"""Rows of a table in the order in which they fade: a calendar queue, 16 bytes a row.  Pure.
+"""Rows of a table ordered by their expiry: a calendar queue with 16 bytes a row.  Pure.
 
-A bucket holds the rows that fade within BUCKET_S. Adding and removing a row take the same time
-however many rows there are, and a removed row leaves nothing behind.
+A bucket holds the rows that expire within BUCKET_S.  Adding and removing a row take constant time,
+whatever the number of rows, and a removed row leaves nothing behind.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 from .row_lists import NO_ROW, RowLists
 
-BUCKET_S = 0.5  # as often as node health looks
+BUCKET_S = 0.5  # the interval of gossip rounds, in which node health drops expired rows
 
 
 class ExpiryQueue:
-    """Rows by number. Times: s."""
+    """Row numbers by expiry time (s)."""
 
     __slots__ = ("_bucket", "_first", "_lists", "_order")
 
@@ -27,12 +27,12 @@
         self._order: list[int] = []  # a heap of the buckets
 
     def append_row(self) -> None:
-        """The table has one more row, which is not in the queue yet."""
+        """Note a new row of the table, which is not queued yet."""
         self._lists.append_row()
         self._bucket.append(0)
 
     def add(self, row: int, until: float) -> None:
-        """It fades then."""
+        """Queue a row that expires at `until`."""
         bucket = self._bucket[row] = _bucket_of(until)
         first = self._first.get(bucket)
         if first is None:
@@ -41,21 +41,21 @@
         self._first[bucket] = self._lists.insert(row, first)
 
     def remove(self, row: int) -> None:
-        """It is not waited for any more."""
+        """Remove a queued row."""
         bucket = self._bucket[row]
         self._first[bucket] = self._lists.remove(row, self._first[bucket])
 
     def due(self, now: float) -> Iterator[int]:
-        """Rows that have faded by now, and those that fade within the same BUCKET_S.
+        """Rows that have expired by now, and those that expire within the same bucket.
 
-        The one that was given last may be removed meanwhile, and no other.
+        During the iteration only the row yielded last may be removed.
         """
         last = _bucket_of(now)
         while self._order and self._order[0] <= last:
             bucket = self._order[0]
             yield from self._lists.rows(self._first[bucket])
             if self._first[bucket] != NO_ROW:
-                return  # not all were removed: they are given again
+                return  # rows remain: the next call yields them again
             heapq.heappop(self._order)
             del self._first[bucket]
 
--- a/violetroute/sharing/gossip.py
+++ b/violetroute/sharing/gossip.py
@@ -1,12 +1,12 @@
-"""What a proxy tells of itself unasked, to how many, and what it makes of the others'.  Pure.
+"""Gossip rounds: what a proxy reports, to how many members, and what it takes from peers.  Pure.
 
-A round each ROUND_S: what its requests met, what came of them, what it has to spare, what is asked
-for most.  In calm it goes to CALM_FANOUT members by random; while trouble is fresh to
-TROUBLE_FANOUT, since of a large fleet three must have met a node before anybody believes it.  So
-what a member sends does not grow with the fleet, and what is heard is a sample of it.
+Every ROUND_S a proxy reports outcomes at the nodes, outcomes of its requests, spare budget and
+heavy hitters.  Normally a round goes to CALM_FANOUT random members, and to TROUBLE_FANOUT while
+recent outcomes are bad: in a large fleet a node counts as unhealthy only after three members have
+seen that.  So what a member sends does not grow with the fleet, and what it receives is a sample.
 
-What is heard is of an age: beyond MAX_REPORT_AGE_S it is left alone, what came of requests beyond
-MAX_OUTCOME_AGE_S, also where it has stood here meanwhile because this process was stopped.
+Reports have an age.  Those older than MAX_REPORT_AGE_S are ignored.  Outcomes of requests are
+ignored beyond MAX_OUTCOME_AGE_S, also if they grew old here because this process was stopped.
 """
 
 from __future__ import annotations
@@ -24,19 +24,19 @@
 from .report_budget import ByteBucket, ReportBudget
 from .wire import HealthReport, HeavyHitterReport, Item, LoadReport, SpareReport
 
-ROUND_S = 0.5  # s between two rounds
-CALM_FANOUT, TROUBLE_FANOUT = 2, 16  # members that a round tells
-URGENT_BADNESS = 0.5  # bad outcomes from which it tells many
-MAX_REPORT_AGE_S = 5.0  # s
-MAX_OUTCOME_AGE_S = 1.0  # s
-HITTERS_INTERVAL_S = 1.0  # s between two tellings of counts, at least
-SAMPLED_SHARE = 0.25  # of the requests: a full summary costs as much as all else here
-# What tells of the node; other results tell of the load or of the client.
+ROUND_S = 0.5  # between two rounds
+CALM_FANOUT, TROUBLE_FANOUT = 2, 16  # members that a round reports to
+URGENT_BADNESS = 0.5  # bad outcomes; from here on a round uses TROUBLE_FANOUT
+MAX_REPORT_AGE_S = 5.0
+MAX_OUTCOME_AGE_S = 1.0
+HITTERS_INTERVAL_S = 1.0  # shortest time between two heavy hitter reports
+SAMPLED_SHARE = 0.25  # of requests; counting all costs as much as the rest of this module
+# Evidence of an unhealthy node; other results are caused by the load or the client.
 BAD_RESULTS = frozenset({Result.LATE, Result.RESET, Result.NO_CONNECTION})
 
 
 class RandomSource(Protocol):
-    """random.Random, or a test's."""
+    """`random.Random`, or a test's replacement."""
 
     def random(self) -> float: ...
     def sample(self, of: Sequence[str], k: int) -> list[str]: ...
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class Report:
-    """Items of one kind and the members that are told of them."""
+    """Items of one kind and the members that receive them."""
 
     items: list[Item]
     to: list[str]
@@ -52,27 +52,23 @@
 
 @dataclass(slots=True)
 class Round:
-    """What is to be done now."""
+    """The result of a round: reports to send and what peers reported."""
 
-    to: list[str] = field(default_factory=list)  # members that are told of anything
+    to: list[str] = field(default_factory=list)  # all receivers of reports
     reports: list[Report] = field(default_factory=list)
-    unhealthy: list[int] = field(default_factory=list)  # nodes that seem so by what others met
-    newly_unhealthy: list[int] = field(
-        default_factory=list
-    )  # of them, those that did not the round before
-    recovered: list[int] = field(
-        default_factory=list
-    )  # that seemed bad the round before, and do not
-    outcomes: list[LoadSample] = field(default_factory=list)  # of others' requests
+    unhealthy: list[int] = field(default_factory=list)  # nodes, by the peers' reports
+    newly_unhealthy: list[int] = field(default_factory=list)  # not so in the round before
+    recovered: list[int] = field(default_factory=list)  # unhealthy in the round before only
+    outcomes: list[LoadSample] = field(default_factory=list)  # of peers' requests
 
     @property
     def items(self) -> list[Item]:
-        """Of all reports."""
+        """The items of all reports."""
         return [item for report in self.reports for item in report.items]
 
 
 class Rounds:
-    """One proxy's.  `judge`: whether nodes are judged with the others.  `now`: s."""
+    """The rounds of one proxy.  `judge`: whether to use health reports.  `now`: s."""
 
     def __init__(
         self,
@@ -86,27 +82,26 @@
         self.node_health = NodeHealth(zone) if judge else None
         self.load_reports = LoadReports()
         self.heavy_hitters = {kind: HeavyHitters(kind, now) for kind in ("tenant", "key")}
-        self._round_at = (
-            now + ROUND_S * random.random()
-        )  # those started together do not tell together
+        # Proxies that start together do not report together.
+        self._round_at = now + ROUND_S * random.random()
         self._hitters_at = now
         self._unhealthy: list[int] = []
 
-    # --- its own ---
+    # --- own requests and nodes ---
     def record_attempt(self, now: float, node: int, result: Result) -> None:
-        """How an attempt ended at a node."""
+        """Record how an attempt ended at a node."""
         if self.node_health is not None and (result is Result.OK or result in BAD_RESULTS):
             self.node_health.record_outcome(now, node, result is not Result.OK)
 
     def record_request(self, now: float, tenant: str, key: int) -> None:
-        """A request was let in."""
+        """Count an admitted request for the heavy hitters."""
         if self._random.random() < SAMPLED_SHARE:
             self.heavy_hitters["key"].add(now, key & (2**63 - 1), 1.0 / SAMPLED_SHARE)
         if tenant:
             self.heavy_hitters["tenant"].add(now, hash_of(tenant))
 
     def update_nodes(self, members: Iterable[Member]) -> None:
-        """Nodes that serve, and those that do not any more."""
+        """Apply a change of the node list; nodes that are not ready are forgotten."""
         if self.node_health is not None:
             for member in members:
                 if member.state is CacheState.READY:
@@ -114,7 +109,7 @@
                 else:
                     self.node_health.remove_node(member.id)
 
-    # --- the others' ---
+    # --- reports of peers ---
     def receive(
         self,
         now: float,
@@ -123,7 +118,7 @@
         item: HealthReport | LoadReport | HeavyHitterReport,
         age: float,
     ) -> None:
-        """Word of a member that is up, written `age` s ago at most."""
+        """Merge a report of a member that is up, written at most `age` s ago."""
         if age > MAX_REPORT_AGE_S:
             return
         if isinstance(item, HeavyHitterReport):
@@ -137,7 +132,7 @@
             self.load_reports.merge_report(now, member, item)
 
     def forget_member(self, member: str) -> None:
-        """Its word goes with it."""
+        """Drop the reports of a member that is dead or has left."""
         for hitters in self.heavy_hitters.values():
             hitters.forget_member(member)
         if self.node_health is not None:
@@ -145,6 +140,7 @@
 
     # --- a round ---
     def due(self, now: float) -> bool:
+        """Whether the next round is due."""
         return now >= self._round_at
 
     def run_round(
@@ -155,8 +151,9 @@
         budgets: Mapping[str, Budget],
         send_nothing: bool,
     ) -> Round:
-        """`up`: the other members.  `judged`: what came of own requests since the last round.
-        `send_nothing`: it tells nothing, since another process has its name; it hears all the same.
+        """Run a round.  `up`: the other members; `judged`: own outcomes since the last round.
+
+        `send_nothing`: no reports, while another process has our name; peers' reports still count.
         """
         self._round_at = now + ROUND_S * (0.8 + 0.4 * self._random.random())
         round_, worst = Round(), 0.0
@@ -183,7 +180,7 @@
         return round_
 
     def _apply_reports(self, round_: Round, now: float, node_health: NodeHealth) -> None:
-        """What this proxy takes from the others' reports in this round."""
+        """Update the round with the unhealthy nodes and outcomes that peers report."""
         round_.unhealthy = node_health.unhealthy_nodes(now)
         round_.newly_unhealthy = [node for node in round_.unhealthy if node not in self._unhealthy]
         round_.recovered = [node for node in self._unhealthy if node not in round_.unhealthy]
@@ -200,7 +197,7 @@
         health: list[HealthReport],
         hitters: list[Item],
     ) -> None:
-        """Give each kind of report to as many of these members as its budget allows."""
+        """Send each kind of report to as many of these members as its byte budget allows."""
         budget = self._budget
         urgent = [report for report in health if report.bad >= URGENT_BADNESS]
         if budget is None:
--- a/violetroute/sharing/heavy_hitters.py
+++ b/violetroute/sharing/heavy_hitters.py
@@ -1,12 +1,13 @@
 """Heavy hitters over many proxies: mergeable summaries.  Pure.
 
 SpaceSaving (Metwally, Agrawal, El Abbadi, 2005) with the merge of Agarwal and others, "Mergeable
-Summaries" (2012): of two summaries of k counters each a key that only one has gets the other's
-least count as its possible error; the k greatest stay.  A count is never too low, and too high by
-at most its error; over the fleet the error is at most the sum of requests over k.
+Summaries" (2012): if only one of two summaries of k counters has a key, the other one's minimal
+count becomes its possible error; the k greatest counters stay.  A count is never too low, and too
+high by at most its error.  Over the fleet the error is at most the sum of requests over k.
 
-What is told is what one member saw itself, halved every HALF_LIFE_S; a member that has left, or was
-not heard of for STALE_S, counts no more.  Keys go as keyed hashes: a datagram names no customer.
+A member reports its own counts, which decay with HALF_LIFE_S.  Counts of a member that has left, or
+did not report for STALE_S, are dropped.  Keys are sent as keyed hashes, so no datagram contains a
+customer's name.
 """
 
 from __future__ import annotations
@@ -17,26 +18,29 @@
 
 from .wire import HeavyHitterReport
 
-SIZE = 32  # counters of one summary, and so of one datagram
-HALF_LIFE_S = 10.0  # after which half of a count is left
-STALE_S = 10.0  # without a report, after which a member's counts are left out
+SIZE = 32  # counters in a summary, and so in a datagram
+HALF_LIFE_S = 10.0  # of a count
+STALE_S = 10.0  # without a report, until a member's counts are dropped
 MAX_MEMBERS = 1024
 
 
 @dataclass(slots=True)
 class Counter:
+    """Count of one key, and by how much it may be too high."""
+
     count: float
     error: float = 0.0
 
 
 class Summary:
-    """The heaviest of what one saw."""
+    """SpaceSaving summary: counters of the heaviest keys."""
 
     def __init__(self, size: int = SIZE) -> None:
         self.size = size
         self.counters: dict[int, Counter] = {}
 
     def add(self, key: int, weight: float = 1.0) -> None:
+        """Count a key; if the summary is full, it replaces the key with the lowest count."""
         counter = self.counters.get(key)
         if counter is not None:
             counter.count += weight
@@ -48,19 +52,20 @@
             self.counters[key] = Counter(count + weight, count)
 
     def decay(self, left: float) -> None:
+        """Multiply all counts and errors by `left`."""
         for counter in self.counters.values():
             counter.count *= left
             counter.error *= left
 
     @property
     def min_count(self) -> float:
-        """What a key that is not here may have had."""
+        """Highest count that a key without a counter may have."""
         if len(self.counters) < self.size:
             return 0.0
         return min(counter.count for counter in self.counters.values())
 
     def top(self) -> list[tuple[int, float, float]]:
-        """Key, count, by how much it may be too high."""
+        """Key, count and error of all counters, the greatest count first."""
         return sorted(
             ((key, c.count, c.error) for key, c in self.counters.items()),
             key=lambda at: (-at[1], at[0]),
@@ -68,7 +73,7 @@
 
 
 def merge(summaries: Iterable[Summary], size: int = SIZE) -> Summary:
-    """Of all together; the order does not matter, since the cut is made once, at the end."""
+    """Merge summaries; independent of their order, since they are truncated once at the end."""
     merged = Summary(size)
     every = list(summaries)
     min_counts = [summary.min_count for summary in every]
@@ -87,13 +92,14 @@
 
 
 class HeavyHitters:
-    """One kind of key: ours, and what others told.  `now`: s."""
+    """Own and reported counts of one kind of key.  `now`: s."""
 
     def __init__(self, kind: str, now: float, size: int = SIZE) -> None:
         self.kind, self.own, self._at, self._size = kind, Summary(size), now, size
         self._others: dict[str, tuple[Summary, float]] = {}
 
     def add(self, now: float, key: int, weight: float = 1.0) -> None:
+        """Count a key of an own request."""
         self._fade(now)
         self.own.add(key, weight)
 
@@ -103,7 +109,7 @@
             self._at = now
 
     def report(self, now: float) -> HeavyHitterReport:
-        """What this member saw itself, for the others."""
+        """The report of the own counts."""
         self._fade(now)
         top = self.own.top()
         return HeavyHitterReport(
@@ -114,7 +120,7 @@
         )
 
     def merge_report(self, now: float, member: str, counted: HeavyHitterReport, age: float) -> None:
-        """Take another member's report, written `age` s ago, in place of its last one."""
+        """Replace a member's report by a new one, written `age` s ago; drop invalid ones."""
         if member not in self._others and len(self._others) >= MAX_MEMBERS:
             return
         if not len(counted.keys) == len(counted.counts) == len(counted.errors) <= self._size:
@@ -126,11 +132,11 @@
         self._others[member] = summary, now - age
 
     def forget_member(self, member: str) -> None:
-        """It has left: its counts go with it."""
+        """Drop the counts of a member that is dead or has left."""
         self._others.pop(member, None)
 
     def fleet_summary(self, now: float) -> Summary:
-        """Of all that were heard of lately, and of this one."""
+        """Merge the own counts with all recent reports."""
         self._fade(now)
         every = [self.own]
         for member, (summary, at) in list(self._others.items()):
@@ -147,5 +153,5 @@
 
 
 def hash_of(text: str) -> int:
-    """63 bits that are the same in every process."""
+    """63-bit hash of a text, the same in every process."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big") >> 1
--- a/violetroute/sharing/load_reports.py
+++ b/violetroute/sharing/load_reports.py
@@ -1,13 +1,14 @@
-"""What came of other proxies' requests, for a limit that one alone sees too little to set.  Pure.
+"""Outcomes of peers' requests, for a limit that one proxy sees too few requests to set.  Pure.
 
-Each member tells now and then what came of its own requests since it told last: how many, how many
-of them to nothing, what they took, by whether a cache likely had the key.  No member counts for
-more than MEMBER_WEIGHT_MOST times the median one, and those that are taken for cut off are left
-out.  So what one in ten says wrongly moves the mean badness by 0.1 * W / (0.9 + 0.1 * W) at most,
-with W = MEMBER_WEIGHT_MOST 0.18: less than the limit's rest at a quarter and what is shed beyond.
+Each member reports sums over its own requests since its last report: how many, their badness, their
+latency and target, and how many were queued, by whether a cache likely had the key.  No member
+counts for more than MAX_RELATIVE_WEIGHT times the median one, and isolated members are left out.
+So if one report in ten is false, the mean badness moves by at most 0.1 * W / (0.9 + 0.1 * W) with
+W = MAX_RELATIVE_WEIGHT, which is 0.18.  That is less than the limit's rest at a quarter (the
+congestion at which it neither grows nor shrinks) and what is shed beyond.
 
-What comes out are a few outcomes that are the mean of what was heard in a round; the module takes
-them as it takes its own, beside its own, and its limit stays one of its own requests.
+The result is a few outcomes equal to the mean of a round's reports.  The balancer takes them beside
+its own outcomes, and its limit stays one of its own requests.
 """
 
 from __future__ import annotations
@@ -20,21 +21,21 @@
 from .wire import LoadReport
 
 MAX_RELATIVE_WEIGHT = 2.0  # times the median member's count
-MIN_MEMBERS = 3  # members that have to be heard in a round
-REPORTED_PER_OUTCOME = 4.0  # outcomes heard that make one of those that the module takes
-MAX_OUTCOMES = 8  # that it takes in a round: its own must not drown
-MAX_MEMBERS = 256  # heard in one round
+MIN_MEMBERS = 3  # members that must report in a round
+REPORTED_PER_OUTCOME = 4.0  # reported outcomes that yield one for the balancer
+MAX_OUTCOMES = 8  # for the balancer in a round; more would outweigh its own outcomes
+MAX_MEMBERS = 256  # reports kept in one round
 
 
 class LoadReports:
-    """One proxy's: its own since it told last, and the others' in this round."""
+    """Builds the load reports of one proxy, and collects those of its peers in a round."""
 
     def __init__(self) -> None:
         self._heard: dict[tuple[str, bool], tuple[LoadReport, float]] = {}
 
     @staticmethod
     def reports_to_send(judged: Iterable[LoadSample]) -> list[LoadReport]:
-        """Sums of what was judged since the last time."""
+        """Sums over own outcomes since the last report, by whether a cache likely had the key."""
         sums: dict[bool, list[float]] = {}
         for kept, badness, took, aim, queued in judged:
             here = sums.setdefault(kept, [0.0] * 5)
@@ -46,7 +47,7 @@
         ]
 
     def merge_report(self, now: float, member: str, report: LoadReport) -> None:
-        """The latest of a member in a round counts."""
+        """Keep a peer's latest valid report in this round; sums that contradict are dropped."""
         if (
             report.bad <= report.count
             and report.queued <= report.count
@@ -57,9 +58,9 @@
             self._heard[member, report.kept] = report, now
 
     def end_round(self, now: float, isolated: Collection[str], age: float) -> list[LoadSample]:
-        """What the module takes of this round; the next begins.
+        """Outcomes for the balancer from the reports of this round; starts the next one.
 
-        What was heard before a stop of this process, more than `age` s ago, is of another hour.
+        Reports received more than `age` s ago are outdated: this process was stopped meanwhile.
         """
         heard, self._heard = self._heard, {}
         found: list[LoadSample] = []
--- a/violetroute/sharing/loans.py
+++ b/violetroute/sharing/loans.py
@@ -1,28 +1,28 @@
-"""Authority over one budget of the fleet: held, lent and returned.  Pure.
-
-A budget is a rate.  Each of the fleet's proxies has an equal part of it for its own, its home part,
-from the settings and not from anybody's word, so the parts of any divided fleet add up to the
-budget at most.  What a proxy does not use it lends: for a time, to one life of a named borrower, as
-the answer to a numbered ask.
-
-**The lender has stopped before the borrower begins**: it counts the loan as gone from the instant
-at which it decides, before anything is sent.  **It begins again only when the borrower must have
-stopped**: the borrower reckons from before its ask was sent, the lender from its decision, which
-came later, and the borrower's time is shorter by what two clocks may differ.  With rates wrong by
-`drift` at most and D the loan's time, the borrower has ended D / (1 + drift) after its ask at the
-latest, the lender begins again D / (1 + drift) after its decision at the earliest.  So no order,
-loss, copy or delay of messages and no pause of a process (its clock goes on) lets both spend.
-
-A lender that has lost its memory cannot know what it had lent: a new life spends `floor`, which is
-never lent, until the longest loan must be over.  Loans are of lives (a nonce each), so one that a
-borrower had before it was killed is nobody's until its time is over.
-
-The price: what stands lent to one that does not use it, the floors of those that are idle, and D
-after the start of each life.  Two processes of one name have one home part twice until they hear of
-each other; then the later one stands aside (`aside`).  Neither is a machine whose monotonic clock
-stands (suspended) covered: see docs/design/fleet-sharing.md.
-
-Amounts are whole thousandths of a request a second: sums are exact, and two builds agree on them.
+"""Authority over one budget of the fleet: the home part, lent and borrowed loans.  Pure.
+
+A budget is a rate.  Each proxy has an equal part of it, its home part, which follows from the
+settings alone and not from messages.  So the home parts add up to at most the budget, however the
+network is partitioned.  A proxy lends what it does not use: for a limited time, to one process of a
+named borrower, as the answer to a numbered request.
+
+**The lender stops before the borrower begins**: it deducts a loan at the instant of its decision,
+before anything is sent.  **It resumes only when the borrower must have stopped**: the borrower
+counts the time from before it sent the request, the lender from its later decision, and the
+borrower's time is shorter by the possible difference of two clocks.  With clock rates wrong by at
+most `drift` and a loan time D, the borrower stops at the latest D / (1 + drift) after its request,
+and the lender resumes at the earliest D / (1 + drift) after its decision.  So no order, loss, copy
+or delay of messages and no pause of a process (its clock goes on) lets both spend the loan.
+
+A restarted lender does not know what it had lent: it spends only `floor`, which is never lent,
+until the longest possible loan has expired.  A loan belongs to one process (`life`, a random ID),
+so nobody uses a loan of a borrower that was killed until it expires.
+
+The price: loans that the borrower does not use, the floors of idle proxies, and D after the start
+of each process.  Two processes with one name spend one home part twice until they learn of each
+other; then the one with the lower incarnation is suspended.  A machine whose monotonic clock stops
+(suspend to RAM) is not covered either: see docs/design/fleet-sharing.md.
+
+Amounts are integers, in thousandths of a request a second: sums are exact and equal in all builds.
 """
 
 from __future__ import annotations
@@ -31,16 +31,20 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-MAX_LENT = 1024  # loans that stand, of one life: beyond it nothing is lent
-MAX_BORROWERS = 4096  # borrowers whose last ask is remembered
-MAX_OPEN_REQUESTS = 64  # asks without an answer
-MAX_LENDERS = 1024  # lenders of one borrower
-MIN_LOAN = 10  # thousandths: below this a loan is not worth its messages
+MAX_LENT = 1024  # active loans of one lender; no more are granted beyond
+MAX_BORROWERS = 4096  # borrowers whose last request number is remembered
+MAX_OPEN_REQUESTS = 64  # requests without an answer
+MAX_LENDERS = 1024  # of one borrower
+MIN_LOAN = 10  # thousandths of a request a second; less is not worth the messages
 
 
 @dataclass(frozen=True, slots=True)
 class LoanTerms:
-    """`loan_s`: s for which a loan stands at its lender.  `floor`: share of home never lent."""
+    """Rules of loans, the same at all proxies.
+
+    `loan_s`: s for which the lender deducts a loan.  `drift`: maximal error of a clock's rate.
+    `floor`: share of the home part that is never lent.
+    """
 
     loan_s: float = 3.0
     drift: float = 0.05
@@ -48,13 +52,13 @@
 
     @property
     def borrower_s(self) -> float:
-        """For which a borrower believes in a loan, from before it asked."""
+        """s for which a borrower may spend a loan, from before it sent the request."""
         return self.loan_s * (1.0 - self.drift) / (1.0 + self.drift)
 
 
 @dataclass(frozen=True, slots=True)
 class BorrowedLoan:
-    """Borrowed from a lender."""
+    """A loan as the borrower keeps it; `until`: s, when it must stop spending."""
 
     number: int
     amount: int
@@ -63,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LentLoan:
-    """Of one ask of a borrower's life."""
+    """A loan as the lender keeps it; `until`: s, when its amount is available again."""
 
     number: int
     amount: int
@@ -71,15 +75,15 @@
 
 
 class StandingLoan(NamedTuple):
-    """A loan that has not ended, as it is shown."""
+    """An active loan, for display."""
 
     member: str  # the lender, or the borrower's life
     amount: int
-    left_s: float  # until it ends
+    left_s: float  # until it expires
 
 
 class Loans:
-    """One life's authority over one budget.  `now`: s of its monotonic clock, in every call."""
+    """One process's authority over a budget.  `now`: s of its monotonic clock, in every call."""
 
     __slots__ = (
         "_borrowed",
@@ -95,21 +99,17 @@
 
     def __init__(self, home: int, terms: LoanTerms, now: float) -> None:
         self.home, self._terms = home, terms
-        self.suspended = False  # another process of our name is there: nothing is ours
-        self._home_available_at = (
-            now + terms.loan_s
-        )  # whatever an earlier life had lent is over by then
-        self._requests: dict[str, tuple[int, float]] = {}  # by lender: the number, and when
+        self.suspended = False  # another process has our name: no authority
+        self._home_available_at = now + terms.loan_s  # loans of a previous process expire by then
+        self._requests: dict[str, tuple[int, float]] = {}  # by lender: request number and time (s)
         self._borrowed: dict[str, BorrowedLoan] = {}  # by lender
         self._lent: dict[str, list[LentLoan]] = {}  # by borrower's life
-        self._last_request: dict[
-            str, int
-        ] = {}  # by borrower's life: its highest ask that we know of
+        self._last_request: dict[str, int] = {}  # by borrower's life: highest request number
         self._number = 0
 
     # --- what may be spent ---
     def own_authority(self, now: float) -> int:
-        """Of the home part: all but what is lent, or the floor while a new life waits."""
+        """The home part without what is lent; only the floor in the first `loan_s`."""
         if self.suspended:
             return 0
         if now < self._home_available_at:
@@ -117,22 +117,22 @@
         return self.home - self.lent_total(now)
 
     def borrowed_total(self, now: float) -> int:
-        """Borrowed, and not over."""
+        """Sum of the borrowed loans that have not expired."""
         if self.suspended:
             return 0
         return sum(loan.amount for loan in self._borrowed.values() if now < loan.until)
 
     def authority(self, now: float) -> int:
-        """Thousandths of a request a second that this life may spend now.
+        """Thousandths of a request a second that this process may spend now.
 
-        Below 0 where the home part has become smaller than what of it is lent.
+        Negative after `resize` to a home part smaller than what is lent.
         """
         return self.own_authority(now) + self.borrowed_total(now)
 
     def accrued(self, since: float, now: float, lent: int) -> float:
-        """Thousandths of a request that the time between has brought, none of them too many.
+        """Thousandths of a request that accrued between `since` and `now`, never too many.
 
-        `lent` as it stood at `since`: what has come back meanwhile counts from now on.
+        `lent`: `lent_total` at `since`; loans that expired since then count from now on.
         """
         if self.suspended or now <= since:
             return 0.0
@@ -143,37 +143,38 @@
 
     @property
     def floor(self) -> int:
+        """The part of the home part that is never lent."""
         return int(self.home * self._terms.floor)
 
     @property
     def home_available_at(self) -> float:
-        """From when on the home part is whole."""
+        """Time (s) from which the whole home part may be spent or lent."""
         return self._home_available_at
 
     # --- lending ---
     def lent_total(self, now: float) -> int:
-        """Of each borrower the greatest loan that may still be believed in."""
+        """Sum over the borrowers of the greatest loan that each may still spend."""
         return sum(
             max((loan.amount for loan in loans if now < loan.until), default=0)
             for loans in self._lent.values()
         )
 
     def lendable(self, now: float, need: int) -> int:
-        """What may be lent in all, if `need` is kept for own requests."""
+        """Upper bound of the sum of loans if `need` is kept for own requests."""
         if self.suspended or now < self._home_available_at:
             return 0
         return max(0, self.home - max(need, self.floor))
 
     def spare(self, now: float, need: int) -> int:
-        """What of it is not lent."""
+        """What can be lent in addition to the active loans."""
         return max(0, self.lendable(now, need) - self.lent_total(now))
 
     def grant(self, now: float, borrower: str, number: int, amount: int, need: int) -> int:
-        """A borrower's life asks for so much at most; what it is lent, 0 being nothing.
+        """Lend at most `amount` to a borrower's process; returns the amount granted, maybe 0.
 
-        An ask that came before, or is older than another that came, lends nothing new: its number
-        has had its answer.  A loan is asked for anew like any other: where the lender needs its
-        part, or it is another process's by now, what stands ends at its time.
+        A duplicate or outdated request lends nothing new; it gets the answer to its number again.
+        A renewal is a request like any other: if the lender needs its part by now, or is
+        suspended, the active loan just expires.
         """
         self._prune(now)
         seen = self._last_request.get(borrower, 0)
@@ -191,7 +192,7 @@
         return grant
 
     def accept_return(self, now: float, borrower: str, number: int) -> None:
-        """That life believes in no loan of an ask up to `number`, and never will."""
+        """End the loans of a borrower's process up to `number`, which it will not use any more."""
         self._note_request(borrower, max(number, self._last_request.get(borrower, 0)))
         if borrower in self._lent:
             self._lent[borrower] = [loan for loan in self._lent[borrower] if loan.number > number]
@@ -204,8 +205,10 @@
                 del self._lent[borrower]
 
     def _note_request(self, borrower: str, number: int) -> None:
-        """Its highest ask.  Who was heard of least lately is forgotten first: an ask of its that
-        comes once more then lends in vain, since its answer has had its turn.
+        """Remember the highest request number; the borrower with the oldest one is forgotten first.
+
+        A duplicate request of a forgotten borrower is granted again, but has no effect there: the
+        borrower has handled the answer to that number already.
         """
         self._last_request.pop(borrower, None)
         self._last_request[borrower] = number
@@ -214,7 +217,7 @@
 
     # --- borrowing ---
     def new_request(self, now: float, lender: str) -> int:
-        """The number of an ask that is sent after this; 0 when too many are open."""
+        """Register a request before it is sent; its number, or 0 if too many are open."""
         if lender not in self._requests and len(self._requests) >= MAX_OPEN_REQUESTS:
             return 0
         self._number += 1
@@ -222,9 +225,10 @@
         return self._number
 
     def accept_grant(self, now: float, lender: str, number: int, amount: int) -> bool:
-        """A lender's answer; whether it was to the ask that is open with it.
+        """Take a lender's answer; False if it doesn't answer the open request to that lender.
 
-        It takes the place of an earlier loan of that lender, which counted it once.
+        The loan replaces an earlier one: the lender deducts only the greatest of its loans to one
+        borrower.
         """
         asked = self._requests.get(lender)
         if asked is None or asked[0] != number or self.suspended:
@@ -242,7 +246,7 @@
         return True
 
     def give_back(self, lender: str) -> int:
-        """Spend no more of it; the number up to which nothing is believed: the lender is told."""
+        """Stop spending a loan; the number to return: all loans up to it are given up."""
         number = max(
             self._requests.pop(lender, (0, 0.0))[0],
             self._borrowed[lender].number if lender in self._borrowed else 0,
@@ -251,15 +255,15 @@
         return number
 
     def number_to_refuse(self, lender: str, number: int) -> int:
-        """What may be told back of an answer that came too late to count; 0: nothing may.
+        """The number to return for an answer that came too late to be taken; 0: none.
 
-        An older loan of that lender may still stand here, and it would take that for ended.
+        While an older loan of that lender is spent here, a return would end it at the lender.
         """
         open_ask = self._requests.get(lender, (0, 0.0))[0]
         return 0 if lender in self._borrowed or 0 < open_ask <= number else number
 
     def drop_overdue(self, now: float, wait: float) -> list[str]:
-        """Asks that `wait` s have brought no answer for are given up."""
+        """Drop requests unanswered for `wait` s (returns their lenders), and expired loans."""
         late = [lender for lender, (_, at) in self._requests.items() if now - at >= wait]
         for lender in late:
             del self._requests[lender]
@@ -268,7 +272,7 @@
         return late
 
     def due_for_renewal(self, now: float) -> list[str]:
-        """Lenders whose loans are half over, to be asked anew."""
+        """Lenders of loans that have reached half their time and are not being renewed."""
         half = self._terms.borrower_s / 2.0
         return [
             lender
@@ -277,7 +281,7 @@
         ]
 
     def borrowed_loans(self, now: float) -> list[StandingLoan]:
-        """Held, by lender."""
+        """Borrowed loans that have not expired, by lender."""
         return [
             StandingLoan(lender, loan.amount, loan.until - now)
             for lender, loan in self._borrowed.items()
@@ -285,7 +289,7 @@
         ]
 
     def lent_loans(self, now: float) -> list[StandingLoan]:
-        """Lent, by the borrower's life."""
+        """Lent loans that have not expired, by the borrower's life."""
         standing = {
             borrower: [loan for loan in loans if now < loan.until]
             for borrower, loans in self._lent.items()
@@ -301,12 +305,12 @@
         ]
 
     def awaits_answer(self, lender: str) -> bool:
-        """Whether an ask of that lender is open."""
+        """Whether a request to that lender is open."""
         return lender in self._requests
 
-    # --- names and sizes ---
+    # --- suspension and resizing ---
     def set_suspended(self, on: bool, now: float) -> None:
-        """Another life of our name is there, or has gone: its loans are waited out."""
+        """Suspend or resume; after that the loans of the other process must expire first."""
         if self.suspended and not on:
             self._home_available_at = now + self._terms.loan_s
         if on:
@@ -315,8 +319,9 @@
         self.suspended = on
 
     def resize(self, home: int, now: float) -> None:
-        """Another home part; a greater one holds for what is not lent, at once."""
+        """Set another home part; it takes effect at once, active loans stay deducted."""
         self.home = home
 
     def lenders(self) -> Iterable[str]:
+        """Names of the members that a loan was borrowed from."""
         return self._borrowed.keys()
--- a/violetroute/sharing/node_health.py
+++ b/violetroute/sharing/node_health.py
@@ -1,32 +1,33 @@
-"""What other proxies saw at the cache nodes, and when it counts.  Pure.
-
-Each member tells, by node, how many of its own requests lately came to something there and how many
-did not; never what it heard.  So nothing is counted twice, and a rumor can't feed itself.
-
-What is heard is weighed by its age (halved each HALF_LIFE), and members by each other:
-
-- **one whose own path is cut convinces nobody**: who sees trouble at CUT_SHARE or more of the nodes
-  it speaks of speaks of itself, and is left out until it doesn't;
-- **no one counts for more than WEIGHT_MOST times the median witness**, however many requests it
-  claims, and a node is held for bad only with WITNESSES at least, by more than BAD_SHARE of their
-  weight.  So of n witnesses with about equal weight those who lie must be more than
-  n * BAD_SHARE / (WEIGHT_MOST - (WEIGHT_MOST - 1) * BAD_SHARE) to hold a sound node for bad: with
-  2 and 0.5 a third.  One in ten moves nothing from eight witnesses on;
-- **the nearest first**: witnesses of one's own zone, where there are enough, since a node may be
-  bad for one zone alone;
-- **own evidence first**: with OWN_ENOUGH requests of its own a proxy believes these;
-- **a node's new start voids** what was said of the one before.
-
-What is heard is kept in bounds: TALLIES_MOST tallies in all, or TALLIES_LEAST a node where that is
-more; of each node the newest.  Those that have faded are dropped in the order in which they fade.
-
-A round looks at what was heard or has faded since the one before, and at the nodes that may be bad:
-those of which others told at least BAD_LEAST bad outcomes that have not faded.  What members are
-cut off is kept as they are heard.
-
-What comes out is a hint: these nodes seem bad.  The module leaves such a node alone for a while, as
-if it had met the trouble itself, within its own bounds of how many it does without, and asks it
-again by few.  A hint never starts anything: no drain, no going, no request, no effect.
+"""Health of the cache nodes as reported by other proxies, and when a report counts.  Pure.
+
+Each member reports, by node, how many of its own recent requests succeeded and failed there; never
+what others reported.  So nothing is counted twice, and reports cannot amplify themselves.
+
+Reports are weighted by age (halved each HALF_LIFE_S) and by member:
+
+- **An isolated member does not count**: a member that sees trouble at ISOLATED_SHARE or more of the
+  nodes that it reports likely has a broken path itself.  It is left out until that ends.
+- **No member counts for more than MAX_RELATIVE_WEIGHT times the median witness**, however many
+  requests it claims.  A node is unhealthy only with MIN_WITNESSES witnesses and by more than
+  BAD_SHARE of their weight.  So of n witnesses with about equal weight, more than
+  n * BAD_SHARE / (MAX_RELATIVE_WEIGHT - (MAX_RELATIVE_WEIGHT - 1) * BAD_SHARE) must report falsely
+  to make a healthy node unhealthy: a third with 2 and 0.5.  One false report in ten has no effect
+  with eight or more witnesses.
+- **The own zone first**: witnesses of the own zone, if there are enough, since a node may be
+  unhealthy for one zone only.
+- **Own evidence first**: a proxy with SUFFICIENT_OWN_OUTCOMES relies on its own requests.
+- **A restart of a node voids** reports about its previous start.
+
+At most MAX_OUTCOME_ROWS reports are kept, or MIN_ROWS_PER_NODE a node if that is more; of each node
+the newest.  Decayed reports are dropped in the order of their expiry.
+
+A round looks only at reports that arrived or expired since the last one, and at candidates: nodes
+with at least MIN_BAD_OUTCOMES reported bad outcomes that have not decayed.  The set of isolated
+members is updated as reports arrive.
+
+The result is an estimate: the balancer ejects such a node for a while, as after own bad outcomes,
+within its bound of ejected nodes, and tests it again with few requests.  An estimate never starts a
+drain, a removal, a request or an effect.
 """
 
 from __future__ import annotations
@@ -42,74 +43,73 @@
 from .wire import HealthReport
 
 MIN_WITNESSES = 3
-MIN_BAD_OUTCOMES = 2.0  # outcomes that have not faded: one in a hundred fails anywhere
+MIN_BAD_OUTCOMES = 2.0  # not decayed; one request in a hundred fails at any node
 BAD_SHARE = 0.5
-RECOVERED_SHARE = 0.3  # below it a node that was held for bad is not any more
+RECOVERED_SHARE = 0.3  # an unhealthy node recovers at or below this share
 ISOLATED_SHARE = 0.75
-MIN_ISOLATED_NODES = 3  # nodes that a member must speak of to be judged by that
+MIN_ISOLATED_NODES = 3  # reported nodes below which a member never counts as isolated
 MAX_RELATIVE_WEIGHT = 2.0  # times the median witness
-SUFFICIENT_OWN_OUTCOMES = 4.0  # outcomes of one's own
+SUFFICIENT_OWN_OUTCOMES = 4.0
 MAX_NODES = 4096
 MAX_MEMBERS = 4096
-TROUBLE_TTL_S = 20.0  # s after the last word of trouble: five half-lives
-MAX_REPORTED_NODES = 24  # nodes that one datagram tells of
-MAX_OUTCOME_ROWS = 16_384  # of all members at all nodes, spread evenly over the nodes
-MIN_ROWS_PER_NODE = 8  # at each node, however many nodes there are
-MAX_EXPIRED_PER_ROUND = 512  # faded tallies that are dropped in one calm round
-ROUNDING_ERROR = 1e-6  # outcomes by which a sum that is kept may be wrong
+TROUBLE_TTL_S = 20.0  # after the last report of trouble: five half-lives
+MAX_REPORTED_NODES = 24  # in one datagram
+MAX_OUTCOME_ROWS = 16_384  # reports of all members, spread evenly over the nodes
+MIN_ROWS_PER_NODE = 8  # reports of each node, however many nodes there are
+MAX_EXPIRED_PER_ROUND = 512  # expired reports dropped in one round without trouble
+ROUNDING_ERROR = 1e-6  # outcomes; bound of the error of an incremental sum
 
 
 @dataclass(slots=True)
 class _Node:
     started: int
-    place: int  # in the order in which the nodes were listed
+    place: int  # order in which the nodes were added
     rows: dict[str, int] = field(default_factory=dict)  # rows of the table, by member
-    trouble: DecayingOutcomes = field(
-        default_factory=DecayingOutcomes
-    )  # bad outcomes: the sum of all that was said
-    bad: bool = False  # as it was judged last
-    troubled_until: float = 0.0  # since a member told of trouble there
+    # Sum of the bad outcomes of all reports.
+    trouble: DecayingOutcomes = field(default_factory=DecayingOutcomes)
+    bad: bool = False  # the last estimate
+    troubled_until: float = 0.0  # s; TROUBLE_TTL_S after the last report of trouble
 
 
 @dataclass(slots=True)
 class _Witness:
-    """A member whose word of some node has not faded."""
+    """A member with at least one report that has not expired."""
 
     name: str
     zone: str
-    first: int = NO_ROW  # of its rows in the table
-    nodes: int = 0  # that it told of
-    troubled: int = 0  # of them, those where it saw trouble
+    first: int = NO_ROW  # first of its rows in the table
+    nodes: int = 0  # that it reports
+    troubled: int = 0  # of them, those with trouble
 
     @property
     def isolated(self) -> bool:
-        """Whether it sees trouble nearly everywhere."""
+        """Whether this member sees trouble at nearly all nodes that it reports."""
         return self.nodes >= MIN_ISOLATED_NODES and self.troubled >= ISOLATED_SHARE * self.nodes
 
 
 class NodeHealth:
-    """One proxy's.  `now`: s; nodes by number, as the module knows them."""
+    """Reported node health at one proxy.  `now`: s; nodes by the balancer's node IDs."""
 
     def __init__(self, zone: str) -> None:
         self._zone = zone
         self._own_outcomes = OwnOutcomes()
         self._nodes: dict[int, _Node] = {}
-        self._listed = 0  # so far
+        self._added_count = 0  # nodes added so far
         self._witnesses: dict[str, _Witness] = {}
-        self._isolated: set[str] = set()  # witnesses that are cut off
+        self._isolated: set[str] = set()  # names of isolated witnesses
         self._table = OutcomeTable()
-        self._max_rows_per_node = 0  # members whose word is kept for one node
-        self._candidates: dict[int, _Node] = {}  # nodes that may be bad
+        self._max_rows_per_node = 0  # reports kept for one node
+        self._candidates: dict[int, _Node] = {}  # nodes that may be unhealthy
         self._troubled_until = 0.0
 
-    # --- the list ---
+    # --- the node list ---
     def add_node(self, node: int, started: float) -> None:
-        """It is there, and began then (ms)."""
+        """Add a node, or reset it if it was restarted.  `started`: ms, its start time."""
         known = self._nodes.get(node)
         if known is None:
             if len(self._nodes) < MAX_NODES:
-                self._listed += 1
-                self._nodes[node] = _Node(int(started), self._listed)
+                self._added_count += 1
+                self._nodes[node] = _Node(int(started), self._added_count)
                 self._own_outcomes.add_node(node)
                 self._update_row_limit()
         elif int(started) > known.started:
@@ -118,7 +118,7 @@
             self._own_outcomes.reset_node(node)
 
     def remove_node(self, node: int) -> None:
-        """It is not listed any more."""
+        """Forget a node that is no longer listed."""
         known = self._nodes.get(node)
         if known is not None:
             self._remove_rows_of(node, known)
@@ -135,23 +135,23 @@
             self._remove_row(node, member)
         self._candidates.pop(node, None)
 
-    # --- evidence ---
+    # --- own outcomes and reports of peers ---
     def record_outcome(self, now: float, node: int, bad: bool) -> None:
-        """How a request of our own ended there, by what tells of the node."""
+        """Record the outcome of an own request at a node."""
         if node in self._nodes:
             self._own_outcomes.record(now, node, bad)
 
     def merge_report(
         self, now: float, member: str, zone: str, report: HealthReport, age: float
     ) -> None:
-        """A member's own, as it was `age` s ago at most."""
+        """Replace a member's report about a node by one that is at most `age` s old."""
         node = self._nodes.get(report.node)
         if node is None or report.started != node.started:
-            return  # another list, or another start: whichever of both is late, it says nothing
+            return  # other list or other start of the node: either side may be outdated
         if member in node.rows:
             self._remove_row(report.node, member)
         elif len(node.rows) >= self._max_rows_per_node:
-            self._remove_row(report.node, next(iter(node.rows)))  # the one heard longest ago
+            self._remove_row(report.node, next(iter(node.rows)))  # the oldest report
         left = 0.5 ** (age / HALF_LIFE_S)
         witness = self._witnesses.get(member)
         if witness is None:
@@ -167,7 +167,7 @@
         table = self._table
         row = table.add(number, witness.name, good, bad, now)
         table.trouble[row] = table.bad_share(row) >= BAD_SHARE
-        node.rows[witness.name] = row  # its own name: each datagram has another copy of it
+        node.rows[witness.name] = row  # reuses the witness's string: each datagram holds a new copy
         if bad:
             node.trouble.decay(now)
             node.trouble.bad += bad
@@ -203,16 +203,16 @@
             self._isolated.discard(witness.name)
 
     def forget_member(self, member: str) -> None:
-        """Its word goes with it."""
+        """Drop all reports of a member that is dead or has left."""
         witness = self._witnesses.get(member)
         if witness is not None:
             table = self._table
             for node in [table.node[row] for row in table.by_member.rows(witness.first)]:
                 self._remove_row(node, member)
 
-    # --- telling ---
+    # --- own reports ---
     def reports_to_send(self, now: float, most: int = MAX_REPORTED_NODES) -> list[HealthReport]:
-        """What of our own is told next: the worst first, the others in turn."""
+        """The next reports about own requests: the worst nodes first, the others in turn."""
         return [
             HealthReport(
                 node, self._nodes[node].started, round(outcomes.good, 2), round(outcomes.bad, 2)
@@ -221,16 +221,16 @@
         ]
 
     def mark_sent(self, reports: Iterable[HealthReport]) -> None:
-        """These were sent: the others' turn comes first."""
+        """Note that these reports were sent; other nodes have their turn first now."""
         self._own_outcomes.mark_sent(report.node for report in reports)
 
-    # --- judging ---
+    # --- estimates ---
     def unhealthy_nodes(self, now: float) -> list[int]:
-        """Nodes that seem bad by what others saw, and not by what we did."""
+        """Nodes that are unhealthy by the peers' reports and lack own evidence."""
         if now >= self._troubled_until:
             self._expire(now, MAX_EXPIRED_PER_ROUND)
             self._clear_candidates()
-            return []  # nobody has told of any trouble that has not faded
+            return []  # all reported trouble has decayed
         isolated = self.isolated_members(now)
         found = []
         for number, node in sorted(self._candidates.items(), key=lambda at: at[1].place):
@@ -260,7 +260,7 @@
         return node.bad or node.trouble.bad >= MIN_BAD_OUTCOMES - ROUNDING_ERROR
 
     def _expire(self, now: float, most: int | None = None) -> None:
-        """Drop what has faded, so many at most."""
+        """Drop expired reports, at most `most`."""
         table, dropped = self._table, 0
         for row in table.expiry.due(now):
             if dropped == most:
@@ -277,7 +277,7 @@
                 self._remove_row(number, member)
 
     def isolated_members(self, now: float) -> Collection[str]:
-        """Members who see trouble nearly everywhere."""
+        """Members that see trouble at nearly all nodes that they report."""
         if now >= self._troubled_until:
             return ()
         self._expire(now)
@@ -285,7 +285,7 @@
 
     def _is_unhealthy(self, node: _Node, own: DecayingOutcomes, isolated: Collection[str]) -> bool:
         if own.weight >= SUFFICIENT_OWN_OUTCOMES:
-            return False  # the module has seen it itself
+            return False  # the balancer decides by own evidence
         table = self._table
         rows = {member: row for member, row in node.rows.items() if member not in isolated}
         near = [row for member, row in rows.items() if self._witnesses[member].zone == self._zone]
@@ -299,9 +299,9 @@
             return bad > RECOVERED_SHARE * sum(weights)
         return bad >= MIN_BAD_OUTCOMES and bad > BAD_SHARE * sum(weights)
 
-    # --- looking ---
+    # --- introspection ---
     def estimates(self, now: float) -> list[tuple[int, int, float, float, bool]]:
-        """Node, witnesses, the share of trouble that they saw, our own, and the hint."""
+        """For each node: ID, witnesses, their share of bad outcomes, the own one, the estimate."""
         return [
             (
                 number,
--- a/violetroute/sharing/outcome_table.py
+++ b/violetroute/sharing/outcome_table.py
@@ -1,8 +1,8 @@
-"""What members told of the nodes, as rows of a table whose columns are arrays.  Pure.
+"""Reports of members about nodes, as rows of a table whose columns are arrays.  Pure.
 
-A number takes 8 bytes in a column and 24 to 32 as an object of its own; with up to 16,384 tallies
-that is most of what node health takes. Rows that are free are used again, so the columns are no
-longer than the most tallies that there were at one time.
+A number takes 8 bytes in a column, and 24 to 32 as an object; with up to 16,384 reports these are
+most of the memory of node health.  Free rows are reused, so the columns are only as long as the
+largest number of reports at one time.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class OutcomeTable:
-    """Rows by number. `now`, `at` and `until`: s."""
+    """One row per member and node.  `now`, `at` and `until`: s."""
 
     __slots__ = (
         "_free",
@@ -34,21 +34,21 @@
     def __init__(self) -> None:
         self.node = array("q")
         self.member: list[str] = []
-        self.good = array("d")  # outcomes that had not faded at `at`
+        self.good = array("d")  # outcomes, decayed to `at`
         self.bad = array("d")
         self.at = array("d")
-        self.until = array("d")  # when the row has faded
-        self.trouble = array("b")  # whether the member saw trouble there
+        self.until = array("d")  # when the row expires
+        self.trouble = array("b")  # 1 if the member reports trouble
         self.by_member = RowLists()
         self.expiry = ExpiryQueue()
         self._free: list[int] = []
 
     def __len__(self) -> int:
-        """Rows that are in use."""
+        """Rows in use."""
         return len(self.node) - len(self._free)
 
     def add(self, node: int, member: str, good: float, bad: float, now: float) -> int:
-        """A new row, which is not in a list of `by_member` yet."""
+        """Add a row; the caller inserts it into a list of `by_member`."""
         row = self._free.pop() if self._free else self._append()
         self.node[row], self.member[row] = node, member
         self.good[row], self.bad[row], self.at[row] = good, bad, now
@@ -58,13 +58,13 @@
         return row
 
     def remove(self, row: int) -> None:
-        """Free a row, which is in no list of `by_member` any more."""
+        """Free a row that was removed from its list of `by_member`."""
         self.expiry.remove(row)
         self.member[row] = ""
         self._free.append(row)
 
     def decay(self, row: int, now: float) -> None:
-        """Count the outcomes for what they are worth now."""
+        """Decay the outcomes of a row to now."""
         if now > self.at[row]:
             left = 0.5 ** ((now - self.at[row]) / HALF_LIFE_S)
             self.good[row] *= left
@@ -72,11 +72,11 @@
             self.at[row] = now
 
     def weight(self, row: int) -> float:
-        """Outcomes, as of the time to which the row has faded."""
+        """Good and bad outcomes, as last decayed."""
         return self.good[row] + self.bad[row]
 
     def bad_share(self, row: int) -> float:
-        """Of trouble; the same however far the row has faded."""
+        """Share of bad outcomes; independent of decay."""
         return self.bad[row] / max(self.good[row] + self.bad[row], 1e-9)
 
     def _append(self) -> int:
@@ -90,7 +90,7 @@
 
 
 def _expires_at(weight: float, at: float) -> float:
-    """When a weight falls to WEIGHT_LEAST; minus infinity if it is below that already."""
+    """When a weight decays to MIN_WEIGHT; minus infinity if it is below that already."""
     if weight < MIN_WEIGHT:
         return -math.inf
     return at + HALF_LIFE_S * math.log2(weight / MIN_WEIGHT)
--- a/violetroute/sharing/own_outcomes.py
+++ b/violetroute/sharing/own_outcomes.py
@@ -1,8 +1,8 @@
-"""What a proxy's own requests met at the nodes, and which nodes its next report tells of.  Pure.
+"""Outcomes of a proxy's own requests at the nodes, and which nodes its next report covers.  Pure.
 
-The worst nodes come first, the others in turn. The sound nodes are kept by the report that told of
-them last, so a report looks at those it tells of, at the troubled ones and at those that have
-faded, not at all nodes.
+The worst nodes come first, the others in turn.  Sound nodes are ordered by the last report that
+covered them, so building a report visits the nodes that it covers, the troubled ones and those that
+have decayed, not all nodes.
 """
 
 from __future__ import annotations
@@ -13,45 +13,45 @@
 from .decaying_outcomes import MIN_WEIGHT, DecayingOutcomes
 from .ordered import OrderedEntries
 
-Turn = tuple[int, int, int]  # the last report that told of a node, the node's place, the node
+Turn = tuple[int, int, int]  # last report that covered the node, its place, its ID
 
 
 @dataclass(slots=True)
 class _Node:
-    place: int  # in the order in which the nodes were listed
+    place: int  # order in which the nodes were added
     outcomes: DecayingOutcomes = field(default_factory=DecayingOutcomes)
-    last_report: int = 0  # the last report that told of it
+    last_report: int = 0  # number of the last report that covered it
 
 
 class OwnOutcomes:
-    """One proxy's.  `now`: s; nodes by number."""
+    """Own outcomes of one proxy.  `now`: s; nodes by ID."""
 
     def __init__(self) -> None:
         self._nodes: dict[int, _Node] = {}
-        self._listed = self._reports = 0  # so far
-        self._troubled: dict[int, _Node] = {}  # those with bad outcomes that may not have faded
-        self._sound = OrderedEntries[Turn]()  # of the others those that were met
+        self._added_count = self._reports = 0  # nodes added and reports sent so far
+        self._troubled: dict[int, _Node] = {}  # with bad outcomes, perhaps not decayed yet
+        self._sound = OrderedEntries[Turn]()  # the other nodes with outcomes
         self._turns: dict[int, Turn] = {}  # by node, as in `_sound`
 
     def add_node(self, node: int) -> None:
-        """A node that was not there."""
-        self._listed += 1
-        self._nodes[node] = _Node(self._listed)
+        """Add a node that is not known."""
+        self._added_count += 1
+        self._nodes[node] = _Node(self._added_count)
 
     def reset_node(self, node: int) -> None:
-        """What was met there is of the node's start before."""
+        """Drop the outcomes of a restarted node; it keeps its place."""
         place = self._nodes[node].place
         self.remove_node(node)
         self._nodes[node] = _Node(place)
 
     def remove_node(self, node: int) -> None:
-        """It is not listed any more."""
+        """Forget a node that is no longer listed."""
         self._nodes.pop(node, None)
         self._troubled.pop(node, None)
         self._end_turn(node)
 
     def record(self, now: float, node: int, bad: bool) -> None:
-        """How a request ended at a node that is listed."""
+        """Record the outcome of a request at a known node."""
         known = self._nodes[node]
         known.outcomes.decay(now)
         known.outcomes.good += not bad
@@ -63,20 +63,20 @@
             self._await_turn(node, known)
 
     def outcomes(self, now: float, node: int) -> DecayingOutcomes:
-        """Of a node that is listed."""
+        """Outcomes at a known node, decayed to now."""
         outcomes = self._nodes[node].outcomes
         outcomes.decay(now)
         return outcomes
 
     def bad_share(self, node: int) -> float:
-        """Of trouble, at a node that is listed."""
+        """Share of bad outcomes at a known node."""
         return self._nodes[node].outcomes.bad_share
 
     def next_report(self, now: float, most: int) -> list[tuple[int, DecayingOutcomes]]:
-        """Nodes to tell of and what was met there.
+        """The next nodes to report, at most `most`, with their outcomes.
 
-        At most half are troubled nodes: a report with more would show a member that is cut off. A
-        quarter are the worst ones, a quarter the other troubled ones in turn.
+        At most half are troubled nodes: with more, peers would take this member for isolated.  A
+        quarter are the worst nodes, a quarter the other troubled ones in turn.
         """
         troubled = self._worst_first(now)
         chosen, others = troubled[: most // 4], troubled[most // 4 :]
@@ -86,7 +86,7 @@
         return [(node, self._nodes[node].outcomes) for node in chosen]
 
     def mark_sent(self, nodes: Iterable[int]) -> None:
-        """A report that tells of these was sent: the others' turn comes first."""
+        """Note that a report on these nodes was sent; other nodes have their turn first now."""
         self._reports += 1
         for node in nodes:
             self._nodes[node].last_report = self._reports
--- a/violetroute/sharing/report_budget.py
+++ b/violetroute/sharing/report_budget.py
@@ -17,7 +17,7 @@
 
 HEALTH_SHARE, LOAD_SHARE, HITTERS_SHARE = 0.5, 0.25, 0.25  # of the rate, by kind of report
 BURST_S = 30.0  # s of its rate that a bucket holds
-MIN_BURST_BYTES = 2.0 * wire.MAX_DATAGRAM_BYTES  # bytes: or a large report would never fit
+MIN_BURST_BYTES = 2.0 * wire.MAX_DATAGRAM  # bytes: or a large report would never fit
 URGENT_SHARE = 0.5  # of a full bucket
 FULL_MARGIN_BYTES = 1.0  # bytes by which a bucket that counts as full may be short
 FLEET_RATE = 1.43e6  # bytes/s that all proxies together send by default: 550 each of 2,600
@@ -95,7 +95,7 @@
 
     def size(self, items: Sequence[Item]) -> int:
         """Bytes of the datagrams that carry these items, at most."""
-        room, free, datagrams, content = wire.MAX_DATAGRAM_BYTES - self._envelope, 0, 0, 0
+        room, free, datagrams, content = wire.MAX_DATAGRAM - self._envelope, 0, 0, 0
         for item in items:
             length = len(wire.encode_item(item))
             if length > free:
--- a/violetroute/sharing/service.py
+++ b/violetroute/sharing/service.py
@@ -83,7 +83,7 @@
         now = self.loop.time()
         address = parse_address(table.listen)
         self._address_overrides = {who: parse_address(at) for who, at in table.ways.items()}
-        self._mailbox = net.bind_datagram_socket(address, self, wire.MAX_DATAGRAM_BYTES)
+        self._mailbox = net.bind_datagram_socket(address, self, wire.MAX_DATAGRAM)
         place = f"{address.host}:{self._mailbox.address.port}"
         self.members = Members(
             self.name,
--- a/violetroute/sharing/wire.py
+++ b/violetroute/sharing/wire.py
@@ -1,21 +1,20 @@
-"""Datagrams between proxies: their form, their seal, and what is refused.  Pure.
+"""Datagrams between proxies: format, authentication and replay protection.  Pure.
 
     4 bytes     "LBf" and the version of this envelope
-    1 byte      which key: the first byte of the key's own hash
-    16 bytes    BLAKE2b of all that follows, keyed
-    the rest    MessagePack: an envelope, and in it items one by one
-
-Each item is packed by itself, so that a build that does not know a kind of item skips it and reads
-on.  Nothing is decoded before the seal holds; what is decoded is bounded by the datagram's size.
-
-**Replays and late ones.**  Each life numbers what it sends; a number that came before, or is more
-than 64 behind the highest, is refused.  A datagram also names the life of who it is meant for and
-the highest number that its sender had from there.  So its receiver knows, by its own clock alone,
-that it was written after that one was sent: that bounds its age, whatever the network held back.
-In a large fleet most that come are a pair's first for long and show no such number; these are dated
-by the wall clocks where both say nearly the same time, and are not believed where they don't.  That
-is for judgements and counts.  Loans need no age: a late ask, answer or return is harmless by its
-number and by whose life it names.
+    1 byte      ID of the key: a one-byte hash of it
+    16 bytes    keyed BLAKE2b of all that follows
+    the rest    MessagePack: an envelope with separately encoded items
+
+A build that does not know a kind of item skips it and reads on.  Nothing is decoded before the MAC
+is verified; the size of a datagram bounds what is decoded.
+
+**Replays and delays.**  Each process numbers its datagrams.  A number that was received before, or
+is at least 64 below the highest, is refused.  A datagram also names its receiver's process and the
+highest number received from it.  So the receiver knows by its own clock that it was written after
+that number was sent, which bounds its age however long the network delayed it.  In a large fleet
+most datagrams are the first of their pair for long and carry no such number.  Their age is the
+difference of the wall clocks; reports are ignored if it is too large.  Only reports (health, load,
+heavy hitters) need an age: a late loan item is harmless by its number and the process it names.
 """
 
 from __future__ import annotations
@@ -28,60 +27,64 @@
 
 import msgspec
 
-MAX_DATAGRAM_BYTES = 1200  # bytes: passes every path without being cut
+MAX_DATAGRAM = 1200  # bytes; below any path MTU, so not fragmented
 MAGIC = b"LBf\x01"
-SEAL_BYTES = 16  # bytes
-HEADER_BYTES = len(MAGIC) + 1 + SEAL_BYTES
-MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 64  # bytes of a key
-MAX_ITEMS = 64  # of one datagram
-MAX_SENDERS = 4096  # senders whose numbers are known
-WINDOW = 64  # numbers behind the highest that may still come
-MAX_SENT_NUMBERS = 32  # of our own numbers to one member whose time is known: those on their way
+SEAL_BYTES = 16  # of the MAC
+HEADER = len(MAGIC) + 1 + SEAL_BYTES  # bytes
+MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 64
+MAX_ITEMS = 64  # in one datagram
+MAX_SENDERS = 4096  # processes whose received numbers are remembered
+WINDOW = 64  # replay window: numbers up to the highest that are still accepted
+MAX_SENT_NUMBERS = 32  # latest own numbers per member whose send time is remembered
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 Life = Annotated[str, msgspec.Meta(min_length=1, max_length=32)]
 Number = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
-Place = Annotated[str, msgspec.Meta(max_length=64)]  # "ADDRESS:PORT"; "" is unknown
+Place = Annotated[str, msgspec.Meta(max_length=64)]  # "ADDRESS:PORT"; "": unknown
 Budget = Annotated[str, msgspec.Meta(min_length=1, max_length=32)]
 Amount = Annotated[int, msgspec.Meta(ge=0, le=2**40)]
 Small = Annotated[float, msgspec.Meta(ge=0.0, le=1e6)]
 Hash = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
-SHORT_BYTES = 4  # bytes of a shortened hash or digest
-MAX_BUCKETS = 128  # into which a list of members is divided
-MAX_BUCKET_DIGESTS_BYTES = MAX_BUCKETS * SHORT_BYTES  # bytes of the digests of all buckets
-MAX_HELD_BYTES = 512  # bytes of hashes of one bucket's members
+SHORT_BYTES = 4  # of a truncated hash or digest
+MAX_BUCKETS = 128  # into which the member list is divided
+MAX_BUCKET_DIGESTS_BYTES = MAX_BUCKETS * SHORT_BYTES  # of the digests of all buckets
+MAX_HELD_BYTES = 512  # of the hashes of one bucket's members
 Buckets = Annotated[int, msgspec.Meta(ge=1, le=MAX_BUCKETS)]
 BucketIndex = Annotated[int, msgspec.Meta(ge=0, lt=MAX_BUCKETS)]
 Hashes = Annotated[bytes, msgspec.Meta(max_length=MAX_HELD_BYTES)]
 
 
 class Item(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """What a datagram carries.  Fields may be added at the end, with defaults."""
+    """One item of a datagram.  Fields may be added at the end, with defaults."""
 
 
 class Ping(Item, frozen=True, tag="p"):
+    """A probe; the receiver answers with an `Ack` of the same number."""
+
     number: Number
 
 
 class Ack(Item, frozen=True, tag="a"):
+    """Answers a `Ping`, directly or through a helper."""
+
     number: Number
 
 
 class Nack(Item, frozen=True, tag="n"):
-    """Who was asked to ask has heard nothing either, and is well itself."""
+    """A healthy helper received no ack of the target of a `PingRequest` either."""
 
     number: Number
 
 
 class PingRequest(Item, frozen=True, tag="q"):
-    """Ask `target` for me."""
+    """Requests an indirect probe: the receiver pings `target`."""
 
     number: Number
     target: Name
 
 
 class Rumor(Item, frozen=True, tag="r"):
-    """How a member stands: "a"live, "s"uspect, "d"ead, "l"eft."""
+    """State of a member: "a"live, "s"uspect, "d"ead, "l"eft."""
 
     name: Name
     life: Life
@@ -89,23 +92,23 @@
     state: Annotated[str, msgspec.Meta(pattern="^[asdl]$")]
     place: Place = ""
     zone: Annotated[str, msgspec.Meta(max_length=64)] = ""
-    by: Annotated[str, msgspec.Meta(max_length=64)] = ""  # who suspects
+    by: Annotated[str, msgspec.Meta(max_length=64)] = ""  # the member that suspects it
 
 
 class PageRequest(Item, frozen=True, tag="g"):
-    """Asks for members whose names come after this one."""
+    """Requests members whose names sort after this one."""
 
     after: Annotated[str, msgspec.Meta(max_length=64)] = ""
 
 
 class PageEnd(Item, frozen=True, tag="G"):
-    """The last of those that came with this; "": there are no more."""
+    """Ends a page: the last name in it, or "" if no more follow."""
 
     last: Annotated[str, msgspec.Meta(max_length=64)] = ""
 
 
 class MemberEntry(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """A member that is up.  Fields may be added at the end, with defaults."""
+    """A member that is alive or suspected.  Fields may be added at the end, with defaults."""
 
     name: Name
     life: Life
@@ -115,7 +118,7 @@
 
 
 class Compare(Item, frozen=True, tag="d"):
-    """The digest of the sender's list of members; asks for that of the receiver's."""
+    """The digest of the sender's member list; requests the receiver's digest."""
 
     number: Number
     count: Number
@@ -123,7 +126,7 @@
 
 
 class Digests(Item, frozen=True, tag="D"):
-    """Answers `Compare`.  `digests`: of all buckets, SHORT bytes each; none if not needed."""
+    """Answers `Compare`.  `digests`: SHORT_BYTES of each bucket; empty if not needed."""
 
     number: Number
     count: Number
@@ -132,7 +135,7 @@
 
 
 class BucketRequest(Item, frozen=True, tag="e"):
-    """Asks for the members of one of so many buckets.  `held`: hashes of those that are known."""
+    """Requests the members of one bucket.  `held`: hashes of those that the sender has."""
 
     number: Number
     buckets: Buckets
@@ -141,12 +144,9 @@
 
 
 class BucketMembers(Item, frozen=True, tag="E"):
-    """Members of one bucket: answers `BucketRequest` (number 0: a `wanted`).
+    """Members of one bucket.  `wanted`: hashes that the receiver has and the sender lacks."""
 
-    `wanted`: hashes that the receiver holds and the sender lacks.
-    """
-
-    number: Number
+    number: Number  # of the `BucketRequest`; 0 in the answer to `wanted`
     buckets: Buckets
     index: BucketIndex
     members: Annotated[list[MemberEntry], msgspec.Meta(max_length=256)]
@@ -157,38 +157,46 @@
 
 
 class SpareReport(Item, frozen=True, tag="s"):
+    """How much of a budget the sender can lend now, in thousandths of a request a second."""
+
     budget: Budget
     amount: Amount
 
 
 class LoanRequest(Item, frozen=True, tag="b"):
+    """Requests a loan of at most `amount`."""
+
     budget: Budget
     number: Number
     amount: Amount
 
 
 class LoanGrant(Item, frozen=True, tag="l"):
+    """Answers the `LoanRequest` of this number; `amount` 0 means no loan."""
+
     budget: Budget
     number: Number
     amount: Amount
 
 
 class LoanReturn(Item, frozen=True, tag="k"):
+    """Returns the loans of all requests up to this number."""
+
     budget: Budget
     number: Number
 
 
 class HealthReport(Item, frozen=True, tag="w"):
-    """What a member's own requests met at a node: outcomes that have not faded yet."""
+    """Decayed outcomes of the sender's own requests at a node."""
 
     node: Number
-    started: Number  # ms, of the node as the list has it
+    started: Number  # start of the node in ms, from the node list
     good: Small
     bad: Small
 
 
 class LoadReport(Item, frozen=True, tag="o"):
-    """Sums over a member's own requests since it told last: how many, their badness, ms, aims."""
+    """Sums over the sender's own requests since its last report; `took` and `aim` in ms."""
 
     kept: bool
     count: Small
@@ -199,7 +207,7 @@
 
 
 class HeavyHitterReport(Item, frozen=True, tag="c"):
-    """Heavy hitters of one kind: keyed hashes, counts and by how much these may be too high."""
+    """Heavy hitters of one kind: hashes of keys, counts and the maximal errors of the counts."""
 
     kind: Annotated[str, msgspec.Meta(max_length=16)]
     keys: list[Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]]
@@ -230,7 +238,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """`to` and `to_life`: whom it is meant for; `heard`: the highest number had from there."""
+    """`to`, `to_life`: the receiver; `heard`: the highest number received from it."""
 
     name: Name
     life: Life
@@ -248,16 +256,17 @@
 
 
 def encode_item(item: Item | MemberEntry) -> bytes:
+    """The item in MessagePack, with its tag."""
     return _pack.encode(item)
 
 
 def raw(data: bytes) -> msgspec.Raw:
-    """What `packed` gave, as an envelope holds it."""
+    """Wrap the result of `encode_item` for an envelope."""
     return msgspec.Raw(data)
 
 
 class Keys:
-    """The first seals, all open.  ValueError for one that is no key."""
+    """Keys of the fleet: the first one signs, all verify.  ValueError for an invalid length."""
 
     def __init__(self, keys: list[bytes]) -> None:
         if not keys or any(not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES for key in keys):
@@ -269,29 +278,30 @@
         self._first = hashlib.blake2b(keys[0], digest_size=1, person=b"limebridge-key").digest()
 
     def sign(self, purpose: bytes, data: bytes, key_id: bytes = b"") -> bytes:
-        """The key's id and a MAC of `data`, 17 bytes; by the key `key_id`, else by the first.
+        """The ID of the key and a MAC of `data`, 17 bytes; by key `key_id`, else by the first.
 
-        `purpose` (16 bytes at most) keeps a MAC from being taken for one of another purpose.
-        KeyError for a key that is not known.
+        `purpose` (at most 16 bytes) separates domains: a MAC is valid for one purpose only.
+        KeyError for an unknown key.
         """
         key_id = key_id or self._first
         return key_id + _mac(self._keys[key_id], data, purpose)
 
     def verify(self, purpose: bytes, data: bytes, signature: bytes) -> bool:
-        """Whether `signature` is what one of our keys makes of `data`."""
+        """Whether `signature` is a valid result of `sign` for this purpose and data."""
         key = self._keys.get(signature[:1])
         return key is not None and hmac.compare_digest(_mac(key, data, purpose), signature[1:])
 
     def seal(self, envelope: Envelope) -> bytes:
+        """The datagram of an envelope, authenticated by the first key."""
         body = _pack.encode(envelope)
         return b"".join((MAGIC, self._first, _mac(self._keys[self._first], body), body))
 
     def open(self, data: bytes) -> Envelope | None:
-        """None for what nobody of ours has written, or is no envelope."""
-        if not HEADER_BYTES < len(data) <= MAX_DATAGRAM_BYTES or data[:4] != MAGIC:
+        """Verify and decode a datagram; None if the MAC or the envelope is invalid."""
+        if not HEADER < len(data) <= MAX_DATAGRAM or data[:4] != MAGIC:
             return None
-        key, body = self._keys.get(data[4:5]), data[HEADER_BYTES:]
-        if key is None or not hmac.compare_digest(_mac(key, body), data[5:HEADER_BYTES]):
+        key, body = self._keys.get(data[4:5]), data[HEADER:]
+        if key is None or not hmac.compare_digest(_mac(key, body), data[5:HEADER]):
             return None
         try:
             return _envelope.decode(body)
@@ -304,7 +314,7 @@
 
 
 def items(envelope: Envelope) -> list[Any]:
-    """Those that this build knows and that make sense."""
+    """The valid items of kinds that this build knows."""
     found = []
     for raw in envelope.items:
         try:
@@ -315,41 +325,30 @@
 
 
 def room(name: str, to: str) -> int:
-    """Bytes for items in a datagram between two of these names, whatever its numbers are."""
-    return (
-        MAX_DATAGRAM_BYTES
-        - HEADER_BYTES
-        - 2 * 34
-        - len(name.encode())
-        - len(to.encode())
-        - 4
-        - 4 * 9
-        - 10
-    )
+    """Bytes for items in a datagram from `name` to `to`, with numbers of any size."""
+    return MAX_DATAGRAM - HEADER - 2 * 34 - len(name.encode()) - len(to.encode()) - 4 - 4 * 9 - 10
 
 
 @dataclass(slots=True)
-class _ReceivedNumbers:
-    """Numbers of one life."""
+class _Received:
+    """Numbers received from one process."""
 
     highest: int = 0
-    came: int = 0  # bits: which of those behind the highest
+    bits: int = 0  # bit n: whether number `highest - n` was received
 
 
 class SequenceNumbers:
-    """Ours, and those that came; and how old a datagram can be at most."""
+    """Own and received datagram numbers, for replay protection and for bounds of ages."""
 
-    __slots__ = ("_came", "_number", "_sent")
+    __slots__ = ("_number", "_received", "_sent")
 
     def __init__(self) -> None:
         self._number = 0
-        self._came: OrderedDict[tuple[str, str], _ReceivedNumbers] = (
-            OrderedDict()
-        )  # by name and life
-        self._sent: dict[str, OrderedDict[int, float]] = {}  # by member: number, when
+        self._received: OrderedDict[tuple[str, str], _Received] = OrderedDict()  # by name, life
+        self._sent: dict[str, OrderedDict[int, float]] = {}  # by member: send time (s) by number
 
     def next(self, to: str, now: float) -> int:
-        """The number of what is sent now to this member."""
+        """Assign the number of a datagram that is sent to a member now."""
         self._number += 1
         if to:
             if to not in self._sent and len(self._sent) >= MAX_SENDERS:
@@ -361,39 +360,39 @@
         return self._number
 
     def highest_received(self, name: str, life: str) -> int:
-        """The highest number had from that life."""
-        known = self._came.get((name, life))
+        """The highest number received from a process; 0 if none."""
+        known = self._received.get((name, life))
         return 0 if known is None else known.highest
 
     def is_new(self, name: str, life: str, number: int) -> bool:
-        """Whether that number has not come before and is not too far behind."""
-        known = self._came.get((name, life))
+        """Accept a received number; False if it is a replay or below the window."""
+        known = self._received.get((name, life))
         if known is None:
-            if len(self._came) >= MAX_SENDERS:
-                self._came.popitem(last=False)
-            self._came[name, life] = _ReceivedNumbers(number, 1)
+            if len(self._received) >= MAX_SENDERS:
+                self._received.popitem(last=False)
+            self._received[name, life] = _Received(number, 1)
             return True
-        self._came.move_to_end((name, life))
+        self._received.move_to_end((name, life))
         if number > known.highest:
-            known.came = (
-                ((known.came << (number - known.highest)) | 1) & (2**WINDOW - 1)
+            known.bits = (
+                ((known.bits << (number - known.highest)) | 1) & (2**WINDOW - 1)
                 if number - known.highest < WINDOW
                 else 1
             )
             known.highest = number
             return True
         behind = known.highest - number
-        if behind >= WINDOW or known.came >> behind & 1:
+        if behind >= WINDOW or known.bits >> behind & 1:
             return False
-        known.came |= 1 << behind
+        known.bits |= 1 << behind
         return True
 
     def age(self, name: str, heard: int, now: float) -> float | None:
-        """Seconds that what was written after `heard` had come can be old; None: unknown."""
+        """Upper bound in s of the age of a datagram that confirms `heard`; None: unknown."""
         sent = self._sent.get(name)
         at = None if sent is None else sent.get(heard)
         return None if at is None else max(0.0, now - at)
 
     def forget(self, name: str) -> None:
-        """A member that is gone."""
+        """Forget the send times for a member that is dead or has left."""
         self._sent.pop(name, None)
