--- a/violetroute/clients/answers.py
+++ b/violetroute/clients/answers.py
@@ -19,12 +19,15 @@
         `taken`: requests accepted from this connection in this loop turn.  `waited`: seconds for
         which the command may have been unread.
         """
+        ...
 
     def take(self, command: resp.Command, answer: Answer) -> None:
         """Accept a request; `answer.finish` is called once.  CommandError if it is invalid."""
+        ...
 
     def client_gone(self, answer: Answer) -> None:
         """The client has left: the request of this answer is no longer needed."""
+        ...
 
 
 class Answer:
