--- a/violetroute/transport/disk.py
+++ b/violetroute/transport/disk.py
@@ -7,7 +7,7 @@
 
 
 def write_synced(path: Path, data: bytes) -> None:
-    """Write a file and fsync it; the caller makes its name durable.  Raises OSError."""
+    """Write a file and fsync it; no reader may use its name yet.  Raises OSError."""
     descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o644)
     try:
         view = memoryview(data)
--- a/violetroute/transport/tls.py
+++ b/violetroute/transport/tls.py
@@ -42,8 +42,8 @@
 class TlsKeys:
     """The TLS context of the files, loaded again when one of them changes.
 
-    The files are checked at each connect.  Unusable files, such as those being replaced, leave the
-    last good context in use.
+    The files are checked at each connect, since certificates last for hours and connections for
+    seconds.  Unusable files, such as those being replaced, leave the last good context in use.
     """
 
     def __init__(self, files: TlsFiles) -> None:
