--- a/violetroute/ledger/accounts.py
+++ b/violetroute/ledger/accounts.py
@@ -69,7 +69,7 @@
     last_key: str = ""  # key of the last confirmed batch
     unbatched_units: dict[int, dict[Key, int]] = field(default_factory=dict)  # by period
     closed: dict[int, None] = field(default_factory=dict)
-    closed_before: int = 0  # older periods, which are not in `closed` any more
+    closed_before: int = 0  # earlier periods count as closed too
     batches: dict[int, Batch] = field(default_factory=dict)  # by number, until confirmed
     confirmed_units: dict[int, int] = field(default_factory=dict)  # units confirmed, by period
     gaps: list[tuple[float, float, str]] = field(default_factory=list)
--- a/violetroute/ledger/store.py
+++ b/violetroute/ledger/store.py
@@ -37,9 +37,7 @@
 
     file: str = ""
     records: int = 0
-    renamed_files: list[str] = field(
-        default_factory=list
-    )  # unreadable files, under their new names
+    renamed_files: list[str] = field(default_factory=list)  # unreadable files' new names
     discarded_bytes: int = 0  # bytes after the last valid record
     reason: str = ""
 
--- a/violetroute/ledger/table.py
+++ b/violetroute/ledger/table.py
@@ -19,10 +19,8 @@
     period_min: Literal[5, 10, 15, 30, 60] = 15
     grace_s: Seconds = 60.0  # from a period's end to its closing; later units are corrections
     flush_s: Annotated[float, msgspec.Meta(ge=0.01, le=60.0)] = 0.5  # between writes
-    tenants_most: Annotated[int, msgspec.Meta(ge=10, le=100_000)] = (
-        2000  # counted by name in one period;
-    )
-    #                      the others are counted together
+    # Counted by name in a period; the others are counted together.
+    tenants_most: Annotated[int, msgspec.Meta(ge=10, le=100_000)] = 2000
     ids: bool = False  # store a hash of each request's id, for disputes
     retain_days: Annotated[int, msgspec.Meta(ge=1, le=4000)] = 400  # for closed periods
     export: Literal["off", "files", "http"] = "off"
