--- a/tests/violetroute/sharing/test_sharing.py
+++ b/tests/violetroute/sharing/test_sharing.py
@@ -468,7 +468,7 @@
     for number in range(MAX_RELAYS + 50):
         answers = one.receive(1.0, "p1", "l", 1, PingRequest(number, "p2"))
     assert answers[0].items == (Nack(MAX_RELAYS + 49),)
-    assert len(one._rumors._waiting) <= MAX_WAITING
+    assert len(one._rumors._queued) <= MAX_WAITING
     loans = Loans(10**9, LoanTerms(), -10.0)
     lent = [loans.grant(1.0, f"p{n}/1", 1, 100, 0) for n in range(MAX_LENT + 50)]
     assert lent.count(100) == MAX_LENT
--- a/tests/violetroute/sharing/test_sharing_cost.py
+++ b/tests/violetroute/sharing/test_sharing_cost.py
@@ -201,7 +201,7 @@
             if what == "next":
                 for _ in range(second):
                     assert kept.next(first) == plain.next(first)
-            assert set(kept._waiting) == set(plain.waiting)
+            assert set(kept._queued) == set(plain.waiting)
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr("violetroute.sharing.rumors.MAX_WAITING", most)
--- a/violetroute/sharing/__init__.py
+++ b/violetroute/sharing/__init__.py
@@ -1,8 +1,7 @@
-"""What proxies tell each other: who is there, budgets of the fleet, judgements of nodes, counts.
+"""Gossip between proxies: membership, fleet-wide budgets, node health and heavy hitters.
 
-Pure are `members` (who is there), `loans` and `budget` (authority over a budget), `node_health`
-(judgements), `counts` (heavy hitters), `gossip` (rounds) and `wire` (datagrams); `service` has the
-socket and the timer.
-A message is data from a stranger until its seal says otherwise, and from one who may be wrong, late
-or twice afterwards.
+Pure modules decide: `members` (membership), `loans` and `budget` (authority over a budget),
+`node_health`, `load_reports` and `heavy_hitters` (reports), `gossip` (rounds) and `wire`
+(datagrams).  `service` has the socket and the timer.  A datagram is not trusted until its MAC is
+verified; after that it may still be wrong, late or duplicated.
 """
--- a/violetroute/sharing/digest.py
+++ b/violetroute/sharing/digest.py
@@ -1,15 +1,15 @@
-"""Digests of a list of members, by which two lists are compared without being sent.  Pure.
+"""Digests of a member list, to compare two lists without sending them.  Pure.
 
 Each member that is up has a 63-bit hash of its name, life and incarnation.  The digest of a set of
-members is the XOR of their hashes, so one change costs O(1).  Members are divided into buckets by a
-hash of their name alone: bucket `i` of `n` holds the names whose hash begins with the bits of `i`,
-with `n` a power of two.  So both ends of a comparison have the same buckets if they use the same
-`n`, whatever members they know.
+members is the XOR of their hashes, so one change costs O(1).  A hash of the name alone assigns a
+member to a bucket: bucket `i` of `n` (a power of two) holds the names whose hash begins with the
+bits of `i`.  So both ends of a comparison have the same buckets for the same `n`, whatever members
+they know.
 
 The hashes need no key: datagrams are authenticated, and a collision only hides a difference of one
 bucket until one of its members changes.
 
-State: one integer and one reference a member, and LEAVES digests.
+State: one integer and one reference per member, and LEAVES digests.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 from .rumors import Member
 from .wire import MAX_BUCKETS, SHORT_BYTES, Rumor
 
-LEAVES = MAX_BUCKETS  # in which hashes are kept; a bucket is one of them or several neighbours
-BUCKET_MEMBERS = 16  # of one bucket on average, until there are BUCKETS_MOST of them
+LEAVES = MAX_BUCKETS  # finest buckets; a bucket consists of one or several adjacent leaves
+BUCKET_MEMBERS = 16  # on average in a bucket, until there are MAX_BUCKETS buckets
 SHORT_MASK = 2 ** (8 * SHORT_BYTES) - 1
 
 
 def bucket_count(members: int) -> int:
-    """The number of buckets for so many members: a power of two."""
+    """Number of buckets for a list of this size: a power of two."""
     buckets = 1
     while buckets < MAX_BUCKETS and members > BUCKET_MEMBERS * buckets:
         buckets *= 2
@@ -34,40 +34,40 @@
 
 
 def is_bucket_count(buckets: int) -> bool:
-    """Whether lists can be divided into so many buckets."""
+    """Whether lists can be divided into this number of buckets."""
     return 1 <= buckets <= MAX_BUCKETS and buckets & (buckets - 1) == 0
 
 
 def member_hash(name: str, life: str, incarnation: int) -> int:
-    """63 bits for one process of a member."""
+    """63-bit hash of one incarnation of a member."""
     text = f"{name}\0{life}\0{incarnation}".encode()
     return int.from_bytes(blake2b(text, digest_size=8).digest(), "big") >> 1
 
 
 def pack_short(values: Iterable[int]) -> bytes:
-    """The last SHORT bytes of each hash or digest."""
+    """The last SHORT_BYTES of each hash or digest, concatenated."""
     return b"".join((value & SHORT_MASK).to_bytes(SHORT_BYTES, "big") for value in values)
 
 
 def unpack_short(data: bytes) -> list[int]:
-    """What `pack_short` gave, without an incomplete last one."""
+    """The inverse of `pack_short`; an incomplete last value is ignored."""
     ends = range(SHORT_BYTES, len(data) + 1, SHORT_BYTES)
     return [int.from_bytes(data[end - SHORT_BYTES : end], "big") for end in ends]
 
 
 class MemberDigests:
-    """Digests of the members that one member believes to be up, itself included."""
+    """Digests of the members that are up in one member's view, itself included."""
 
     __slots__ = ("_digests", "_hashes", "count", "whole")
 
     def __init__(self) -> None:
         self.count = 0
-        self.whole = 0  # the digest of all
+        self.whole = 0  # digest of all members
         self._digests = [0] * LEAVES
         self._hashes: list[dict[str, int]] = [{} for _ in range(LEAVES)]  # by name
 
     def put(self, name: str, life: str, incarnation: int) -> None:
-        """A member is up, in place of what was known of it."""
+        """Add a member that is up, or replace its entry."""
         self.remove(name)
         leaf, value = _leaf(name), member_hash(name, life, incarnation)
         self._hashes[leaf][name] = value
@@ -76,7 +76,7 @@
         self.count += 1
 
     def remove(self, name: str) -> None:
-        """A member is not up, or not known, any more."""
+        """Remove a member that is no longer up; does nothing if it is not there."""
         leaf = _leaf(name)
         value = self._hashes[leaf].pop(name, None)
         if value is not None:
@@ -84,15 +84,15 @@
             self.whole ^= value
             self.count -= 1
 
-    def file(self, member: Member | Rumor) -> None:
-        """A member's state, life or incarnation has changed."""
+    def update(self, member: Member | Rumor) -> None:
+        """Apply a change of a member's state, life or incarnation."""
         if member.state in ("a", "s"):
             self.put(member.name, member.life, member.incarnation)
         else:
             self.remove(member.name)
 
     def of_buckets(self, buckets: int) -> bytes:
-        """The shortened digests of all of so many buckets."""
+        """Truncated digests of all buckets, if there are `buckets` of them."""
         leaves = LEAVES // buckets
         digests = []
         for first in range(0, LEAVES, leaves):
@@ -103,7 +103,7 @@
         return pack_short(digests)
 
     def members(self, buckets: int, index: int) -> dict[int, str]:
-        """Names of one of so many buckets, by their shortened hashes."""
+        """Names in bucket `index` of `buckets`, by their truncated hashes."""
         leaves = LEAVES // buckets
         return {
             value & SHORT_MASK: name
@@ -113,7 +113,7 @@
 
 
 def differing(ours: bytes, theirs: bytes) -> list[int]:
-    """Indexes of the buckets whose shortened digests differ."""
+    """Indexes of the buckets whose truncated digests differ."""
     pairs = zip(unpack_short(ours), unpack_short(theirs), strict=True)
     return [index for index, (mine, other) in enumerate(pairs) if mine != other]
 
--- a/violetroute/sharing/factory.py
+++ b/violetroute/sharing/factory.py
@@ -1,4 +1,4 @@
-"""Makes the part from the operator's table, and gives it what it hears of."""
+"""Creates the gossip service from the operator's settings and connects it to the proxy's hooks."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ProxyHost(Host, Protocol):
-    """The proxy."""
+    """What the gossip service needs of the proxy, with its hooks."""
 
     hooks: EventHooks
 
@@ -27,14 +27,17 @@
 def make_sharing(
     table: SharingTable, name: str, zone: str, max_backoff: float, net: Network, proxy: ProxyHost
 ) -> Sharing:
-    """OSError where it cannot listen, OSError or ValueError where the key can't be read."""
+    """Create and attach the service.
+
+    OSError if it cannot listen; OSError or ValueError if the key file is unreadable or invalid.
+    """
     sharing = Sharing(table, read_keys(table.key_file), name, zone, max_backoff, net, proxy)
     attach(sharing, proxy)
     return sharing
 
 
 def attach(sharing: Sharing, proxy: ProxyHost) -> None:
-    """It hears of requests, attempts and lists from now on."""
+    """Register the service with the hooks for requests, attempts and node lists."""
     hooks = proxy.hooks
     if sharing.rounds.node_health is not None:
         hooks.on_attempt_ended.append(safely(sharing.record_attempt))
@@ -45,7 +48,7 @@
 
 
 def safely(hook: Callable[..., T]) -> Callable[..., T | None]:
-    """A fault of ours costs no request: it is told, and the request goes its way."""
+    """Wrap a hook: an exception in the service is logged and does not fail the request."""
 
     def call(*args: object) -> T | None:
         try:
--- a/violetroute/sharing/introspection.py
+++ b/violetroute/sharing/introspection.py
@@ -1,4 +1,4 @@
-"""What `limebridge fleet members | beliefs | budgets` is told, each with its age and origin."""
+"""Output of `limebridge fleet members | beliefs | budgets`, with the age and origin of entries."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from .service import Sharing
 
 STATES = {"a": "alive", "s": "suspected", "d": "dead", "l": "left"}
-SHOWN_HITTERS = 10  # of each kind
+SHOWN_HITTERS = 10  # heavy hitters of each kind
 
 
 def view(sharing: Sharing, what: str) -> dict[str, Any]:
-    """KeyError for what there is not."""
+    """The output of one command; KeyError for an unknown one."""
     views = {"members": _members, "beliefs": _health_estimates, "budgets": _budgets}
     return views[what](sharing, sharing.loop.time())
 
--- a/violetroute/sharing/member_list.py
+++ b/violetroute/sharing/member_list.py
@@ -1,6 +1,6 @@
-"""All other members that one member knows, and what is kept in order about them.  Pure.
+"""All other members in one member's view, and the indexes over them.  Pure.
 
-One change of one member costs O(log n) comparisons, however many there are.
+A change of one member costs O(log n) comparisons, whatever the size of the fleet.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 
 
 class MemberList:
-    """Members by name, with those that are up, those that are doubted, seeds and digests."""
+    """Members by name, with indexes of those that are up and not alive, of seeds and digests."""
 
     def __init__(self, seeds: Iterable[str], own_place: str) -> None:
         self.members: dict[str, Member] = {}
         self.up = UpNames()
         self.not_alive = NotAliveMembers()
         self.seeds = Seeds(seeds, own_place)
-        self.digests = MemberDigests()  # with the process that is listed under one's own name
+        self.digests = MemberDigests()  # includes the process that holds the own name
 
     def add(self, rumor: Rumor, now: float) -> Member:
-        """Take one that is not known yet for alive."""
+        """Add an unknown member as alive."""
         added = self.members[rumor.name] = Member(
             rumor.name, rumor.life, rumor.incarnation, "a", rumor.place, rumor.zone, now
         )
         self.up.added(added)
         self.seeds.joined(rumor.place)
-        self.digests.file(added)
+        self.digests.update(added)
         return added
 
     def take(self, known: Member, rumor: Rumor, now: float) -> None:
-        """A member stands as a rumor says that overrides what is known."""
+        """Apply a rumor that overrides the known state of a member."""
         was_up, place = known.up, known.place
         known.take(rumor, now)
         if was_up:
@@ -45,10 +45,10 @@
             self.seeds.joined(known.place)
         if known.up != was_up:
             self.up.changed(known)
-        self.not_alive.file(known)
-        self.digests.file(known)
+        self.not_alive.update(known)
+        self.digests.update(known)
 
     def forget(self, name: str) -> Member:
-        """One that is not up any more.  KeyError if it is not known."""
+        """Remove a member that is not up.  KeyError if it is not known."""
         self.not_alive.forget(name)
         return self.members.pop(name)
--- a/violetroute/sharing/members.py
+++ b/violetroute/sharing/members.py
@@ -84,7 +84,7 @@
         self._ticked_at = now
         self._postponed = False  # whether this tick postponed the end of a probe or a suspicion
         self.leaving = False
-        self._list.digests.file(self._listed_self())
+        self._list.digests.update(self._listed_self())
 
     # --- what is known ---
     def up(self) -> list[str]:
@@ -306,7 +306,7 @@
         before = self.duplicate
         if before is None or duplicate.incarnation >= before.incarnation:
             self.duplicate = duplicate
-            self._list.digests.file(self._listed_self())
+            self._list.digests.update(self._listed_self())
             if before is None:
                 self._rumors.drop(self.name)
                 self._changed(self.name, "duplicate", "a")
@@ -333,7 +333,7 @@
                 return []
         if known.same_suspicion(rumor):
             if known.confirm(rumor.by):
-                self._not_alive.file(known)
+                self._not_alive.update(known)
                 self._rumors.add(rumor)
             return []
         if not overrides(rumor, known.state, known.life, known.incarnation):
@@ -358,7 +358,7 @@
 
     def _announce_self(self) -> None:
         """Announce a new incarnation of this process."""
-        self._list.digests.file(self._listed_self())
+        self._list.digests.update(self._listed_self())
         self._rumors.add(self.own_rumor())
 
     def _handle_rumor_about_self(self, rumor: Rumor, now: float) -> None:
@@ -385,7 +385,7 @@
     def leave(self) -> list[Send]:
         """Announce the shutdown to a few members, which pass it on."""
         self.leaving = True
-        self._list.digests.file(self._listed_self())
+        self._list.digests.update(self._listed_self())
         names = self.up()
         return [
             Send(name, "", (self.own_rumor(),))
--- a/violetroute/sharing/not_alive.py
+++ b/violetroute/sharing/not_alive.py
@@ -1,9 +1,9 @@
-"""Members that are suspected, dead or have left, by when something is due for them.  Pure.
+"""Members that are suspected, dead or have left, ordered by when an action is due.  Pure.
 
-A tick looks at those that are due, not at all of them. How long a suspect has to deny it depends
-on how many suspect it, on the fleet's size and on one's own health. The last two change for all
-suspects at once, so suspects are kept by the number of confirmations, and within it by the start of
-the suspicion: in that order they are always due.
+A tick visits only members that are due.  The time that a suspect has to refute depends on the
+number of confirmations, the fleet's size and the local health score.  The last two change for all
+suspects at once.  So suspects are grouped by confirmations and sorted by the start of their
+suspicion, and are always due in that order.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from .ordered import OrderedEntries
 from .rumors import MAX_CONFIRMATIONS, Member
 
-StateSince = tuple[float, str]  # s since when, and the member's name
+StateSince = tuple[float, str]  # time of the last change (s) and the member's name
 
 
 class NotAliveMembers:
-    """All members of one view that are not plainly alive."""
+    """All members in one view that are not alive."""
 
     def __init__(self) -> None:
         self._suspects = tuple(OrderedEntries[StateSince]() for _ in range(MAX_CONFIRMATIONS + 1))
@@ -25,10 +25,10 @@
         self._left = OrderedEntries[StateSince]()
         self._entries: dict[
             str, tuple[OrderedEntries[StateSince], StateSince]
-        ] = {}  # where each one is
+        ] = {}  # by name: its group and its entry there
 
-    def file(self, member: Member) -> None:
-        """Its state, or who suspects it, has changed."""
+    def update(self, member: Member) -> None:
+        """Apply a change of a member's state or of its confirmations."""
         self.forget(member.name)
         if member.state == "s":
             entries = self._suspects[member.confirmations]
@@ -43,18 +43,18 @@
         self._entries[member.name] = entries, entry
 
     def forget(self, name: str) -> None:
-        """It is not doubted, or not known, any more."""
+        """Remove a member that is alive again or was forgotten."""
         filed = self._entries.pop(name, None)
         if filed is not None:
             entries, entry = filed
             entries.remove(entry)
 
     def __bool__(self) -> bool:
-        """Whether there are any."""
+        """Whether there are any such members."""
         return bool(self._entries)
 
     def overdue(self, now: float, times: Sequence[float]) -> list[str]:
-        """Suspects whose time to deny it is over.
+        """Suspects whose time to refute is over.
 
         `times`: seconds that a suspect has, by the number of confirmations.
         """
@@ -66,14 +66,14 @@
         return [name for _, name in sorted(due)]
 
     def expired(self, now: float, after: float) -> list[str]:
-        """Those that have been dead, or have left, for so many seconds."""
+        """Members that have been dead, or have left, for at least `after` seconds."""
         return [
             name for entries in (self._dead, self._left) for _, name in _older(entries, now, after)
         ]
 
     @property
     def dead(self) -> Sequence[StateSince]:
-        """Those thought dead; the longest ago first."""
+        """Dead members, the earliest first."""
         return self._dead.entries
 
 
--- a/violetroute/sharing/ordered.py
+++ b/violetroute/sharing/ordered.py
@@ -1,4 +1,4 @@
-"""A list that stays sorted while entries come and go, so that nobody sorts or walks all of it.
+"""A list that stays sorted while entries come and go, so that nothing sorts or scans all of it.
 
 Adding and removing take O(log n) comparisons and one move of memory, of at most a few thousand
 references here.
@@ -13,30 +13,30 @@
 
 
 class OrderedEntries(Generic[Entry]):
-    """Different tuples, the smallest first."""
+    """Distinct tuples in ascending order."""
 
     __slots__ = ("entries",)
 
     def __init__(self) -> None:
-        self.entries: list[Entry] = []  # to be read only
+        self.entries: list[Entry] = []  # read only for callers
 
     def add(self, entry: Entry) -> None:
-        """One more, which is not there yet."""
+        """Add an entry that is not in the list."""
         insort(self.entries, entry)
 
     def remove(self, entry: Entry) -> None:
-        """Take out one that is there.  KeyError if it is not."""
+        """Remove an entry.  KeyError if it is not in the list."""
         place = bisect_left(self.entries, entry)
         if place == len(self.entries) or self.entries[place] != entry:
             raise KeyError(entry)
         del self.entries[place]
 
     def first_from(self, least: tuple[Any, ...]) -> Entry:
-        """The smallest one that is not below `least`.  IndexError if there is none."""
+        """The smallest entry that is not below `least`.  IndexError if there is none."""
         return self.entries[bisect_left(self.entries, least)]
 
     def take(self, count: int) -> list[Entry]:
-        """Take out the smallest ones."""
+        """Remove and return the `count` smallest entries."""
         taken = self.entries[:count]
         del self.entries[:count]
         return taken
--- a/violetroute/sharing/outgoing.py
+++ b/violetroute/sharing/outgoing.py
@@ -1,4 +1,4 @@
-"""What one member wants to be sent to another.  Pure."""
+"""Items that one member wants to send to another.  Pure."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """To be sent: to a member by name, or to a place of which the name is not known yet."""
+    """Items for a member `to`, or for an address `place` if `to` is empty (name not known)."""
 
     to: str
     place: str
--- a/violetroute/sharing/probe.py
+++ b/violetroute/sharing/probe.py
@@ -1,4 +1,4 @@
-"""One probe of SWIM's failure detector, and how long a suspect has to deny the suspicion."""
+"""A probe of SWIM's failure detector, and the time that a suspect has to refute a suspicion."""
 
 from __future__ import annotations
 
@@ -7,46 +7,46 @@
 
 from .rumors import MAX_CONFIRMATIONS
 
-TICK_S = 0.1  # s between two ticks of a process that gets the CPU
-LATE_SHARE = 0.25  # of a period that a tick may come late and still prove something
-POSTPONE_SHARE = 0.65  # of a period for which a late tick postpones, as long as helpers have
-SUSPICION_FACTOR = 4.0  # periods times the fleet's size's logarithm, when many suspect
-UNCONFIRMED_FACTOR = 3.0  # times that, when one does alone
+TICK_S = 0.1  # between two ticks of a process that gets the CPU
+LATE_SHARE = 0.25  # of a period: delay from which a tick counts as late
+POSTPONE_SHARE = 0.65  # of a period: postponement by a late tick; the time helpers have
+SUSPICION_FACTOR = 4.0  # periods per log10 of the fleet size: shortest suspicion time
+UNCONFIRMED_FACTOR = 3.0  # times that: suspicion time without confirmations
 
 
 @dataclass(slots=True)
 class Probe:
-    """A member that was asked and has not answered yet."""
+    """An open probe of a member."""
 
     target: str
     life: str
     number: int
-    helpers_at: float  # s; when helpers are asked, infinity once they were
-    until: float  # s; when it has failed, unless that is postponed
+    helpers_at: float  # s; when the indirect probe starts; infinity once it has
+    until: float  # s; when the probe fails, unless postponed
     nacks: int = 0
     helpers: int = 0
     not_before: float = -math.inf  # s; a late tick postponed its end until then
 
     @property
     def end(self) -> float:
-        """When it has failed."""
+        """When the probe fails (s)."""
         return max(self.until, self.not_before)
 
 
 def is_late(since_last: float, period: float) -> bool:
-    """Whether a tick so many s after the one before finds answers that it should have read.
+    """Whether a tick came late, `since_last` s after the previous one.
 
-    The process was stopped or starved meanwhile. Answers lie unread in the socket, so their
-    absence proves nothing.
+    The process was stopped or starved meanwhile.  Answers may be unread in the socket, so missing
+    ones prove nothing.
     """
     return since_last - TICK_S > max(LATE_SHARE * period, TICK_S)
 
 
 def suspicion_time(size: int, period: float, confirmed: int, health: int) -> float:
-    """Seconds until a suspect is taken for dead, as Lifeguard has it.
+    """Seconds until a suspect is declared dead, as in Lifeguard.
 
-    It shrinks with each of the `confirmed` others that suspect it too, and grows with the
-    logarithm of the fleet's size and with one's own bad health.
+    It shrinks with each of the `confirmed` further members that suspect it, and grows with the
+    logarithm of the fleet's size and with the local health score.
     """
     least = SUSPICION_FACTOR * max(1.0, math.log10(max(1, size))) * period
     most = UNCONFIRMED_FACTOR * least
--- a/violetroute/sharing/rate_limiter.py
+++ b/violetroute/sharing/rate_limiter.py
@@ -1,10 +1,10 @@
-"""A bound on how many a second.  Pure."""
+"""A token bucket that limits events a second.  Pure."""
 
 from __future__ import annotations
 
 
 class RateLimiter:
-    """So many a second."""
+    """Allows `rate` events a second, and `burst` at once."""
 
     __slots__ = ("_at", "_burst", "_level", "_rate")
 
@@ -12,6 +12,7 @@
         self._rate, self._burst, self._level, self._at = rate, burst, burst, now
 
     def take(self, now: float) -> bool:
+        """Take a token; False if there is none.  `now`: s."""
         self._level = min(self._burst, self._level + self._rate * (now - self._at))
         self._at = now
         if self._level < 1.0:
--- a/violetroute/sharing/relays.py
+++ b/violetroute/sharing/relays.py
@@ -1,4 +1,4 @@
-"""Probes that this member makes for others, which asked it to after theirs had no answer.  Pure."""
+"""Indirect probes that this member relays for others.  Pure."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Relay:
-    """One probe for another member."""
+    """An indirect probe for another member."""
 
     requester: str
-    number: int  # the requester's own number of its probe
-    until: float  # s; when the requester is told that there was no answer
-    life: str  # of the target that has to answer
+    number: int  # the requester's probe number
+    until: float  # s; when the requester gets a nack
+    life: str  # the process of the target that must answer
 
 
 class Relays:
-    """All that are open, by the number of this member's own ping."""
+    """Open relays by the number of this member's own ping."""
 
     def __init__(self) -> None:
         self._open: dict[int, Relay] = {}
 
     @property
     def full(self) -> bool:
-        """Whether no more are taken."""
+        """Whether no more relays are accepted."""
         return len(self._open) >= MAX_RELAYS
 
     def add(self, number: int, relay: Relay) -> None:
-        """The target was sent a ping with this number."""
+        """Add the relay whose ping to the target has this number."""
         self._open[number] = relay
 
     def answered(self, number: int, life: str) -> Relay | None:
-        """The relay that an answer of this life ends."""
+        """Remove and return the relay that an ack with this number and life ends."""
         relay = self._open.get(number)
         if relay is None or relay.life != life:
             return None
@@ -41,7 +41,7 @@
         return relay
 
     def overdue(self, now: float) -> list[Relay]:
-        """End those that had no answer in time."""
+        """Remove and return the relays without an ack in time."""
         if not self._open:
             return []
         numbers = [number for number, relay in self._open.items() if now >= relay.until]
--- a/violetroute/sharing/row_lists.py
+++ b/violetroute/sharing/row_lists.py
@@ -1,7 +1,7 @@
-"""Doubly linked lists of the rows of a table, 8 bytes a row.  Pure.
+"""Doubly linked lists over the rows of a table, with 8 bytes a row.  Pure.
 
-A row is in one list at a time. Who holds a list keeps the number of its first row, NO_ROW while it
-is empty.
+A row is in one list at a time.  The owner of a list keeps the number of its first row, or NO_ROW
+while the list is empty.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
         self._previous = array("i")
 
     def append_row(self) -> None:
-        """The table has one more row, which is in no list yet."""
+        """Note a new row of the table, which is in no list yet."""
         self._next.append(NO_ROW)
         self._previous.append(NO_ROW)
 
     def insert(self, row: int, first: int) -> int:
-        """Put a row in front of a list.  The list's first row from now on."""
+        """Prepend a row to a list; returns the list's new first row."""
         self._next[row], self._previous[row] = first, NO_ROW
         if first != NO_ROW:
             self._previous[first] = row
         return row
 
     def remove(self, row: int, first: int) -> int:
-        """Take a row out of its list.  The list's first row from now on."""
+        """Remove a row from its list; returns the list's new first row."""
         previous, following = self._previous[row], self._next[row]
         if previous != NO_ROW:
             self._next[previous] = following
@@ -43,7 +43,7 @@
         return following if row == first else first
 
     def rows(self, first: int) -> Iterator[int]:
-        """A list's rows.  The one that was given last may be removed meanwhile, and no other."""
+        """The rows of a list.  During the iteration only the last yielded row may be removed."""
         row = first
         for _ in range(len(self._next)):
             if row == NO_ROW:
--- a/violetroute/sharing/seeds.py
+++ b/violetroute/sharing/seeds.py
@@ -1,4 +1,4 @@
-"""Seeds: addresses from the operator's file at which no member is known yet.  Pure."""
+"""Seeds: addresses from the operator's file, to find members there.  Pure."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 
 class Seeds:
-    """How many members are there at each seed's address, kept as members change."""
+    """Counts the known members at each seed's address."""
 
     def __init__(self, places: Iterable[str], own: str) -> None:
         self._members = dict.fromkeys((place for place in places if place != own), 0)
 
     def joined(self, place: str) -> None:
-        """A member is there at this address."""
+        """Count a member that is up at this address."""
         if place in self._members:
             self._members[place] += 1
 
     def left(self, place: str) -> None:
-        """A member that was there at this address is gone, or at another one."""
+        """Uncount a member that is gone or has moved from this address."""
         if place in self._members:
             self._members[place] -= 1
 
     def unknown(self) -> list[str]:
-        """Those at which nobody is."""
+        """Seeds at whose address no member is known."""
         return [place for place, members in self._members.items() if not members]
--- a/violetroute/sharing/table.py
+++ b/violetroute/sharing/table.py
@@ -1,4 +1,4 @@
-"""`[sharing]` of the operator's file."""
+"""Settings of the gossip service: `[sharing]` of the operator's file."""
 
 from __future__ import annotations
 
@@ -16,40 +16,40 @@
 class BudgetTable(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, rename={"class_name": "class"}
 ):
-    """`[[sharing.budget]]`: what the whole fleet may let in of these requests."""
+    """`[[sharing.budget]]`: rate at which the whole fleet admits certain requests."""
 
     name: BudgetName
     per_s: Annotated[float, msgspec.Meta(gt=0.0, le=1e6)]  # requests a second, of all proxies
-    tenant: Text = ""  # of this tenant; "" is any
-    class_name: Text = ""  # of this class; "" is any
+    tenant: Text = ""  # "": any tenant
+    class_name: Text = ""  # "": any class
 
 
 class SharingTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[sharing]`: off while `listen` is empty.
+    """`[sharing]`: disabled while `listen` is empty.
 
-    `budget` changes with SIGHUP, the rest at a start.
+    SIGHUP applies a change of `budget`; other changes need a restart.
     """
 
-    listen: str = ""  # "ADDRESS:PORT" for datagrams, as the others reach it
-    key_file: str = ""  # the fleet's key: a line; a second one is taken too, during a change
-    seeds: Annotated[tuple[str, ...], msgspec.Meta(max_length=64)] = ()  # some that stay
-    ways: dict[Text, str] = {}  # by name: another address than a member tells of itself
-    proxies: Annotated[int, msgspec.Meta(ge=1, le=4000)] = 1  # that run at most: by it budgets are
-    #                      divided, so it has to be the same, or greater, everywhere
-    probe_s: Annotated[float, msgspec.Meta(ge=0.05, le=60.0)] = 1.0  # between two that are asked
-    loan_s: Annotated[float, msgspec.Meta(ge=0.2, le=60.0)] = 3.0  # for which a part is lent
-    drift: Annotated[float, msgspec.Meta(ge=0.0, le=0.2)] = 0.05  # by which clocks' rates differ
-    burst_s: Annotated[float, msgspec.Meta(ge=0.01, le=10.0)] = 0.1  # of its part, saved up
-    # Sent at most for reports of node health, load and heavy hitters; 0: by the number of proxies.
+    listen: str = ""  # "ADDRESS:PORT" for datagrams; other proxies send there
+    key_file: str = ""  # one line; during a rotation two lines: both verify, the first signs
+    seeds: Annotated[tuple[str, ...], msgspec.Meta(max_length=64)] = ()  # permanent members
+    ways: dict[Text, str] = {}  # by member: overrides the announced address
+    # Maximal size of the fleet.  Budgets are divided by it, so no proxy may have a smaller value.
+    proxies: Annotated[int, msgspec.Meta(ge=1, le=4000)] = 1
+    probe_s: Annotated[float, msgspec.Meta(ge=0.05, le=60.0)] = 1.0  # s between two probes
+    loan_s: Annotated[float, msgspec.Meta(ge=0.2, le=60.0)] = 3.0  # duration of a loan (s)
+    drift: Annotated[float, msgspec.Meta(ge=0.0, le=0.2)] = 0.05  # maximal error of a clock's rate
+    burst_s: Annotated[float, msgspec.Meta(ge=0.01, le=10.0)] = 0.1  # s of its rate, saved up
+    # Limit for reports of node health, load and heavy hitters; 0: by the number of proxies.
     report_bytes_per_s: Annotated[float, msgspec.Meta(ge=0.0, le=1e6)] = 0.0
-    judge: bool = True  # of nodes: tell what was met there, believe others within bounds
-    socket: Annotated[str, msgspec.Meta(max_length=100)] = ""  # a Unix socket for looking in
+    judge: bool = True  # send and use reports of node health and load
+    socket: Annotated[str, msgspec.Meta(max_length=100)] = ""  # path for introspection
     budget: Annotated[tuple[BudgetTable, ...], msgspec.Meta(max_length=64)] = ()
 
 
 def read_keys(path: str) -> Keys:
-    """The lines of the key's file, the first one seals.  OSError, ValueError."""
-    from .wire import MAX_KEY_BYTES, MIN_KEY_BYTES, Keys  # nothing of it where it is off
+    """Read the key file; the first line signs.  OSError; ValueError for invalid lines."""
+    from .wire import MAX_KEY_BYTES, MIN_KEY_BYTES, Keys  # not imported while the service is off
 
     with open(path, "rb") as file:
         data = file.read(4 * MAX_KEY_BYTES + 1)
