--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -33,7 +33,7 @@
 from limebridge.standins.consul import Consul
 from limebridge.standins.wire import command, read_answer
 from limebridge.virtual.session import quiet
-from violetroute.fleet.assignment import RANK_MOST
+from violetroute.fleet.assignment import MAX_RANK
 from violetroute.fleet.lease import Lease
 
 TERM, LOOK, CALL = 0.8, 0.1, 0.4
@@ -42,7 +42,7 @@
 def bound(kind: str, store: str) -> float:
     """s without an effect that the settings promise: the last renewal's term (a session's up to
     twice), a look, the last place in the order, the calls of asking, claiming and putting."""
-    waits = LOOK * 1.2 + RANK_MOST * LOOK * 0.25 + 3 * CALL + BEAT
+    waits = LOOK * 1.2 + MAX_RANK * LOOK * 0.25 + 3 * CALL + BEAT
     if kind == "term" or (kind == "kill" and store == "folder"):
         return waits
     return waits + TERM * (2.0 if store == "consul" else 1.0) + (TERM if kind == "cut" else 0.0)
--- a/limebridge/faults/billed.py
+++ b/limebridge/faults/billed.py
@@ -19,7 +19,7 @@
 from limebridge.standins.nodes import CacheNode
 from limebridge.standins.served_log import ServedLog
 from limebridge.standins.wire import command, read_answer
-from violetroute.fleet.settlement import KEYS_MOST
+from violetroute.fleet.settlement import MAX_BATCHES_PER_ENTRY
 from violetroute.ledger.files import Folder
 from violetroute.ledger.periods import Periods
 from violetroute.ledger.store import SIGNED_PREFIX
@@ -207,7 +207,10 @@
             if effect.key.startswith("settlement/"):
                 seen.update(effect.body["keys"])
                 units = sum(sizes.get(key, 0) for key in effect.body["keys"])
-                if units != effect.body["units"] or len(effect.body["keys"]) > KEYS_MOST:
+                if (
+                    units != effect.body["units"]
+                    or len(effect.body["keys"]) > MAX_BATCHES_PER_ENTRY
+                ):
                     self.complain("bills", f"{effect.key}: its batches have {units} units")
         twice = [key for key, times in seen.items() if times > 1]
         if twice:
--- a/limebridge/faults/history.py
+++ b/limebridge/faults/history.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from limebridge.standins.effects import Effect
-from violetroute.fleet.job import key_of
+from violetroute.fleet.job import idempotency_key
 from violetroute.fleet.log import FencedLog, Record, decode
 
 from .plan import FORGETS, Fault, Kind
@@ -166,7 +166,7 @@
         entries = cls()
         reader = FencedLog(name, entries.add)
         for data in log:
-            reader.take(data)
+            reader.apply(data)
         return entries
 
     def add(self, position: int, record: Record) -> None:
@@ -174,7 +174,7 @@
         if "handed" in body:
             self.handed.add(body["handed"])
             return
-        self.keys.append(key_of(record, position).strip('"'))
+        self.keys.append(idempotency_key(record, position).strip('"'))
         if "beat" in body:
             self.beats.append(body["beat"])
 
--- a/limebridge/faults/model.py
+++ b/limebridge/faults/model.py
@@ -8,13 +8,21 @@
 from typing import Any
 
 from violetroute.fleet import lease as leases
-from violetroute.fleet.election import Ask, Owner, Release, Renew, TermBegan, TermEnded, Terms
+from violetroute.fleet.election import (
+    Acquire,
+    LeaderElector,
+    LeaseTiming,
+    Release,
+    Renew,
+    TermBegan,
+    TermEnded,
+)
 from violetroute.fleet.lease import IncarnationId, Lease
 from violetroute.fleet.log import Fenced, FencedLog, Read, append, claim, decode
 
 from .model_incarnation import Incarnation, Reading, StoreAnswer, lease_key
 
-TERMS = Terms(term_s=1.0, drift=0.05, step_s=0.0)
+TERMS = LeaseTiming(term_s=1.0, drift=0.05, step_s=0.0)
 RATES = (0.95, 1.05, 1.0)  # of the incarnations' clocks
 STEP = 0.5  # s of an event "time"
 HEALS = 24  # steps of time within which an effect has to happen once all is well
@@ -72,7 +80,7 @@
     def _start_incarnation(self) -> Incarnation:
         self.began += 1
         me = IncarnationId(f"p{self.began}", f"n{self.began}")
-        owner = Owner("w", me.nonce, TERMS, EVEN)
+        owner = LeaderElector("w", me.nonce, TERMS, EVEN)
         owner.set_candidate(True, 0)
         return Incarnation(owner, me, FencedLog("w", _ignore))
 
@@ -125,7 +133,7 @@
             yield "stop", place
 
     def _may(self, place: int) -> bool:
-        return self.incarnations[place].owner.may(self.clock(place)) > 0
+        return self.incarnations[place].owner.valid_fence(self.clock(place)) > 0
 
     def step(self, what: str, place: int) -> None:
         if what == "time":
@@ -163,15 +171,15 @@
     def _hear(self, place: int, incarnation: Incarnation) -> None:
         assert incarnation.reading is not None
         (asked_at, lease, alive), incarnation.reading = incarnation.reading, None
-        self._acts(place, incarnation.owner.look(self.clock(place), asked_at, lease, alive))
+        self._acts(place, incarnation.owner.observe(self.clock(place), asked_at, lease, alive))
         self._acts(place, incarnation.owner.tick(self.clock(place)))
 
     def _do(self, place: int, incarnation: Incarnation, cost: int = 1) -> None:
         """The store serves the call."""
         self.left["slow"] = max(0, self.left["slow"] - cost)
         match incarnation.call:
-            case Ask(_, _, floor, over):
-                made = leases.taken("w", self.lease, over, floor, incarnation.me, 0.0)
+            case Acquire(_, _, floor, over):
+                made = leases.acquired("w", self.lease, over, floor, incarnation.me, 0.0)
             case Renew(_, _, fence):
                 made = leases.renewed(self.lease, fence, incarnation.me)
             case Release(_, _, fence):
@@ -186,10 +194,10 @@
         incarnation.answer = incarnation.call = None
         now, owner = self.clock(place), incarnation.owner
         match call:
-            case Ask(_, number) if accepted:
+            case Acquire(_, number) if accepted:
                 assert lease is not None
                 actions = owner.granted(now, number, lease.fence)
-            case Ask(_, number):
+            case Acquire(_, number):
                 actions = owner.denied(now, number, lease)
             case Renew(_, number) if accepted:
                 actions = owner.renewed(now, number)
@@ -227,7 +235,7 @@
         self.left["effects"] -= 1
         self.left["halves"] -= cost
         owner, log = incarnation.owner, incarnation.log
-        fence = owner.may(self.clock(place))
+        fence = owner.valid_fence(self.clock(place))
         if incarnation.claimed == fence:
             steps = append(log, fence, incarnation.me.nonce, incarnation.me.name, lambda: 1)
         else:
@@ -251,13 +259,13 @@
         put, incarnation.put = incarnation.put, None
         if put.position == len(self.log):
             self.log.append(put.data)
-            incarnation.log.take(put.data)
+            incarnation.log.apply(put.data)
             record = read_record(put.data, "w")
             assert record is not None
             if record.kind == "claim":
                 incarnation.claimed = record.fence
         if incarnation.owner.state != "owner":
-            incarnation.owner.stopped()
+            incarnation.owner.work_stopped()
 
     def _acts(self, place: int, actions: Any) -> None:
         incarnation = self.incarnations[place]
@@ -267,7 +275,7 @@
                     pass
                 case TermEnded():
                     if incarnation.put is None:
-                        incarnation.owner.stopped()
+                        incarnation.owner.work_stopped()
                 case _:
                     incarnation.call, incarnation.answer = action, None
 
@@ -332,7 +340,10 @@
 
     def key(self) -> Any:
         """All that later steps depend on."""
-        end, first = len(self.log), min(incarnation.log.next for incarnation in self.incarnations)
+        end, first = (
+            len(self.log),
+            min(incarnation.log.next_position for incarnation in self.incarnations),
+        )
         beat = 0 if self.lease is None else self.lease.beat
         return (
             lease_key(self.lease, beat),
--- a/limebridge/faults/model_incarnation.py
+++ b/limebridge/faults/model_incarnation.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from violetroute.fleet.election import Ask, Owner, Release, Renew
-from violetroute.fleet.lease import IncarnationId, Lease, Seal
+from violetroute.fleet.election import Acquire, LeaderElector, Release, Renew
+from violetroute.fleet.lease import FenceGuard, IncarnationId, Lease
 from violetroute.fleet.log import FencedLog, Put
 
-FIELDS = Owner.__slots__
+FIELDS = LeaderElector.__slots__
 
 
 class StoreAnswer(NamedTuple):
@@ -31,10 +31,10 @@
 class Incarnation:
     """A process from a start to its end."""
 
-    owner: Owner
+    owner: LeaderElector
     me: IncarnationId
     log: FencedLog
-    call: Ask | Renew | Release | None = None  # to the store, not answered yet
+    call: Acquire | Renew | Release | None = None  # to the store, not answered yet
     answer: StoreAnswer | None = None  # on its way back
     reading: Reading | None = None  # on its way back
     put: Put | None = None  # checked, but not in the log yet
@@ -44,12 +44,12 @@
     def copy(self) -> Incarnation:
         made = Incarnation.__new__(Incarnation)
         made.__dict__.update(self.__dict__)
-        made.owner = Owner.__new__(Owner)
+        made.owner = LeaderElector.__new__(LeaderElector)
         for name in FIELDS:
             setattr(made.owner, name, getattr(self.owner, name))
         made.log = FencedLog.__new__(FencedLog)
         made.log.__dict__.update(self.log.__dict__)
-        made.log.seal = Seal(self.log.seal.fence, self.log.seal.nonce)
+        made.log.guard = FenceGuard(self.log.guard.fence, self.log.guard.nonce)
         return made
 
     def key(self, now: float, end: int, beat: int) -> Any:
@@ -67,9 +67,9 @@
             self.claimed,
             self.stopped,
             self.me.nonce,
-            end - self.log.next,
-            self.log.seal.fence,
-            self.log.seal.nonce,
+            end - self.log.next_position,
+            self.log.guard.fence,
+            self.log.guard.nonce,
         )
 
     def _owner_key(self, now: float, beat: int) -> Any:
@@ -78,16 +78,21 @@
             owner.state,
             owner.fence,
             owner.floor,
-            owner._busy,
-            owner._stopped,
+            owner._pending_call,
+            owner._work_stopped,
             owner._failures,
-            _seen_key(owner._seen, beat),
-            owner._seen_at is None,
+            _seen_key(owner._observed, beat),
+            owner._observed_at is None,
             *(
                 round(max(-4.0, at - now), 6)
-                for at in (owner.until, owner._open_at, owner._ask_at, owner._renew_at)
+                for at in (
+                    owner.valid_until,
+                    owner._available_at,
+                    owner._acquire_at,
+                    owner._renew_at,
+                )
             ),
-            round(now - owner._asked_at, 6) if owner._busy else 0,
+            round(now - owner._sent_at, 6) if owner._pending_call else 0,
         )
 
     def _call_key(self, beat: int) -> Any:
@@ -97,7 +102,7 @@
         return (
             type(call).__name__,
             call.number == self.owner._number,
-            _seen_key(call.over, beat) if isinstance(call, Ask) else call.fence,
+            _seen_key(call.expected, beat) if isinstance(call, Acquire) else call.fence,
             getattr(call, "floor", 0),
         )
 
--- a/limebridge/faults/process.py
+++ b/limebridge/faults/process.py
@@ -12,12 +12,12 @@
 from limebridge.virtual.loop import VirtualLoop
 from limebridge.virtual.net import network
 from violetroute.fleet.folder import FolderStore
-from violetroute.fleet.job import Beat, LogWork
+from violetroute.fleet.job import BeatDecider, LogWork
 from violetroute.fleet.kv import ConsulStore
 from violetroute.fleet.lease import IncarnationId
 from violetroute.fleet.log import Put, Read, Result, Steps
 from violetroute.fleet.runner import Fleet, Work
-from violetroute.fleet.store import Store, Told
+from violetroute.fleet.store import Callback, Store
 from violetroute.fleet.table import FleetTable
 from violetroute.transport import parse_address
 
@@ -110,7 +110,7 @@
 class SteppedStore:
     """`FolderStore` with each of its steps at an instant of its own."""
 
-    vouches = False
+    expires_leases = False
 
     def __init__(
         self,
@@ -128,7 +128,7 @@
     def _wait(self) -> float:
         return self._mean * self._rng.expovariate(1.0)
 
-    def _submit(self, job: Callable[[], Any], told: Told[Any]) -> None:
+    def _submit(self, job: Callable[[], Any], told: Callback[Any]) -> None:
         self._queues["leases"].append(
             lambda: self._clock.call_later(self._wait(), self._do, job, told)
         )
@@ -139,7 +139,7 @@
             self._busy.add(writer)
             self._queues[writer].pop(0)()
 
-    def _do(self, job: Callable[[], Any], told: Told[Any]) -> None:
+    def _do(self, job: Callable[[], Any], told: Callback[Any]) -> None:
         result, why = None, ""
         try:
             if self._fails():
@@ -149,31 +149,31 @@
             why = str(error) or type(error).__name__
         self._clock.call_later(self._wait(), self._done, "leases", told, result, why)
 
-    def _done(self, writer: str, told: Told[Any], result: Any, why: str) -> None:
+    def _done(self, writer: str, told: Callback[Any], result: Any, why: str) -> None:
         self._busy.discard(writer)
         told(result, why)
         self._next(writer)
 
-    def look(self, told: Told[Any]) -> None:
-        self._submit(self._store.look, told)
+    def poll(self, told: Callback[Any]) -> None:
+        self._submit(self._store.poll, told)
 
-    def ask(self, ask: Any, told: Told[Any]) -> None:
-        self._submit(lambda: self._store.ask(ask), told)
+    def acquire(self, ask: Any, told: Callback[Any]) -> None:
+        self._submit(lambda: self._store.acquire(ask), told)
 
-    def renew(self, terms: Sequence[tuple[str, int]], told: Told[Any]) -> None:
+    def renew(self, terms: Sequence[tuple[str, int]], told: Callback[Any]) -> None:
         self._submit(lambda: self._store.renew(terms), told)
 
-    def release(self, work: str, fence: int, told: Told[Any]) -> None:
+    def release(self, work: str, fence: int, told: Callback[Any]) -> None:
         self._submit(lambda: self._store.release(work, fence), told)
 
-    def run(self, steps: Steps, told: Told[Result]) -> None:
+    def run(self, steps: Steps, told: Callback[Result]) -> None:
         """Each read and put by itself: what was checked may be old when it is put."""
         self._queues["logs"].append(
             lambda: self._clock.call_later(self._wait(), self._step, steps, None, told)
         )
         self._next("logs")
 
-    def _step(self, steps: Steps, answer: Any, told: Told[Result]) -> None:
+    def _step(self, steps: Steps, answer: Any, told: Callback[Result]) -> None:
         try:
             step = steps.send(answer)
             if self._fails():
@@ -186,7 +186,7 @@
             return
         self._clock.call_later(self._wait(), self._steps, steps, step, told)
 
-    def _steps(self, steps: Steps, step: Read | Put, told: Told[Result]) -> None:
+    def _steps(self, steps: Steps, step: Read | Put, told: Callback[Result]) -> None:
         try:
             answer: Any = (
                 self._store.read(step.log, step.position)
@@ -232,7 +232,7 @@
 
         def work(name: str) -> Work:
             endpoint = parse_address(table.endpoint) if self.port else None
-            return LogWork(name, net, Beat(), world.beat, endpoint, table.path, table.call_s)
+            return LogWork(name, net, BeatDecider(), world.beat, endpoint, table.path, table.call_s)
 
         self.fleet = Fleet(table, self.name, net, store, work, nonce=f"n{world.started}")
 
@@ -277,7 +277,7 @@
             sock.abort()
         kernel.paused.pop(self.owner, None)
         if self.folder_store is not None:
-            self.folder_store._let_go()
+            self.folder_store._release_lock()
 
     def stop(self, seconds: float) -> None:
         if self.fleet is not None:
--- a/limebridge/fleet/command.py
+++ b/limebridge/fleet/command.py
@@ -99,6 +99,6 @@
             print(printable(f"{position:8}  {record.fence:5}  {record.name:12}  {body[:200]}"))
     if not as_json:
         print(
-            f"{read.entries} entries, {read.void} positions that count for nobody, last fence "
-            f"{read.seal.fence}"
+            f"{read.entries} entries, {read.ignored} positions that count for nobody, last fence "
+            f"{read.guard.fence}"
         )
--- a/limebridge/fleet/reading.py
+++ b/limebridge/fleet/reading.py
@@ -11,8 +11,8 @@
 from violetroute.fleet.folder import FolderStore
 from violetroute.fleet.kv import ConsulStore
 from violetroute.fleet.lease import IncarnationId
-from violetroute.fleet.log import Done, FencedLog, Record, Steps, read
-from violetroute.fleet.store import View
+from violetroute.fleet.log import Done, FencedLog, Record, Steps, read_to_end
+from violetroute.fleet.store import StoreView
 from violetroute.fleet.table import FleetTable
 from violetroute.transport.sockets import SocketNetwork, wall
 
@@ -35,13 +35,13 @@
     left_s: float | None = None  # of the term, as far as the store tells
 
 
-def view(table: FleetTable) -> View:
+def view(table: FleetTable) -> StoreView:
     """Unread where there is none."""
     if table.store == "folder":
         if not Path(table.folder).is_dir():
             raise Unread(f"{table.folder}: no such folder")
         return FolderStore(Path(table.folder), NOBODY, wall).view()
-    found: View = _asked(table, lambda store, told: store.look(told))
+    found: StoreView = _asked(table, lambda store, told: store.poll(told))
     return found
 
 
@@ -74,8 +74,8 @@
     log = FencedLog(work, lambda position, record: found.append((position, record)))
 
     def steps() -> Steps:
-        yield from read(log)
-        return Done(log.next)
+        yield from read_to_end(log)
+        return Done(log.next_position)
 
     if table.store == "folder":
         FolderStore(Path(table.folder), NOBODY, wall).run(steps())
--- a/limebridge/placement/keeping.py
+++ b/limebridge/placement/keeping.py
@@ -25,7 +25,7 @@
 from violetroute.error_text import one_line
 from violetroute.fleet.job import LogWork
 from violetroute.fleet.log import Record
-from violetroute.fleet.make import store_of
+from violetroute.fleet.make import store_factory
 from violetroute.fleet.runner import Fleet as Lives
 from violetroute.fleet.runner import Work
 from violetroute.placement.plan import Plan, load_plan
@@ -51,7 +51,7 @@
     solved: Plan | None = None  # as the fleet is now; None: not solved, or no shares keep it
     now: float = 0.0  # Unix s
 
-    def took(self, body: Any) -> None:
+    def apply(self, body: Any) -> None:
         if isinstance(body, dict) and "plan" in body:
             try:
                 self.last = msgspec.convert(body["plan"], Plan)
@@ -167,9 +167,9 @@
         made_ = LogWork(
             WORK, net, keeping, look_s, None, table.path, table.call_s, solver, solver.close
         )
-        made_.hears(solver.published)
+        made_.on_entry(solver.published)
         return made_
 
-    part = Lives(table, name, net, store_of(table, net), work)
+    part = Lives(table, name, net, store_factory(table, net), work)
     await over.wait()
     await part.close()
--- a/tests/limebridge/faults/test_fleet_whole.py
+++ b/tests/limebridge/faults/test_fleet_whole.py
@@ -11,7 +11,7 @@
 from limebridge.faults.model import Bounds, World
 from limebridge.faults.state_space import check
 from violetroute.fleet import lease, log
-from violetroute.fleet.election import Owner, Terms
+from violetroute.fleet.election import LeaderElector, LeaseTiming
 
 # Small enough for the suite; benchmarks/fleet.py follows millions.
 SMALL = Bounds(stops=1, kills=0, lost=0, forgets=0, times=4, effects=3, slow=1, stale=0, halves=1)
@@ -26,25 +26,27 @@
 
 def time_from_the_answer(patch: pytest.MonkeyPatch) -> None:
     """A term is reckoned from when its grant came."""
-    granted = Owner.granted
+    granted = LeaderElector.granted
 
-    def late(self: Owner, now: float, number: int, fence: int) -> Any:
-        self._asked_at = now
+    def late(self: LeaderElector, now: float, number: int, fence: int) -> Any:
+        self._sent_at = now
         return granted(self, now, number, fence)
 
-    patch.setattr(Owner, "granted", late)
+    patch.setattr(LeaderElector, "granted", late)
 
 
 def kept_over_a_stop(patch: pytest.MonkeyPatch) -> None:
     """Who goes on after a stop believes what it knew."""
     patch.setattr(
-        Owner, "may", lambda self, now, need=0.0: self.fence if self.state == "owner" else 0
+        LeaderElector,
+        "valid_fence",
+        lambda self, now, duration=0.0: self.fence if self.state == "owner" else 0,
     )
 
 
 def no_drift(patch: pytest.MonkeyPatch) -> None:
     """Two clocks are taken to run alike."""
-    patch.setattr(Terms, "kept_s", property(lambda self: self.term_s))
+    patch.setattr(LeaseTiming, "hold_s", property(lambda self: self.term_s))
 
 
 def fence_not_checked(patch: pytest.MonkeyPatch) -> None:
@@ -52,11 +54,11 @@
 
     def unchecked(kind: str) -> Any:
         def put(log_: log.FencedLog, fence: int, nonce: str, name: str, *more: Any) -> log.Steps:
-            yield from log.read(log_)
+            yield from log.read_to_end(log_)
             data = log.encode(log.Record(log.VERSION, log_.name, fence, nonce, kind))  # type:
             #   ignore[arg-type]
-            yield log.Put(log_.name, log_.next, data)
-            return log.Done(log_.next)
+            yield log.Put(log_.name, log_.next_position, data)
+            return log.Done(log_.next_position)
 
         return put
 
@@ -70,32 +72,32 @@
     """
 
     def claim(log_: log.FencedLog, fence: int, nonce: str, name: str) -> log.Steps:
-        yield from log.read(log_)
-        if log_.seal.fence > fence:
-            return log.Fenced(log_.seal.fence)
+        yield from log.read_to_end(log_)
+        if log_.guard.fence > fence:
+            return log.Fenced(log_.guard.fence)
         yield log.Put(
             log_.name,
-            log_.next,
+            log_.next_position,
             log.encode(log.Record(log.VERSION, log_.name, fence, nonce, "claim")),
         )
-        return log.Done(log_.next)
+        return log.Done(log_.next_position)
 
     patch.setattr(model, "claim", claim)
 
 
 def wall_clock(patch: pytest.MonkeyPatch) -> None:
     """The fence is the second of a wall clock that has been put back."""
-    taken = lease.taken
+    acquired = lease.acquired
 
     def by_the_wall(work: str, current: Any, over: Any, floor: int, me: Any, wall: float) -> Any:
-        made = taken(work, current, over, 0, me, wall)
+        made = acquired(work, current, over, 0, me, wall)
         return (
             None
             if made is None
             else msgspec.structs.replace(made, fence=9 if current is None else 3)
         )
 
-    patch.setattr(lease, "taken", by_the_wall)
+    patch.setattr(lease, "acquired", by_the_wall)
 
 
 @pytest.mark.parametrize(
--- a/tests/planted_fleet/handed_twice.py
+++ b/tests/planted_fleet/handed_twice.py
@@ -7,7 +7,7 @@
     def stale(log_, fence, nonce, name, decide):
         body = decide()
         if body is None:
-            return log.Nothing()
+            return log.NothingToAppend()
         return (yield from log.append(log_, fence, nonce, name, lambda: body))
 
     job.append = stale
--- a/tests/violetroute/fleet/test_fleet.py
+++ b/tests/violetroute/fleet/test_fleet.py
@@ -15,22 +15,43 @@
 from violetroute.config import ConfigError
 from violetroute.config.operator import parse_operator, restart_needed
 from violetroute.fleet import lease as leases
-from violetroute.fleet.assignment import RANK_MOST, fair, lottery, move, order, ranks
-from violetroute.fleet.election import Ask, Owner, Release, Renew, TermBegan, TermEnded, Terms
+from violetroute.fleet.assignment import (
+    MAX_RANK,
+    fair_share,
+    preference_order,
+    random_ranks,
+    ranks,
+    surplus_work,
+)
+from violetroute.fleet.election import (
+    Acquire,
+    LeaderElector,
+    LeaseTiming,
+    Release,
+    Renew,
+    TermBegan,
+    TermEnded,
+)
 from violetroute.fleet.folder import FolderStore
-from violetroute.fleet.job import Beat, LogWork
+from violetroute.fleet.job import BeatDecider, LogWork
 from violetroute.fleet.kv import ConsulStore
-from violetroute.fleet.lease import IncarnationId, Lease, Seal, Stamp, Unreadable
-from violetroute.fleet.ledger_files import Gatherer, parse
-from violetroute.fleet.log import Crowded, Done, Fenced, FencedLog, Put, append, claim
+from violetroute.fleet.lease import (
+    FenceGuard,
+    IncarnationId,
+    Lease,
+    LeaseVersion,
+    UnreadableLeaseError,
+)
+from violetroute.fleet.ledger_files import BatchReader, parse
+from violetroute.fleet.log import Contended, Done, Fenced, FencedLog, Put, append, claim
 from violetroute.fleet.runner import Fleet
-from violetroute.fleet.settlement import Batch, Keys, Settlement, Through
+from violetroute.fleet.settlement import Batch, ClosedThrough, SettledKeys, Settlement
 from violetroute.fleet.table import FleetTable
 from violetroute.transport import Address
 from violetroute.transport.sockets import SocketNetwork
 
 A, B = IncarnationId("a", "na"), IncarnationId("b", "nb")
-TERMS = Terms(10.0, 0.05, 0.1)
+TERMS = LeaseTiming(10.0, 0.05, 0.1)
 
 
 class Even:
@@ -38,8 +59,8 @@
         return 0.0
 
 
-def owner(me: IncarnationId = A, terms: Terms = TERMS) -> Owner:
-    made = Owner("w", me.nonce, terms, Even())
+def owner(me: IncarnationId = A, terms: LeaseTiming = TERMS) -> LeaderElector:
+    made = LeaderElector("w", me.nonce, terms, Even())
     made.set_candidate(True)
     return made
 
@@ -64,109 +85,109 @@
     ],
 )
 def test_a_record_that_is_not_ours_to_judge_is_no_lease(data: bytes) -> None:
-    with pytest.raises(Unreadable):
+    with pytest.raises(UnreadableLeaseError):
         leases.decode(data, "w")
 
 
 def test_a_fence_rises_above_the_record_and_above_all_that_was_heard_of() -> None:
-    made = leases.taken("w", None, None, 7, B, 0.0)
+    made = leases.acquired("w", None, None, 7, B, 0.0)
     assert made is not None and made.fence == 8
-    assert leases.taken("w", lease(3), None, 0, B, 0.0) is None  # another's, and not watched
-    over = Stamp(3, A.nonce, 0)
-    made = leases.taken("w", lease(3), over, 0, B, 0.0)
+    assert leases.acquired("w", lease(3), None, 0, B, 0.0) is None  # another's, and not watched
+    over = LeaseVersion(3, A.nonce, 0)
+    made = leases.acquired("w", lease(3), over, 0, B, 0.0)
     assert made is not None and made.fence == 4
-    assert leases.taken("w", lease(3, beat=1), over, 0, B, 0.0) is None  # renewed since
-    assert leases.taken("w", lease(3), None, leases.FENCE_MOST, A, 0.0) is None
+    assert leases.acquired("w", lease(3, beat=1), over, 0, B, 0.0) is None  # renewed since
+    assert leases.acquired("w", lease(3), None, leases.MAX_FENCE, A, 0.0) is None
     assert leases.renewed(lease(3), 3, B) is None
     assert leases.renewed(lease(3, free=True), 3, A) is None
 
 
 def test_a_seal_admits_no_lower_fence_and_no_second_life_under_one() -> None:
-    seal = Seal()
-    assert seal.admits(3, "x") and seal.admits(3, "x")
-    assert not seal.admits(3, "y") and not seal.admits(2, "x")
-    assert seal.admits(4, "y") and not seal.admits(3, "x")
+    guard = FenceGuard()
+    assert guard.admits(3, "x") and guard.admits(3, "x")
+    assert not guard.admits(3, "y") and not guard.admits(2, "x")
+    assert guard.admits(4, "y") and not guard.admits(3, "x")
 
 
 # --- owners ---
 def test_a_term_ends_by_the_time_of_the_asking_and_before_any_other_may_take_it() -> None:
     one = owner()
-    one.look(0.0, 0.0, None, True)
+    one.observe(0.0, 0.0, None, True)
     (ask,) = one.tick(0.0)
-    assert isinstance(ask, Ask)
+    assert isinstance(ask, Acquire)
     assert one.granted(5.0, ask.number, 1) == [TermBegan("w", 1)]
-    assert one.may(9.0) == 1 and one.may(9.0, need=0.1) == 0
-    assert one.until == pytest.approx(10.0 * 0.95 / 1.05)
-    assert one.until / 0.95 <= 10.0 / 1.05 + 1e-9  # its slow clock, another's fast one
-    assert one.tick(9.1) == [TermEnded("w", 1, "lapsed")] and one.may(9.1) == 0
+    assert one.valid_fence(9.0) == 1 and one.valid_fence(9.0, duration=0.1) == 0
+    assert one.valid_until == pytest.approx(10.0 * 0.95 / 1.05)
+    assert one.valid_until / 0.95 <= 10.0 / 1.05 + 1e-9  # its slow clock, another's fast one
+    assert one.tick(9.1) == [TermEnded("w", 1, "lapsed")] and one.valid_fence(9.1) == 0
 
 
 def test_another_waits_for_a_whole_term_of_standing_still_unless_the_process_has_ended() -> None:
     two = owner(B)
-    two.look(0.0, 0.0, lease(), True)
+    two.observe(0.0, 0.0, lease(), True)
     assert two.tick(9.9) == []
-    two.look(9.9, 9.9, lease(beat=1), True)
+    two.observe(9.9, 9.9, lease(beat=1), True)
     assert two.tick(19.8) == []
-    assert isinstance(two.tick(19.9)[0], Ask)
+    assert isinstance(two.tick(19.9)[0], Acquire)
     three = owner(IncarnationId("c", "nc"))
-    three.look(0.0, 0.0, lease(), False)
-    assert isinstance(three.tick(0.0)[0], Ask)
+    three.observe(0.0, 0.0, lease(), False)
+    assert isinstance(three.tick(0.0)[0], Acquire)
 
 
 def test_where_the_store_vouches_nobody_reckons_anothers_term() -> None:
-    two = owner(B, Terms(10.0, 0.05, 0.1, vouches=True))
-    two.look(0.0, 0.0, lease(), True)
+    two = owner(B, LeaseTiming(10.0, 0.05, 0.1, expires_leases=True))
+    two.observe(0.0, 0.0, lease(), True)
     assert two.tick(1e6) == [] and two.next_at == float("inf")
-    two.look(1e6, 1e6, lease(free=True), True)
-    assert isinstance(two.tick(1e6)[0], Ask)
+    two.observe(1e6, 1e6, lease(free=True), True)
+    assert isinstance(two.tick(1e6)[0], Acquire)
 
 
 def test_an_answer_that_was_given_up_says_nothing() -> None:
     one = owner()
-    one.look(0.0, 0.0, None, True)
+    one.observe(0.0, 0.0, None, True)
     (ask,) = one.tick(0.0)
-    assert isinstance(ask, Ask)
+    assert isinstance(ask, Acquire)
     one.failed(1.0, ask.number)
     assert one.granted(1.1, ask.number, 1) == [] and one.state == "waiting"
-    one.look(1.2, 1.2, lease(), True)  # it was granted all the same: ours, so taken over at once
+    one.observe(1.2, 1.2, lease(), True)  # it was granted all the same: ours, so taken over at once
     (again,) = one.tick(5.0)
-    assert isinstance(again, Ask) and again.floor == 1
+    assert isinstance(again, Acquire) and again.floor == 1
 
 
 def test_who_is_fenced_off_begins_above_and_follows_no_senseless_floor() -> None:
     one = owner()
-    one.look(0.0, 0.0, None, True)
+    one.observe(0.0, 0.0, None, True)
     (ask,) = one.tick(0.0)
-    assert isinstance(ask, Ask)
+    assert isinstance(ask, Acquire)
     one.granted(0.0, ask.number, 1)
     assert one.fenced(0.1, 40) == [TermEnded("w", 1, "fenced")]
     one.fenced(0.1, 2**60)
-    one.stopped()
+    one.work_stopped()
     (ask,) = one.tick(2.0)
-    assert isinstance(ask, Ask) and ask.floor == 40
+    assert isinstance(ask, Acquire) and ask.floor == 40
 
 
 def test_a_lease_is_handed_back_when_what_was_begun_has_ended_and_others_come_first() -> None:
     one = owner()
-    one.look(0.0, 0.0, None, True)
+    one.observe(0.0, 0.0, None, True)
     (ask,) = one.tick(0.0)
-    assert isinstance(ask, Ask)
+    assert isinstance(ask, Acquire)
     one.granted(0.0, ask.number, 1)
     one.set_candidate(False)
-    assert one.tick(0.1) == [TermEnded("w", 1, "resigned")] and one.next_at == one.until
-    one.stopped()
+    assert one.tick(0.1) == [TermEnded("w", 1, "resigned")] and one.next_at == one.valid_until
+    one.work_stopped()
     (release,) = one.tick(0.1)
     assert isinstance(release, Release)
     one.released(0.2, release.number)
     one.set_candidate(True)
-    assert one.tick(5.0) == [] and isinstance(one.tick(10.3)[0], Ask)
+    assert one.tick(5.0) == [] and isinstance(one.tick(10.3)[0], Acquire)
 
 
 def test_renewals_begin_early_and_go_on_after_failures() -> None:
     one = owner()
-    one.look(0.0, 0.0, None, True)
+    one.observe(0.0, 0.0, None, True)
     (ask,) = one.tick(0.0)
-    assert isinstance(ask, Ask)
+    assert isinstance(ask, Acquire)
     one.granted(0.0, ask.number, 1)
     assert one.tick(2.9) == []
     (renew,) = one.tick(3.1)
@@ -174,37 +195,37 @@
     one.failed(3.2, renew.number)
     (renew,) = one.tick(one.next_at)
     assert isinstance(renew, Renew) and one.renewed(5.0, renew.number) == []
-    assert one.until > 12.0
+    assert one.valid_until > 12.0
 
 
 # --- spread ---
 def test_who_leaves_moves_only_its_own_works() -> None:
     members = [IncarnationId(f"p{n}", f"n{n}") for n in range(8)]
     works = [f"w{n}" for n in range(200)]
-    firsts = {work: order(work, members)[0] for work in works}
+    firsts = {work: preference_order(work, members)[0] for work in works}
     for work, first in firsts.items():
         if first is not members[3]:
-            assert order(work, members[:3] + members[4:])[0] is first
+            assert preference_order(work, members[:3] + members[4:])[0] is first
     share = [sum(first is each for first in firsts.values()) for each in members]
     assert min(share) > 8 and max(share) < 50
 
 
 def test_who_has_its_share_comes_after_the_others_and_hands_on_what_is_too_much() -> None:
     works, members = ["u", "v", "w"], [A, B, IncarnationId("c", "nc")]
-    assert fair(3, 3) == 1
+    assert fair_share(3, 3) == 1
     found = ranks(works, A, members, {"u": "na", "v": "na"})
     assert found["w"] == 2
-    assert move(works, A, members, {"u": "na", "v": "na", "w": "nb"}) in ("u", "v")
-    assert move(works, A, members, {"u": "na", "v": "nb", "w": "nc"}) is None
-    assert move(works, B, members, {"u": "na", "v": "na", "w": "nb"}) is None
+    assert surplus_work(works, A, members, {"u": "na", "v": "na", "w": "nb"}) in ("u", "v")
+    assert surplus_work(works, A, members, {"u": "na", "v": "nb", "w": "nc"}) is None
+    assert surplus_work(works, B, members, {"u": "na", "v": "na", "w": "nb"}) is None
 
 
 def test_of_any_fleet_few_ask_first() -> None:
     for size in (8, 710, 5000):
-        drawn = [lottery(["w"], IncarnationId(f"p{n}", f"n{n}"), {})["w"] for n in range(size)]
+        drawn = [random_ranks(["w"], IncarnationId(f"p{n}", f"n{n}"), {})["w"] for n in range(size)]
         first = min(drawn)
         assert drawn.count(first) <= max(8, size // 100)
-        assert max(drawn) <= RANK_MOST
+        assert max(drawn) <= MAX_RANK
 
 
 # --- logs ---
@@ -248,7 +269,7 @@
     records = [b"garbage", b"[" * 100, b'{"v":9}']
     log = FencedLog("w", lambda position, record: None)
     assert put_all(claim(log, 1, "na", "a"), records) == Done(3)
-    assert log.void == 3
+    assert log.ignored == 3
     assert put_all(claim(FencedLog("w", lambda *told: None), 1, "nb", "b"), records) == Fenced(1)
 
 
@@ -260,7 +281,7 @@
         while True:
             tries += isinstance(step, Put)
             step = steps.send(False if isinstance(step, Put) else [b"x"])
-    assert end.value.value == Crowded() and tries == 64
+    assert end.value.value == Contended() and tries == 64
 
 
 # --- the folder ---
@@ -272,44 +293,44 @@
 
 def test_a_folder_keeps_leases_and_says_whose_process_has_ended(tmp_path: Path) -> None:
     a, b = store(tmp_path), store(tmp_path, B)
-    answer = a.ask(Ask("w", 1, 0, None))
+    answer = a.acquire(Acquire("w", 1, 0, None))
     assert answer.accepted and answer.lease is not None and answer.lease.fence == 1
-    assert not b.ask(Ask("w", 1, 0, None)).accepted
+    assert not b.acquire(Acquire("w", 1, 0, None)).accepted
     assert a.renew([("w", 1)])["w"].accepted
-    seen = b.look()
+    seen = b.poll()
     assert seen.leases["w"].beat == 1 and seen.dead == frozenset() and seen.members == {A, B}
-    a._let_go()  # as the kernel does when its process ends
-    assert b.look().dead == {"na"}
-    assert b.ask(Ask("w", 2, 0, leases.stamp(seen.leases["w"]))).accepted
+    a._release_lock()  # as the kernel does when its process ends
+    assert b.poll().dead == {"na"}
+    assert b.acquire(Acquire("w", 2, 0, leases.version_of(seen.leases["w"]))).accepted
     assert not a.renew([("w", 1)])["w"].accepted
     assert len(list((tmp_path / "lease").glob("w@*"))) <= 2
 
 
 def test_a_version_that_was_tidied_away_can_not_be_put_again(tmp_path: Path) -> None:
     a, b = store(tmp_path), store(tmp_path, B)
-    a.ask(Ask("w", 1, 0, None))
+    a.acquire(Acquire("w", 1, 0, None))
     stale = a._current("w")
-    seen = b.look().leases["w"]
-    b.ask(Ask("w", 1, 0, leases.stamp(seen)))
+    seen = b.poll().leases["w"]
+    b.acquire(Acquire("w", 1, 0, leases.version_of(seen)))
     for _ in range(4):
         assert b.renew([("w", 2)])["w"].accepted
     a._current = lambda work: stale  # type: ignore[method-assign]  # stopped since it has read
     assert not a._change("w", lambda current: leases.renewed(current, 1, A)).accepted
-    assert b.look().leases["w"].nonce == "nb"
+    assert b.poll().leases["w"].nonce == "nb"
 
 
 def test_a_folder_that_is_copied_back_or_gone_does_not_make_the_living_dead(tmp_path: Path) -> None:
     a, b = store(tmp_path / "f"), store(tmp_path / "f", B)
-    a.ask(Ask("w", 1, 0, None))
+    a.acquire(Acquire("w", 1, 0, None))
     os.rename(tmp_path / "f", tmp_path / "old")
     a.open()  # the folder begins anew
     b.open()
-    assert b.look().members == {A, B} and b.look().leases == {}
+    assert b.poll().members == {A, B} and b.poll().leases == {}
     (tmp_path / "f" / "alive" / "na").unlink()
     (tmp_path / "f" / "alive" / "na").write_bytes(b"{}")  # a copy, with nobody's lock
-    assert "na" in b.look().dead
-    a.look()
-    assert b.look().dead == frozenset()
+    assert "na" in b.poll().dead
+    a.poll()
+    assert b.poll().dead == frozenset()
 
 
 def test_garbage_in_the_folder_makes_no_owner_and_is_named(tmp_path: Path) -> None:
@@ -320,18 +341,18 @@
     (tmp_path / "alive" / "Not A Nonce").write_bytes(b"x")
     os.mkfifo(tmp_path / "lease" / "u@000000000001")
     os.mkfifo(tmp_path / "alive" / "pipe")
-    seen = a.look()
+    seen = a.poll()
     assert set(seen.unreadable) == {"w", "u"} and seen.members == {A}
     for work in ("w", "u", "v"):
-        with pytest.raises(Unreadable):
-            a.ask(Ask(work, 1, 0, Stamp(1, "nx", 0)))
+        with pytest.raises(UnreadableLeaseError):
+            a.acquire(Acquire(work, 1, 0, LeaseVersion(1, "nx", 0)))
 
 
 def test_a_log_in_a_folder_goes_over_several_shelves(tmp_path: Path) -> None:
     a = store(tmp_path)
     log = FencedLog("w", lambda position, record: None)
     assert a.run(claim(log, 1, "na", "a")) == Done(0)
-    log.next = 1
+    log.next_position = 1
     for position in range(1, 1003):
         assert a.put("w", position, b"x")
     assert not a.put("w", 1002, b"y")
@@ -356,17 +377,17 @@
     async def run() -> None:
         consul = await Consul().start()
         a, b = await consul_store(consul, A), await consul_store(consul, B)
-        answer, _ = await asked(lambda told: a.ask(Ask("w", 1, 6, None), told))
+        answer, _ = await asked(lambda told: a.acquire(Acquire("w", 1, 6, None), told))
         assert answer.accepted and answer.lease.fence == 7
-        answer, _ = await asked(lambda told: b.ask(Ask("w", 1, 0, None), told))
+        answer, _ = await asked(lambda told: b.acquire(Acquire("w", 1, 0, None), told))
         assert not answer.accepted and answer.lease.nonce == "na"
         answer, _ = await asked(lambda told: a.renew([("w", 7)], told))
         assert answer["w"].accepted
-        view, _ = await asked(b.look)
+        view, _ = await asked(b.poll)
         assert not view.leases["w"].free and view.members is None
-        view, _ = await asked(b.look)  # waits for news: nobody renews, so the session ends
+        view, _ = await asked(b.poll)  # waits for news: nobody renews, so the session ends
         assert view.leases["w"].free and view.leases["w"].fence == 7
-        answer, _ = await asked(lambda told: b.ask(Ask("w", 2, 0, None), told))
+        answer, _ = await asked(lambda told: b.acquire(Acquire("w", 2, 0, None), told))
         assert answer.accepted and answer.lease.fence == 8
         answer, _ = await asked(lambda told: a.renew([("w", 7)], told))
         assert not answer["w"].accepted
@@ -383,13 +404,13 @@
     async def run() -> None:
         consul = await Consul().start()
         a = await consul_store(consul, A, 5.0)
-        await asked(lambda told: a.ask(Ask("v", 1, 0, None), told))
-        first, before = a.keys.session, len(consul.asked)
-        await asked(lambda told: a.ask(Ask("w", 1, 0, None), told))
+        await asked(lambda told: a.acquire(Acquire("v", 1, 0, None), told))
+        first, before = a.protocol.session, len(consul.asked)
+        await asked(lambda told: a.acquire(Acquire("w", 1, 0, None), told))
         assert any(target.startswith("/v1/session/renew/") for target in consul.asked[before:])
         consul.kv._end(first)
-        await asked(lambda told: a.ask(Ask("u", 1, 0, None), told))  # makes another session
-        assert a.keys.session not in ("", first)
+        await asked(lambda told: a.acquire(Acquire("u", 1, 0, None), told))  # makes another session
+        assert a.protocol.session not in ("", first)
         answer, _ = await asked(lambda told: a.renew([("v", 1), ("u", 1)], told))
         assert not answer["v"].accepted and answer["u"].accepted
         a.close()
@@ -403,10 +424,10 @@
         consul = await Consul().start()
         a = await consul_store(consul, A)
         consul.loses_answers = True
-        answer, why = await asked(lambda told: a.ask(Ask("w", 1, 0, None), told))
+        answer, why = await asked(lambda told: a.acquire(Acquire("w", 1, 0, None), told))
         assert answer is None and why
         consul.loses_answers = False
-        answer, _ = await asked(lambda told: a.ask(Ask("w", 2, 0, None), told))
+        answer, _ = await asked(lambda told: a.acquire(Acquire("w", 2, 0, None), told))
         assert answer.accepted
         log = FencedLog("w", lambda position, record: None)
         result, _ = await asked(lambda told: a.run(claim(log, 3, "na", "a"), told))
@@ -414,7 +435,7 @@
         consul.kv.forget()
         answer, _ = await asked(lambda told: a.renew([("w", answer.lease.fence)], told))
         assert not answer["w"].accepted
-        answer, _ = await asked(lambda told: a.ask(Ask("w", 3, 3, None), told))
+        answer, _ = await asked(lambda told: a.acquire(Acquire("w", 3, 3, None), told))
         assert answer.accepted and answer.lease.fence == 4  # above what was heard of
         a.close()
         await consul.stop()
@@ -436,16 +457,18 @@
 def test_a_period_is_billed_when_all_have_closed_it_or_were_waited_for() -> None:
     books = settlement(0.0)
     books.gathered(
-        1400.0, [batch("a/1.x/1", 1000, 5)], [Through("a", 1300.0), Through("b", 1000.0)]
+        1400.0,
+        [batch("a/1.x/1", 1000, 5)],
+        [ClosedThrough("a", 1300.0), ClosedThrough("b", 1000.0)],
     )
     assert books.missing(1000) == ["b"] and books.decide() is None
     books.gathered(2200.0, [], [])
     bill = books.decide()
     assert bill["missing"] == ["b"] and bill["units"] == 6 and bill["kind"] == "bill"
-    books.took(bill)
+    books.apply(bill)
     assert books.decide() is None
     books.gathered(
-        2300.0, [batch("b/1.y/1", 1000, 2), batch("a/1.x/1", 1000, 5)], [Through("b", 1300.0)]
+        2300.0, [batch("b/1.y/1", 1000, 2), batch("a/1.x/1", 1000, 5)], [ClosedThrough("b", 1300.0)]
     )
     late = books.decide()
     assert late["kind"] == "correction" and late["keys"] == ["b/1.y/1"]
@@ -454,19 +477,19 @@
 def test_no_batch_is_in_two_bills_whoever_wrote_them() -> None:
     one, two = settlement(5000.0), settlement(5000.0)
     for books in (one, two):
-        books.gathered(5000.0, [batch("a/1.x/1", 1000, 5)], [Through("a", 1300.0)])
+        books.gathered(5000.0, [batch("a/1.x/1", 1000, 5)], [ClosedThrough("a", 1300.0)])
     bill = one.decide()
     assert two.decide() == bill
-    two.took(bill)
+    two.apply(bill)
     assert two.decide() is None
     two.gathered(5001.0, [batch("a/1.x/1", 1000, 5)], [])  # its file is still there
     assert two.decide() is None
-    two.took("nonsense")
-    two.took({"keys": [7, "x", None, "a/1.x/999999999999999999"], "units": "x", "period": 1})
+    two.apply("nonsense")
+    two.apply({"keys": [7, "x", None, "a/1.x/999999999999999999"], "units": "x", "period": 1})
 
 
 def test_settled_keys_are_kept_as_ranges() -> None:
-    keys = Keys()
+    keys = SettledKeys()
     for number in (5, 1, 3, 2, 4, 9, 7, 8):
         keys.add(f"a/1.x/{number}")
     assert keys.ranges == 2
@@ -498,10 +521,10 @@
     ):
         (tmp_path / name).write_bytes(data)
     books = settlement(0.0)
-    gatherer, said = Gatherer(tmp_path, books, Now(), lambda: 5000.0), []
+    gatherer, said = BatchReader(tmp_path, books, Now(), lambda: 5000.0), []
     gatherer(said.append)
     assert said == [""] and list(books.batches) == ["a/1.x/1"] and list(books.through) == ["a"]
-    books.took(books.decide())
+    books.apply(books.decide())
     gatherer(said.append)
     assert (tmp_path / "settled" / "good.jsonl").exists() and not books.batches
     assert (tmp_path / "short.jsonl").exists()
@@ -509,7 +532,7 @@
 
 # --- the whole part ---
 def fleet(path: Path, name: str, endpoint: int, **more: Any) -> Fleet:
-    from violetroute.fleet.make import store_of
+    from violetroute.fleet.make import store_factory
 
     table = FleetTable(
         store="folder",
@@ -524,9 +547,9 @@
     net = SocketNetwork(asyncio.get_running_loop())
 
     def work(of: str) -> LogWork:
-        return LogWork(of, net, Beat(), 0.01, Address("127.0.0.1", endpoint), "/x", 0.5)
+        return LogWork(of, net, BeatDecider(), 0.01, Address("127.0.0.1", endpoint), "/x", 0.5)
 
-    return Fleet(table, name, net, store_of(table, net), work)
+    return Fleet(table, name, net, store_factory(table, net), work)
 
 
 async def until(what: Any) -> None:
--- a/tests/violetroute/fleet/test_fleet_guards.py
+++ b/tests/violetroute/fleet/test_fleet_guards.py
@@ -30,14 +30,14 @@
 from violetroute.fleet import job
 from violetroute.fleet import lease as leases
 from violetroute.fleet import log as logs
-from violetroute.fleet.election import Ask
-from violetroute.fleet.folder import FolderStore, Threaded
-from violetroute.fleet.job import Beat, LogWork
-from violetroute.fleet.lease import IncarnationId, Lease, Unreadable
-from violetroute.fleet.ledger_files import BATCHES_MOST, Gatherer
+from violetroute.fleet.election import Acquire
+from violetroute.fleet.folder import FolderStore, ThreadedFolderStore
+from violetroute.fleet.job import BeatDecider, LogWork
+from violetroute.fleet.lease import IncarnationId, Lease, UnreadableLeaseError
+from violetroute.fleet.ledger_files import MAX_PENDING_BATCHES, BatchReader
 from violetroute.fleet.log import FencedLog, Record, append, claim
 from violetroute.fleet.runner import Fleet
-from violetroute.fleet.settlement import BYTES_MOST, Batch, Through
+from violetroute.fleet.settlement import MAX_BYTES_PER_ENTRY, Batch, ClosedThrough
 from violetroute.fleet.table import FleetTable
 from violetroute.ledger.accounts import Book
 from violetroute.ledger.periods import Periods
@@ -71,9 +71,9 @@
     a = store(tmp_path / "f" / "leases")
     data = msgspec.json.encode(Lease(1, "w", 3, "x", nonce))
     (tmp_path / "f" / "leases" / "lease" / "w@000000000007").write_bytes(data)
-    seen = a.look()
+    seen = a.poll()
     assert precious.exists() and "w" in seen.unreadable
-    with pytest.raises(Unreadable):
+    with pytest.raises(UnreadableLeaseError):
         leases.decode(data, "w")
     assert logs.decode(logs.encode(Record(1, "w", 1, nonce, "claim")), "w") is None
 
@@ -81,17 +81,17 @@
 def test_a_crowd_of_other_files_hides_no_life(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(folders, "MEMBERS_MOST", 3)
+    monkeypatch.setattr(folders, "MAX_MEMBERS", 3)
     a, b = store(tmp_path, IncarnationId("a", "zz-a")), store(tmp_path, IncarnationId("b", "zz-b"))
-    a.ask(Ask("w", 1, 0, None))
+    a.acquire(Acquire("w", 1, 0, None))
     for number in range(5):
         (tmp_path / "alive" / f"Not A Mark {number}").write_bytes(b"x")
     held = [store(tmp_path, IncarnationId("c", f"c{number}")) for number in range(5)]
-    assert "zz-a" not in b.look().dead  # it stands behind those that are read, and lives
-    a._let_go()
-    assert "zz-a" in b.look().dead
+    assert "zz-a" not in b.poll().dead  # it stands behind those that are read, and lives
+    a._release_lock()
+    assert "zz-a" in b.poll().dead
     for each in held:
-        each._let_go()
+        each._release_lock()
 
 
 def test_what_killed_processes_have_left_is_tidied_away(tmp_path: Path) -> None:
@@ -99,8 +99,8 @@
     for name in (".gone.7", ".na.7"):
         (tmp_path / "lease" / name).write_bytes(b"half")
     for number in range(20):
-        store(tmp_path, IncarnationId("c", f"c{number}"))._let_go()
-    b.look()
+        store(tmp_path, IncarnationId("c", f"c{number}"))._release_lock()
+    b.poll()
     assert sorted(os.listdir(tmp_path / "alive")) == ["na", "nb"]
     assert os.listdir(tmp_path / "lease") == [".na.7"]  # its process lives
     a.close()
@@ -108,29 +108,29 @@
 
 def test_an_unreadable_record_is_not_asked_for_until_one_can_be_read() -> None:
     one = owner()
-    one.look(0.0, 0.0, None, True)
+    one.observe(0.0, 0.0, None, True)
     one.unreadable()
     assert one.tick(100.0) == [] and one.next_at == float("inf")
-    one.look(101.0, 101.0, None, True)
-    assert isinstance(one.tick(101.0)[0], Ask)
+    one.observe(101.0, 101.0, None, True)
+    assert isinstance(one.tick(101.0)[0], Acquire)
 
 
 def test_an_answer_of_any_kind_ends_the_backing_off() -> None:
     one = owner()
-    one.look(0.0, 0.0, None, True)
+    one.observe(0.0, 0.0, None, True)
     now = 0.0
     for _ in range(6):
         (ask,) = one.tick(now)
-        assert isinstance(ask, Ask)
+        assert isinstance(ask, Acquire)
         one.failed(now, ask.number)
         now = one.next_at
     (ask,) = one.tick(now)
-    assert isinstance(ask, Ask)
+    assert isinstance(ask, Acquire)
     one.denied(now, ask.number, lease(3, B))
-    one.look(now, now, lease(3, B, free=True), True)
+    one.observe(now, now, lease(3, B, free=True), True)
     now = one.next_at
     (ask,) = one.tick(now)
-    assert isinstance(ask, Ask)
+    assert isinstance(ask, Acquire)
     one.failed(now, ask.number)
     assert one.next_at - now <= 1.0  # a tenth of a term, as after a first failure
 
@@ -161,9 +161,9 @@
     loop = asyncio.get_running_loop()
     net = SocketNetwork(loop)
 
-    def made(me: IncarnationId) -> Threaded:
+    def made(me: IncarnationId) -> ThreadedFolderStore:
         logs = Hangs(loop) if hangs else ThreadWriter(loop)
-        return Threaded(FolderStore(path, me, net.wall), ThreadWriter(loop), logs)
+        return ThreadedFolderStore(FolderStore(path, me, net.wall), ThreadWriter(loop), logs)
 
     return Fleet(
         table(path, term_s),
@@ -171,7 +171,13 @@
         net,
         made,
         lambda of: LogWork(
-            of, net, Beat(), 0.01, Address("127.0.0.1", endpoint) if endpoint else None, "/x", 0.5
+            of,
+            net,
+            BeatDecider(),
+            0.01,
+            Address("127.0.0.1", endpoint) if endpoint else None,
+            "/x",
+            0.5,
         ),
     )
 
@@ -185,7 +191,7 @@
 def test_an_owner_whose_disk_hangs_gives_its_work_up(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(job, "HANGS", 0.3)
+    monkeypatch.setattr(job, "JOB_TIMEOUT_S", 0.3)
 
     async def run() -> None:
         hung = joined(tmp_path, "hung", hangs=True)
@@ -283,10 +289,10 @@
     books = settlement(9e9)
     books.end = lambda period: float(Periods("UTC", 5).end(period))
     said: list[str] = []
-    Gatherer(tmp_path, books, Now(), lambda: 9e9)(said.append)
+    BatchReader(tmp_path, books, Now(), lambda: 9e9)(said.append)
     assert said == [""] and list(books.batches) == ["a/1.x/1"]
     records: list[bytes] = []
-    log = FencedLog("w", lambda position, record: books.took(record.body))
+    log = FencedLog("w", lambda position, record: books.apply(record.body))
     put_all(claim(log, 1, "na", "a"), records)
     put_all(append(log, 1, "na", "a", books.decide), records)
     assert log.entries == 1 and not books.batches
@@ -296,7 +302,7 @@
     for name, until_ in (("a", "1e300"), ("b", "-1"), ("c", '"x"'), ("d", "1300")):
         (tmp_path / f"{name}.through").write_text(f'{{"ledger":"{name}","until":{until_}}}')
     books = settlement(0.0)
-    Gatherer(tmp_path, books, Now(), lambda: 0.0)(lambda why: None)
+    BatchReader(tmp_path, books, Now(), lambda: 0.0)(lambda why: None)
     assert list(books.through) == ["d"]
 
 
@@ -305,23 +311,23 @@
     books.gathered(
         1e6,
         [
-            Batch(f"a/1.x/{n}", 1000, "period", (("t", "c", 1),), BYTES_MOST // 2 - 1)
+            Batch(f"a/1.x/{n}", 1000, "period", (("t", "c", 1),), MAX_BYTES_PER_ENTRY // 2 - 1)
             for n in range(5)
         ],
-        [Through("a", 2e6)],
+        [ClosedThrough("a", 2e6)],
     )
     sizes = []
     while (bill := books.decide()) is not None:
         sizes.append(len(bill["keys"]))
-        books.took(bill)
+        books.apply(bill)
     assert sizes == [2, 2, 1]
 
 
 def test_no_more_is_read_than_waits_to_be_billed(tmp_path: Path) -> None:
     (tmp_path / "good.jsonl").write_bytes(GOOD)
     books = settlement(0.0)
-    books.batches = {f"z/1.x/{n}": batch(f"z/1.x/{n}", 1000, 1) for n in range(BATCHES_MOST)}
-    gatherer = Gatherer(tmp_path, books, Now(), lambda: 0.0)
+    books.batches = {f"z/1.x/{n}": batch(f"z/1.x/{n}", 1000, 1) for n in range(MAX_PENDING_BATCHES)}
+    gatherer = BatchReader(tmp_path, books, Now(), lambda: 0.0)
     gatherer(lambda why: None)
     assert "a/1.x/1" not in books.batches
     books.batches.clear()
--- a/violetroute/distribution/control.py
+++ b/violetroute/distribution/control.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from violetroute import logs
-from violetroute.fleet.make import store_of
+from violetroute.fleet.make import store_factory
 from violetroute.fleet.runner import Fleet
 from violetroute.sharing.table import read_keys
 from violetroute.transport import Address, Network, parse_address
@@ -90,7 +90,7 @@
         )
         self._work = LeaderWork(net.loop, self)
         fleet = msgspec.structs.replace(file.fleet, works=(WORK,))
-        self._fleet = Fleet(fleet, file.name, net, store_of(fleet, net), lambda _: self._work)
+        self._fleet = Fleet(fleet, file.name, net, store_factory(fleet, net), lambda _: self._work)
         self._event(self._machine.tick)
 
     @property
--- a/violetroute/distribution/lease.py
+++ b/violetroute/distribution/lease.py
@@ -57,4 +57,4 @@
     def hand_on(self) -> None:
         """Another machine may be able to lead."""
         if self._term is not None:
-            self._loop.call_soon(self._term.hand_on)
+            self._loop.call_soon(self._term.transfer)
--- a/violetroute/fleet/assignment.py
+++ b/violetroute/fleet/assignment.py
@@ -14,10 +14,10 @@
 
 from .lease import IncarnationId
 
-RANK_MOST = 8  # beyond it all ask at the same place: waits stay bounded however many wait
+MAX_RANK = 8  # beyond it all ask at the same place: waits stay bounded however many wait
 
 
-def order(work: str, members: Iterable[IncarnationId]) -> list[IncarnationId]:
+def preference_order(work: str, members: Iterable[IncarnationId]) -> list[IncarnationId]:
     """The candidates for a work, best first, by rendezvous hashing (Thaler, Ravishankar 1998).
 
     Members of one name are in the order of their nonces.
@@ -29,7 +29,7 @@
     return blake2b(f"{work}\0{name}".encode("utf-8", "surrogatepass"), digest_size=8).digest()
 
 
-def fair(works: int, members: int) -> int:
+def fair_share(works: int, members: int) -> int:
     """The fair share of a member: works divided by members, rounded up."""
     return -(-works // max(1, members))
 
@@ -42,7 +42,7 @@
 ) -> dict[str, int]:
     """The rank of `me` for each work: 0 asks first.  `held`: nonce of the owner, by work."""
     everyone = {*members, me}
-    share = fair(len(works), len(everyone))
+    share = fair_share(len(works), len(everyone))
     counts = {each.nonce: 0 for each in everyone}
     for nonce in held.values():
         if nonce in counts:
@@ -54,13 +54,13 @@
             for each in everyone
             if counts[each.nonce] >= share and held.get(work) != each.nonce
         ]
-        ahead = order(work, everyone)
+        ahead = preference_order(work, everyone)
         ahead.sort(key=lambda each: each in full)  # stable: the order within holds
-        found[work] = min(RANK_MOST, ahead.index(me))
+        found[work] = min(MAX_RANK, ahead.index(me))
     return found
 
 
-def move(
+def surplus_work(
     works: Sequence[str],
     me: IncarnationId,
     members: Iterable[IncarnationId],
@@ -72,15 +72,17 @@
     fleet that is balanced moves nothing, whatever the orders say.
     """
     everyone = {*members, me}
-    share = fair(len(works), len(everyone))
+    share = fair_share(len(works), len(everyone))
     counts = {each.nonce: sum(nonce == each.nonce for nonce in held.values()) for each in everyone}
     if counts[me.nonce] <= share or min(counts.values()) >= share:
         return None
     mine = sorted(work for work in works if held.get(work) == me.nonce)
-    return max(mine, key=lambda work: order(work, everyone).index(me))
+    return max(mine, key=lambda work: preference_order(work, everyone).index(me))
 
 
-def lottery(works: Sequence[str], me: IncarnationId, held: Mapping[str, str]) -> dict[str, int]:
+def random_ranks(
+    works: Sequence[str], me: IncarnationId, held: Mapping[str, str]
+) -> dict[str, int]:
     """Ranks while the number of candidates is unknown: each has twice as many as the one before.
 
     Half of any fleet stands at the last place, a quarter before it, and so on: whatever its size,
@@ -91,6 +93,6 @@
     found = {}
     for work in works:
         drawn = int.from_bytes(_weight(work, f"{me.name}/{me.nonce}"), "big")
-        zeros = (drawn & -drawn).bit_length() - 1 if drawn else RANK_MOST
-        found[work] = min(RANK_MOST, max(0, RANK_MOST - zeros) + mine)
+        zeros = (drawn & -drawn).bit_length() - 1 if drawn else MAX_RANK
+        found[work] = min(MAX_RANK, max(0, MAX_RANK - zeros) + mine)
     return found
--- a/violetroute/fleet/election.py
+++ b/violetroute/fleet/election.py
@@ -21,16 +21,16 @@
 from dataclasses import dataclass
 from typing import Literal, Protocol
 
-from .lease import FENCE_MOST, Lease, Stamp, stamp
+from .lease import MAX_FENCE, Lease, LeaseVersion, version_of
 
-RENEW_SHARE = 1.0 / 3.0  # of the kept time after which a renewal is sent: two may be lost
+RENEW_FRACTION = 1.0 / 3.0  # of the kept time after which a renewal is sent: two may be lost
 JITTER = 0.2  # of a wait
 INFINITE = float("inf")
-BACKOFF_FIRST = 0.1  # of a term, after a call that failed; doubles
-BACKOFF_MOST = 1.0  # of a term: a store that is back is met again within that
+FIRST_BACKOFF = 0.1  # of a term, after a call that failed; doubles
+MAX_BACKOFF = 1.0  # of a term: a store that is back is met again within that
 
 
-class Chance(Protocol):
+class RandomSource(Protocol):
     """random.Random, or a test's constant."""
 
     def random(self) -> float:
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class LeaseTiming:
     """Seconds.  `step_s`: by which each place in the order of those who wait asks later.
 
     `vouches`: the store itself ends a lease whose owner is silent, so nobody else reckons it.
@@ -47,22 +47,22 @@
     term_s: float
     drift: float
     step_s: float
-    vouches: bool = False
+    expires_leases: bool = False
 
     @property
-    def kept_s(self) -> float:
+    def hold_s(self) -> float:
         """For which an owner believes itself one, from before it asked."""
         return self.term_s * (1.0 - self.drift) / (1.0 + self.drift)
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class Acquire:
     """Take the lease if it is free or its record still has the stamp `over`."""
 
     work: str
     number: int
     floor: int
-    over: Stamp | None
+    expected: LeaseVersion | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,10 +100,10 @@
     why: Literal["lapsed", "lost", "fenced", "resigned"]
 
 
-Action = Ask | Renew | Release | TermBegan | TermEnded
+Action = Acquire | Renew | Release | TermBegan | TermEnded
 
 
-class Owner:
+class LeaderElector:
     """One lease as one candidate sees it.
 
     `now` is in seconds of this process's monotonic clock in every call.  A method that returns a
@@ -111,226 +111,239 @@
     """
 
     __slots__ = (
-        "_ask_at",
-        "_asked_at",
-        "_busy",
-        "_chance",
+        "_acquire_at",
+        "_available_at",
         "_failures",
         "_gained_at",
         "_nonce",
         "_number",
-        "_open_at",
+        "_observed",
+        "_observed_at",
+        "_pending_call",
+        "_random",
         "_renew_at",
-        "_seen",
-        "_seen_at",
-        "_stopped",
+        "_sent_at",
         "_terms",
+        "_work_stopped",
         "fence",
         "floor",
-        "left_late",
+        "is_candidate",
+        "late_margin_s",
         "rank",
         "state",
-        "until",
-        "wanted",
+        "valid_until",
         "work",
     )
 
-    def __init__(self, work: str, nonce: str, terms: Terms, chance: Chance) -> None:
-        self.work, self._nonce, self._terms, self._chance = work, nonce, terms, chance
+    def __init__(self, work: str, nonce: str, terms: LeaseTiming, chance: RandomSource) -> None:
+        self.work, self._nonce, self._terms, self._random = work, nonce, terms, chance
         self.state: Literal["waiting", "owner", "resigning"] = "waiting"
-        self.wanted = False
+        self.is_candidate = False
         self.rank = 0  # place among those who wait: the first asks first
         self.fence = 0  # of the term at hand
-        self.until = 0.0  # and its end
+        self.valid_until = 0.0  # and its end
         self.floor = 0  # the highest fence heard of, from wherever
-        self.left_late = 0.0  # s that were left when the last renewal was answered, where few
-        self._seen: Stamp | None = None
-        self._seen_at: float | None = None  # since when it stands so; None before a first look
-        self._open_at = 0.0  # from when on the lease may be taken, as far as we have seen
-        self._ask_at = self._renew_at = self._gained_at = self._asked_at = 0.0
-        self._busy = ""  # what is under way
+        self.late_margin_s = 0.0  # s that were left when the last renewal was answered, where few
+        self._observed: LeaseVersion | None = None
+        self._observed_at: float | None = None  # since when it stands so; None before a first look
+        self._available_at = 0.0  # from when on the lease may be taken, as far as we have seen
+        self._acquire_at = self._renew_at = self._gained_at = self._sent_at = 0.0
+        self._pending_call = ""  # what is under way
         self._number = self._failures = 0
-        self._stopped = True  # nothing that was begun is under way
+        self._work_stopped = True  # nothing that was begun is under way
 
     # --- what an owner may do ---
-    def may(self, now: float, need: float = 0.0) -> int:
+    def valid_fence(self, now: float, duration: float = 0.0) -> int:
         """The fence under which an effect that takes `need` seconds may begin; 0 if none may."""
-        return self.fence if self.state == "owner" and now + need < self.until else 0
+        return self.fence if self.state == "owner" and now + duration < self.valid_until else 0
 
     @property
     def next_at(self) -> float:
         """When `tick` has something to do if nothing happens before."""
         if self.state == "owner":
-            if not self.wanted:
+            if not self.is_candidate:
                 return self._gained_at
-            return self.until if self._busy else min(self.until, self._renew_at)
+            return self.valid_until if self._pending_call else min(self.valid_until, self._renew_at)
         if self.state == "resigning":
-            held = self._busy or not self._stopped
-            return self.until if held else min(self.until, self._renew_at)
-        if not self.wanted or self._busy or not self._stopped or self._seen_at is None:
+            held = self._pending_call or not self._work_stopped
+            return self.valid_until if held else min(self.valid_until, self._renew_at)
+        if (
+            not self.is_candidate
+            or self._pending_call
+            or not self._work_stopped
+            or self._observed_at is None
+        ):
             return INFINITE
-        return self._when()
+        return self._acquire_due_at()
 
     # --- from whoever decides who should work ---
     def set_candidate(self, on: bool, rank: int = 0) -> None:
         """Set whether this process is a candidate, and its rank (0 asks first)."""
-        self.wanted, self.rank = on, rank
+        self.is_candidate, self.rank = on, rank
 
-    def stopped(self) -> None:
+    def work_stopped(self) -> None:
         """What had been begun has ended: a lease that is handed back may go."""
-        self._stopped = True
+        self._work_stopped = True
 
     # --- time ---
     def tick(self, now: float) -> list[Action]:
         """End a term that is over; send the request, renewal or release that is due."""
         actions: list[Action] = []
         if self.state == "owner":
-            if now >= self.until:
-                actions += self._over("lapsed", now)
-            elif not self.wanted:
-                actions += self._over("resigned", now)
+            if now >= self.valid_until:
+                actions += self._end_term("lapsed", now)
+            elif not self.is_candidate:
+                actions += self._end_term("resigned", now)
         if self.state == "resigning":
-            if now >= self.until:
+            if now >= self.valid_until:
                 self.state = "waiting"  # others see it stand still, as if we had died
-            elif self._stopped and not self._busy and now >= self._renew_at:
-                actions.append(Release(self.work, self._call("release", now), self.fence))
+            elif self._work_stopped and not self._pending_call and now >= self._renew_at:
+                actions.append(Release(self.work, self._start_call("release", now), self.fence))
         elif self.state == "owner":
-            if not self._busy and now >= self._renew_at:
-                actions.append(Renew(self.work, self._call("renew", now), self.fence))
+            if not self._pending_call and now >= self._renew_at:
+                actions.append(Renew(self.work, self._start_call("renew", now), self.fence))
         elif (
-            self.wanted
-            and self._stopped
-            and not self._busy
-            and self._seen_at is not None
-            and now >= self._when()
+            self.is_candidate
+            and self._work_stopped
+            and not self._pending_call
+            and self._observed_at is not None
+            and now >= self._acquire_due_at()
         ):
-            actions.append(Ask(self.work, self._call("ask", now), self.floor, self._seen))
+            actions.append(
+                Acquire(self.work, self._start_call("ask", now), self.floor, self._observed)
+            )
         return actions
 
     def renew_early(self, now: float) -> list[Action]:
         """A renewal is sent for another work: this one's goes with it, if it is half due."""
         if (
             self.state != "owner"
-            or self._busy
-            or now >= self.until
-            or now < self._renew_at - self._terms.kept_s * RENEW_SHARE / 2.0
+            or self._pending_call
+            or now >= self.valid_until
+            or now < self._renew_at - self._terms.hold_s * RENEW_FRACTION / 2.0
         ):
             return []
-        return [Renew(self.work, self._call("renew", now), self.fence)]
+        return [Renew(self.work, self._start_call("renew", now), self.fence)]
 
-    def resign(self, now: float) -> list[Action]:
+    def step_down(self, now: float) -> list[Action]:
         """Give it up though it is wanted: another should have it."""
-        return self._over("resigned", now) if self.state == "owner" else []
+        return self._end_term("resigned", now) if self.state == "owner" else []
 
-    def _when(self) -> float:
+    def _acquire_due_at(self) -> float:
         """When to ask.  Each place in the order waits a step longer; nobody waits for good."""
-        return max(self._ask_at, self._open_at + self.rank * self._terms.step_s)
+        return max(self._acquire_at, self._available_at + self.rank * self._terms.step_s)
 
-    def _call(self, what: str, now: float) -> int:
-        self._busy, self._asked_at = what, now
+    def _start_call(self, what: str, now: float) -> int:
+        self._pending_call, self._sent_at = what, now
         self._number += 1
         return self._number
 
     # --- from the store ---
-    def look(self, now: float, asked_at: float, lease: Lease | None, alive: bool) -> list[Action]:
+    def observe(
+        self, now: float, requested_at: float, lease: Lease | None, alive: bool
+    ) -> list[Action]:
         """The record as it stood after `asked_at`; `alive`: its process may still run."""
-        here = stamp(lease)
+        here = version_of(lease)
         if lease is not None:
             self.floor = max(self.floor, lease.fence)
-        if here != self._seen or self._seen_at is None:
-            self._seen, self._seen_at = here, now
-            self._open_at = now
+        if here != self._observed or self._observed_at is None:
+            self._observed, self._observed_at = here, now
+            self._available_at = now
             if here is not None and here.nonce != self._nonce:
-                self._open_at = INFINITE if self._terms.vouches else now + self._terms.term_s
+                self._available_at = (
+                    INFINITE if self._terms.expires_leases else now + self._terms.term_s
+                )
         if here is not None and not alive:
-            self._open_at = min(self._open_at, now)
+            self._available_at = min(self._available_at, now)
         if (
             self.state == "owner"
-            and asked_at >= self._gained_at
-            and not self._busy
+            and requested_at >= self._gained_at
+            and not self._pending_call
             and (here is None or (here.fence, here.nonce) != (self.fence, self._nonce))
         ):
-            return self._over("lost", now)
+            return self._end_term("lost", now)
         return []
 
     def unreadable(self) -> None:
         """The record is garbage or a later version's: nothing is asked until one can be read."""
-        self._seen, self._seen_at = None, None
+        self._observed, self._observed_at = None, None
 
     def granted(self, now: float, number: int, fence: int) -> list[Action]:
         """The store granted the lease.  The term counts from when the request was sent.
 
         Nothing begins if that term is over already, or if this process is no candidate any more.
         """
-        if not self._answered("ask", number):
+        if not self._complete_call("ask", number):
             return []
         self._failures = 0
         self.floor = max(self.floor, fence)
-        self.fence, self.until = fence, self._asked_at + self._terms.kept_s
-        self._seen, self._seen_at = Stamp(fence, self._nonce, 0), now
-        self._open_at = self._ask_at = now
-        if now >= self.until or not self.wanted:  # the next term, or nobody's, goes over it
-            self.state = "waiting" if now >= self.until else "resigning"
+        self.fence, self.valid_until = fence, self._sent_at + self._terms.hold_s
+        self._observed, self._observed_at = LeaseVersion(fence, self._nonce, 0), now
+        self._available_at = self._acquire_at = now
+        if (
+            now >= self.valid_until or not self.is_candidate
+        ):  # the next term, or nobody's, goes over it
+            self.state = "waiting" if now >= self.valid_until else "resigning"
             self._renew_at = now
             return []
-        self.state, self._gained_at, self._stopped = "owner", now, False
-        self._renew_at = self._asked_at + self._wait(self._terms.kept_s * RENEW_SHARE)
+        self.state, self._gained_at, self._work_stopped = "owner", now, False
+        self._renew_at = self._sent_at + self._with_jitter(self._terms.hold_s * RENEW_FRACTION)
         return [TermBegan(self.work, fence)]
 
     def denied(self, now: float, number: int, lease: Lease | None) -> list[Action]:
         """Another process holds the lease, or its record changed since the last read."""
-        if not self._answered("ask", number):
+        if not self._complete_call("ask", number):
             return []
         self._failures = 0
-        actions = self.look(now, now, lease, True)
-        self._ask_at = now + self._wait(self._terms.term_s * BACKOFF_FIRST)
+        actions = self.observe(now, now, lease, True)
+        self._acquire_at = now + self._with_jitter(self._terms.term_s * FIRST_BACKOFF)
         return actions
 
     def renewed(self, now: float, number: int) -> list[Action]:
         """The store renewed the lease.  The term counts from when the renewal was sent."""
-        if not self._answered("renew", number) or self.state != "owner":
+        if not self._complete_call("renew", number) or self.state != "owner":
             return []
-        left, self._failures = self.until - now, 0
-        self.left_late = left if left < self._terms.kept_s * RENEW_SHARE else 0.0
-        self.until = self._asked_at + self._terms.kept_s
-        self._renew_at = self._asked_at + self._wait(self._terms.kept_s * RENEW_SHARE)
-        return self.tick(now) if now >= self.until else []
+        left, self._failures = self.valid_until - now, 0
+        self.late_margin_s = left if left < self._terms.hold_s * RENEW_FRACTION else 0.0
+        self.valid_until = self._sent_at + self._terms.hold_s
+        self._renew_at = self._sent_at + self._with_jitter(self._terms.hold_s * RENEW_FRACTION)
+        return self.tick(now) if now >= self.valid_until else []
 
     def lost(self, now: float, number: int, lease: Lease | None) -> list[Action]:
         """A renewal or release met another's record, or none."""
-        if not self._answered("renew", number) and not self._answered("release", number):
+        if not self._complete_call("renew", number) and not self._complete_call("release", number):
             return []
-        actions = self._over("lost", now) if self.state == "owner" else []
+        actions = self._end_term("lost", now) if self.state == "owner" else []
         if self.state == "resigning":
             self.state = "waiting"
-        return actions + self.look(now, now, lease, True)
+        return actions + self.observe(now, now, lease, True)
 
     def released(self, now: float, number: int) -> list[Action]:
         """The store freed the lease.  This process does not ask again for one term."""
-        if not self._answered("release", number):
+        if not self._complete_call("release", number):
             return []
         self.state, self._failures = "waiting", 0
-        self._seen, self._seen_at, self._open_at = None, now, now
-        self._ask_at = now + self._terms.term_s  # who hands it on lets the others come first
+        self._observed, self._observed_at, self._available_at = None, now, now
+        self._acquire_at = now + self._terms.term_s  # who hands it on lets the others come first
         return []
 
     def failed(self, now: float, number: int) -> list[Action]:
         """The call failed; the store may have applied it.  The wait doubles up to one term."""
-        if number != self._number or not self._busy:
+        if number != self._number or not self._pending_call:
             return []
-        self._busy = ""
-        wait = self._wait(
-            min(BACKOFF_MOST, BACKOFF_FIRST * 2.0 ** min(self._failures, 10)) * self._terms.term_s
+        self._pending_call = ""
+        wait = self._with_jitter(
+            min(MAX_BACKOFF, FIRST_BACKOFF * 2.0 ** min(self._failures, 10)) * self._terms.term_s
         )
         self._failures += 1
-        self._ask_at = now + wait
-        self._renew_at = now + min(wait, self._terms.kept_s * RENEW_SHARE / 2.0)
+        self._acquire_at = now + wait
+        self._renew_at = now + min(wait, self._terms.hold_s * RENEW_FRACTION / 2.0)
         return []
 
-    def _answered(self, what: str, number: int) -> bool:
-        if number != self._number or self._busy != what:
+    def _complete_call(self, what: str, number: int) -> bool:
+        if number != self._number or self._pending_call != what:
             return False
-        self._busy = ""
+        self._pending_call = ""
         return True
 
     # --- from the effect ---
@@ -341,20 +354,20 @@
         floor beyond all sense is heard and not followed, or one broken place would use up the
         fences.
         """
-        if floor < FENCE_MOST:
+        if floor < MAX_FENCE:
             self.floor = max(self.floor, floor)
         if self.state != "owner":
             return []
-        self._ask_at = now + self._wait(self._terms.term_s * BACKOFF_FIRST)
-        return self._over("fenced", now)
+        self._acquire_at = now + self._with_jitter(self._terms.term_s * FIRST_BACKOFF)
+        return self._end_term("fenced", now)
 
-    def _over(
+    def _end_term(
         self, why: Literal["lapsed", "lost", "fenced", "resigned"], now: float
     ) -> list[Action]:
         self.state = "resigning" if why == "resigned" else "waiting"
         self._renew_at = now
         return [TermEnded(self.work, self.fence, why)]
 
-    def _wait(self, seconds: float) -> float:
+    def _with_jitter(self, seconds: float) -> float:
         """With jitter towards earlier: a bound stays one."""
-        return seconds * (1.0 - JITTER * self._chance.random())
+        return seconds * (1.0 - JITTER * self._random.random())
--- a/violetroute/fleet/folder.py
+++ b/violetroute/fleet/folder.py
@@ -31,17 +31,17 @@
 from violetroute.transport.writer import Writer
 
 from . import lease as leases
-from .election import Ask
-from .lease import IncarnationId, Lease, Unreadable
-from .log import ENTRY_MOST, PAGE, Put, Read, Result, Steps
-from .store import Answer, Told, View
+from .election import Acquire
+from .lease import IncarnationId, Lease, UnreadableLeaseError
+from .log import MAX_RECORD_BYTES, MAX_RECORDS_PER_READ, Put, Read, Result, Steps
+from .store import Answer, Callback, StoreView
 
 T = TypeVar("T")
 FLOCK = struct.Struct("hhqqi4x")  # l_type, l_whence, l_start, l_len, l_pid
 VERSIONED = re.compile(r"^([a-z][a-z0-9-]{0,63})@(\d{12})$")
-MEMBERS_MOST = 1024  # incarnations that one look reads
-TRIES = 8  # looks at a folder that others tidy meanwhile
-SHELF = 1000  # positions of a log in one folder
+MAX_MEMBERS = 1024  # incarnations that one look reads
+MAX_ATTEMPTS = 8  # looks at a folder that others tidy meanwhile
+SEGMENT_POSITIONS = 1000  # positions of a log in one folder
 
 
 class FolderStore:
@@ -51,7 +51,7 @@
         self._path, self._me, self._wall = path, me, wall
         self._lock = -1
         self._temporary = 0
-        self._shelves: set[Path] = set()  # folders that we know to be there
+        self._segments: set[Path] = set()  # folders that we know to be there
 
     # --- this incarnation ---
     def open(self) -> None:
@@ -61,8 +61,8 @@
         mark = self._path / "alive" / self._me.nonce
         if self._lock >= 0 and self._is_ours(mark):
             return
-        self._let_go()
-        self._shelves.clear()
+        self._release_lock()
+        self._segments.clear()
         aside = mark.with_name(f".{self._me.nonce}")
         self._lock = os.open(aside, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o644)
         os.write(self._lock, msgspec.json.encode({"name": self._me.name, "pid": os.getpid()}))
@@ -80,9 +80,9 @@
         if self._lock >= 0:
             with contextlib.suppress(OSError):
                 os.unlink(self._path / "alive" / self._me.nonce)
-        self._let_go()
+        self._release_lock()
 
-    def _let_go(self) -> None:
+    def _release_lock(self) -> None:
         if self._lock >= 0:
             os.close(self._lock)
             self._lock = -1
@@ -92,7 +92,7 @@
         there: list[IncarnationId] = []
         dead: list[str] = []
         names = [name for name in os.listdir(self._path / "alive") if leases.is_nonce(name)]
-        for name in sorted(names)[:MEMBERS_MOST]:
+        for name in sorted(names)[:MAX_MEMBERS]:
             if name == self._me.nonce:
                 there.append(self._me)
                 continue
@@ -125,7 +125,7 @@
         finally:
             os.close(descriptor)
 
-    def _tidy(self, view: View) -> None:
+    def _tidy(self, view: StoreView) -> None:
         """What killed processes have left must not pile up: marks, and files half put.
 
         A lease whose mark is gone is a dead one's all the same; who lives after all, in a folder
@@ -137,25 +137,25 @@
             for name in os.listdir(self._path / folder):
                 nonce = name.split(".")[1] if name.startswith(".") else name
                 ended = nonce in view.dead or (name.startswith(".") and nonce not in here)
-                if ended and nonce != self._me.nonce and len(here) < MEMBERS_MOST:
+                if ended and nonce != self._me.nonce and len(here) < MAX_MEMBERS:
                     with contextlib.suppress(OSError):
                         os.unlink(self._path / folder / name)
 
     # --- leases ---
-    def look(self) -> View:
+    def poll(self) -> StoreView:
         self.open()
         view = self.view()
         self._tidy(view)
         return view
 
-    def view(self) -> View:
+    def view(self) -> StoreView:
         """As `look`, for who is no incarnation of the fleet."""
         found: dict[str, Lease] = {}
         unreadable: dict[str, str] = {}
         for work, number in self._versions().items():
             try:
                 lease = self._lease(work, number)
-            except Unreadable as error:
+            except UnreadableLeaseError as error:
                 unreadable[work] = str(error)
             else:
                 if lease is not None:
@@ -163,7 +163,7 @@
         members, dead = self._members()
         here = {each.nonce for each in members}
         holders = {each.nonce for each in found.values()} - here - dead
-        return View(
+        return StoreView(
             found, members, dead | {each for each in holders if self._has_ended(each)}, unreadable
         )
 
@@ -180,18 +180,18 @@
         """None where it was tidied away just now."""
         path = self._path / "lease" / f"{work}@{number:012d}"
         try:
-            return leases.decode(read_bounded(path, leases.RECORD_MOST), work)
+            return leases.decode(read_bounded(path, leases.MAX_LEASE_BYTES), work)
         except FileNotFoundError:
             return None
 
     def _current(self, work: str) -> tuple[int, Lease | None]:
         """Its version, -1 for none, and what it says."""
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             number = self._versions().get(work, -1)
             if number < 0:
                 return -1, None
             if number >= 10**12 - 2:
-                raise Unreadable("no version is left")
+                raise UnreadableLeaseError("no version is left")
             lease = self._lease(work, number)
             if lease is not None:
                 return number, lease
@@ -217,11 +217,11 @@
                 os.unlink(folder / f"{work}@{old:012d}")
         return Answer(True, made)
 
-    def ask(self, ask: Ask) -> Answer:
+    def acquire(self, ask: Acquire) -> Answer:
         return self._change(
             ask.work,
-            lambda current: leases.taken(
-                ask.work, current, ask.over, ask.floor, self._me, self._wall()
+            lambda current: leases.acquired(
+                ask.work, current, ask.expected, ask.floor, self._me, self._wall()
             ),
         )
 
@@ -243,19 +243,23 @@
     def read(self, log: str, position: int) -> list[bytes]:
         found: list[bytes] = []
         with contextlib.suppress(FileNotFoundError):
-            while len(found) < PAGE:
-                found.append(read_bounded(self._place(log, position + len(found)), ENTRY_MOST))
+            while len(found) < MAX_RECORDS_PER_READ:
+                found.append(
+                    read_bounded(self._place(log, position + len(found)), MAX_RECORD_BYTES)
+                )
         return found
 
     def put(self, log: str, position: int, data: bytes) -> bool:
         place = self._place(log, position)
-        if place.parent not in self._shelves:
+        if place.parent not in self._segments:
             place.parent.mkdir(parents=True, exist_ok=True)
-            self._shelves.add(place.parent)
+            self._segments.add(place.parent)
         return self._put_new(place.parent, place.name, data)
 
     def _place(self, log: str, position: int) -> Path:
-        return self._path / "log" / log / f"{position // SHELF:09d}" / f"{position:012d}"
+        return (
+            self._path / "log" / log / f"{position // SEGMENT_POSITIONS:09d}" / f"{position:012d}"
+        )
 
     def run(self, steps: Steps) -> Result:
         """All of them, one after the other."""
@@ -295,23 +299,23 @@
     except (msgspec.DecodeError, RecursionError):
         return "?"
     name = told.get("name") if isinstance(told, dict) else None
-    return name[: leases.NAME_MOST] if isinstance(name, str) else "?"
+    return name[: leases.MAX_NAME_CHARS] if isinstance(name, str) else "?"
 
 
-class Threaded:
+class ThreadedFolderStore:
     """The folder's calls beside the loop; as `store.Store`.
 
     Leases have a writer of their own: a renewal that stands behind what works read and write at a
     slow disk comes too late, and then nobody owns anything for long.
     """
 
-    vouches = False
+    expires_leases = False
 
     def __init__(self, store: FolderStore, leases: Writer, logs: Writer) -> None:
         self._store, self._leases, self._logs = store, leases, logs
         self._closed = False
 
-    def _submit(self, writer: Writer, job: Callable[[], T], told: Told[T]) -> None:
+    def _submit(self, writer: Writer, job: Callable[[], T], told: Callback[T]) -> None:
         def done(result: T | None, error: BaseException | None) -> None:
             if not self._closed:
                 told(
@@ -321,19 +325,19 @@
 
         writer.submit(job, done)
 
-    def look(self, told: Told[View]) -> None:
-        self._submit(self._leases, self._store.look, told)
+    def poll(self, told: Callback[StoreView]) -> None:
+        self._submit(self._leases, self._store.poll, told)
 
-    def ask(self, ask: Ask, told: Told[Answer]) -> None:
-        self._submit(self._leases, lambda: self._store.ask(ask), told)
+    def acquire(self, ask: Acquire, told: Callback[Answer]) -> None:
+        self._submit(self._leases, lambda: self._store.acquire(ask), told)
 
-    def renew(self, terms: Sequence[tuple[str, int]], told: Told[Mapping[str, Answer]]) -> None:
+    def renew(self, terms: Sequence[tuple[str, int]], told: Callback[Mapping[str, Answer]]) -> None:
         self._submit(self._leases, lambda: self._store.renew(terms), told)
 
-    def release(self, work: str, fence: int, told: Told[Answer]) -> None:
+    def release(self, work: str, fence: int, told: Callback[Answer]) -> None:
         self._submit(self._leases, lambda: self._store.release(work, fence), told)
 
-    def run(self, steps: Steps, told: Told[Result]) -> None:
+    def run(self, steps: Steps, told: Callback[Result]) -> None:
         self._submit(self._logs, lambda: self._store.run(steps), told)
 
     def close(self) -> None:
--- a/violetroute/fleet/job.py
+++ b/violetroute/fleet/job.py
@@ -23,20 +23,22 @@
 from violetroute.transport import Address, Network
 from violetroute.transport.http_call import HttpCall
 
-from .lease import FENCE_MOST
-from .log import Done, Fenced, FencedLog, Nothing, Record, Result, append, claim
+from .lease import MAX_FENCE
+from .log import Done, Fenced, FencedLog, NothingToAppend, Record, Result, append, claim
 from .runner import Term
 
-FIRST, MOST = 0.2, 30.0  # s before a try again, and at most
-RETRY_AFTER_MOST = 3600.0  # s for which an endpoint's word is heeded
-HANGS = 60.0  # s, at least a term, after which a job beside the loop is given up: a disk that hangs
+FIRST_RETRY_S, MAX_RETRY_S = 0.2, 30.0  # s before a try again, and at most
+MAX_RETRY_AFTER_S = 3600.0  # s for which an endpoint's word is heeded
+JOB_TIMEOUT_S = (
+    60.0  # s, at least a term, after which a job beside the loop is given up: a disk that hangs
+)
 #               holds up only what is done at it, and renewals have a writer of their own
 
 
 class Decider(Protocol):
     """What the entries are.  Pure; kept over terms, since the log is."""
 
-    def took(self, body: Any) -> None:
+    def apply(self, body: Any) -> None:
         """An entry that counts, whoever wrote it."""
 
     def decide(self) -> Any:
@@ -48,15 +50,15 @@
 
     def __init__(self, hands_over: bool) -> None:
         self._hands_over = hands_over
-        self.waits: dict[int, Record] = {}
+        self.undelivered: dict[int, Record] = {}
 
-    def took(self, position: int, record: Record) -> bool:
+    def apply(self, position: int, record: Record) -> bool:
         """Whether it is an entry of the work's own, and not of this book-keeping."""
         if isinstance(record.body, dict) and "handed" in record.body:
-            self.waits.pop(record.body["handed"], None)
+            self.undelivered.pop(record.body["handed"], None)
             return False
         if self._hands_over:
-            self.waits[position] = record
+            self.undelivered[position] = record
         return True
 
 
@@ -84,7 +86,7 @@
         self._closes = closes
         self._endpoint, self._path, self._limit = endpoint, path, limit_s
         self._outbox = Outbox(endpoint is not None)
-        self._log = FencedLog(name, self._took)
+        self._log = FencedLog(name, self._applied)
         self._term: Term | None = None
         self._claimed = False
         self._busy = False
@@ -94,17 +96,17 @@
         self._patience: Any = None  # the timer of a job that is under way
         self._failures = 0
         self._failing_since: float | None = None
-        self._hears: Callable[[int, Record], None] = lambda position, record: None
-        self._chance = random.Random(name)
+        self._notify_entry: Callable[[int, Record], None] = lambda position, record: None
+        self._random = random.Random(name)
 
-    def _took(self, position: int, record: Record) -> None:
-        if self._outbox.took(position, record):
-            self._decider.took(record.body)
-            self._hears(position, record)
+    def _applied(self, position: int, record: Record) -> None:
+        if self._outbox.apply(position, record):
+            self._decider.apply(record.body)
+            self._notify_entry(position, record)
 
-    def hears(self, told: Callable[[int, Record], None]) -> None:
+    def on_entry(self, told: Callable[[int, Record], None]) -> None:
         """Call `told` with the position and the record of each entry that counts."""
-        self._hears = told
+        self._notify_entry = told
 
     # --- from the fleet ---
     def begin(self, term: Term) -> None:
@@ -151,12 +153,12 @@
         term = self._term
         if term is None or self._busy:
             return
-        if not term.may():
+        if not term.is_valid():
             self._next(self._every)
             return
         if not self._claimed:
             self._run(claim(self._log, term.fence, term.me.nonce, term.me.name), self._did_claim)
-        elif self._endpoint is not None and self._outbox.waits:
+        elif self._endpoint is not None and self._outbox.undelivered:
             self._post(term, self._endpoint)
         elif self._gather is not None:
             self._waits(term)
@@ -166,7 +168,7 @@
 
     def _waits(self, term: Term) -> None:
         self._busy = True
-        self._patience = self._loop.call_later(max(HANGS, term.term_s), self._hangs)
+        self._patience = self._loop.call_later(max(JOB_TIMEOUT_S, term.term_s), self._hangs)
 
     def _came(self) -> None:
         if self._patience is not None:
@@ -178,7 +180,7 @@
         self._patience = None
         if self._term is not None:
             logs.event("fleet.work_failed", work=self.name, reason="a job beside the loop hangs")
-            self._term.hand_on()
+            self._term.transfer()
 
     def _gathered(self, why: str) -> None:
         self._came()
@@ -234,7 +236,7 @@
     def _did(self, result: Result) -> None:
         if isinstance(result, Done) and self._endpoint is not None:
             self._next(0.0)
-        elif isinstance(result, (Done, Nothing)):
+        elif isinstance(result, (Done, NothingToAppend)):
             self._next(self._every)
         else:
             self._next(self._wait())
@@ -257,21 +259,21 @@
             self._failing_since = now
         if term is None or now - self._failing_since < term.term_s:
             return False
-        term.hand_on()
+        term.transfer()
         return True
 
     def _wait(self, at_least: float = 0.0) -> float:
-        ceiling = min(MOST, FIRST * 2.0 ** min(self._failures, 20))
+        ceiling = min(MAX_RETRY_S, FIRST_RETRY_S * 2.0 ** min(self._failures, 20))
         self._failures += 1
-        return max(at_least, ceiling * (0.5 + 0.5 * self._chance.random()))
+        return max(at_least, ceiling * (0.5 + 0.5 * self._random.random()))
 
     # --- handing over ---
     def _post(self, term: Term, endpoint: Address) -> None:
         """Post the first entry that waits."""
-        position, record = next(iter(self._outbox.waits.items()))
+        position, record = next(iter(self._outbox.undelivered.items()))
         self._busy = True
         headers = {
-            "Idempotency-Key": key_of(record, position),
+            "Idempotency-Key": idempotency_key(record, position),
             "Content-Type": "application/json",
             "Fence": f"{term.fence};{term.me.nonce}",
         }
@@ -303,7 +305,7 @@
         if 200 <= status < 300:
             self._well()
             self._record_handed(term, position)
-        elif term.fence <= floor < FENCE_MOST:
+        elif term.fence <= floor < MAX_FENCE:
             term.fenced(floor)
         else:
             self._undelivered(status, headers, why)
@@ -316,7 +318,7 @@
                 term.fence,
                 term.me.nonce,
                 term.me.name,
-                lambda: {"handed": position} if position in self._outbox.waits else None,
+                lambda: {"handed": position} if position in self._outbox.undelivered else None,
             ),
             self._handed,
         )
@@ -333,10 +335,10 @@
             self._next(wait)
 
     def _handed(self, result: Result) -> None:
-        self._next(0.0 if self._outbox.waits else self._every)
+        self._next(0.0 if self._outbox.undelivered else self._every)
 
 
-def key_of(record: Record, position: int) -> str:
+def idempotency_key(record: Record, position: int) -> str:
     """The idempotency key of an entry, as a structured header's string, for any poster."""
     return f'"{record.log}/{record.fence}.{record.nonce}/{position}"'
 
@@ -353,16 +355,16 @@
 
 def _retry_after(headers: dict[str, str]) -> float:
     text = headers.get("retry-after", "")
-    return min(RETRY_AFTER_MOST, float(text)) if text.isdecimal() and len(text) < 10 else 0.0
+    return min(MAX_RETRY_AFTER_S, float(text)) if text.isdecimal() and len(text) < 10 else 0.0
 
 
-class Beat:
+class BeatDecider:
     """An example: the count of each entry is one more than the last, so none occurs twice."""
 
     def __init__(self) -> None:
         self.count = 0
 
-    def took(self, body: Any) -> None:
+    def apply(self, body: Any) -> None:
         """Take over the count of an entry of the log."""
         if isinstance(body, dict) and isinstance(body.get("beat"), int):
             self.count = body["beat"]
--- a/violetroute/fleet/kv.py
+++ b/violetroute/fleet/kv.py
@@ -32,43 +32,45 @@
 from violetroute.transport.tls import TlsKeys
 
 from . import lease as leases
-from .election import Ask
-from .lease import IncarnationId, Lease, Unreadable
-from .log import PAGE, Put, Read, Result, Steps
-from .store import Answer, Told, View
+from .election import Acquire
+from .lease import IncarnationId, Lease, UnreadableLeaseError
+from .log import MAX_RECORDS_PER_READ, Put, Read, Result, Steps
+from .store import Answer, Callback, StoreView
 from .table import FleetTable
 
-WAIT = 30.0  # s of a look without news
-JITTER = 16  # a server adds up to a 16th of it
-SHELF = 16  # positions of a log in one shelf, which one call reads
-VALUE_MOST = 512 * 1024  # bytes of a value, as servers have it unless told otherwise
-BODY_MOST = 1024 * 1024  # bytes of an answer
-SHELF_MOST = SHELF * (VALUE_MOST * 4 // 3 + 1024)  # and of a shelf, in base64
+BLOCKING_WAIT_S = 30.0  # s of a look without news
+WAIT_JITTER_DIVISOR = 16  # a server adds up to a 16th of it
+SEGMENT_POSITIONS = 16  # positions of a log in one shelf, which one call reads
+MAX_VALUE_BYTES = 512 * 1024  # bytes of a value, as servers have it unless told otherwise
+MAX_BODY_BYTES = 1024 * 1024  # bytes of an answer
+MAX_SEGMENT_BYTES = SEGMENT_POSITIONS * (
+    MAX_VALUE_BYTES * 4 // 3 + 1024
+)  # and of a shelf, in base64
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class KvRequest:
     """One call: what is asked, and s for its answer."""
 
     method: str
     target: str
     body: bytes = b""
     limit: float = 0.0  # beyond the table's time for a call
-    most: int = BODY_MOST  # bytes of the answer
+    most: int = MAX_BODY_BYTES  # bytes of the answer
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class KvResponse:
     status: int
     headers: Mapping[str, str]  # names in small letters
     body: bytes
 
 
-class NoAnswer(Exception):
+class UnusableResponseError(Exception):
     """Nothing came, or nothing that counts."""
 
 
-Asking = Generator[Asked, Answered, Any]
+Exchange = Generator[KvRequest, KvResponse, Any]
 
 
 class _Entry(msgspec.Struct, rename="pascal"):
@@ -84,10 +86,10 @@
         try:
             return base64.b64decode(self.value or "", validate=True)
         except binascii.Error as error:
-            raise NoAnswer(f"{self.key}: {error}") from None
+            raise UnusableResponseError(f"{self.key}: {error}") from None
 
 
-class Keys:
+class ConsulProtocol:
     """What is asked, and what answers mean.  Pure; `session` is this incarnation's, "" for none."""
 
     def __init__(self, table: FleetTable, me: IncarnationId) -> None:
@@ -98,13 +100,13 @@
         self._under: dict[str, str] = {}  # the session that each of our leases is locked by
 
     # --- looking ---
-    def look(self) -> Asking:
+    def poll(self) -> Exchange:
         """All leases; waits for news where there was an index before."""
         target, limit = f"/v1/kv/{self._prefix}/lease/?recurse", 0.0
         if self.index:
-            target += f"&index={self.index}&wait={round(WAIT * 1000)}ms"
-            limit = WAIT * (1.0 + 1.0 / JITTER)
-        answered = yield Asked("GET", target, limit=limit)
+            target += f"&index={self.index}&wait={round(BLOCKING_WAIT_S * 1000)}ms"
+            limit = BLOCKING_WAIT_S * (1.0 + 1.0 / WAIT_JITTER_DIVISOR)
+        answered = yield KvRequest("GET", target, limit=limit)
         entries = _entries(answered)
         text = answered.headers.get("x-consul-index", "0")
         index = int(text) if text.isdecimal() and len(text) < 20 else 0
@@ -115,12 +117,12 @@
             work = entry.key.rpartition("/")[2]
             try:
                 found[work] = _lease(entry, work)
-            except Unreadable as error:
+            except UnreadableLeaseError as error:
                 unreadable[work] = str(error)
-        return View(found, None, frozenset(), unreadable)
+        return StoreView(found, None, frozenset(), unreadable)
 
-    def _read(self, work: str) -> Generator[Asked, Answered, tuple[int, Lease | None]]:
-        answered = yield Asked("GET", f"/v1/kv/{self._lease_key(work)}?consistent")
+    def _read(self, work: str) -> Generator[KvRequest, KvResponse, tuple[int, Lease | None]]:
+        answered = yield KvRequest("GET", f"/v1/kv/{self._lease_key(work)}?consistent")
         entries = _entries(answered)
         if not entries:
             return 0, None
@@ -130,11 +132,11 @@
         return f"{self._prefix}/lease/{work}"
 
     # --- leases ---
-    def ask(self, ask: Ask, wall: float) -> Asking:
+    def acquire(self, ask: Acquire, wall: float) -> Exchange:
         """A session if there is none, and the record under it if it stands as we have read it."""
         index, current = yield from self._read(ask.work)
         # Only the store says that another's lease has ended: `over` is not looked at.
-        made = leases.taken(ask.work, current, None, ask.floor, self._me, wall)
+        made = leases.acquired(ask.work, current, None, ask.floor, self._me, wall)
         if made is None:
             return Answer(False, current)
         # One that was made for an earlier ask may be about to end: its time to live has to be
@@ -158,8 +160,8 @@
             self._under[ask.work] = session
         return Answer(done, made if done else current)
 
-    def _begin_session(self) -> Generator[Asked, Answered, None]:
-        answered = yield Asked(
+    def _begin_session(self) -> Generator[KvRequest, KvResponse, None]:
+        answered = yield KvRequest(
             "PUT",
             "/v1/session/create",
             msgspec.json.encode(
@@ -173,30 +175,30 @@
             ),
         )
         if answered.status != 200:
-            raise NoAnswer(f"no session: {answered.status} {_text(answered.body)}")
+            raise UnusableResponseError(f"no session: {answered.status} {_text(answered.body)}")
         try:
             told = msgspec.json.decode(answered.body)
             made = str(told["ID"])
         except (msgspec.DecodeError, KeyError, TypeError):
-            raise NoAnswer("no session: an answer without an ID") from None
+            raise UnusableResponseError("no session: an answer without an ID") from None
         # Where two works ask at once the second keeps to the first one's, renewed for its own
         # asking; the one that it has made just ends.
         if not self.session or not (yield from self._renew_session()):
             self.session = made
 
-    def _renew_session(self) -> Generator[Asked, Answered, bool]:
+    def _renew_session(self) -> Generator[KvRequest, KvResponse, bool]:
         """Whether it stands."""
         session = self.session
-        answered = yield Asked("PUT", f"/v1/session/renew/{quote(session, safe='')}")
+        answered = yield KvRequest("PUT", f"/v1/session/renew/{quote(session, safe='')}")
         if answered.status == 404:
             if self.session == session:
                 self.session = ""
             return False
         if answered.status != 200:
-            raise NoAnswer(f"answered {answered.status}")
+            raise UnusableResponseError(f"answered {answered.status}")
         return True
 
-    def renew(self, terms: Sequence[tuple[str, int]]) -> Asking:
+    def renew(self, terms: Sequence[tuple[str, int]]) -> Exchange:
         """A lease that was taken under a session before this one has gone with that one."""
         session = self.session
         stands = bool(session) and (yield from self._renew_session())
@@ -204,7 +206,7 @@
             work: Answer(stands and self._under.get(work) == session, None) for work, _ in terms
         }
 
-    def release(self, work: str, fence: int) -> Asking:
+    def release(self, work: str, fence: int) -> Exchange:
         index, current = yield from self._read(work)
         made = leases.released(current, fence, self._me)
         if made is None or not self.session:
@@ -221,32 +223,34 @@
         )
         return Answer(done, made if done else current)
 
-    def _transact(self, *steps: dict[str, Any]) -> Generator[Asked, Answered, bool]:
+    def _transact(self, *steps: dict[str, Any]) -> Generator[KvRequest, KvResponse, bool]:
         """Whether all of it was done: one by itself never is."""
-        answered = yield Asked(
+        answered = yield KvRequest(
             "PUT", "/v1/txn", msgspec.json.encode([{"KV": step} for step in steps])
         )
         if answered.status not in (200, 409):
-            raise NoAnswer(f"answered {answered.status} {_text(answered.body)}")
+            raise UnusableResponseError(f"answered {answered.status} {_text(answered.body)}")
         return answered.status == 200
 
     # --- logs ---
     def _position(self, log: str, position: int) -> tuple[str, str]:
         """Shelf and key."""
-        shelf = f"{self._prefix}/log/{log}/{position // SHELF:09d}/"
+        shelf = f"{self._prefix}/log/{log}/{position // SEGMENT_POSITIONS:09d}/"
         return shelf, f"{shelf}{position:012d}"
 
-    def read(self, log: str, position: int) -> Asking:
+    def read(self, log: str, position: int) -> Exchange:
         """Records from there on, to the end of a shelf at most: a full one is followed."""
         shelf, _ = self._position(log, position)
-        answered = yield Asked("GET", f"/v1/kv/{shelf}?recurse&consistent", most=SHELF_MOST)
+        answered = yield KvRequest(
+            "GET", f"/v1/kv/{shelf}?recurse&consistent", most=MAX_SEGMENT_BYTES
+        )
         there = {entry.key: entry for entry in _entries(answered)}
         found: list[bytes] = []
         while (entry := there.get(self._position(log, position + len(found))[1])) is not None:
             found.append(entry.data)
         return found
 
-    def run(self, steps: Steps) -> Asking:
+    def run(self, steps: Steps) -> Exchange:
         """All steps of a log."""
         answer: Any = None
         while True:
@@ -257,7 +261,10 @@
             match step:
                 case Read(log, position):
                     answer = yield from self.read(log, position)
-                    while 0 < len(answer) < PAGE and (position + len(answer)) % SHELF == 0:
+                    while (
+                        0 < len(answer) < MAX_RECORDS_PER_READ
+                        and (position + len(answer)) % SEGMENT_POSITIONS == 0
+                    ):
                         more = yield from self.read(log, position + len(answer))
                         answer += more
                         if not more:
@@ -278,18 +285,18 @@
     return " ".join(body[:100].decode("utf-8", "replace").split())
 
 
-def _entries(answered: Answered) -> list[_Entry]:
+def _entries(answered: KvResponse) -> list[_Entry]:
     """NoAnswer for an answer that tells nothing."""
     if answered.status == 404:
         return []
     if answered.status != 200:
-        raise NoAnswer(f"answered {answered.status} {_text(answered.body)}")
+        raise UnusableResponseError(f"answered {answered.status} {_text(answered.body)}")
     if answered.headers.get("x-consul-knownleader", "true").lower() == "false":
-        raise NoAnswer("no leader")
+        raise UnusableResponseError("no leader")
     try:
         return msgspec.json.decode(answered.body, type=list[_Entry])
     except (msgspec.DecodeError, RecursionError) as error:
-        raise NoAnswer(f"no list of keys: {error}") from None
+        raise UnusableResponseError(f"no list of keys: {error}") from None
 
 
 def _lease(entry: _Entry, work: str) -> Lease:
@@ -303,30 +310,30 @@
     time.
     """
 
-    vouches = True
+    expires_leases = True
 
     def __init__(self, table: FleetTable, net: Network, me: IncarnationId) -> None:
         self._table, self._net = table, net
-        self.keys = Keys(table, me)
+        self.protocol = ConsulProtocol(table, me)
         self._tls = TlsKeys(table.tls) if table.tls.ca else None
         self._agent = 0
         self._calls: set[HttpCall] = set()
         self._closed = False
 
-    def look(self, told: Told[View]) -> None:
-        self._run(self.keys.look(), told)
+    def poll(self, told: Callback[StoreView]) -> None:
+        self._run(self.protocol.poll(), told)
 
-    def ask(self, ask: Ask, told: Told[Answer]) -> None:
-        self._run(self.keys.ask(ask, self._net.wall()), told)
+    def acquire(self, ask: Acquire, told: Callback[Answer]) -> None:
+        self._run(self.protocol.acquire(ask, self._net.wall()), told)
 
-    def renew(self, terms: Sequence[tuple[str, int]], told: Told[Mapping[str, Answer]]) -> None:
-        self._run(self.keys.renew(terms), told)
+    def renew(self, terms: Sequence[tuple[str, int]], told: Callback[Mapping[str, Answer]]) -> None:
+        self._run(self.protocol.renew(terms), told)
 
-    def release(self, work: str, fence: int, told: Told[Answer]) -> None:
-        self._run(self.keys.release(work, fence), told)
+    def release(self, work: str, fence: int, told: Callback[Answer]) -> None:
+        self._run(self.protocol.release(work, fence), told)
 
-    def run(self, steps: Steps, told: Told[Result]) -> None:
-        self._run(self.keys.run(steps), told)
+    def run(self, steps: Steps, told: Callback[Result]) -> None:
+        self._run(self.protocol.run(steps), told)
 
     def close(self) -> None:
         """A session ends with its time to live: nothing is waited for here."""
@@ -335,11 +342,11 @@
             call.stop()
         self._calls.clear()
 
-    def _run(self, asking: Asking, told: Callable[[Any, str], None]) -> None:
+    def _run(self, asking: Exchange, told: Callable[[Any, str], None]) -> None:
         self._net.loop.call_soon(self._go_on, asking, None, told)
 
     def _go_on(
-        self, asking: Asking, answered: Answered | None, told: Callable[[Any, str], None]
+        self, asking: Exchange, answered: KvResponse | None, told: Callable[[Any, str], None]
     ) -> None:
         if self._closed:
             return
@@ -350,7 +357,7 @@
         except Exception as error:  # also of ours: who asked would wait for good
             told(None, one_line(error))
 
-    def _call(self, ask: Asked, asking: Asking, told: Callable[[Any, str], None]) -> None:
+    def _call(self, ask: KvRequest, asking: Exchange, told: Callable[[Any, str], None]) -> None:
         table = self._table
         try:
             token = read_token(table.token_file)
@@ -363,7 +370,7 @@
         def done(status: int, headers: dict[str, str], body: bytes, why: str) -> None:
             self._calls.discard(call)
             if status:
-                self._go_on(asking, Answered(status, headers, body), told)
+                self._go_on(asking, KvResponse(status, headers, body), told)
             else:
                 self._agent = (self._agent + 1) % len(table.agents)
                 asking.close()
--- a/violetroute/fleet/lease.py
+++ b/violetroute/fleet/lease.py
@@ -21,15 +21,15 @@
 import msgspec
 
 VERSION = 1
-FENCE_MOST = 2**53  # what every JSON reader keeps exactly; nobody comes near it by ones
-RECORD_MOST = 4096  # bytes of a lease's record
-NAME_MOST = 200  # characters
-NONCE = re.compile(r"[0-9a-z-]{1,64}")
+MAX_FENCE = 2**53  # what every JSON reader keeps exactly; nobody comes near it by ones
+MAX_LEASE_BYTES = 4096  # bytes of a lease's record
+MAX_NAME_CHARS = 200  # characters
+NONCE_PATTERN = re.compile(r"[0-9a-z-]{1,64}")
 
 
 def is_nonce(text: str) -> bool:
     """Small letters, digits and dashes: it becomes a file's name and part of a header."""
-    return NONCE.fullmatch(text) is not None
+    return NONCE_PATTERN.fullmatch(text) is not None
 
 
 class Lease(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stamp:
+class LeaseVersion:
     """One state of a record: two equal ones are the same state."""
 
     fence: int
@@ -62,12 +62,14 @@
     nonce: str
 
 
-def stamp(lease: Lease | None) -> Stamp | None:
+def version_of(lease: Lease | None) -> LeaseVersion | None:
     """None: nobody holds it."""
-    return None if lease is None or lease.free else Stamp(lease.fence, lease.nonce, lease.beat)
+    return (
+        None if lease is None or lease.free else LeaseVersion(lease.fence, lease.nonce, lease.beat)
+    )
 
 
-class Unreadable(Exception):
+class UnreadableLeaseError(Exception):
     """A record that is not ours to judge: garbage, or of a later version."""
 
 
@@ -77,17 +79,19 @@
     A record that can't be read is nobody's and stays: taking it over would be guessing at its
     fence.
     """
-    if len(data) > RECORD_MOST:
-        raise Unreadable("too long")
+    if len(data) > MAX_LEASE_BYTES:
+        raise UnreadableLeaseError("too long")
     try:
         lease = msgspec.json.decode(data, type=Lease)
     except (msgspec.DecodeError, RecursionError) as error:
         version = _version(data)
-        raise Unreadable(f"version {version}" if version > VERSION else str(error)) from None
+        raise UnreadableLeaseError(
+            f"version {version}" if version > VERSION else str(error)
+        ) from None
     if lease.v != VERSION:
-        raise Unreadable(f"version {lease.v}")
-    if lease.work != work or not 0 < lease.fence <= FENCE_MOST or not is_nonce(lease.nonce):
-        raise Unreadable("no lease of this work")
+        raise UnreadableLeaseError(f"version {lease.v}")
+    if lease.work != work or not 0 < lease.fence <= MAX_FENCE or not is_nonce(lease.nonce):
+        raise UnreadableLeaseError("no lease of this work")
     return lease
 
 
@@ -104,8 +108,13 @@
     return msgspec.json.encode(lease)
 
 
-def taken(
-    work: str, current: Lease | None, over: Stamp | None, floor: int, me: IncarnationId, wall: float
+def acquired(
+    work: str,
+    current: Lease | None,
+    expected: LeaseVersion | None,
+    floor: int,
+    me: IncarnationId,
+    wall: float,
 ) -> Lease | None:
     """The record of a new term, or None: it is another's.
 
@@ -113,11 +122,11 @@
     knows to have ended.  One's own record is taken over at once: that is a term whose grant was
     lost on its way, or that one has let lapse.
     """
-    here = stamp(current)
-    if here is not None and here.nonce != me.nonce and here != over:
+    here = version_of(current)
+    if here is not None and here.nonce != me.nonce and here != expected:
         return None
     fence = max(current.fence if current is not None else 0, floor) + 1
-    if fence > FENCE_MOST:
+    if fence > MAX_FENCE:
         return None
     return Lease(VERSION, work, fence, me.name, me.nonce, since=wall)
 
@@ -136,7 +145,7 @@
 
 
 @dataclass(slots=True)
-class Seal:
+class FenceGuard:
     """What the place of an effect remembers: the highest fence it has met, and whose it was.
 
     The same fence under another nonce is refused too: a store that forgot may hand it out twice,
@@ -148,7 +157,7 @@
 
     def admits(self, fence: int, nonce: str) -> bool:
         """Whether an effect may happen; from then on no lower one does."""
-        if fence > FENCE_MOST or fence < self.fence:
+        if fence > MAX_FENCE or fence < self.fence:
             return False
         if fence == self.fence and nonce != self.nonce:
             return False
--- a/violetroute/fleet/ledger_files.py
+++ b/violetroute/fleet/ledger_files.py
@@ -15,14 +15,14 @@
 from violetroute.transport.disk import read_bounded
 from violetroute.transport.writer import Writer
 
-from .settlement import Batch, Settlement, Through, is_key
+from .settlement import Batch, ClosedThrough, Settlement, is_key
 
-FILE_MOST = 3 * 1024 * 1024  # bytes of a batch's file: a bill of it alone is an entry
-LATEST = 32_503_680_000  # Unix s, the year 3000: no calendar is asked for a period beyond
-AT_ONCE = 2000  # files that one look reads; the others are read by the next
-BATCHES_MOST = 5000  # that wait to be billed; no more are read until some are
-THROUGH = ".through"
-DONE = "settled"  # the folder in which files lie whose batches the log names
+MAX_FILE_BYTES = 3 * 1024 * 1024  # bytes of a batch's file: a bill of it alone is an entry
+MAX_TIME = 32_503_680_000  # Unix s, the year 3000: no calendar is asked for a period beyond
+MAX_FILES_PER_READ = 2000  # files that one look reads; the others are read by the next
+MAX_PENDING_BATCHES = 5000  # that wait to be billed; no more are read until some are
+CLOSED_SUFFIX = ".through"
+SETTLED_FOLDER = "settled"  # the folder in which files lie whose batches the log names
 
 
 Units = Annotated[int, msgspec.Meta(ge=-(2**53), le=2**53)]  # JSON's readers keep these exactly
@@ -36,15 +36,15 @@
 
 class _Head(msgspec.Struct):
     batch: str
-    period: Annotated[int, msgspec.Meta(ge=0, le=LATEST)]
+    period: Annotated[int, msgspec.Meta(ge=0, le=MAX_TIME)]
     kind: str
     lines: int
     units: Units
 
 
-class _Through(msgspec.Struct):
+class _ClosedThrough(msgspec.Struct):
     ledger: str
-    until: Annotated[float, msgspec.Meta(ge=0.0, le=LATEST)]
+    until: Annotated[float, msgspec.Meta(ge=0.0, le=MAX_TIME)]
 
 
 def parse(data: bytes) -> Batch:
@@ -65,7 +65,7 @@
     )
 
 
-class Gatherer:
+class BatchReader:
     """Reads what is new in the folder, and feeds a settlement with it on the loop."""
 
     def __init__(
@@ -79,9 +79,9 @@
         known, settled = dict(self._known), self._settlement.settled
         # Only the loop's thread changes the settlement: which files are done is asked here.
         done = [name for name, key in known.items() if key and key in settled]
-        room = min(AT_ONCE, max(0, BATCHES_MOST - len(self._settlement.batches)))
+        room = min(MAX_FILES_PER_READ, max(0, MAX_PENDING_BATCHES - len(self._settlement.batches)))
 
-        def job() -> tuple[list[tuple[str, Batch]], list[Through], dict[str, str], set[str]]:
+        def job() -> tuple[list[tuple[str, Batch]], list[ClosedThrough], dict[str, str], set[str]]:
             return self._read(known, done, room)
 
         def gathered(found: Any, error: BaseException | None) -> None:
@@ -110,29 +110,29 @@
         known: dict[str, str],
         done: list[str],
         room: int,
-    ) -> tuple[list[tuple[str, Batch]], list[Through], dict[str, str], set[str]]:
+    ) -> tuple[list[tuple[str, Batch]], list[ClosedThrough], dict[str, str], set[str]]:
         batches: list[tuple[str, Batch]] = []
-        through: list[Through] = []
+        through: list[ClosedThrough] = []
         wrong: dict[str, str] = {}
         if not self._folder.exists():
             return batches, through, wrong, set()
         if done:
-            (self._folder / DONE).mkdir(exist_ok=True)
+            (self._folder / SETTLED_FOLDER).mkdir(exist_ok=True)
         for name in done:  # out of the way: a look reads names, and those must not pile up
             with contextlib.suppress(FileNotFoundError):
-                os.replace(self._folder / name, self._folder / DONE / name)
+                os.replace(self._folder / name, self._folder / SETTLED_FOLDER / name)
         names = set(os.listdir(self._folder))
         for name in sorted(names):
             path = self._folder / name
-            if name.endswith(THROUGH):
+            if name.endswith(CLOSED_SUFFIX):
                 try:
-                    each = msgspec.json.decode(_bounded(path, 4096), type=_Through)
-                    through.append(Through(each.ledger, each.until))
+                    each = msgspec.json.decode(_bounded(path, 4096), type=_ClosedThrough)
+                    through.append(ClosedThrough(each.ledger, each.until))
                 except ValueError as error:
                     wrong[name] = str(error)
             elif name.endswith(".jsonl") and name not in known and len(batches) < room:
                 try:
-                    batches.append((name, parse(_bounded(path, FILE_MOST))))
+                    batches.append((name, parse(_bounded(path, MAX_FILE_BYTES))))
                 except (ValueError, RecursionError) as error:
                     wrong[name] = str(error)
         wrong = {name: why for name, why in wrong.items() if name not in known}
--- a/violetroute/fleet/log.py
+++ b/violetroute/fleet/log.py
@@ -22,12 +22,12 @@
 
 import msgspec
 
-from .lease import FENCE_MOST, Seal, is_nonce
+from .lease import MAX_FENCE, FenceGuard, is_nonce
 
 VERSION = 1
-ENTRY_MOST = 4 * 1024 * 1024  # bytes of a record
-TRIES = 64  # positions that others may have written while we tried
-PAGE = 256  # records that one read asks for
+MAX_RECORD_BYTES = 4 * 1024 * 1024  # bytes of a record
+MAX_ATTEMPTS = 64  # positions that others may have written while we tried
+MAX_RECORDS_PER_READ = 256  # records that one read asks for
 
 
 class Record(msgspec.Struct, frozen=True):
@@ -72,44 +72,46 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Crowded:
+class Contended:
     """Too many wrote meanwhile: try again."""
 
 
 @dataclass(frozen=True, slots=True)
-class Nothing:
+class NothingToAppend:
     """There was nothing to put."""
 
 
-Result = Done | Fenced | Crowded | Nothing
+Result = Done | Fenced | Contended | NothingToAppend
 Steps = Generator[Read | Put, Any, Result]
 
 
 class FencedLog:
     """One log as read so far.  `took` hears of each entry that counts, with its position."""
 
-    def __init__(self, name: str, took: Callable[[int, Record], None]) -> None:
-        self.name, self._took = name, took
-        self.next = 0
-        self.seal = Seal()
+    def __init__(self, name: str, on_entry: Callable[[int, Record], None]) -> None:
+        self.name, self._on_entry = name, on_entry
+        self.next_position = 0
+        self.guard = FenceGuard()
         self.entries = 0  # that count
-        self.void = 0  # positions that hold nothing that counts
+        self.ignored = 0  # positions that hold nothing that counts
 
-    def take(self, data: bytes) -> None:
+    def apply(self, data: bytes) -> None:
         """What stands at the next position."""
-        position = self.next
-        self.next += 1
+        position = self.next_position
+        self.next_position += 1
         record = decode(data, self.name)
         if record is None:
-            self.void += 1
+            self.ignored += 1
         elif record.kind == "claim":
-            if record.fence <= self.seal.fence or not self.seal.admits(record.fence, record.nonce):
-                self.void += 1
-        elif (record.fence, record.nonce) != (self.seal.fence, self.seal.nonce):
-            self.void += 1
+            if record.fence <= self.guard.fence or not self.guard.admits(
+                record.fence, record.nonce
+            ):
+                self.ignored += 1
+        elif (record.fence, record.nonce) != (self.guard.fence, self.guard.nonce):
+            self.ignored += 1
         else:
             self.entries += 1
-            self._took(position, record)
+            self._on_entry(position, record)
 
 
 def decode(data: bytes, log: str) -> Record | None:
@@ -118,7 +120,7 @@
     A later version's record is none either.  A proxy of an earlier build thus misses entries, and
     it may not own the work by then: see `docs/operators/fleet.md`, "Two versions side by side".
     """
-    if len(data) > ENTRY_MOST:
+    if len(data) > MAX_RECORD_BYTES:
         return None
     try:
         record = msgspec.json.decode(data, type=Record)
@@ -127,7 +129,7 @@
     if (
         record.v != VERSION
         or record.log != log
-        or not 0 < record.fence <= FENCE_MOST
+        or not 0 < record.fence <= MAX_FENCE
         or not is_nonce(record.nonce)
     ):
         return None
@@ -138,30 +140,30 @@
     return msgspec.json.encode(record)
 
 
-def read(log: FencedLog) -> Generator[Read, list[bytes], None]:
+def read_to_end(log: FencedLog) -> Generator[Read, list[bytes], None]:
     """All that there is."""
     while True:
-        found = yield Read(log.name, log.next)
+        found = yield Read(log.name, log.next_position)
         for data in found:
-            log.take(data)
-        if len(found) < PAGE:
+            log.apply(data)
+        if len(found) < MAX_RECORDS_PER_READ:
             return
 
 
 def claim(log: FencedLog, fence: int, nonce: str, name: str) -> Steps:
     """What a term begins with.  Done too where it stands already: its answer was lost."""
     data = encode(Record(VERSION, log.name, fence, nonce, "claim", None, name))
-    for _ in range(TRIES):
-        yield from read(log)
-        if (log.seal.fence, log.seal.nonce) == (fence, nonce):
-            return Done(log.next - 1)
-        if log.seal.fence >= fence:
-            return Fenced(log.seal.fence)
-        position = log.next
+    for _ in range(MAX_ATTEMPTS):
+        yield from read_to_end(log)
+        if (log.guard.fence, log.guard.nonce) == (fence, nonce):
+            return Done(log.next_position - 1)
+        if log.guard.fence >= fence:
+            return Fenced(log.guard.fence)
+        position = log.next_position
         if (yield Put(log.name, position, data)):
-            log.take(data)
+            log.apply(data)
             return Done(position)
-    return Crowded()
+    return Contended()
 
 
 def append(log: FencedLog, fence: int, nonce: str, name: str, decide: Callable[[], Any]) -> Steps:
@@ -171,18 +173,18 @@
     more; None is no entry.  So an entry whose answer was lost is met as one that stands, and what
     was decided still holds when it is put: nobody else's entry counts behind our claim.
     """
-    for _ in range(TRIES):
-        yield from read(log)
-        if (log.seal.fence, log.seal.nonce) != (fence, nonce):
-            return Fenced(log.seal.fence)
+    for _ in range(MAX_ATTEMPTS):
+        yield from read_to_end(log)
+        if (log.guard.fence, log.guard.nonce) != (fence, nonce):
+            return Fenced(log.guard.fence)
         body = decide()
         if body is None:
-            return Nothing()
+            return NothingToAppend()
         data = encode(Record(VERSION, log.name, fence, nonce, "entry", body, name))
-        if len(data) > ENTRY_MOST:
+        if len(data) > MAX_RECORD_BYTES:
             raise ValueError(f"{len(data)} bytes are more than a log's record may have")
-        position = log.next
+        position = log.next_position
         if (yield Put(log.name, position, data)):
-            log.take(data)
+            log.apply(data)
             return Done(position)
-    return Crowded()
+    return Contended()
--- a/violetroute/fleet/make.py
+++ b/violetroute/fleet/make.py
@@ -10,10 +10,10 @@
 from violetroute.transport import Network, parse_address
 from violetroute.transport.writer import ThreadWriter
 
-from .folder import FolderStore, Threaded
-from .job import Beat, LogWork
+from .folder import FolderStore, ThreadedFolderStore
+from .job import BeatDecider, LogWork
 from .lease import IncarnationId
-from .ledger_files import Gatherer
+from .ledger_files import BatchReader
 from .runner import Fleet, Work
 from .settlement import Settlement
 from .store import Store
@@ -23,17 +23,17 @@
 
 
 def make_fleet(table: FleetTable, ledger: LedgerTable, name: str, net: Network) -> Fleet:
-    return Fleet(table, name, net, store_of(table, net), works_of(table, ledger, net))
+    return Fleet(table, name, net, store_factory(table, net), work_factory(table, ledger, net))
 
 
-def store_of(table: FleetTable, net: Network) -> Callable[[IncarnationId], Store]:
+def store_factory(table: FleetTable, net: Network) -> Callable[[IncarnationId], Store]:
     if table.store == "consul":
         from .kv import ConsulStore
 
         return lambda me: ConsulStore(table, net, me)
 
     def folder(me: IncarnationId) -> Store:
-        return Threaded(
+        return ThreadedFolderStore(
             FolderStore(Path(table.folder), me, net.wall),
             ThreadWriter(net.loop),
             ThreadWriter(net.loop),
@@ -42,7 +42,7 @@
     return folder
 
 
-def works_of(table: FleetTable, ledger: LedgerTable, net: Network) -> Callable[[str], Work]:
+def work_factory(table: FleetTable, ledger: LedgerTable, net: Network) -> Callable[[str], Work]:
     """What a name of `works` stands for."""
     endpoint = parse_address(table.endpoint) if table.endpoint else None
 
@@ -50,7 +50,7 @@
         if name == "settlement":
             periods = Periods(ledger.zone, ledger.period_min)
             settlement = Settlement(periods.end, table.wait_s, table.expect_s)
-            gatherer = Gatherer(
+            gatherer = BatchReader(
                 Path(ledger.export_folder), settlement, ThreadWriter(net.loop), net.wall
             )
             return LogWork(
@@ -64,6 +64,6 @@
                 gatherer,
                 gatherer.close,
             )
-        return LogWork(name, net, Beat(), table.beat_s, endpoint, table.path, table.call_s)
+        return LogWork(name, net, BeatDecider(), table.beat_s, endpoint, table.path, table.call_s)
 
     return made
--- a/violetroute/fleet/runner.py
+++ b/violetroute/fleet/runner.py
@@ -22,15 +22,24 @@
 from violetroute.transport import Network
 
 from . import assignment
-from .election import Action, Ask, Owner, Release, Renew, TermBegan, TermEnded, Terms
-from .lease import NAME_MOST, IncarnationId, Lease
+from .election import (
+    Acquire,
+    Action,
+    LeaderElector,
+    LeaseTiming,
+    Release,
+    Renew,
+    TermBegan,
+    TermEnded,
+)
+from .lease import MAX_NAME_CHARS, IncarnationId, Lease
 from .log import Result, Steps
-from .store import Answer, Store, View
+from .store import Answer, Store, StoreView
 from .table import FleetTable
 
-STEP_SHARE = 0.25  # of the time between looks: how much later each place in an order asks
-AT_THE_END = 2.0  # s for works to end and leases to be handed back
-AGAIN = 30.0  # s between two lines about a store that does not answer
+STEP_FRACTION = 0.25  # of the time between looks: how much later each place in an order asks
+CLOSE_TIMEOUT_S = 2.0  # s for works to end and leases to be handed back
+STORE_LOG_INTERVAL_S = 30.0  # s between two lines about a store that does not answer
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,10 +49,10 @@
     work: str
     fence: int
     me: IncarnationId
-    may: Callable[[], bool]  # whether an effect may be begun now
+    is_valid: Callable[[], bool]  # whether an effect may be begun now
     fenced: Callable[[int], None]  # an effect was refused: the highest fence of its place
     run: Callable[[Steps, Callable[[Result | None, str], None]], None]  # at the store
-    hand_on: Callable[[], None]  # another may fare better: the lease goes back
+    transfer: Callable[[], None]  # another may fare better: the lease goes back
     term_s: float
 
 
@@ -73,23 +82,23 @@
         nonce: str = "",
     ) -> None:
         self.table, self._loop = table, net.loop
-        self.me = IncarnationId(name[:NAME_MOST], nonce or secrets.token_hex(8))
-        self._chance = random.Random(f"{name}/{self.me.nonce}")
+        self.me = IncarnationId(name[:MAX_NAME_CHARS], nonce or secrets.token_hex(8))
+        self._random = random.Random(f"{name}/{self.me.nonce}")
         self._store = store(self.me)
         self._make = works
-        self._terms = Terms(
-            table.term_s, table.drift, table.look_s * STEP_SHARE, self._store.vouches
+        self._terms = LeaseTiming(
+            table.term_s, table.drift, table.look_s * STEP_FRACTION, self._store.expires_leases
         )
-        self._owners: dict[str, Owner] = {}
+        self._owners: dict[str, LeaderElector] = {}
         self._works: dict[str, Work] = {}
         self._timer: Any = None
         self._timer_at = 0.0
         self._looking = False
         # All that were restarted at once do not look at once.
-        self._look_at = self._loop.time() + table.look_s * self._chance.random()
+        self._look_at = self._loop.time() + table.look_s * self._random.random()
         self._moved_at = self._loop.time()
-        self._view: View | None = None
-        self._wrong, self._wrong_at = "", -AGAIN
+        self._view: StoreView | None = None
+        self._wrong, self._wrong_at = "", -STORE_LOG_INTERVAL_S
         self._unreadable: dict[str, str] = {}
         self._closing = self._closed = False
         self.configure(table.works)
@@ -100,7 +109,7 @@
         wanted = dict.fromkeys(works)
         for work in wanted:
             if work not in self._owners:
-                self._owners[work] = Owner(work, self.me.nonce, self._terms, self._chance)
+                self._owners[work] = LeaderElector(work, self.me.nonce, self._terms, self._random)
                 self._works[work] = self._make(work)
         for work, owner in self._owners.items():
             owner.set_candidate(work in wanted, owner.rank)
@@ -110,13 +119,13 @@
     def owned(self) -> dict[str, int]:
         """Works of ours that may run now, and their fences."""
         now = self._loop.time()
-        return {work: owner.fence for work, owner in self._owners.items() if owner.may(now)}
+        return {work: owner.fence for work, owner in self._owners.items() if owner.valid_fence(now)}
 
     async def close(self) -> None:
         """Works end, leases are handed back; what does not end in time is seen to have lapsed."""
         self._closing = True
         self.configure(())
-        until = self._loop.time() + AT_THE_END
+        until = self._loop.time() + CLOSE_TIMEOUT_S
         while self._loop.time() < until and any(
             owner.state != "waiting" for owner in self._owners.values()
         ):
@@ -171,9 +180,9 @@
     # --- looking ---
     def _look(self) -> None:
         self._looking, asked_at = True, self._loop.time()
-        self._store.look(lambda view, why: self._looked(asked_at, view, why))
+        self._store.poll(lambda view, why: self._looked(asked_at, view, why))
 
-    def _looked(self, asked_at: float, view: View | None, why: str) -> None:
+    def _looked(self, asked_at: float, view: StoreView | None, why: str) -> None:
         if self._closed:
             return
         try:
@@ -181,13 +190,13 @@
         finally:
             self._tick_soon()
 
-    def _take_in(self, asked_at: float, view: View | None, why: str) -> None:
+    def _take_in(self, asked_at: float, view: StoreView | None, why: str) -> None:
         now = self._loop.time()
         self._looking = False
-        self._look_at = max(now, asked_at + self.table.look_s * (0.8 + 0.4 * self._chance.random()))
+        self._look_at = max(now, asked_at + self.table.look_s * (0.8 + 0.4 * self._random.random()))
         if view is None:
             self._trouble(why)
-            self._look_at = max(self._look_at, now + self.table.look_s * self._chance.random())
+            self._look_at = max(self._look_at, now + self.table.look_s * self._random.random())
         else:
             self._well()
             self._view = view
@@ -200,7 +209,7 @@
                     continue
                 lease = view.leases.get(work)
                 alive = lease is None or lease.nonce not in view.dead
-                actions += owner.look(now, asked_at, lease, alive)
+                actions += owner.observe(now, asked_at, lease, alive)
             self._do(actions)
             self._balance(now)
 
@@ -214,10 +223,10 @@
         view = self._view
         if view is None:
             return
-        works = [work for work, owner in self._owners.items() if owner.wanted]
+        works = [work for work, owner in self._owners.items() if owner.is_candidate]
         held = {work: lease.nonce for work, lease in view.leases.items() if not lease.free}
         if view.members is None:
-            found = assignment.lottery(works, self.me, held)
+            found = assignment.random_ranks(works, self.me, held)
         else:
             found = assignment.ranks(works, self.me, view.members, held)
         for work, rank in found.items():
@@ -227,17 +236,17 @@
         view = self._view
         if view is None or view.members is None or now - self._moved_at < self.table.move_s:
             return
-        works = [work for work, owner in self._owners.items() if owner.wanted]
+        works = [work for work, owner in self._owners.items() if owner.is_candidate]
         held = {
             work: lease.nonce
             for work, lease in view.leases.items()
             if not lease.free and work in self._owners
         }
-        work = assignment.move(works, self.me, view.members, held)
-        if work is not None and self._owners[work].may(now):
+        work = assignment.surplus_work(works, self.me, view.members, held)
+        if work is not None and self._owners[work].valid_fence(now):
             self._moved_at = now
             logs.event("fleet.moved", work=work)
-            self._do(self._owners[work].resign(now))
+            self._do(self._owners[work].step_down(now))
 
     # --- doing ---
     def _do(self, actions: list[Action]) -> None:
@@ -248,7 +257,7 @@
                     self._begin(work, fence)
                 case TermEnded(work, fence, why):
                     self._end(work, fence, why)
-                case Ask():
+                case Acquire():
                     self._ask(action)
                 case Release(work, number, fence):
                     self._release(work, number, fence)
@@ -261,8 +270,8 @@
         owner, part = self._owners[work], self._works[work]
         logs.event("fleet.gained", work=work, fence=fence)
 
-        def may() -> bool:
-            return owner.may(self._loop.time()) == fence
+        def is_valid() -> bool:
+            return owner.valid_fence(self._loop.time()) == fence
 
         def fenced(floor: int) -> None:
             if owner.fence == fence:
@@ -272,12 +281,12 @@
         def run(steps: Steps, told: Callable[[Result | None, str], None]) -> None:
             self._store.run(steps, lambda result, why: None if self._closed else told(result, why))
 
-        def hand_on() -> None:
+        def transfer() -> None:
             if owner.fence == fence:
-                self._do(owner.resign(self._loop.time()))
+                self._do(owner.step_down(self._loop.time()))
                 self._go_on()
 
-        part.begin(Term(work, fence, self.me, may, fenced, run, hand_on, self.table.term_s))
+        part.begin(Term(work, fence, self.me, is_valid, fenced, run, transfer, self.table.term_s))
 
     def _end(self, work: str, fence: int, why: str) -> None:
         owner = self._owners[work]
@@ -291,12 +300,12 @@
             logs.event("fleet.resigned", work=work, fence=fence)
 
         def ended() -> None:
-            owner.stopped()
+            owner.work_stopped()
             self._go_on()
 
         self._works[work].end(ended)
 
-    def _ask(self, ask: Ask) -> None:
+    def _ask(self, ask: Acquire) -> None:
         owner = self._owners[ask.work]
 
         def told(answer: Answer | None, why: str) -> None:
@@ -313,7 +322,7 @@
                 self._do(owner.denied(now, ask.number, answer.lease))
             self._go_on()
 
-        self._store.ask(ask, told)
+        self._store.acquire(ask, told)
 
     def _renew(self, renewals: list[Renew]) -> None:
 
@@ -330,12 +339,12 @@
                     self._do(owner.failed(now, each.number))
                 elif answer.accepted:
                     self._do(owner.renewed(now, each.number))
-                    if owner.left_late:
+                    if owner.late_margin_s:
                         logs.event(
                             "fleet.renewed_late",
                             work=each.work,
                             fence=each.fence,
-                            left_s=round(owner.left_late, 2),
+                            left_s=round(owner.late_margin_s, 2),
                         )
                 else:
                     self._do(owner.lost(now, each.number, answer.lease))
@@ -365,7 +374,7 @@
     # --- saying ---
     def _trouble(self, why: str) -> None:
         now = self._loop.time()
-        if why != self._wrong or now - self._wrong_at >= AGAIN:
+        if why != self._wrong or now - self._wrong_at >= STORE_LOG_INTERVAL_S:
             self._wrong, self._wrong_at = why, now
             logs.event("fleet.store_failed", reason=why)
 
@@ -374,7 +383,7 @@
             self._wrong = ""
             logs.event("fleet.store_back")
 
-    def _tell_unreadable(self, view: View) -> None:
+    def _tell_unreadable(self, view: StoreView) -> None:
         for work, why in view.unreadable.items():
             if self._unreadable.get(work) != why:
                 logs.event("fleet.unreadable", work=work, reason=why)
--- a/violetroute/fleet/settlement.py
+++ b/violetroute/fleet/settlement.py
@@ -19,9 +19,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-KEYS_MOST = 1000  # batches of one entry; more make several entries of one period
-LINES_MOST = 5000  # of one entry, but for a single batch that has more
-BYTES_MOST = 256 * 1024  # of its batches' files, likewise: Consul takes half a megabyte
+MAX_BATCHES_PER_ENTRY = 1000  # batches of one entry; more make several entries of one period
+MAX_LINES_PER_ENTRY = 5000  # of one entry, but for a single batch that has more
+MAX_BYTES_PER_ENTRY = 256 * 1024  # of its batches' files, likewise: Consul takes half a megabyte
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,14 +40,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Through:
+class ClosedThrough:
     """A ledger's word: all that ends by `until` (Unix s) is closed and handed over."""
 
     ledger: str
     until: float
 
 
-class Keys:
+class SettledKeys:
     """Keys of batches that are settled, as ranges: a ledger's numbers rise by ones."""
 
     def __init__(self) -> None:
@@ -101,14 +101,14 @@
     end: Callable[[int], float]
     wait_s: float
     expect_s: float
-    settled: Keys = field(default_factory=Keys)
+    settled: SettledKeys = field(default_factory=SettledKeys)
     billed: dict[int, int] = field(default_factory=dict)  # units, by period
     batches: dict[str, Batch] = field(default_factory=dict)  # there, and not settled
-    through: dict[str, Through] = field(default_factory=dict)  # by ledger
+    through: dict[str, ClosedThrough] = field(default_factory=dict)  # by ledger
     now: float = 0.0  # Unix s, as it was last gathered
 
     # --- the log ---
-    def took(self, body: Any) -> None:
+    def apply(self, body: Any) -> None:
         """An entry that counts.  Settled is what it names, whoever wrote it."""
         if not isinstance(body, dict) or not isinstance(body.get("keys"), list):
             return
@@ -121,7 +121,9 @@
             self.billed[period] = self.billed.get(period, 0) + units
 
     # --- what there is ---
-    def gathered(self, now: float, batches: Iterable[Batch], through: Iterable[Through]) -> None:
+    def gathered(
+        self, now: float, batches: Iterable[Batch], through: Iterable[ClosedThrough]
+    ) -> None:
         """What stands in the folder now; `now` is the wall's."""
         self.now = now
         for batch in batches:
@@ -159,7 +161,11 @@
         for key in sorted(key for key, batch in self.batches.items() if batch.period == period):
             batch = self.batches[key]
             lines, size = lines + len(batch.lines), size + batch.size
-            if keys and (len(keys) >= KEYS_MOST or lines > LINES_MOST or size > BYTES_MOST):
+            if keys and (
+                len(keys) >= MAX_BATCHES_PER_ENTRY
+                or lines > MAX_LINES_PER_ENTRY
+                or size > MAX_BYTES_PER_ENTRY
+            ):
                 break
             keys.append(key)
             for tenant, cls, count in batch.lines:
--- a/violetroute/fleet/store.py
+++ b/violetroute/fleet/store.py
@@ -12,16 +12,16 @@
 from dataclasses import dataclass, field
 from typing import Protocol, TypeVar
 
-from .election import Ask
+from .election import Acquire
 from .lease import IncarnationId, Lease
 from .log import Result, Steps
 
 T = TypeVar("T")
-Told = Callable[[T | None, str], None]  # the answer, or why there is none
+Callback = Callable[[T | None, str], None]  # the answer, or why there is none
 
 
 @dataclass(frozen=True, slots=True)
-class View:
+class StoreView:
     """What stands in the store.
 
     `members`: incarnations that may be ready for works, ours among them; None where it keeps none.
@@ -42,18 +42,18 @@
 
 
 class Store(Protocol):
-    vouches: bool  # it ends the lease of a silent owner by itself
+    expires_leases: bool  # it ends the lease of a silent owner by itself
 
-    def look(self, told: Told[View]) -> None: ...
+    def poll(self, told: Callback[StoreView]) -> None: ...
 
-    def ask(self, ask: Ask, told: Told[Answer]) -> None: ...
+    def acquire(self, ask: Acquire, told: Callback[Answer]) -> None: ...
 
-    def renew(self, terms: Sequence[tuple[str, int]], told: Told[Mapping[str, Answer]]) -> None:
+    def renew(self, terms: Sequence[tuple[str, int]], told: Callback[Mapping[str, Answer]]) -> None:
         """Works and fences, all in one."""
 
-    def release(self, work: str, fence: int, told: Told[Answer]) -> None: ...
+    def release(self, work: str, fence: int, told: Callback[Answer]) -> None: ...
 
-    def run(self, steps: Steps, told: Told[Result]) -> None:
+    def run(self, steps: Steps, told: Callback[Result]) -> None:
         """Steps of a log, until their end."""
 
     def close(self) -> None:
