--- a/tests/benchmarks/test_request_cost.py
+++ b/tests/benchmarks/test_request_cost.py
@@ -81,7 +81,7 @@
 def test_other_traffic_is_told(tmp_path: Path) -> None:
     """A build that asks its nodes otherwise is not compared in silence, though all is served."""
     other = copy_of_build(tmp_path)
-    margin = "ANSWER_MARGIN = 11.0  # ms, for 10: nodes are told of 1 ms less\n"
+    margin = "ANSWER_MARGIN_MS = 11.0  # not 10: nodes are given 1 ms less to answer\n"
     append(other / "violetroute" / "requests.py", margin)
     row = request_counts.comparison(LOAD, *play([ROOT, other]))
     assert row.served == row.requests > 0
