--- a/violetroute/fleet/assignment.py
+++ b/violetroute/fleet/assignment.py
@@ -1,10 +1,10 @@
-"""Who should own which work.  Pure.
+"""Which candidate should own which work.  Pure.
 
-Nobody assigns: each process reckons for itself, from the same names, the order in which those that
-are ready for a work should ask (rendezvous hashing: whose leaving moves only its own works).  One
-that has its fair share already stands behind those that have not.  Orders may differ for a moment
-between processes that have seen different members; the lease decides, the order only keeps them
-from asking all at once.
+There is no central assignment.  Each process computes the order of the candidates of a work by
+rendezvous hashing over the same names, so a member that leaves moves only its own works.  Members
+that own their fair share already come after those that do not.  The orders of two processes may
+differ while they know different members.  The lease decides who owns the work; the order only
+avoids that all candidates acquire it at once.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 
 from .lease import IncarnationId
 
-MAX_RANK = 8  # beyond it all ask at the same place: waits stay bounded however many wait
+MAX_RANK = 8  # shared by all further candidates: bounds the wait whatever their number
 
 
 def preference_order(work: str, members: Iterable[IncarnationId]) -> list[IncarnationId]:
-    """The candidates for a work, best first, by rendezvous hashing (Thaler, Ravishankar 1998).
+    """The candidates of a work, best first, by rendezvous hashing (Thaler, Ravishankar 1998).
 
-    Members of one name are in the order of their nonces.
+    Members with the same name are sorted by nonce.
     """
-    return sorted(members, key=lambda me: (_weight(work, me.name), me.nonce))
+    return sorted(members, key=lambda member: (_weight(work, member.name), member.nonce))
 
 
 def _weight(work: str, name: str) -> bytes:
@@ -30,7 +30,7 @@
 
 
 def fair_share(works: int, members: int) -> int:
-    """The fair share of a member: works divided by members, rounded up."""
+    """The fair share of one member: works divided by members, rounded up."""
     return -(-works // max(1, members))
 
 
@@ -40,24 +40,24 @@
     members: Iterable[IncarnationId],
     held: Mapping[str, str],
 ) -> dict[str, int]:
-    """The rank of `me` for each work: 0 asks first.  `held`: nonce of the owner, by work."""
+    """The rank of `me` for each work; rank 0 acquires first.  `held`: the owner's nonce by work."""
     everyone = {*members, me}
     share = fair_share(len(works), len(everyone))
     counts = {each.nonce: 0 for each in everyone}
     for nonce in held.values():
         if nonce in counts:
             counts[nonce] += 1
-    found = {}
+    by_work = {}
     for work in works:
         full = [
             each
             for each in everyone
             if counts[each.nonce] >= share and held.get(work) != each.nonce
         ]
-        ahead = preference_order(work, everyone)
-        ahead.sort(key=lambda each: each in full)  # stable: the order within holds
-        found[work] = min(MAX_RANK, ahead.index(me))
-    return found
+        candidates = preference_order(work, everyone)
+        candidates.sort(key=lambda each: each in full)  # stable: keeps the order within both parts
+        by_work[work] = min(MAX_RANK, candidates.index(me))
+    return by_work
 
 
 def surplus_work(
@@ -66,10 +66,10 @@
     members: Iterable[IncarnationId],
     held: Mapping[str, str],
 ) -> str | None:
-    """A work of `me` that another member should own, or None.
+    """The work of `me` that should be transferred to another member, or None.
 
-    Only one who has more than its share hands on, and only while somebody has fewer than his: a
-    fleet that is balanced moves nothing, whatever the orders say.
+    A work is transferred only if `me` has more than its fair share and another member has less, so
+    a balanced fleet transfers nothing, whatever the preference orders are.
     """
     everyone = {*members, me}
     share = fair_share(len(works), len(everyone))
@@ -83,16 +83,16 @@
 def random_ranks(
     works: Sequence[str], me: IncarnationId, held: Mapping[str, str]
 ) -> dict[str, int]:
-    """Ranks while the number of candidates is unknown: each has twice as many as the one before.
+    """Pseudo-random ranks for an unknown number of candidates, by work.
 
-    Half of any fleet stands at the last place, a quarter before it, and so on: whatever its size,
-    the first place with anybody in it has one or two on average.  Who owns works already stands a
-    place further back for each.
+    Each rank has on average twice as many candidates as the one before it: half of the fleet has
+    the last rank, a quarter the one before.  So the lowest rank in use has one or two candidates on
+    average, whatever the size of the fleet.  Each work that `me` owns already adds 1 to its ranks.
     """
     mine = sum(nonce == me.nonce for nonce in held.values())
-    found = {}
+    by_work = {}
     for work in works:
-        drawn = int.from_bytes(_weight(work, f"{me.name}/{me.nonce}"), "big")
-        zeros = (drawn & -drawn).bit_length() - 1 if drawn else MAX_RANK
-        found[work] = min(MAX_RANK, max(0, MAX_RANK - zeros) + mine)
-    return found
+        hashed = int.from_bytes(_weight(work, f"{me.name}/{me.nonce}"), "big")
+        trailing_zeros = (hashed & -hashed).bit_length() - 1 if hashed else MAX_RANK
+        by_work[work] = min(MAX_RANK, max(0, MAX_RANK - trailing_zeros) + mine)
+    return by_work
--- a/violetroute/fleet/election.py
+++ b/violetroute/fleet/election.py
@@ -1,19 +1,19 @@
-"""What one incarnation knows of one work: whether it owns it, until when, what to ask next.  Pure.
-
-Time.  A term is reckoned from before the asking was sent, by the asker's monotonic clock, and ends
-there `kept_s` later; nobody else takes a lease before its record has stood unchanged before his own
-eyes for `term_s` by his own clock.  With two clocks whose rates are wrong by `drift` at most,
-kept_s = term_s * (1 - drift) / (1 + drift) ends first whatever each of them does: the record was
-written after the asking, and seen after it was written.  Of a session's TTL the same holds, since
-the server reckons from when the renewal came.
-
-That is for who runs.  A process can be stopped between a check and its effect for longer than any
-term, so what is here is never the proof of ownership; it keeps two owners from working side by side
-for long, and the fence keeps the late one's effect out.  Nothing else may depend on `may`.
-
-One call is under way at a time.  Its answer is known by its number: one that comes after it was
-given up says nothing, and what the store did for it is seen at the next look (a record of our own
-nonce is taken over at once, under a new fence).
+"""Leader election for one work, as seen by one incarnation of a proxy.  Pure.
+
+The holder counts its term from the time just before it sent the request, on its own monotonic
+clock, and stops `hold_s` later.  Another candidate takes the lease only after it has seen the
+record unchanged for `term_s` on its own clock.  The record is written after the request was sent
+and is observed after it was written.  So if each clock's rate is wrong by at most `drift`, a holder
+with hold_s = term_s * (1 - drift) / (1 + drift) always stops first.  The same holds for the TTL of
+a session, since the server counts it from the arrival of the renewal.
+
+The lease alone is no proof of ownership: a process can be suspended between a check and its effect
+for longer than any term.  The lease keeps the time short in which two owners work in parallel; the
+fencing token rejects the effects of the late one.  `valid_fence` must not be relied on for more.
+
+At most one call to the store is pending.  Its response carries the number of the call, and the
+response to an abandoned call is ignored.  If the store applied that call all the same, the next
+poll shows it: a record with this incarnation's own nonce is taken over at once, with a new fence.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 
 from .lease import MAX_FENCE, Lease, LeaseVersion, version_of
 
-RENEW_FRACTION = 1.0 / 3.0  # of the kept time after which a renewal is sent: two may be lost
-JITTER = 0.2  # of a wait
+RENEW_FRACTION = 1.0 / 3.0  # of hold_s, after which a renewal is sent: two of them may be lost
+JITTER = 0.2  # fraction of a wait
 INFINITE = float("inf")
-FIRST_BACKOFF = 0.1  # of a term, after a call that failed; doubles
-MAX_BACKOFF = 1.0  # of a term: a store that is back is met again within that
+FIRST_BACKOFF = 0.1  # fraction of a term, after the first failed call; doubles
+MAX_BACKOFF = 1.0  # fraction of a term: a recovered store is called again within one term
 
 
 class RandomSource(Protocol):
-    """random.Random, or a test's constant."""
+    """A random.Random, or a constant in tests."""
 
     def random(self) -> float:
         """A number in [0, 1)."""
@@ -39,9 +39,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseTiming:
-    """Seconds.  `step_s`: by which each place in the order of those who wait asks later.
+    """Timing of a lease; `term_s` and `step_s` in seconds.
 
-    `vouches`: the store itself ends a lease whose owner is silent, so nobody else reckons it.
+    `drift`: max relative error of a clock's rate.  `step_s`: extra wait of a candidate per rank.
+    `expires_leases`: the store itself expires a lease that is not renewed, so candidates do not.
     """
 
     term_s: float
@@ -51,13 +52,16 @@
 
     @property
     def hold_s(self) -> float:
-        """For which an owner believes itself one, from before it asked."""
+        """Seconds for which a holder uses the lease, from before it sent the request."""
         return self.term_s * (1.0 - self.drift) / (1.0 + self.drift)
 
 
 @dataclass(frozen=True, slots=True)
 class Acquire:
-    """Take the lease if it is free or its record still has the stamp `over`."""
+    """Acquire the lease by compare-and-set: if it is free or its version is `expected`.
+
+    The new fence is above `floor`.
+    """
 
     work: str
     number: int
@@ -67,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Renew:
-    """Extend the lease that is held under `fence`; `number` identifies the call."""
+    """Renew the lease held with `fence`; `number` identifies the call."""
 
     work: str
     number: int
@@ -76,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """Free the lease that is held under `fence`; `number` identifies the call."""
+    """Release the lease held with `fence`; `number` identifies the call."""
 
     work: str
     number: int
@@ -85,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TermBegan:
-    """The work may begin under this fence."""
+    """A term began: the work may start with this fence."""
 
     work: str
     fence: int
@@ -93,21 +97,21 @@
 
 @dataclass(frozen=True, slots=True)
 class TermEnded:
-    """Nothing more may be begun under this fence."""
+    """The term ended: no new effect may start with this fence."""
 
     work: str
     fence: int
-    why: Literal["lapsed", "lost", "fenced", "resigned"]
+    reason: Literal["lapsed", "lost", "fenced", "resigned"]
 
 
 Action = Acquire | Renew | Release | TermBegan | TermEnded
 
 
 class LeaderElector:
-    """One lease as one candidate sees it.
+    """Decides when one candidate acquires, renews, uses and releases the lease of one work.
 
-    `now` is in seconds of this process's monotonic clock in every call.  A method that returns a
-    list returns the actions to carry out, in order.
+    `now` is in seconds of this process's monotonic clock in every method.  A method that returns a
+    list returns the actions that the caller must perform, in order.
     """
 
     __slots__ = (
@@ -123,7 +127,7 @@
         "_random",
         "_renew_at",
         "_sent_at",
-        "_terms",
+        "_timing",
         "_work_stopped",
         "fence",
         "floor",
@@ -135,38 +139,39 @@
         "work",
     )
 
-    def __init__(self, work: str, nonce: str, terms: LeaseTiming, chance: RandomSource) -> None:
-        self.work, self._nonce, self._terms, self._random = work, nonce, terms, chance
+    def __init__(self, work: str, nonce: str, timing: LeaseTiming, rng: RandomSource) -> None:
+        self.work, self._nonce, self._timing, self._random = work, nonce, timing, rng
         self.state: Literal["waiting", "owner", "resigning"] = "waiting"
         self.is_candidate = False
-        self.rank = 0  # place among those who wait: the first asks first
-        self.fence = 0  # of the term at hand
-        self.valid_until = 0.0  # and its end
-        self.floor = 0  # the highest fence heard of, from wherever
-        self.late_margin_s = 0.0  # s that were left when the last renewal was answered, where few
+        self.rank = 0  # place among the candidates; rank 0 acquires first
+        self.fence = 0  # of the current or last term
+        self.valid_until = 0.0  # end of that term
+        self.floor = 0  # the highest fence known from any source
+        # Seconds left when a late renewal was confirmed; 0 if it was in time.
+        self.late_margin_s = 0.0
         self._observed: LeaseVersion | None = None
-        self._observed_at: float | None = None  # since when it stands so; None before a first look
-        self._available_at = 0.0  # from when on the lease may be taken, as far as we have seen
+        self._observed_at: float | None = None  # first seen so; None: not read yet
+        self._available_at = 0.0  # earliest time at which the lease may be acquired
         self._acquire_at = self._renew_at = self._gained_at = self._sent_at = 0.0
-        self._pending_call = ""  # what is under way
+        self._pending_call = ""  # acquire, renew, release or none
         self._number = self._failures = 0
-        self._work_stopped = True  # nothing that was begun is under way
+        self._work_stopped = True  # no effect of an ended term is in progress
 
-    # --- what an owner may do ---
+    # --- permission for effects ---
     def valid_fence(self, now: float, duration: float = 0.0) -> int:
-        """The fence under which an effect that takes `need` seconds may begin; 0 if none may."""
+        """The fence with which an effect that takes `duration` seconds may start; 0: none may."""
         return self.fence if self.state == "owner" and now + duration < self.valid_until else 0
 
     @property
     def next_at(self) -> float:
-        """When `tick` has something to do if nothing happens before."""
+        """Time of the next `tick` that has something to do, unless another event comes first."""
         if self.state == "owner":
             if not self.is_candidate:
                 return self._gained_at
             return self.valid_until if self._pending_call else min(self.valid_until, self._renew_at)
         if self.state == "resigning":
-            held = self._pending_call or not self._work_stopped
-            return self.valid_until if held else min(self.valid_until, self._renew_at)
+            waiting = self._pending_call or not self._work_stopped
+            return self.valid_until if waiting else min(self.valid_until, self._renew_at)
         if (
             not self.is_candidate
             or self._pending_call
@@ -176,18 +181,18 @@
             return INFINITE
         return self._acquire_due_at()
 
-    # --- from whoever decides who should work ---
-    def set_candidate(self, on: bool, rank: int = 0) -> None:
-        """Set whether this process is a candidate, and its rank (0 asks first)."""
-        self.is_candidate, self.rank = on, rank
+    # --- candidacy ---
+    def set_candidate(self, is_candidate: bool, rank: int = 0) -> None:
+        """Set whether this process is a candidate, and its rank (rank 0 acquires first)."""
+        self.is_candidate, self.rank = is_candidate, rank
 
     def work_stopped(self) -> None:
-        """What had been begun has ended: a lease that is handed back may go."""
+        """All effects of the ended term are over, so the lease may be released."""
         self._work_stopped = True
 
     # --- time ---
     def tick(self, now: float) -> list[Action]:
-        """End a term that is over; send the request, renewal or release that is due."""
+        """End an expired term; return the call to the store that is due."""
         actions: list[Action] = []
         if self.state == "owner":
             if now >= self.valid_until:
@@ -196,7 +201,7 @@
                 actions += self._end_term("resigned", now)
         if self.state == "resigning":
             if now >= self.valid_until:
-                self.state = "waiting"  # others see it stand still, as if we had died
+                self.state = "waiting"  # not released: it expires for the others
             elif self._work_stopped and not self._pending_call and now >= self._renew_at:
                 actions.append(Release(self.work, self._start_call("release", now), self.fence))
         elif self.state == "owner":
@@ -210,107 +215,109 @@
             and now >= self._acquire_due_at()
         ):
             actions.append(
-                Acquire(self.work, self._start_call("ask", now), self.floor, self._observed)
+                Acquire(self.work, self._start_call("acquire", now), self.floor, self._observed)
             )
         return actions
 
     def renew_early(self, now: float) -> list[Action]:
-        """A renewal is sent for another work: this one's goes with it, if it is half due."""
+        """A renewal to send together with another work's, if half of the wait for it is over."""
         if (
             self.state != "owner"
             or self._pending_call
             or now >= self.valid_until
-            or now < self._renew_at - self._terms.hold_s * RENEW_FRACTION / 2.0
+            or now < self._renew_at - self._timing.hold_s * RENEW_FRACTION / 2.0
         ):
             return []
         return [Renew(self.work, self._start_call("renew", now), self.fence)]
 
     def step_down(self, now: float) -> list[Action]:
-        """Give it up though it is wanted: another should have it."""
+        """Step down while remaining a candidate, so that another process can take over."""
         return self._end_term("resigned", now) if self.state == "owner" else []
 
     def _acquire_due_at(self) -> float:
-        """When to ask.  Each place in the order waits a step longer; nobody waits for good."""
-        return max(self._acquire_at, self._available_at + self.rank * self._terms.step_s)
+        """When to acquire.  Each rank waits `step_s` longer, so no candidate waits forever."""
+        return max(self._acquire_at, self._available_at + self.rank * self._timing.step_s)
 
-    def _start_call(self, what: str, now: float) -> int:
-        self._pending_call, self._sent_at = what, now
+    def _start_call(self, kind: str, now: float) -> int:
+        self._pending_call, self._sent_at = kind, now
         self._number += 1
         return self._number
 
-    # --- from the store ---
+    # --- responses of the store ---
     def observe(
         self, now: float, requested_at: float, lease: Lease | None, alive: bool
     ) -> list[Action]:
-        """The record as it stood after `asked_at`; `alive`: its process may still run."""
-        here = version_of(lease)
+        """Process the record as read by a poll sent at `requested_at`.
+
+        `alive`: the holder's process may still run.  Ends the term if the record names another.
+        """
+        version = version_of(lease)
         if lease is not None:
             self.floor = max(self.floor, lease.fence)
-        if here != self._observed or self._observed_at is None:
-            self._observed, self._observed_at = here, now
+        if version != self._observed or self._observed_at is None:
+            self._observed, self._observed_at = version, now
             self._available_at = now
-            if here is not None and here.nonce != self._nonce:
+            if version is not None and version.nonce != self._nonce:
                 self._available_at = (
-                    INFINITE if self._terms.expires_leases else now + self._terms.term_s
+                    INFINITE if self._timing.expires_leases else now + self._timing.term_s
                 )
-        if here is not None and not alive:
+        if version is not None and not alive:
             self._available_at = min(self._available_at, now)
         if (
             self.state == "owner"
             and requested_at >= self._gained_at
             and not self._pending_call
-            and (here is None or (here.fence, here.nonce) != (self.fence, self._nonce))
+            and (version is None or (version.fence, version.nonce) != (self.fence, self._nonce))
         ):
             return self._end_term("lost", now)
         return []
 
     def unreadable(self) -> None:
-        """The record is garbage or a later version's: nothing is asked until one can be read."""
+        """The record is malformed or of a later version: acquire nothing until it is readable."""
         self._observed, self._observed_at = None, None
 
     def granted(self, now: float, number: int, fence: int) -> list[Action]:
-        """The store granted the lease.  The term counts from when the request was sent.
+        """The store granted the lease.  The term counts from the sending of the request.
 
-        Nothing begins if that term is over already, or if this process is no candidate any more.
+        No term begins if it is over already or if this process is no longer a candidate.
         """
-        if not self._complete_call("ask", number):
+        if not self._complete_call("acquire", number):
             return []
         self._failures = 0
         self.floor = max(self.floor, fence)
-        self.fence, self.valid_until = fence, self._sent_at + self._terms.hold_s
+        self.fence, self.valid_until = fence, self._sent_at + self._timing.hold_s
         self._observed, self._observed_at = LeaseVersion(fence, self._nonce, 0), now
         self._available_at = self._acquire_at = now
-        if (
-            now >= self.valid_until or not self.is_candidate
-        ):  # the next term, or nobody's, goes over it
+        # A grant that is not used is acquired again with a new fence, or released.
+        if now >= self.valid_until or not self.is_candidate:
             self.state = "waiting" if now >= self.valid_until else "resigning"
             self._renew_at = now
             return []
         self.state, self._gained_at, self._work_stopped = "owner", now, False
-        self._renew_at = self._sent_at + self._with_jitter(self._terms.hold_s * RENEW_FRACTION)
+        self._renew_at = self._sent_at + self._with_jitter(self._timing.hold_s * RENEW_FRACTION)
         return [TermBegan(self.work, fence)]
 
     def denied(self, now: float, number: int, lease: Lease | None) -> list[Action]:
-        """Another process holds the lease, or its record changed since the last read."""
-        if not self._complete_call("ask", number):
+        """The compare-and-set failed: `lease` is the record that the store has."""
+        if not self._complete_call("acquire", number):
             return []
         self._failures = 0
         actions = self.observe(now, now, lease, True)
-        self._acquire_at = now + self._with_jitter(self._terms.term_s * FIRST_BACKOFF)
+        self._acquire_at = now + self._with_jitter(self._timing.term_s * FIRST_BACKOFF)
         return actions
 
     def renewed(self, now: float, number: int) -> list[Action]:
-        """The store renewed the lease.  The term counts from when the renewal was sent."""
+        """The store renewed the lease.  The term counts from the sending of the renewal."""
         if not self._complete_call("renew", number) or self.state != "owner":
             return []
         left, self._failures = self.valid_until - now, 0
-        self.late_margin_s = left if left < self._terms.hold_s * RENEW_FRACTION else 0.0
-        self.valid_until = self._sent_at + self._terms.hold_s
-        self._renew_at = self._sent_at + self._with_jitter(self._terms.hold_s * RENEW_FRACTION)
+        self.late_margin_s = left if left < self._timing.hold_s * RENEW_FRACTION else 0.0
+        self.valid_until = self._sent_at + self._timing.hold_s
+        self._renew_at = self._sent_at + self._with_jitter(self._timing.hold_s * RENEW_FRACTION)
         return self.tick(now) if now >= self.valid_until else []
 
     def lost(self, now: float, number: int, lease: Lease | None) -> list[Action]:
-        """A renewal or release met another's record, or none."""
+        """A renewal or release failed: the store has another holder's record, or none."""
         if not self._complete_call("renew", number) and not self._complete_call("release", number):
             return []
         actions = self._end_term("lost", now) if self.state == "owner" else []
@@ -319,55 +326,54 @@
         return actions + self.observe(now, now, lease, True)
 
     def released(self, now: float, number: int) -> list[Action]:
-        """The store freed the lease.  This process does not ask again for one term."""
+        """The store released the lease.  This process does not acquire it again for one term."""
         if not self._complete_call("release", number):
             return []
         self.state, self._failures = "waiting", 0
         self._observed, self._observed_at, self._available_at = None, now, now
-        self._acquire_at = now + self._terms.term_s  # who hands it on lets the others come first
+        self._acquire_at = now + self._timing.term_s  # lets other candidates acquire it first
         return []
 
     def failed(self, now: float, number: int) -> list[Action]:
-        """The call failed; the store may have applied it.  The wait doubles up to one term."""
+        """The call failed, though the store may have applied it.  Backs off up to one term."""
         if number != self._number or not self._pending_call:
             return []
         self._pending_call = ""
         wait = self._with_jitter(
-            min(MAX_BACKOFF, FIRST_BACKOFF * 2.0 ** min(self._failures, 10)) * self._terms.term_s
+            min(MAX_BACKOFF, FIRST_BACKOFF * 2.0 ** min(self._failures, 10)) * self._timing.term_s
         )
         self._failures += 1
         self._acquire_at = now + wait
-        self._renew_at = now + min(wait, self._terms.hold_s * RENEW_FRACTION / 2.0)
+        self._renew_at = now + min(wait, self._timing.hold_s * RENEW_FRACTION / 2.0)
         return []
 
-    def _complete_call(self, what: str, number: int) -> bool:
-        if number != self._number or self._pending_call != what:
+    def _complete_call(self, kind: str, number: int) -> bool:
+        if number != self._number or self._pending_call != kind:
             return False
         self._pending_call = ""
         return True
 
-    # --- from the effect ---
+    # --- from the target of an effect ---
     def fenced(self, now: float, floor: int) -> list[Action]:
-        """An effect was refused; `floor` is the highest fence that its place has met.
+        """An effect was rejected; `floor` is the highest fence that its target has seen.
 
-        The next term begins above it, if the store still has this incarnation for its owner.  A
-        floor beyond all sense is heard and not followed, or one broken place would use up the
-        fences.
+        If the store still names this incarnation, its next term gets a higher fence.  A floor of
+        MAX_FENCE or above is ignored, or one faulty target would use up all fences.
         """
         if floor < MAX_FENCE:
             self.floor = max(self.floor, floor)
         if self.state != "owner":
             return []
-        self._acquire_at = now + self._with_jitter(self._terms.term_s * FIRST_BACKOFF)
+        self._acquire_at = now + self._with_jitter(self._timing.term_s * FIRST_BACKOFF)
         return self._end_term("fenced", now)
 
     def _end_term(
-        self, why: Literal["lapsed", "lost", "fenced", "resigned"], now: float
+        self, reason: Literal["lapsed", "lost", "fenced", "resigned"], now: float
     ) -> list[Action]:
-        self.state = "resigning" if why == "resigned" else "waiting"
+        self.state = "resigning" if reason == "resigned" else "waiting"
         self._renew_at = now
-        return [TermEnded(self.work, self.fence, why)]
+        return [TermEnded(self.work, self.fence, reason)]
 
     def _with_jitter(self, seconds: float) -> float:
-        """With jitter towards earlier: a bound stays one."""
+        """Shorten by a random part up to JITTER: `seconds` remains an upper bound."""
         return seconds * (1.0 - JITTER * self._random.random())
--- a/violetroute/fleet/lease.py
+++ b/violetroute/fleet/lease.py
@@ -1,16 +1,18 @@
-"""Leases as a store keeps them, and what a store may do with one.  Pure.
-
-A lease belongs to one *incarnation* of a process (its nonce, new with every start), not to a name:
-two proxies that were given one name are two incarnations, and a restarted one does not inherit what
-it can't remember.  Each term has a **fence**, a number that only rises; a fence and a nonce
-together are one owner's, and whoever takes an effect compares them (`Seal`).
-
-What rises is taken from two places: the store's last record, and the highest fence that the asker
-has heard of from anywhere (`floor`): the effect itself tells it to who comes with too low a one.
-So a store that has forgotten everything can hand out a fence that was there before, to another
-incarnation; its effects are refused, the refusal names the higher fence, and the next term begins
-above it.  Weighed and rejected: the wall clock (steps back), a random number (has no order), the
-store's own index (begins at 1 again with the store).
+"""Lease records as a store keeps them, and their valid changes.  Pure.
+
+A lease belongs to one *incarnation* of a process, identified by a nonce that is new at every start,
+and not to a name: two proxies with the same configured name are two incarnations, and a restarted
+proxy does not inherit a lease that it no longer remembers.  Each term has a **fence** (fencing
+token), a number that only increases.  A fence and a nonce together identify one owner, and the
+target of an effect compares them (`FenceGuard`).
+
+A new fence is above both the fence in the store's last record and the highest fence that the
+requester knows of from any source (`floor`); the target of a rejected effect reports its fence.
+So a store that has lost its data can grant an old fence to another incarnation.  The effects of
+that incarnation are rejected with the higher fence, and its next term begins above it.
+
+The wall clock is not used as the fence, since it can step back; nor a random number, which has no
+order; nor the store's own index, which starts at 1 again when the store is recreated.
 """
 
 from __future__ import annotations
@@ -21,33 +23,33 @@
 import msgspec
 
 VERSION = 1
-MAX_FENCE = 2**53  # what every JSON reader keeps exactly; nobody comes near it by ones
-MAX_LEASE_BYTES = 4096  # bytes of a lease's record
-MAX_NAME_CHARS = 200  # characters
+MAX_FENCE = 2**53  # exact in every JSON parser; increments of 1 never come near it
+MAX_LEASE_BYTES = 4096  # of a lease record
+MAX_NAME_CHARS = 200
 NONCE_PATTERN = re.compile(r"[0-9a-z-]{1,64}")
 
 
 def is_nonce(text: str) -> bool:
-    """Small letters, digits and dashes: it becomes a file's name and part of a header."""
+    """Lower-case letters, digits and dashes: a nonce is used as a file name and in a header."""
     return NONCE_PATTERN.fullmatch(text) is not None
 
 
 class Lease(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One work's record.  `free`: handed back, or its session has gone."""
+    """The record of one work's lease.  `free`: released, or its session has ended."""
 
     v: int
     work: str
     fence: int
-    name: str  # the proxy's, for people
+    name: str  # of the proxy, for operators
     nonce: str
-    beat: int = 0  # rises with every renewal, so that a watcher sees one
+    beat: int = 0  # incremented by every renewal, so that observers see it
     free: bool = False
-    since: float = 0.0  # Unix s of the term's beginning, for people
+    since: float = 0.0  # start of the term in Unix s, for operators
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseVersion:
-    """One state of a record: two equal ones are the same state."""
+    """Identifies one state of a record, for compare-and-set."""
 
     fence: int
     nonce: str
@@ -56,28 +58,27 @@
 
 @dataclass(frozen=True, slots=True)
 class IncarnationId:
-    """One incarnation of one proxy."""
+    """One incarnation of a proxy: its configured name and its nonce."""
 
     name: str
     nonce: str
 
 
 def version_of(lease: Lease | None) -> LeaseVersion | None:
-    """None: nobody holds it."""
+    """The version of a held lease; None if it is free or absent."""
     return (
         None if lease is None or lease.free else LeaseVersion(lease.fence, lease.nonce, lease.beat)
     )
 
 
 class UnreadableLeaseError(Exception):
-    """A record that is not ours to judge: garbage, or of a later version."""
+    """The record is malformed or of a later version."""
 
 
 def decode(data: bytes, work: str) -> Lease:
-    """Unreadable for anything but a lease of `work` in this version.
+    """The lease of `work`.  UnreadableLeaseError for any other data.
 
-    A record that can't be read is nobody's and stays: taking it over would be guessing at its
-    fence.
+    An unreadable record is left in place: its fence is unknown, so no higher one could be chosen.
     """
     if len(data) > MAX_LEASE_BYTES:
         raise UnreadableLeaseError("too long")
@@ -97,14 +98,15 @@
 
 def _version(data: bytes) -> int:
     try:
-        told = msgspec.json.decode(data)
+        decoded = msgspec.json.decode(data)
     except (msgspec.DecodeError, RecursionError):
         return 0
-    version = told.get("v") if isinstance(told, dict) else 0
+    version = decoded.get("v") if isinstance(decoded, dict) else 0
     return version if isinstance(version, int) else 0
 
 
 def encode(lease: Lease) -> bytes:
+    """The record's JSON."""
     return msgspec.json.encode(lease)
 
 
@@ -116,14 +118,14 @@
     me: IncarnationId,
     wall: float,
 ) -> Lease | None:
-    """The record of a new term, or None: it is another's.
+    """The record of a new term of `me`, or None if another incarnation holds the lease.
 
-    `over`: the state that the asker has watched stand still for a whole term, or whose process it
-    knows to have ended.  One's own record is taken over at once: that is a term whose grant was
-    lost on its way, or that one has let lapse.
+    `expected`: a version that `me` has seen unchanged for a whole term, or whose process it knows
+    to have ended.  A record of `me` itself is replaced at once: the grant's response was lost, or
+    its term has expired.  `wall`: Unix s.
     """
-    here = version_of(current)
-    if here is not None and here.nonce != me.nonce and here != expected:
+    version = version_of(current)
+    if version is not None and version.nonce != me.nonce and version != expected:
         return None
     fence = max(current.fence if current is not None else 0, floor) + 1
     if fence > MAX_FENCE:
@@ -132,31 +134,31 @@
 
 
 def renewed(current: Lease | None, fence: int, me: IncarnationId) -> Lease | None:
-    """The same term with a new beat, or None: it is this incarnation's no more."""
+    """The record of the renewed term, or None if `me` no longer holds it with `fence`."""
     if current is None or current.free or (current.fence, current.nonce) != (fence, me.nonce):
         return None
     return msgspec.structs.replace(current, beat=current.beat + 1)
 
 
 def released(current: Lease | None, fence: int, me: IncarnationId) -> Lease | None:
-    """Handed back, with its fence kept; None: there is nothing of ours to hand back."""
+    """The released record, which keeps its fence; None if `me` does not hold it with `fence`."""
     kept = renewed(current, fence, me)
     return None if kept is None else msgspec.structs.replace(kept, free=True)
 
 
 @dataclass(slots=True)
 class FenceGuard:
-    """What the place of an effect remembers: the highest fence it has met, and whose it was.
+    """Kept by the target of effects: the highest fence that it has seen, and its nonce.
 
-    The same fence under another nonce is refused too: a store that forgot may hand it out twice,
-    and who came first with it is its owner.
+    The same fence with another nonce is rejected too: a store that lost its data may grant a fence
+    twice, and the incarnation that used it first is its owner.
     """
 
     fence: int = 0
     nonce: str = ""
 
     def admits(self, fence: int, nonce: str) -> bool:
-        """Whether an effect may happen; from then on no lower one does."""
+        """Whether an effect may happen.  If so, lower fences are rejected from now on."""
         if fence > MAX_FENCE or fence < self.fence:
             return False
         if fence == self.fence and nonce != self.nonce:
--- a/violetroute/fleet/runner.py
+++ b/violetroute/fleet/runner.py
@@ -86,7 +86,7 @@
         self._random = random.Random(f"{name}/{self.me.nonce}")
         self._store = store(self.me)
         self._make = works
-        self._terms = LeaseTiming(
+        self._timing = LeaseTiming(
             table.term_s, table.drift, table.look_s * STEP_FRACTION, self._store.expires_leases
         )
         self._owners: dict[str, LeaderElector] = {}
@@ -109,7 +109,7 @@
         wanted = dict.fromkeys(works)
         for work in wanted:
             if work not in self._owners:
-                self._owners[work] = LeaderElector(work, self.me.nonce, self._terms, self._random)
+                self._owners[work] = LeaderElector(work, self.me.nonce, self._timing, self._random)
                 self._works[work] = self._make(work)
         for work, owner in self._owners.items():
             owner.set_candidate(work in wanted, owner.rank)
--- a/violetroute/fleet/store.py
+++ b/violetroute/fleet/store.py
@@ -1,9 +1,9 @@
-"""What the fleet asks of a store, whichever it is.
+"""The interface of the stores that keep leases and logs.
 
-Each call is told once, from the loop: with its answer, or with why there is none.  No answer means
-nothing: the store may have done what was asked.  A call that was not answered in time is the
-store's to end; answers never come out of order for one caller, since the keeper has one at a time
-of each kind under way.
+Every call invokes its callback once, on the event loop, with the response or with the reason of the
+failure.  After a failure the store may have applied the call all the same.  The store enforces the
+timeout of a call.  Responses do not arrive out of order, since the caller has at most one call of
+each kind pending.
 """
 
 from __future__ import annotations
@@ -17,44 +17,51 @@
 from .log import Result, Steps
 
 T = TypeVar("T")
-Callback = Callable[[T | None, str], None]  # the answer, or why there is none
+Callback = Callable[[T | None, str], None]  # the response or None, and the reason if it failed
 
 
 @dataclass(frozen=True, slots=True)
 class StoreView:
-    """What stands in the store.
+    """The contents of the store at one time.
 
-    `members`: incarnations that may be ready for works, ours among them; None where it keeps none.
+    `members`: running incarnations, this one included; None if the store does not list them.
     """
 
     leases: Mapping[str, Lease]
     members: frozenset[IncarnationId] | None = None
-    dead: frozenset[str] = frozenset()  # nonces whose processes have ended for certain
-    unreadable: Mapping[str, str] = field(default_factory=dict)  # works, and why
+    dead: frozenset[str] = frozenset()  # nonces of processes that have certainly ended
+    unreadable: Mapping[str, str] = field(default_factory=dict)  # the reason, by work
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """`accepted`: as it was asked.  `lease`: what stands there now."""
+    """`accepted`: the store applied the change.  `lease`: the current record, if it was read."""
 
     accepted: bool
     lease: Lease | None
 
 
 class Store(Protocol):
-    expires_leases: bool  # it ends the lease of a silent owner by itself
+    """One incarnation's connection to a store."""
 
-    def poll(self, told: Callback[StoreView]) -> None: ...
+    expires_leases: bool  # the store itself expires leases that are not renewed
 
-    def acquire(self, ask: Acquire, told: Callback[Answer]) -> None: ...
+    def poll(self, callback: Callback[StoreView]) -> None:
+        """Read all leases."""
 
-    def renew(self, terms: Sequence[tuple[str, int]], told: Callback[Mapping[str, Answer]]) -> None:
-        """Works and fences, all in one."""
+    def acquire(self, request: Acquire, callback: Callback[Answer]) -> None:
+        """Acquire a lease by compare-and-set."""
 
-    def release(self, work: str, fence: int, told: Callback[Answer]) -> None: ...
+    def renew(
+        self, terms: Sequence[tuple[str, int]], callback: Callback[Mapping[str, Answer]]
+    ) -> None:
+        """Renew all leases of `terms` (work, fence) in one call."""
 
-    def run(self, steps: Steps, told: Callback[Result]) -> None:
-        """Steps of a log, until their end."""
+    def release(self, work: str, fence: int, callback: Callback[Answer]) -> None:
+        """Release a lease held with `fence`."""
+
+    def run(self, steps: Steps, callback: Callback[Result]) -> None:
+        """Run all steps of a log operation."""
 
     def close(self) -> None:
-        """Nothing is told any more; this incarnation's marks are taken away as far as that goes."""
+        """Call no more callbacks; remove this incarnation's entries from the store if possible."""
