--- a/tests/violetroute/sharing/test_sharing.py
+++ b/tests/violetroute/sharing/test_sharing.py
@@ -1,4 +1,4 @@
-"""What proxies tell each other: datagrams, membership, judgements, counts, budgets."""
+"""Gossip between proxies: budgets, datagrams, membership, node health and heavy hitters."""
 
 from __future__ import annotations
 
@@ -44,13 +44,13 @@
 KEYS = Keys([b"the fleet's secret key"])
 
 
-# --- plans, in memory and on real processes ---
+# --- fault plans, in memory and on real processes ---
 @pytest.mark.long
-def test_seeds_in_memory_are_exact_and_keep_every_property() -> None:
+def test_in_memory_runs_are_deterministic_and_keep_all_properties() -> None:
     first = [memory.played(seed) for seed in range(40)]
     assert [each.broken for each in first] == [()] * 40
     assert memory.played(3).digest == first[3].digest
-    # The load is on one proxy, and the budget is spent all the same.
+    # All load is on one proxy, which still spends the whole budget.
     assert sorted(each.again for each in first)[20] > 0.9
 
 
@@ -69,14 +69,14 @@
 )
 
 
-def test_real_daemons_spend_no_more_than_the_budget_and_nearly_all_of_it() -> None:
+def test_real_daemons_spend_nearly_the_whole_budget_and_no_more() -> None:
     outcome = rig.play(REAL)
     assert outcome.broken == [], judge.tell(outcome.seen, outcome.broken)
     assert outcome.refused > 50
 
 
-# Each with the property that it breaks in memory; the same plants are found whole in
-# tests/limebridge/faults/test_sharing_whole.py, where the shortest story is told.
+# Injected bugs and the property that each violates in memory.  An exhaustive search finds the same
+# bugs in tests/limebridge/faults/test_sharing_whole.py and reports the shortest trace.
 PLANTED = {
     "whole_at_once": "authority",
     "from_the_receipt": "authority",
@@ -88,9 +88,9 @@
 
 @pytest.mark.parametrize("plant", PLANTED)
 @pytest.mark.long
-def test_a_planted_fault_is_found_in_memory(plant: str) -> None:
+def test_an_injected_bug_is_found_in_memory(plant: str) -> None:
     patch = ROOT / "tests" / "planted_sharing" / f"{plant}.py"
-    told = bounded.run(  # a plant stays in its process
+    result = bounded.run(  # the bug is injected in a process of its own
         [
             sys.executable,
             "-m",
@@ -109,11 +109,11 @@
         processor_s=150,
         folder=ROOT,
     )
-    assert told.returncode == 1, told.stderr[-2000:]
-    assert PLANTED[plant] in {rule for _, rule, _ in msgspec.json.decode(told.stdout)["broken"]}
+    assert result.returncode == 1, result.stderr[-2000:]
+    assert PLANTED[plant] in {rule for _, rule, _ in msgspec.json.decode(result.stdout)["broken"]}
 
 
-def test_a_plan_is_read_back_and_one_that_is_none_is_one_line(tmp_path: Path) -> None:
+def test_a_plan_round_trips_and_an_invalid_one_is_a_one_line_error(tmp_path: Path) -> None:
     path = tmp_path / "plan.toml"
     for seed in range(20):
         path.write_text(plan.dump(plan.draw(seed)))
@@ -124,7 +124,7 @@
     assert "kind" in str(wrong.value) and "\n" not in str(wrong.value)
 
 
-def test_the_judge_sees_a_second_that_is_too_full() -> None:
+def test_the_checker_finds_a_second_over_budget() -> None:
     few = Plan(0, 1.0, 2, 10.0)
     at_once = Seen([Admission(100.0 + n / 100.0, "p0") for n in range(20)])
     spread = Seen([Admission(100.0 + n / 10.0, "p0") for n in range(200)])
@@ -136,14 +136,14 @@
     return Budget("b", per_s, proxies, LoanTerms(1.0, 0.05), 0.1, now, random.Random(1))
 
 
-def test_a_new_life_spends_its_floor_until_the_longest_loan_is_over() -> None:
+def test_a_new_process_spends_only_the_floor_until_the_longest_loan_expires() -> None:
     one = budget()
     early = sum(one.spend(n / 100.0) for n in range(99))
     later = sum(one.spend(1.0 + n / 100.0) for n in range(100))
     assert early <= 1 and 9 <= later <= 11
 
 
-def test_what_is_lent_is_not_spent_and_comes_back() -> None:
+def test_a_loan_is_deducted_and_returns_after_its_expiry() -> None:
     lender, borrower = budget(), budget()
     for now in (2.0, 2.05):
         for each in (lender, borrower):
@@ -155,11 +155,13 @@
     assert amount == 9_500  # all but the floor
     assert borrower.accept_grant(3.1, "lender", ask.number, amount) is None
     assert lender.loans.authority(3.1) == 500 and borrower.loans.authority(3.1) == 19_500
-    assert borrower.loans.authority(4.01) == 10_000  # its clock may be slow
+    assert (
+        borrower.loans.authority(4.01) == 10_000
+    )  # the lender waits longer, since the borrower's clock may be slow
     assert lender.loans.authority(4.05) == 500 and lender.loans.authority(4.11) == 10_000
 
 
-def test_who_needs_its_part_lends_none_and_shares_go_evenly() -> None:
+def test_a_busy_lender_lends_nothing_and_loans_are_divided_fairly() -> None:
     lender = budget()
     for n in range(100):
         lender.spend(2.0 + n / 100.0)
@@ -168,14 +170,14 @@
     assert fair_share(0, [5]) == 0 and home_part(100.0, 7) == 14_285
 
 
-def test_a_lender_that_needs_its_part_has_it_back_when_the_loan_is_over() -> None:
+def test_a_lender_in_need_regains_its_part_when_the_loan_expires() -> None:
     lender = budget()
     number, at = 0, 2.0
-    while at < 3.0:  # nobody asks it: it lends, again and again
+    while at < 3.0:  # without own demand it grants every renewal
         number += 1
         assert lender.grant(at, "a/1", number, 9_500) == 9_500
         at += 0.25
-    while at < 6.0:  # it is asked for all that it has, and the borrower asks on
+    while at < 6.0:  # its demand takes all it has; the borrower still requests
         number += 1
         for step in range(5):
             lender.spend(at + step / 20.0)
@@ -185,17 +187,17 @@
     assert lender.loans.own_authority(6.0) == 10_000
 
 
-def test_one_that_stands_aside_renews_no_loan() -> None:
+def test_a_suspended_lender_renews_no_loan() -> None:
     lender = budget()
     assert lender.grant(2.0, "a/1", 1, 5_000) == 5_000
-    lender.set_suspended(True, 2.2)  # its part is another process's from now on
+    lender.set_suspended(True, 2.2)  # another process has the home part from now on
     assert lender.grant(2.5, "a/1", 2, 5_000) == 0
     assert lender.loans.lent_total(3.1) == 0
 
 
-def test_borrowers_come_and_go_for_ever_and_it_goes_on_lending() -> None:
+def test_lending_continues_with_an_unbounded_number_of_borrowers() -> None:
     lender, at = budget(), 2.0
-    for life in range(MAX_BORROWERS + 10):  # names of a platform that draws new ones at each start
+    for life in range(MAX_BORROWERS + 10):  # a platform may assign a new name at each start
         at += 2.0
         assert lender.grant(at, f"p/{life}", 1, 1_000) == 1_000
         lender.record_spare(at, f"p{life}", 500)
@@ -203,9 +205,9 @@
     assert len(lender.loans._last_request) <= MAX_BORROWERS and not lender._spare_reports
 
 
-def test_who_said_lately_that_it_has_something_is_asked_first() -> None:
+def test_members_with_recent_spare_reports_get_the_first_requests() -> None:
     members = [f"m{n}" for n in range(200)]
-    for after, first in ((1.0, True), (6.0, False)):  # then it may have none any more
+    for after, first in ((1.0, True), (6.0, False)):  # an old report no longer counts
         one = budget()
         one.record_spare(2.0, "m7", 4_000)
         for n in range(100):
@@ -229,7 +231,7 @@
         max_size=60,
     )
 )
-def test_whatever_happens_the_sum_of_four_lives_is_never_above(
+def test_the_spending_of_four_processes_never_exceeds_the_budget(
     steps: list[tuple[str, int, int, int]],
 ) -> None:
     terms, rates = LoanTerms(1.0, 0.05), (0.95, 1.05, 1.0, 1.02)
@@ -287,7 +289,7 @@
     )
 
 
-def test_a_datagram_is_opened_with_either_key_and_nothing_else() -> None:
+def test_a_datagram_is_accepted_with_either_key_and_no_other() -> None:
     data = KEYS.seal(envelope())
     both = Keys([b"a new key of the fleet", b"the fleet's secret key"])
     assert KEYS.open(data) == both.open(data) == envelope()
@@ -300,14 +302,14 @@
 
 
 @given(st.binary(max_size=1300))
-def test_noise_is_no_datagram_and_sealed_noise_no_item(noise: bytes) -> None:
+def test_random_bytes_are_no_datagram_and_authenticated_ones_no_item(noise: bytes) -> None:
     assert KEYS.open(noise) is None
     sealed = KEYS._first + wire._mac(KEYS._keys[KEYS._first], noise) + noise
     opened = KEYS.open(wire.MAGIC + sealed)
     assert opened is None or isinstance(wire.items(opened), list)
 
 
-def test_items_of_a_later_build_are_skipped_and_the_others_read() -> None:
+def test_unknown_items_of_a_later_build_are_skipped() -> None:
     later = envelope(items=[Ping(4)])
     later = msgspec.structs.replace(
         later,
@@ -321,7 +323,7 @@
     assert opened is not None and wire.items(opened) == [Ping(4), Ping(5)]
 
 
-def test_numbers_refuse_what_came_before_and_know_how_old_an_answer_is() -> None:
+def test_sequence_numbers_refuse_replays_and_bound_the_age_of_an_answer() -> None:
     numbers = SequenceNumbers()
     assert [numbers.is_new("a", "l", n) for n in (5, 3, 5, 3, 4, 70, 5, 7, 1)] == [
         True,
@@ -342,14 +344,14 @@
 
 # --- members ---
 class Fleet:
-    """Members on a clock, with a net that drops what `cut` says."""
+    """Members on a virtual clock, with a network that drops datagrams as `cut` says."""
 
     def __init__(self, count: int, seed: int = 1) -> None:
         self.now, self.random = 0.0, random.Random(seed)
         self.cut: Callable[[str, str], bool] = lambda a, b: False
         self.loss = 0.0
         self.sent = 0
-        self.told: list[tuple[float, str, str, str]] = []
+        self.changes: list[tuple[float, str, str, str]] = []
         self.here: dict[str, Members] = {}
         for number in range(count):
             self.start(f"p{number}", "x", number + 1)
@@ -365,7 +367,7 @@
             ["p0", "p1"],
             random.Random(f"{name}{life}"),
             self.now,
-            lambda who, state, was: self.told.append((self.now, name, who, state)),
+            lambda who, state, was: self.changes.append((self.now, name, who, state)),
         )
         return made
 
@@ -393,46 +395,46 @@
         return all(len(m.up()) == len(self.here) - 1 for m in self.here.values())
 
 
-def test_all_hear_of_all_from_two_seeds() -> None:
+def test_all_members_find_each_other_from_two_seeds() -> None:
     fleet = Fleet(40)
     fleet.run(25.0)
     assert fleet.whole()
 
 
-def test_one_that_is_gone_is_dead_to_all_in_a_bounded_time_and_comes_back() -> None:
+def test_a_stopped_member_is_declared_dead_in_bounded_time_and_can_return() -> None:
     fleet = Fleet(12)
     fleet.run(10.0)
     gone = fleet.here.pop("p5")
     fleet.run(2.0 + 3.0 * 4.0 * 1.1 + 12.0)
     assert all("p5" not in m.up() for m in fleet.here.values())
-    fleet.here["p5"] = gone  # it was stopped, and hears that it is dead
+    fleet.here["p5"] = gone  # it was only stopped, and learns that it was declared dead
     fleet.run(15.0)
     assert fleet.whole()
 
 
-def test_lost_datagrams_make_nobody_dead() -> None:
+def test_datagram_loss_declares_no_member_dead() -> None:
     fleet = Fleet(16)
     fleet.run(20.0)
-    fleet.told.clear()
+    fleet.changes.clear()
     fleet.loss = 0.2
     fleet.run(60.0)
-    assert not [told for told in fleet.told if told[3] == "d"]
+    assert not [change for change in fleet.changes if change[3] == "d"]
 
 
-def test_a_part_that_heard_nothing_for_long_comes_back() -> None:
+def test_a_long_partition_heals() -> None:
     fleet = Fleet(15)
     fleet.run(10.0)
     apart = {"p1", "p7", "p9"}
     fleet.cut = lambda a, b: (a in apart) != (b in apart)
     fleet.run(40.0)
     assert all(not apart & set(m.up()) for name, m in fleet.here.items() if name not in apart)
-    assert fleet.here["p7"].health > 0  # few are cut off from many: it doubts itself first
+    assert fleet.here["p7"].health > 0  # isolated from the majority: its local health is bad
     fleet.cut = lambda a, b: False
     fleet.run(25.0)
     assert fleet.whole()
 
 
-def test_one_that_hears_nothing_suspects_itself_before_the_others() -> None:
+def test_an_isolated_member_lowers_its_local_health_before_suspecting_others() -> None:
     fleet = Fleet(12)
     fleet.run(10.0)
     fleet.cut = lambda a, b: b == "p3"
@@ -441,7 +443,7 @@
     assert max(m.health for name, m in fleet.here.items() if name != "p3") <= 1
 
 
-def test_of_two_under_one_name_the_later_one_is_the_name_until_it_is_gone() -> None:
+def test_of_two_processes_with_one_name_the_later_one_holds_it_until_it_stops() -> None:
     fleet = Fleet(8)
     fleet.run(8.0)
     fleet.start("p3", "y", 1_000, place="elsewhere")
@@ -453,14 +455,14 @@
     assert fleet.here["p3"].duplicate is None and fleet.here["p6"].lookup("p3")[:2] == ("x", "p3")
 
 
-def test_word_of_a_life_that_is_over_changes_nothing() -> None:
+def test_a_rumor_of_a_previous_process_changes_nothing() -> None:
     for state in ("s", "d", "l"):
         assert not overrides(Rumor("x", "before", 5, state), "a", "now", 5)
         assert overrides(Rumor("x", "now", 5, state), "a", "now", 5)
     assert overrides(Rumor("x", "after", 6, "a"), "d", "now", 5)
 
 
-def test_what_members_make_one_keep_is_bounded() -> None:
+def test_state_kept_for_other_members_is_bounded() -> None:
     one = Members("p0", "l", 1, "here", "", 1.0, [], random.Random(1), 0.0)
     for number in range(MAX_MEMBERS + 50):
         one.receive(1.0, "p1", "l", 1, Rumor(f"p{number}", "l", 1, "a", f"at{number}"))
@@ -477,7 +479,7 @@
     ) == MAX_OPEN_REQUESTS
 
 
-def test_a_life_whose_clock_was_set_back_is_believed_all_the_same() -> None:
+def test_a_process_with_its_clock_set_back_is_accepted() -> None:
     fleet = Fleet(6)
     fleet.run(8.0)
     del fleet.here["p4"]
@@ -486,95 +488,96 @@
     assert fleet.here["p2"].lookup("p4")[0] == "after" and fleet.whole()
 
 
-# --- judgements ---
+# --- node health ---
 def with_reports(
-    saws: dict[str, dict[int, tuple[float, float]]],
+    reports: dict[str, dict[int, tuple[float, float]]],
     zones: dict[str, str] | None = None,
     nodes: int = 10,
     zone: str = "a",
 ) -> NodeHealth:
-    """By member and node: good and bad."""
+    """`reports`: good and bad outcomes by member and node."""
     made = NodeHealth(zone)
     for node in range(nodes):
         made.add_node(node, 5.0)
-    for member, told in saws.items():
-        for node, (good, bad) in told.items():
+    for member, outcomes in reports.items():
+        for node, (good, bad) in outcomes.items():
             made.merge_report(
                 1.0, member, (zones or {}).get(member, zone), HealthReport(node, 5, good, bad), 0.0
             )
     return made
 
 
-def sees(*bad: int, nodes: int = 10) -> dict[int, tuple[float, float]]:
+def health_of(*bad: int, nodes: int = 10) -> dict[int, tuple[float, float]]:
     return {node: (0.0, 2.0) if node in bad else (2.0, 0.0) for node in range(nodes)}
 
 
-def test_several_witnesses_make_a_hint_and_two_do_not() -> None:
-    assert with_reports({f"m{n}": sees(3) for n in range(3)}).unhealthy_nodes(1.0) == [3]
-    assert with_reports({f"m{n}": sees(3) for n in range(2)}).unhealthy_nodes(1.0) == []
-    fades = with_reports({f"m{n}": sees(3) for n in range(3)})
-    assert fades.unhealthy_nodes(20.0) == []
+def test_three_witnesses_make_a_node_unhealthy_and_two_do_not() -> None:
+    assert with_reports({f"m{n}": health_of(3) for n in range(3)}).unhealthy_nodes(1.0) == [3]
+    assert with_reports({f"m{n}": health_of(3) for n in range(2)}).unhealthy_nodes(1.0) == []
+    decayed = with_reports({f"m{n}": health_of(3) for n in range(3)})
+    assert decayed.unhealthy_nodes(20.0) == []
 
 
-def test_who_is_cut_off_itself_convinces_nobody() -> None:
-    assert with_reports({f"m{n}": sees(*range(9)) for n in range(5)}).unhealthy_nodes(1.0) == []
+def test_reports_of_isolated_members_do_not_count() -> None:
+    assert (
+        with_reports({f"m{n}": health_of(*range(9)) for n in range(5)}).unhealthy_nodes(1.0) == []
+    )
 
 
 @pytest.mark.parametrize("witnesses", [8, 16, 40])
-def test_one_in_ten_that_lie_move_nothing(witnesses: int) -> None:
-    liars = max(1, witnesses // 10)
-    said = {f"m{n}": sees() for n in range(witnesses - liars)}
-    said |= {
-        f"liar{n}": {node: (0.0, 1e6) if node == 4 else (2.0, 0.0) for node in range(10)}
-        for n in range(liars)
+def test_one_false_report_in_ten_has_no_effect(witnesses: int) -> None:
+    false_reporters = max(1, witnesses // 10)
+    reports = {f"m{n}": health_of() for n in range(witnesses - false_reporters)}
+    reports |= {
+        f"false{n}": {node: (0.0, 1e6) if node == 4 else (2.0, 0.0) for node in range(10)}
+        for n in range(false_reporters)
     }
-    assert with_reports(said).unhealthy_nodes(1.0) == []
-    # Nor do they hide what the others see.
-    said = {f"m{n}": sees(4) for n in range(witnesses - liars)}
-    said |= {f"liar{n}": {4: (1e6, 0.0)} for n in range(liars)}
-    assert with_reports(said).unhealthy_nodes(1.0) == [4]
+    assert with_reports(reports).unhealthy_nodes(1.0) == []
+    # False reports do not hide the trouble that the others see either.
+    reports = {f"m{n}": health_of(4) for n in range(witnesses - false_reporters)}
+    reports |= {f"false{n}": {4: (1e6, 0.0)} for n in range(false_reporters)}
+    assert with_reports(reports).unhealthy_nodes(1.0) == [4]
 
 
-def test_own_evidence_the_own_zone_and_a_new_start_come_first() -> None:
-    bad = {f"m{n}": sees(3) for n in range(4)}
+def test_own_evidence_the_own_zone_and_a_node_restart_take_precedence() -> None:
+    bad = {f"m{n}": health_of(3) for n in range(4)}
     own = with_reports(bad)
     for _ in range(5):
         own.record_outcome(1.0, 3, False)
     assert own.unhealthy_nodes(1.0) == []
     far = {f"f{n}": "far" for n in range(4)} | {f"n{n}": "a" for n in range(3)}
-    near = {f"n{n}": sees() for n in range(3)}
-    said = {f"f{n}": sees(3) for n in range(4)} | near
-    assert with_reports(said, far).unhealthy_nodes(1.0) == []
-    assert with_reports(said, far, zone="other").unhealthy_nodes(1.0) == [3]
-    anew = with_reports(bad)
-    anew.add_node(3, 9.0)
-    assert anew.unhealthy_nodes(1.0) == []
+    near = {f"n{n}": health_of() for n in range(3)}
+    reports = {f"f{n}": health_of(3) for n in range(4)} | near
+    assert with_reports(reports, far).unhealthy_nodes(1.0) == []
+    assert with_reports(reports, far, zone="other").unhealthy_nodes(1.0) == [3]
+    restarted = with_reports(bad)
+    restarted.add_node(3, 9.0)
+    assert restarted.unhealthy_nodes(1.0) == []
     for member in bad:
-        anew.merge_report(
-            1.0, member, "a", HealthReport(3, 5, 0.0, 9.0), 0.0
-        )  # of the start before
-    assert anew.unhealthy_nodes(1.0) == []
+        # Of the previous start.
+        restarted.merge_report(1.0, member, "a", HealthReport(3, 5, 0.0, 9.0), 0.0)
+    assert restarted.unhealthy_nodes(1.0) == []
     for member in bad:
-        anew.merge_report(1.0, member, "a", HealthReport(3, 9, 0.0, 9.0), 0.0)
-    assert anew.unhealthy_nodes(1.0) == [3]
+        restarted.merge_report(1.0, member, "a", HealthReport(3, 9, 0.0, 9.0), 0.0)
+    assert restarted.unhealthy_nodes(1.0) == [3]
 
 
-def test_single_failures_anywhere_make_no_hint() -> None:
+def test_single_failures_make_no_node_unhealthy() -> None:
     assert with_reports({f"m{n}": {3: (0.0, 0.5)} for n in range(3)}).unhealthy_nodes(1.0) == []
 
 
-def test_what_is_told_is_ones_own_and_the_worst_first() -> None:
-    made = with_reports({f"m{n}": sees(1) for n in range(4)})
+def test_reports_cover_own_outcomes_with_the_worst_nodes_first() -> None:
+    made = with_reports({f"m{n}": health_of(1) for n in range(4)})
     for node in range(10):
         made.record_outcome(1.0, node, node == 7)
-    told = made.reports_to_send(1.0, 4)
-    assert told[0] == HealthReport(7, 5, 0.0, 1.0) and len(told) == 4
-    assert sum(each.bad for each in told) == 1.0
+    reports = made.reports_to_send(1.0, 4)
+    assert reports[0] == HealthReport(7, 5, 0.0, 1.0) and len(reports) == 4
+    assert sum(each.bad for each in reports) == 1.0
 
 
-# --- counts ---
+# --- heavy hitters ---
 @given(st.lists(st.lists(st.integers(0, 60), max_size=300), min_size=1, max_size=5))
-def test_a_merged_count_is_never_too_low_and_by_its_error_at_most_too_high(
+def test_a_merged_count_is_never_too_low_and_too_high_by_at_most_its_error(
     streams: list[list[int]],
 ) -> None:
     made = []
@@ -591,30 +594,29 @@
         assert error <= total / 8 + 1e-9
 
 
-def test_a_member_that_left_or_is_silent_counts_no_more() -> None:
+def test_counts_of_gone_or_unresponsive_members_are_dropped() -> None:
     hitters = HeavyHitters("key", 0.0)
     hitters.add(0.0, 7)
     hitters.merge_report(0.0, "m", HeavyHitterReport("key", [9], [50.0], [0.0]), 0.0)
     hitters.merge_report(0.0, "n", HeavyHitterReport("key", [8], [40.0], [0.0]), 0.0)
-    hitters.merge_report(
-        0.0, "o", HeavyHitterReport("key", [8, 9], [40.0], [0.0]), 0.0
-    )  # makes no sense
+    # Invalid: the lengths differ.
+    hitters.merge_report(0.0, "o", HeavyHitterReport("key", [8, 9], [40.0], [0.0]), 0.0)
     assert [key for key, _, _ in hitters.fleet_summary(0.0).top()] == [9, 8, 7]
     hitters.forget_member("n")
     assert [key for key, _, _ in hitters.fleet_summary(0.0).top()] == [9, 7]
     assert [key for key, _, _ in hitters.fleet_summary(11.0).top()] == [7]
 
 
-# --- what it must not do ---
-def test_a_fault_of_this_part_costs_no_request() -> None:
+# --- isolation from requests and from duplicates ---
+def test_an_exception_in_the_gossip_service_fails_no_request() -> None:
     def fails(*_: object) -> float:
         raise ZeroDivisionError
 
-    assert safely(fails)("t", "c") is None  # which lets it in
+    assert safely(fails)("t", "c") is None  # None admits the request
     assert safely(lambda a: a)(3.0) == 3.0
 
 
-def test_a_proxy_of_its_own_name_above_it_takes_all_its_authority() -> None:
+def test_a_suspended_proxy_has_no_authority() -> None:
     one = budget()
     assert one.loans.authority(2.0) == 10_000
     one.set_suspended(True, 2.0)
@@ -641,7 +643,7 @@
 
 
 @pytest.mark.parametrize("text", BAD)
-def test_a_senseless_table_is_one_line_that_names_the_key(text: str, tmp_path: Path) -> None:
+def test_an_invalid_table_is_a_one_line_error_that_names_the_key(text: str, tmp_path: Path) -> None:
     (tmp_path / "key").write_text("a key of sixteen bytes and more\n")
     path = tmp_path / "operator.toml"
     path.write_text("[sharing]\n" + text.replace("KEY", str(tmp_path / "key")))
--- a/tests/violetroute/sharing/test_sharing_anti_entropy.py
+++ b/tests/violetroute/sharing/test_sharing_anti_entropy.py
@@ -1,4 +1,4 @@
-"""Anti-entropy of the member list: what is lost is asked for again, within a bound of time."""
+"""Anti-entropy of the member list converges in bounded time, also with loss."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 )
 
 FLEET = 300
-JOIN_S = 15.0  # s in which a newcomer to FLEET members knows all, with loss
-RETURN_S = 20.0  # s after the last restart of all until all know all
+JOIN_S = 15.0  # until a new member of FLEET members knows all, with loss
+RETURN_S = 20.0  # from the last restart of a whole fleet until all know all
 
 
-# --- what it is for ---
+# --- convergence and cost ---
 @pytest.mark.parametrize("loss", [0.0, 0.01, 0.05])
 @pytest.mark.parametrize("seed", range(3))
-def test_a_newcomer_knows_all_in_a_bounded_time_whatever_is_lost(loss: float, seed: int) -> None:
+def test_a_new_member_learns_the_list_in_bounded_time_despite_loss(loss: float, seed: int) -> None:
     net = Net(loss, seed)
     net.settled(FLEET)
-    net.idle = set(net.here)  # they only answer: no rumor of theirs helps
+    net.idle = set(net.here)  # they only answer, so rumors do not help
     net.start("new")
     assert net.until_knows("new", FLEET + 1, JOIN_S) < JOIN_S
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_a_fleet_restarted_within_10_s_knows_all_by_their_present_process(seed: int) -> None:
+def test_a_fleet_restarted_within_10_s_lists_the_present_processes(seed: int) -> None:
     net, draw = Net(0.01, seed), random.Random(seed)
     net.settled(120)
     names = draw.sample(sorted(net.here), len(net.here))
@@ -47,7 +47,7 @@
     assert net.whole()
 
 
-def test_equal_lists_cost_two_small_items_each_check() -> None:
+def test_equal_lists_cost_two_small_items_per_comparison() -> None:
     net = Net()
     net.settled(40)
     net.run(60.0)
@@ -75,7 +75,7 @@
     assert net.got["p0"] + net.sent["p0"] < 600
 
 
-def test_a_difference_is_mended_on_both_sides_of_one_exchange() -> None:
+def test_one_exchange_repairs_a_difference_on_both_sides() -> None:
     net = Net()
     net.settled(2)
     net.idle = {"p1"}
@@ -86,7 +86,7 @@
     assert net.here["p0"].size == net.here["p1"].size == 22
 
 
-def test_a_newcomer_asks_several_and_others_do_not_ask_it() -> None:
+def test_a_new_member_requests_from_several_and_receives_no_requests() -> None:
     net = Net()
     net.settled(FLEET)
     net.start("new")
@@ -97,7 +97,7 @@
     assert not early
 
 
-def test_members_that_disagree_on_a_death_end_agreed_and_nobody_comes_back() -> None:
+def test_members_that_disagree_on_a_death_converge_without_a_revival() -> None:
     net = Net()
     net.settled(10)
     del net.here["p9"]
--- a/tests/violetroute/sharing/test_sharing_anti_entropy_bytes.py
+++ b/tests/violetroute/sharing/test_sharing_anti_entropy_bytes.py
@@ -1,4 +1,4 @@
-"""What one member sends and asks for in anti-entropy stays within its bytes a second."""
+"""Bytes that one member sends and requests in anti-entropy stay within its rates."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 FLEET = 200
 
 
-def test_answers_stay_within_their_bytes_a_second_whoever_asks() -> None:
+def test_answers_stay_within_their_rate_for_any_requesters() -> None:
     one = member(*(f"p{number}" for number in range(FLEET)))
     sent, seconds = 0, 20
     for step in range(seconds * 100):
@@ -47,7 +47,7 @@
     assert sent > SENT_BYTES_S * seconds / 2
 
 
-def test_a_newcomer_asks_for_no_more_than_its_bytes_a_second() -> None:
+def test_a_new_member_requests_no_more_than_its_rate() -> None:
     one, got, seconds = member("p0"), 0, 20
     asked = compared(one, 0.0, count=4000, buckets=128)
     for step in range(seconds * 100):
@@ -63,7 +63,7 @@
     assert got > REQUESTED_BYTES_S * seconds / 2
 
 
-def test_without_bytes_left_nothing_is_asked_and_nothing_is_pushed() -> None:
+def test_an_exhausted_rate_stops_requests_and_pushes() -> None:
     wanted = pack_short([member_hash("me", "x", 1)])
     for spent, pushed in ((0.0, 1), (2.0 * SENT_BYTES_S * BURST_S, 0)):
         one = member("p0")
@@ -80,12 +80,12 @@
     assert of_kind(one.tick(4.0), BucketRequest)
 
 
-def test_all_that_is_sent_is_paid_for() -> None:
+def test_all_sent_bytes_are_charged() -> None:
     one = member(*(f"p{number}" for number in range(50)))
     pace = one._anti_entropy._sent_pacer
 
     def paid(work: Callable[[], list[Send]]) -> float:
-        """Bytes that the work's items were counted for, less their own bytes."""
+        """Charged bytes of the items that `work` returns, less their own size."""
         before = pace._level
         sent = [item for out in work() for item in out.items if isinstance(item, ANTI_ENTROPY)]
         assert sent
@@ -107,14 +107,14 @@
     assert paid(lambda: hears(one, now, BucketMembers(number, 1, 0, [], wanted))) > 0.0
 
 
-def test_digests_of_buckets_are_not_sent_beyond_the_bytes_a_second() -> None:
+def test_bucket_digests_stay_within_the_rate() -> None:
     one = member(*(f"p{number}" for number in range(FLEET)))
     answers = [
         answer
         for step in range(2000)
         for answer in of_kind(hears(one, step / 1000.0, Compare(step, 200, 1)), Digests)
     ]
-    assert len(answers) == 2000  # each is answered, or it would be taken for an older build's
+    assert len(answers) == 2000  # without an answer it would look like an older build
     full = sum(len(item.digests) > 0 for item in answers if isinstance(item, Digests))
     each = 4 * bucket_count(FLEET) + DATAGRAM_BYTES
     assert 1 <= full <= SENT_BYTES_S * (2.0 + BURST_S) / each + 1
@@ -153,17 +153,17 @@
         )
     tick, compare, bucket = (large / small for small, large in zip(*costs, strict=True))
     assert tick <= 1.1
-    assert compare <= 4.5  # digests of 128 buckets in place of 32
-    assert bucket <= 2.0  # by how many names fall into one
+    assert compare <= 4.5  # digests of 128 buckets instead of 32
+    assert bucket <= 2.0  # buckets differ in the number of names
 
 
-def test_a_datagram_is_counted_once_for_all_that_it_carries() -> None:
+def test_items_in_one_datagram_are_charged_its_overhead_once() -> None:
     def paid(*times: float) -> float:
-        """Bytes that answers at these times to two questions are counted for."""
+        """Charged bytes of the answers to two requests at these times."""
         one = member(*(f"p{number}" for number in range(50)))
         one._anti_entropy._sent_pacer = BytePacer(
             1e-6, 1e12, 0.0
-        )  # so full that nothing is refilled
+        )  # full, so a refill has no effect
         before = one._anti_entropy._sent_pacer._level
         for index, now in enumerate(times):
             assert hears(one, now, BucketRequest(index, 4, index))
--- a/tests/violetroute/sharing/test_sharing_anti_entropy_messages.py
+++ b/tests/violetroute/sharing/test_sharing_anti_entropy_messages.py
@@ -1,4 +1,4 @@
-"""One member of the gossip, driven by hand: every message in any order."""
+"""Anti-entropy of one member: messages in any order, late, duplicate or invalid."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 )
 
 
-def test_an_answer_of_digests_counts_once_and_only_for_its_question() -> None:
+def test_a_digests_answer_counts_once_and_only_for_its_comparison() -> None:
     one = member("p0")
     one._anti_entropy.compare_at = 1.0
     (compare,) = of_kind(one.tick(1.0), Compare)
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize(
     "digests", [b"", b"\x01", pack_short(range(3)), pack_short(range(5)) + b"xx"]
 )
-def test_digests_that_make_no_sense_start_nothing(digests: bytes) -> None:
+def test_invalid_digests_start_no_exchange(digests: bytes) -> None:
     one = member("p0")
     one._anti_entropy.compare_at = 1.0
     (compare,) = of_kind(one.tick(1.0), Compare)
@@ -64,7 +64,7 @@
     assert one._anti_entropy._exchange is None
 
 
-def test_a_bucket_that_makes_no_sense_is_not_answered() -> None:
+def test_an_invalid_bucket_request_gets_no_answer() -> None:
     one = member("p0", "p1")
     assert hears(one, 1.0, BucketRequest(1, 4, 3))
     assert not hears(one, 1.0, BucketRequest(1, 3, 1))
@@ -86,12 +86,12 @@
         assert bool(hears(one, 1.0, digests)) == asks
 
 
-def test_a_bucket_answer_that_comes_twice_or_is_of_another_question_asks_for_nothing() -> None:
+def test_a_duplicate_or_unrelated_bucket_answer_triggers_no_request() -> None:
     one = member("p0")
     (request,) = compared(one, 1.0)
     wanted = pack_short([member_hash("me", "x", 1)])
     answer = BucketMembers(request.number, 1, 0, entries("p1"), wanted)
-    # From before a restart, or of another bucket count: facts, and nothing follows.
+    # From before a restart, or of another bucket count: merged, but no request follows.
     for other in (
         BucketMembers(request.number - 1, 1, 0, entries("p2"), wanted),
         BucketMembers(request.number, 2, 0, entries("p3"), wanted),
@@ -107,7 +107,7 @@
     assert not hears(one, 1.0, answer, answer)
 
 
-def test_a_question_without_an_answer_is_asked_again_with_a_backoff_and_not_for_ever() -> None:
+def test_an_unanswered_request_is_retried_with_backoff_a_limited_number_of_times() -> None:
     one = member("p0", "p1", "p2")
     peers, times, now = list[str](), list[float](), 1.0
     compared(one, now)
@@ -123,7 +123,7 @@
     assert waits[-1] >= ANSWER_TIMEOUT_S + 0.5 * 2 ** (MAX_ATTEMPTS - 2) * BACKOFF_S
 
 
-def test_an_answer_ends_the_backoff_and_no_other_question_waits_for_it() -> None:
+def test_an_answer_resets_the_backoff_and_other_requests_go_on() -> None:
     one = member("p0", "p1", "p2")
     requests = compared(one, 1.0, buckets=8)
     one.tick(1.1 + ANSWER_TIMEOUT_S)
@@ -134,10 +134,10 @@
     assert one._anti_entropy._backoff == BACKOFF_S
 
 
-def test_the_next_comparison_comes_soon_after_news_and_as_usual_after_equal_lists() -> None:
+def test_the_next_comparison_is_soon_after_differences_and_regular_after_equal_lists() -> None:
     for news in (True, False):
         one, now = member("p0"), 1.0
-        for _ in range(6):  # nothing new: the time between two has doubled
+        for _ in range(6):  # no differences: the interval has doubled
             (request,) = compared(one, now)
             hears(one, now, BucketMembers(request.number, 1, 0, []))
             now = one._anti_entropy.compare_at
@@ -164,7 +164,7 @@
     assert min(waits) < 0.75 and max(waits) > 1.25 and min(waits) >= 0.5 and max(waits) <= 1.5
 
 
-def test_no_more_questions_are_open_than_the_window() -> None:
+def test_open_bucket_requests_are_limited_by_the_window() -> None:
     one = member("p0", *(f"q{number}" for number in range(200)))
     asked = compared(one, 1.0, count=250, buckets=16)
     assert len(asked) == WINDOW
@@ -174,7 +174,7 @@
 
 
 def asked_peers(one: Members, count: int) -> list[str]:
-    """Whom it asks for buckets after p0 has told of a list of so many, of which all differ."""
+    """Receivers of bucket requests after p0 announced `count` members, all different."""
     one._anti_entropy.compare_at = 1.0
     (compare,) = of_kind(one.tick(1.0), Compare)
     assert isinstance(compare, Compare)
@@ -189,14 +189,14 @@
     return peers
 
 
-def test_a_newcomer_asks_several_members_and_is_not_asked_itself() -> None:
+def test_a_new_member_requests_from_several_members_and_gets_no_requests() -> None:
     names = [f"p{number}" for number in range(20)]
     assert len(set(asked_peers(member(*names), 200))) > 4
     assert set(asked_peers(member(*names), 21)) == {"p0"}
     assert asked_peers(member(*names), 3) == []
 
 
-def test_questions_come_in_a_random_order_and_are_bounded_in_bytes() -> None:
+def test_bucket_requests_have_a_random_order_and_bounded_size() -> None:
     one = member("p0", *(f"q{number}" for number in range(200)))
     asked = compared(one, 1.0, count=250, buckets=64)
     assert [request.index for request in asked] != [0, 1, 2, 3]
@@ -209,7 +209,7 @@
     assert max(len(request.held) for request in asked) == MAX_HELD_BYTES
 
 
-def test_digests_of_a_stranger_are_asked_about_at_a_member() -> None:
+def test_digests_of_an_unknown_sender_lead_to_requests_to_a_member() -> None:
     one = member("p1")
     one._list.seeds._members["seed"] = 0
     one._reconnect_at = 1.0
@@ -221,31 +221,31 @@
     assert [out.to for out in outs] == ["p1"]
 
 
-def test_a_seed_is_greeted_with_a_comparison_unless_one_is_open() -> None:
+def test_a_seed_gets_a_comparison_unless_one_is_open() -> None:
     one = member("p0")
     one._anti_entropy.compare_at = 1e9
     assert len(one._anti_entropy.greeting(1.0)) == 1
     assert one._anti_entropy.greeting(1.0) == ()
-    one.tick(1.1 + ANSWER_TIMEOUT_S)  # no answer: nothing is known of a member that may be there
+    one.tick(1.1 + ANSWER_TIMEOUT_S)  # no answer: no conclusion about a member there
     assert one._anti_entropy._unanswered == 0
     compared(one, 3.0)
     assert one._anti_entropy.greeting(3.0) == ()
 
 
-# --- who is over ---
-def test_one_that_is_dead_here_stays_so_and_the_other_side_is_told() -> None:
-    for state, told in (("d", "s"), ("l", "l")):
+# --- dead members ---
+def test_a_dead_member_is_not_revived_and_the_peer_gets_a_rumor() -> None:
+    for state, reported_state in (("d", "s"), ("l", "l")):
         one = member("p0", "p1")
         hears(one, 1.0, Rumor("p1", "x", 1, state, "p1", by="p0"))
         compared(one, 1.0)
         (out,) = hears(one, 1.0, BucketMembers(7, 1, 0, entries("p1")))
-        assert out == Send("p0", "", (Rumor("p1", "x", 1, told, "p1", by="me"),))
+        assert out == Send("p0", "", (Rumor("p1", "x", 1, reported_state, "p1", by="me"),))
         assert not one.is_up("p1", "x")
         hears(one, 1.0, BucketMembers(7, 1, 0, entries("p1", incarnation=2)))
         assert one.is_up("p1", "x")
 
 
-def test_comparisons_that_bring_nothing_become_rare() -> None:
+def test_comparisons_without_differences_become_rare() -> None:
     one = member("p0")
     checks, now = list[float](), 0.0
     while now < 600.0:
@@ -262,7 +262,7 @@
     assert max(waits) <= 1.5 * MAX_COMPARE_INTERVAL_S + 0.2
 
 
-def test_what_is_learned_here_is_not_sent_on_as_rumors() -> None:
+def test_merged_entries_are_not_sent_on_as_rumors() -> None:
     one = member("p0")
     hears(one, 1.0, BucketMembers(7, 1, 0, entries("p1", "p2")))
     assert {"p1", "p2"} <= set(one.up()) and not one.rumors()
@@ -270,7 +270,7 @@
     assert [rumor.name for rumor in one.rumors()] == ["p3"]
 
 
-def test_a_member_that_leaves_or_stands_aside_is_compared_as_others_list_it() -> None:
+def test_a_leaving_or_suspended_member_digests_itself_as_others_list_it() -> None:
     one = member("p0")
     both = one._list.digests.whole
     assert both == member_hash("me", "x", 1) ^ member_hash("p0", "x", 1)
@@ -288,9 +288,7 @@
     assert one._list.digests.whole == member_hash("p0", "x", 1)
 
 
-def test_no_page_is_asked_for_while_peers_answer_and_the_comparison_goes_on_where_none_does() -> (
-    None
-):
+def test_legacy_pages_are_requested_only_from_unresponsive_peers_beside_comparisons() -> None:
     one = member("p0")
     asked, now = list[tuple[float, int]](), 0.0
     while now < 200.0:
@@ -310,7 +308,7 @@
     assert len(out.items) == 1
 
 
-def test_pages_of_a_large_list_are_asked_for_rarely() -> None:
+def test_legacy_pages_of_a_large_list_are_requested_rarely() -> None:
     one = member(*(f"p{number}" for number in range(1000)))
     pages, now = 0, 0.0
     while now < 600.0:
--- a/tests/violetroute/sharing/test_sharing_cost.py
+++ b/tests/violetroute/sharing/test_sharing_cost.py
@@ -1,6 +1,6 @@
-"""What a tick and a round cost grows with what is due or changed, not with the fleet.
+"""The cost of a tick and a round grows with what is due or changed, not with the fleet.
 
-Work is counted, not timed. What is kept in order is compared with a plain walk over everything.
+Operations are counted, not timed.  Ordered structures are compared with a scan of everything.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 def fleet(count: int, seeds: tuple[str, ...] = ()) -> Members:
-    """One that knows so many others."""
+    """A member that knows `count` others."""
     made = Members("me", "l", 1, "here", "", 1.0, seeds, random.Random(1), 0.0)
     for number in range(count):
         made.add_member(Rumor(f"p{number}", "l", 1, "a", f"at{number}"), 0.0)
@@ -31,13 +31,13 @@
 
 
 def suspect(members: Members, now: float, count: int) -> None:
-    """So many of them are suspected by another."""
+    """Let another member suspect `count` of them."""
     for number in range(count):
         members.receive(now, "x", "l", 1, Rumor(f"p{number}", "l", 1, "s", by="x"))
 
 
 # --- suspicions ---
-def test_a_tick_costs_the_same_with_many_suspects_of_which_none_is_due() -> None:
+def test_a_tick_costs_the_same_with_many_suspects_that_are_not_due() -> None:
     costs = []
     for count in (SMALL, LARGE):
         members = fleet(count)
@@ -47,7 +47,7 @@
     assert costs[1] <= costs[0] * 1.1
 
 
-def test_a_tick_costs_the_same_with_many_dead_of_which_none_is_to_be_forgotten() -> None:
+def test_a_tick_costs_the_same_with_many_dead_members_that_are_not_due() -> None:
     costs = []
     for count in (SMALL, LARGE):
         members = fleet(count)
@@ -60,7 +60,7 @@
 
 
 class PlainMembers(Members):
-    """Looks at each member at each tick."""
+    """Scans all members at each tick."""
 
     def _expire_suspects(self, now: float, late: bool) -> None:
         size, health = self.size, self.health
@@ -81,7 +81,7 @@
 
 
 # --- seeds ---
-def test_to_look_for_unknown_seeds_costs_the_same_in_a_large_fleet() -> None:
+def test_the_search_for_unknown_seeds_costs_the_same_in_a_large_fleet() -> None:
     costs = []
     for count in (SMALL, LARGE):
         members = fleet(count, ("at7", "seed"))
@@ -90,7 +90,7 @@
     assert costs[1] <= costs[0] * 1.1
 
 
-def test_helpers_are_drawn_without_a_walk_over_the_fleet_and_never_the_target() -> None:
+def test_helpers_are_sampled_without_a_scan_of_the_fleet_and_never_the_target() -> None:
     costs = []
     for count in (SMALL, LARGE):
         members = fleet(count)
@@ -99,7 +99,7 @@
         costs.append(
             operations(lambda members=members, probe=probe: members._request_helpers(probe))
         )  # type: ignore[misc]
-    assert costs[1] <= costs[0] * 1.5  # draws that come twice are drawn again
+    assert costs[1] <= costs[0] * 1.5  # duplicate samples are drawn again
     members = fleet(HELPERS + 1)
     for _ in range(50):
         asked = [out.to for out in members._request_helpers(Probe("p2", "l", 1, 0.0, 1.0))[1:]]
@@ -111,7 +111,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 4), st.integers(0, 3), st.sampled_from("asdl"), places)))
-def test_unknown_seeds_are_those_at_which_a_walk_finds_nobody(
+def test_unknown_seeds_match_a_scan_of_all_members(
     heard: list[tuple[int, int, str, str]],
 ) -> None:
     members = Members("me", "l", 1, "s3", "", 1.0, ("s1", "s2", "s3"), random.Random(1), 0.0)
@@ -126,7 +126,7 @@
 
 # --- rumors ---
 def waiting(count: int) -> Rumors:
-    """So many wait, each sent a different number of times."""
+    """A queue of `count` rumors, each sent a different number of times."""
     made = Rumors()
     for number in range(count):
         made.add(Rumor(f"p{number}", "l", 1, "s", by="x"))
@@ -135,7 +135,7 @@
     return made
 
 
-def test_a_datagrams_rumors_and_a_new_rumor_cost_the_same_with_many_that_wait() -> None:
+def test_rumors_of_a_datagram_and_a_new_rumor_cost_the_same_with_a_long_queue() -> None:
     for work in (
         lambda rumors: rumors.next(10_000),
         lambda rumors: rumors.add(Rumor("new", "l", 1, "s", by="x")),
@@ -144,11 +144,11 @@
         for count in (SMALL, MAX_WAITING):
             rumors = waiting(count)
             costs.append(operations(lambda rumors=rumors, work=work: work(rumors)))  # type: ignore[misc]
-        assert costs[1] <= costs[0] * 1.5 + 100  # and the one that makes room for the new one
+        assert costs[1] <= costs[0] * 1.5 + 100  # and one that evicts another
 
 
 class PlainRumors:
-    """Sorts all that wait."""
+    """A queue that sorts all rumors."""
 
     def __init__(self) -> None:
         self.waiting: dict[str, tuple[Rumor, int]] = {}
@@ -187,7 +187,7 @@
 
 
 @pytest.mark.parametrize("most", [MAX_WAITING, 20])
-def test_rumors_leave_in_the_order_of_a_sort_of_all_that_wait(most: int) -> None:
+def test_rumors_leave_in_the_order_of_a_sorted_queue(most: int) -> None:
     @settings(max_examples=200, deadline=None)
     @given(said)
     def check(steps: list[tuple[str, int, int]]) -> None:
@@ -209,7 +209,7 @@
         check()
 
 
-# --- suspicions, against a plain walk ---
+# --- suspicions, compared with a scan ---
 steps = st.lists(
     st.one_of(
         st.tuples(
@@ -228,8 +228,8 @@
 
 @settings(max_examples=150, deadline=None)
 @given(steps)
-def test_suspects_end_when_a_walk_over_all_members_would_end_them(steps: list[tuple]) -> None:  # type: ignore[type-arg]
-    told: dict[type, list[tuple[str, str]]] = {Members: [], PlainMembers: []}
+def test_suspicions_end_as_in_a_scan_of_all_members(steps: list[tuple]) -> None:  # type: ignore[type-arg]
+    changes: dict[type, list[tuple[str, str]]] = {Members: [], PlainMembers: []}
     both = [
         kind(
             "me",
@@ -241,7 +241,7 @@
             (),
             random.Random(1),
             0.0,
-            lambda name, state, was, kind=kind: told[kind].append((name, state)),  # type: ignore[misc]
+            lambda name, state, was, kind=kind: changes[kind].append((name, state)),  # type: ignore[misc]
         )
         for kind in (Members, PlainMembers)
     ]
@@ -264,4 +264,4 @@
         )
         assert first == plain
         assert both[0].health == both[1].health
-        assert sorted(told[Members]) == sorted(told[PlainMembers])
+        assert sorted(changes[Members]) == sorted(changes[PlainMembers])
--- a/tests/violetroute/sharing/test_sharing_daemon.py
+++ b/tests/violetroute/sharing/test_sharing_daemon.py
@@ -1,4 +1,4 @@
-"""Installed daemons that talk: looked in at, reloaded, flooded, drained."""
+"""Installed daemons that gossip: inspected, reloaded, flooded and drained."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
         await self.node.stop()
         await self.discovery.stop()
 
-    async def told(self, number: int, what: str) -> dict[str, Any]:
+    async def inspect(self, number: int, what: str) -> dict[str, Any]:
         return await asyncio.to_thread(ask, str(self.folder / f"{number}.sock"), what)
 
     async def until(self, what: Callable[[], Any]) -> None:
@@ -82,7 +82,7 @@
                 await asyncio.sleep(0.02)
 
 
-def test_two_daemons_talk_and_can_be_looked_in_at(tmp_path: Path) -> None:
+def test_two_daemons_gossip_and_can_be_inspected(tmp_path: Path) -> None:
     async def run() -> None:
         pair = Pair(tmp_path)
         try:
@@ -90,7 +90,7 @@
 
             async def sees() -> bool:
                 return [
-                    (m["name"], m["state"]) for m in (await pair.told(0, "members"))["members"]
+                    (m["name"], m["state"]) for m in (await pair.inspect(0, "members"))["members"]
                 ] == [("p1", "alive")]
 
             await pair.until(sees)
@@ -98,7 +98,7 @@
             got = []
             loop = asyncio.get_running_loop()
             began = loop.time()
-            for n in range(400):  # ten times what both may let in
+            for n in range(400):  # ten times what both may admit
                 writer.write(command(b"OBJ.GET", b"k", b"i%d" % n, b"c=lookup,t=acme,d=3000"))
                 got.append(await read_answer(reader))
                 await asyncio.sleep(0.005)
@@ -106,10 +106,10 @@
             writer.close()
             served = sum(answer.startswith(b"value") for answer in got)
             refused = [answer for answer in got if answer.startswith(b"-BUSY ")]
-            most = PER_S * (took + BURST_S) + len(pair.children)  # as `sharing/budget.py` promises
+            most = PER_S * (took + BURST_S) + len(pair.children)  # the bound in `sharing/budget.py`
             assert served + len(refused) == 400 and 60 <= served <= most
             assert all(40 <= int(answer.split()[1]) <= 1500 for answer in refused)
-            (budget,) = (await pair.told(0, "budgets"))["budgets"]
+            (budget,) = (await pair.inspect(0, "budgets"))["budgets"]
             assert budget["let_in"] == served and budget["turned_away"] == len(refused)
             for what, shows in (("members", "p1"), ("beliefs", "node"), ("budgets", "acme")):
                 shown = await asyncio.to_thread(
@@ -131,7 +131,7 @@
             os.kill(pair.children[0].pid, signal.SIGHUP)
 
             async def smaller() -> bool:
-                return (await pair.told(0, "budgets"))["budgets"][0]["home"] == 5.0
+                return (await pair.inspect(0, "budgets"))["budgets"][0]["home"] == 5.0
 
             await pair.until(smaller)
             pair.operator(0, budget=[{"name": "acme", "per_s": -1.0}])
@@ -156,7 +156,7 @@
     asyncio.run(run())
 
 
-def test_an_address_that_is_taken_is_one_line_and_no_traceback(tmp_path: Path) -> None:
+def test_an_address_in_use_is_a_one_line_error(tmp_path: Path) -> None:
     async def run() -> None:
         pair = Pair(tmp_path)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
--- a/tests/violetroute/sharing/test_sharing_digest.py
+++ b/tests/violetroute/sharing/test_sharing_digest.py
@@ -1,4 +1,4 @@
-"""Digests of the member list: always those of a list that is built anew, at both ends the same."""
+"""Digests of the member list equal those of a rebuilt list, and are the same at both ends."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def rebuilt(members: Members) -> MemberDigests:
-    """The digests of what is believed now."""
+    """Digests built anew from the current members."""
     made = MemberDigests()
     made.put(members.name, members.life, members.incarnation)
     for member in members.members.values():
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_digests_are_those_of_a_new_list_after_any_changes(seed: int) -> None:
+def test_digests_after_any_changes_match_rebuilt_ones(seed: int) -> None:
     draw = random.Random(seed)
     members = Members("me", "l", 1, "127.0.0.1:1", "z", 1.0, (), random.Random(seed), 0.0)
     incarnations = dict[str, int]()
@@ -62,7 +62,7 @@
         rumor = Rumor(name, "l", incarnation, draw.choice("aaasdl"), "127.0.0.1:2", "z", "p99")
         members.receive(now, "stranger", "x", 1, rumor, "127.0.0.1:3")
         if draw.random() < 0.1:
-            now += 70.0  # the dead are forgotten
+            now += 70.0  # dead members are forgotten
             members.tick(now)
         digests, anew = members._list.digests, rebuilt(members)
         assert (digests.whole, digests.count) == (anew.whole, anew.count)
@@ -72,7 +72,7 @@
             assert digests.members(buckets, index) == anew.members(buckets, index)
 
 
-def test_a_name_is_in_the_same_bucket_whatever_else_is_known() -> None:
+def test_the_bucket_of_a_name_is_independent_of_other_members() -> None:
     small, large = MemberDigests(), MemberDigests()
     small.put("p7", "x", 1)
     for number in range(500):
@@ -88,7 +88,7 @@
     assert sum(held) == 500 and max(held) < 20
 
 
-def test_a_digest_tells_name_life_and_incarnation_apart() -> None:
+def test_a_digest_depends_on_name_life_and_incarnation() -> None:
     hashes = {member_hash(*each) for each in (("a", "b", 1), ("ab", "", 1), ("a", "b", 11))}
     assert len(hashes | {member_hash("a", "c", 1), member_hash("c", "b", 1)}) == 5
     assert all(0 <= each < 2**63 for each in hashes)
@@ -102,7 +102,7 @@
     assert MAX_BUCKETS * SHORT_BYTES == MAX_BUCKET_DIGESTS_BYTES
 
 
-def test_short_hashes_are_read_back() -> None:
+def test_truncated_hashes_round_trip() -> None:
     values = [0, 1, 2**32 - 1, 2**32 + 5]
     assert unpack_short(pack_short(values) + b"odd") == [0, 1, 2**32 - 1, 5]
 
@@ -117,13 +117,13 @@
     assert costs[1] <= costs[0] * 1.1
 
 
-def test_a_pace_is_overdrawn_by_one_use_at_most() -> None:
+def test_a_pacer_is_overdrawn_by_at_most_one_use() -> None:
     pace = BytePacer(100.0, 2.0, 0.0)
     assert pace.allows(0.0)
     pace.spend(0.0, 700.0)
     assert not pace.allows(4.9) and pace.allows(5.1)
     pace.spend(1000.0, 199.0)
-    assert pace.allows(1000.0)  # no more than the burst was saved up
+    assert pace.allows(1000.0)  # at most the burst was saved up
     pace.spend(1000.0, 2.0)
     assert not pace.allows(1000.0)
 
@@ -149,14 +149,14 @@
 ]
 
 
-def test_items_are_read_back_and_those_that_make_no_sense_are_skipped() -> None:
+def test_items_round_trip_and_invalid_ones_are_skipped() -> None:
     data = [raw(wire._pack.encode(each)) for each in BAD]
     data += [raw(encode_item(each)) for each in GOOD]
     assert len(data) <= MAX_ITEMS
     assert wire.items(Envelope("a", "x", 1, 1, "b", "", 0, 0, data)) == GOOD
 
 
-def test_a_later_builds_fields_are_skipped() -> None:
+def test_unknown_fields_of_a_later_build_are_skipped() -> None:
     later = [[*msgspec.msgpack.decode(encode_item(each)), "a later field"] for each in GOOD]
     data = [raw(wire._pack.encode(each)) for each in later]
     assert wire.items(Envelope("a", "x", 1, 1, "b", "", 0, 0, data)) == GOOD
--- a/tests/violetroute/sharing/test_sharing_node_cost.py
+++ b/tests/violetroute/sharing/test_sharing_node_cost.py
@@ -1,6 +1,6 @@
-"""What node health costs by what was heard and has faded, and that it decides as a plain walk does.
+"""Cost of node health by received and expired reports, and equality of its estimates with a scan.
 
-Times of the first comparison are whole half-lives, so that fading is exact and ties stay ties.
+Times of the first comparison are whole half-lives, so that decay is exact and ties stay ties.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def busy(nodes: int) -> NodeHealth:
-    """Every node was met and told of; BAD of them are bad."""
+    """Own outcomes and reports about every node; BAD nodes are unhealthy."""
     made = NodeHealth("a")
     for node in range(nodes):
         made.add_node(node, 1.0)
@@ -35,7 +35,7 @@
     return made
 
 
-def test_a_round_costs_the_same_for_many_nodes_of_which_few_changed() -> None:
+def test_a_round_costs_the_same_with_many_unchanged_nodes() -> None:
     costs = []
     for nodes in (SMALL, LARGE):
         node_health = busy(nodes)
@@ -52,7 +52,7 @@
     assert costs[1] <= costs[0] * 1.2
 
 
-def test_a_member_that_leaves_costs_what_it_told_of() -> None:
+def test_removing_a_member_costs_as_much_as_its_reports() -> None:
     costs = []
     for nodes in (SMALL, LARGE):
         node_health = busy(nodes)
@@ -61,7 +61,7 @@
     assert costs[1] <= costs[0] * 1.2
 
 
-def test_what_is_kept_of_what_fades_is_bounded_by_what_is_remembered() -> None:
+def test_expiry_state_is_bounded_by_the_kept_reports() -> None:
     node_health = NodeHealth("a")
     node_health.add_node(1, 1.0)
     for number in range(20_000):
@@ -69,8 +69,8 @@
             number / 1e3, f"m{number % 5}", "a", HealthReport(1, 1, 1e6, 1.0), 0.0
         )
     table = node_health._table
-    assert len(table.node) == 5  # one row a member, used again for each report
-    assert len(table.expiry._first) == len(table.expiry._order) < 100  # buckets, in 20 s of reports
+    assert len(table.node) == 5  # one row a member, reused for each report
+    assert len(table.expiry._first) == len(table.expiry._order) < 100  # buckets of 20 s of reports
 
 
 NODES = 7
@@ -90,8 +90,8 @@
 )
 
 
-def do(health: Any, step: tuple[Any, ...], now: float) -> Any:
-    """Give one of both versions a step."""
+def apply(health: Any, step: tuple[Any, ...], now: float) -> Any:
+    """Apply a step to one of the two implementations."""
     match step:
         case ("heard", member, node, good, bad):
             zone = "a" if member < 4 else "b"
@@ -102,10 +102,10 @@
         case ("met", node, bad):
             health.record_outcome(now, node, bad)
         case ("tell", most, sent):
-            told = health.reports_to_send(now, most)
+            reports = health.reports_to_send(now, most)
             if sent:
-                health.mark_sent(told)
-            return told
+                health.mark_sent(reports)
+            return reports
         case ("left", member):
             health.forget_member(f"m{member}")
         case ("gone", node):
@@ -117,7 +117,7 @@
 
 @settings(max_examples=400, deadline=None)
 @given(steps)
-def test_it_decides_as_a_walk_over_all_nodes_does(given_steps: list[tuple[Any, ...]]) -> None:
+def test_estimates_match_a_scan_of_all_nodes(given_steps: list[tuple[Any, ...]]) -> None:
     kept, plain, now = NodeHealth("a"), PlainNodeHealth("a"), 0.0
     for node in range(NODES):
         kept.add_node(node, 1.0)
@@ -128,29 +128,29 @@
             assert kept.unhealthy_nodes(now) == plain.unhealthy_nodes(now)
             assert set(kept.isolated_members(now)) == plain.isolated_members(now)
         else:
-            assert do(kept, step, now) == do(plain, step, now)
+            assert apply(kept, step, now) == apply(plain, step, now)
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_it_decides_as_a_walk_over_all_nodes_does_in_rounds_of_a_fleet(seed: int) -> None:
-    chance, kept, plain = random.Random(seed), NodeHealth("a"), PlainNodeHealth("a")
+def test_estimates_match_a_scan_of_all_nodes_in_rounds_of_a_fleet(seed: int) -> None:
+    rng, kept, plain = random.Random(seed), NodeHealth("a"), PlainNodeHealth("a")
     for node in range(40):
         kept.add_node(node, 1.0)
         plain.add_node(node, 1.0)
-    judged = 0
+    unhealthy_count = 0
     for number in range(200):
         now = 0.5 * number
         bad = range(5) if number < 90 else range(0)
         for _ in range(4):
-            member = chance.randrange(12)
+            member = rng.randrange(12)
             zone = "a" if member < 7 else "b"
-            for node in chance.sample(range(40), 10):
-                wrong = chance.uniform(0.5, 4.0) if node in bad or member == 11 else 0.0
-                saw = HealthReport(node, 1, chance.uniform(0.0, 4.0) * (node not in bad), wrong)
+            for node in rng.sample(range(40), 10):
+                wrong = rng.uniform(0.5, 4.0) if node in bad or member == 11 else 0.0
+                saw = HealthReport(node, 1, rng.uniform(0.0, 4.0) * (node not in bad), wrong)
                 for health in (kept, plain):
                     health.merge_report(now, f"m{member}", zone, saw, 0.0)
         found = kept.unhealthy_nodes(now)
-        judged += len(found)
+        unhealthy_count += len(found)
         assert found == plain.unhealthy_nodes(now)
         assert set(kept.isolated_members(now)) == plain.isolated_members(now)
-    assert judged > 100
+    assert unhealthy_count > 100
--- a/tests/violetroute/sharing/test_sharing_talk.py
+++ b/tests/violetroute/sharing/test_sharing_talk.py
@@ -1,4 +1,4 @@
-"""What is believed of a datagram, bounded and judged: the thin part on a virtual network."""
+"""The gossip service on a virtual network: accepted datagrams and reports, and limits."""
 
 from __future__ import annotations
 
@@ -55,14 +55,14 @@
 class Proxy:
     def __init__(self) -> None:
         self.places, self.judged = NodeAddresses(), deque[LoadSample]()
-        self.told: list[tuple[list[int], list[LoadSample]]] = []
+        self.reports: list[tuple[list[int], list[LoadSample]]] = []
 
     def apply_peer_reports(self, bad: list[int], outcomes: list[LoadSample]) -> None:
-        self.told.append((bad, outcomes))
+        self.reports.append((bad, outcomes))
 
 
-class One:
-    """One proxy; `hears` gives it a datagram of p1, or of whoever is named."""
+class GossipProxy:
+    """GossipProxy proxy; `deliver` delivers a datagram from p1 or another sender."""
 
     def __init__(self, **more: Any) -> None:
         self.kernel = Kernel(1, start=1000.0)
@@ -81,17 +81,17 @@
         self.sharing = Sharing(table, KEYS, "p0", "a", 1000.0, net, self.proxy, life="l0")
         send = self.sharing._mailbox.send
 
-        def kept(data: bytes, address: Address) -> bool:
+        def record_and_send(data: bytes, address: Address) -> bool:
             opened = KEYS.open(data)
             assert opened is not None
             self.sent.append(opened)
             return send(data, address)
 
-        self.sharing._mailbox.send = kept  # type: ignore[method-assign]
+        self.sharing._mailbox.send = record_and_send  # type: ignore[method-assign]
         self.number = 0
-        self.hears(Rumor("p1", "l1", 1, "a", "127.0.0.1:7001"))
+        self.deliver(Rumor("p1", "l1", 1, "a", "127.0.0.1:7001"))
 
-    def hears(
+    def deliver(
         self,
         *items: Item,
         name: str = "p1",
@@ -123,7 +123,7 @@
     def run(self, seconds: float) -> None:
         self.loop.run_until_complete(asyncio.sleep(seconds))
 
-    def said(self, kind: type[Item]) -> list[Any]:
+    def sent_items(self, kind: type[Item]) -> list[Any]:
         return [
             item
             for envelope in self.sent
@@ -136,18 +136,18 @@
         return self.sharing.budgets["b"].loans
 
 
-def test_an_ask_that_comes_twice_is_one_and_a_return_frees_it() -> None:
-    one = One()
+def test_a_duplicate_loan_request_counts_once_and_a_return_frees_the_loan() -> None:
+    one = GossipProxy()
     one.run(1.5)
-    data = one.hears(LoanRequest("b", 1, 5_000))
+    data = one.deliver(LoanRequest("b", 1, 5_000))
     assert (
-        one.said(LoanGrant) == [LoanGrant("b", 1, 5_000)]
+        one.sent_items(LoanGrant) == [LoanGrant("b", 1, 5_000)]
         and one.loans.lent_total(one.kernel.now) == 5_000
     )
-    one.sharing.datagram(data, ORIGIN)  # the network's copy
-    one.hears(LoanRequest("b", 1, 5_000))  # the member's own
+    one.sharing.datagram(data, ORIGIN)  # duplicated by the network
+    one.deliver(LoanRequest("b", 1, 5_000))  # sent again by the member
     assert one.loans.lent_total(one.kernel.now) == 5_000
-    one.hears(LoanReturn("b", 1))
+    one.deliver(LoanReturn("b", 1))
     assert one.loans.lent_total(one.kernel.now) == 0
 
 
@@ -155,81 +155,82 @@
     "wrong",
     [{"to_life": "before"}, {"to": "p7"}, {"name": "p9", "life": "l9"}, {"life": "l1-before"}],
 )
-def test_a_loan_is_believed_of_the_member_that_was_asked_by_the_life_that_asked(
+def test_a_grant_counts_only_from_the_requested_member_for_the_requesting_process(
     wrong: dict[str, str],
 ) -> None:
-    one = One()
+    one = GossipProxy()
     one.run(1.5)
     number = one.loans.new_request(one.kernel.now, "p1")
-    one.hears(LoanGrant("b", number, 5_000), **wrong)
+    one.deliver(LoanGrant("b", number, 5_000), **wrong)
     assert one.loans.borrowed_total(one.kernel.now) == 0
-    one.hears(LoanGrant("b", number, 5_000))
+    one.deliver(LoanGrant("b", number, 5_000))
     assert one.loans.borrowed_total(one.kernel.now) == 5_000
 
 
-def test_word_that_is_old_or_of_no_known_age_is_not_taken() -> None:
-    one = One()
+def test_reports_that_are_old_or_of_unknown_age_are_ignored() -> None:
+    one = GossipProxy()
     one.sharing.update_nodes([Member(5, CacheState.READY, started_at=1.0)])
     node = one.sharing.rounds.node_health._nodes[5]  # type: ignore[union-attr]
-    one.hears(HealthReport(5, 1, 0.0, 3.0), at=WALL + one.kernel.now - 6.0)  # written long ago
-    one.hears(HealthReport(5, 1, 0.0, 3.0), at=WALL + one.kernel.now + 600.0)  # or by another clock
+    one.deliver(HealthReport(5, 1, 0.0, 3.0), at=WALL + one.kernel.now - 6.0)  # too old
+    # Or from a wrong clock.
+    one.deliver(HealthReport(5, 1, 0.0, 3.0), at=WALL + one.kernel.now + 600.0)
     assert not node.rows
-    one.run(3.0)  # it is asked whether it is there, and shows what it has had
+    one.run(3.0)  # its ack confirms the highest number received
     heard = next(e.number for e in one.sent if e.to == "p1")
-    one.hears(HealthReport(5, 1, 0.0, 3.0), heard=heard, at=0.0)
+    one.deliver(HealthReport(5, 1, 0.0, 3.0), heard=heard, at=0.0)
     assert list(node.rows) == ["p1"]
     one.run(6.0)
     node.rows.clear()
-    one.hears(HealthReport(5, 1, 0.0, 3.0), heard=heard, at=WALL + one.kernel.now)
-    assert not node.rows  # held back since: by our own clock, whatever it says
+    one.deliver(HealthReport(5, 1, 0.0, 3.0), heard=heard, at=WALL + one.kernel.now)
+    assert not node.rows  # delayed by the network, as the own clock shows
 
 
-def test_one_member_is_taken_so_often_and_no_more_and_what_is_sent_is_bounded() -> None:
-    one = One()
+def test_datagrams_received_per_member_and_sent_are_rate_limited() -> None:
+    one = GossipProxy()
     before = one.sharing.received
     for _ in range(1_000):
-        one.hears(Ping(7))
+        one.deliver(Ping(7))
     assert one.sharing.received - before <= service.RECEIVE_BURST
     assert one.sharing.refused >= 700
-    for number in range(2, 6):  # others have room of their own, and are answered no further
+    for number in range(2, 6):  # the limit is per member, but answers share the send limit
         before = one.sharing.received
         for _ in range(150):
-            one.hears(Ping(7), name=f"p{number}", life="l")
+            one.deliver(Ping(7), name=f"p{number}", life="l")
         assert one.sharing.received - before == 150
     assert len(one.sent) <= service.SEND_BURST
 
 
-def test_a_datagram_that_comes_twice_is_taken_once() -> None:
-    one = One()
-    data = one.hears(Ping(7))
-    answers = len(one.said(Ack))
+def test_a_duplicate_datagram_is_handled_once() -> None:
+    one = GossipProxy()
+    data = one.deliver(Ping(7))
+    answers = len(one.sent_items(Ack))
     one.sharing.datagram(data, ORIGIN)
-    assert answers == 1 == len(one.said(Ack)) and one.sharing.refused == 1
+    assert answers == 1 == len(one.sent_items(Ack)) and one.sharing.refused == 1
 
 
-def test_a_budget_is_told_once_as_spent_and_once_as_open(caplog: Any) -> None:
-    one = One()
+def test_an_exhausted_budget_is_logged_once_and_its_recovery_once(caplog: Any) -> None:
+    one = GossipProxy()
     caplog.set_level("INFO", logger="violetroute")
 
-    def told() -> list[str]:
+    def logged() -> list[str]:
         return [r.event for r in caplog.records if r.event in ("sharing.spent", "sharing.room")]
 
     for _ in range(20):
         one.run(0.3)
         for _ in range(30):
             one.sharing.admits("", "lookup")
-    assert told() == ["sharing.spent"]
+    assert logged() == ["sharing.spent"]
     one.run(6.0)
-    assert told() == ["sharing.spent", "sharing.room"]
+    assert logged() == ["sharing.spent", "sharing.room"]
     (shown,) = view(one.sharing, "budgets")["budgets"]
     assert shown["let_in"] + shown["turned_away"] == 600
 
 
-def test_more_proxies_than_the_settings_know_divide_a_budget_by_themselves() -> None:
-    one = One()
+def test_a_budget_is_divided_by_the_known_proxies_if_they_exceed_the_settings() -> None:
+    one = GossipProxy()
     assert one.loans.home == 10_000
     for number in range(2, 6):
-        one.hears(Rumor(f"p{number}", "l", 1, "a", "127.0.0.1:7009"))
+        one.deliver(Rumor(f"p{number}", "l", 1, "a", "127.0.0.1:7009"))
     assert one.loans.home == 20_000 // 6
 
 
@@ -238,7 +239,7 @@
     return LoadReport(kept, count, bad * count, 100.0 * count, 300.0 * count, 0.0)
 
 
-def test_a_round_is_the_mean_of_three_members_at_least() -> None:
+def test_a_load_round_needs_three_members_and_yields_their_mean() -> None:
     reports = LoadReports()
     for member in "ab":
         reports.merge_report(1.0, member, load_report(1.0))
@@ -247,14 +248,14 @@
         reports.merge_report(1.0, member, load_report(bad))
     found = reports.end_round(1.5, (), 1.0)
     assert found == [(True, 0.5, 100.0, 300.0, False)] * 3
-    assert reports.end_round(1.5, (), 1.0) == []  # of that round only
+    assert reports.end_round(1.5, (), 1.0) == []  # reports count in one round only
     for member in "abcd":
         reports.merge_report(1.0, member, load_report(1.0))
-    assert reports.end_round(1.5, {"a", "b"}, 1.0) == []  # who is cut off speaks of itself
+    assert reports.end_round(1.5, {"a", "b"}, 1.0) == []  # reports of isolated members do not count
 
 
 @pytest.mark.parametrize("members", [10, 40])
-def test_one_in_ten_that_lie_move_the_mean_by_no_more_than_is_stated(members: int) -> None:
+def test_one_false_load_report_in_ten_moves_the_mean_within_its_bound(members: int) -> None:
     reports = LoadReports()
     for number in range(members):
         lies = number < members // 10
@@ -267,19 +268,19 @@
     )
 
 
-def test_what_was_heard_before_a_stop_of_this_process_is_of_another_hour() -> None:
+def test_load_reports_received_before_a_stop_of_this_process_are_dropped() -> None:
     reports = LoadReports()
     for member in "abcd":
         reports.merge_report(1.0, member, load_report(1.0))
     assert reports.end_round(21.0, (), 1.0) == []
 
 
-def test_a_round_tells_few_in_calm_many_of_trouble_and_nothing_beside_a_twin() -> None:
+def test_a_round_reaches_few_normally_many_in_trouble_and_none_beside_a_duplicate() -> None:
     up = [f"m{number}" for number in range(100)]
     rounds = Rounds("a", True, 0.0, random.Random(1))
     rounds.update_nodes([Member(5, CacheState.READY, started_at=1.0)])
     rounds.record_attempt(1.0, 5, Result.OK)
-    rounds.record_attempt(1.0, 5, Result.FULL)  # tells of the load, not of the node
+    rounds.record_attempt(1.0, 5, Result.FULL)  # caused by load, not by the node
     calm = rounds.run_round(1.0, up, [], {}, False)
     assert len(calm.to) == CALM_FANOUT and HealthReport(5, 1, 1.0, 0.0) in calm.items
     rounds.record_attempt(1.5, 5, Result.LATE)
@@ -299,24 +300,24 @@
     )
     assert not first.outcomes
     rounds.forget_member("m1")
-    assert rounds.run_round(4.3, up, [], {}, False).unhealthy == []  # two are left
+    assert rounds.run_round(4.3, up, [], {}, False).unhealthy == []  # two witnesses are left
 
 
-def test_a_hint_ends_with_the_trouble_and_the_proxy_is_told_so() -> None:
-    one = One()
+def test_an_unhealthy_estimate_ends_with_the_trouble_and_the_proxy_is_notified() -> None:
+    one = GossipProxy()
     one.sharing.update_nodes([Member(5, CacheState.READY, started_at=1.0)])
     for name in ("p1", "p2", "p3"):
-        one.hears(Rumor(name, "l1", 1, "a", "127.0.0.1:7009"), name=name)
-        one.hears(HealthReport(5, 1, 0.0, 3.0), name=name)
+        one.deliver(Rumor(name, "l1", 1, "a", "127.0.0.1:7009"), name=name)
+        one.deliver(HealthReport(5, 1, 0.0, 3.0), name=name)
     one.run(1.0)
-    assert one.proxy.told[-1][0] == [5]
+    assert one.proxy.reports[-1][0] == [5]
     assert [node["avoided"] for node in view(one.sharing, "beliefs")["nodes"]] == [True]
     one.run(25.0)
-    assert one.proxy.told[-1][0] == []
+    assert one.proxy.reports[-1][0] == []
     assert [node["avoided"] for node in view(one.sharing, "beliefs")["nodes"]] == [False]
 
 
-def test_a_hint_that_ended_does_not_make_the_next_one_easier() -> None:
+def test_an_ended_estimate_does_not_lower_the_next_threshold() -> None:
     rounds = Rounds("a", True, 0.0, random.Random(1))
     rounds.update_nodes([Member(5, CacheState.READY, started_at=1.0)])
     members = ("m1", "m2", "m3")
@@ -330,7 +331,7 @@
     assert rounds.run_round(41.1, members, [], {}, False).unhealthy == []
 
 
-def test_sums_that_make_no_sense_are_left_out() -> None:
+def test_load_reports_with_inconsistent_sums_are_dropped() -> None:
     reports = LoadReports()
     for wrong in (
         LoadReport(True, 1.0, 2.0, 1.0, 1.0, 0.0),
@@ -341,13 +342,13 @@
         for member in "abc":
             reports.merge_report(1.0, member, wrong)
         assert reports.end_round(1.5, (), 1.0) == []
-    told = LoadReports.reports_to_send(
+    to_send = LoadReports.reports_to_send(
         [(True, 1.0, 50.0, 300.0, True), (True, 0.0, 30.0, 300.0, False)]
     )
-    assert told == [LoadReport(True, 2.0, 1.0, 80.0, 600.0, 1.0)]
+    assert to_send == [LoadReport(True, 2.0, 1.0, 80.0, 600.0, 1.0)]
 
 
-# --- what reaches the module ---
+# --- effects on the balancer ---
 def module(caches: int) -> Balancer:
     made = Balancer(
         Settings(classes=(RequestClass("lookup", 300.0, 600.0, Effect.PURE),), max_attempts=3),
@@ -369,23 +370,25 @@
     return found
 
 
-def test_a_hint_only_takes_away_and_never_too_much() -> None:
+def test_an_estimate_only_ejects_nodes_and_never_too_many() -> None:
     made = module(10)
-    assert made.on_peer_reports(1.0, [3, 77], []) == []  # 77 is nobody
+    assert made.on_peer_reports(1.0, [3, 77], []) == []  # 77 is unknown
     assert 3 not in sent(made, 2.0, 200)
     assert len(sent(made, 3.0, 200)) == 9
-    assert made.on_peer_reports(4.0, range(10), []) == []  # all of them: somebody has to be asked
+    assert (
+        made.on_peer_reports(4.0, range(10), []) == []
+    )  # all of them: some must still get requests
     assert sent(made, 5.0, 200)
 
 
-def test_a_hint_brings_back_nothing_that_drains_or_is_gone() -> None:
+def test_an_estimate_restores_no_draining_or_removed_node() -> None:
     made = module(4)
     made.on_list(1.0, ListKind.CHANGES, [Member(2, CacheState.DRAINING)])
     made.on_peer_reports(2.0, [2], [])
     assert 2 not in made.ejected and 2 not in sent(made, 2.0, 200)
 
 
-def test_others_outcomes_begin_a_limit_that_a_thin_proxy_would_not() -> None:
+def test_peer_outcomes_start_a_limit_at_a_proxy_with_few_requests() -> None:
     alone, fleet = module(4), module(4)
     for second in range(1, 5):
         for made in (alone, fleet):
--- a/tests/violetroute/sharing/test_sharing_up_names.py
+++ b/tests/violetroute/sharing/test_sharing_up_names.py
@@ -1,4 +1,4 @@
-"""Names of members that are there: kept between changes, and always what a new list would be."""
+"""Names of the members that are up, kept between changes, equal a rebuilt list."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 def rebuilt(members: Members) -> list[str]:
-    """What the list has to be."""
+    """The list built anew."""
     return [member.name for member in members.members.values() if member.up]
 
 
 def page(members: Members, asking: str, after: str) -> tuple[list[str], str]:
-    """Names of one page, and the last of it if more follow."""
+    """Names of one page, and its last name if more follow."""
     (out,) = members.receive(1.0, asking, "another life", 1, PageRequest(after), "127.0.0.1:9")
     names = [item.name for item in out.items if isinstance(item, Rumor)]
     (last,) = [item.last for item in out.items if isinstance(item, PageEnd)]
-    return names[1:], last  # without its own
+    return names[1:], last  # without the answering member
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_names_and_pages_are_those_of_a_new_list_after_any_changes(seed: int) -> None:
+def test_names_and_pages_after_any_changes_match_rebuilt_ones(seed: int) -> None:
     draw = random.Random(seed)
     members = Members("me", "l", 1, "127.0.0.1:1", "z", 1.0, (), random.Random(seed), 0.0)
     incarnations = dict[str, int]()
@@ -37,7 +37,7 @@
         rumor = Rumor(name, "l", incarnation, state, "127.0.0.1:2", "z", "p99")
         members.receive(now, "stranger", "x", 1, rumor, "127.0.0.1:3")
         if draw.random() < 0.1:
-            now += 70.0  # the dead are forgotten
+            now += 70.0  # dead members are forgotten
             members.tick(now)
         assert members.up() == rebuilt(members)
         assert members.size == 1 + len(rebuilt(members))
--- a/tests/violetroute/sharing/test_sharing_up_names_cost.py
+++ b/tests/violetroute/sharing/test_sharing_up_names_cost.py
@@ -1,4 +1,4 @@
-"""A change of one member costs a few comparisons of names, however many members there are."""
+"""A change of one member costs a few comparisons of names, whatever the size of the fleet."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from violetroute.sharing.up_names import UpNames
 
 SIZES = (100, 2600)
-COMPARISONS_MOST = 40  # for a change and a page: 2 binary searches of at most 12 steps each
+MAX_COMPARISONS = 40  # for a change and a page: 2 binary searches of at most 12 steps each
 
 
 class CountedName(str):
-    """A name that counts how often it is compared."""
+    """A name that counts its comparisons."""
 
     __slots__ = ()
     compared = 0
@@ -25,18 +25,18 @@
 
 
 class CountedMember(Member):
-    """A member that counts how often it is asked whether it is there."""
+    """A member that counts reads of `up`."""
 
-    asked = 0
+    reads = 0
 
     @property
     def up(self) -> bool:
-        CountedMember.asked += 1
+        CountedMember.reads += 1
         return self.state in ("a", "s")
 
 
 def filled(size: int, draw: random.Random) -> tuple[UpNames, list[Member]]:
-    """So many members, which are there."""
+    """`size` members that are up."""
     names = UpNames()
     members = list[Member]()
     for number in draw.sample(range(10 * size), size):
@@ -46,32 +46,32 @@
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_a_death_and_a_return_cost_no_work_for_each_other_member(size: int) -> None:
+def test_a_death_and_a_return_cost_no_work_per_other_member(size: int) -> None:
     draw = random.Random(size)
     names, members = filled(size, draw)
     names.names(), names.after("", 12)
     for _ in range(50):
         member = draw.choice(members)
         for state in ("d", "a"):
-            CountedName.compared = CountedMember.asked = 0
+            CountedName.compared = CountedMember.reads = 0
             member.state = state
             names.changed(member)
             there = names.names()
             page = names.after(draw.choice(members).name, 12)
-            assert CountedMember.asked <= 1
-            assert CountedName.compared <= COMPARISONS_MOST
+            assert CountedMember.reads <= 1
+            assert CountedName.compared <= MAX_COMPARISONS
             assert len(there) == names.count and len(page) <= 12
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_the_lists_are_those_that_are_built_anew(seed: int) -> None:
+def test_the_lists_match_rebuilt_ones(seed: int) -> None:
     draw = random.Random(seed)
     names, members = UpNames(), list[Member]()
     for number in range(400):
         if not members or draw.random() < 0.3:
             members.append(Member(f"p{draw.random()}", "l", 1, "a", "", "", 0.0))
             names.added(members[-1])
-        elif draw.random() < 0.2:  # forgotten: only one that is away can be
+        elif draw.random() < 0.2:  # forgotten: only a member that is not up can be
             away = [each for each in members if not each.up]
             if away:
                 members.remove(draw.choice(away))
