--- a/tests/violetroute/sharing/test_sharing_reports.py
+++ b/tests/violetroute/sharing/test_sharing_reports.py
@@ -75,7 +75,7 @@
 def test_a_report_of_many_unhealthy_nodes_does_not_look_isolated() -> None:
     found = reports(Rounds("a", True, 0.0, random.Random(1), None), 10, bad=120)
     items = [item for item in found[-2].items if isinstance(item, HealthReport)]
-    assert sum(item.bad > item.good for item in items) == len(items) // 2 > 0
+    assert sum(report.bad > report.good for report in items) == len(items) // 2 > 0
 
 
 def test_a_proxy_without_trouble_can_report_new_trouble_to_many_at_once() -> None:
