--- a/violetroute/fleet/store.py
+++ b/violetroute/fleet/store.py
@@ -48,9 +48,11 @@
 
     def poll(self, callback: Callback[StoreView]) -> None:
         """Read all leases."""
+        ...
 
     def acquire(self, request: Acquire, callback: Callback[Answer]) -> None:
         """Acquire a lease by compare-and-set."""
+        ...
 
     def renew(
         self, terms: Sequence[tuple[str, int]], callback: Callback[Mapping[str, Answer]]
@@ -59,6 +61,7 @@
 
     def release(self, work: str, fence: int, callback: Callback[Answer]) -> None:
         """Release a lease held with `fence`."""
+        ...
 
     def run(self, steps: Steps, callback: Callback[Result]) -> None:
         """Run all steps of a log operation."""
