--- a/limebridge/control/command.py
+++ b/limebridge/control/command.py
@@ -26,7 +26,7 @@
     parse_table,
 )
 from violetroute.distribution.messages import (
-    KEY_BYTES,
+    MAX_KEY_CHARACTERS,
     RECORDS_PER_BATCH,
     Publish,
     PublishStatus,
@@ -206,8 +206,8 @@
 
 
 def _publish(machines: Machines, keys: list[str], wait: bool, seconds: float) -> None:
-    if any(len(key) > KEY_BYTES for key in keys):
-        _end(f"a key has at most {KEY_BYTES} characters", WRONG)
+    if any(len(key) > MAX_KEY_CHARACTERS for key in keys):
+        _end(f"a key has at most {MAX_KEY_CHARACTERS} characters", WRONG)
     _publish_records(machines, tuple(Record(Topic.PURGE, key) for key in keys), wait, seconds)
 
 
--- a/limebridge/faults/distribution/nodes.py
+++ b/limebridge/faults/distribution/nodes.py
@@ -13,7 +13,7 @@
 from violetroute.distribution.machine import Machine
 from violetroute.distribution.messages import Message, PollReply, StatusRequest
 from violetroute.distribution.subscriber import (
-    Ask,
+    SendPoll,
     Subscriber,
 )
 
@@ -252,7 +252,7 @@
     def ask(self, now: float, to: str) -> Packet:
         """A poll to this machine, whichever it would choose itself."""
         step = self.subscriber.next(NEVER_S)
-        assert isinstance(step, Ask)
+        assert isinstance(step, SendPoll)
         self.sent_at, self.waits = now, True
         self.number += 1
         return Packet(PROXY, to, self.number, step.poll)
--- a/limebridge/faults/distribution/proxy.py
+++ b/limebridge/faults/distribution/proxy.py
@@ -10,13 +10,13 @@
 from violetroute.distribution.messages import Message, PollReply
 from violetroute.distribution.subscriber import (
     Apply,
-    Ask,
     BecameFresh,
     BecameStale,
     Effect,
-    Gap,
+    InvalidateAll,
+    SendPoll,
+    SequenceGap,
     Subscriber,
-    VoidAll,
 )
 
 from .disk import content_of
@@ -99,13 +99,13 @@
         if subscriber is None or self._polling is not None:
             return
         step = subscriber.next(self.now)
-        if isinstance(step, Ask):
+        if isinstance(step, SendPoll):
             self._send(step)
         else:
             self.wake(step.until, self._ask)
         self._plan_tick()
 
-    def _send(self, ask: Ask) -> None:
+    def _send(self, ask: SendPoll) -> None:
         polling = self._polling = Polling(ask.address, self.now)
         self._asks = ask.address
         life = self.life
@@ -147,14 +147,14 @@
         base = 0
         for effect in effects:
             match effect:
-                case VoidAll():
+                case InvalidateAll():
                     assert answer is not None and answer.snapshot is not None
                     base = answer.snapshot.base.position
                     self.world.voided(self, base)
                 case Apply(batch):
                     if batch.position != base:  # at the base: the snapshot's configuration
                         self.world.applied(self, content_of(batch))
-                case Gap(expected, got):
+                case SequenceGap(expected, got):
                     self.world.note(f"  {self.name} finds a gap: {expected} expected, {got} came")
                 case BecameStale() | BecameFresh():
                     self.world.note(f"  {self.name} {type(effect).__name__} at {self.position}")
--- a/limebridge/faults/distribution/recording.py
+++ b/limebridge/faults/distribution/recording.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from violetroute.distribution.messages import Batch, Record, Topic
-from violetroute.distribution.service import DistributionService, PurgeCounter
+from violetroute.distribution.service import CountingReceiver, DistributionService
 from violetroute.distribution.table import DistributionTable
 from violetroute.sharing.wire import Keys
 from violetroute.transport.introspection_socket import IntrospectionSocket
@@ -84,8 +84,8 @@
         else:
             _print(Recorded(self.incarnation, batch.position, batch.fence, names))
 
-    def _void_all(self, reason: str) -> None:
-        super()._void_all(reason)
+    def _invalidate_all(self, reason: str) -> None:
+        super()._invalidate_all(reason)
         _print(Recorded(self.incarnation, voided=True))
 
 
@@ -112,7 +112,7 @@
         file.name,
         file.region,
         SocketNetwork(loop),
-        PurgeCounter(),
+        CountingReceiver(),
     )
 
     service.drops_every = file.drops_every
--- a/limebridge/scale/applied.py
+++ b/limebridge/scale/applied.py
@@ -48,7 +48,7 @@
 
     def purge(self, key: str) -> None: ...
 
-    def void_all(self, reason: str) -> None: ...
+    def invalidate_all(self, reason: str) -> None: ...
 
     def configure(self, change: ConfigurationChange) -> tuple[str, ...]: ...
 
@@ -145,7 +145,7 @@
         if self._following is not None and self._following.subscriber.position > self._last:
             self._stamp(self._following.subscriber.position)
 
-    def void_all(self, reason: str) -> None:
+    def invalidate_all(self, reason: str) -> None:
         """A snapshot: everything up to its base is done."""
         self.voids += 1
         if self._following is not None and self._following.subscriber.position > self._last:
@@ -201,9 +201,9 @@
         self.purges = self._receiver.purges
         self._stamp()
 
-    def void_all(self, reason: str) -> None:
+    def invalidate_all(self, reason: str) -> None:
         """As the receiver behind it."""
-        self._receiver.void_all(reason)
+        self._receiver.invalidate_all(reason)
         self.voids = self._receiver.voids
         self._stamp()
 
--- a/limebridge/scale/capacity_rows_proxy.py
+++ b/limebridge/scale/capacity_rows_proxy.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from violetroute.distribution.messages import BODY_BYTES
+from violetroute.distribution.messages import MAX_BODY_BYTES
 
 from .capacity import Figures, Kind, Role, Row
 from .target import SECONDS_PER_DAY
@@ -25,7 +25,7 @@
 
 def _configuration_bytes(figures: Figures) -> float:
     """Every change a record of the largest size: an upper bound."""
-    return figures.target.config_changes_per_s * BODY_BYTES
+    return figures.target.config_changes_per_s * MAX_BODY_BYTES
 
 
 def _purge_bytes(figures: Figures) -> float:
--- a/limebridge/scale/region_return.py
+++ b/limebridge/scale/region_return.py
@@ -23,8 +23,8 @@
 from violetroute.distribution.messages import Batch, PollReply, Record, ReportReply, Topic
 from violetroute.distribution.replica import Replica
 from violetroute.distribution.session import SessionSettings
-from violetroute.distribution.sessions import Answered, Sessions
-from violetroute.distribution.subscriber import Apply, Ask, Subscriber, VoidAll
+from violetroute.distribution.sessions import PollAnswer, Sessions
+from violetroute.distribution.subscriber import Apply, InvalidateAll, SendPoll, Subscriber
 
 BATCH_S = 0.1
 DELAY_S = 0.04  # of a link between the region and its control machine, one way
@@ -127,18 +127,18 @@
         )
         self._replica.append((Batch(position, FENCE, int(self._now * 1000), records),))
         self._replica.commit_to(position)
-        self._answer(self._sessions.advanced(self._now))
+        self._answer(self._sessions.commit_advanced(self._now))
         self._at(BATCH_S, self._publish)
 
     def _look(self) -> None:
         self._answer(self._sessions.tick(self._now))
-        report = self._sessions.report_due(self._now, FENCE)
+        report = self._sessions.next_report(self._now, FENCE)
         if report is not None:
             reply = ReportReply(True, FENCE, self._replica.commit, 0.0)
-            self._answer(self._sessions.reported(self._now, report, reply))
+            self._answer(self._sessions.report_replied(self._now, report, reply))
         self._at(STEP_S, self._look)
 
-    def _answer(self, answers: list[Answered]) -> None:
+    def _answer(self, answers: list[PollAnswer]) -> None:
         for answered in answers:
             proxy, sent_at = self._polls.pop(answered.ticket)
             if self._cut:
@@ -157,7 +157,7 @@
         if self._cut:
             return
         ask = proxy.subscriber.next(self._now)
-        if not isinstance(ask, Ask):
+        if not isinstance(ask, SendPoll):
             self._at(ask.until - self._now, lambda: self._ask(proxy))
             return
         sent_at = self._now
@@ -165,7 +165,7 @@
         def arrive() -> None:
             ticket = next(self._tickets)
             self._polls[ticket] = proxy, sent_at
-            self._answer(self._sessions.polled(self._now, ticket, ask.poll))
+            self._answer(self._sessions.poll_received(self._now, ticket, ask.poll))
 
         self._at(DELAY_S, arrive)
 
@@ -179,7 +179,7 @@
                 case Apply(batch):
                     proxy.out_of_order += batch.position != proxy.applied + 1
                     proxy.applied = batch.position
-                case VoidAll():
+                case InvalidateAll():
                     proxy.voids += 1
                     proxy.applied = proxy.subscriber.position
         if proxy.fresh_at == math.inf and proxy.subscriber.fresh(self._now):
--- a/tests/limebridge/faults/distribution/test_distribution_hard_cases.py
+++ b/tests/limebridge/faults/distribution/test_distribution_hard_cases.py
@@ -19,7 +19,7 @@
 from violetroute.distribution.in_force import InForce
 from violetroute.distribution.messages import Poll
 from violetroute.distribution.session import Session
-from violetroute.distribution.sessions import Answered, Sessions
+from violetroute.distribution.sessions import PollAnswer, Sessions
 from violetroute.distribution.subscriber import Subscriber
 
 BEGIN_S = 4.0  # when the first leader has reported something in force
@@ -70,12 +70,12 @@
 
 def one_session_a_name(patch: pytest.MonkeyPatch) -> None:
     """Two processes of one name are taken for one."""
-    polled = Sessions.polled
+    polled = Sessions.poll_received
 
-    def as_one(self: Sessions, now: float, ticket: int, poll: Poll) -> list[Answered]:
+    def as_one(self: Sessions, now: float, ticket: int, poll: Poll) -> list[PollAnswer]:
         return polled(self, now, ticket, msgspec.structs.replace(poll, incarnation="one"))
 
-    patch.setattr(Sessions, "polled", as_one)
+    patch.setattr(Sessions, "poll_received", as_one)
 
 
 # --- the cases ---
--- a/tests/limebridge/faults/distribution/test_distribution_hard_cases_real.py
+++ b/tests/limebridge/faults/distribution/test_distribution_hard_cases_real.py
@@ -17,7 +17,7 @@
 from tests.violetroute.distribution.test_distribution_daemon import Stage
 from violetroute.distribution.configuration_change import ConfigurationChange
 from violetroute.distribution.messages import Publish, Published, Record, Topic
-from violetroute.distribution.service import DistributionService, PurgeCounter
+from violetroute.distribution.service import CountingReceiver, DistributionService
 from violetroute.distribution.table import DistributionTable
 from violetroute.sharing.wire import Keys
 from violetroute.transport.sockets import SocketNetwork
@@ -70,7 +70,7 @@
     assert all("from a snapshot at" in broken.text for broken in outcome.broken)
 
 
-class Refusing(PurgeCounter):
+class Refusing(CountingReceiver):
     """Takes configuration on, or refuses it as a daemon does whose own file cannot bear it."""
 
     __slots__ = ("refuses", "tables")
--- a/tests/limebridge/scale/test_scale_run.py
+++ b/tests/limebridge/scale/test_scale_run.py
@@ -468,7 +468,7 @@
     for position in (3, 3, 4, 9):
         following.position = position
         times.purge("key")
-    times.void_all("a snapshot")
+    times.invalidate_all("a snapshot")
     seen = times.seen("a")
     assert (seen.first, len(seen.times) // 8, seen.purges, seen.voids) == (3, 7, 4, 1)
     stamps = tmp_path / "stamps"
--- a/tests/planted_distribution/gap_not_noticed.py
+++ b/tests/planted_distribution/gap_not_noticed.py
@@ -8,7 +8,7 @@
 
 
 def plant() -> None:
-    def content(self: PollContents, position: int, bytes_most: int | None) -> Content:
+    def content(self: PollContents, position: int, max_bytes: int | None) -> Content:
         kept = max(position, self._log.base.position)
         batches = self._log.after(kept, self._settings.delta_bytes) or []
         return Content(PollStatus.OK, tuple(batches[:BATCHES_PER_REPLY]))
--- a/tests/planted_distribution/snapshot_older_than_deltas.py
+++ b/tests/planted_distribution/snapshot_older_than_deltas.py
@@ -11,8 +11,8 @@
 def plant() -> None:
     made = PollContents._content
 
-    def old(self: PollContents, position: int, bytes_most: int | None) -> Content:
-        content = made(self, position, bytes_most)
+    def old(self: PollContents, position: int, max_bytes: int | None) -> Content:
+        content = made(self, position, max_bytes)
         if content.snapshot is None or content.snapshot.base.position == 0:
             return content
         return Content(content.status, (), _FIRST.setdefault(self, content.snapshot))
--- a/tests/support/session_world.py
+++ b/tests/support/session_world.py
@@ -33,9 +33,9 @@
     Snapshot,
 )
 from violetroute.distribution.session import SessionSettings
-from violetroute.distribution.sessions import Answered, Sessions
+from violetroute.distribution.sessions import PollAnswer, Sessions
 from violetroute.distribution.subscriber import (
-    Ask,
+    SendPoll,
     Subscriber,
 )
 
@@ -154,7 +154,7 @@
         )
         self.sessions.set_ready(self.now, True)
 
-    def after(self, position: int, bytes_most: int) -> list[msgspec.Raw] | None:
+    def after(self, position: int, max_bytes: int) -> list[msgspec.Raw] | None:
         return [
             msgspec.Raw(msgspec.msgpack.encode(batch))
             for batch in self.world.batches[position : self.commit]
@@ -177,11 +177,11 @@
     def take(self, incarnation: int, commit: int) -> None:
         if commit > self.commit and incarnation == self.incarnation:
             self.commit = commit
-            self.answer(self.sessions.advanced(self.now))
+            self.answer(self.sessions.commit_advanced(self.now))
 
     def tick(self) -> None:
         self.answer(self.sessions.tick(self.now))
-        report = self.sessions.report_due(self.now, self.fence)
+        report = self.sessions.next_report(self.now, self.fence)
         if report is not None:
             self.send(report)
 
@@ -191,7 +191,7 @@
         def finish(reply: ReportReply | None) -> None:
             if not done[0] and sessions is self.sessions:
                 done[0] = True
-                self.answer(sessions.reported(self.now, report, reply))
+                self.answer(sessions.report_replied(self.now, report, reply))
 
         def deliver() -> None:
             if not self.world.cut("reports_back", self.name):
@@ -208,9 +208,9 @@
     def polled(self, poll: Poll, client: Callable[[PollReply], None]) -> None:
         ticket = next(self.world.numbers)
         self.clients[ticket] = client
-        self.answer(self.sessions.polled(self.now, ticket, poll))
+        self.answer(self.sessions.poll_received(self.now, ticket, poll))
 
-    def answer(self, answers: list[Answered]) -> None:
+    def answer(self, answers: list[PollAnswer]) -> None:
         for answered in answers:
             self.clients.pop(answered.ticket)(answered.reply)
 
@@ -228,7 +228,7 @@
 
     def start(self) -> None:
         self.incarnation += 1
-        self.asked: Ask | None = None
+        self.asked: SendPoll | None = None
         self.subscriber = Subscriber(
             self.settings, f"i{self.incarnation}", self.world.random, self.now
         )
@@ -246,10 +246,10 @@
         if self.asked is not None:
             return
         ask = self.subscriber.next(self.now)
-        if isinstance(ask, Ask):
+        if isinstance(ask, SendPoll):
             self.send(ask)
 
-    def send(self, ask: Ask) -> None:
+    def send(self, ask: SendPoll) -> None:
         self.asked, sent_at, machine = ask, self.now, self.world.machines[ask.address]
         self.asks = ask.address
 
--- a/tests/violetroute/distribution/test_distribution_configuration.py
+++ b/tests/violetroute/distribution/test_distribution_configuration.py
@@ -35,7 +35,7 @@
 from violetroute.distribution.control_choice import Control, SubscriberSettings
 from violetroute.distribution.make import HooksReceiver
 from violetroute.distribution.messages import (
-    BODY_BYTES,
+    MAX_BODY_BYTES,
     Batch,
     LogPoint,
     PollReply,
@@ -44,7 +44,7 @@
     Snapshot,
     Topic,
 )
-from violetroute.distribution.service import DistributionService, PurgeCounter, Receiver
+from violetroute.distribution.service import CountingReceiver, DistributionService, Receiver
 from violetroute.distribution.subscriber import Subscriber
 from violetroute.distribution.table import DistributionTable, restart_is_needed
 from violetroute.hooks import EventHooks
@@ -124,7 +124,7 @@
     "no text": ("log", "\udcff", "no TOML"),
     "an unknown key": ("log", 'levl = "info"', "did you mean level?"),
     "a wrong value": ("log", 'level = "loud"', "level:"),
-    "too long": ("log", "#" * (BODY_BYTES + 1), "more than"),
+    "too long": ("log", "#" * (MAX_BODY_BYTES + 1), "more than"),
 }
 
 
@@ -272,7 +272,7 @@
     assert (receiver.purges, receiver.configurations) == (1, 2)
 
 
-class Refusing(PurgeCounter):
+class Refusing(CountingReceiver):
     """Refuses configuration for this reason, or fails with it."""
 
     def __init__(self, reason: str, fails: bool) -> None:
@@ -332,14 +332,14 @@
 
 
 def test_without_a_proxy_configuration_is_counted() -> None:
-    receiver = PurgeCounter()
+    receiver = CountingReceiver()
     replies = (ok(batch(1, record("log", "level = ")), batch(2, record("x", ""))),)
     follow(replies, receiver, 2, lambda control: None)
     assert receiver.configurations == 2 and receiver.purges == 0
 
 
 def test_it_is_off_unless_the_file_says_so(caplog: pytest.LogCaptureFixture) -> None:
-    receiver = PurgeCounter()
+    receiver = CountingReceiver()
     with caplog.at_level(logging.INFO, "violetroute"):
         replies = (ok(batch(1, record("log", 'level = "debug"'))),)
         follow(replies, receiver, 2, lambda control: None, takes=False)
--- a/tests/violetroute/distribution/test_distribution_daemon.py
+++ b/tests/violetroute/distribution/test_distribution_daemon.py
@@ -41,7 +41,7 @@
     connection_bounds,
 )
 from violetroute.distribution.http_client import CLIENTS_PER_ADDRESS, HttpClient
-from violetroute.distribution.http_server import CONNECTIONS
+from violetroute.distribution.http_server import MAX_CONNECTIONS
 from violetroute.distribution.messages import (
     Publish,
     Published,
@@ -52,7 +52,7 @@
     Topic,
 )
 from violetroute.distribution.routes import decode_reply, encode
-from violetroute.distribution.service import DistributionService, PurgeCounter
+from violetroute.distribution.service import CountingReceiver, DistributionService
 from violetroute.distribution.table import DistributionTable
 from violetroute.sharing.table import read_keys
 from violetroute.transport import Address, parse_address
@@ -636,7 +636,7 @@
         net = SocketNetwork(asyncio.get_running_loop())
         table = DistributionTable(controls=(stage.controls.addresses[0],))
         services = [
-            DistributionService(table, stage.machines.keys, f"p{n}", "", net, PurgeCounter())
+            DistributionService(table, stage.machines.keys, f"p{n}", "", net, CountingReceiver())
             for n in range(160)
         ]
         try:
@@ -677,7 +677,9 @@
     peers = CLIENTS_PER_ADDRESS * (machines - 1)
     for descriptors in (1024, 4096, 2**20):
         bounds = connection_bounds(descriptors, machines)
-        assert bounds.connections <= min(CONNECTIONS, descriptors - peers - RESERVED_DESCRIPTORS)
+        assert bounds.connections <= min(
+            MAX_CONNECTIONS, descriptors - peers - RESERVED_DESCRIPTORS
+        )
         assert PROXY_CONNECTIONS_MIN <= bounds.proxies < bounds.connections - peers
     needed = RESERVED_DESCRIPTORS + 2 * peers + COMMAND_CONNECTIONS + PROXY_CONNECTIONS_MIN
     assert connection_bounds(needed, machines).proxies == PROXY_CONNECTIONS_MIN
--- a/tests/violetroute/distribution/test_distribution_http.py
+++ b/tests/violetroute/distribution/test_distribution_http.py
@@ -42,7 +42,7 @@
         self.abandoned_tickets.append(ticket)
 
 
-class Told:
+class OnResponse:
     """What a client was told, each time."""
 
     def __init__(self) -> None:
@@ -76,7 +76,7 @@
 async def asked(
     client: HttpClient, body: bytes = b"abc", timeout_s: float = 10.0, path: str = "/poll"
 ) -> tuple[bytes | None, str]:
-    told = Told()
+    told = OnResponse()
     client.request(path, body, timeout_s, told)
     assert not told.calls  # never from within the call
     await until(lambda: told.calls)
@@ -154,7 +154,7 @@
             body = bytes(range(256)) * (MESSAGE_BYTES // 256)
             assert await asked(client, body) == (body[::-1], "")
             answer, _ = await asked(client, body + b"x")
-            assert answer is None and server.long_bodies == 0
+            assert answer is None and server.long_body_bytes == 0
             assert await asked(client, b"ab") == (b"ba", "")  # on a connection of its own
             client.close()
 
@@ -166,11 +166,11 @@
         async with served() as (server, recorder):
             recorder.hold = True
             pool = HttpPool(SocketNetwork(asyncio.get_running_loop()), Keys([KEY]))
-            told = [Told() for _ in range(http_client.CLIENTS_PER_ADDRESS)]
+            told = [OnResponse() for _ in range(http_client.CLIENTS_PER_ADDRESS)]
             for number, each in enumerate(told):
                 pool.request(server.address, "/fetch", b"%d" % number, 10.0, each)
             with pytest.raises(BusyError):
-                pool.request(server.address, "/fetch", b"", 10.0, Told())
+                pool.request(server.address, "/fetch", b"", 10.0, OnResponse())
             await until(lambda: len(recorder.requests) == len(told))
             assert server.connections == len(told)
             for ticket, _, body in reversed(recorder.requests):
@@ -179,7 +179,7 @@
             assert [each.calls for each in told] == [
                 [(b"%d" % number, "")] for number in range(len(told))
             ]
-            pool.request(server.address, "/fetch", b"again", 10.0, again := Told())
+            pool.request(server.address, "/fetch", b"again", 10.0, again := OnResponse())
             await until(lambda: len(recorder.requests) == len(told) + 1)
             assert server.connections == len(told)
             pool.close()
@@ -210,7 +210,7 @@
         async with served() as (server, recorder):
             recorder.hold = True
             client = client_of(server.address)
-            client.request("/poll", b"x", 10.0, told := Told())
+            client.request("/poll", b"x", 10.0, told := OnResponse())
             await until(lambda: recorder.requests)
             ticket = recorder.requests[0][0]
             client.close()
@@ -228,7 +228,7 @@
         async with served() as (server, recorder):
             recorder.hold = True
             client = client_of(server.address)
-            client.request("/poll", b"x", 10.0, told := Told())
+            client.request("/poll", b"x", 10.0, told := OnResponse())
             await until(lambda: recorder.requests)
             server.close()
             await until(lambda: told.calls)
@@ -338,19 +338,19 @@
             await flood(server, b"POST /" + b"y" * 5000, b"y" * 65536)
             await flood(server, b"", b"\x00\xff" * 4000)
             await until(lambda: server.connections == 0)
-            assert server.long_bodies == 0 and not recorder.requests
+            assert server.long_body_bytes == 0 and not recorder.requests
 
     run(play)
 
 
 def test_long_bodies_that_are_not_whole_share_one_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http_server, "LONG_BODIES_BYTES", 300_000)
+    monkeypatch.setattr(http_server, "MAX_LONG_BODIES_BYTES", 300_000)
 
     async def play() -> None:
         async with served() as (server, _):
             first = await connected(server)
             first[1].write(head("/poll", b"", length=400_000) + b"x" * 200_000)
-            await until(lambda: server.long_bodies > 150_000)
+            await until(lambda: server.long_body_bytes > 150_000)
             second = await connected(server)
             second[1].write(head("/poll", b"", length=400_000) + b"x" * 200_000)
             assert (await rest(second[0]))[:12] in (b"HTTP/1.1 503", b"")
@@ -360,7 +360,7 @@
             for _, writer in (first, second):
                 writer.close()
             await until(lambda: server.connections == 0)
-            assert server.long_bodies == 0
+            assert server.long_body_bytes == 0
 
     run(play)
 
@@ -368,9 +368,9 @@
 def test_half_requests_and_idle_connections_end(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(http_server, "REQUEST_S", 0.3)
-    monkeypatch.setattr(http_server, "IDLE_S", 0.3)
-    monkeypatch.setattr(http_server, "SWEEP_S", 0.05)
+    monkeypatch.setattr(http_server, "REQUEST_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(http_server, "IDLE_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(http_server, "SWEEP_INTERVAL_S", 0.05)
 
     async def dribble(writer: asyncio.StreamWriter, data: bytes) -> None:
         """A byte at a time, as long as the server takes it."""
@@ -412,12 +412,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # The server closes for idleness, and the client asks before its loop has read the end.
-    monkeypatch.setattr(http_server, "IDLE_S", 0.1)
-    monkeypatch.setattr(http_server, "SWEEP_S", 0.02)
+    monkeypatch.setattr(http_server, "IDLE_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(http_server, "SWEEP_INTERVAL_S", 0.02)
 
     async def play() -> None:
         async with served() as (server, recorder):
-            client, told = client_of(server.address), Told()
+            client, told = client_of(server.address), OnResponse()
             assert await asked(client) == (b"cba", "")
             gone = server.gone
 
@@ -442,12 +442,12 @@
     # Both count from the same answer: the server from writing it, the client from reading it, which
     # is later by at most the request's own time as long as the client's loop is not late.
     latest_answer_s = SubscriberSettings("p0", "", ()).timeout_s
-    assert http_client.IDLE_S + latest_answer_s <= http_server.IDLE_S - 20.0
+    assert http_client.IDLE_TIMEOUT_S + latest_answer_s <= http_server.IDLE_TIMEOUT_S - 20.0
 
 
 def test_an_answer_that_nobody_takes_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(http_server, "ANSWER_S", 0.3)
-    monkeypatch.setattr(http_server, "SWEEP_S", 0.05)
+    monkeypatch.setattr(http_server, "ANSWER_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(http_server, "SWEEP_INTERVAL_S", 0.05)
 
     async def play() -> None:
         async with served() as (server, recorder):
@@ -639,12 +639,12 @@
         async with served() as (server, recorder):
             recorder.hold = True
             client = client_of(server.address)
-            client.request("/poll", b"x", 10.0, Told())
+            client.request("/poll", b"x", 10.0, OnResponse())
             with pytest.raises(BusyError):
-                client.request("/poll", b"y", 10.0, Told())
+                client.request("/poll", b"y", 10.0, OnResponse())
             client.close()
             with pytest.raises(BusyError):
-                client.request("/poll", b"z", 10.0, Told())
+                client.request("/poll", b"z", 10.0, OnResponse())
 
     run(play)
 
@@ -652,7 +652,7 @@
 def test_a_connection_that_was_idle_for_long_is_not_used_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(http_client, "IDLE_S", 0.0)
+    monkeypatch.setattr(http_client, "IDLE_TIMEOUT_S", 0.0)
 
     async def play() -> None:
         connections = 0
--- a/tests/violetroute/distribution/test_distribution_log.py
+++ b/tests/violetroute/distribution/test_distribution_log.py
@@ -14,8 +14,8 @@
 from violetroute.distribution.machine import Machine
 from violetroute.distribution.messages import (
     BATCH_BYTES,
-    BODY_BYTES,
     CONFIGURATION_KEYS,
+    MAX_BODY_BYTES,
     Batch,
     Fetch,
     FetchReply,
@@ -257,7 +257,7 @@
 def test_too_many_and_too_large_publications_are_refused() -> None:
     cluster = Cluster(3, publications_most=2)
     cluster.lead("m0")
-    large = (Record(Topic.PURGE, "k", b"x" * BODY_BYTES),) * (BATCH_BYTES // BODY_BYTES + 1)
+    large = (Record(Topic.PURGE, "k", b"x" * MAX_BODY_BYTES),) * (BATCH_BYTES // MAX_BODY_BYTES + 1)
     refused = cluster.request("m0", Publish("large", large))
     assert answer(cluster, refused).status == PublishStatus.TOO_LARGE
     tickets = [cluster.publish("m0", f"k{number}") for number in range(3)]
--- a/tests/violetroute/distribution/test_distribution_log_faults.py
+++ b/tests/violetroute/distribution/test_distribution_log_faults.py
@@ -17,7 +17,7 @@
 from violetroute.distribution import followers as followers_module
 from violetroute.distribution import replica as replica_module
 from violetroute.distribution.followers import Followers
-from violetroute.distribution.following import Following
+from violetroute.distribution.following import FetchLoop
 from violetroute.distribution.machine import Machine
 from violetroute.distribution.messages import Fetch, Prepare, Promise, Published, PublishStatus
 from violetroute.distribution.outbox import Outbox
@@ -235,10 +235,10 @@
 
 # --- the rules taken out ---
 def acknowledged_before_durable(patch: pytest.MonkeyPatch) -> None:
-    def next_at(self: Following) -> float:
+    def next_at(self: FetchLoop) -> float:
         return inf if self._outstanding is not None else self._backoff.next_at
 
-    patch.setattr(Following, "next_at", property(next_at))
+    patch.setattr(FetchLoop, "next_at", property(next_at))
 
 
 def promised_before_durable(patch: pytest.MonkeyPatch) -> None:
--- a/tests/violetroute/distribution/test_distribution_replica.py
+++ b/tests/violetroute/distribution/test_distribution_replica.py
@@ -7,7 +7,7 @@
 
 from violetroute.distribution.actions import Answer, MachineSettings, Stored
 from violetroute.distribution.followers import ANSWERS_KNOWN, Followers
-from violetroute.distribution.following import Fetched
+from violetroute.distribution.following import FetchResult
 from violetroute.distribution.messages import (
     CONFIGURATION_KEYS,
     Batch,
@@ -123,7 +123,7 @@
         self, last: int = 1, fence: int = 9, ticket: int = 9, status: FetchStatus = FetchStatus.OK
     ) -> bool:
         """The leader answers a fetch; whether the replica counts again then."""
-        self.recovery.fetched(Fetched(ticket, 0.0, FetchReply(status, fence, last=last)))
+        self.recovery.fetched(FetchResult(ticket, 0.0, FetchReply(status, fence, last=last)))
         return self.recovered()
 
     def recovered(self) -> bool:
--- a/tests/violetroute/distribution/test_distribution_service.py
+++ b/tests/violetroute/distribution/test_distribution_service.py
@@ -28,7 +28,7 @@
     Topic,
 )
 from violetroute.distribution.routes import decode_request, encode
-from violetroute.distribution.service import DistributionService, PurgeCounter
+from violetroute.distribution.service import CountingReceiver, DistributionService
 from violetroute.distribution.table import DistributionTable, restart_is_needed
 from violetroute.hooks import EventHooks
 from violetroute.sharing.wire import Keys
@@ -84,7 +84,7 @@
     return Batch(position, 1, 0, tuple(Record(Topic.PURGE, key) for key in keys))
 
 
-class Receiver(PurgeCounter):
+class Receiver(CountingReceiver):
     """Keeps what it was handed; a key "bad" is a fault."""
 
     __slots__ = ("keys", "reasons")
@@ -100,8 +100,8 @@
             raise RuntimeError("no such shard")
         self.keys.append(key)
 
-    def void_all(self, reason: str) -> None:
-        super().void_all(reason)
+    def invalidate_all(self, reason: str) -> None:
+        super().invalidate_all(reason)
         self.reasons.append(reason)
 
 
@@ -306,7 +306,7 @@
         control = Scripted(ok(purges(1, "a")))
         table = DistributionTable(controls=(control.address,), stale_after_s=0.5)
         net = SocketNetwork(asyncio.get_running_loop())
-        service = DistributionService(table, KEYS, "p0", "", net, PurgeCounter())
+        service = DistributionService(table, KEYS, "p0", "", net, CountingReceiver())
         await until(lambda: lines(caplog, "distribution.fresh"))
         await until(lambda: lines(caplog, "distribution.stale"))
         assert not service.status().fresh and service.status().purges == 1
@@ -323,7 +323,7 @@
 def test_a_fault_of_ours_does_not_end_the_polls(
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("violetroute.distribution.service.FAULT_WAIT_S", 0.05)
+    monkeypatch.setattr("violetroute.distribution.service.ERROR_RETRY_S", 0.05)
 
     async def play() -> None:
         control = Scripted(ok(purges(1, "a")))
@@ -386,7 +386,7 @@
     receiver = HooksReceiver(hooks)
     with pytest.raises(ValueError, match="key"):
         receiver.purge("key")
-    receiver.void_all("why")
+    receiver.invalidate_all("why")
     assert told == ["key", "why"] and (receiver.purges, receiver.voids) == (1, 1)
 
 
@@ -396,7 +396,7 @@
         net = SocketNetwork(asyncio.get_running_loop())
         table = DistributionTable(controls=(control.address,))
         services = [
-            DistributionService(table, KEYS, f"p{number}", "", net, PurgeCounter())
+            DistributionService(table, KEYS, f"p{number}", "", net, CountingReceiver())
             for number in range(200)
         ]
         await until(lambda: len(control.held) == 200)
--- a/tests/violetroute/distribution/test_distribution_session_end.py
+++ b/tests/violetroute/distribution/test_distribution_session_end.py
@@ -37,8 +37,8 @@
 from violetroute.distribution.messages import Poll, PollReply, PollStatus
 from violetroute.distribution.routes import decode_request, encode, path_of
 from violetroute.distribution.session import SessionSettings
-from violetroute.distribution.sessions import ENDED_MOST, Answered
-from violetroute.distribution.subscriber import Ask, Wait
+from violetroute.distribution.sessions import MAX_ENDED_SESSIONS, PollAnswer
+from violetroute.distribution.subscriber import SendPoll, WaitUntil
 
 REPORT_S = SessionSettings().report_s
 LAST = Poll("p", "i1", "r", "L", 3, ends_session=True)
@@ -50,21 +50,21 @@
     give(sub, answer(1, raw(1)), 1.0)
     assert sub.fresh(1.1)
     ask = sub.next(1.2)
-    assert isinstance(ask, Ask) and not ask.poll.ends_session
+    assert isinstance(ask, SendPoll) and not ask.poll.ends_session
     last = sub.end()
     assert last == msgspec.structs.replace(ask.poll, ends_session=True)
     assert not sub.fresh(1.2) and sub.as_of is None
     late = answer(2, raw(2), age_ms=0.0)  # to the poll that was out
     assert sub.replied(1.3, 1.2, ask.address, late) == []
     assert not sub.fresh(1.3) and sub.position == 1
-    assert sub.next(1.4) == Wait(math.inf) and sub.next_at == math.inf and sub.tick(9.0) == []
+    assert sub.next(1.4) == WaitUntil(math.inf) and sub.next_at == math.inf and sub.tick(9.0) == []
     assert sub.end() == last
 
 
 # --- its control machine ---
-def end(machine: Machine, poll: Poll = LAST) -> list[Answered]:
+def end(machine: Machine, poll: Poll = LAST) -> list[PollAnswer]:
     machine.tickets += 1
-    return machine.sessions.polled(1.0, machine.tickets, poll)
+    return machine.sessions.poll_received(1.0, machine.tickets, poll)
 
 
 def test_a_session_that_is_ended_is_dropped_at_once_and_reported_next() -> None:
@@ -83,7 +83,7 @@
     machine = started(3)
     end(machine)
     lost = machine.report(1.3)
-    assert machine.sessions.reported(1.4, lost, None) == []
+    assert machine.sessions.report_replied(1.4, lost, None) == []
     assert machine.report(1.6).ended == (("p", "i1"),)
 
 
@@ -92,7 +92,9 @@
     assert machine.poll(0.0, 3) == []
     report = machine.report(0.1)
     end(machine)
-    assert machine.sessions.reported(1.1, report, None) == []  # it may have been taken all the same
+    assert (
+        machine.sessions.report_replied(1.1, report, None) == []
+    )  # it may have been taken all the same
     again = machine.report(1.3)
     assert again.sessions == () and (again.full or again.ended == (("p", "i1"),))
 
@@ -117,9 +119,9 @@
 
 def test_what_is_remembered_of_ended_processes_is_bounded() -> None:
     machine = Machine()
-    for number in range(ENDED_MOST + 9):
+    for number in range(MAX_ENDED_SESSIONS + 9):
         end(machine, msgspec.structs.replace(LAST, name=f"p{number}"))
-    assert len(machine.sessions._ended) == ENDED_MOST
+    assert len(machine.sessions._ended) == MAX_ENDED_SESSIONS
     assert named(machine.report(1.3)) == []
 
 
--- a/tests/violetroute/distribution/test_distribution_sessions.py
+++ b/tests/violetroute/distribution/test_distribution_sessions.py
@@ -20,7 +20,7 @@
     Snapshot,
 )
 from violetroute.distribution.session import SessionSettings
-from violetroute.distribution.sessions import Answered, Sessions
+from violetroute.distribution.sessions import PollAnswer, Sessions
 
 DROP_S = SessionSettings().drop_after_s
 OK, SNAPSHOT, BEHIND, NOT_READY = PollStatus
@@ -41,15 +41,15 @@
     def base(self) -> LogPoint:
         return LogPoint(1, self.kept_from - 1)
 
-    def after(self, position: int, bytes_most: int) -> list[msgspec.Raw] | None:
+    def after(self, position: int, max_bytes: int) -> list[msgspec.Raw] | None:
         self.asked += 1
         if position + 1 < self.kept_from:
             return None
         found: list[msgspec.Raw] = []
         for number in range(position + 1, self.commit + 1):
             encoded = self.encoded(number)
-            bytes_most -= len(encoded)
-            if bytes_most < 0:
+            max_bytes -= len(encoded)
+            if max_bytes < 0:
                 break
             found.append(msgspec.Raw(encoded))
         return found
@@ -78,29 +78,29 @@
 
     def poll(
         self, now: float, position: int = 0, name: str = "p", log: str = "L"
-    ) -> list[Answered]:
+    ) -> list[PollAnswer]:
         self.tickets += 1
         poll = Poll(name, "i1", "r", log, position)
-        return self.sessions.polled(now, self.tickets, poll)
+        return self.sessions.poll_received(now, self.tickets, poll)
 
     def report(self, now: float, fence: int = 1) -> Report:
-        report = self.sessions.report_due(now, fence)
+        report = self.sessions.next_report(now, fence)
         assert report is not None
         return report
 
     def register(
         self, now: float, commit: int | None = None, age_ms: float = 50.0
-    ) -> list[Answered]:
+    ) -> list[PollAnswer]:
         commit = self.log.commit if commit is None else commit
         report = self.report(now)
-        return self.sessions.reported(now, report, ReportReply(True, 1, commit, age_ms))
+        return self.sessions.report_replied(now, report, ReportReply(True, 1, commit, age_ms))
 
-    def commit(self, now: float, commit: int) -> list[Answered]:
+    def commit(self, now: float, commit: int) -> list[PollAnswer]:
         self.log.commit = commit
-        return self.sessions.advanced(now)
+        return self.sessions.commit_advanced(now)
 
 
-def one(answers: list[Answered]) -> PollReply:
+def one(answers: list[PollAnswer]) -> PollReply:
     (answered,) = answers
     return answered.reply
 
@@ -132,7 +132,7 @@
 def test_no_other_reply_registers_or_gives_an_age(reply: ReportReply | None) -> None:
     machine = Machine()
     machine.poll(0.0)
-    assert machine.sessions.reported(0.1, machine.report(0.1), reply) == []
+    assert machine.sessions.report_replied(0.1, machine.report(0.1), reply) == []
     assert machine.sessions.as_of is None
     assert one(machine.sessions.tick(0.8)).status == NOT_READY
 
@@ -163,7 +163,7 @@
 def test_a_second_incarnation_is_another_session() -> None:
     machine = started()
     poll = Poll("p", "i2", "r", "", 0)
-    assert machine.sessions.polled(0.2, 99, poll) == [] and len(machine.sessions) == 2
+    assert machine.sessions.poll_received(0.2, 99, poll) == [] and len(machine.sessions) == 2
     report = machine.report(0.4)
     assert [(s.name, s.incarnation) for s in report.sessions] == [("p", "i2")]
 
@@ -228,11 +228,11 @@
 
 
 def test_the_number_of_sessions_is_bounded() -> None:
-    machine = Machine(settings=SessionSettings(sessions_most=2))
+    machine = Machine(settings=SessionSettings(max_sessions=2))
     assert machine.poll(0.0, name="a") == [] and machine.poll(0.0, name="b") == []
     assert one(machine.poll(0.0, name="c")).status == NOT_READY and len(machine.sessions) == 2
-    with pytest.raises(ValueError, match="sessions_most"):
-        SessionSettings(sessions_most=4097)
+    with pytest.raises(ValueError, match="max_sessions"):
+        SessionSettings(max_sessions=4097)
 
 
 def test_a_quiet_log_leaves_no_trace_of_ended_polls() -> None:
@@ -243,9 +243,9 @@
         machine.sessions.tick(now + 0.5)
         now += 1.0
         machine.sessions.tick(now)
-        report = machine.sessions.report_due(now, 1)
+        report = machine.sessions.next_report(now, 1)
         if report is not None:
-            machine.sessions.reported(now, report, ReportReply(True, 1, 0, 1.0))
+            machine.sessions.report_replied(now, report, ReportReply(True, 1, 0, 1.0))
     assert len(machine.sessions._waiting) < 200 and len(machine.sessions._timers) < 10
 
 
@@ -440,7 +440,7 @@
     machine = Machine()
     machine.poll(0.0)
     report = machine.report(0.1)
-    reply = one(machine.sessions.reported(0.4, report, ReportReply(True, 1, 0, 50.0)))
+    reply = one(machine.sessions.report_replied(0.4, report, ReportReply(True, 1, 0, 50.0)))
     assert reply.age_ms == pytest.approx(350.0)
 
 
@@ -470,9 +470,9 @@
     machine = started()
     for step in range(1, 12):
         machine.poll(0.1 + step * 0.5)
-        report = machine.sessions.report_due(0.1 + step * 0.5, 1)
+        report = machine.sessions.next_report(0.1 + step * 0.5, 1)
         if report is not None:
-            machine.sessions.reported(0.1 + step * 0.5, report, None)
+            machine.sessions.report_replied(0.1 + step * 0.5, report, None)
         machine.log.commit = step
         reply = one(
             machine.sessions.tick(0.55 + step * 0.5) or machine.commit(0.55 + step * 0.5, step)
@@ -483,14 +483,14 @@
 # --- reports ---
 def test_reports_are_paced_and_beat_without_a_change() -> None:
     machine = started()
-    assert machine.sessions.report_due(0.34, 1) is None
+    assert machine.sessions.next_report(0.34, 1) is None
     assert machine.report(0.35).sessions == ()
 
 
 def test_a_change_is_reported_earlier_than_the_heartbeat() -> None:
     machine = started()
     machine.poll(0.2, position=0, name="q")
-    assert machine.sessions.report_due(0.29, 1) is None
+    assert machine.sessions.next_report(0.29, 1) is None
     report = machine.report(0.31)
     assert not report.full and named(report) == ["q"] and report.number == 2
 
@@ -500,11 +500,11 @@
     machine.poll(0.0, name="a")
     machine.poll(0.0, name="b")
     assert named(machine.report(0.1)) == ["a", "b"]
-    machine.sessions.reported(0.1, Report("m", "i", 1, 1, True), ReportReply(True, 1, 5, 1.0))
+    machine.sessions.report_replied(0.1, Report("m", "i", 1, 1, True), ReportReply(True, 1, 5, 1.0))
     machine.poll(0.2, position=5, name="b")
     report = machine.report(0.4)
     assert named(report) == ["b"] and report.sessions[0].position == 5
-    machine.sessions.reported(0.4, report, ReportReply(True, 1, 5, 1.0))
+    machine.sessions.report_replied(0.4, report, ReportReply(True, 1, 5, 1.0))
     assert named(machine.report(0.7)) == []
 
 
@@ -512,8 +512,8 @@
     machine = started()
     machine.poll(0.2, name="q")
     first = machine.report(0.4)
-    assert machine.sessions.report_due(5.0, 1) is None  # one on its way
-    machine.sessions.reported(0.9, first, None)
+    assert machine.sessions.next_report(5.0, 1) is None  # one on its way
+    machine.sessions.report_replied(0.9, first, None)
     machine.poll(0.9, name="z")
     second = machine.report(1.0)
     assert sorted(named(second)) == ["q", "z"] and second.number == first.number + 1
@@ -524,10 +524,10 @@
     end = 0.1 + DROP_S + 0.01
     report = machine.report(end)
     assert report.ended == (("p", "i1"),) and len(machine.sessions) == 0
-    machine.sessions.reported(end, report, None)
+    machine.sessions.report_replied(end, report, None)
     again = machine.report(end + 0.3)
     assert again.ended == (("p", "i1"),)
-    machine.sessions.reported(end + 0.3, again, ReportReply(True, 1, 0, 1.0))
+    machine.sessions.report_replied(end + 0.3, again, ReportReply(True, 1, 0, 1.0))
     assert machine.report(end + 0.6).ended == ()
 
 
@@ -537,7 +537,7 @@
     lost = machine.report(end)
     machine.poll(end + 0.1)
     assert machine.commit(end + 0.15, 1) == []
-    machine.sessions.reported(end + 0.2, lost, None)
+    machine.sessions.report_replied(end + 0.2, lost, None)
     report = machine.report(end + 0.3)
     assert report.ended == () and named(report) == ["p"]
 
@@ -546,17 +546,17 @@
     machine = started()
     delta = machine.report(0.4)
     assert not delta.full
-    machine.sessions.reported(0.4, delta, ReportReply(True, 1, 0, -1.0, True))
+    machine.sessions.report_replied(0.4, delta, ReportReply(True, 1, 0, -1.0, True))
     full = machine.report(0.7)
     assert full.full and named(full) == ["p"]
-    machine.sessions.reported(0.7, full, ReportReply(True, 1, 0, 1.0))
+    machine.sessions.report_replied(0.7, full, ReportReply(True, 1, 0, 1.0))
     other = machine.report(0.71, fence=2)
     assert other.full and other.fence == 2 and named(other) == ["p"]
 
 
 def test_a_full_report_that_was_lost_is_sent_again_in_full() -> None:
     machine = Machine()
-    machine.sessions.reported(0.1, machine.report(0.1), None)
+    machine.sessions.report_replied(0.1, machine.report(0.1), None)
     assert machine.report(0.4).full
 
 
@@ -565,14 +565,14 @@
     machine.poll(0.0)
     old = machine.report(0.1, fence=1)
     machine.report(0.1, fence=2)
-    assert machine.sessions.reported(0.2, old, ReportReply(True, 1, 0, 1.0)) == []
+    assert machine.sessions.report_replied(0.2, old, ReportReply(True, 1, 0, 1.0)) == []
     assert machine.sessions.as_of is None
 
 
 def test_an_earlier_leader_gets_no_report_any_more() -> None:
     machine = Machine()
-    machine.sessions.reported(0.1, machine.report(0.1, fence=2), None)
-    assert machine.sessions.report_due(1.0, 1) is None
+    machine.sessions.report_replied(0.1, machine.report(0.1, fence=2), None)
+    assert machine.sessions.next_report(1.0, 1) is None
 
 
 def test_reports_tell_how_long_the_machine_has_been_running() -> None:
@@ -584,7 +584,7 @@
     refused = tuple((number, "r" * 300) for number in range(16))
     for index in range(4096):
         poll = Poll(f"{index:064}", "i" * 64, "r" * 64, "L", 0, refused)
-        machine.sessions.polled(0.0, index, poll)
+        machine.sessions.poll_received(0.0, index, poll)
     assert len(msgspec.msgpack.encode(machine.report(0.1))) < MESSAGE_BYTES
 
 
--- a/tests/violetroute/distribution/test_distribution_storage.py
+++ b/tests/violetroute/distribution/test_distribution_storage.py
@@ -24,7 +24,7 @@
     Stored,
     TruncateAfter,
 )
-from violetroute.distribution.frames import HEAD, decode_frames, encode_frame
+from violetroute.distribution.frames import HEADER, decode_frames, encode_frame
 from violetroute.distribution.messages import Batch, LogPoint, Record, Snapshot, Topic
 from violetroute.distribution.persister import Persister
 from violetroute.distribution.storage import Storage, StorageError, init_folder
@@ -185,7 +185,7 @@
     frame = encode_frame(b"x" * 300)
     for tail in (
         bytes(len(frame)),  # the length was kept and none of the blocks
-        bytes(HEAD.size) + frame[HEAD.size :],  # all but the first block
+        bytes(HEADER.size) + frame[HEADER.size :],  # all but the first block
         frame[:-100] + bytes(100),  # all but the last one
         b"\xff" * 50,
     ):
@@ -199,7 +199,7 @@
     segment = path / FIRST
     data = segment.read_bytes()
     bodies = decode_frames(data).bodies
-    last = len(data) - HEAD.size - len(bodies[-1])
+    last = len(data) - HEADER.size - len(bodies[-1])
     for place in range(last):
         segment.write_bytes(data[:place] + bytes([data[place] ^ 0x41]) + data[place + 1 :])
         with pytest.raises(StorageError) as refused:
--- a/tests/violetroute/distribution/test_distribution_subscriber.py
+++ b/tests/violetroute/distribution/test_distribution_subscriber.py
@@ -25,16 +25,16 @@
     Snapshot,
 )
 from violetroute.distribution.subscriber import (
-    REFUSALS_MOST,
+    MAX_REFUSALS,
     Apply,
-    Ask,
     BecameFresh,
     BecameStale,
     Effect,
-    Gap,
+    InvalidateAll,
+    SendPoll,
+    SequenceGap,
     Subscriber,
-    VoidAll,
-    Wait,
+    WaitUntil,
 )
 
 CONTROLS = tuple(Control(f"c{index}:1", f"r{index}") for index in range(4))
@@ -64,7 +64,7 @@
 
 def give(sub: Subscriber, reply: PollReply | None, now: float = 1.0) -> list[Effect]:
     ask = sub.next(now)
-    assert isinstance(ask, Ask)
+    assert isinstance(ask, SendPoll)
     return sub.replied(now + 0.1, now, ask.address, reply)
 
 
@@ -74,7 +74,7 @@
 
 def asked(sub: Subscriber, now: float) -> str:
     ask = sub.next(now)
-    assert isinstance(ask, Ask)
+    assert isinstance(ask, SendPoll)
     return ask.address
 
 
@@ -82,7 +82,7 @@
     """Poll with answers from `well` only, until one comes: the time and who gave it."""
     while True:
         step = sub.next(now)
-        if isinstance(step, Wait):
+        if isinstance(step, WaitUntil):
             now = step.until
             continue
         good = step.address in well
@@ -96,13 +96,13 @@
     sub = subscriber()
     assert applied(give(sub, ok(2, raw(1), raw(2)))) == [1, 2]
     ask = sub.next(2.0)
-    assert isinstance(ask, Ask) and ask.poll.position == 2 and ask.poll.log == "L"
+    assert isinstance(ask, SendPoll) and ask.poll.position == 2 and ask.poll.log == "L"
 
 
 def test_a_gap_is_not_applied_and_nothing_after_it() -> None:
     sub = subscriber()
     effects = give(sub, ok(4, raw(1), raw(3), raw(2)))
-    assert applied(effects) == [1] and Gap(2, 3) in effects
+    assert applied(effects) == [1] and SequenceGap(2, 3) in effects
     assert sub.position == 1 and sub.as_of is None
     assert asked(sub, 2.0) != preference("p1", "r0", CONTROLS)[0].address
 
@@ -117,7 +117,7 @@
     sub = subscriber()
     give(sub, ok(1, raw(1, fence=5)))
     effects = give(sub, ok(2, raw(2, fence=4)))
-    assert applied(effects) == [] and Gap(2, 2) in effects
+    assert applied(effects) == [] and SequenceGap(2, 2) in effects
     assert applied(give(sub, ok(2, raw(2, fence=5)), 2.0)) == [2]
 
 
@@ -125,7 +125,7 @@
 def test_an_undecodable_batch_ends_the_answer(body: bytes) -> None:
     sub = subscriber()
     effects = give(sub, ok(3, raw(1), msgspec.Raw(body), raw(2)))
-    assert applied(effects) == [1] and Gap(2, None) in effects
+    assert applied(effects) == [1] and SequenceGap(2, None) in effects
 
 
 def test_an_answer_of_another_log_is_not_applied() -> None:
@@ -139,7 +139,7 @@
 def test_a_snapshot_voids_all_and_goes_on_from_its_base() -> None:
     sub = subscriber()
     effects = give(sub, snapshot(7, 1, "L", raw(8)))
-    assert isinstance(effects[0], VoidAll) and applied(effects) == [7, 8]
+    assert isinstance(effects[0], InvalidateAll) and applied(effects) == [7, 8]
     assert isinstance(effects[1], Apply) and effects[1].batch.records[0].key == "table"
     assert sub.position == 8 and sub.fresh(1.1)
 
@@ -160,7 +160,7 @@
     sub = subscriber()
     give(sub, ok(2, raw(1, fence=5), raw(2, fence=5)))
     effects = give(sub, snapshot(1, fence=1, log="M"))
-    assert isinstance(effects[0], VoidAll) and sub.position == 1
+    assert isinstance(effects[0], InvalidateAll) and sub.position == 1
     assert applied(give(sub, ok(2, raw(2), log="M"), 2.0)) == [2]
 
 
@@ -266,7 +266,7 @@
     for number in range(1, 9):
         sub.replied(now, now, order[number % 4], None)
         step = sub.next(now)
-        assert isinstance(step, Wait)
+        assert isinstance(step, WaitUntil)
         pauses.append(step.until - now)
         now = step.until
         assert asked(sub, now) == order[(number + 1) % 4]
@@ -281,7 +281,7 @@
         for address in [control.address for control in preference("p1", "r0", CONTROLS)][:3]:
             sub.replied(0.0, 0.0, address, None)
         step = sub.next(0.0)
-        assert isinstance(step, Wait)
+        assert isinstance(step, WaitUntil)
         untils.add(round(step.until, 6))
     assert len(untils) > 15
 
@@ -308,7 +308,7 @@
     assert second == order[1]
     assert asked(sub, now + TRIAL_FIRST_S * 0.4) == order[1]
     ask = sub.next(now + TRIAL_FIRST_S * 1.6)
-    assert isinstance(ask, Ask) and ask.address == order[0] and ask.timeout_s < 1.5
+    assert isinstance(ask, SendPoll) and ask.address == order[0] and ask.timeout_s < 1.5
     sub.replied(now, now, order[0], ok(0))
     assert asked(sub, now) == order[0]
 
@@ -341,8 +341,8 @@
     well = True
     while now < 600:
         step = sub.next(now)
-        now = max(now + 0.4, step.until if isinstance(step, Wait) else 0)
-        if isinstance(step, Wait):
+        now = max(now + 0.4, step.until if isinstance(step, WaitUntil) else 0)
+        if isinstance(step, WaitUntil):
             continue
         if step.address == order[0]:
             visits += well
@@ -378,10 +378,10 @@
         sub.refuse(position, "x" * 1000)
     for now in (1.0, 2.0):
         ask = sub.next(now)
-        assert isinstance(ask, Ask)
+        assert isinstance(ask, SendPoll)
         refused = ask.poll.refused
         assert [position for position, _ in refused] == list(range(4, 20))
-        assert len(refused) == REFUSALS_MOST and all(len(reason) == 300 for _, reason in refused)
+        assert len(refused) == MAX_REFUSALS and all(len(reason) == 300 for _, reason in refused)
         msgspec.msgpack.decode(msgspec.msgpack.encode(ask.poll), type=type(ask.poll))
 
 
@@ -389,7 +389,7 @@
     sub = subscriber()
     give(sub, ok(2, raw(1), raw(2)))
     before, as_of = sub.next(2.0), sub.as_of
-    assert isinstance(before, Ask)
+    assert isinstance(before, SendPoll)
     sub.configure((Control("n1:1", "r0"), Control("n2:1", "r1")))
     assert (sub.position, sub.as_of) == (2, as_of)
     assert applied(sub.replied(2.1, 2.0, before.address, ok(3, raw(3)))) == [3]
--- a/tests/violetroute/distribution/test_distribution_unauthenticated_bodies.py
+++ b/tests/violetroute/distribution/test_distribution_unauthenticated_bodies.py
@@ -21,7 +21,7 @@
 from violetroute.distribution.http_server import SHORT_BODY_BYTES, TOO_LONG, HttpServer
 from violetroute.distribution.messages import MESSAGE_BYTES
 from violetroute.distribution.unauthenticated import (
-    UNAUTHENTICATED_BYTES,
+    MAX_UNAUTHENTICATED_BYTES,
     UnauthenticatedConnections,
 )
 
@@ -45,7 +45,7 @@
     for _, writer in strangers:
         writer.close()
     await until(lambda: server.connections == 0)
-    assert server.unauthenticated.body_bytes == 0 == server.long_bodies
+    assert server.unauthenticated.body_bytes == 0 == server.long_body_bytes
 
 
 def test_bodies_of_strangers_are_bounded_and_those_with_the_key_get_through(
@@ -60,10 +60,10 @@
             strangers = []
             for _ in range(STRANGERS):
                 strangers.append(await half_body(server))
-                assert server.unauthenticated.body_bytes <= UNAUTHENTICATED_BYTES
-                assert server.long_bodies <= UNAUTHENTICATED_BYTES
+                assert server.unauthenticated.body_bytes <= MAX_UNAUTHENTICATED_BYTES
+                assert server.long_body_bytes <= MAX_UNAUTHENTICATED_BYTES
                 assert await asked(machine) == (b"cba", "")
-            assert server.unauthenticated.body_bytes > UNAUTHENTICATED_BYTES - STRANGERS_BODY
+            assert server.unauthenticated.body_bytes > MAX_UNAUTHENTICATED_BYTES - STRANGERS_BODY
             publisher = client_of(server.address)
             answer, why = await asked(publisher, PUBLICATION, path="/publish")
             assert (answer, why) == (PUBLICATION, "")
@@ -83,12 +83,12 @@
     async def play() -> None:
         async with served() as (server, _):
             size, bound = SHORT_BODY_BYTES - 1, 10 * SHORT_BODY_BYTES
-            server.unauthenticated = UnauthenticatedConnections(body_bytes_most=bound)
+            server.unauthenticated = UnauthenticatedConnections(max_body_bytes=bound)
             strangers = []
             for _ in range(20):
                 strangers.append(await half_body(server, size))
                 assert server.unauthenticated.body_bytes <= bound
-            assert server.long_bodies == 0 and server.connections == bound // size
+            assert server.long_body_bytes == 0 and server.connections == bound // size
             await hang_up(server, strangers)
 
     run(play)
@@ -109,7 +109,7 @@
                 await until(lambda: server.traffic.bytes_in >= arrived)  # noqa: B023
                 if start + part < len(data):
                     strangers.append(await half_body(server))
-                assert server.unauthenticated.body_bytes <= UNAUTHENTICATED_BYTES
+                assert server.unauthenticated.body_bytes <= MAX_UNAUTHENTICATED_BYTES
             assert [body for _, _, body in recorder.requests] == [PUBLICATION]
             writer.close()
             await hang_up(server, strangers)
@@ -138,7 +138,7 @@
 
 
 def test_the_bodies_that_began_first_go_until_the_rest_is_within_the_bound() -> None:
-    connections = UnauthenticatedConnections[str](body_bytes_most=100)
+    connections = UnauthenticatedConnections[str](max_body_bytes=100)
     for name in "abcd":
         connections.add(name)
     assert connections.add_to_body("b", 30) == [] == connections.add_to_body("a", 40)
--- a/violetroute/distribution/actions.py
+++ b/violetroute/distribution/actions.py
@@ -168,7 +168,7 @@
     heartbeat_s: float = 0.25  # most time between two reports
     delta_bytes: int = 128 * 1024  # a proxy that lacks more gets a snapshot
     catch_up_bytes_per_s: float = 4500.0  # for who lacks what was committed `stale_after_s` ago
-    sessions_most: int = SESSIONS_PER_REPORT
+    max_sessions: int = SESSIONS_PER_REPORT
 
     def sessions(self) -> SessionSettings:
         """The part of them that concerns the proxies' sessions."""
@@ -181,5 +181,5 @@
             drift=self.drift,
             delta_bytes=self.delta_bytes,
             catch_up_bytes_per_s=self.catch_up_bytes_per_s,
-            sessions_most=self.sessions_most,
+            max_sessions=self.max_sessions,
         )
--- a/violetroute/distribution/configuration.py
+++ b/violetroute/distribution/configuration.py
@@ -22,7 +22,7 @@
 from violetroute.error_text import one_line
 
 from .configuration_change import ConfigurationChange
-from .messages import BODY_BYTES, Record
+from .messages import MAX_BODY_BYTES, Record
 
 # The tables that can be published, and those of their keys that stay each file's own.
 LOCAL_KEYS: Mapping[str, frozenset[str]] = MappingProxyType(
@@ -86,7 +86,7 @@
 
 # Reads the operator's file anew, checks it whole with these tables, and takes it on.  Answers with
 # the reason for which it cannot be used, in one line, or with "".
-TakeOn = Callable[[PublishedTables], str]
+ApplyTables = Callable[[PublishedTables], str]
 
 
 class PublishedConfiguration:
@@ -94,7 +94,7 @@
 
     __slots__ = ("_accepted", "_take_on", "_wanted")
 
-    def __init__(self, take_on: TakeOn) -> None:
+    def __init__(self, take_on: ApplyTables) -> None:
         self._take_on = take_on
         self._accepted = PublishedTables()
         self._wanted = PublishedTables()  # the log's, those that were refused among them
@@ -151,8 +151,8 @@
 def parse_table(name: str, body: bytes) -> TomlTable:
     """A table of the operator's file from its TOML text.  TableRefusedError."""
     check_name(name)
-    if len(body) > BODY_BYTES:
-        raise TableRefusedError(f"[{name}] has more than {BODY_BYTES} bytes")
+    if len(body) > MAX_BODY_BYTES:
+        raise TableRefusedError(f"[{name}] has more than {MAX_BODY_BYTES} bytes")
     try:
         table = tomllib.loads(body.decode())
     except (ValueError, RecursionError) as error:
--- a/violetroute/distribution/configuration_sizes.py
+++ b/violetroute/distribution/configuration_sizes.py
@@ -29,7 +29,7 @@
                 self._sizes[key] = size
                 self._bytes += size - known
 
-    def fit(self, records: Iterable[Record]) -> bool:
+    def fits(self, records: Iterable[Record]) -> bool:
         """Whether a snapshot of the log can hold these too."""
         largest = _largest(records)
         added = sum(max(0, size - self._sizes.get(key, 0)) for key, size in largest.items())
--- a/violetroute/distribution/descriptors.py
+++ b/violetroute/distribution/descriptors.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 
 from .http_client import CLIENTS_PER_ADDRESS
-from .http_server import CONNECTIONS
+from .http_server import MAX_CONNECTIONS
 
 RESERVED_DESCRIPTORS = 64  # standard streams, loop, listeners, callers of the local socket, the
 #                            lease's store, the log
@@ -31,9 +31,9 @@
 
 
 def soft_limit() -> int:
-    """Descriptors that this process may have; CONNECTIONS and all reserves if there is no limit."""
+    """Descriptors that this process may have; twice MAX_CONNECTIONS if there is no limit."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return 2 * CONNECTIONS if soft == resource.RLIM_INFINITY else soft
+    return 2 * MAX_CONNECTIONS if soft == resource.RLIM_INFINITY else soft
 
 
 def connection_bounds(descriptors: int, machines: int) -> ConnectionBounds:
@@ -42,7 +42,7 @@
     ValueError, one line, where they are too few.
     """
     peers = CLIENTS_PER_ADDRESS * (machines - 1)  # connections that they open, and as many to them
-    connections = min(CONNECTIONS, descriptors - RESERVED_DESCRIPTORS - peers)
+    connections = min(MAX_CONNECTIONS, descriptors - RESERVED_DESCRIPTORS - peers)
     proxies = connections - peers - COMMAND_CONNECTIONS
     if proxies < PROXY_CONNECTIONS_MIN:
         needed = descriptors + PROXY_CONNECTIONS_MIN - proxies
--- a/violetroute/distribution/following.py
+++ b/violetroute/distribution/following.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outstanding:
+class OutstandingFetch:
     """A fetch that has not been answered yet."""
 
     ticket: int
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fetched:
+class FetchResult:
     """A reply of the leader that is followed; it has been applied."""
 
     ticket: int
@@ -38,7 +38,7 @@
     reply: FetchReply
 
 
-class Following:
+class FetchLoop:
     """The fetch loop of one replica."""
 
     __slots__ = (
@@ -67,7 +67,7 @@
         self._replica = replica
         self._outbox = outbox
         self._backoff = Backoff(settings.retry_s, random, now)
-        self._outstanding: Outstanding | None = None
+        self._outstanding: OutstandingFetch | None = None
         self._answered = 0  # number of the leader's last answer
         self._turn = 0  # whom of the others to ask next
 
@@ -103,7 +103,7 @@
         )
         to = self._target()
         ticket = self._outbox.send(to, fetch, self._timeout_s)
-        self._outstanding = Outstanding(ticket, to, fetch, now)
+        self._outstanding = OutstandingFetch(ticket, to, fetch, now)
 
     def _target(self) -> str:
         if self.leader and self._backoff.failures % 2 == 0:
@@ -115,7 +115,7 @@
         """Whether the reply with this ticket is to the outstanding fetch."""
         return self._outstanding is not None and self._outstanding.ticket == ticket
 
-    def replied(self, now: float, reply: Reply | None) -> Fetched | None:
+    def replied(self, now: float, reply: Reply | None) -> FetchResult | None:
         """The reply to the outstanding fetch; what the leader told, if it came from the leader."""
         outstanding, self._outstanding = self._outstanding, None
         assert outstanding is not None
@@ -131,9 +131,9 @@
         self._outbox.persist(changes)
         self._answered = reply.number
         self._backoff.succeeded(now)
-        return Fetched(outstanding.ticket, outstanding.sent_at, reply)
+        return FetchResult(outstanding.ticket, outstanding.sent_at, reply)
 
-    def _is_leaders(self, outstanding: Outstanding, reply: FetchReply) -> bool:
+    def _is_leaders(self, outstanding: OutstandingFetch, reply: FetchReply) -> bool:
         return (
             reply.status != FetchStatus.NOT_LEADER
             and reply.fence == self._replica.fence == outstanding.fetch.fence
--- a/violetroute/distribution/frames.py
+++ b/violetroute/distribution/frames.py
@@ -21,9 +21,9 @@
 from dataclasses import dataclass
 
 MAGIC = b"LBd1"
-HEAD = struct.Struct("<4sIII")
-CHECKED = HEAD.size - 4  # bytes of the head that its own CRC covers
-BODY_BYTES = 256 * 1024 * 1024  # of a frame
+HEADER = struct.Struct("<4sIII")
+CHECKED = HEADER.size - 4  # bytes of the head that its own CRC covers
+MAX_BODY_BYTES = 256 * 1024 * 1024  # of a frame
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,8 +36,8 @@
 
 
 def encode_frame(body: bytes) -> bytes:
-    """ValueError for a body of more than BODY_BYTES."""
-    if not 0 < len(body) <= BODY_BYTES:
+    """ValueError for a body of more than MAX_BODY_BYTES."""
+    if not 0 < len(body) <= MAX_BODY_BYTES:
         raise ValueError(f"a frame of {len(body)} bytes")
     checked = struct.pack("<4sII", MAGIC, len(body), zlib.crc32(body))
     return b"%b%b%b" % (checked, struct.pack("<I", zlib.crc32(checked)), body)
@@ -49,18 +49,18 @@
     place = 0
     while (body := _frame_at(data, place)) is not None:
         bodies.append(body)
-        place += HEAD.size + len(body)
+        place += HEADER.size + len(body)
     return Frames(bodies, place, place < len(data) and _whole_frame_after(data, place))
 
 
 def _frame_at(data: bytes, place: int) -> bytes | None:
     """The body of the frame that begins there; None where there is no whole one."""
-    if len(data) - place < HEAD.size:
+    if len(data) - place < HEADER.size:
         return None
-    magic, length, body_check, head_check = HEAD.unpack_from(data, place)
+    magic, length, body_check, head_check = HEADER.unpack_from(data, place)
     if magic != MAGIC or zlib.crc32(data[place : place + CHECKED]) != head_check:
         return None
-    body = data[place + HEAD.size : place + HEAD.size + length]
+    body = data[place + HEADER.size : place + HEADER.size + length]
     if not body or len(body) < length or zlib.crc32(body) != body_check:
         return None
     return body
--- a/violetroute/distribution/http_client.py
+++ b/violetroute/distribution/http_client.py
@@ -21,14 +21,16 @@
 from violetroute.transport import Address, Network, Stream
 
 from .messages import MESSAGE_BYTES
-from .signing import HEADER, HEADER_NAME, RequestSignature, answer_is_genuine, sign_request
+from .signing import HEADER, HEADER_NAME, RequestSignature, sign_request, verify_answer
 from .traffic import HEADER_BYTES, READ_BUFFER, Traffic
 
-IDLE_S = 30.0  # after which a kept connection is not used again; less than the server's bound
+IDLE_TIMEOUT_S = (
+    30.0  # after which a kept connection is not used again; less than the server's bound
+)
 CLIENTS_PER_ADDRESS = 8  # of a pool
 OK = 200
 
-Told = Callable[[bytes | None, str], None]  # the answer's body, or why there is none
+OnResponse = Callable[[bytes | None, str], None]  # the answer's body, or why there is none
 
 
 class BusyError(Exception):
@@ -56,7 +58,7 @@
         self._net, self._address, self._keys = net, address, keys
         self.traffic = traffic if traffic is not None else Traffic()
         self._connection: _Connection | None = None
-        self._told: Told | None = None
+        self._told: OnResponse | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._idle_since = 0.0
         self._closed = False
@@ -66,7 +68,7 @@
         """Whether a request is under way."""
         return self._told is not None
 
-    def request(self, path: str, body: bytes, timeout_s: float, told: Told) -> None:
+    def request(self, path: str, body: bytes, timeout_s: float, told: OnResponse) -> None:
         """POST `body` to `path`.  BusyError while another request is under way."""
         if self._told is not None or self._closed:
             raise BusyError
@@ -75,7 +77,7 @@
         loop = self._net.loop
         self._timer = loop.call_later(timeout_s, self._failed, "no answer in time")
         connection = self._connection
-        if connection is None or loop.time() - self._idle_since > IDLE_S:
+        if connection is None or loop.time() - self._idle_since > IDLE_TIMEOUT_S:
             self._disconnect()
             connection = self._connection = _Connection(self, self._net, self._address, timeout_s)
         connection.send(path, body, sign_request(self._keys, path, body))
@@ -102,7 +104,7 @@
             self.traffic.failures += 1
             told(None, reason)
 
-    def _finish(self) -> Told | None:
+    def _finish(self) -> OnResponse | None:
         told, self._told = self._told, None
         if self._timer is not None:
             self._timer.cancel()
@@ -246,7 +248,7 @@
         self._body.clear()
         if self._status != OK:
             self._fail(f"status {self._status}")
-        elif not answer_is_genuine(client._keys, signature, self._mac, body):
+        elif not verify_answer(client._keys, signature, self._mac, body):
             self._fail("the answer is not signed by our key for this request")
         else:
             keep = self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
@@ -267,7 +269,7 @@
         self._clients: dict[Address, list[HttpClient]] = {}
 
     def request(
-        self, address: Address, path: str, body: bytes, timeout_s: float, told: Told
+        self, address: Address, path: str, body: bytes, timeout_s: float, told: OnResponse
     ) -> None:
         """As `HttpClient.request`.  BusyError when CLIENTS_PER_ADDRESS requests are under way."""
         clients = self._clients.setdefault(address, [])
--- a/violetroute/distribution/http_server.py
+++ b/violetroute/distribution/http_server.py
@@ -31,23 +31,23 @@
     HEADER_NAME,
     RequestSignature,
     parse_request_header,
-    request_is_genuine,
     sign_answer,
+    verify_request,
 )
-from .traffic import HEADER_BYTES, READ_BUFFER, Pacer, Traffic
+from .traffic import HEADER_BYTES, READ_BUFFER, LogThrottle, Traffic
 from .unauthenticated import UnauthenticatedConnections
 
-CONNECTIONS = 4096
+MAX_CONNECTIONS = 4096
 BACKLOG = 1024
-REQUEST_S = 10.0  # from a request's first byte, or the connection's begin, to its last byte
-IDLE_S = 60.0  # between an answer and the next request
-ANSWER_S = 20.0  # for the peer to take an answer
-SWEEP_S = 1.0  # between two looks at these times
-SHORT_BODY_BYTES = 16 * 1024  # up to here a body does not count towards LONG_BODIES_BYTES
-LONG_BODIES_BYTES = 64 * 1024 * 1024  # of all long bodies that are not whole yet
-ACCEPTED_PER_TURN = 64  # of the loop: what is open has to be served meanwhile
-ACCEPT_AGAIN_S = 1.0  # after the descriptors ran out
-PATH_BYTES = 64
+REQUEST_TIMEOUT_S = 10.0  # from a request's first byte, or the connection's begin, to its last byte
+IDLE_TIMEOUT_S = 60.0  # between an answer and the next request
+ANSWER_TIMEOUT_S = 20.0  # for the peer to take an answer
+SWEEP_INTERVAL_S = 1.0  # between two looks at these times
+SHORT_BODY_BYTES = 16 * 1024  # up to here a body does not count towards MAX_LONG_BODIES_BYTES
+MAX_LONG_BODIES_BYTES = 64 * 1024 * 1024  # of all long bodies that are not whole yet
+MAX_ACCEPTS_PER_ITERATION = 64  # of the loop: what is open has to be served meanwhile
+ACCEPT_RETRY_S = 1.0  # after the descriptors ran out
+MAX_PATH_BYTES = 64
 PROGRESS_BYTES = 16_384  # of a body, after which a connection counts as a new one again
 NEVER = float("inf")
 NOT_UNDERSTOOD = "a request that is not understood"
@@ -74,23 +74,23 @@
         address: Address,
         keys: Keys,
         handler: RequestHandler,
-        connections: int = CONNECTIONS,
+        connections: int = MAX_CONNECTIONS,
         traffic: Traffic | None = None,
     ) -> None:
         self.net, self.keys, self.handler = net, keys, handler
         self.traffic = traffic if traffic is not None else Traffic()
-        self.long_bodies = 0  # bytes, of those that are not whole yet
+        self.long_body_bytes = 0  # bytes, of those that are not whole yet
         self._connections_max = connections
         self._connections: set[_Connection] = set()
         self.unauthenticated = UnauthenticatedConnections[_Connection]()
         self._tickets: dict[int, _Connection] = {}
         self._last_ticket = 0
-        self._refusals = Pacer(_log_refusal)
+        self._refusals = LogThrottle(_log_refusal)
         self._closed = False
-        self._door = net.listen(address, BACKLOG, self._accept)
-        self.address = self._door.address
-        self._door.watch(True)
-        self._sweeper = net.loop.call_later(SWEEP_S, self._sweep)
+        self._listener = net.listen(address, BACKLOG, self._accept)
+        self.address = self._listener.address
+        self._listener.watch(True)
+        self._sweeper = net.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     @property
     def connections(self) -> int:
@@ -114,7 +114,7 @@
         self._closed = True
         self._tickets.clear()
         self._sweeper.cancel()
-        self._door.close()
+        self._listener.close()
         for connection in list(self._connections):
             connection.abort()
 
@@ -131,7 +131,7 @@
     def refused(self, reason: str) -> None:
         """Counted, and logged at most once a minute for each reason."""
         self.traffic.failures += 1
-        self._refusals.happened(self.net.loop.time(), reason)
+        self._refusals.record(self.net.loop.time(), reason)
 
     def body_grew(self, connection: _Connection, count: int) -> None:
         """So many more bytes of a body came on it.  It may be closed for that, or others."""
@@ -145,7 +145,7 @@
 
     # --- the door and the clock ---
     @property
-    def _accepted_per_turn(self) -> int:
+    def _accepts_per_iteration(self) -> int:
         """At most half of the places for unauthenticated connections.
 
         So a new connection is not evicted before the loop has read what came with it: whoever sends
@@ -153,19 +153,19 @@
         """
         authenticated = len(self._connections) - len(self.unauthenticated)
         places = self._connections_max - authenticated
-        return max(1, min(ACCEPTED_PER_TURN, places // 2))
+        return max(1, min(MAX_ACCEPTS_PER_ITERATION, places // 2))
 
     def _accept(self) -> None:
-        for _ in range(self._accepted_per_turn):
+        for _ in range(self._accepts_per_iteration):
             if self._closed:
                 return
             connection = _Connection(self)
             try:
-                stream = self._door.accept(connection)
+                stream = self._listener.accept(connection)
             except OSError:
                 self.refused("no descriptor is left")
-                self._door.watch(False)
-                self.net.loop.call_later(ACCEPT_AGAIN_S, self._accept_again)
+                self._listener.watch(False)
+                self.net.loop.call_later(ACCEPT_RETRY_S, self._accept_again)
                 return
             if stream is None:
                 return
@@ -190,10 +190,10 @@
 
     def _accept_again(self) -> None:
         if not self._closed:
-            self._door.watch(True)
+            self._listener.watch(True)
 
     def _sweep(self) -> None:
-        self._sweeper = self.net.loop.call_later(SWEEP_S, self._sweep)
+        self._sweeper = self.net.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.net.loop.time()
         for connection in [each for each in self._connections if each.deadline <= now]:
             connection.too_late()
@@ -225,7 +225,7 @@
 
     def begin(self, stream: Stream) -> None:
         self._stream = stream
-        self.deadline = self._now() + REQUEST_S
+        self.deadline = self._now() + REQUEST_TIMEOUT_S
 
     def answer(self, body: bytes) -> None:
         signature = self._signature
@@ -240,7 +240,7 @@
         self._signature = None
         if self._http.our_state is h11.DONE and self._http.their_state is h11.DONE:
             self._http.start_next_cycle()
-            self.deadline = self._now() + (IDLE_S if self._all_sent() else ANSWER_S)
+            self.deadline = self._now() + (IDLE_TIMEOUT_S if self._all_sent() else ANSWER_TIMEOUT_S)
         else:
             self._close()
 
@@ -277,7 +277,7 @@
             self.abort()
             return
         if self._http.our_state is h11.IDLE and not self._http.trailing_data[0]:
-            self.deadline = self._now() + REQUEST_S
+            self.deadline = self._now() + REQUEST_TIMEOUT_S
         self._parse(bytes(READ_BUFFER[:count]))
 
     def ended(self) -> None:
@@ -285,7 +285,7 @@
 
     def drained(self) -> None:
         if not self._ticket and self._http.our_state is h11.IDLE:
-            self.deadline = self._now() + IDLE_S
+            self.deadline = self._now() + IDLE_TIMEOUT_S
 
     def lost(self, error: OSError | None) -> None:
         self._forget_body()
@@ -318,7 +318,7 @@
 
     def _begin_request(self, request: h11.Request) -> bool:
         signature = parse_request_header(dict(request.headers).get(HEADER_NAME, b""))
-        if request.method != b"POST" or len(request.target) > PATH_BYTES:
+        if request.method != b"POST" or len(request.target) > MAX_PATH_BYTES:
             self.refuse(400, NOT_UNDERSTOOD)
         elif signature is None:
             self.refuse(403, "a request without our signature")
@@ -335,14 +335,14 @@
         if length // PROGRESS_BYTES > len(self._body) // PROGRESS_BYTES:
             self._server.unauthenticated.renew(self)
         counted = max(0, len(self._body) - SHORT_BODY_BYTES)
-        self._server.long_bodies += max(0, length - SHORT_BODY_BYTES) - counted
+        self._server.long_body_bytes += max(0, length - SHORT_BODY_BYTES) - counted
         self._body += data
         self._server.body_grew(self, len(data))
         if self._stream is None or self._stream.closing:
             return False  # that was too much
         if length > MESSAGE_BYTES:
             self.refuse(413, "a request that is no HTTP or too long")
-        elif length > SHORT_BODY_BYTES and self._server.long_bodies > LONG_BODIES_BYTES:
+        elif length > SHORT_BODY_BYTES and self._server.long_body_bytes > MAX_LONG_BODIES_BYTES:
             self.refuse(503, "too many long requests at one time")
         return not self._stream.closing
 
@@ -350,7 +350,7 @@
         body = bytes(self._body)
         self._forget_body()
         assert self._signature is not None
-        if not request_is_genuine(self._server.keys, self._signature, self._path, body):
+        if not verify_request(self._server.keys, self._signature, self._path, body):
             self.refuse(403, "a request without our signature")
             return False
         self._server.unauthenticated.remove(self)
@@ -382,12 +382,12 @@
 
     def _close(self) -> None:
         self._forget_body()
-        self.deadline = self._now() + ANSWER_S
+        self.deadline = self._now() + ANSWER_TIMEOUT_S
         if self._stream is not None:
             self._stream.close()
 
     def _forget_body(self) -> None:
-        self._server.long_bodies -= max(0, len(self._body) - SHORT_BODY_BYTES)
+        self._server.long_body_bytes -= max(0, len(self._body) - SHORT_BODY_BYTES)
         self._server.unauthenticated.end_body(self)
         self._body.clear()
 
--- a/violetroute/distribution/in_force.py
+++ b/violetroute/distribution/in_force.py
@@ -32,7 +32,7 @@
 
 from .messages import Lagging, Report, ReportReply, SessionState
 from .roster import Missing, Roster
-from .session import dropping_time
+from .session import session_timeout_s
 
 HISTORY_MOST = 4096  # positions of which the times of commit and of being in force are kept
 FINDINGS_MOST = 1024  # early findings that wait for the leader's as_of
@@ -50,7 +50,7 @@
     @property
     def drop_after_s(self) -> float:
         """Seconds after which a proxy that was not answered knows that it is stale."""
-        return dropping_time(self.stale_after_s, self.drift)
+        return session_timeout_s(self.stale_after_s, self.drift)
 
 
 @dataclass(frozen=True, slots=True)
--- a/violetroute/distribution/machine.py
+++ b/violetroute/distribution/machine.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from .actions import Action, Fenced, HandOn, MachineSettings, Reply, Stored
-from .following import Following
+from .following import FetchLoop
 from .in_force import InForce, InForceSettings
 from .leader_contact import LeaderContact, latest_contact
 from .leadership import Leadership
@@ -42,7 +42,7 @@
 from .outbox import Outbox
 from .recovery import Recovery
 from .replica import Replica
-from .sessions import Answered, Sessions
+from .sessions import PollAnswer, Sessions
 from .transfer import batches_for
 
 INCARNATION_BITS = 64
@@ -59,7 +59,7 @@
         self.incarnation = f"{random.getrandbits(INCARNATION_BITS):016x}"
         self.replica = Replica(stored)
         self._outbox = Outbox(self.replica)
-        self._following = Following(settings, self.replica, self._outbox, random, now)
+        self._following = FetchLoop(settings, self.replica, self._outbox, random, now)
         self._recovery: Recovery | None = None
         if stored.recovering:
             self._recovery = Recovery(settings, self.replica, self._outbox, random, now)
@@ -115,7 +115,7 @@
             case Report():
                 self._report(now, ticket, message)
             case Poll():
-                self._answer_polls(self._sessions.polled(now, ticket, message))
+                self._answer_polls(self._sessions.poll_received(now, ticket, message))
             case Publish():
                 self._publish(now, ticket, message)
             case StatusRequest():
@@ -148,7 +148,9 @@
             self._leadership.replied(now, ticket, reply)
         elif ticket in self._reports:
             answer = reply if isinstance(reply, ReportReply) else None
-            self._answer_polls(self._sessions.reported(now, self._reports.pop(ticket), answer))
+            self._answer_polls(
+                self._sessions.report_replied(now, self._reports.pop(ticket), answer)
+            )
         return self._advance(now)
 
     def persisted(self, now: float, ticket: int) -> list[Action]:
@@ -314,7 +316,7 @@
         if self.replica.commit != self._commit_told:
             self._commit_told = self.replica.commit
             self._tell_in_force(now)
-            self._answer_polls(self._sessions.advanced(now))
+            self._answer_polls(self._sessions.commit_advanced(now))
         self._answer_polls(self._sessions.tick(now))
         if self._ready:
             self._send_report(now)
@@ -332,17 +334,17 @@
             self._in_force.committed(now, self.replica.commit, self.earlier_contact_at)
 
     def _send_report(self, now: float) -> None:
-        report = self._sessions.report_due(now, self.replica.fence)
+        report = self._sessions.next_report(now, self.replica.fence)
         if report is None:
             return
         if self._leadership is not None:
             reply = self._take_report(now, report, known=True)
-            self._answer_polls(self._sessions.reported(now, report, reply))
+            self._answer_polls(self._sessions.report_replied(now, report, reply))
         else:
             ticket = self._outbox.send(self.leader, report, self._settings.timeout_s)
             self._reports = {ticket: report}
 
-    def _answer_polls(self, answers: Iterable[Answered]) -> None:
+    def _answer_polls(self, answers: Iterable[PollAnswer]) -> None:
         for each in answers:
             self._outbox.answer(each.ticket, each.reply)
 
--- a/violetroute/distribution/make.py
+++ b/violetroute/distribution/make.py
@@ -10,14 +10,14 @@
 from violetroute.transport import Network
 from violetroute.transport.introspection_socket import IntrospectionSocket
 
-from .configuration import PublishedConfiguration, TakeOn
+from .configuration import ApplyTables, PublishedConfiguration
 from .configuration_change import ConfigurationChange
-from .service import DistributionService, PurgeCounter
+from .service import CountingReceiver, DistributionService
 from .status import ServiceStatus
 from .table import DistributionTable
 
 
-class HooksReceiver(PurgeCounter):
+class HooksReceiver(CountingReceiver):
     """Hands what comes to the proxy's parts, and counts it."""
 
     __slots__ = ("_configuration", "_hooks")
@@ -34,9 +34,9 @@
         super().purge(key)
         _tell_all(self._hooks.on_purge, key)
 
-    def void_all(self, reason: str) -> None:
+    def invalidate_all(self, reason: str) -> None:
         """As `purge`."""
-        super().void_all(reason)
+        super().invalidate_all(reason)
         _tell_all(self._hooks.on_purge_all, reason)
 
     def configure(self, change: ConfigurationChange) -> tuple[str, ...]:
@@ -65,7 +65,7 @@
 
 
 def make_distribution(
-    table: DistributionTable, name: str, net: Network, hooks: EventHooks, take_on: TakeOn
+    table: DistributionTable, name: str, net: Network, hooks: EventHooks, take_on: ApplyTables
 ) -> ProxyDistribution:
     """OSError or ValueError where the key file cannot be read."""
     keys = read_keys(table.key_file)
--- a/violetroute/distribution/messages.py
+++ b/violetroute/distribution/messages.py
@@ -13,8 +13,8 @@
 import msgspec
 
 RECORDS_PER_BATCH = 2048  # records of one batch
-KEY_BYTES = 1024  # characters of a record's key
-BODY_BYTES = 16 * 1024  # bytes of a record's body
+MAX_KEY_CHARACTERS = 1024  # characters of a record's key
+MAX_BODY_BYTES = 16 * 1024  # bytes of a record's body
 BATCHES_PER_REPLY = 512
 SESSIONS_PER_REPORT = 4096
 CONFIGURATION_KEYS = 256  # of one snapshot
@@ -49,8 +49,8 @@
     """One change that every proxy has to apply.  `topic` is an int: later topics decode too."""
 
     topic: Annotated[int, msgspec.Meta(ge=0, le=255)]
-    key: Annotated[str, msgspec.Meta(max_length=KEY_BYTES)]
-    body: Annotated[bytes, msgspec.Meta(max_length=BODY_BYTES)] = b""
+    key: Annotated[str, msgspec.Meta(max_length=MAX_KEY_CHARACTERS)]
+    body: Annotated[bytes, msgspec.Meta(max_length=MAX_BODY_BYTES)] = b""
 
 
 class LogPoint(Message, frozen=True, order=True):
--- a/violetroute/distribution/poll_contents.py
+++ b/violetroute/distribution/poll_contents.py
@@ -27,8 +27,8 @@
 from .messages import BATCHES_PER_REPLY, LogPoint, Poll, PollStatus, Snapshot
 from .session import SessionSettings
 
-CONTENTS_MOST = 64  # different positions of which the answer is kept for others
-COMMITS_MOST = 4096  # of which the time is known
+MAX_CACHED_CONTENTS = 64  # different positions of which the answer is kept for others
+MAX_COMMIT_TIMES = 4096  # of which the time is known
 
 
 class LogView(Protocol):
@@ -46,7 +46,7 @@
     def base(self) -> LogPoint:
         """The last point of which the batch is not kept any more."""
 
-    def after(self, position: int, bytes_most: int) -> list[msgspec.Raw] | None:
+    def after(self, position: int, max_bytes: int) -> list[msgspec.Raw] | None:
         """The encoded batches that follow `position`, up to `commit`, as many as fit.
 
         None: the first of them is not kept any more.
@@ -83,7 +83,7 @@
         self._settings = settings
         self._log = log
         self._settled = log.commit  # what may have been committed `stale_after_s` ago or earlier
-        self._commits: deque[_Commit] = deque(maxlen=COMMITS_MOST)
+        self._commits: deque[_Commit] = deque(maxlen=MAX_COMMIT_TIMES)
         self._contents: dict[tuple[int, int | None], Content] = {}  # by position and pace
         self._contents_commit = -1
 
@@ -95,25 +95,25 @@
         else:
             self._commits.append(_Commit(now, self._log.commit))
 
-    def lacks_settled(self, now: float, poll: Poll) -> bool:
+    def lacks_old_batches(self, now: float, poll: Poll) -> bool:
         """Whether the proxy lacks what may have been committed `stale_after_s` ago or earlier."""
         return 0 <= self._position(poll) < self._settled_at(now)
 
-    def answer(self, poll: Poll, bytes_most: int | None) -> Content:
+    def answer(self, poll: Poll, max_bytes: int | None) -> Content:
         """What this poll gets now, in batches of so many bytes; None: not paced."""
         if self._log.commit != self._contents_commit:
             self._contents.clear()
             self._contents_commit = self._log.commit
-        key = self._position(poll), bytes_most
+        key = self._position(poll), max_bytes
         content = self._contents.get(key)
         if content is None:
             content = self._content(*key)
-            if len(self._contents) >= CONTENTS_MOST:
+            if len(self._contents) >= MAX_CACHED_CONTENTS:
                 self._contents.clear()
             self._contents[key] = content
         return content
 
-    def leads_to(self, poll: Poll, content: Content) -> int:
+    def position_after(self, poll: Poll, content: Content) -> int:
         """The position of the proxy once it has applied this answer to its poll."""
         if content.snapshot is not None:
             return content.snapshot.base.position
@@ -131,23 +131,23 @@
             self._settled = self._commits.popleft().position
         return self._settled
 
-    def _content(self, position: int, bytes_most: int | None) -> Content:
+    def _content(self, position: int, max_bytes: int | None) -> Content:
         lacking = None if position < 0 else self._log.bytes_after(position)
         if lacking is None or lacking > self._settings.delta_bytes:
             return Content(PollStatus.SNAPSHOT, (), self._log.snapshot_at_commit())
         batches = self._log.after(position, self._settings.delta_bytes) or []
         batches = batches[:BATCHES_PER_REPLY]
-        if bytes_most is not None:
-            batches = _first(batches, bytes_most)
+        if max_bytes is not None:
+            batches = _first(batches, max_bytes)
         return Content(PollStatus.OK, tuple(batches))
 
 
-def _first(batches: Sequence[msgspec.Raw], bytes_most: int) -> list[msgspec.Raw]:
+def _first(batches: Sequence[msgspec.Raw], max_bytes: int) -> list[msgspec.Raw]:
     """Until so many bytes are reached; the last batch may go beyond, so that the rate is kept."""
     found: list[msgspec.Raw] = []
     size = 0
     for raw in batches:
-        if size >= bytes_most:
+        if size >= max_bytes:
             break
         size += len(memoryview(raw))
         found.append(raw)
--- a/violetroute/distribution/recovery.py
+++ b/violetroute/distribution/recovery.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 from .actions import MachineSettings
-from .following import Fetched
+from .following import FetchResult
 from .messages import Fetch, FetchStatus, LogPoint
 from .outbox import Outbox
 from .replica import Replica
@@ -126,7 +126,7 @@
         told = [(name, 0, now - at) for name, at in self._told_at.items()]
         return tuple(sorted(waited_for + told))
 
-    def fetched(self, fetched: Fetched) -> None:
+    def fetched(self, fetched: FetchResult) -> None:
         """The leader has answered a fetch.  The logs are equal as far as both go if it said OK."""
         complete = self._complete_at_ticket
         if complete is None or fetched.ticket <= complete:
--- a/violetroute/distribution/replica.py
+++ b/violetroute/distribution/replica.py
@@ -182,16 +182,16 @@
         """Whether the point is in the log.  False for what was dropped."""
         return self.fence_at(point.position) == point.fence
 
-    def after(self, position: int, bytes_most: int) -> list[msgspec.Raw] | None:
+    def after(self, position: int, max_bytes: int) -> list[msgspec.Raw] | None:
         """Committed batches behind `position`, at least one if there is one; None: not kept."""
-        return self._after(position, self.commit, bytes_most)
+        return self._after(position, self.commit, max_bytes)
 
-    def batches_after(self, position: int, bytes_most: int = REPLY_BYTES) -> list[Batch] | None:
+    def batches_after(self, position: int, max_bytes: int = REPLY_BYTES) -> list[Batch] | None:
         """Batches behind `position`, whether committed or not; None: not kept."""
-        found = self._after(position, self.last.position, bytes_most)
+        found = self._after(position, self.last.position, max_bytes)
         return None if found is None else [_decode(raw) for raw in found]
 
-    def _after(self, position: int, end: int, bytes_most: int) -> list[msgspec.Raw] | None:
+    def _after(self, position: int, end: int, max_bytes: int) -> list[msgspec.Raw] | None:
         if position < self.base.position:
             return None
         found: list[msgspec.Raw] = []
@@ -199,7 +199,7 @@
         for at in range(position + 1, min(end, position + BATCHES_PER_REPLY) + 1):
             entry = self._at(at)
             size += entry.size
-            if found and size > bytes_most:
+            if found and size > max_bytes:
                 break
             found.append(entry.raw)
         return found
@@ -223,7 +223,7 @@
 
     def fits(self, records: tuple[Record, ...]) -> bool:
         """Whether a snapshot can hold the configuration of the log and of these records."""
-        return self._configuration.fit(records)
+        return self._configuration.fits(records)
 
     def reserve(self, records: tuple[Record, ...]) -> None:
         """These will be appended: `fits` counts them from now on."""
@@ -291,13 +291,13 @@
         self.commit = position
         return True
 
-    def retain(self, oldest_ms: float, bytes_most: int) -> tuple[Change, ...]:
-        """Drop committed batches that were written before `oldest_ms` or exceed `bytes_most`."""
+    def retain(self, oldest_ms: float, max_bytes: int) -> tuple[Change, ...]:
+        """Drop committed batches that were written before `oldest_ms` or exceed `max_bytes`."""
         end = self._bytes_up_to(self.last.position)
         begin = self._begin
         drop = 0
         for entry in islice(self._entries, self.commit - self.base.position):
-            if entry.written_ms >= oldest_ms and end - begin <= bytes_most:
+            if entry.written_ms >= oldest_ms and end - begin <= max_bytes:
                 break
             begin = entry.end
             drop += 1
--- a/violetroute/distribution/reporter.py
+++ b/violetroute/distribution/reporter.py
@@ -10,7 +10,7 @@
 reply counts only from a leader that knows all sessions of this machine (each leader gets a full
 report first).  It takes effect when this machine has committed what the reply names as `commit`.
 
-Bounds: sessions and ends as in the settings; `CLAIMS_MOST` replies that are not in effect yet.
+Bounds: sessions and ends as in the settings; `MAX_PENDING_CLAIMS` replies not in effect yet.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from .messages import SESSIONS_PER_REPORT, Report, ReportReply, SessionState
 from .session import Session, SessionKey, SessionSettings
 
-CLAIMS_MOST = 64
+MAX_PENDING_CLAIMS = 64
 REFUSALS_PER_REPORT = 512  # sessions with refusals beyond that are named without them
 MS = 1000.0
 
@@ -127,7 +127,7 @@
             self._put_back(sent, sessions)
             return ()
         self._full_needed = self._full_needed and not report.full
-        if reply.age_ms >= 0 and len(self._claims) < CLAIMS_MOST:
+        if reply.age_ms >= 0 and len(self._claims) < MAX_PENDING_CLAIMS:
             self._claims.append(Claim(sent.sent_at - reply.age_ms / MS, reply.commit))
         return tuple(_registered(sent.sessions, reply.commit))
 
--- a/violetroute/distribution/retry.py
+++ b/violetroute/distribution/retry.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-DOUBLINGS_MOST = 3  # the delay grows up to eight times the first one
+MAX_DOUBLINGS = 3  # the delay grows up to eight times the first one
 
 
 class Random(Protocol):
@@ -32,6 +32,6 @@
 
     def failed(self, now: float) -> None:
         """The next try is made after the delay, half of it random."""
-        delay = self._first_s * 2 ** min(self.failures, DOUBLINGS_MOST)
+        delay = self._first_s * 2 ** min(self.failures, MAX_DOUBLINGS)
         self.failures += 1
         self.next_at = now + delay * (0.5 + 0.5 * self._random.random())
--- a/violetroute/distribution/service.py
+++ b/violetroute/distribution/service.py
@@ -28,22 +28,22 @@
 from .status import ServiceStatus
 from .subscriber import (
     Apply,
-    Ask,
     BecameFresh,
     BecameStale,
     Effect,
-    Gap,
+    InvalidateAll,
+    SendPoll,
+    SequenceGap,
     Subscriber,
-    VoidAll,
-    Wait,
+    WaitUntil,
 )
 from .table import DistributionTable, control_addresses
-from .traffic import Pacer, Traffic
+from .traffic import LogThrottle, Traffic
 
 CLIENTS_MAX = 2  # kept connections: to the machine that is asked, and to one that is tried
 NAME_CHARACTERS = 64
 REASON_CHARACTERS = 300  # as many as a poll's refusal may have
-FAULT_WAIT_S = 1.0
+ERROR_RETRY_S = 1.0
 NEVER = float("inf")
 
 
@@ -57,14 +57,14 @@
     def purge(self, key: str) -> None:
         """The object of this key is void."""
 
-    def void_all(self, reason: str) -> None:
+    def invalidate_all(self, reason: str) -> None:
         """All objects are void."""
 
     def configure(self, change: ConfigurationChange) -> tuple[str, ...]:
         """Configuration was published.  The reasons of what is refused."""
 
 
-class PurgeCounter:
+class CountingReceiver:
     """A receiver that only counts: what a cache node is to be told is not settled yet."""
 
     __slots__ = ("configurations", "purges", "voids")
@@ -78,7 +78,7 @@
         """Counted."""
         self.purges += 1
 
-    def void_all(self, reason: str) -> None:
+    def invalidate_all(self, reason: str) -> None:
         """Counted."""
         self.voids += 1
 
@@ -136,8 +136,8 @@
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = NEVER
         self._wait_until = 0.0
-        self._unreachable = Pacer(_log_unreachable)
-        self._skipped = Pacer(_log_skipped)
+        self._unreachable = LogThrottle(_log_unreachable)
+        self._skipped = LogThrottle(_log_skipped)
         self._takes_configuration = table.configuration
         self._snapshot_is_due = False  # its configuration has not been handed on yet
         self._closed = False
@@ -210,7 +210,7 @@
     def _step(self, event: Callable[[], list[Effect]]) -> None:
         """One event of the subscriber and what follows from it.
 
-        A fault of ours is logged and costs FAULT_WAIT_S: the polls must not end with it.
+        A fault of ours is logged and costs ERROR_RETRY_S: the polls must not end with it.
         """
         try:
             self._carry_out(event())
@@ -223,19 +223,19 @@
             logs.event("daemon.fault", what="in distribution", error=error)
             if self._timer is not None:
                 self._timer.cancel()
-            self._wait_until = self._timer_at = self._loop.time() + FAULT_WAIT_S
+            self._wait_until = self._timer_at = self._loop.time() + ERROR_RETRY_S
             self._timer = self._loop.call_at(self._timer_at, self._due)
 
     # --- polling ---
     def _poll(self) -> None:
         now = self._loop.time()
         match self.subscriber.next(now):
-            case Wait(until):
+            case WaitUntil(until):
                 self._wait_until = until
-            case Ask() as ask:
+            case SendPoll() as ask:
                 self._send(ask, now)
 
-    def _send(self, ask: Ask, sent_at: float) -> None:
+    def _send(self, ask: SendPoll, sent_at: float) -> None:
         def told(body: bytes | None, reason: str) -> None:
             self.polling = ""
             self._answered(ask, sent_at, body, reason)
@@ -243,11 +243,11 @@
         self._client(ask.address).request(path_of(ask.poll), encode(ask.poll), ask.timeout_s, told)
         self.polling = ask.address
 
-    def _answered(self, ask: Ask, sent_at: float, body: bytes | None, reason: str) -> None:
+    def _answered(self, ask: SendPoll, sent_at: float, body: bytes | None, reason: str) -> None:
         now = self._loop.time()
         reply = decode_reply(ask.poll, body)
         if reply is None:
-            self._unreachable.happened(now, ask.address, reason or "no reply to a poll")
+            self._unreachable.record(now, ask.address, reason or "no reply to a poll")
         self._step(lambda: self.subscriber.replied(now, sent_at, ask.address, reply))
 
     def _client(self, address: str) -> HttpClient:
@@ -265,13 +265,13 @@
             match effect:
                 case Apply(batch):
                     self._apply(batch)
-                case VoidAll(reason):
-                    self._void_all(reason)
+                case InvalidateAll(reason):
+                    self._invalidate_all(reason)
                 case BecameStale(behind_s):
                     logs.event("distribution.stale", behind_s=round(behind_s, 2))
                 case BecameFresh(behind_s):
                     logs.event("distribution.fresh", behind_s=round(behind_s, 2))
-                case Gap(expected, got):
+                case SequenceGap(expected, got):
                     missing = -1 if got is None else got
                     logs.event("distribution.gap", expected=expected, got=missing)
         if self._snapshot_is_due:  # one that had no configuration
@@ -297,7 +297,7 @@
         if configuration or self._snapshot_is_due:
             self._configure(batch.position, tuple(configuration))
         for topic, count in skipped.items():
-            self._skipped.happened(self._loop.time(), str(topic), count=count)
+            self._skipped.record(self._loop.time(), str(topic), count=count)
 
     def _configure(self, position: int, records: tuple[Record, ...]) -> None:
         change = ConfigurationChange(position, records, complete=self._snapshot_is_due)
@@ -312,11 +312,11 @@
             logs.event("distribution.configuration_refused", position=position, reason=told)
             self.subscriber.refuse(position, told)
 
-    def _void_all(self, reason: str) -> None:
+    def _invalidate_all(self, reason: str) -> None:
         self._snapshot_is_due = self._takes_configuration
         logs.event("distribution.snapshot", position=self.subscriber.position, reason=reason)
         try:
-            self.receiver.void_all(reason)
+            self.receiver.invalidate_all(reason)
         except Exception as error:
             self._refused(self.subscriber.position, error)
 
--- a/violetroute/distribution/session.py
+++ b/violetroute/distribution/session.py
@@ -8,12 +8,12 @@
 from .messages import SESSIONS_PER_REPORT, Poll, SessionState
 
 CATCH_UP_STEP_S = 0.05
-CATCH_UP_S_MOST = 1.0  # of elapsed time that one answer makes up for
+MAX_CATCH_UP_ELAPSED_S = 1.0  # of elapsed time that one answer makes up for
 ROUNDING = 1e-6
 SessionKey = tuple[str, str]  # name and incarnation: two incarnations are two sessions
 
 
-def dropping_time(stale_after_s: float, drift: float) -> float:
+def session_timeout_s(stale_after_s: float, drift: float) -> float:
     """Seconds of any clock after which a proxy that was not answered knows that it is stale.
 
     The proxy's clock may be slow by `drift` and the clock that measures this time fast by it.
@@ -30,7 +30,7 @@
     since the reports' replies make this machine's as_of.  `stale_after_s` and `drift` as at the
     proxies.  `delta_bytes`: a proxy that lacks more gets a snapshot.  `catch_up_bytes_per_s`: rate
     for a session that lacks what was committed more than `stale_after_s` ago.  Raises ValueError
-    where `sessions_most` does not fit into one report.
+    where `max_sessions` does not fit into one report.
     """
 
     hold_s: float = 0.8
@@ -41,25 +41,25 @@
     drift: float = 0.05
     delta_bytes: int = 128 * 1024
     catch_up_bytes_per_s: float = 4500.0
-    sessions_most: int = SESSIONS_PER_REPORT
+    max_sessions: int = SESSIONS_PER_REPORT
 
     def __post_init__(self) -> None:
-        if not 1 <= self.sessions_most <= SESSIONS_PER_REPORT:
-            raise ValueError(f"sessions_most: {self.sessions_most} is not in 1 to 4096")
+        if not 1 <= self.max_sessions <= SESSIONS_PER_REPORT:
+            raise ValueError(f"max_sessions: {self.max_sessions} is not in 1 to 4096")
 
     def catch_up_bytes(self, elapsed_s: float) -> int:
         """Bytes for a session that catches up and had its last answer `elapsed_s` ago.
 
         In steps of time, so that sessions at the same position get the same answer.
         """
-        bounded = max(self.spread_s, min(elapsed_s, CATCH_UP_S_MOST))
+        bounded = max(self.spread_s, min(elapsed_s, MAX_CATCH_UP_ELAPSED_S))
         steps = math.floor(bounded / CATCH_UP_STEP_S + ROUNDING)
         return int(self.catch_up_bytes_per_s * steps * CATCH_UP_STEP_S)
 
     @property
     def drop_after_s(self) -> float:
         """Seconds without an answer after which a session may be dropped."""
-        return dropping_time(self.stale_after_s, self.drift)
+        return session_timeout_s(self.stale_after_s, self.drift)
 
 
 @dataclass(slots=True, eq=False)
--- a/violetroute/distribution/sessions.py
+++ b/violetroute/distribution/sessions.py
@@ -2,7 +2,7 @@
 
 Pure: no sockets and no clock; `now` is the machine's monotonic time in seconds, in every call.  A
 poll comes with a ticket (any number that its caller does not use twice), and is answered once, by
-an `Answered` of that ticket from this call or a later one.
+a `PollAnswer` of that ticket from this call or a later one.
 
 A poll is answered when there is something new for its session, at the earliest `spread_s` after
 the session's last answer; without news at the end of its hold time.  A session's first answer
@@ -39,13 +39,13 @@
 from .session import HeldPoll, Session, SessionKey, SessionSettings
 
 WAITING_SLACK = 64  # entries of ended polls that the queue may keep beyond as many as are held
-ENDED_MOST = 1024  # processes that have ended their session and are still remembered
+MAX_ENDED_SESSIONS = 1024  # processes that have ended their session and are still remembered
 HOLD_JITTER = 0.1  # a poll is held between 90% and 100% of the hold time
 MS = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class PollAnswer:
     """Answer the poll of this ticket."""
 
     ticket: int
@@ -92,20 +92,20 @@
 
     @property
     def next_at(self) -> float:
-        """When `tick`, or while ready `report_due`, has something to do."""
+        """When `tick`, or while ready `next_report`, has something to do."""
         while self._timers and self._timers[0][2].held is not self._timers[0][3]:
             heappop(self._timers)
         timer_at = self._timers[0][0] if self._timers else math.inf
         report_at = self._reporter.due_at if self._ready else math.inf
         return min(timer_at, report_at, self._next_drop_at())
 
-    def polled(self, now: float, ticket: int, poll: Poll) -> list[Answered]:
+    def poll_received(self, now: float, ticket: int, poll: Poll) -> list[PollAnswer]:
         """A poll came.  An older one of the same session is answered at once, with nothing."""
         if poll.ends_session:
-            return [*self._end(poll), Answered(ticket, self._empty(PollStatus.NOT_READY))]
+            return [*self._end(poll), PollAnswer(ticket, self._empty(PollStatus.NOT_READY))]
         session = self._session_of(now, poll)
         if session is None:
-            return [Answered(ticket, self._empty(PollStatus.NOT_READY))]
+            return [PollAnswer(ticket, self._empty(PollStatus.NOT_READY))]
         answers = []
         if session.held is not None:
             answers.append(self._finish(session, self._empty(PollStatus.NOT_READY)))
@@ -119,12 +119,12 @@
         if session is not None:
             session.held = None
 
-    def advanced(self, now: float) -> list[Answered]:
+    def commit_advanced(self, now: float) -> list[PollAnswer]:
         """The log's commit moved."""
         commit = self._log.commit
         self._contents.committed(now, self._reporter.as_of)
         self._reporter.committed(commit)
-        answers: list[Answered] = []
+        answers: list[PollAnswer] = []
         while self._waiting and self._waiting[0][0] <= commit:
             _, _, session, held = heappop(self._waiting)
             held.queued = False
@@ -132,9 +132,9 @@
                 answers += self._answer_if_due(now, session)
         return answers
 
-    def tick(self, now: float) -> list[Answered]:
+    def tick(self, now: float) -> list[PollAnswer]:
         """Answer whose time has come, and drop sessions that were not answered for too long."""
-        answers: list[Answered] = []
+        answers: list[PollAnswer] = []
         while self._timers and self._timers[0][0] <= now:
             _, _, session, held = heappop(self._timers)
             if session.held is not held:
@@ -146,7 +146,7 @@
         self._drop_silent(now)
         return answers
 
-    def report_due(self, now: float, fence: int) -> Report | None:
+    def next_report(self, now: float, fence: int) -> Report | None:
         """The report that is to be sent now to the leader of `fence`.
 
         Every report has to come back in `reported`, also one that got no reply.
@@ -154,33 +154,35 @@
         self._drop_silent(now)
         return self._reporter.build(now, fence, self._sessions)
 
-    def reported(self, now: float, report: Report, reply: ReportReply | None) -> list[Answered]:
+    def report_replied(
+        self, now: float, report: Report, reply: ReportReply | None
+    ) -> list[PollAnswer]:
         """The leader's reply to a report; None: lost, or refused."""
         registered = self._reporter.take(report, reply, self._sessions)
         self._reporter.committed(self._log.commit)
-        answers: list[Answered] = []
+        answers: list[PollAnswer] = []
         for session in registered:
             answers += self._answer_if_due(now, session)
         return answers
 
-    def set_ready(self, now: float, ready: bool) -> list[Answered]:
+    def set_ready(self, now: float, ready: bool) -> list[PollAnswer]:
         """Whether there is a leader and this machine is a full replica.
 
         While it is not ready, polls are answered NOT_READY at the end of their hold time.
         """
         became_ready = ready and not self._ready
         self._ready = ready
-        answers: list[Answered] = []
+        answers: list[PollAnswer] = []
         if became_ready:
             for session in tuple(self._tickets.values()):
                 answers += self._answer_if_due(now, session)
         return answers
 
-    def _end(self, poll: Poll) -> list[Answered]:
+    def _end(self, poll: Poll) -> list[PollAnswer]:
         """The process has ended its session, here if it has one."""
         key = _key_of(poll)
         self._ended[key] = None
-        if len(self._ended) > ENDED_MOST:
+        if len(self._ended) > MAX_ENDED_SESSIONS:
             del self._ended[next(iter(self._ended))]
         session = self._sessions.pop(key, None)
         if session is None:
@@ -195,7 +197,7 @@
         key = _key_of(poll)
         session = self._sessions.pop(key, None)
         if session is None:
-            if key in self._ended or len(self._sessions) >= self._settings.sessions_most:
+            if key in self._ended or len(self._sessions) >= self._settings.max_sessions:
                 return None
             session = Session(poll.name, poll.incarnation, poll.region, now)
             self._reporter.changed(session)
@@ -228,7 +230,7 @@
         if now < session.earliest_at < held.hold_until:
             heappush(self._timers, (session.earliest_at, next(self._order), session, held))
 
-    def _answer_if_due(self, now: float, session: Session) -> list[Answered]:
+    def _answer_if_due(self, now: float, session: Session) -> list[PollAnswer]:
         """Answer the held poll if there is news, else queue it for the commit that it needs."""
         held = session.held
         if held is None or not self._ready or session.registered_commit is None:
@@ -259,7 +261,7 @@
             needed = max(needed, self._position_of(poll) + 1)
         return needed
 
-    def _end_of_hold(self, now: float, session: Session, held: HeldPoll) -> Answered:
+    def _end_of_hold(self, now: float, session: Session, held: HeldPoll) -> PollAnswer:
         if not self._ready or session.registered_commit is None:
             return self._finish(session, self._empty(PollStatus.NOT_READY))
         if self._log.commit < self._position_of(held.poll):
@@ -268,9 +270,9 @@
             return self._finish(session, self._empty(PollStatus.NOT_READY))
         return self._answer(now, session, held)
 
-    def _answer(self, now: float, session: Session, held: HeldPoll) -> Answered:
+    def _answer(self, now: float, session: Session, held: HeldPoll) -> PollAnswer:
         content = self._contents.answer(held.poll, self._pace(now, session, held.poll))
-        end = self._contents.leads_to(held.poll, content)
+        end = self._contents.position_after(held.poll, content)
         session.complete_at = end if end >= self._log.commit else math.inf
         session.answered = True
         session.active_at = session.answered_at = now
@@ -280,18 +282,18 @@
 
     def _pace(self, now: float, session: Session, poll: Poll) -> int | None:
         """Bytes of batches for a session that catches up; None for others."""
-        if self._contents.lacks_settled(now, poll):
+        if self._contents.lacks_old_batches(now, poll):
             session.catching_up = True
         if not session.catching_up:
             return None
         return self._settings.catch_up_bytes(now - session.answered_at)
 
-    def _finish(self, session: Session, reply: PollReply) -> Answered:
+    def _finish(self, session: Session, reply: PollReply) -> PollAnswer:
         assert session.held is not None
         ticket = session.held.ticket
         session.held = None
         self._tickets.pop(ticket, None)
-        return Answered(ticket, reply)
+        return PollAnswer(ticket, reply)
 
     def _empty(self, status: PollStatus) -> PollReply:
         return PollReply(status, self._log.log, self._log.commit)
--- a/violetroute/distribution/signing.py
+++ b/violetroute/distribution/signing.py
@@ -56,7 +56,7 @@
     return RequestSignature(data[:NONCE_BYTES], data[NONCE_BYTES:])
 
 
-def request_is_genuine(keys: Keys, sign: RequestSignature, path: str, body: bytes) -> bool:
+def verify_request(keys: Keys, sign: RequestSignature, path: str, body: bytes) -> bool:
     """Whether a holder of one of our keys signed this path and body."""
     return keys.verify(REQUEST_PURPOSE, _request_data(sign.nonce, path, body), sign.signature)
 
@@ -66,7 +66,7 @@
     return _encoded(keys.sign(ANSWER_PURPOSE, request.nonce + body, request.key_id))
 
 
-def answer_is_genuine(keys: Keys, request: RequestSignature, header: bytes, body: bytes) -> bool:
+def verify_answer(keys: Keys, request: RequestSignature, header: bytes, body: bytes) -> bool:
     """Whether a holder of one of our keys gave this body as the answer to this very request."""
     signature = _decoded(header)
     if signature is None or len(signature) != SIGNATURE_BYTES:
--- a/violetroute/distribution/subscriber.py
+++ b/violetroute/distribution/subscriber.py
@@ -16,7 +16,7 @@
 their way are ignored.  So what the control machines are told holds from then on, however late or
 often it reaches them.
 
-Bounds: one poll at a time, `REFUSALS_MOST` refusals, `BATCHES_PER_REPLY` batches an answer.
+Bounds: one poll at a time, `MAX_REFUSALS` refusals, `BATCHES_PER_REPLY` batches an answer.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 from .control_choice import Control, ControlChoice, SubscriberSettings
 from .messages import Batch, Poll, PollReply, PollStatus, Snapshot
 
-REFUSALS_MOST = 16  # as many as one poll carries
+MAX_REFUSALS = 16  # as many as one poll carries
 REASON_CHARACTERS = 300
 TICK_LATE_S = 0.001  # so that rounding never makes `tick` come too early
 MS = 1000.0
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class SendPoll:
     """Send this poll to `address`; give up after `timeout_s`."""
 
     address: str
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wait:
+class WaitUntil:
     """Ask nobody before `until`."""
 
     until: float
@@ -57,13 +57,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Apply:
-    """Apply the records of this batch.  After `VoidAll`: the configuration of the snapshot."""
+    """Apply the records of this batch; after `InvalidateAll`: the snapshot's configuration."""
 
     batch: Batch
 
 
 @dataclass(frozen=True, slots=True)
-class VoidAll:
+class InvalidateAll:
     """Void everything that was cached before: the purges in between are not known one by one."""
 
     reason: str
@@ -84,14 +84,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Gap:
+class SequenceGap:
     """An answer's batch does not follow: it is not applied.  `got` None: it is not decodable."""
 
     expected: int
     got: int | None
 
 
-Effect = Apply | VoidAll | BecameStale | BecameFresh | Gap
+Effect = Apply | InvalidateAll | BecameStale | BecameFresh | SequenceGap
 
 
 class Subscriber:
@@ -115,7 +115,7 @@
         self._ended = False
         self._said_fresh = False
         self._said_stale = False
-        self._refusals: deque[tuple[int, str]] = deque(maxlen=REFUSALS_MOST)
+        self._refusals: deque[tuple[int, str]] = deque(maxlen=MAX_REFUSALS)
         self._random = random
         self._choice = ControlChoice(settings, random)
 
@@ -152,14 +152,14 @@
         """Whether the proxy has applied everything that was committed `stale_after_s` ago."""
         return self._as_of is not None and now - self._as_of <= self._settings.stale_after_s
 
-    def next(self, now: float) -> Ask | Wait:
+    def next(self, now: float) -> SendPoll | WaitUntil:
         """Whom to ask, or how long to wait.  Not to be called while a poll is out."""
         if self._ended:
-            return Wait(math.inf)
+            return WaitUntil(math.inf)
         if now < self._choice.retry_at:
-            return Wait(self._choice.retry_at)
+            return WaitUntil(self._choice.retry_at)
         address, timeout_s = self._choice.target(now)
-        return Ask(address, self._poll(), timeout_s)
+        return SendPoll(address, self._poll(), timeout_s)
 
     def end(self) -> Poll:
         """The process shuts down: it is never fresh again, and nothing is applied any more.
@@ -205,7 +205,7 @@
     def refuse(self, position: int, reason: str) -> None:
         """Tell the control machines that a record of `position` was refused here, and why.
 
-        The latest `REFUSALS_MOST` refusals go with every poll.
+        The latest `MAX_REFUSALS` refusals go with every poll.
         """
         self._refusals.append((position, reason[:REASON_CHARACTERS]))
 
@@ -262,7 +262,7 @@
             self._as_of = None  # it was about the other log
             self._said_fresh = False
         self._log, self._position, self._fence = log, base.position, base.fence
-        effects.append(VoidAll(reason))
+        effects.append(InvalidateAll(reason))
         if snapshot.configuration:
             effects.append(Apply(Batch(base.position, base.fence, 0, snapshot.configuration)))
         return True
@@ -275,7 +275,7 @@
                 continue  # applied before
             expected = self._position + 1
             if batch is None or batch.position != expected or batch.fence < self._fence:
-                effects.append(Gap(expected, None if batch is None else batch.position))
+                effects.append(SequenceGap(expected, None if batch is None else batch.position))
                 return False
             self._position, self._fence = batch.position, batch.fence
             effects.append(Apply(batch))
--- a/violetroute/distribution/traffic.py
+++ b/violetroute/distribution/traffic.py
@@ -21,7 +21,7 @@
     failures: int = 0  # of a client: no answer; of a server: refused
 
 
-class Pacer:
+class LogThrottle:
     """At most one log line in LOG_EVERY_S for each key, with the count since the line before."""
 
     __slots__ = ("_counts", "_log", "_logged_at")
@@ -31,7 +31,7 @@
         self._counts: dict[str, int] = {}
         self._logged_at: dict[str, float] = {}
 
-    def happened(self, now: float, key: str, detail: str = "", count: int = 1) -> None:
+    def record(self, now: float, key: str, detail: str = "", count: int = 1) -> None:
         """`key` is one of few, as it is kept; `detail` is that of the last one."""
         self._counts[key] = self._counts.get(key, 0) + count
         logged_at = self._logged_at.get(key)
--- a/violetroute/distribution/unauthenticated.py
+++ b/violetroute/distribution/unauthenticated.py
@@ -10,7 +10,7 @@
 
 from typing import Generic, TypeVar
 
-UNAUTHENTICATED_BYTES = 16 * 1024 * 1024  # of all their bodies; the longest one has 4 MiB
+MAX_UNAUTHENTICATED_BYTES = 16 * 1024 * 1024  # of all their bodies; the longest one has 4 MiB
 
 Connection = TypeVar("Connection")
 
@@ -18,9 +18,9 @@
 class UnauthenticatedConnections(Generic[Connection]):
     """Those of one server. `body_bytes`: of their bodies that are not whole yet."""
 
-    def __init__(self, body_bytes_most: int = UNAUTHENTICATED_BYTES) -> None:
+    def __init__(self, max_body_bytes: int = MAX_UNAUTHENTICATED_BYTES) -> None:
         self.body_bytes = 0
-        self._body_bytes_most = body_bytes_most
+        self._body_bytes_most = max_body_bytes
         self._connections: dict[Connection, None] = {}  # the oldest first
         self._bodies: dict[Connection, int] = {}  # bytes; the body that began first is the first
 
