--- a/limebridge/scale/region_return.py
+++ b/limebridge/scale/region_return.py
@@ -135,7 +135,7 @@
         report = self._sessions.next_report(self._now, FENCE)
         if report is not None:
             reply = ReportReply(True, FENCE, self._replica.commit, 0.0)
-            self._answer(self._sessions.report_replied(self._now, report, reply))
+            self._answer(self._sessions.replied(self._now, report, reply))
         self._at(STEP_S, self._look)
 
     def _answer(self, answers: list[PollAnswer]) -> None:
--- a/tests/support/session_world.py
+++ b/tests/support/session_world.py
@@ -191,7 +191,7 @@
         def finish(reply: ReportReply | None) -> None:
             if not done[0] and sessions is self.sessions:
                 done[0] = True
-                self.answer(sessions.report_replied(self.now, report, reply))
+                self.answer(sessions.replied(self.now, report, reply))
 
         def deliver() -> None:
             if not self.world.cut("reports_back", self.name):
--- a/tests/violetroute/distribution/test_distribution_session_end.py
+++ b/tests/violetroute/distribution/test_distribution_session_end.py
@@ -83,7 +83,7 @@
     machine = started(3)
     end(machine)
     lost = machine.report(1.3)
-    assert machine.sessions.report_replied(1.4, lost, None) == []
+    assert machine.sessions.replied(1.4, lost, None) == []
     assert machine.report(1.6).ended == (("p", "i1"),)
 
 
@@ -92,9 +92,7 @@
     assert machine.poll(0.0, 3) == []
     report = machine.report(0.1)
     end(machine)
-    assert (
-        machine.sessions.report_replied(1.1, report, None) == []
-    )  # it may have been taken all the same
+    assert machine.sessions.replied(1.1, report, None) == []  # it may have been taken all the same
     again = machine.report(1.3)
     assert again.sessions == () and (again.full or again.ended == (("p", "i1"),))
 
--- a/tests/violetroute/distribution/test_distribution_sessions.py
+++ b/tests/violetroute/distribution/test_distribution_sessions.py
@@ -93,7 +93,7 @@
     ) -> list[PollAnswer]:
         commit = self.log.commit if commit is None else commit
         report = self.report(now)
-        return self.sessions.report_replied(now, report, ReportReply(True, 1, commit, age_ms))
+        return self.sessions.replied(now, report, ReportReply(True, 1, commit, age_ms))
 
     def commit(self, now: float, commit: int) -> list[PollAnswer]:
         self.log.commit = commit
@@ -132,7 +132,7 @@
 def test_no_other_reply_registers_or_gives_an_age(reply: ReportReply | None) -> None:
     machine = Machine()
     machine.poll(0.0)
-    assert machine.sessions.report_replied(0.1, machine.report(0.1), reply) == []
+    assert machine.sessions.replied(0.1, machine.report(0.1), reply) == []
     assert machine.sessions.as_of is None
     assert one(machine.sessions.tick(0.8)).status == NOT_READY
 
@@ -245,7 +245,7 @@
         machine.sessions.tick(now)
         report = machine.sessions.next_report(now, 1)
         if report is not None:
-            machine.sessions.report_replied(now, report, ReportReply(True, 1, 0, 1.0))
+            machine.sessions.replied(now, report, ReportReply(True, 1, 0, 1.0))
     assert len(machine.sessions._waiting) < 200 and len(machine.sessions._timers) < 10
 
 
@@ -440,7 +440,7 @@
     machine = Machine()
     machine.poll(0.0)
     report = machine.report(0.1)
-    reply = one(machine.sessions.report_replied(0.4, report, ReportReply(True, 1, 0, 50.0)))
+    reply = one(machine.sessions.replied(0.4, report, ReportReply(True, 1, 0, 50.0)))
     assert reply.age_ms == pytest.approx(350.0)
 
 
@@ -472,7 +472,7 @@
         machine.poll(0.1 + step * 0.5)
         report = machine.sessions.next_report(0.1 + step * 0.5, 1)
         if report is not None:
-            machine.sessions.report_replied(0.1 + step * 0.5, report, None)
+            machine.sessions.replied(0.1 + step * 0.5, report, None)
         machine.log.commit = step
         reply = one(
             machine.sessions.tick(0.55 + step * 0.5) or machine.commit(0.55 + step * 0.5, step)
@@ -500,11 +500,11 @@
     machine.poll(0.0, name="a")
     machine.poll(0.0, name="b")
     assert named(machine.report(0.1)) == ["a", "b"]
-    machine.sessions.report_replied(0.1, Report("m", "i", 1, 1, True), ReportReply(True, 1, 5, 1.0))
+    machine.sessions.replied(0.1, Report("m", "i", 1, 1, True), ReportReply(True, 1, 5, 1.0))
     machine.poll(0.2, position=5, name="b")
     report = machine.report(0.4)
     assert named(report) == ["b"] and report.sessions[0].position == 5
-    machine.sessions.report_replied(0.4, report, ReportReply(True, 1, 5, 1.0))
+    machine.sessions.replied(0.4, report, ReportReply(True, 1, 5, 1.0))
     assert named(machine.report(0.7)) == []
 
 
@@ -513,7 +513,7 @@
     machine.poll(0.2, name="q")
     first = machine.report(0.4)
     assert machine.sessions.next_report(5.0, 1) is None  # one on its way
-    machine.sessions.report_replied(0.9, first, None)
+    machine.sessions.replied(0.9, first, None)
     machine.poll(0.9, name="z")
     second = machine.report(1.0)
     assert sorted(named(second)) == ["q", "z"] and second.number == first.number + 1
@@ -524,10 +524,10 @@
     end = 0.1 + DROP_S + 0.01
     report = machine.report(end)
     assert report.ended == (("p", "i1"),) and len(machine.sessions) == 0
-    machine.sessions.report_replied(end, report, None)
+    machine.sessions.replied(end, report, None)
     again = machine.report(end + 0.3)
     assert again.ended == (("p", "i1"),)
-    machine.sessions.report_replied(end + 0.3, again, ReportReply(True, 1, 0, 1.0))
+    machine.sessions.replied(end + 0.3, again, ReportReply(True, 1, 0, 1.0))
     assert machine.report(end + 0.6).ended == ()
 
 
@@ -537,7 +537,7 @@
     lost = machine.report(end)
     machine.poll(end + 0.1)
     assert machine.commit(end + 0.15, 1) == []
-    machine.sessions.report_replied(end + 0.2, lost, None)
+    machine.sessions.replied(end + 0.2, lost, None)
     report = machine.report(end + 0.3)
     assert report.ended == () and named(report) == ["p"]
 
@@ -546,17 +546,17 @@
     machine = started()
     delta = machine.report(0.4)
     assert not delta.full
-    machine.sessions.report_replied(0.4, delta, ReportReply(True, 1, 0, -1.0, True))
+    machine.sessions.replied(0.4, delta, ReportReply(True, 1, 0, -1.0, True))
     full = machine.report(0.7)
     assert full.full and named(full) == ["p"]
-    machine.sessions.report_replied(0.7, full, ReportReply(True, 1, 0, 1.0))
+    machine.sessions.replied(0.7, full, ReportReply(True, 1, 0, 1.0))
     other = machine.report(0.71, fence=2)
     assert other.full and other.fence == 2 and named(other) == ["p"]
 
 
 def test_a_full_report_that_was_lost_is_sent_again_in_full() -> None:
     machine = Machine()
-    machine.sessions.report_replied(0.1, machine.report(0.1), None)
+    machine.sessions.replied(0.1, machine.report(0.1), None)
     assert machine.report(0.4).full
 
 
@@ -565,13 +565,13 @@
     machine.poll(0.0)
     old = machine.report(0.1, fence=1)
     machine.report(0.1, fence=2)
-    assert machine.sessions.report_replied(0.2, old, ReportReply(True, 1, 0, 1.0)) == []
+    assert machine.sessions.replied(0.2, old, ReportReply(True, 1, 0, 1.0)) == []
     assert machine.sessions.as_of is None
 
 
 def test_an_earlier_leader_gets_no_report_any_more() -> None:
     machine = Machine()
-    machine.sessions.report_replied(0.1, machine.report(0.1, fence=2), None)
+    machine.sessions.replied(0.1, machine.report(0.1, fence=2), None)
     assert machine.sessions.next_report(1.0, 1) is None
 
 
--- a/violetroute/distribution/machine.py
+++ b/violetroute/distribution/machine.py
@@ -148,9 +148,7 @@
             self._leadership.replied(now, ticket, reply)
         elif ticket in self._reports:
             answer = reply if isinstance(reply, ReportReply) else None
-            self._answer_polls(
-                self._sessions.report_replied(now, self._reports.pop(ticket), answer)
-            )
+            self._answer_polls(self._sessions.replied(now, self._reports.pop(ticket), answer))
         return self._advance(now)
 
     def persisted(self, now: float, ticket: int) -> list[Action]:
@@ -339,7 +337,7 @@
             return
         if self._leadership is not None:
             reply = self._take_report(now, report, known=True)
-            self._answer_polls(self._sessions.report_replied(now, report, reply))
+            self._answer_polls(self._sessions.replied(now, report, reply))
         else:
             ticket = self._outbox.send(self.leader, report, self._settings.timeout_s)
             self._reports = {ticket: report}
--- a/violetroute/distribution/sessions.py
+++ b/violetroute/distribution/sessions.py
@@ -154,9 +154,7 @@
         self._drop_silent(now)
         return self._reporter.build(now, fence, self._sessions)
 
-    def report_replied(
-        self, now: float, report: Report, reply: ReportReply | None
-    ) -> list[PollAnswer]:
+    def replied(self, now: float, report: Report, reply: ReportReply | None) -> list[PollAnswer]:
         """The leader's reply to a report; None: lost, or refused."""
         registered = self._reporter.take(report, reply, self._sessions)
         self._reporter.committed(self._log.commit)
