--- a/violetroute/fleet/job.py
+++ b/violetroute/fleet/job.py
@@ -1,13 +1,14 @@
-"""A work whose effects are entries of its fenced log, each handed over to an endpoint as well.
+"""A work whose effects are entries of its fenced log, optionally delivered to an HTTP endpoint.
 
-What the next entry is, a `Decider` says from the log as it has been read.  An entry that is to be
-handed over stands in the outbox until an entry says that it was: so an owner that is killed after
-the post and before its record leaves the post to the next one, under the same key.
+A `Decider` computes the next entry from the log as read so far.  An entry to be delivered stays in
+the outbox until another entry records its delivery.  If an owner is killed between the POST and
+that record, the next owner repeats the POST with the same idempotency key.
 
-The convention towards an endpoint: a POST with `Idempotency-Key: "LOG/FENCE.NONCE/POSITION"` of the
-entry (no log that was forgotten and begun anew has it again) and `Fence: NUMBER;NONCE` of the owner
-that posts.  2xx: taken, now or before.  412 with {"fence": NUMBER}: a later owner has been
-there.  Anything else, a 412 that names no such fence too: again, later.
+A delivery is a POST with `Idempotency-Key: "LOG/FENCE.NONCE/POSITION"` of the entry and
+`Fence: NUMBER;NONCE` of the owner that posts.  The key contains fence and nonce, so it is not
+reused if the log is lost and starts again.  2xx: the entry was accepted, now or before.  412 with
+{"fence": NUMBER}: a later owner has posted.  Any other response, including a 412 without a valid
+fence, is retried later.
 """
 
 from __future__ import annotations
@@ -27,46 +28,48 @@
 from .log import Done, Fenced, FencedLog, NothingToAppend, Record, Result, append, claim
 from .runner import Term
 
-FIRST_RETRY_S, MAX_RETRY_S = 0.2, 30.0  # s before a try again, and at most
-MAX_RETRY_AFTER_S = 3600.0  # s for which an endpoint's word is heeded
-JOB_TIMEOUT_S = (
-    60.0  # s, at least a term, after which a job beside the loop is given up: a disk that hangs
-)
+# First and longest wait before a retry.
+FIRST_RETRY_S, MAX_RETRY_S = 0.2, 30.0
+MAX_RETRY_AFTER_S = 3600.0  # longest Retry-After of an endpoint that is respected
+# After this time, or one term if longer, a job outside the event loop counts as hung.  A hung disk
+# blocks only its own jobs; lease renewals use a separate writer and would go on.
+JOB_TIMEOUT_S = 60.0
 #               holds up only what is done at it, and renewals have a writer of their own
 
 
 class Decider(Protocol):
-    """What the entries are.  Pure; kept over terms, since the log is."""
+    """Computes the entries of a log.  Pure; its state outlives a term, as the log does."""
 
     def apply(self, body: Any) -> None:
-        """An entry that counts, whoever wrote it."""
+        """Process a valid entry of the log, whoever wrote it."""
 
     def decide(self) -> Any:
-        """The next entry's body, or None."""
+        """The body of the next entry, or None."""
 
 
 class Outbox:
-    """Entries that the endpoint has not taken yet.  Pure."""
+    """Entries that the endpoint has not accepted yet, by position.  Pure."""
 
-    def __init__(self, hands_over: bool) -> None:
-        self._hands_over = hands_over
+    def __init__(self, delivers: bool) -> None:
+        self._delivers = delivers
         self.undelivered: dict[int, Record] = {}
 
     def apply(self, position: int, record: Record) -> bool:
-        """Whether it is an entry of the work's own, and not of this book-keeping."""
+        """Process a valid entry.  True for an entry of the work, False for a delivery record."""
         if isinstance(record.body, dict) and "handed" in record.body:
             self.undelivered.pop(record.body["handed"], None)
             return False
-        if self._hands_over:
+        if self._delivers:
             self.undelivered[position] = record
         return True
 
 
 class LogWork:
-    """One work.  `gather`: what has to be read for a decision, beside the loop, before each one.
+    """Runs one work: claims its log, appends entries and delivers them.
 
-    One step at a time, `every_s` s apart while there is nothing to do; at most one call or one run
-    of the log is under way, and one timer.
+    `gather` is called before each decision to read its input outside the event loop; its callback
+    gets the reason of a failure, or "".  `interval_s`: wait between steps when there is nothing to
+    do.  At most one job or HTTP call and one timer are pending.
     """
 
     def __init__(
@@ -74,67 +77,68 @@
         name: str,
         net: Network,
         decider: Decider,
-        every_s: float,
+        interval_s: float,
         endpoint: Address | None,
         path: str,
         limit_s: float,
         gather: Callable[[Callable[[str], None]], None] | None = None,
-        closes: Callable[[], None] = lambda: None,
+        on_close: Callable[[], None] = lambda: None,
     ) -> None:
         self.name, self._net, self._loop = name, net, net.loop
-        self._decider, self._every, self._gather = decider, every_s, gather
-        self._closes = closes
+        self._decider, self._interval, self._gather = decider, interval_s, gather
+        self._on_close = on_close
         self._endpoint, self._path, self._limit = endpoint, path, limit_s
         self._outbox = Outbox(endpoint is not None)
         self._log = FencedLog(name, self._applied)
         self._term: Term | None = None
         self._claimed = False
         self._busy = False
-        self._ended: Callable[[], None] | None = None
+        self._on_ended: Callable[[], None] | None = None
         self._timer: Any = None
         self._call: HttpCall | None = None
-        self._patience: Any = None  # the timer of a job that is under way
+        self._job_timer: Any = None  # detects a hung job
         self._failures = 0
         self._failing_since: float | None = None
-        self._notify_entry: Callable[[int, Record], None] = lambda position, record: None
+        self._entry_callback: Callable[[int, Record], None] = lambda position, record: None
         self._random = random.Random(name)
 
     def _applied(self, position: int, record: Record) -> None:
         if self._outbox.apply(position, record):
             self._decider.apply(record.body)
-            self._notify_entry(position, record)
+            self._entry_callback(position, record)
 
-    def on_entry(self, told: Callable[[int, Record], None]) -> None:
-        """Call `told` with the position and the record of each entry that counts."""
-        self._notify_entry = told
+    def on_entry(self, callback: Callable[[int, Record], None]) -> None:
+        """Call `callback` with the position and the record of each valid entry of the work."""
+        self._entry_callback = callback
 
-    # --- from the fleet ---
+    # --- called by the runner ---
     def begin(self, term: Term) -> None:
-        """Work under this term: claim the log, then take one step at a time."""
+        """Start to work in this term: claim the log, then run one step at a time."""
         self._term, self._claimed = term, False
-        self._well()
-        self._next(0.0)
+        self._reset_failures()
+        self._schedule(0.0)
 
     def end(self, ended: Callable[[], None]) -> None:
-        """A post that is under way is broken off: it has its key, and the next owner repeats it.
+        """Stop; `ended` is called when no effect is in progress any more.
 
-        What was given to the store is waited for: only then is it known to have ended.
+        A pending POST is cancelled: the next owner repeats it with the same key.  A pending call to
+        the store is awaited: only its response shows that it is over.
         """
         self._term = None
         self._stop()
         if self._busy:
-            self._ended = ended
+            self._on_ended = ended
         else:
             ended()
 
     def close(self) -> None:
-        """Stop without waiting: no timer and no call is left."""
-        self._term = self._ended = None
+        """Stop without waiting, and cancel all timers and calls."""
+        self._term = self._on_ended = None
         self._stop()
-        self._closes()
+        self._on_close()
 
     def _stop(self) -> None:
-        self._came()
+        self._cancel_job_timer()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -144,7 +148,7 @@
             self._busy = False
 
     # --- steps ---
-    def _next(self, wait: float) -> None:
+    def _schedule(self, wait: float) -> None:
         if self._term is not None and self._timer is None:
             self._timer = self._loop.call_later(wait, self._step)
 
@@ -154,41 +158,45 @@
         if term is None or self._busy:
             return
         if not term.is_valid():
-            self._next(self._every)
+            self._schedule(self._interval)
             return
         if not self._claimed:
-            self._run(claim(self._log, term.fence, term.me.nonce, term.me.name), self._did_claim)
+            self._run(claim(self._log, term.fence, term.me.nonce, term.me.name), self._claim_done)
         elif self._endpoint is not None and self._outbox.undelivered:
             self._post(term, self._endpoint)
         elif self._gather is not None:
-            self._waits(term)
+            self._start_job(term)
             self._gather(self._gathered)
         else:
             self._decide()
 
-    def _waits(self, term: Term) -> None:
+    def _start_job(self, term: Term) -> None:
         self._busy = True
-        self._patience = self._loop.call_later(max(JOB_TIMEOUT_S, term.term_s), self._hangs)
+        self._job_timer = self._loop.call_later(
+            max(JOB_TIMEOUT_S, term.term_s), self._job_timed_out
+        )
 
-    def _came(self) -> None:
-        if self._patience is not None:
-            self._patience.cancel()
-            self._patience = None
+    def _cancel_job_timer(self) -> None:
+        if self._job_timer is not None:
+            self._job_timer.cancel()
+            self._job_timer = None
 
-    def _hangs(self) -> None:
-        """What was begun may still be done: the lease is not handed back, it ends with its term."""
-        self._patience = None
+    def _job_timed_out(self) -> None:
+        """Step down.  The hung job may still finish, so the lease is not released but expires."""
+        self._job_timer = None
         if self._term is not None:
-            logs.event("fleet.work_failed", work=self.name, reason="a job beside the loop hangs")
+            logs.event(
+                "fleet.work_failed", work=self.name, reason="a disk or store job does not finish"
+            )
             self._term.transfer()
 
-    def _gathered(self, why: str) -> None:
-        self._came()
+    def _gathered(self, error: str) -> None:
+        self._cancel_job_timer()
         self._busy = False
-        if self._over():
+        if self._term_over():
             return
-        if why:
-            self._failed(why)
+        if error:
+            self._failed(error)
         else:
             self._decide()
 
@@ -197,62 +205,63 @@
         assert term is not None
         self._run(
             append(self._log, term.fence, term.me.nonce, term.me.name, self._decider.decide),
-            self._did,
+            self._append_done,
         )
 
-    def _run(self, steps: Any, did: Callable[[Result], None]) -> None:
+    def _run(self, steps: Any, done: Callable[[Result], None]) -> None:
         term = self._term
         assert term is not None
-        self._waits(term)
+        self._start_job(term)
 
-        def told(result: Result | None, why: str) -> None:
-            self._came()
+        def finished(result: Result | None, error: str) -> None:
+            self._cancel_job_timer()
             self._busy = False
-            if self._over():
+            if self._term_over():
                 return
             if result is None:
-                self._failed(why)
+                self._failed(error)
             elif isinstance(result, Fenced):
                 term.fenced(result.floor)
             else:
-                self._well()
-                did(result)
+                self._reset_failures()
+                done(result)
 
-        term.run(steps, told)
+        term.run(steps, finished)
 
-    def _over(self) -> bool:
-        """The term has ended meanwhile; who waits for that is told."""
-        if self._term is not None and self._ended is None:
+    def _term_over(self) -> bool:
+        """Whether the term has ended since the job started; if so, report that the job is over."""
+        if self._term is not None and self._on_ended is None:
             return False
-        ended, self._ended = self._ended, None
+        ended, self._on_ended = self._on_ended, None
         if ended is not None:
             ended()
         return True
 
-    def _did_claim(self, result: Result) -> None:
+    def _claim_done(self, result: Result) -> None:
         self._claimed = isinstance(result, Done)
-        self._next(0.0 if self._claimed else self._wait())
+        self._schedule(0.0 if self._claimed else self._backoff())
 
-    def _did(self, result: Result) -> None:
+    def _append_done(self, result: Result) -> None:
         if isinstance(result, Done) and self._endpoint is not None:
-            self._next(0.0)
+            self._schedule(0.0)
         elif isinstance(result, (Done, NothingToAppend)):
-            self._next(self._every)
+            self._schedule(self._interval)
         else:
-            self._next(self._wait())
+            self._schedule(self._backoff())
 
-    def _failed(self, why: str) -> None:
-        logs.event("fleet.work_failed", work=self.name, reason=why)
-        if not self._stands_still():
-            self._next(self._wait())
+    def _failed(self, error: str) -> None:
+        logs.event("fleet.work_failed", work=self.name, reason=error)
+        if not self._transfer_if_failing():
+            self._schedule(self._backoff())
 
-    def _well(self) -> None:
+    def _reset_failures(self) -> None:
         self._failures, self._failing_since = 0, None
 
-    def _stands_still(self) -> bool:
-        """Nothing has come off for a whole term: perhaps it is us who are cut off.  Handed on then.
+    def _transfer_if_failing(self) -> bool:
+        """Transfer the work if every step has failed for a whole term.
 
-        Where it is the store or the endpoint that is down, the work goes round once a term.
+        Another process may reach what this one cannot.  If the store or the endpoint itself is
+        down, the work moves to another owner once a term.
         """
         now, term = self._loop.time(), self._term
         if self._failing_since is None:
@@ -262,14 +271,14 @@
         term.transfer()
         return True
 
-    def _wait(self, at_least: float = 0.0) -> float:
+    def _backoff(self, at_least: float = 0.0) -> float:
         ceiling = min(MAX_RETRY_S, FIRST_RETRY_S * 2.0 ** min(self._failures, 20))
         self._failures += 1
         return max(at_least, ceiling * (0.5 + 0.5 * self._random.random()))
 
-    # --- handing over ---
+    # --- delivery ---
     def _post(self, term: Term, endpoint: Address) -> None:
-        """Post the first entry that waits."""
+        """Post the first undelivered entry."""
         position, record = next(iter(self._outbox.undelivered.items()))
         self._busy = True
         headers = {
@@ -294,24 +303,24 @@
         position: int,
         status: int,
         headers: dict[str, str],
-        answer: bytes,
-        why: str,
+        body: bytes,
+        error: str,
     ) -> None:
-        """The endpoint has answered, or `why` says why it has not."""
+        """Process the response of the endpoint; `error` is the reason if there is none."""
         self._call, self._busy = None, False
-        if self._over():
+        if self._term_over():
             return
-        floor = _floor(answer) if status == 412 else 0
+        floor = _floor(body) if status == 412 else 0
         if 200 <= status < 300:
-            self._well()
-            self._record_handed(term, position)
+            self._reset_failures()
+            self._record_delivery(term, position)
         elif term.fence <= floor < MAX_FENCE:
             term.fenced(floor)
         else:
-            self._undelivered(status, headers, why)
+            self._delivery_failed(status, headers, error)
 
-    def _record_handed(self, term: Term, position: int) -> None:
-        """Write to the log that this entry was taken, unless it says so already."""
+    def _record_delivery(self, term: Term, position: int) -> None:
+        """Record in the log that this entry was delivered, unless that is already recorded."""
         self._run(
             append(
                 self._log,
@@ -320,36 +329,36 @@
                 term.me.name,
                 lambda: {"handed": position} if position in self._outbox.undelivered else None,
             ),
-            self._handed,
+            self._delivery_recorded,
         )
 
-    def _undelivered(self, status: int, headers: dict[str, str], why: str) -> None:
-        wait = self._wait(_retry_after(headers) if status in (429, 503) else 0.0)
+    def _delivery_failed(self, status: int, headers: dict[str, str], error: str) -> None:
+        wait = self._backoff(_retry_after(headers) if status in (429, 503) else 0.0)
         logs.event(
             "fleet.undelivered",
             work=self.name,
-            reason=why or f"answered {status}",
+            reason=error or f"answered {status}",
             wait_s=round(wait, 1),
         )
-        if not self._stands_still():
-            self._next(wait)
+        if not self._transfer_if_failing():
+            self._schedule(wait)
 
-    def _handed(self, result: Result) -> None:
-        self._next(0.0 if self._outbox.undelivered else self._every)
+    def _delivery_recorded(self, result: Result) -> None:
+        self._schedule(0.0 if self._outbox.undelivered else self._interval)
 
 
 def idempotency_key(record: Record, position: int) -> str:
-    """The idempotency key of an entry, as a structured header's string, for any poster."""
+    """The idempotency key of an entry, as a string of a structured header; same for each owner."""
     return f'"{record.log}/{record.fence}.{record.nonce}/{position}"'
 
 
-def _floor(answer: bytes) -> int:
-    """The fence that a refusal names; 0 where it names none."""
+def _floor(body: bytes) -> int:
+    """The fence in the body of a 412 response; 0 if it has none."""
     try:
-        told = msgspec.json.decode(answer)
+        decoded = msgspec.json.decode(body)
     except (msgspec.DecodeError, RecursionError):
         return 0
-    fence = told.get("fence") if isinstance(told, dict) else None
+    fence = decoded.get("fence") if isinstance(decoded, dict) else None
     return fence if isinstance(fence, int) and fence > 0 else 0
 
 
@@ -359,16 +368,16 @@
 
 
 class BeatDecider:
-    """An example: the count of each entry is one more than the last, so none occurs twice."""
+    """An example: each entry contains the previous count plus one, so a duplicate is visible."""
 
     def __init__(self) -> None:
         self.count = 0
 
     def apply(self, body: Any) -> None:
-        """Take over the count of an entry of the log."""
+        """Set the count to that of an entry of the log."""
         if isinstance(body, dict) and isinstance(body.get("beat"), int):
             self.count = body["beat"]
 
     def decide(self) -> Any:
-        """The body of the next entry."""
+        """The next count."""
         return {"beat": self.count + 1}
--- a/violetroute/fleet/log.py
+++ b/violetroute/fleet/log.py
@@ -1,17 +1,18 @@
-"""A log that many may write and one owner at a time does: the fence where the effect is.  Pure.
+"""A fenced log: every process can write to it, but only the current owner's entries count.  Pure.
 
-Each position is written once for good; the store promises just that ("put if there is nothing",
-which a file system has as `link` and a key-value store as a check for no key).  Who begins a term
-puts a **claim** with its fence at the next position; an entry counts if its fence is the one of the
-last claim that counted.  Where a late owner would put its entry there stands the claim that ended
-its term: it can't be checked before and written after, since writing is the check.
+Each position is written at most once.  That is all that a store must guarantee ("put if absent":
+`link` in a file system, a transaction with check-not-exists in a key-value store).  A new owner
+first puts a **claim** with its fence at the next position.  An entry is valid if its fence is that
+of the last valid claim.  A late owner finds its position taken by the claim that ended its term.
+No time passes between the check and the write, since the write is the check.
 
-Weighed and rejected: a lock round check and write (a process that is stopped within it stops all),
-"readers take the highest fence" over files named by fence (a reader may have used the lower one
-before the higher came), appending to one file (a late write lands behind the new owner's).
+A lock around check and write is not used, since a process suspended inside it would block all
+others.  Files named by fence, of which readers take the highest, are not used: a reader may have
+used a lower fence before the higher one appeared.  Appending to one file is not used: a late write
+would come after the entries of the new owner.
 
-Reading and writing are yielded as `Read` and `Put`, so that the same lines run over a folder, a
-key-value store and a model; `claim` and `append` are the whole protocol.
+Operations yield their `Read` and `Put` steps, so the same code runs on a folder, a key-value store
+and a model.  `claim` and `append` are the whole protocol.
 """
 
 from __future__ import annotations
@@ -25,13 +26,13 @@
 from .lease import MAX_FENCE, FenceGuard, is_nonce
 
 VERSION = 1
-MAX_RECORD_BYTES = 4 * 1024 * 1024  # bytes of a record
-MAX_ATTEMPTS = 64  # positions that others may have written while we tried
-MAX_RECORDS_PER_READ = 256  # records that one read asks for
+MAX_RECORD_BYTES = 4 * 1024 * 1024  # of one record
+MAX_ATTEMPTS = 64  # puts that may fail since others wrote to the position
+MAX_RECORDS_PER_READ = 256
 
 
 class Record(msgspec.Struct, frozen=True):
-    """What stands at one position."""
+    """The record at one position: a claim or an entry."""
 
     v: int
     log: str
@@ -39,12 +40,12 @@
     nonce: str
     kind: Literal["claim", "entry"]
     body: Any = None
-    name: str = ""  # the proxy's, for people
+    name: str = ""  # of the proxy, for operators
 
 
 @dataclass(frozen=True, slots=True)
 class Read:
-    """The records from `position` on, as many as there are without a gap, PAGE at most."""
+    """Read the records from `position` to the first gap, at most MAX_RECORDS_PER_READ."""
 
     log: str
     position: int
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """This at `position`, if there is nothing yet; whether it was put."""
+    """Put `data` at `position` if nothing is there; the result is whether it was put."""
 
     log: str
     position: int
@@ -61,24 +62,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
+    """The operation is complete: the record is at `position`."""
+
     position: int
 
 
 @dataclass(frozen=True, slots=True)
 class Fenced:
-    """Another term has begun here; `floor` is its fence."""
+    """Another term has claimed the log; `floor` is its fence."""
 
     floor: int
 
 
 @dataclass(frozen=True, slots=True)
 class Contended:
-    """Too many wrote meanwhile: try again."""
+    """Others wrote to the log at every attempt: try again later."""
 
 
 @dataclass(frozen=True, slots=True)
 class NothingToAppend:
-    """There was nothing to put."""
+    """There was no entry to append."""
 
 
 Result = Done | Fenced | Contended | NothingToAppend
@@ -86,17 +89,20 @@
 
 
 class FencedLog:
-    """One log as read so far.  `took` hears of each entry that counts, with its position."""
+    """The state of one log as read so far.
+
+    `on_entry` is called with the position and the record of each valid entry.
+    """
 
     def __init__(self, name: str, on_entry: Callable[[int, Record], None]) -> None:
         self.name, self._on_entry = name, on_entry
         self.next_position = 0
         self.guard = FenceGuard()
-        self.entries = 0  # that count
-        self.ignored = 0  # positions that hold nothing that counts
+        self.entries = 0  # number of valid entries
+        self.ignored = 0  # number of positions without a valid record
 
     def apply(self, data: bytes) -> None:
-        """What stands at the next position."""
+        """Process the data at the next position."""
         position = self.next_position
         self.next_position += 1
         record = decode(data, self.name)
@@ -115,10 +121,10 @@
 
 
 def decode(data: bytes, log: str) -> Record | None:
-    """None for what is no record of this log: it counts for nobody, whoever reads it.
+    """The record, or None if `data` is not a record of this log: all readers ignore it.
 
-    A later version's record is none either.  A proxy of an earlier build thus misses entries, and
-    it may not own the work by then: see `docs/operators/fleet.md`, "Two versions side by side".
+    A record of a later version is ignored too.  An earlier build therefore misses entries and must
+    not own the work by then: see `docs/operators/fleet.md`, "Two versions side by side".
     """
     if len(data) > MAX_RECORD_BYTES:
         return None
@@ -137,11 +143,12 @@
 
 
 def encode(record: Record) -> bytes:
+    """The record's JSON."""
     return msgspec.json.encode(record)
 
 
 def read_to_end(log: FencedLog) -> Generator[Read, list[bytes], None]:
-    """All that there is."""
+    """Read the log to its end."""
     while True:
         found = yield Read(log.name, log.next_position)
         for data in found:
@@ -151,7 +158,10 @@
 
 
 def claim(log: FencedLog, fence: int, nonce: str, name: str) -> Steps:
-    """What a term begins with.  Done too where it stands already: its answer was lost."""
+    """Claim the log for a term.  Done as well if the claim is already in the log.
+
+    That happens if the response to its put was lost.
+    """
     data = encode(Record(VERSION, log.name, fence, nonce, "claim", None, name))
     for _ in range(MAX_ATTEMPTS):
         yield from read_to_end(log)
@@ -167,11 +177,12 @@
 
 
 def append(log: FencedLog, fence: int, nonce: str, name: str, decide: Callable[[], Any]) -> Steps:
-    """One entry at the end of the log, if its term's claim is still the last.
+    """Append one entry, if the claim of its term is still the last one.
 
-    `decide` is asked for it after everything has been read, and again after each read that found
-    more; None is no entry.  So an entry whose answer was lost is met as one that stands, and what
-    was decided still holds when it is put: nobody else's entry counts behind our claim.
+    `decide` is called after the whole log has been read, and again after every failed put; None
+    means no entry.  So an entry whose put succeeded but whose response was lost is read first, and
+    the decision is still valid at the put, since no other owner's entry is valid after this claim.
+    ValueError if the record is too long.
     """
     for _ in range(MAX_ATTEMPTS):
         yield from read_to_end(log)
@@ -182,7 +193,7 @@
             return NothingToAppend()
         data = encode(Record(VERSION, log.name, fence, nonce, "entry", body, name))
         if len(data) > MAX_RECORD_BYTES:
-            raise ValueError(f"{len(data)} bytes are more than a log's record may have")
+            raise ValueError(f"{len(data)} bytes exceed the maximum size of a log record")
         position = log.next_position
         if (yield Put(log.name, position, data)):
             log.apply(data)
--- a/violetroute/fleet/runner.py
+++ b/violetroute/fleet/runner.py
@@ -1,12 +1,11 @@
-"""The fleet's part of the daemon: carries out what owners decide, and lets works run.
+"""Runs leader election in the daemon: timers, calls to the store, starting and stopping works.
 
-Decisions are `election`'s and `assignment`'s; this file has the timer, the calls at the store and
-the order of things:
+`election` and `assignment` decide; this file performs the actions in this order:
 
-- one look at a time, and one call of an owner at a time for each work;
-- renewals that fall due are sent together, so that many works cost one call;
-- a work begins after its term was granted, and is told to end before anything else is done about a
-  term that is over; a lease is handed back when what the work had begun has ended.
+- at most one poll is pending, and at most one call for each work;
+- renewals that are due are sent together, so many works cost one call;
+- a work begins after its lease was granted, and is stopped before anything else happens about an
+  ended term; a lease is released once all effects of the work are over.
 """
 
 from __future__ import annotations
@@ -37,40 +36,43 @@
 from .store import Answer, Store, StoreView
 from .table import FleetTable
 
-STEP_FRACTION = 0.25  # of the time between looks: how much later each place in an order asks
-CLOSE_TIMEOUT_S = 2.0  # s for works to end and leases to be handed back
-STORE_LOG_INTERVAL_S = 30.0  # s between two lines about a store that does not answer
+RANK_STEP_FRACTION = 0.25  # of `look_s`: extra wait of a candidate per rank
+CLOSE_TIMEOUT_S = 2.0  # for works to stop and leases to be released
+STORE_LOG_INTERVAL_S = 30.0  # between two log lines about the same failure of the store
 
 
 @dataclass(frozen=True, slots=True)
 class Term:
-    """What a work is given with its ownership."""
+    """A term of ownership, as passed to a work."""
 
     work: str
     fence: int
     me: IncarnationId
-    is_valid: Callable[[], bool]  # whether an effect may be begun now
-    fenced: Callable[[int], None]  # an effect was refused: the highest fence of its place
-    run: Callable[[Steps, Callable[[Result | None, str], None]], None]  # at the store
-    transfer: Callable[[], None]  # another may fare better: the lease goes back
+    is_valid: Callable[[], bool]  # whether an effect may start now
+    fenced: Callable[[int], None]  # reports a rejected effect and the fence that rejected it
+    run: Callable[[Steps, Callable[[Result | None, str], None]], None]  # runs a log operation
+    transfer: Callable[[], None]  # steps down, so that another process can take over
     term_s: float
 
 
 class Work(Protocol):
-    """What is done by one owner at a time."""
+    """A fleet-wide job that one owner runs at a time."""
 
     def begin(self, term: Term) -> None:
-        """This process owns the work from now on."""
+        """This process owns the work from now on, in this term."""
 
     def end(self, ended: Callable[[], None]) -> None:
-        """Begin nothing more; `ended` once what had been begun is over, at once or later."""
+        """Start no more effects; call `ended` when all are over, at once or later."""
 
     def close(self) -> None:
-        """The process ends: no timer, no call is left."""
+        """Stop without waiting, and cancel all timers and calls."""
 
 
 class Fleet:
-    """One proxy's part in all elections.  `works` makes the work of each name in the table."""
+    """One proxy's participation in all elections.
+
+    `store` and `works` create the store of an incarnation and the work of a name.
+    """
 
     def __init__(
         self,
@@ -85,55 +87,61 @@
         self.me = IncarnationId(name[:MAX_NAME_CHARS], nonce or secrets.token_hex(8))
         self._random = random.Random(f"{name}/{self.me.nonce}")
         self._store = store(self.me)
-        self._make = works
+        self._make_work = works
         self._timing = LeaseTiming(
-            table.term_s, table.drift, table.look_s * STEP_FRACTION, self._store.expires_leases
+            table.term_s, table.drift, table.look_s * RANK_STEP_FRACTION, self._store.expires_leases
         )
-        self._owners: dict[str, LeaderElector] = {}
+        self._electors: dict[str, LeaderElector] = {}
         self._works: dict[str, Work] = {}
         self._timer: Any = None
         self._timer_at = 0.0
-        self._looking = False
-        # All that were restarted at once do not look at once.
-        self._look_at = self._loop.time() + table.look_s * self._random.random()
-        self._moved_at = self._loop.time()
+        self._polling = False
+        # Spreads the first polls of proxies that were restarted together.
+        self._poll_at = self._loop.time() + table.look_s * self._random.random()
+        self._transferred_at = self._loop.time()
         self._view: StoreView | None = None
-        self._wrong, self._wrong_at = "", -STORE_LOG_INTERVAL_S
+        self._last_error, self._last_error_at = "", -STORE_LOG_INTERVAL_S
         self._unreadable: dict[str, str] = {}
         self._closing = self._closed = False
         self.configure(table.works)
 
     # --- from the daemon ---
     def configure(self, works: Iterable[str]) -> None:
-        """Which works this proxy is ready to own from now on."""
+        """Set the works for which this proxy is a candidate from now on."""
         wanted = dict.fromkeys(works)
         for work in wanted:
-            if work not in self._owners:
-                self._owners[work] = LeaderElector(work, self.me.nonce, self._timing, self._random)
-                self._works[work] = self._make(work)
-        for work, owner in self._owners.items():
-            owner.set_candidate(work in wanted, owner.rank)
+            if work not in self._electors:
+                self._electors[work] = LeaderElector(
+                    work, self.me.nonce, self._timing, self._random
+                )
+                self._works[work] = self._make_work(work)
+        for work, elector in self._electors.items():
+            elector.set_candidate(work in wanted, elector.rank)
         self._rank()
-        self._go_on()
+        self._schedule()
 
     def owned(self) -> dict[str, int]:
-        """Works of ours that may run now, and their fences."""
+        """The fences of the works that this proxy owns now, by work."""
         now = self._loop.time()
-        return {work: owner.fence for work, owner in self._owners.items() if owner.valid_fence(now)}
+        return {
+            work: elector.fence
+            for work, elector in self._electors.items()
+            if elector.valid_fence(now)
+        }
 
     async def close(self) -> None:
-        """Works end, leases are handed back; what does not end in time is seen to have lapsed."""
+        """Stop all works and release their leases; those not released in time expire."""
         self._closing = True
         self.configure(())
         until = self._loop.time() + CLOSE_TIMEOUT_S
         while self._loop.time() < until and any(
-            owner.state != "waiting" for owner in self._owners.values()
+            elector.state != "waiting" for elector in self._electors.values()
         ):
             await asyncio.sleep(0.01)
         self.stop()
 
     def stop(self) -> None:
-        """Stop without waiting: cancel the timer, close the works and the store."""
+        """Stop without waiting: cancel the timer, close all works and the store."""
         self._closing = self._closed = True
         if self._timer is not None:
             self._timer.cancel()
@@ -143,13 +151,13 @@
         self._store.close()
 
     # --- time ---
-    def _go_on(self) -> None:
-        """The timer at what is due first."""
+    def _schedule(self) -> None:
+        """Set the timer to what is due first."""
         if self._closed:
             return
-        due = min((owner.next_at for owner in self._owners.values()), default=float("inf"))
-        if not self._looking and not self._closing:
-            due = min(due, self._look_at)
+        due = min((elector.next_at for elector in self._electors.values()), default=float("inf"))
+        if not self._polling and not self._closing:
+            due = min(due, self._poll_at)
         if self._timer is not None and self._timer_at == due:
             return
         if self._timer is not None:
@@ -162,58 +170,60 @@
     def _tick(self) -> None:
         self._timer = None
         try:
-            self._due(self._loop.time())
-        finally:  # a fault of one work must not stop the others' renewals
-            self._go_on()
+            self._run_due(self._loop.time())
+        finally:  # an error in one work must not stop the renewals of the others
+            self._schedule()
 
-    def _due(self, now: float) -> None:
+    def _run_due(self, now: float) -> None:
         actions: list[Action] = []
-        for owner in self._owners.values():
-            actions += owner.tick(now)
+        for elector in self._electors.values():
+            actions += elector.tick(now)
         if any(isinstance(action, Renew) for action in actions):
-            for owner in self._owners.values():  # the others' are sent with them
-                actions += owner.renew_early(now)
-        self._do(actions)
-        if not self._looking and not self._closing and now >= self._look_at:
-            self._look()
-
-    # --- looking ---
-    def _look(self) -> None:
-        self._looking, asked_at = True, self._loop.time()
-        self._store.poll(lambda view, why: self._looked(asked_at, view, why))
-
-    def _looked(self, asked_at: float, view: StoreView | None, why: str) -> None:
+            for elector in self._electors.values():  # sent in the same call
+                actions += elector.renew_early(now)
+        self._perform(actions)
+        if not self._polling and not self._closing and now >= self._poll_at:
+            self._poll()
+
+    # --- polling the store ---
+    def _poll(self) -> None:
+        self._polling, requested_at = True, self._loop.time()
+        self._store.poll(lambda view, error: self._polled(requested_at, view, error))
+
+    def _polled(self, requested_at: float, view: StoreView | None, error: str) -> None:
         if self._closed:
             return
         try:
-            self._take_in(asked_at, view, why)
+            self._process_poll(requested_at, view, error)
         finally:
-            self._tick_soon()
+            self._tick_now()
 
-    def _take_in(self, asked_at: float, view: StoreView | None, why: str) -> None:
+    def _process_poll(self, requested_at: float, view: StoreView | None, error: str) -> None:
         now = self._loop.time()
-        self._looking = False
-        self._look_at = max(now, asked_at + self.table.look_s * (0.8 + 0.4 * self._random.random()))
+        self._polling = False
+        self._poll_at = max(
+            now, requested_at + self.table.look_s * (0.8 + 0.4 * self._random.random())
+        )
         if view is None:
-            self._trouble(why)
-            self._look_at = max(self._look_at, now + self.table.look_s * self._random.random())
+            self._store_failed(error)
+            self._poll_at = max(self._poll_at, now + self.table.look_s * self._random.random())
         else:
-            self._well()
+            self._store_recovered()
             self._view = view
-            self._tell_unreadable(view)
+            self._log_unreadable(view)
             self._rank()
             actions: list[Action] = []
-            for work, owner in self._owners.items():
+            for work, elector in self._electors.items():
                 if work in view.unreadable:
-                    owner.unreadable()
+                    elector.unreadable()
                     continue
                 lease = view.leases.get(work)
                 alive = lease is None or lease.nonce not in view.dead
-                actions += owner.observe(now, asked_at, lease, alive)
-            self._do(actions)
+                actions += elector.observe(now, requested_at, lease, alive)
+            self._perform(actions)
             self._balance(now)
 
-    def _tick_soon(self) -> None:
+    def _tick_now(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -223,42 +233,42 @@
         view = self._view
         if view is None:
             return
-        works = [work for work, owner in self._owners.items() if owner.is_candidate]
+        works = [work for work, elector in self._electors.items() if elector.is_candidate]
         held = {work: lease.nonce for work, lease in view.leases.items() if not lease.free}
         if view.members is None:
             found = assignment.random_ranks(works, self.me, held)
         else:
             found = assignment.ranks(works, self.me, view.members, held)
         for work, rank in found.items():
-            self._owners[work].set_candidate(True, rank)
+            self._electors[work].set_candidate(True, rank)
 
     def _balance(self, now: float) -> None:
         view = self._view
-        if view is None or view.members is None or now - self._moved_at < self.table.move_s:
+        if view is None or view.members is None or now - self._transferred_at < self.table.move_s:
             return
-        works = [work for work, owner in self._owners.items() if owner.is_candidate]
+        works = [work for work, elector in self._electors.items() if elector.is_candidate]
         held = {
             work: lease.nonce
             for work, lease in view.leases.items()
-            if not lease.free and work in self._owners
+            if not lease.free and work in self._electors
         }
         work = assignment.surplus_work(works, self.me, view.members, held)
-        if work is not None and self._owners[work].valid_fence(now):
-            self._moved_at = now
+        if work is not None and self._electors[work].valid_fence(now):
+            self._transferred_at = now
             logs.event("fleet.moved", work=work)
-            self._do(self._owners[work].step_down(now))
+            self._perform(self._electors[work].step_down(now))
 
-    # --- doing ---
-    def _do(self, actions: list[Action]) -> None:
+    # --- actions ---
+    def _perform(self, actions: list[Action]) -> None:
         renewals: list[Renew] = []
         for action in actions:
             match action:
                 case TermBegan(work, fence):
                     self._begin(work, fence)
-                case TermEnded(work, fence, why):
-                    self._end(work, fence, why)
+                case TermEnded(work, fence, reason):
+                    self._end(work, fence, reason)
                 case Acquire():
-                    self._ask(action)
+                    self._acquire(action)
                 case Release(work, number, fence):
                     self._release(work, number, fence)
                 case Renew():
@@ -267,128 +277,130 @@
             self._renew(renewals)
 
     def _begin(self, work: str, fence: int) -> None:
-        owner, part = self._owners[work], self._works[work]
+        elector, job = self._electors[work], self._works[work]
         logs.event("fleet.gained", work=work, fence=fence)
 
         def is_valid() -> bool:
-            return owner.valid_fence(self._loop.time()) == fence
+            return elector.valid_fence(self._loop.time()) == fence
 
         def fenced(floor: int) -> None:
-            if owner.fence == fence:
-                self._do(owner.fenced(self._loop.time(), floor))
-                self._go_on()
+            if elector.fence == fence:
+                self._perform(elector.fenced(self._loop.time(), floor))
+                self._schedule()
 
-        def run(steps: Steps, told: Callable[[Result | None, str], None]) -> None:
-            self._store.run(steps, lambda result, why: None if self._closed else told(result, why))
+        def run(steps: Steps, callback: Callable[[Result | None, str], None]) -> None:
+            self._store.run(
+                steps, lambda result, error: None if self._closed else callback(result, error)
+            )
 
         def transfer() -> None:
-            if owner.fence == fence:
-                self._do(owner.step_down(self._loop.time()))
-                self._go_on()
+            if elector.fence == fence:
+                self._perform(elector.step_down(self._loop.time()))
+                self._schedule()
 
-        part.begin(Term(work, fence, self.me, is_valid, fenced, run, transfer, self.table.term_s))
+        job.begin(Term(work, fence, self.me, is_valid, fenced, run, transfer, self.table.term_s))
 
-    def _end(self, work: str, fence: int, why: str) -> None:
-        owner = self._owners[work]
-        if why == "lapsed":
+    def _end(self, work: str, fence: int, reason: str) -> None:
+        elector = self._electors[work]
+        if reason == "lapsed":
             logs.event("fleet.lapsed", work=work, fence=fence)
-        elif why == "lost":
+        elif reason == "lost":
             logs.event("fleet.lost", work=work, fence=fence)
-        elif why == "fenced":
+        elif reason == "fenced":
             logs.event("fleet.fenced", work=work, fence=fence)
         else:
             logs.event("fleet.resigned", work=work, fence=fence)
 
         def ended() -> None:
-            owner.work_stopped()
-            self._go_on()
+            elector.work_stopped()
+            self._schedule()
 
         self._works[work].end(ended)
 
-    def _ask(self, ask: Acquire) -> None:
-        owner = self._owners[ask.work]
+    def _acquire(self, request: Acquire) -> None:
+        elector = self._electors[request.work]
 
-        def told(answer: Answer | None, why: str) -> None:
+        def done(answer: Answer | None, error: str) -> None:
             if self._closed:
                 return
             now = self._loop.time()
             if answer is None:
-                self._trouble(why)
-                self._do(owner.failed(now, ask.number))
+                self._store_failed(error)
+                self._perform(elector.failed(now, request.number))
             elif answer.accepted and answer.lease is not None:
-                self._do(owner.granted(now, ask.number, answer.lease.fence))
+                self._perform(elector.granted(now, request.number, answer.lease.fence))
             else:
-                logs.event("fleet.stood_aside", work=ask.work, owner=_holder(answer.lease))
-                self._do(owner.denied(now, ask.number, answer.lease))
-            self._go_on()
+                logs.event("fleet.stood_aside", work=request.work, owner=_holder_name(answer.lease))
+                self._perform(elector.denied(now, request.number, answer.lease))
+            self._schedule()
 
-        self._store.acquire(ask, told)
+        self._store.acquire(request, done)
 
     def _renew(self, renewals: list[Renew]) -> None:
 
-        def told(answers: Mapping[str, Answer] | None, why: str) -> None:
+        def done(answers: Mapping[str, Answer] | None, error: str) -> None:
             if self._closed:
                 return
             now = self._loop.time()
             if answers is None:
-                self._trouble(why)
+                self._store_failed(error)
             for each in renewals:
-                owner = self._owners[each.work]
+                elector = self._electors[each.work]
                 answer = None if answers is None else answers.get(each.work)
                 if answer is None:
-                    self._do(owner.failed(now, each.number))
+                    self._perform(elector.failed(now, each.number))
                 elif answer.accepted:
-                    self._do(owner.renewed(now, each.number))
-                    if owner.late_margin_s:
+                    self._perform(elector.renewed(now, each.number))
+                    if elector.late_margin_s:
                         logs.event(
                             "fleet.renewed_late",
                             work=each.work,
                             fence=each.fence,
-                            left_s=round(owner.late_margin_s, 2),
+                            left_s=round(elector.late_margin_s, 2),
                         )
                 else:
-                    self._do(owner.lost(now, each.number, answer.lease))
-            self._go_on()
+                    self._perform(elector.lost(now, each.number, answer.lease))
+            self._schedule()
 
-        self._store.renew([(each.work, each.fence) for each in renewals], told)
+        self._store.renew([(each.work, each.fence) for each in renewals], done)
 
     def _release(self, work: str, number: int, fence: int) -> None:
-        owner = self._owners[work]
+        elector = self._electors[work]
 
-        def told(answer: Answer | None, why: str) -> None:
+        def done(answer: Answer | None, error: str) -> None:
             if self._closed:
                 return
             now = self._loop.time()
             if answer is None:
-                self._trouble(why)
-                self._do(owner.failed(now, number))
+                self._store_failed(error)
+                self._perform(elector.failed(now, number))
             elif answer.accepted:
                 logs.event("fleet.handed_back", work=work, fence=fence)
-                self._do(owner.released(now, number))
+                self._perform(elector.released(now, number))
             else:
-                self._do(owner.lost(now, number, answer.lease))
-            self._go_on()
+                self._perform(elector.lost(now, number, answer.lease))
+            self._schedule()
 
-        self._store.release(work, fence, told)
+        self._store.release(work, fence, done)
 
-    # --- saying ---
-    def _trouble(self, why: str) -> None:
+    # --- logging ---
+    def _store_failed(self, error: str) -> None:
         now = self._loop.time()
-        if why != self._wrong or now - self._wrong_at >= STORE_LOG_INTERVAL_S:
-            self._wrong, self._wrong_at = why, now
-            logs.event("fleet.store_failed", reason=why)
+        if error != self._last_error or now - self._last_error_at >= STORE_LOG_INTERVAL_S:
+            self._last_error, self._last_error_at = error, now
+            logs.event("fleet.store_failed", reason=error)
 
-    def _well(self) -> None:
-        if self._wrong:
-            self._wrong = ""
+    def _store_recovered(self) -> None:
+        if self._last_error:
+            self._last_error = ""
             logs.event("fleet.store_back")
 
-    def _tell_unreadable(self, view: StoreView) -> None:
-        for work, why in view.unreadable.items():
-            if self._unreadable.get(work) != why:
-                logs.event("fleet.unreadable", work=work, reason=why)
+    def _log_unreadable(self, view: StoreView) -> None:
+        for work, error in view.unreadable.items():
+            if self._unreadable.get(work) != error:
+                logs.event("fleet.unreadable", work=work, reason=error)
         self._unreadable = dict(view.unreadable)
 
 
-def _holder(lease: Lease | None) -> str:
+def _holder_name(lease: Lease | None) -> str:
     return "" if lease is None else lease.name
