--- a/benchmarks/emulated_fleet.py
+++ b/benchmarks/emulated_fleet.py
@@ -23,7 +23,7 @@
     """A proxy that remembers which nodes it was told to leave alone."""
 
     def __init__(self) -> None:
-        self.places, self.judged = NodeAddresses(), deque[LoadSample]()
+        self.places, self.load_samples = NodeAddresses(), deque[LoadSample]()
         self.bad: list[int] = []
 
     def apply_peer_reports(self, bad: list[int], outcomes: list[LoadSample]) -> None:
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -90,7 +90,7 @@
     )
     gone = fleet.here[3]
     gone._timer.cancel()
-    gone._mailbox.close()
+    gone._socket.close()
     at = fleet.kernel.now
     fleet.told.clear()
     fleet.run(40.0 + 20.0 * math.log10(count))
--- a/limebridge/faults/sharing/memory.py
+++ b/limebridge/faults/sharing/memory.py
@@ -52,7 +52,7 @@
     """What the part asks of the proxy."""
 
     def __init__(self) -> None:
-        self.places, self.judged = NodeAddresses(), deque[LoadSample]()
+        self.places, self.load_samples = NodeAddresses(), deque[LoadSample]()
 
     def apply_peer_reports(self, bad: list[int], outcomes: list[LoadSample]) -> None:
         pass
--- a/limebridge/scale/hollow.py
+++ b/limebridge/scale/hollow.py
@@ -90,7 +90,7 @@
 
     def __init__(self, place: Place, loop: HeldLoop, counters: memoryview, shape: Shape) -> None:
         self.place = place
-        self.places, self.judged = NodeAddresses(), deque[LoadSample]()
+        self.places, self.load_samples = NodeAddresses(), deque[LoadSample]()
         self.net_maker = CountedSocket.maker(counters, shape)
         self.loop = loop
         self.net = SocketNetwork(loop, make=self.net_maker)
--- a/limebridge/scale/measure_judgements.py
+++ b/limebridge/scale/measure_judgements.py
@@ -129,7 +129,7 @@
             return
         (key,) = self._random.choices(range(KEYS), cum_weights=self._weights)
         self._member.record_request(f"tenant-{key % TENANTS}", key << 30)
-        self._host.judged.append((True, float(fails), LATENCY_MS, AIM_MS, False))
+        self._host.load_samples.append((True, float(fails), LATENCY_MS, AIM_MS, False))
 
 
 _MECHANISM = "violetroute/sharing/gossip.py"
--- a/limebridge/scale/virtual_members.py
+++ b/limebridge/scale/virtual_members.py
@@ -44,7 +44,7 @@
 
     def __init__(self) -> None:
         self.places = NodeAddresses()
-        self.judged: deque[LoadSample] = deque()
+        self.load_samples: deque[LoadSample] = deque()
 
     def apply_peer_reports(self, bad: list[int], outcomes: list[LoadSample]) -> None:
         """What others met is not used here."""
@@ -128,7 +128,7 @@
     def kill(self, member: Sharing) -> None:
         """End a member without a word to the others."""
         member._timer.cancel()
-        member._mailbox.close()
+        member._socket.close()
 
     def _watch_changes(self, sharing: Sharing) -> None:
         before = sharing.members._changed
--- a/tests/violetroute/sharing/test_sharing_digest.py
+++ b/tests/violetroute/sharing/test_sharing_digest.py
@@ -169,7 +169,7 @@
     for number in range(20):
         one.members._rumors.add(fleet.rumor(number + 1))
     sent = list[bytes]()
-    one._mailbox.send = lambda data, address: sent.append(data)  # type: ignore[method-assign]
+    one._socket.send = lambda data, address: sent.append(data)  # type: ignore[method-assign]
     one._queue(fleet.members[1].name, "", Compare(1, 2, 3))
     one._flush(fleet.kernel.now)
     for out in one.members.receive(
--- a/tests/violetroute/sharing/test_sharing_talk.py
+++ b/tests/violetroute/sharing/test_sharing_talk.py
@@ -54,7 +54,7 @@
 
 class Proxy:
     def __init__(self) -> None:
-        self.places, self.judged = NodeAddresses(), deque[LoadSample]()
+        self.places, self.load_samples = NodeAddresses(), deque[LoadSample]()
         self.reports: list[tuple[list[int], list[LoadSample]]] = []
 
     def apply_peer_reports(self, bad: list[int], outcomes: list[LoadSample]) -> None:
@@ -79,7 +79,7 @@
         )
         self.proxy = Proxy()
         self.sharing = Sharing(table, KEYS, "p0", "a", 1000.0, net, self.proxy, life="l0")
-        send = self.sharing._mailbox.send
+        send = self.sharing._socket.send
 
         def record_and_send(data: bytes, address: Address) -> bool:
             opened = KEYS.open(data)
@@ -87,7 +87,7 @@
             self.sent.append(opened)
             return send(data, address)
 
-        self.sharing._mailbox.send = record_and_send  # type: ignore[method-assign]
+        self.sharing._socket.send = record_and_send  # type: ignore[method-assign]
         self.number = 0
         self.deliver(Rumor("p1", "l1", 1, "a", "127.0.0.1:7001"))
 
--- a/violetroute/proxy.py
+++ b/violetroute/proxy.py
@@ -69,7 +69,7 @@
         self._turn_log = LongTurnLog(self._turns, self._open)
         self._refusals = RefusalCounter(loop)
         self._balancer = Balancer(config.settings, config.seed, self.clock())
-        self.judged = self._balancer.load_samples  # sharing reports them to peers
+        self.load_samples = self._balancer.load_samples  # sharing reports them to peers
         self._settings = config.settings
         self._estimate_log = EstimateLog(loop.time, self.places.describe)
         self._classes = {c.name: c for c in config.settings.classes}
--- a/violetroute/sharing/anti_entropy.py
+++ b/violetroute/sharing/anti_entropy.py
@@ -306,11 +306,11 @@
             return ()
         if not self._sent_pacer.allows(now):
             return ()
-        here = self._digests.members(item.buckets, item.index)
-        there = unpack_short(item.held)
-        held = set(there)
-        wanted = pack_short(each for each in there if each not in here)
-        names = [name for value, name in here.items() if value not in held]
+        own = self._digests.members(item.buckets, item.index)
+        theirs = unpack_short(item.held)
+        held = set(theirs)
+        wanted = pack_short(each for each in theirs if each not in own)
+        names = [name for value, name in own.items() if value not in held]
         answer = self._items(names, item.number, item.buckets, item.index, wanted)
         self._charge(now, to, answer)
         return answer
@@ -364,8 +364,8 @@
 
     def _push(self, now: float, name: str, place: str, item: BucketMembers) -> list[Send]:
         """Send the members that the peer lacks."""
-        here = self._digests.members(item.buckets, item.index) if item.wanted else {}
-        names = [here[value] for value in unpack_short(item.wanted) if value in here]
+        own = self._digests.members(item.buckets, item.index) if item.wanted else {}
+        names = [own[value] for value in unpack_short(item.wanted) if value in own]
         if not names or not self._sent_pacer.allows(now):
             return []
         items = self._items(names, 0, item.buckets, item.index)
--- a/violetroute/sharing/budget.py
+++ b/violetroute/sharing/budget.py
@@ -7,7 +7,7 @@
 
 which for equal parts is budget * (t + burst_s), or one request a proxy if the parts are that small.
 A process that is stopped between taking a token and sending sends later: at most as many requests
-as one turn of its event loop has admitted.
+as one iteration of its event loop has admitted.
 
 Loans are requested first from members that recently reported spare capacity, the greatest first,
 then from random members.  A tick sends few requests, and the interval between rounds grows while
@@ -237,8 +237,8 @@
         ]
         self._spare_reports = {name: self._spare_reports[name] for _, name in known}
         known.sort(key=lambda at: (-at[0], at[1]))
-        there = set(members)
-        order = [name for _, name in known if name in there]
+        up = set(members)
+        order = [name for _, name in known if name in up]
         # If all proxies know only one lender, they must not all request from it alone.
         order += (
             [
--- a/violetroute/sharing/gossip.py
+++ b/violetroute/sharing/gossip.py
@@ -68,18 +68,18 @@
 
 
 class Rounds:
-    """The rounds of one proxy.  `judge`: whether to use health reports.  `now`: s."""
+    """The rounds of one proxy.  `use_reports`: whether to use health reports.  `now`: s."""
 
     def __init__(
         self,
         zone: str,
-        judge: bool,
+        use_reports: bool,
         now: float,
         random: RandomSource,
         budget: ReportBudget | None = None,
     ) -> None:
         self._random, self._budget = random, budget
-        self.node_health = NodeHealth(zone) if judge else None
+        self.node_health = NodeHealth(zone) if use_reports else None
         self.load_reports = LoadReports()
         self.heavy_hitters = {kind: HeavyHitters(kind, now) for kind in ("tenant", "key")}
         # Proxies that start together do not report together.
@@ -147,11 +147,11 @@
         self,
         now: float,
         up: Sequence[str],
-        judged: Iterable[LoadSample],
+        samples: Iterable[LoadSample],
         budgets: Mapping[str, Budget],
         send_nothing: bool,
     ) -> Round:
-        """Run a round.  `up`: the other members; `judged`: own outcomes since the last round.
+        """Run a round.  `up`: the other members; `samples`: own outcomes since the last round.
 
         `send_nothing`: no reports, while another process has our name; peers' reports still count.
         """
@@ -165,7 +165,7 @@
         health: list[HealthReport] = []
         if self.node_health is not None:
             health = self.node_health.reports_to_send(now)
-            own_load = self.load_reports.reports_to_send(judged)
+            own_load = self.load_reports.reports_to_send(samples)
             load += own_load
             worst = max((*(s.bad for s in health), *(s.bad for s in own_load)), default=0.0)
             self._apply_reports(round_, now, self.node_health)
--- a/violetroute/sharing/load_reports.py
+++ b/violetroute/sharing/load_reports.py
@@ -31,19 +31,19 @@
     """Builds the load reports of one proxy, and collects those of its peers in a round."""
 
     def __init__(self) -> None:
-        self._heard: dict[tuple[str, bool], tuple[LoadReport, float]] = {}
+        self._received: dict[tuple[str, bool], tuple[LoadReport, float]] = {}
 
     @staticmethod
-    def reports_to_send(judged: Iterable[LoadSample]) -> list[LoadReport]:
+    def reports_to_send(samples: Iterable[LoadSample]) -> list[LoadReport]:
         """Sums over own outcomes since the last report, by whether a cache likely had the key."""
         sums: dict[bool, list[float]] = {}
-        for kept, badness, took, aim, queued in judged:
-            here = sums.setdefault(kept, [0.0] * 5)
-            for place, value in enumerate((1.0, badness, took, aim, float(queued))):
-                here[place] += value
+        for kept, badness, took, aim, queued in samples:
+            totals = sums.setdefault(kept, [0.0] * 5)
+            for index, value in enumerate((1.0, badness, took, aim, float(queued))):
+                totals[index] += value
         return [
-            LoadReport(kept, *(round(min(value, 1e6), 3) for value in here))
-            for kept, here in sums.items()
+            LoadReport(kept, *(round(min(value, 1e6), 3) for value in totals))
+            for kept, totals in sums.items()
         ]
 
     def merge_report(self, now: float, member: str, report: LoadReport) -> None:
@@ -53,21 +53,21 @@
             and report.queued <= report.count
             and report.aim > 0.0
             and report.count >= 1.0
-            and len(self._heard) < MAX_MEMBERS
+            and len(self._received) < MAX_MEMBERS
         ):
-            self._heard[member, report.kept] = report, now
+            self._received[member, report.kept] = report, now
 
     def end_round(self, now: float, isolated: Collection[str], age: float) -> list[LoadSample]:
         """Outcomes for the balancer from the reports of this round; starts the next one.
 
         Reports received more than `age` s ago are outdated: this process was stopped meanwhile.
         """
-        heard, self._heard = self._heard, {}
+        received, self._received = self._received, {}
         found: list[LoadSample] = []
         for kept in (True, False):
             reports = [
                 report
-                for (member, which), (report, at) in heard.items()
+                for (member, which), (report, at) in received.items()
                 if which is kept and member not in isolated and now - at <= age
             ]
             if len(reports) < MIN_MEMBERS:
@@ -81,6 +81,6 @@
                 )
                 for name in ("count", "bad", "took", "aim", "queued")
             )
-            one = kept, bad / count, took / count, aim / count, queued > count / 2.0
-            found += [one] * min(MAX_OUTCOMES, round(count / REPORTED_PER_OUTCOME))
+            mean = kept, bad / count, took / count, aim / count, queued > count / 2.0
+            found += [mean] * min(MAX_OUTCOMES, round(count / REPORTED_PER_OUTCOME))
         return found
--- a/violetroute/sharing/loans.py
+++ b/violetroute/sharing/loans.py
@@ -230,11 +230,11 @@
         The loan replaces an earlier one: the lender deducts only the greatest of its loans to one
         borrower.
         """
-        asked = self._requests.get(lender)
-        if asked is None or asked[0] != number or self.suspended:
+        request = self._requests.get(lender)
+        if request is None or request[0] != number or self.suspended:
             return False
         del self._requests[lender]
-        until = asked[1] + self._terms.borrower_s
+        until = request[1] + self._terms.borrower_s
         if (
             amount > 0
             and now < until
--- a/violetroute/sharing/members.py
+++ b/violetroute/sharing/members.py
@@ -147,7 +147,7 @@
     def _begin_probe(self, now: float) -> list[Send]:
         period = self._period * (1 + self.health)
         self._probe_at = now + period
-        if self.duplicate is not None:  # nobody probes this one: acks report on the other one
+        if self.duplicate is not None:  # others probe the duplicate; answers report its state
             names = self.up()
             self._number += 1
             return [Send(self._random.choice(names), "", (Ping(self._number),))] if names else []
@@ -288,10 +288,10 @@
 
     def _member_page(self, name: str, after: str) -> tuple[Item, ...]:
         # Two more: the requester is left out, and one more shows that others follow.
-        there = [member for member in self._up.after(after, PAGE_MEMBERS + 2) if member != name]
-        here = there[:PAGE_MEMBERS]
-        rumors = [self.members[member].rumor() for member in here]
-        return (self.own_rumor(), *rumors, PageEnd(here[-1] if len(there) > len(here) else ""))
+        following = [member for member in self._up.after(after, PAGE_MEMBERS + 2) if member != name]
+        page = following[:PAGE_MEMBERS]
+        rumors = [self.members[member].rumor() for member in page]
+        return (self.own_rumor(), *rumors, PageEnd(page[-1] if len(following) > len(page) else ""))
 
     def _from_duplicate(self, now: float, life: str, incarnation: int, place: str) -> list[Send]:
         """Handle a process with our name: the higher incarnation keeps the name."""
--- a/violetroute/sharing/not_alive.py
+++ b/violetroute/sharing/not_alive.py
@@ -23,9 +23,8 @@
         self._suspects = tuple(OrderedEntries[StateSince]() for _ in range(MAX_CONFIRMATIONS + 1))
         self._dead = OrderedEntries[StateSince]()
         self._left = OrderedEntries[StateSince]()
-        self._entries: dict[
-            str, tuple[OrderedEntries[StateSince], StateSince]
-        ] = {}  # by name: its group and its entry there
+        # The group of each member and its entry there, by name.
+        self._entries: dict[str, tuple[OrderedEntries[StateSince], StateSince]] = {}
 
     def update(self, member: Member) -> None:
         """Apply a change of a member's state or of its confirmations."""
--- a/violetroute/sharing/own_outcomes.py
+++ b/violetroute/sharing/own_outcomes.py
@@ -107,13 +107,13 @@
 
     def _sound_in_turn(self, now: float, count: int) -> list[int]:
         found: list[int] = []
-        faded: list[int] = []
+        expired: list[int] = []
         for _, _, node in self._sound.entries:
             if len(found) == count:
                 break
-            alive = self.outcomes(now, node).weight >= MIN_WEIGHT
-            (found if alive else faded).append(node)
-        for node in faded:
+            current = self.outcomes(now, node).weight >= MIN_WEIGHT
+            (found if current else expired).append(node)
+        for node in expired:
             self._end_turn(node)
         return found
 
--- a/violetroute/sharing/service.py
+++ b/violetroute/sharing/service.py
@@ -5,8 +5,8 @@
 as few datagrams as possible, with rumors in the remaining space.  Nothing here blocks, and no
 request waits for another proxy: `admits` looks at local state only.
 
-Bounds: datagrams read in one turn of the loop (by the transport), received from one member a second
-(RECEIVE_RATE), and sent a second.  Those beyond SEND_RATE are dropped; a part is sent again later.
+Bounds: datagrams read in one iteration of the event loop (by the transport), received from one
+member a second (RECEIVE_RATE), and sent a second (SEND_RATE).  Datagrams beyond that are dropped.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
     """What the gossip service needs of the proxy."""
 
     places: NodeAddresses
-    judged: deque[LoadSample]  # outcomes of its own requests; the service empties it
+    load_samples: deque[LoadSample]  # outcomes of its own requests; the service empties it
 
     def apply_peer_reports(self, bad: list[int], outcomes: list[LoadSample]) -> None:
         """Take all nodes that peers report as unhealthy, and outcomes of the peers' requests."""
@@ -83,8 +83,8 @@
         now = self.loop.time()
         address = parse_address(table.listen)
         self._address_overrides = {who: parse_address(at) for who, at in table.ways.items()}
-        self._mailbox = net.bind_datagram_socket(address, self, wire.MAX_DATAGRAM)
-        place = f"{address.host}:{self._mailbox.address.port}"
+        self._socket = net.bind_datagram_socket(address, self, wire.MAX_DATAGRAM)
+        place = f"{address.host}:{self._socket.address.port}"
         self.members = Members(
             self.name,
             self.life,
@@ -163,7 +163,7 @@
             self._queue(out.to, out.place, *out.items)
         self._flush(now)
         self._timer.cancel()
-        self._mailbox.close()
+        self._socket.close()
 
     def admits(self, tenant: str, class_name: str) -> float | None:
         """None if all budgets admit the request; else ms after which the client may retry."""
@@ -233,9 +233,9 @@
     def _round(self, now: float, up: list[str]) -> None:
         host = self.host
         done = self.rounds.run_round(
-            now, up, host.judged, self.budgets, self.members.duplicate is not None
+            now, up, host.load_samples, self.budgets, self.members.duplicate is not None
         )
-        host.judged.clear()
+        host.load_samples.clear()
         for node in done.newly_unhealthy:
             logs.event("sharing.avoided", node=host.places.describe(node))
         if done.unhealthy or done.recovered or done.outcomes:
@@ -329,7 +329,7 @@
         )
         self.sent += 1
         self.bytes_sent += len(data)
-        self._mailbox.send(data, address)
+        self._socket.send(data, address)
 
     def datagram(self, data: bytes, origin: Address) -> None:
         """Handle a datagram; its sender is not trusted until its MAC is verified."""
