--- a/tests/limebridge/scale/test_scale_membership.py
+++ b/tests/limebridge/scale/test_scale_membership.py
@@ -93,7 +93,8 @@
         for number in range(count)
     ]
     waits = [member._anti_entropy.compare_at for member in members]
-    # Waits between CHECK_S / 2 and 1.5 CHECK_S: a renewal process of 1 / CHECK_S events a second.
+    # Waits are 0.5 to 1.5 COMPARE_INTERVAL_S: a renewal process of 1 / COMPARE_INTERVAL_S events a
+    # second.
     share = sum(wait < COMPARE_INTERVAL_S / 2.0 for wait in waits) / count
     assert 0.46 < share < 0.54
     assert min(waits) >= 0.0 and max(waits) <= COMPARE_INTERVAL_S
--- a/violetroute/sharing/budget.py
+++ b/violetroute/sharing/budget.py
@@ -278,7 +278,7 @@
             actions.append(ReturnLoan(lender, self.loans.give_back(lender)))
         return actions
 
-    # --- the fleet ---
+    # --- changes of the fleet ---
     def set_suspended(self, on: bool, now: float) -> None:
         """Suspend while another process has our name: no authority and an empty bucket."""
         if on != self.loans.suspended:
--- a/violetroute/sharing/loans.py
+++ b/violetroute/sharing/loans.py
@@ -107,7 +107,7 @@
         self._last_request: dict[str, int] = {}  # by borrower's life: highest request number
         self._number = 0
 
-    # --- what may be spent ---
+    # --- authority ---
     def own_authority(self, now: float) -> int:
         """The home part without what is lent; only the floor in the first `loan_s`."""
         if self.suspended:
--- a/violetroute/sharing/members.py
+++ b/violetroute/sharing/members.py
@@ -86,7 +86,7 @@
         self.leaving = False
         self._list.digests.update(self._listed_self())
 
-    # --- what is known ---
+    # --- view ---
     def up(self) -> list[str]:
         """Names of the other members that are alive or suspected."""
         return self._up.names()
@@ -111,12 +111,12 @@
         state = "l" if self.leaving else "a"
         return Rumor(self.name, self.life, self.incarnation, state, self._place, self._zone)
 
-    # --- time ---
+    # --- probes and suspicions ---
     def tick(self, now: float) -> list[Send]:
         """Messages to send now.  Must be called each TICK_S, else the tick counts as late."""
         late = is_late(now - self._ticked_at, self._period)
         self._ticked_at, self._postponed = now, False
-        # A nack claims that this helper is healthy; a late tick disproves that.
+        # A nack says that this helper is healthy and received no ack; a late one can say neither.
         over = self._relays.overdue(now)
         out = [Send(relay.requester, "", (Nack(relay.number),)) for relay in over if not late]
         probe = self._probe
@@ -230,7 +230,7 @@
             out.append(Send("", self._random.choice(unknown), items))
         return out
 
-    # --- what comes ---
+    # --- incoming items ---
     def receive(
         self, now: float, name: str, life: str, incarnation: int, item: Item, place: str = ""
     ) -> list[Send]:
@@ -238,15 +238,15 @@
         if name == self.name:
             return self._from_duplicate(now, life, incarnation, place)
         member = self.members.get(name)
-        ours = member is not None and member.life == life
-        if member is not None and ours:
+        is_listed = member is not None and member.life == life
+        if member is not None and is_listed:
             member.last_contact_at = now
         # A process that is not the listed one of its name is answered at its origin.
-        to, address = (name, "") if ours else ("", place)
+        to, address = (name, "") if is_listed else ("", place)
         match item:
             case Ping(number):
                 answer: list[Item] = [Ack(number)]
-                if member is not None and not (ours and member.up):
+                if member is not None and not (is_listed and member.up):
                     answer.append(member.rumor(self.name))
                 return [Send(to, address, (*answer, self.own_rumor()))]
             case Ack(number):
