--- a/limebridge/faults/distribution/control.py
+++ b/limebridge/faults/distribution/control.py
@@ -12,10 +12,10 @@
     Action,
     Answer,
     Fenced,
-    HandOn,
     MachineSettings,
     Notice,
     Persist,
+    ReleaseLease,
     Send,
 )
 from violetroute.distribution.machine import Machine
@@ -208,7 +208,7 @@
                     incoming.reply(message)
             case Fenced(fence):
                 self.world.lease.fenced(self, fence)
-            case HandOn():
+            case ReleaseLease():
                 self.world.lease.hand_on(self)
                 lost = self.led_fence
                 self._soon(lambda: self._step_down(lost))
@@ -244,6 +244,6 @@
         held = [each for each in self._incoming.values() if not isinstance(each.request, Publish)]
         if len(held) > HELD_AT_MOST * askers:
             return f"{self.name} holds {len(held)} requests"
-        if len(self._incoming) - len(held) > self._settings.publications_most:
+        if len(self._incoming) - len(held) > self._settings.max_publications:
             return f"{self.name} holds {len(self._incoming) - len(held)} publications"
         return ""
--- a/limebridge/faults/distribution/nodes.py
+++ b/limebridge/faults/distribution/nodes.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from violetroute.distribution.actions import Action, Answer, MachineSettings, Persist, Send
-from violetroute.distribution.control_choice import Control, SubscriberSettings
+from violetroute.distribution.control_choice import ControlEndpoint, SubscriberSettings
 from violetroute.distribution.machine import Machine
 from violetroute.distribution.messages import Message, PollReply, StatusRequest
 from violetroute.distribution.subscriber import (
@@ -88,7 +88,7 @@
         hold_s=0.5,
         retry_s=0.2,
         timeout_s=NEVER_S,
-        hand_on_s=NEVER_S,
+        release_lease_after_s=NEVER_S,
         stale_after_s=STALE_AFTER_S,
         drift=DRIFT,
         poll_hold_s=0.2,
@@ -204,7 +204,7 @@
     @property
     def contact_at(self) -> float:
         """Where it leads: no age of an earlier leader counts from a later time, as it takes it."""
-        return self.machine.earlier_contact_at
+        return self.machine.latest_leader_contact_at
 
     def key(self, now: float) -> Any:
         """All that what follows depends on."""
@@ -223,7 +223,7 @@
     name = PROXY
 
     def __init__(self) -> None:
-        controls = tuple(Control(name, "") for name in NAMES)
+        controls = tuple(ControlEndpoint(name, "") for name in NAMES)
         settings = SubscriberSettings(PROXY, "", controls, STALE_AFTER_S, DRIFT)
         self.subscriber = Subscriber(settings, "p0.1", Even(), 0.0)  # type: ignore[arg-type]
         self.sent_at = 0.0
--- a/limebridge/faults/distribution/world.py
+++ b/limebridge/faults/distribution/world.py
@@ -13,7 +13,7 @@
 from hashlib import blake2b
 
 from violetroute.distribution.actions import MachineSettings
-from violetroute.distribution.control_choice import Control, SubscriberSettings
+from violetroute.distribution.control_choice import ControlEndpoint, SubscriberSettings
 from violetroute.distribution.messages import StatusReply
 
 from .control import ControlProcess
@@ -72,11 +72,11 @@
             hold_s=0.2,
             retry_s=0.1,
             timeout_s=0.6,
-            hand_on_s=2.0,
+            release_lease_after_s=2.0,
             stale_after_s=self.plan.stale_after_s,
             drift=DRIFT,
             keep_s=self.plan.keep_s,
-            retain_every_s=RETAIN_EVERY_S,
+            retention_interval_s=RETAIN_EVERY_S,
             poll_hold_s=0.2,
             spread_s=0.05,
             report_s=0.05,
@@ -85,7 +85,7 @@
 
     def _proxy(self, number: int, names: tuple[str, ...]) -> ProxyProcess:
         controls = tuple(
-            Control(name, REGIONS[place % len(REGIONS)]) for place, name in enumerate(names)
+            ControlEndpoint(name, REGIONS[place % len(REGIONS)]) for place, name in enumerate(names)
         )
         settings = SubscriberSettings(
             f"p{number}",
--- a/limebridge/scale/region_return.py
+++ b/limebridge/scale/region_return.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from violetroute.distribution.actions import Stored
-from violetroute.distribution.control_choice import Control, SubscriberSettings
+from violetroute.distribution.control_choice import ControlEndpoint, SubscriberSettings
 from violetroute.distribution.messages import Batch, PollReply, Record, ReportReply, Topic
 from violetroute.distribution.replica import Replica
 from violetroute.distribution.session import SessionSettings
@@ -150,7 +150,7 @@
 
     # --- the proxies ---
     def _proxy(self, number: int) -> _Proxy:
-        settings = SubscriberSettings(f"p{number}", "r", (Control(ADDRESS, "r"),))
+        settings = SubscriberSettings(f"p{number}", "r", (ControlEndpoint(ADDRESS, "r"),))
         return _Proxy(Subscriber(settings, "i", self._random, 0.0))
 
     def _ask(self, proxy: _Proxy) -> None:
--- a/tests/limebridge/faults/distribution/test_distribution_hard_cases.py
+++ b/tests/limebridge/faults/distribution/test_distribution_hard_cases.py
@@ -16,7 +16,7 @@
 from limebridge.faults.distribution.plan import Fault, Kind, Plan
 from limebridge.faults.distribution.world import World
 from violetroute.distribution.followers import Followers
-from violetroute.distribution.in_force import InForce
+from violetroute.distribution.in_force import InForceTracker
 from violetroute.distribution.messages import Poll
 from violetroute.distribution.session import Session
 from violetroute.distribution.sessions import Answered, Sessions
@@ -31,19 +31,19 @@
 # --- the rules that a case needs, each taken out ---
 def own_lease_believed(patch: pytest.MonkeyPatch) -> None:
     """A leader takes it that it leads now, without a majority that has shown so."""
-    patch.setattr(Followers, "followed_at", lambda self, now: now)
+    patch.setattr(Followers, "quorum_followed_at", lambda self, now: now)
 
 
 def silent_machines_have_no_proxies(patch: pytest.MonkeyPatch) -> None:
     """A new leader does not wait for machines that have not reported to it."""
-    committed = InForce.committed
+    committed = InForceTracker.committed
 
-    def without_doubt(self: InForce, now: float, position: int, contact_at: float) -> None:
+    def without_doubt(self: InForceTracker, now: float, position: int, contact_at: float) -> None:
         committed(self, now, position, contact_at)
         for machine in self._machines.values():
-            machine.doubt_until = now
+            machine.unknown_sessions_until = now
 
-    patch.setattr(InForce, "committed", without_doubt)
+    patch.setattr(InForceTracker, "committed", without_doubt)
 
 
 def freshness_not_asked_of_the_clock(patch: pytest.MonkeyPatch) -> None:
--- a/tests/planted_distribution/done_without_last_ack.py
+++ b/tests/planted_distribution/done_without_last_ack.py
@@ -8,4 +8,4 @@
         positions = sorted(self._positions.values())
         return positions[min(1, len(positions) - 1)] if positions else None
 
-    Roster.least_position = property(least)  # type: ignore[assignment]
+    Roster.min_position = property(least)  # type: ignore[assignment]
--- a/tests/planted_distribution/lost_disk_as_empty_log.py
+++ b/tests/planted_distribution/lost_disk_as_empty_log.py
@@ -6,6 +6,6 @@
 def plant() -> None:
     def finish(self: Recovery) -> None:
         if self._replica.recovering:
-            self._outbox.persist(self._replica.recovered())
+            self._outbox.persist(self._replica.finish_recovery())
 
     Recovery._finish = finish
--- a/tests/support/distribution_checks.py
+++ b/tests/support/distribution_checks.py
@@ -133,7 +133,7 @@
             continue
         told = cluster.told.get(leadership.fence, as_of)
         cluster.told[leadership.fence] = max(as_of, told)
-        opened[leadership.fence] = machine.earlier_contact_at
+        opened[leadership.fence] = machine.latest_leader_contact_at
     for fence, contact_at in opened.items():
         for earlier, told in cluster.told.items():
             if earlier < fence and told > contact_at + ROUNDING_S:
--- a/tests/support/distribution_cluster.py
+++ b/tests/support/distribution_cluster.py
@@ -18,10 +18,10 @@
     AppendBatches,
     Change,
     Fenced,
-    HandOn,
     MachineSettings,
     Notice,
     Persist,
+    ReleaseLease,
     Reply,
     Response,
     Send,
@@ -247,7 +247,7 @@
                     self._answered(ticket, answer)
                 case Fenced(fence):
                     self.fenced.append((node.name, fence))
-                case HandOn():
+                case ReleaseLease():
                     self.handed_on.append(node.name)
                 case Notice():
                     self.notices.append(action)
--- a/tests/support/session_world.py
+++ b/tests/support/session_world.py
@@ -1,4 +1,4 @@
-"""A leader's `InForce`, three machines' `Sessions` and a dozen `Subscriber`s in simulated time.
+"""A leader's `InForceTracker`, three machines' `Sessions`, a dozen `Subscriber`s; simulated time.
 
 The log's replication is modelled, not run: a leader commits at will until another one takes its
 place, and knows (`as_of`) with some delay that no other one has committed anything.  Everything
@@ -21,8 +21,8 @@
 
 import msgspec
 
-from violetroute.distribution.control_choice import Control, SubscriberSettings
-from violetroute.distribution.in_force import InForce, InForceSettings
+from violetroute.distribution.control_choice import ControlEndpoint, SubscriberSettings
+from violetroute.distribution.in_force import InForceSettings, InForceTracker
 from violetroute.distribution.messages import (
     Batch,
     LogPoint,
@@ -41,7 +41,7 @@
 
 MACHINES = ("m0", "m1", "m2")
 PROXIES = 12
-CONTROLS = tuple(Control(name, f"r{index}") for index, name in enumerate(MACHINES))
+CONTROLS = tuple(ControlEndpoint(name, f"r{index}") for index, name in enumerate(MACHINES))
 REPORT_TIMEOUT_S = 1.0
 STEP_S = 0.02
 
@@ -102,7 +102,7 @@
         self.fence = fence
         self.commit = 0
         self.known_at = 0.0  # no other leader had committed anything then
-        self.in_force = InForce(InForceSettings(), MACHINES, self.now)
+        self.in_force = InForceTracker(InForceSettings(), MACHINES, self.now)
         self.in_force_s: list[float] = []  # seconds from commit to in force
         self._committed_at: dict[int, float] = {}
 
--- a/tests/violetroute/distribution/test_distribution_configuration.py
+++ b/tests/violetroute/distribution/test_distribution_configuration.py
@@ -32,7 +32,7 @@
     parse_table,
 )
 from violetroute.distribution.configuration_change import ConfigurationChange
-from violetroute.distribution.control_choice import Control, SubscriberSettings
+from violetroute.distribution.control_choice import ControlEndpoint, SubscriberSettings
 from violetroute.distribution.make import HooksReceiver
 from violetroute.distribution.messages import (
     BODY_BYTES,
@@ -479,7 +479,7 @@
 
 
 def test_the_same_control_machines_keep_the_choice_of_whom_to_ask() -> None:
-    controls = tuple(Control(f"127.0.0.1:{port}", "") for port in range(1, 40))
+    controls = tuple(ControlEndpoint(f"127.0.0.1:{port}", "") for port in range(1, 40))
     subscriber = Subscriber(SubscriberSettings("p0", "", controls), "i", Random(1), 0.0)
     asked = subscriber.next(0.0)
     for _ in range(20):
--- a/tests/violetroute/distribution/test_distribution_in_force.py
+++ b/tests/violetroute/distribution/test_distribution_in_force.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from violetroute.distribution.in_force import HISTORY_MOST, InForce, InForceSettings
+from violetroute.distribution.in_force import MAX_HISTORY, InForceSettings, InForceTracker
 from violetroute.distribution.messages import Report, ReportReply, SessionState
-from violetroute.distribution.roster import MISSING_MOST, MISSING_S
+from violetroute.distribution.roster import MAX_MISSING, MISSING_RETENTION_S
 
 BOUND = InForceSettings().drop_after_s
 NAMES = ("a", "b")
@@ -21,7 +21,7 @@
     """A term whose first batch, at position 1, is committed at 0."""
 
     def __init__(self, names: tuple[str, ...] = NAMES) -> None:
-        self.core = InForce(InForceSettings(), names, 0.0)
+        self.core = InForceTracker(InForceSettings(), names, 0.0)
         self.core.committed(0.0, 1)
         self.numbers: dict[tuple[str, str], int] = {}
         self.commit = 1
@@ -73,7 +73,7 @@
 
 
 def test_earlier_terms_count_from_the_first_commit_of_this_one() -> None:
-    core = InForce(InForceSettings(), NAMES, 0.0)
+    core = InForceTracker(InForceSettings(), NAMES, 0.0)
     core.committed(10.0, 500)
     core.tick(10.0 + BOUND - 0.001, 13.0)
     assert core.in_force == 0
@@ -107,7 +107,7 @@
 
 
 def test_nothing_is_early_before_the_first_commit() -> None:
-    core = InForce(InForceSettings(), NAMES, 0.0)
+    core = InForceTracker(InForceSettings(), NAMES, 0.0)
     reply = core.reported(5.0, Report("a", "i", 1, 1, True, running_ms=1e6), 0, 5.0)
     assert not reply.leader
     core.tick(9.0, 9.0)
@@ -262,14 +262,14 @@
 def test_the_missing_are_forgotten_after_an_hour_and_bounded() -> None:
     term = running(state("p", 5))
     term.report(2.0, "a", full=False, ended=(("p", "i"),))
-    term.core.tick(2.0 + MISSING_S - 1, None)
+    term.core.tick(2.0 + MISSING_RETENTION_S - 1, None)
     assert term.core.stale == 1
-    term.core.tick(2.0 + MISSING_S, None)
+    term.core.tick(2.0 + MISSING_RETENTION_S, None)
     assert term.core.stale == 0
     other = running(*(state(f"p{index}", 5) for index in range(4000)))
     other.report(1.1, "a", *(state(f"q{index}", 5) for index in range(4000)))
     other.report(1.2, "a")
-    assert other.core.stale == MISSING_MOST
+    assert other.core.stale == MAX_MISSING
 
 
 def test_who_lags_is_told_with_how_long() -> None:
@@ -291,10 +291,10 @@
 def test_the_time_of_being_in_force_is_kept_for_a_while() -> None:
     term = running(state("p", 5))
     assert term.core.in_force_at(3) == 1.0 and term.core.in_force_at(6) is None
-    for index in range(3 * HISTORY_MOST):
+    for index in range(3 * MAX_HISTORY):
         term.committed(2.0 + index / 1000, 6 + index)
         term.report(2.0 + index / 1000, "a", state("p", 6 + index), full=False)
         if index % 1000 == 0:
             term.report(2.0 + index / 1000, "b", full=False)
     assert term.core.in_force_at(3) is None
-    assert term.core.in_force_at(term.commit) == pytest.approx(2.0 + (3 * HISTORY_MOST - 1) / 1000)
+    assert term.core.in_force_at(term.commit) == pytest.approx(2.0 + (3 * MAX_HISTORY - 1) / 1000)
--- a/tests/violetroute/distribution/test_distribution_leader_contact.py
+++ b/tests/violetroute/distribution/test_distribution_leader_contact.py
@@ -12,8 +12,8 @@
 from tests.support.session_world import Fault, Plan
 from tests.violetroute.distribution.test_distribution_in_force import BOUND, NAMES, Term, state
 from violetroute.distribution import machine as machine_module
-from violetroute.distribution.in_force import InForce, InForceSettings
-from violetroute.distribution.leader_contact import LeaderContact, contact_of, latest_contact
+from violetroute.distribution.in_force import InForceSettings, InForceTracker
+from violetroute.distribution.leader_contact import LeaderContact, contact_time, latest_contact
 from violetroute.distribution.messages import LogPoint, Prepare, Promise
 
 DRIFT = 0.05
@@ -28,13 +28,13 @@
 # --- the reckoning ---
 def test_a_contact_is_taken_as_late_as_the_clocks_allow() -> None:
     exact = 10.0 - 2.0
-    assert contact_of(promise(2000.0), 10.0, 0.0) == exact
+    assert contact_time(promise(2000.0), 10.0, 0.0) == exact
     fast, slow = 2000.0 * (1 + DRIFT), 2.0 * (1 - DRIFT)  # the other's clock, and this one's
-    assert contact_of(promise(fast), 10.0, DRIFT) == pytest.approx(10.0 - slow)
+    assert contact_time(promise(fast), 10.0, DRIFT) == pytest.approx(10.0 - slow)
 
 
 def test_who_tells_nothing_may_have_had_its_contact_until_its_promise() -> None:
-    assert contact_of(Promise(True, 1, LogPoint(), 0), 10.0, DRIFT) == 10.0
+    assert contact_time(Promise(True, 1, LogPoint(), 0), 10.0, DRIFT) == 10.0
 
 
 def test_the_latest_contact_of_a_majority_counts() -> None:
@@ -46,12 +46,12 @@
 def test_a_contact_is_an_answer_an_own_term_or_the_begin_of_the_process() -> None:
     contact = LeaderContact(5.0)
     assert contact.elapsed_ms(6.0) == 1000.0
-    contact.led(None)  # its first batch was never committed: it told no age
+    contact.term_ended(None)  # its first batch was never committed: it told no age
     assert contact.at == 5.0
-    contact.answered(7.0)
-    contact.led(6.0)
+    contact.reply_received(7.0)
+    contact.term_ended(6.0)
     assert contact.at == 7.0
-    contact.led(8.0)
+    contact.term_ended(8.0)
     assert contact.at == 8.0
 
 
@@ -106,7 +106,9 @@
         cluster.run(0.1)
     assert len(cluster.told) >= 3
     last = cluster.machine("m1")
-    assert last.earlier_contact_at >= max(at for fence, at in cluster.told.items() if fence < 5)
+    assert last.latest_leader_contact_at >= max(
+        at for fence, at in cluster.told.items() if fence < 5
+    )
 
 
 def test_the_promise_of_a_recovering_machine_is_left_out() -> None:
@@ -116,7 +118,7 @@
     cluster.lead("m2")
     cluster.run(1.0)
     leadership = cluster.machine("m2")._leadership
-    assert leadership is not None and not leadership.open and leadership.contacts == ()
+    assert leadership is not None and not leadership.established and leadership.contacts == ()
 
 
 # --- every order ---
@@ -143,7 +145,7 @@
 def new_term(contact_at: float) -> Term:
     """Its first batch is committed at 10.0; machine `a` has reported in full, `b` is gone."""
     term = Term()
-    term.core = InForce(InForceSettings(), NAMES, 9.0)
+    term.core = InForceTracker(InForceSettings(), NAMES, 9.0)
     term.core.committed(10.0, 1, contact_at)
     term.report(10.1, "a", state("p", 1))
     return term
@@ -173,7 +175,7 @@
 
 def test_a_machine_whose_process_is_new_is_doubted_all_the_same() -> None:
     term = Term()
-    term.core = InForce(InForceSettings(), ("a",), 9.0)
+    term.core = InForceTracker(InForceSettings(), ("a",), 9.0)
     term.core.committed(10.0, 1, 8.8)
     term.report(10.1, "a", state("p", 1), running_s=0.5)
     end = 8.8 + BOUND
--- a/tests/violetroute/distribution/test_distribution_log.py
+++ b/tests/violetroute/distribution/test_distribution_log.py
@@ -10,7 +10,14 @@
 import pytest
 
 from tests.support.distribution_cluster import Cluster, purge
-from violetroute.distribution.actions import Answer, HandOn, MachineSettings, Persist, Send, Stored
+from violetroute.distribution.actions import (
+    Answer,
+    MachineSettings,
+    Persist,
+    ReleaseLease,
+    Send,
+    Stored,
+)
 from violetroute.distribution.machine import Machine
 from violetroute.distribution.messages import (
     BATCH_BYTES,
@@ -37,7 +44,7 @@
     StatusRequest,
     Topic,
 )
-from violetroute.distribution.publications import REMEMBERED
+from violetroute.distribution.publications import MAX_REMEMBERED_IDS
 from violetroute.distribution.replica import LogConflict, Replica
 
 NAMES = ("m0", "m1", "m2")
@@ -100,15 +107,15 @@
 def test_what_is_truncated_is_not_durable_when_an_earlier_write_ends() -> None:
     log = replica(1)
     log.append((Batch(2, 1, 0), Batch(3, 1, 0)))
-    log.persisting(1)
+    log.persist_started(1)
     log.truncate_after(2)
-    log.persisting(2)
+    log.persist_started(2)
     log.append((Batch(3, 2, 0),))
-    log.persisting(3)
+    log.persist_started(3)
     log.persisted(1)
-    assert log.durable == 2 and not log.settled
+    assert log.durable == 2 and not log.synced
     log.persisted(3)
-    assert log.durable == 3 and log.settled
+    assert log.durable == 3 and log.synced
 
 
 @pytest.mark.parametrize(
@@ -124,7 +131,7 @@
 def test_a_diverged_log_is_cut_where_both_may_be_equal(
     leader: tuple[int, ...], last: LogPoint, common: int
 ) -> None:
-    assert replica(*leader).common_end(last) == common
+    assert replica(*leader).common_prefix_end(last) == common
 
 
 def test_only_committed_batches_are_dropped_and_configuration_is_kept() -> None:
@@ -137,7 +144,7 @@
     log.retain(10_000, 10**9)
     assert log.snapshot() == Snapshot(LogPoint(1, 2), (Record(Topic.CONFIGURATION, "a", b"2"),))
     assert log.after(1, 10**6) is None
-    assert log.last == LogPoint(1, 3) and log.has(LogPoint(1, 2))
+    assert log.last == LogPoint(1, 3) and log.contains(LogPoint(1, 2))
 
 
 def test_a_snapshot_never_replaces_what_is_committed() -> None:
@@ -255,7 +262,7 @@
 
 
 def test_too_many_and_too_large_publications_are_refused() -> None:
-    cluster = Cluster(3, publications_most=2)
+    cluster = Cluster(3, max_publications=2)
     cluster.lead("m0")
     large = (Record(Topic.PURGE, "k", b"x" * BODY_BYTES),) * (BATCH_BYTES // BODY_BYTES + 1)
     refused = cluster.request("m0", Publish("large", large))
@@ -288,7 +295,7 @@
     cluster.step_down("m0")
     assert answer(cluster, appended).status == PublishStatus.UNKNOWN
     assert answer(cluster, waiting).status == PublishStatus.NOT_LEADER
-    assert REMEMBERED > 1
+    assert MAX_REMEMBERED_IDS > 1
 
 
 # --- leaders ---
@@ -337,7 +344,7 @@
 
 def test_a_recovering_machine_does_not_lead() -> None:
     machine = Machine(MachineSettings("m0", NAMES), Stored("log-1", recovering=True), Even(), 0.0)
-    assert HandOn() in machine.lead(0.0, 5)
+    assert ReleaseLease() in machine.lead(0.0, 5)
     assert not machine.leading
 
 
@@ -357,7 +364,7 @@
 
 
 def test_a_follower_that_was_down_gets_a_snapshot_of_what_is_not_kept() -> None:
-    cluster = Cluster(3, keep_s=2.0, retain_every_s=1.0)
+    cluster = Cluster(3, keep_s=2.0, retention_interval_s=1.0)
     cluster.lead("m0")
     cluster.run(0.6)
     cluster.crash("m2")
--- a/tests/violetroute/distribution/test_distribution_log_faults.py
+++ b/tests/violetroute/distribution/test_distribution_log_faults.py
@@ -283,7 +283,7 @@
 
 def lost_disk_taken_for_an_empty_log(patch: pytest.MonkeyPatch) -> None:
     def step(self: Recovery, now: float) -> None:
-        self._outbox.persist(self._replica.recovered())
+        self._outbox.persist(self._replica.finish_recovery())
 
     patch.setattr(Recovery, "step", step)
 
@@ -301,8 +301,8 @@
 
 def recovered_without_the_whole_log(patch: pytest.MonkeyPatch) -> None:
     def finish(self: Recovery) -> None:
-        if self._target is not None and self._replica.settled:
-            self._outbox.persist(self._replica.recovered())
+        if self._target is not None and self._replica.synced:
+            self._outbox.persist(self._replica.finish_recovery())
 
     patch.setattr(Recovery, "_finish", finish)
 
--- a/tests/violetroute/distribution/test_distribution_recovery.py
+++ b/tests/violetroute/distribution/test_distribution_recovery.py
@@ -6,7 +6,7 @@
 from violetroute.distribution.actions import MachineSettings, Notice
 from violetroute.distribution.messages import StatusReply, StatusRequest
 
-HAND_ON_S = MachineSettings("m0", ("m0",)).hand_on_s
+RELEASE_LEASE_AFTER_S = MachineSettings("m0", ("m0",)).release_lease_after_s
 
 
 def replaced(size: int = 5) -> Cluster:
@@ -32,9 +32,9 @@
 
 def test_a_machine_that_is_gone_is_named_once_in_the_log() -> None:
     cluster = replaced()
-    cluster.run(HAND_ON_S - 0.1)
+    cluster.run(RELEASE_LEASE_AFTER_S - 0.1)
     assert waits(cluster) == []
-    cluster.run(5 * HAND_ON_S)
+    cluster.run(5 * RELEASE_LEASE_AFTER_S)
     assert waits(cluster) == [Notice("recovery_waits", (("machines", "m2"),))]
     assert cluster.machine("m1").replica.recovering
 
@@ -51,7 +51,7 @@
 
 def test_a_machine_that_is_gone_for_good_is_replaced_and_both_recover() -> None:
     cluster = replaced()
-    cluster.run(2 * HAND_ON_S)
+    cluster.run(2 * RELEASE_LEASE_AFTER_S)
     cluster.lose_disk("m2")
     cluster.start("m2")
     cluster.run(4.0)
@@ -63,7 +63,7 @@
 def test_a_recovery_that_waits_for_nobody_is_not_named() -> None:
     cluster = replaced()
     cluster.start("m2")
-    cluster.run(3 * HAND_ON_S)
+    cluster.run(3 * RELEASE_LEASE_AFTER_S)
     assert waits(cluster) == [] and not cluster.machine("m1").replica.recovering
 
 
@@ -71,6 +71,6 @@
     cluster = replaced()
     cluster.step_down("m0")
     cluster.start("m2")
-    cluster.run(3 * HAND_ON_S)
+    cluster.run(3 * RELEASE_LEASE_AFTER_S)
     assert waits(cluster) == [] and cluster.machine("m1").replica.recovering
     assert all(seconds >= 0 for _, _, seconds in status(cluster, "m1").replicas)
--- a/tests/violetroute/distribution/test_distribution_replica.py
+++ b/tests/violetroute/distribution/test_distribution_replica.py
@@ -56,8 +56,8 @@
 def test_a_log_of_a_lower_fence_than_the_base_has_to_start_from_the_snapshot() -> None:
     """Its batch at the base's position is another one, so it may not keep it."""
     log = replica(2, 3, base=LogPoint(2, 5))
-    assert log.common_end(LogPoint(1, 9)) is None
-    assert log.common_end(LogPoint(2, 9)) == 6
+    assert log.common_prefix_end(LogPoint(1, 9)) is None
+    assert log.common_prefix_end(LogPoint(2, 9)) == 6
 
 
 def test_the_configuration_of_an_installed_snapshot_counts_for_what_still_fits() -> None:
@@ -78,9 +78,9 @@
     for unknown in (0, 9):
         followers.fetched(2.0, 2, fetch(answered=unknown))
         followers.abandoned(2)
-        assert followers.followed_at(2.0) == -inf
+        assert followers.quorum_followed_at(2.0) == -inf
     followers.fetched(3.0, 3, fetch(answered=1))
-    assert followers.followed_at(3.0) == 1.0
+    assert followers.quorum_followed_at(3.0) == 1.0
 
 
 def test_the_echo_of_a_forgotten_answer_shows_nothing() -> None:
@@ -89,9 +89,9 @@
         followers.fetched(float(number), number, fetch())
         followers.step(number + 0.5)
     followers.fetched(9.0, 99, fetch(answered=1))
-    assert followers.followed_at(9.0) == -inf
+    assert followers.quorum_followed_at(9.0) == -inf
     followers.fetched(9.0, 100, fetch(answered=2))
-    assert followers.followed_at(9.0) == 2.5
+    assert followers.quorum_followed_at(9.0) == 2.5
 
 
 def test_a_fetch_that_is_held_at_the_end_of_the_term_is_told_so() -> None:
--- a/tests/violetroute/distribution/test_distribution_schedules.py
+++ b/tests/violetroute/distribution/test_distribution_schedules.py
@@ -48,7 +48,7 @@
 @settings(max_examples=50, deadline=None, suppress_health_check=list(HealthCheck))
 @given(size=st.sampled_from((3, 5)), events=st.lists(event(), min_size=30, max_size=100))
 def test_no_schedule_breaks_a_rule(size: int, events: list[Event]) -> None:
-    cluster = Cluster(size, keep_s=5.0, retain_every_s=1.0)
+    cluster = Cluster(size, keep_s=5.0, retention_interval_s=1.0)
     for each in events:
         apply_event(cluster, each)
     heal(cluster)
@@ -57,7 +57,7 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_no_long_random_schedule_breaks_a_rule(seed: int) -> None:
     chosen = random.Random(seed)
-    cluster = Cluster(3 + 2 * (seed % 2), seed, keep_s=5.0, retain_every_s=1.0)
+    cluster = Cluster(3 + 2 * (seed % 2), seed, keep_s=5.0, retention_interval_s=1.0)
     kinds, weights = list(EVENTS), list(EVENTS.values())
     for _ in range(200):
         kind = chosen.choices(kinds, weights)[0]
--- a/tests/violetroute/distribution/test_distribution_subscriber.py
+++ b/tests/violetroute/distribution/test_distribution_subscriber.py
@@ -10,9 +10,9 @@
 import pytest
 
 from violetroute.distribution.control_choice import (
-    TRIAL_FIRST_S,
-    TRIAL_MOST_S,
-    Control,
+    FIRST_TRIAL_DELAY_S,
+    MAX_TRIAL_DELAY_S,
+    ControlEndpoint,
     SubscriberSettings,
     preference,
 )
@@ -37,12 +37,12 @@
     Wait,
 )
 
-CONTROLS = tuple(Control(f"c{index}:1", f"r{index}") for index in range(4))
-EIGHT = tuple(Control(f"10.0.{index}.1:7000", f"r{index}") for index in range(8))
+CONTROLS = tuple(ControlEndpoint(f"c{index}:1", f"r{index}") for index in range(4))
+EIGHT = tuple(ControlEndpoint(f"10.0.{index}.1:7000", f"r{index}") for index in range(8))
 NAMES = [f"proxy-{index}.site-{index % 170}" for index in range(2600)]
 
 
-def subscriber(now: float = 0.0, controls: tuple[Control, ...] = CONTROLS) -> Subscriber:
+def subscriber(now: float = 0.0, controls: tuple[ControlEndpoint, ...] = CONTROLS) -> Subscriber:
     settings = SubscriberSettings("p1", "r0", controls)
     return Subscriber(settings, "i1", Random(1), now)
 
@@ -306,8 +306,8 @@
     order = [control.address for control in preference("p1", "r0", CONTROLS)]
     now, second = failing_until_answer(sub, 1.0, {order[1]})
     assert second == order[1]
-    assert asked(sub, now + TRIAL_FIRST_S * 0.4) == order[1]
-    ask = sub.next(now + TRIAL_FIRST_S * 1.6)
+    assert asked(sub, now + FIRST_TRIAL_DELAY_S * 0.4) == order[1]
+    ask = sub.next(now + FIRST_TRIAL_DELAY_S * 1.6)
     assert isinstance(ask, Ask) and ask.address == order[0] and ask.timeout_s < 1.5
     sub.replied(now, now, order[0], ok(0))
     assert asked(sub, now) == order[0]
@@ -328,8 +328,8 @@
             trials.append(now)
             assert address == order[0] and asked(sub, now) == order[1]
     pauses = [later - earlier for earlier, later in pairwise(trials)]
-    assert max(pauses) <= TRIAL_MOST_S * 1.5 + 0.5
-    assert min(pauses[4:]) >= TRIAL_MOST_S * 0.5 - 0.5 > pauses[0] - TRIAL_FIRST_S * 3
+    assert max(pauses) <= MAX_TRIAL_DELAY_S * 1.5 + 0.5
+    assert min(pauses[4:]) >= MAX_TRIAL_DELAY_S * 0.5 - 0.5 > pauses[0] - FIRST_TRIAL_DELAY_S * 3
 
 
 def test_a_machine_that_flaps_is_tried_more_and_more_rarely() -> None:
@@ -390,7 +390,7 @@
     give(sub, ok(2, raw(1), raw(2)))
     before, as_of = sub.next(2.0), sub.as_of
     assert isinstance(before, Ask)
-    sub.configure((Control("n1:1", "r0"), Control("n2:1", "r1")))
+    sub.configure((ControlEndpoint("n1:1", "r0"), ControlEndpoint("n2:1", "r1")))
     assert (sub.position, sub.as_of) == (2, as_of)
     assert applied(sub.replied(2.1, 2.0, before.address, ok(3, raw(3)))) == [3]
     assert asked(sub, 2.2) == "n1:1"
--- a/violetroute/__main__.py
+++ b/violetroute/__main__.py
@@ -188,9 +188,9 @@
 ) -> IntrospectionSocket | None:
     if service is None:
         return None
-    from .distribution.make import door_of
+    from .distribution.make import introspection_listener
 
-    introspection_socket = door_of(config.operator.distribution, service)
+    introspection_socket = introspection_listener(config.operator.distribution, service)
     if introspection_socket is not None:
         await introspection_socket.open()
     return introspection_socket
--- a/violetroute/distribution/__main__.py
+++ b/violetroute/distribution/__main__.py
@@ -22,7 +22,7 @@
 from violetroute.transport.lines import LineWriter
 from violetroute.transport.sockets import SocketNetwork, monotonic, wall
 
-from .control import Control, door_of
+from .control import ControlServer, introspection_listener
 from .control_file import ControlFile, load_control_file, restart_needed
 from .storage import StorageError
 
@@ -84,8 +84,8 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, end, 0)
     try:
-        control = Control(file, SocketNetwork(loop), failed)
-        door = door_of(file, control)
+        control = ControlServer(file, SocketNetwork(loop), failed)
+        door = introspection_listener(file, control)
         if door is not None:
             await door.open()
     except (OSError, ValueError, StorageError) as error:
--- a/violetroute/distribution/actions.py
+++ b/violetroute/distribution/actions.py
@@ -116,7 +116,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HandOn:
+class ReleaseLease:
     """Give the lease back: this machine can't lead now, another one may be able to."""
 
 
@@ -128,7 +128,7 @@
     fields: tuple[tuple[str, str | int | float], ...] = ()
 
 
-Action = Persist | Send | Answer | Fenced | HandOn | Notice
+Action = Persist | Send | Answer | Fenced | ReleaseLease | Notice
 
 
 # --- what a machine is started with ---
@@ -154,13 +154,17 @@
     hold_s: float = 0.25  # a fetch without news is answered after this time
     retry_s: float = 0.2  # first delay before a failed request is repeated; doubled up to 8 times
     timeout_s: float = 2.0  # of a request to another control machine
-    hand_on_s: float = 10.0  # a leader without a majority gives the lease back after this time
+    release_lease_after_s: float = (
+        10.0  # a leader without a majority gives the lease back after this time
+    )
     stale_after_s: float = 2.8
     drift: float = 0.05  # most that two clocks differ in rate
     keep_s: float = 3600.0  # committed batches are kept for this time
     keep_bytes: int = 64 * 1024 * 1024  # and at most this many bytes of them
-    retain_every_s: float = 10.0  # between two looks for batches that need not be kept any more
-    publications_most: int = 1024  # that wait for their commit; beyond these: OVERLOADED
+    retention_interval_s: float = (
+        10.0  # between two looks for batches that need not be kept any more
+    )
+    max_publications: int = 1024  # that wait for their commit; beyond these: OVERLOADED
     unix_offset_s: float = 0.0  # Unix time less the machine's clock at the start of the process
     poll_hold_s: float = 0.8  # a proxy's poll without news is answered after this time
     spread_s: float = 0.4  # least time between two answers with batches to one proxy
--- a/violetroute/distribution/control.py
+++ b/violetroute/distribution/control.py
@@ -28,10 +28,10 @@
     Action,
     Answer,
     Fenced,
-    HandOn,
     MachineSettings,
     Notice,
     Persist,
+    ReleaseLease,
     Send,
 )
 from .control_file import ControlFile
@@ -51,7 +51,7 @@
 BAD_REQUEST, UNAVAILABLE = 400, 503
 
 
-class Control:
+class ControlServer:
     """One control machine.
 
     OSError where it cannot listen, StorageError for its folder, ValueError where the process may
@@ -174,7 +174,7 @@
                 self._server.answer(ticket, encode(message))
             case Fenced(fence):
                 self._work.fenced(fence)
-            case HandOn():
+            case ReleaseLease():
                 self._work.hand_on()
             case Notice():
                 log_notice(action)
@@ -227,7 +227,7 @@
         self._storage.close()
 
 
-def door_of(file: ControlFile, control: Control) -> IntrospectionSocket | None:
+def introspection_listener(file: ControlFile, control: ControlServer) -> IntrospectionSocket | None:
     """Where it can be looked in at from this machine, if the file names a place."""
     return IntrospectionSocket(file.socket, control.status) if file.socket else None
 
--- a/violetroute/distribution/control_choice.py
+++ b/violetroute/distribution/control_choice.py
@@ -15,13 +15,13 @@
 from hashlib import blake2b
 from random import Random
 
-TRIAL_FIRST_S = 5.0  # s at a lesser machine before a better one is tried
-TRIAL_MOST_S = 60.0  # s between two trials at most, before jitter
-TRIAL_TIMEOUT_SHARE = 0.5  # of `timeout_s`: a failed trial must not make the proxy stale
+FIRST_TRIAL_DELAY_S = 5.0  # s at a lesser machine before a better one is tried
+MAX_TRIAL_DELAY_S = 60.0  # s between two trials at most, before jitter
+TRIAL_TIMEOUT_FRACTION = 0.5  # of `timeout_s`: a failed trial must not make the proxy stale
 
 
 @dataclass(frozen=True, slots=True)
-class Control:
+class ControlEndpoint:
     """A control machine: "HOST:PORT" and its region."""
 
     address: str
@@ -38,7 +38,7 @@
 
     name: str
     region: str
-    controls: tuple[Control, ...]
+    controls: tuple[ControlEndpoint, ...]
     stale_after_s: float = 2.8
     drift: float = 0.05
     timeout_s: float = 1.5
@@ -47,17 +47,19 @@
     retry_most_s: float = 1.0
 
 
-def preference(name: str, region: str, controls: Sequence[Control]) -> tuple[Control, ...]:
+def preference(
+    name: str, region: str, controls: Sequence[ControlEndpoint]
+) -> tuple[ControlEndpoint, ...]:
     """The order in which a proxy asks control machines: those of its region first."""
 
-    def rank(control: Control) -> tuple[bool, bytes]:
+    def rank(control: ControlEndpoint) -> tuple[bool, bytes]:
         key = f"{name}\0{control.address}".encode("utf-8", "surrogatepass")
         return control.region != region, blake2b(key, digest_size=8).digest()
 
     return tuple(sorted(controls, key=rank))
 
 
-class ControlChoice:
+class ControlSelector:
     """Which control machine is asked, when, and when a better one is tried again."""
 
     def __init__(self, settings: SubscriberSettings, random: Random) -> None:
@@ -68,7 +70,7 @@
         self._current = 0  # index in the order
         self._failures = 0  # in a row, at current machines
         self._trial = 0  # index of the better machine that is tried next
-        self._trial_pause_s = TRIAL_FIRST_S
+        self._trial_pause_s = FIRST_TRIAL_DELAY_S
         self._trial_at = math.inf
         self._returned_at: float | None = None  # when a trial succeeded last
         self.retry_at = -math.inf
@@ -80,7 +82,7 @@
     def target(self, now: float) -> tuple[str, float]:
         """The address to ask and how long to wait for its answer."""
         if self._current and not self._failures and now >= self._trial_at:
-            return self._order[self._trial], self._settings.timeout_s * TRIAL_TIMEOUT_SHARE
+            return self._order[self._trial], self._settings.timeout_s * TRIAL_TIMEOUT_FRACTION
         return self._order[self._current], self._settings.timeout_s
 
     def succeeded(self, now: float, address: str) -> None:
@@ -124,13 +126,13 @@
         return longest * self._random.uniform(0.5, 1.0)
 
     def _lengthen_pause(self) -> None:
-        self._trial_pause_s = min(self._trial_pause_s * 2, TRIAL_MOST_S)
+        self._trial_pause_s = min(self._trial_pause_s * 2, MAX_TRIAL_DELAY_S)
 
     def _forgive(self, now: float) -> None:
         """Back for a whole longest pause without a failure: the next absence is a new one."""
-        if self._returned_at is not None and now - self._returned_at >= TRIAL_MOST_S:
+        if self._returned_at is not None and now - self._returned_at >= MAX_TRIAL_DELAY_S:
             self._returned_at = None
-            self._trial_pause_s = TRIAL_FIRST_S
+            self._trial_pause_s = FIRST_TRIAL_DELAY_S
 
     def _plan_trial(self, now: float) -> None:
         self._trial_at = now + self._trial_pause_s * self._random.uniform(0.5, 1.5)
--- a/violetroute/distribution/followers.py
+++ b/violetroute/distribution/followers.py
@@ -92,7 +92,7 @@
     def _acknowledged(self, follower: _Follower, fetch: Fetch) -> None:
         answered_at = follower.answered_at.get(fetch.answered, -inf)
         follower.followed_at = max(follower.followed_at, answered_at)
-        if self.serving and self._replica.has(fetch.last):
+        if self.serving and self._replica.contains(fetch.last):
             follower.durable = max(follower.durable, fetch.last.position)
 
     def step(self, now: float) -> None:
@@ -144,7 +144,7 @@
         position = sorted(durable, reverse=True)[self._quorum - 1]
         return position if self._replica.fence_at(position) == self._fence else None
 
-    def followed_at(self, now: float) -> float:
+    def quorum_followed_at(self, now: float) -> float:
         """The greatest time at which a majority still followed; minus infinity: never yet."""
         times = [each.followed_at for each in self._followers.values()]
         times.append(now)
@@ -158,7 +158,7 @@
         """
         if self._replica.fence_at(self._replica.commit) != self._fence:
             return None
-        followed_at = self.followed_at(now)
+        followed_at = self.quorum_followed_at(now)
         return followed_at if followed_at > -inf else None
 
     def positions(self, now: float) -> tuple[tuple[str, int, float], ...]:
--- a/violetroute/distribution/following.py
+++ b/violetroute/distribution/following.py
@@ -79,7 +79,7 @@
     @property
     def next_at(self) -> float:
         """When `step` is wanted; infinite while a reply or the disk is waited for."""
-        waiting = self._outstanding is not None or not self._replica.settled
+        waiting = self._outstanding is not None or not self._replica.synced
         return inf if waiting or not self._others else self._backoff.next_at
 
     def leader_changed(self, now: float) -> None:
--- a/violetroute/distribution/in_force.py
+++ b/violetroute/distribution/in_force.py
@@ -34,9 +34,9 @@
 from .roster import Missing, Roster
 from .session import dropping_time
 
-HISTORY_MOST = 4096  # positions of which the times of commit and of being in force are kept
-FINDINGS_MOST = 1024  # early findings that wait for the leader's as_of
-REPLACED_MOST = 64  # earlier incarnations of a machine that are refused
+MAX_HISTORY = 4096  # positions of which the times of commit and of being in force are kept
+MAX_UNCONFIRMED = 1024  # early findings that wait for the leader's as_of
+MAX_REPLACED_INCARNATIONS = 64  # earlier incarnations of a machine that are refused
 MS = 1000.0
 
 
@@ -63,10 +63,10 @@
 
 @dataclass(slots=True)
 class _Machine:
-    """One control machine.  `doubt_until`: it may have answered unknown sessions until then."""
+    """One control machine.  `unknown_sessions_until`: it may have answered unknown sessions until then."""
 
     name: str
-    doubt_until: float = math.inf
+    unknown_sessions_until: float = math.inf
     incarnation: str | None = None
     number: int = 0
     answered_at: float = -math.inf
@@ -82,9 +82,9 @@
 
     def add(self, position: int, at: float) -> None:
         self._moments.append(_Moment(position, at))
-        if len(self._moments) > 2 * HISTORY_MOST:
-            self._forgotten = self._moments[-HISTORY_MOST - 1].position
-            del self._moments[:-HISTORY_MOST]
+        if len(self._moments) > 2 * MAX_HISTORY:
+            self._forgotten = self._moments[-MAX_HISTORY - 1].position
+            del self._moments[:-MAX_HISTORY]
 
     def reached(self, position: int) -> _Moment | None:
         """The moment at which `position` was reached, or the oldest one that is kept."""
@@ -96,7 +96,7 @@
         return position > self._forgotten
 
 
-class InForce:
+class InForceTracker:
     """One term of one leader.  `machines`: the names of all control machines, its own among them.
 
     The term's times count from its first `committed`, not from `now` here.
@@ -107,7 +107,9 @@
         self._ticked_at = now
         self._first_commit_at: float | None = None
         self._machines = {name: _Machine(name) for name in machines}
-        self._replaced: deque[tuple[str, str]] = deque(maxlen=REPLACED_MOST * len(machines))
+        self._replaced: deque[tuple[str, str]] = deque(
+            maxlen=MAX_REPLACED_INCARNATIONS * len(machines)
+        )
         self._roster = Roster()
         self._commit = 0
         self._in_force = 0
@@ -119,7 +121,7 @@
     @property
     def applied(self) -> int:
         """Every live session has applied everything up to here."""
-        least = self._roster.least_position
+        least = self._roster.min_position
         return self._commit if least is None else min(least, self._commit)
 
     @property
@@ -149,8 +151,8 @@
         for machine in self._machines.values():
             if machine.known:
                 times.append(machine.answered_at + self._settings.drop_after_s)
-            if machine.doubt_until > self._ticked_at:
-                times.append(machine.doubt_until)
+            if machine.unknown_sessions_until > self._ticked_at:
+                times.append(machine.unknown_sessions_until)
         return min(times, default=math.inf)
 
     def in_force_at(self, position: int) -> float | None:
@@ -178,12 +180,12 @@
         if self._first_commit_at is None:
             self._first_commit_at = now
             for machine in self._machines.values():
-                machine.doubt_until = min(now, contact_at) + self._settings.drop_after_s
+                machine.unknown_sessions_until = min(now, contact_at) + self._settings.drop_after_s
         if position <= self._commit:
             return
         self._commit = position
         self._commits.add(position, now)
-        if len(self._by_time) >= HISTORY_MOST:
+        if len(self._by_time) >= MAX_HISTORY:
             self._by_time.pop()  # the later moment stands for it too
         self._by_time.append(_Moment(position, now))
 
@@ -236,7 +238,7 @@
     def _take_full(self, now: float, machine: _Machine, report: Report) -> None:
         running_s = report.running_ms / MS
         remaining_s = max(0.0, self._settings.drop_after_s - running_s)
-        machine.doubt_until = min(machine.doubt_until, now + remaining_s)
+        machine.unknown_sessions_until = min(machine.unknown_sessions_until, now + remaining_s)
         machine.known = True
         self._roster.replace(now, machine.name, report.sessions)
 
@@ -244,8 +246,10 @@
         """The earlier incarnation may have answered proxies until its last report was answered."""
         if machine.incarnation is not None:
             self._replaced.append((machine.name, machine.incarnation))
-            doubt_until = machine.answered_at + self._settings.drop_after_s
-            machine.doubt_until = max(machine.doubt_until, doubt_until)
+            unknown_sessions_until = machine.answered_at + self._settings.drop_after_s
+            machine.unknown_sessions_until = max(
+                machine.unknown_sessions_until, unknown_sessions_until
+            )
         machine.incarnation = incarnation
         machine.number = 0
 
@@ -261,13 +265,13 @@
             self._enforce(now, self._by_time.popleft().position)
 
     def _find_early(self, now: float) -> None:
-        if any(now < machine.doubt_until for machine in self._machines.values()):
+        if any(now < machine.unknown_sessions_until for machine in self._machines.values()):
             return
         position = self.applied
         found = self._findings[-1].position if self._findings else self._in_force
         if position <= found:
             return
-        if len(self._findings) >= FINDINGS_MOST:
+        if len(self._findings) >= MAX_UNCONFIRMED:
             self._findings.pop()  # the later finding stands for it too
         self._findings.append(_Moment(position, now))
 
--- a/violetroute/distribution/leader_contact.py
+++ b/violetroute/distribution/leader_contact.py
@@ -28,11 +28,11 @@
     def __init__(self, now: float) -> None:
         self.at = now
 
-    def answered(self, now: float) -> None:
+    def reply_received(self, now: float) -> None:
         """A leader's answer was taken."""
         self.at = now
 
-    def led(self, as_of: float | None) -> None:
+    def term_ended(self, as_of: float | None) -> None:
         """A term of this machine is over; it told no age that counts from after `as_of`."""
         if as_of is not None:
             self.at = max(self.at, as_of)
@@ -42,7 +42,7 @@
         return max(0.0, now - self.at) * MS
 
 
-def contact_of(promise: Promise, arrived_at: float, drift: float) -> float:
+def contact_time(promise: Promise, arrived_at: float, drift: float) -> float:
     """No earlier than the last contact of who promised, by the clock that read `arrived_at`.
 
     The other clock may be fast by `drift`, and this one slow by it.  An older build tells nothing:
--- a/violetroute/distribution/leadership.py
+++ b/violetroute/distribution/leadership.py
@@ -6,7 +6,7 @@
 3. Publications become batches (`publications.py`), the others fetch them (`followers.py`).
 
 A higher fence seen anywhere ends the term (`fenced_by`, or the machine on a request).  A leader
-that has had no majority for `hand_on_s` is `idle`: another machine may do better.
+that has had no majority for `release_lease_after_s` reports `lost_majority`: another machine may do better.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
         self._publications = Publications(settings, fence, outbox)
 
     @property
-    def open(self) -> bool:
+    def established(self) -> bool:
         """Whether a batch of this term is committed."""
         return self._replica.fence_at(self._replica.commit) == self.fence
 
@@ -66,13 +66,13 @@
         """A fence under which another leader was promised: this term is over."""
         return self._preparation.fenced_by
 
-    def idle(self, now: float) -> bool:
-        """Whether no majority has followed for `hand_on_s`."""
-        return now - self._majority_at(now) >= self._settings.hand_on_s
+    def lost_majority(self, now: float) -> bool:
+        """Whether no majority has followed for `release_lease_after_s`."""
+        return now - self._majority_at(now) >= self._settings.release_lease_after_s
 
     def _majority_at(self, now: float) -> float:
         """When a majority still followed, counting this machine's own part as of `now`."""
-        return max(self._began_at, self._followers.followed_at(now))
+        return max(self._began_at, self._followers.quorum_followed_at(now))
 
     @property
     def next_at(self) -> float:
@@ -87,7 +87,7 @@
 
     @property
     def _idle_at(self) -> float:
-        return self._majority_at(inf) + self._settings.hand_on_s
+        return self._majority_at(inf) + self._settings.release_lease_after_s
 
     def step(self, now: float) -> None:
         """Do everything that is due."""
--- a/violetroute/distribution/machine.py
+++ b/violetroute/distribution/machine.py
@@ -6,7 +6,7 @@
 `tick` at `next_at`.
 
 Bounds: one outstanding fetch and one report, one `Prepare` to each machine, one held fetch of each
-replica, `publications_most` publications, one held poll of each session.
+replica, `max_publications` publications, one held poll of each session.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 
 import msgspec
 
-from .actions import Action, Fenced, HandOn, MachineSettings, Reply, Stored
+from .actions import Action, Fenced, MachineSettings, ReleaseLease, Reply, Stored
 from .following import Following
-from .in_force import InForce, InForceSettings
+from .in_force import InForceSettings, InForceTracker
 from .leader_contact import LeaderContact, latest_contact
 from .leadership import Leadership
 from .messages import (
@@ -68,10 +68,10 @@
         )
         self._contact = LeaderContact(now)
         self._leadership: Leadership | None = None
-        self._in_force: InForce | None = None
+        self._in_force: InForceTracker | None = None
         self._reports: dict[int, Report] = {}  # the one on its way, by its ticket
         self._commit_told = self.replica.commit
-        self._retain_at = now + settings.retain_every_s
+        self._retain_at = now + settings.retention_interval_s
 
     # --- what is known ---
     @property
@@ -85,7 +85,7 @@
         return self._settings.name if self.leading else self._following.leader
 
     @property
-    def earlier_contact_at(self) -> float:
+    def latest_leader_contact_at(self) -> float:
         """While its term is open: no age of an earlier leader counts from a later time."""
         others = () if self._leadership is None else self._leadership.contacts
         return latest_contact(self._contact.at, others)
@@ -139,7 +139,7 @@
         if self._following.owns(ticket):
             fetched = self._following.replied(now, reply)
             if fetched is not None:
-                self._contact.answered(now)
+                self._contact.reply_received(now)
                 if self._recovery is not None:
                     self._recovery.fetched(fetched)
         elif self._recovery is not None and self._recovery.owns(ticket):
@@ -164,7 +164,7 @@
         self._end_term(now)
         if self.replica.recovering:
             self._outbox.notice("cannot_lead", reason="recovering")
-            self._outbox.add(HandOn())
+            self._outbox.add(ReleaseLease())
         elif fence <= self.replica.fence:
             self._outbox.add(Fenced(self.replica.fence))
         else:
@@ -187,13 +187,13 @@
             self._settings, fence, self.replica, self._outbox, self._random, now
         )
         bound = InForceSettings(self._settings.stale_after_s, self._settings.drift)
-        self._in_force = InForce(bound, self._settings.machines, now)
+        self._in_force = InForceTracker(bound, self._settings.machines, now)
         self._outbox.notice("term_began", fence=fence)
 
     def _end_term(self, now: float) -> None:
         if self._leadership is None:
             return
-        self._contact.led(self._leadership.as_of(now))
+        self._contact.term_ended(self._leadership.as_of(now))
         self._leadership.end(self.replica.fence)
         self._outbox.notice("term_ended", fence=self._leadership.fence)
         self._leadership = None
@@ -263,7 +263,7 @@
 
     def _take_report(self, now: float, report: Report, known: bool) -> ReportReply:
         leadership = self._leadership
-        if leadership is None or self._in_force is None or not leadership.open or not known:
+        if leadership is None or self._in_force is None or not leadership.established or not known:
             return ReportReply(False, self.replica.fence)
         if report.fence != leadership.fence:
             return ReportReply(False, self.replica.fence)
@@ -304,9 +304,9 @@
         if self._leadership.fenced_by is not None:
             self._outbox.add(Fenced(self._leadership.fenced_by))
             self._end_term(now)
-        elif self._leadership.idle(now):
+        elif self._leadership.lost_majority(now):
             self._outbox.notice("no_majority", fence=self._leadership.fence)
-            self._outbox.add(HandOn())
+            self._outbox.add(ReleaseLease())
             self._end_term(now)
 
     def _step_sessions(self, now: float) -> None:
@@ -323,13 +323,17 @@
     def _ready(self) -> bool:
         """Whether proxies can be served: a leader takes reports, and the log is whole."""
         if self._leadership is not None:
-            return self._leadership.open
+            return self._leadership.established
         return bool(self._following.leader) and not self.replica.recovering
 
     def _tell_in_force(self, now: float) -> None:
         """A copy of another log commits batches too, before the term's own first batch is."""
-        if self._in_force is not None and self._leadership is not None and self._leadership.open:
-            self._in_force.committed(now, self.replica.commit, self.earlier_contact_at)
+        if (
+            self._in_force is not None
+            and self._leadership is not None
+            and self._leadership.established
+        ):
+            self._in_force.committed(now, self.replica.commit, self.latest_leader_contact_at)
 
     def _send_report(self, now: float) -> None:
         report = self._sessions.report_due(now, self.replica.fence)
@@ -347,7 +351,7 @@
             self._outbox.answer(each.ticket, each.reply)
 
     def _retain(self, now: float) -> None:
-        self._retain_at = now + self._settings.retain_every_s
+        self._retain_at = now + self._settings.retention_interval_s
         unix_s = now + self._settings.unix_offset_s
         oldest_ms = (unix_s - self._settings.keep_s) * 1000
         self._outbox.persist(self.replica.retain(oldest_ms, self._settings.keep_bytes))
--- a/violetroute/distribution/make.py
+++ b/violetroute/distribution/make.py
@@ -75,7 +75,9 @@
     return ProxyDistribution(service, configuration)
 
 
-def door_of(table: DistributionTable, service: DistributionService) -> IntrospectionSocket | None:
+def introspection_listener(
+    table: DistributionTable, service: DistributionService
+) -> IntrospectionSocket | None:
     """Where it can be looked in at from this machine, if the table names a place."""
 
     def answer(what: str) -> ServiceStatus:
--- a/violetroute/distribution/outbox.py
+++ b/violetroute/distribution/outbox.py
@@ -57,12 +57,12 @@
             return
         self.last_ticket += 1
         self._last_persist = self.last_ticket
-        self._replica.persisting(self.last_ticket)
+        self._replica.persist_started(self.last_ticket)
         self._actions.append(Persist(self.last_ticket, changes))
 
     def answer_when_durable(self, ticket: int, message: Response) -> None:
         """A response that has to wait until all changes so far are durable."""
-        if self._replica.settled:
+        if self._replica.synced:
             self.answer(ticket, message)
         else:
             self._owed.append(_Owed(self._last_persist, Answer(ticket, message)))
--- a/violetroute/distribution/preparation.py
+++ b/violetroute/distribution/preparation.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from .actions import MachineSettings, Reply
-from .leader_contact import contact_of
+from .leader_contact import contact_time
 from .messages import Fetch, FetchReply, FetchStatus, LogPoint, Prepare, Promise
 from .outbox import Outbox
 from .replica import LogConflict, Replica
@@ -73,7 +73,7 @@
         self._asked: dict[int, str] = {}
         self._promises: dict[str, Promise] = {}
         self._drift = settings.drift
-        self._contacts: dict[str, float] = {}  # of those that promised, as in `contact_of`
+        self._contacts: dict[str, float] = {}  # of those that promised, as in `contact_time`
         self.contacts: tuple[float, ...] = ()  # of the majority, once it is ready
         self._followers: set[str] = set()
         self._copy: _Copy | None = None
@@ -83,7 +83,7 @@
     @property
     def next_at(self) -> float:
         """When `step` is wanted."""
-        if not self.ready and not self._replica.settled:
+        if not self.ready and not self._replica.synced:
             return inf
         return min((self._retries[name].next_at for name in self._unasked()), default=inf)
 
@@ -100,7 +100,7 @@
 
     def step(self, now: float) -> None:
         """Ask who has not promised; with a majority, copy what is missing here."""
-        if not self.ready and not self._replica.settled:
+        if not self.ready and not self._replica.synced:
             return  # the own promise, or a part of the copy, is on its way to the disk
         for name in self._unasked():
             if now >= self._retries[name].next_at:
@@ -144,7 +144,7 @@
             self.fenced_by = max(reply.fence, self._fence)
         else:
             self._promises[name] = reply
-            self._contacts[name] = contact_of(reply, now, self._drift)
+            self._contacts[name] = contact_time(reply, now, self._drift)
 
     def _copied(self, now: float, copy: _Copy, reply: Reply | None) -> None:
         if isinstance(reply, FetchReply) and self._is_progress(copy, reply):
--- a/violetroute/distribution/publications.py
+++ b/violetroute/distribution/publications.py
@@ -23,7 +23,7 @@
 )
 from .outbox import Outbox
 
-REMEMBERED = 8192  # committed publications
+MAX_REMEMBERED_IDS = 8192  # committed publications
 RECORD_OVERHEAD = 8  # bytes of a record's encoding beside its key and body
 
 
@@ -56,7 +56,7 @@
 
     def __init__(self, settings: MachineSettings, fence: int, outbox: Outbox) -> None:
         self._batch_s = settings.batch_s
-        self._most = settings.publications_most
+        self._most = settings.max_publications
         self._fence = fence
         self._outbox = outbox
         self._pending: OrderedDict[str, _Pending] = OrderedDict()  # by id, in order of arrival
@@ -124,7 +124,7 @@
             self._committed[pending.publish.id] = pending.position
             if pending.ticket is not None:
                 self._answer(pending.ticket, PublishStatus.COMMITTED, pending.position)
-        while len(self._committed) > REMEMBERED:
+        while len(self._committed) > MAX_REMEMBERED_IDS:
             self._committed.popitem(last=False)
 
     def abandoned(self, ticket: int) -> None:
--- a/violetroute/distribution/recovery.py
+++ b/violetroute/distribution/recovery.py
@@ -10,7 +10,7 @@
 (b) it follows a leader whose fence is at least the highest of these: it promises that at once; and
 (c) it holds that leader's whole log as of an answer to a fetch that was sent after (a).
 
-So it waits for a machine that is gone for good until that one is replaced too.  After `hand_on_s`
+So it waits for a machine that is gone for good until that one is replaced too.  After `release_lease_after_s`
 one notice names the machines that have not told, and the status names them as long as it recovers.
 """
 
@@ -70,7 +70,9 @@
         self._retries = {name: Backoff(settings.retry_s, random, now) for name in others}
         self._asked: dict[int, str] = {}
         self._told_at: dict[str, float] = {}
-        self._warn_at = now + settings.hand_on_s  # infinite: nobody is to be named any more
+        self._warn_at = (
+            now + settings.release_lease_after_s
+        )  # infinite: nobody is to be named any more
         self._complete_at_ticket: int | None = None
         self._target: _Target | None = None
         self._check_complete()
@@ -139,10 +141,10 @@
     def _finish(self) -> None:
         target = self._target
         replica = self._replica
-        if target is None or target.fence != replica.fence or not replica.settled:
+        if target is None or target.fence != replica.fence or not replica.synced:
             return
         if replica.last.position >= target.position:
-            self._outbox.persist(replica.recovered())
+            self._outbox.persist(replica.finish_recovery())
             self._outbox.notice("recovered", fence=replica.fence, position=target.position)
 
     # --- for the checker ---
--- a/violetroute/distribution/replica.py
+++ b/violetroute/distribution/replica.py
@@ -115,13 +115,13 @@
         self.fence, self.leader = fence, leader
         return (SetPromise(fence, leader),)
 
-    def recovered(self) -> tuple[Change, ...]:
+    def finish_recovery(self) -> tuple[Change, ...]:
         """What a lost disk held has been recovered."""
         self.recovering = False
         return (SetRecovering(False),)
 
     # --- what is on disk ---
-    def persisting(self, ticket: int) -> None:
+    def persist_started(self, ticket: int) -> None:
         """All changes so far are on their way to the disk under this ticket."""
         self._unsynced[ticket] = self.last.position
 
@@ -131,7 +131,7 @@
             self.durable = self._unsynced.pop(earlier)
 
     @property
-    def settled(self) -> bool:
+    def synced(self) -> bool:
         """Whether everything that is in memory is durable."""
         return not self._unsynced
 
@@ -178,7 +178,7 @@
             return None
         return self._at(position).fence
 
-    def has(self, point: LogPoint) -> bool:
+    def contains(self, point: LogPoint) -> bool:
         """Whether the point is in the log.  False for what was dropped."""
         return self.fence_at(point.position) == point.fence
 
@@ -207,7 +207,7 @@
     def _at(self, position: int) -> _Entry:
         return self._entries[position - self.base.position - 1]
 
-    def common_end(self, point: LogPoint) -> int | None:
+    def common_prefix_end(self, point: LogPoint) -> int | None:
         """The highest position at which a log that ends with `point` may be equal to this one.
 
         For a point that is not in this log.  Fences never fall along a log, so such a log's batches
--- a/violetroute/distribution/roster.py
+++ b/violetroute/distribution/roster.py
@@ -18,9 +18,9 @@
 from .messages import SessionState
 from .session import SessionKey
 
-MISSING_MOST = 4096
-MISSING_S = 3600.0
-REFUSED_MOST = 1024  # refusals that a status names
+MAX_MISSING = 4096
+MISSING_RETENTION_S = 3600.0
+MAX_REFUSALS = 1024  # refusals that a status names
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
         return self._missing
 
     @property
-    def least_position(self) -> int | None:
+    def min_position(self) -> int | None:
         """Every live session has applied everything up to here; None: there is no session."""
         if not self._least_known:
             self._least = min(self._positions.values(), default=None)
@@ -63,14 +63,14 @@
 
     @property
     def refused(self) -> tuple[tuple[str, int, str], ...]:
-        """Proxy, position and reason of refusals, at most `REFUSED_MOST`."""
+        """Proxy, position and reason of refusals, at most `MAX_REFUSALS`."""
         found: list[tuple[str, int, str]] = []
         for key in self._refusing:
             refusals = self._states[key].refused
             found.extend((key[0], position, reason) for position, reason in refusals)
-            if len(found) >= REFUSED_MOST:
+            if len(found) >= MAX_REFUSALS:
                 break
-        return tuple(found[:REFUSED_MOST])
+        return tuple(found[:MAX_REFUSALS])
 
     def furthest_behind(self, commit: int, most: int) -> list[SessionState]:
         """Live sessions that have not applied everything up to `commit`, the last ones first."""
@@ -116,10 +116,10 @@
         self.end(now, machine, gone)
 
     def forget(self, now: float) -> None:
-        """Forget the names that have been missing for `MISSING_S`."""
+        """Forget the names that have been missing for `MISSING_RETENTION_S`."""
         while self._missing:
             name = next(iter(self._missing))
-            if now - self._missing[name].since < MISSING_S:
+            if now - self._missing[name].since < MISSING_RETENTION_S:
                 return
             del self._missing[name]
 
@@ -153,5 +153,5 @@
             return
         del self._live_names[name]
         self._missing[name] = Missing(state, now)
-        if len(self._missing) > MISSING_MOST:
+        if len(self._missing) > MAX_MISSING:
             del self._missing[next(iter(self._missing))]
--- a/violetroute/distribution/service.py
+++ b/violetroute/distribution/service.py
@@ -20,7 +20,7 @@
 from violetroute.transport import Network, parse_address
 
 from .configuration_change import ConfigurationChange
-from .control_choice import Control, SubscriberSettings
+from .control_choice import ControlEndpoint, SubscriberSettings
 from .http_client import HttpClient
 from .messages import Batch, Record, Topic
 from .routes import decode_reply, encode, path_of
@@ -338,8 +338,8 @@
     return encodable(" ".join(reason.split()))[:REASON_CHARACTERS]
 
 
-def _controls(table: DistributionTable) -> tuple[Control, ...]:
-    return tuple(Control(each.address, each.region) for each in control_addresses(table))
+def _controls(table: DistributionTable) -> tuple[ControlEndpoint, ...]:
+    return tuple(ControlEndpoint(each.address, each.region) for each in control_addresses(table))
 
 
 def _log_unreachable(address: str, reason: str, count: int) -> None:
--- a/violetroute/distribution/subscriber.py
+++ b/violetroute/distribution/subscriber.py
@@ -28,7 +28,7 @@
 
 import msgspec
 
-from .control_choice import Control, ControlChoice, SubscriberSettings
+from .control_choice import ControlEndpoint, ControlSelector, SubscriberSettings
 from .messages import Batch, Poll, PollReply, PollStatus, Snapshot
 
 REFUSALS_MOST = 16  # as many as one poll carries
@@ -117,9 +117,9 @@
         self._said_stale = False
         self._refusals: deque[tuple[int, str]] = deque(maxlen=REFUSALS_MOST)
         self._random = random
-        self._choice = ControlChoice(settings, random)
+        self._choice = ControlSelector(settings, random)
 
-    def configure(self, controls: tuple[Control, ...]) -> None:
+    def configure(self, controls: tuple[ControlEndpoint, ...]) -> None:
         """Ask these control machines from now on; what is applied and known stays.
 
         A poll that is out may still be answered by a machine that is no longer among them.
@@ -129,7 +129,7 @@
         if controls == self._settings.controls:
             return  # so that a published table does not make all proxies choose anew at once
         self._settings = replace(self._settings, controls=controls)
-        self._choice = ControlChoice(self._settings, self._random)
+        self._choice = ControlSelector(self._settings, self._random)
 
     @property
     def position(self) -> int:
--- a/violetroute/distribution/transfer.py
+++ b/violetroute/distribution/transfer.py
@@ -12,9 +12,9 @@
     status = FetchStatus.OK
     batches = None
     truncate_to = 0
-    if replica.has(fetch.last):
+    if replica.contains(fetch.last):
         batches = replica.batches_after(fetch.last.position)
-    elif (common := replica.common_end(fetch.last)) is not None:
+    elif (common := replica.common_prefix_end(fetch.last)) is not None:
         status, truncate_to = FetchStatus.DIVERGED, common
     else:
         status = FetchStatus.SNAPSHOT
