--- a/tests/violetroute/distribution/test_distribution_configuration.py
+++ b/tests/violetroute/distribution/test_distribution_configuration.py
@@ -33,7 +33,7 @@
 )
 from violetroute.distribution.configuration_change import ConfigurationChange
 from violetroute.distribution.control_choice import ControlEndpoint, SubscriberSettings
-from violetroute.distribution.make import HooksReceiver
+from violetroute.distribution.factory import HooksReceiver
 from violetroute.distribution.messages import (
     BODY_BYTES,
     Batch,
--- a/violetroute/__main__.py
+++ b/violetroute/__main__.py
@@ -162,7 +162,7 @@
     table = daemon.config.operator.distribution
     if not table.controls:
         return
-    from .distribution.make import make_distribution
+    from .distribution.factory import make_distribution
 
     made = make_distribution(
         table, daemon.config.name, net, daemon.proxy.hooks, daemon.apply_configuration
@@ -188,7 +188,7 @@
 ) -> IntrospectionSocket | None:
     if service is None:
         return None
-    from .distribution.make import introspection_listener
+    from .distribution.factory import introspection_listener
 
     introspection_socket = introspection_listener(config.operator.distribution, service)
     if introspection_socket is not None:
