--- a/tests/violetroute/distribution/test_distribution_service.py
+++ b/tests/violetroute/distribution/test_distribution_service.py
@@ -14,9 +14,9 @@
 from tests.support.rig import until
 from violetroute.distribution import service as service_module
 from violetroute.distribution.control_choice import SubscriberSettings
+from violetroute.distribution.factory import HooksReceiver
 from violetroute.distribution.http_client import HttpClient
 from violetroute.distribution.http_server import HttpServer
-from violetroute.distribution.factory import HooksReceiver
 from violetroute.distribution.messages import (
     Batch,
     LogPoint,
--- a/violetroute/distribution/in_force.py
+++ b/violetroute/distribution/in_force.py
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class _Machine:
-    """One control machine.  `unknown_sessions_until`: it may have answered unknown sessions until then."""
+    """One control machine as the leader knows it."""
 
     name: str
     unknown_sessions_until: float = math.inf
--- a/violetroute/distribution/leadership.py
+++ b/violetroute/distribution/leadership.py
@@ -6,7 +6,8 @@
 3. Publications become batches (`publications.py`), the others fetch them (`followers.py`).
 
 A higher fence seen anywhere ends the term (`fenced_by`, or the machine on a request).  A leader
-that has had no majority for `release_lease_after_s` reports `lost_majority`: another machine may do better.
+that has had no majority for `release_lease_after_s` reports `lost_majority`: another machine may
+do better.
 """
 
 from __future__ import annotations
