--- a/violetroute/distribution/recovery.py
+++ b/violetroute/distribution/recovery.py
@@ -11,7 +11,8 @@
 (c) it holds that leader's whole log as of an answer to a fetch that was sent after (a).
 
 So it waits for a machine that is gone for good until that one is replaced too.  After
-`release_lease_after_s` one notice names the machines that have not told, and the status names them as long as it recovers.
+`release_lease_after_s` one notice names the machines that have not told, and the status names them
+as long as it recovers.
 """
 
 from __future__ import annotations
