--- a/tests/violetroute/distribution/test_distribution_leader_contact.py
+++ b/tests/violetroute/distribution/test_distribution_leader_contact.py
@@ -118,7 +118,7 @@
     cluster.lead("m2")
     cluster.run(1.0)
     leadership = cluster.machine("m2")._leadership
-    assert leadership is not None and not leadership.established and leadership.contacts == ()
+    assert leadership is not None and not leadership.active and leadership.contacts == ()
 
 
 # --- every order ---
--- a/tests/violetroute/distribution/test_distribution_log_faults.py
+++ b/tests/violetroute/distribution/test_distribution_log_faults.py
@@ -309,10 +309,10 @@
 
 def recovered_after_a_majority(patch: pytest.MonkeyPatch) -> None:
     def check_complete(self: Recovery) -> None:
-        if len(self._retries) <= 1 and self._complete_at_ticket is None:
-            self._complete_at_ticket = self._outbox.last_ticket
+        if len(self._retries) <= 1 and self._all_reported_ticket is None:
+            self._all_reported_ticket = self._outbox.last_ticket
 
-    patch.setattr(Recovery, "_check_complete", check_complete)
+    patch.setattr(Recovery, "_check_all_reported", check_complete)
 
 
 def recovering_acknowledgement_counted(patch: pytest.MonkeyPatch) -> None:
--- a/violetroute/distribution/leader_contact.py
+++ b/violetroute/distribution/leader_contact.py
@@ -1,14 +1,15 @@
-"""Until when earlier leaders can have told ages, as a new leader learns it from promises.  Pure.
-
-An age that a leader tells counts back to its `as_of`: a time at which it wrote an answer that a
-majority has echoed since (`followers.py`), itself counted as of now.  That majority and the one
-whose promises a later leader has share a machine.  It had the answer before it made its promise,
-and echoes no earlier leader's answer after it.  So each machine remembers its last *contact* and
-tells with its promise how long ago that was.  No age of an earlier leader counts from a time after
-the latest contact of the promising majority.  See `docs/design/distribution.md`, "In force".
-
-A contact is an answer of any leader that was taken, the `as_of` of a term of the machine's own, or
-the beginning of the process: an earlier one may have had an answer until then.
+"""Upper bound on the `as_of` of earlier leaders, which a new leader derives from promises.  No I/O.
+
+A leader reports ages relative to its `as_of`: a time at which it wrote fetch replies that a
+majority, itself included, has echoed since (`followers.py`).  That majority and the majority of
+promises of a later leader have a machine in common.  This machine received the reply before its
+promise, and echoes no reply of an earlier leader after it.  So each machine records the time of
+its last leader *contact* and reports the elapsed time with its promise.  The `as_of` of an earlier
+leader is never later than the latest contact of the promising majority.
+See `docs/design/distribution.md`, "In force".
+
+A contact is an accepted reply of any leader, the `as_of` of a term of this machine, or the start
+of the process, since the process before it may have received a reply until then.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class LeaderContact:
-    """The last contact of one process, by its own clock; it begins at `now`."""
+    """Time of one process's last leader contact, on its own clock; the process starts at `now`."""
 
     __slots__ = ("at",)
 
@@ -29,24 +30,24 @@
         self.at = now
 
     def reply_received(self, now: float) -> None:
-        """A leader's answer was taken."""
+        """Records an accepted reply of a leader."""
         self.at = now
 
     def term_ended(self, as_of: float | None) -> None:
-        """A term of this machine is over; it told no age that counts from after `as_of`."""
+        """Records the end of a term of this machine, which reported no age after `as_of`."""
         if as_of is not None:
             self.at = max(self.at, as_of)
 
     def elapsed_ms(self, now: float) -> float:
-        """How long ago it was."""
+        """Milliseconds since the last contact, for a promise."""
         return max(0.0, now - self.at) * MS
 
 
 def contact_time(promise: Promise, arrived_at: float, drift: float) -> float:
-    """No earlier than the last contact of who promised, by the clock that read `arrived_at`.
+    """Returns an upper bound on the promising machine's last contact, on this machine's clock.
 
-    The other clock may be fast by `drift`, and this one slow by it.  An older build tells nothing:
-    its last contact was before its promise.
+    `arrived_at` is the receive time of the promise.  The other clock may be fast by `drift`, and
+    this one slow by it.  Older builds report no contact; theirs was before `arrived_at`.
     """
     if promise.contact_ms < 0:
         return arrived_at
@@ -54,5 +55,5 @@
 
 
 def latest_contact(own: float, others: Iterable[float]) -> float:
-    """Of a majority: no age of an earlier leader counts from a later time."""
+    """Returns the latest contact of a majority, an upper bound on earlier leaders' `as_of`."""
     return max((own, *others))
--- a/violetroute/distribution/leadership.py
+++ b/violetroute/distribution/leadership.py
@@ -1,13 +1,13 @@
-"""One term of a leader: prepare, adopt, append, commit.  Pure.
+"""One term of a leader: prepare, adopt the most recent log, append, commit.  No I/O.
 
-1. Promises of a majority, and the most recent of their logs (`preparation.py`).
-2. An empty batch of the own fence; the term is `open` once it is committed, and with it everything
-   that earlier leaders committed.
-3. Publications become batches (`publications.py`), the others fetch them (`followers.py`).
+1. Collect promises of a majority and copy the most recent of their logs (`preparation.py`).
+2. Append an empty batch with the term's fence.  Once it is committed, everything that earlier
+   leaders committed is committed too, and the term is `active`.
+3. Combine publications into batches (`publications.py`); followers fetch them (`followers.py`).
 
-A higher fence seen anywhere ends the term (`fenced_by`, or the machine on a request).  A leader
-that has had no majority for `release_lease_after_s` reports `lost_majority`: another machine may
-do better.
+A higher fence ends the term: `fenced_by` reports one found in a reply, the machine handles one in
+a request.  After `release_lease_after_s` without a majority, `lost_majority` is true and the lease
+is released, since another machine may reach a majority.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class Leadership:
-    """Begins with the own promise made, in memory and on its way to the disk."""
+    """A leader's term; its own promise must be in memory, with its write started."""
 
     __slots__ = (
         "_began_at",
@@ -58,26 +58,26 @@
         self._publications = Publications(settings, fence, outbox)
 
     @property
-    def established(self) -> bool:
+    def active(self) -> bool:
         """Whether a batch of this term is committed."""
         return self._replica.fence_at(self._replica.commit) == self.fence
 
     @property
     def fenced_by(self) -> int | None:
-        """A fence under which another leader was promised: this term is over."""
+        """Higher fence that a replica has promised, which ends this term; None if there is none."""
         return self._preparation.fenced_by
 
     def lost_majority(self, now: float) -> bool:
-        """Whether no majority has followed for `release_lease_after_s`."""
+        """Whether no majority has followed this leader for `release_lease_after_s`."""
         return now - self._majority_at(now) >= self._settings.release_lease_after_s
 
     def _majority_at(self, now: float) -> float:
-        """When a majority still followed, counting this machine's own part as of `now`."""
+        """Last time a majority followed, with this machine counted as following at `now`."""
         return max(self._began_at, self._followers.quorum_followed_at(now))
 
     @property
     def next_at(self) -> float:
-        """When `step` is wanted."""
+        """Time of the next `step`; infinite if none is due."""
         return min(
             self._preparation.next_at, self._followers.next_at, self._next_batch_at, self._idle_at
         )
@@ -91,7 +91,7 @@
         return self._majority_at(inf) + self._settings.release_lease_after_s
 
     def step(self, now: float) -> None:
-        """Do everything that is due."""
+        """Does all work that is due."""
         self._preparation.step(now)
         if self._preparation.ready and not self._followers.serving:
             self._append(now, ())
@@ -119,51 +119,51 @@
             self._publications.committed(position)
 
     def fetched(self, now: float, ticket: int, fetch: Fetch) -> None:
-        """A fetch of another replica under this term's fence."""
+        """Handles a follower's fetch with this term's fence."""
         self._preparation.follows(fetch.replica)
         self._followers.fetched(now, ticket, fetch)
 
     def published(self, now: float, ticket: int, publish: Publish) -> None:
-        """A publication; it waits while the term is being prepared."""
+        """Handles a publication.  It is queued until the term is prepared."""
         if not self._replica.fits(publish.records):
             self._outbox.answer(ticket, Published(PublishStatus.TOO_LARGE, fence=self.fence))
-        elif self._publications.offered(now, ticket, publish):
+        elif self._publications.submit(now, ticket, publish):
             self._replica.reserve(publish.records)
 
     def owns(self, ticket: int) -> bool:
-        """Whether the reply with this ticket belongs to this term."""
+        """Whether this ticket is of a request sent by this term."""
         return self._preparation.owns(ticket)
 
     def replied(self, now: float, ticket: int, reply: Reply | None) -> None:
-        """The reply to a request of this term."""
+        """Handles the reply to a request of this term; None if there was none."""
         self._preparation.replied(now, ticket, reply)
 
     def abandoned(self, ticket: int) -> None:
-        """The caller of this request has gone."""
+        """Handles the disconnect of a request's caller."""
         self._followers.abandoned(ticket)
         self._publications.abandoned(ticket)
 
     def end(self, fence: int) -> None:
-        """The term is over; `fence` is the highest that is known."""
+        """Ends the term and answers held requests; `fence` is the highest fence known."""
         self._followers.end(fence)
         self._publications.end()
 
     def as_of(self, now: float) -> float | None:
-        """Everything that was committed then, by any leader, is committed here.  None: unknown."""
+        """Time up to which all commits of any leader are committed here; None if unknown."""
         return self._followers.as_of(now)
 
     @property
     def contacts(self) -> tuple[float, ...]:
-        """Last contacts with leaders of the others whose promises this term has."""
+        """Last leader contacts of the other replicas in the promising majority."""
         return self._preparation.contacts
 
     def positions(self, now: float) -> tuple[tuple[str, int, float], ...]:
-        """Name, durable position and seconds since it was heard of each other replica."""
+        """Returns name, durable position and seconds since the last fetch of each follower."""
         return self._followers.positions(now)
 
-    # --- for the checker ---
+    # --- for state space exploration ---
     def key(self, now: float) -> tuple[Any, ...]:
-        """All that what follows depends on."""
+        """Returns all state that affects later behavior, with times relative to `now`."""
         return (
             self.fence,
             round(self._began_at - now, 6),
--- a/violetroute/distribution/machine.py
+++ b/violetroute/distribution/machine.py
@@ -1,12 +1,11 @@
-"""One control machine: the log, its leader's term, and the proxies' sessions.  Pure.
+"""State machine of one control machine: replicated log, leadership and proxy sessions.  No I/O.
 
-Events come in as method calls with `now` (seconds of the machine's monotonic clock, never falling)
-and return the actions that they lead to, in order.  Every event is legal in every state.  After
-each event everything that is due is done, so no event has to be followed by another one but
-`tick` at `next_at`.
+Each event is a method call with `now`, the machine's monotonic clock in seconds, and returns the
+resulting actions in order.  `now` must not decrease.  Every event is valid in every state.  Each
+call does all work that is due, so the caller only has to schedule `tick` at `next_at`.
 
-Bounds: one outstanding fetch and one report, one `Prepare` to each machine, one held fetch of each
-replica, `max_publications` publications, one held poll of each session.
+Memory is bounded: one outstanding fetch and one report, one `Prepare` per machine, one held fetch
+per replica, `max_publications` pending publications and one held poll per session.
 """
 
 from __future__ import annotations
@@ -49,7 +48,7 @@
 
 
 class Machine:
-    """One process of one control machine, from what is stored at its start."""
+    """One process of a control machine, initialized from its stored log."""
 
     def __init__(
         self, settings: MachineSettings, stored: Stored, random: Random, now: float
@@ -69,31 +68,31 @@
         self._contact = LeaderContact(now)
         self._leadership: Leadership | None = None
         self._in_force: InForceTracker | None = None
-        self._reports: dict[int, Report] = {}  # the one on its way, by its ticket
-        self._commit_told = self.replica.commit
-        self._retain_at = now + settings.retention_interval_s
+        self._reports: dict[int, Report] = {}  # outstanding report by ticket
+        self._notified_commit = self.replica.commit
+        self._retention_at = now + settings.retention_interval_s
 
-    # --- what is known ---
+    # --- observable state ---
     @property
     def leading(self) -> bool:
-        """Whether a term of this machine is going on, at least its preparation."""
+        """Whether this machine has an active term, including its preparation."""
         return self._leadership is not None
 
     @property
     def leader(self) -> str:
-        """The leader that this machine follows, or itself; empty if it knows none."""
+        """Name of the current leader, possibly this machine; empty if unknown."""
         return self._settings.name if self.leading else self._following.leader
 
     @property
     def latest_leader_contact_at(self) -> float:
-        """While its term is open: no age of an earlier leader counts from a later time."""
+        """Upper bound on the `as_of` that earlier leaders report; valid in an active term."""
         others = () if self._leadership is None else self._leadership.contacts
         return latest_contact(self._contact.at, others)
 
     @property
     def next_at(self) -> float:
-        """When `tick` is wanted; it may be in the past, or infinite."""
-        times = [self._sessions.next_at, self._retain_at]
+        """Time of the next `tick`; may be in the past, or infinite."""
+        times = [self._sessions.next_at, self._retention_at]
         if self._leadership is not None:
             times.append(self._leadership.next_at)
         else:
@@ -106,7 +105,7 @@
 
     # --- events ---
     def requested(self, now: float, ticket: int, message: Message) -> list[Action]:
-        """A request came in; it is answered by an `Answer` with its ticket, now or later."""
+        """Handles a request.  An `Answer` with its ticket follows, now or later."""
         match message:
             case Prepare():
                 self._prepare(now, ticket, message)
@@ -125,7 +124,7 @@
         return self._advance(now)
 
     def abandoned(self, ticket: int) -> list[Action]:
-        """Nobody waits for the answer to this request any more."""
+        """Handles the disconnect of a request's caller; the request needs no answer."""
         self._outbox.abandoned(ticket)
         self._sessions.abandoned(ticket)
         if self._leadership is not None:
@@ -133,9 +132,9 @@
         return self._outbox.take()
 
     def replied(self, now: float, ticket: int, reply: Reply | None) -> list[Action]:
-        """The reply to a request of this machine; None: there was none in time."""
+        """Handles the reply to a request of this machine; None after a timeout or failure."""
         if isinstance(reply, FetchReply):
-            self._heard_of_leader(now, reply.fence, reply.leader)
+            self._adopt_fence(now, reply.fence, reply.leader)
         if self._following.owns(ticket):
             fetched = self._following.replied(now, reply)
             if fetched is not None:
@@ -152,13 +151,13 @@
         return self._advance(now)
 
     def persisted(self, now: float, ticket: int) -> list[Action]:
-        """All changes up to this ticket's are durable."""
+        """Records that all changes up to this ticket are durable."""
         self.replica.persisted(ticket)
         self._outbox.persisted(ticket)
         return self._advance(now)
 
     def lead(self, now: float, fence: int) -> list[Action]:
-        """The lease was given to this machine, with this fence."""
+        """Starts a term: this machine acquired the lease with fencing token `fence`."""
         if self._leadership is not None and self._leadership.fence == fence:
             return self._advance(now)
         self._end_term(now)
@@ -172,12 +171,12 @@
         return self._advance(now)
 
     def step_down(self, now: float) -> list[Action]:
-        """The lease has gone, or is given back."""
+        """Ends the term: the lease was lost or released."""
         self._end_term(now)
         return self._advance(now)
 
     def tick(self, now: float) -> list[Action]:
-        """Time has passed."""
+        """Does the work that is due at `now`."""
         return self._advance(now)
 
     # --- promises and terms ---
@@ -201,7 +200,7 @@
         self._following.leader_changed(now)
 
     def _promise(self, now: float, fence: int, leader: str) -> None:
-        """Promise, durably; a term of an earlier fence ends."""
+        """Persists a promise and ends this machine's term if its fence is lower."""
         changes = self.replica.promise(fence, leader)
         if not changes:
             return
@@ -211,8 +210,8 @@
             self._outbox.add(Fenced(fence))
             self._end_term(now)
 
-    def _heard_of_leader(self, now: float, fence: int, leader: str) -> None:
-        """Another machine has promised this fence to `leader` ("": unknown).  Promise it too."""
+    def _adopt_fence(self, now: float, fence: int, leader: str) -> None:
+        """Adopts a fence that another machine has promised to `leader` ("": unknown)."""
         known = leader in self._settings.machines and leader != self._settings.name
         named = leader if known else ""
         if fence > self.replica.fence or (fence == self.replica.fence and not self.replica.leader):
@@ -233,7 +232,7 @@
         )
         self._outbox.answer_when_durable(ticket, promise)
 
-    # --- requests of other machines ---
+    # --- requests from other machines ---
     def _fetch(self, now: float, ticket: int, fetch: Fetch) -> None:
         if fetch.replica not in self._settings.machines or fetch.replica == self._settings.name:
             self._outbox.answer(ticket, self._not_leader())
@@ -241,13 +240,13 @@
         if fetch.fence > self.replica.fence:
             self._promise(now, fetch.fence, "")
         if fetch.copying:
-            self._outbox.answer(ticket, self._copy_for(fetch))
+            self._outbox.answer(ticket, self._copy_reply(fetch))
         elif self._leadership is not None and fetch.fence == self._leadership.fence:
             self._leadership.fetched(now, ticket, fetch)
         else:
             self._outbox.answer(ticket, self._not_leader())
 
-    def _copy_for(self, fetch: Fetch) -> FetchReply:
+    def _copy_reply(self, fetch: Fetch) -> FetchReply:
         if (fetch.fence, fetch.replica) == (self.replica.fence, self.replica.leader):
             return batches_for(self.replica, fetch)
         return self._not_leader()
@@ -259,11 +258,11 @@
         known = report.replica in self._settings.machines
         if known and report.fence > self.replica.fence:
             self._promise(now, report.fence, "")
-        self._outbox.answer(ticket, self._take_report(now, report, known))
+        self._outbox.answer(ticket, self._apply_report(now, report, known))
 
-    def _take_report(self, now: float, report: Report, known: bool) -> ReportReply:
+    def _apply_report(self, now: float, report: Report, known: bool) -> ReportReply:
         leadership = self._leadership
-        if leadership is None or self._in_force is None or not leadership.established or not known:
+        if leadership is None or self._in_force is None or not leadership.active or not known:
             return ReportReply(False, self.replica.fence)
         if report.fence != leadership.fence:
             return ReportReply(False, self.replica.fence)
@@ -278,14 +277,14 @@
         else:
             self._leadership.published(now, ticket, publish)
 
-    # --- what is due ---
+    # --- scheduled work ---
     def _advance(self, now: float) -> list[Action]:
         self._step_log(now)
         self._step_sessions(now)
         if self._in_force is not None and self._leadership is not None:
             self._in_force.tick(now, self._leadership.as_of(now))
-        if now >= self._retain_at:
-            self._retain(now)
+        if now >= self._retention_at:
+            self._apply_retention(now)
         return self._outbox.take()
 
     def _step_log(self, now: float) -> None:
@@ -311,9 +310,9 @@
 
     def _step_sessions(self, now: float) -> None:
         self._answer_polls(self._sessions.set_ready(now, self._ready))
-        if self.replica.commit != self._commit_told:
-            self._commit_told = self.replica.commit
-            self._tell_in_force(now)
+        if self.replica.commit != self._notified_commit:
+            self._notified_commit = self.replica.commit
+            self._notify_in_force(now)
             self._answer_polls(self._sessions.advanced(now))
         self._answer_polls(self._sessions.tick(now))
         if self._ready:
@@ -321,18 +320,14 @@
 
     @property
     def _ready(self) -> bool:
-        """Whether proxies can be served: a leader takes reports, and the log is whole."""
+        """Whether polls can be served: a leader accepts reports and the log is complete."""
         if self._leadership is not None:
-            return self._leadership.established
+            return self._leadership.active
         return bool(self._following.leader) and not self.replica.recovering
 
-    def _tell_in_force(self, now: float) -> None:
-        """A copy of another log commits batches too, before the term's own first batch is."""
-        if (
-            self._in_force is not None
-            and self._leadership is not None
-            and self._leadership.established
-        ):
+    def _notify_in_force(self, now: float) -> None:
+        """Skips commit positions that a new leader takes from a copied log."""
+        if self._in_force is not None and self._leadership is not None and self._leadership.active:
             self._in_force.committed(now, self.replica.commit, self.latest_leader_contact_at)
 
     def _send_report(self, now: float) -> None:
@@ -340,7 +335,7 @@
         if report is None:
             return
         if self._leadership is not None:
-            reply = self._take_report(now, report, known=True)
+            reply = self._apply_report(now, report, known=True)
             self._answer_polls(self._sessions.reported(now, report, reply))
         else:
             ticket = self._outbox.send(self.leader, report, self._settings.timeout_s)
@@ -350,8 +345,8 @@
         for each in answers:
             self._outbox.answer(each.ticket, each.reply)
 
-    def _retain(self, now: float) -> None:
-        self._retain_at = now + self._settings.retention_interval_s
+    def _apply_retention(self, now: float) -> None:
+        self._retention_at = now + self._settings.retention_interval_s
         unix_s = now + self._settings.unix_offset_s
         oldest_ms = (unix_s - self._settings.keep_s) * 1000
         self._outbox.persist(self.replica.retain(oldest_ms, self._settings.keep_bytes))
@@ -373,7 +368,7 @@
         )
         own = (self._settings.name, replica.durable, 0.0)
         if self._recovery is not None:
-            return msgspec.structs.replace(reply, replicas=(own, *self._recovery.told(now)))
+            return msgspec.structs.replace(reply, replicas=(own, *self._recovery.statuses(now)))
         if self._in_force is None or self._leadership is None:
             return reply
         return msgspec.structs.replace(
@@ -387,13 +382,13 @@
             replicas=(own, *self._leadership.positions(now)),
         )
 
-    # --- for the checker ---
+    # --- for state space exploration ---
     def copy(self) -> Machine:
-        """An independent machine in the same state."""
+        """Returns an independent deep copy."""
         return copy.deepcopy(self)
 
     def key(self, now: float) -> tuple[Any, ...]:
-        """All that the log's further course depends on, with times relative to `now`."""
+        """Returns all state that affects the log's future, with times relative to `now`."""
         return (
             self.replica.key(),
             self._outbox.key(),
--- a/violetroute/distribution/publications.py
+++ b/violetroute/distribution/publications.py
@@ -1,8 +1,8 @@
-"""Publications at the leader: gathered into batches, answered when they are committed.  Pure.
+"""Publications at the leader: combined into batches, answered on commit.  No I/O.
 
-Bounded by their number, so also by bytes (`messages.BATCH_BYTES` each).  A batch holds whole
-publications.  The positions of the last committed ones are remembered by their ids, so that a
-caller who did not get the answer is told the same when it asks again.
+Pending publications are bounded in number, and so in bytes (`messages.BATCH_BYTES` each).  A
+publication is never split across batches.  The ids and positions of recently committed
+publications are kept, so that a retry after a lost answer gets the same result.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 )
 from .outbox import Outbox
 
-MAX_REMEMBERED_IDS = 8192  # committed publications
-RECORD_OVERHEAD = 8  # bytes of a record's encoding beside its key and body
+MAX_REMEMBERED_IDS = 8192  # ids of committed publications, for retries
+RECORD_OVERHEAD = 8  # bytes of an encoded record besides its key and body
 
 
 @dataclass(slots=True)
 class _Pending:
-    """A publication that is not committed.  `ticket`: None if its caller has gone."""
+    """An uncommitted publication.  `ticket` is None after the caller disconnected."""
 
     ticket: int | None
     publish: Publish
     size: int
-    position: int = 0  # of its batch; 0: not appended yet
+    position: int = 0  # position of its batch; 0: not appended yet
 
 
 def _size(records: tuple[Record, ...]) -> int:
@@ -42,36 +42,39 @@
 
 
 class Publications:
-    """Those of one term."""
+    """The publications of one term."""
 
     __slots__ = (
         "_batch_s",
         "_committed",
         "_due_at",
         "_fence",
-        "_most",
+        "_max_pending",
         "_outbox",
         "_pending",
     )
 
     def __init__(self, settings: MachineSettings, fence: int, outbox: Outbox) -> None:
         self._batch_s = settings.batch_s
-        self._most = settings.max_publications
+        self._max_pending = settings.max_publications
         self._fence = fence
         self._outbox = outbox
-        self._pending: OrderedDict[str, _Pending] = OrderedDict()  # by id, in order of arrival
-        self._committed: OrderedDict[str, int] = OrderedDict()  # id: position
+        self._pending: OrderedDict[str, _Pending] = (
+            OrderedDict()
+        )  # by publication id, in order of arrival
+        self._committed: OrderedDict[str, int] = OrderedDict()  # publication id -> position
         self._due_at = inf
 
     @property
     def next_at(self) -> float:
-        """When the next batch is due."""
+        """Time at which the next batch is due; infinite if there is none."""
         return self._due_at
 
-    def offered(self, now: float, ticket: int, publish: Publish) -> bool:
-        """A publication came in; whether it is new and will be appended.
+    def submit(self, now: float, ticket: int, publish: Publish) -> bool:
+        """Queues a new publication; returns False if it is a retry or is rejected.
 
-        It is answered when it is committed; others are answered now.
+        A queued publication, or the retry of one, is answered on commit.  A retry replaces the
+        earlier caller, who is answered UNKNOWN.  All others are answered immediately.
         """
         if publish.id in self._committed:
             self._answer(ticket, PublishStatus.COMMITTED, self._committed[publish.id])
@@ -79,7 +82,7 @@
             self._replace_caller(self._pending[publish.id], ticket)
         elif len(publish.records) > RECORDS_PER_BATCH or _size(publish.records) > BATCH_BYTES:
             self._answer(ticket, PublishStatus.TOO_LARGE)
-        elif len(self._pending) >= self._most:
+        elif len(self._pending) >= self._max_pending:
             self._answer(ticket, PublishStatus.OVERLOADED)
         else:
             self._pending[publish.id] = _Pending(ticket, publish, _size(publish.records))
@@ -93,17 +96,17 @@
         pending.ticket = ticket
 
     def next_batch(self, now: float, position: int) -> tuple[Record, ...] | None:
-        """The records to append at `position`, or None: no batch is due."""
+        """Returns the records to append at `position`; None if no batch is due."""
         if now < self._due_at:
             return None
-        chosen = self._choose()
+        chosen = self._select_publications()
         for pending in chosen:
             pending.position = position
-        left = any(pending.position == 0 for pending in self._pending.values())
-        self._due_at = now if left else inf
+        remaining = any(pending.position == 0 for pending in self._pending.values())
+        self._due_at = now if remaining else inf
         return tuple(record for pending in chosen for record in pending.publish.records)
 
-    def _choose(self) -> list[_Pending]:
+    def _select_publications(self) -> list[_Pending]:
         chosen: list[_Pending] = []
         count = size = 0
         for pending in self._pending.values():
@@ -117,7 +120,7 @@
         return chosen
 
     def committed(self, position: int) -> None:
-        """Everything up to `position` is committed."""
+        """Answers the publications that are committed at or before `position`."""
         done = [each for each in self._pending.values() if 0 < each.position <= position]
         for pending in done:
             del self._pending[pending.publish.id]
@@ -128,13 +131,13 @@
             self._committed.popitem(last=False)
 
     def abandoned(self, ticket: int) -> None:
-        """The caller has gone; what it published stays."""
+        """Drops a disconnected caller; its publication stays queued."""
         for pending in self._pending.values():
             if pending.ticket == ticket:
                 pending.ticket = None
 
     def end(self) -> None:
-        """The term is over: what was appended may or may not be committed by the next leader."""
+        """Ends the term.  Appended publications are UNKNOWN: the next leader may commit them."""
         for pending in self._pending.values():
             status = PublishStatus.UNKNOWN if pending.position else PublishStatus.NOT_LEADER
             if pending.ticket is not None:
@@ -145,9 +148,9 @@
         retry_ms = self._batch_s * 1000 if status == PublishStatus.OVERLOADED else 0.0
         self._outbox.answer(ticket, Published(status, position, self._fence, retry_ms=retry_ms))
 
-    # --- for the checker ---
+    # --- for state space exploration ---
     def key(self, now: float) -> tuple[Any, ...]:
-        """All that what follows depends on."""
+        """Returns all state that affects later behavior, with times relative to `now`."""
         pending = tuple((name, each.ticket, each.position) for name, each in self._pending.items())
         due = max(0.0, round(self._due_at - now, 6))
         return (pending, tuple(self._committed.items()), due)
--- a/violetroute/distribution/recovery.py
+++ b/violetroute/distribution/recovery.py
@@ -1,18 +1,18 @@
-"""A replica whose disk was lost: when it counts for a quorum again.  Pure.
+"""Recovery of a replica whose disk was lost: when it counts for a quorum again.  No I/O.
 
-It does not know what it had promised or acknowledged.  It becomes a full replica when
+The replica does not know what it had promised or acknowledged.  It counts again when
 
-(a) *every* other machine has told the fence that it has promised, after this process began.
-    A leader promises its own fence durably before it asks for promises, so whichever leader an
-    earlier process of this machine has promised is among those that tell.  A majority would not
-    be enough: a promise of before the loss may still be on its way to a leader-to-be that a
-    majority does not know yet (`docs/design/distribution.md`, "Sequence");
-(b) it follows a leader whose fence is at least the highest of these: it promises that at once; and
-(c) it holds that leader's whole log as of an answer to a fetch that was sent after (a).
+(a) *every* other machine has reported its promised fence after this process started.  A leader
+    promises its own fence durably before it requests promises, so the leader that an earlier
+    process of this machine promised to follow is among those that report.  A majority is not
+    enough: a promise sent before the loss may still be in transit to a candidate that a majority
+    does not know yet (`docs/design/distribution.md`, "Sequence");
+(b) it follows a leader with at least the highest reported fence, which it promises on receipt; and
+(c) it holds that leader's whole log as of the reply to a fetch that was sent after (a).
 
-So it waits for a machine that is gone for good until that one is replaced too.  After
-`release_lease_after_s` one notice names the machines that have not told, and the status names them
-as long as it recovers.
+A machine that is permanently lost therefore blocks the recovery until it is replaced.  After
+`release_lease_after_s` one notice names the machines that have not reported; the status names them
+during the whole recovery.
 """
 
 from __future__ import annotations
@@ -28,31 +28,31 @@
 from .replica import Replica
 from .retry import Backoff, Random
 
-NO_FENCE = 0  # below every leader's, so that the answer only tells the promise
+NO_FENCE = 0  # lower than any leader's, so the reply only reports the promised fence
 
 
 @dataclass(frozen=True, slots=True)
 class _Target:
-    """What has to be durable here, under the leader with this fence."""
+    """Position that must be durable here, under the leader with this fence."""
 
     fence: int
     position: int
 
 
 class Recovery:
-    """Asks the others for their promises and watches the log.  Used while `replica.recovering`."""
+    """Requests the others' promised fences and tracks the catch-up.  Used while recovering."""
 
     __slots__ = (
-        "_asked",
-        "_complete_at_ticket",
+        "_all_reported_ticket",
         "_name",
+        "_notice_at",
         "_outbox",
         "_replica",
+        "_reported_at",
+        "_requests",
         "_retries",
         "_target",
         "_timeout_s",
-        "_told_at",
-        "_warn_at",
     )
 
     def __init__(
@@ -69,70 +69,70 @@
         self._outbox = outbox
         others = [name for name in settings.machines if name != settings.name]
         self._retries = {name: Backoff(settings.retry_s, random, now) for name in others}
-        self._asked: dict[int, str] = {}
-        self._told_at: dict[str, float] = {}
-        self._warn_at = (
-            now + settings.release_lease_after_s
-        )  # infinite: nobody is to be named any more
-        self._complete_at_ticket: int | None = None
+        self._requests: dict[int, str] = {}
+        self._reported_at: dict[str, float] = {}
+        # Infinite once the notice is sent or not needed.
+        self._notice_at = now + settings.release_lease_after_s
+        self._all_reported_ticket: int | None = None
         self._target: _Target | None = None
-        self._check_complete()
+        self._check_all_reported()
 
     @property
     def next_at(self) -> float:
-        """When `step` is wanted."""
-        return min(self._next_ask_at, self._warn_at)
+        """Time of the next `step`."""
+        return min(self._next_request_at, self._notice_at)
 
     @property
-    def _next_ask_at(self) -> float:
-        asked = set(self._asked.values())
-        waits = [retry.next_at for name, retry in self._retries.items() if name not in asked]
-        return min(waits, default=inf)
+    def _next_request_at(self) -> float:
+        requested = set(self._requests.values())
+        times = [retry.next_at for name, retry in self._retries.items() if name not in requested]
+        return min(times, default=inf)
 
     def step(self, now: float) -> None:
-        """Ask whom has not told its promise; finish if everything is there."""
-        asked = set(self._asked.values())
+        """Requests missing promised fences; ends the recovery once it is complete."""
+        requested = set(self._requests.values())
         for name, retry in self._retries.items():
-            if name not in asked and now >= retry.next_at:
-                ask = Fetch(self._name, NO_FENCE, LogPoint(), 0, recovering=True)
-                self._asked[self._outbox.send(name, ask, self._timeout_s)] = name
-        if now >= self._warn_at:
-            self._warn_at = inf
+            if name not in requested and now >= retry.next_at:
+                request = Fetch(self._name, NO_FENCE, LogPoint(), 0, recovering=True)
+                self._requests[self._outbox.send(name, request, self._timeout_s)] = name
+        if now >= self._notice_at:
+            self._notice_at = inf
             self._outbox.notice("recovery_waits", machines=" ".join(sorted(self._retries)))
         self._finish()
 
     def owns(self, ticket: int) -> bool:
-        """Whether the reply with this ticket is to a question of `step`."""
-        return ticket in self._asked
+        """Whether this ticket is of a request sent by `step`."""
+        return ticket in self._requests
 
     def replied(self, now: float, ticket: int, answered: bool) -> None:
-        """Another machine has told its promise (and this replica has promised no less), or not."""
-        name = self._asked.pop(ticket)
+        """Handles the result of a request; the machine has already adopted the reported fence."""
+        name = self._requests.pop(ticket)
         if answered:
             del self._retries[name]
-            self._told_at[name] = now
-            self._check_complete()
+            self._reported_at[name] = now
+            self._check_all_reported()
         else:
             self._retries[name].failed(now)
 
-    def _check_complete(self) -> None:
-        if not self._retries and self._complete_at_ticket is None:
-            self._complete_at_ticket = self._outbox.last_ticket
-            self._warn_at = inf
+    def _check_all_reported(self) -> None:
+        if not self._retries and self._all_reported_ticket is None:
+            self._all_reported_ticket = self._outbox.last_ticket
+            self._notice_at = inf
 
-    def told(self, now: float) -> tuple[tuple[str, int, float], ...]:
-        """Each other machine and seconds since it told its promise; negative: it is waited for.
+    def statuses(self, now: float) -> tuple[tuple[str, int, float], ...]:
+        """Returns name, 0 and seconds since the report of each other machine.
 
-        As the replicas of a status; what is durable there is not known here.
+        Negative seconds mean no report yet.  The format is `StatusReply.replicas`; the durable
+        position is 0, since it is not known here.
         """
-        waited_for = [(name, 0, -1.0) for name in self._retries]
-        told = [(name, 0, now - at) for name, at in self._told_at.items()]
-        return tuple(sorted(waited_for + told))
+        missing = [(name, 0, -1.0) for name in self._retries]
+        reported = [(name, 0, now - at) for name, at in self._reported_at.items()]
+        return tuple(sorted(missing + reported))
 
     def fetched(self, fetched: Fetched) -> None:
-        """The leader has answered a fetch.  The logs are equal as far as both go if it said OK."""
-        complete = self._complete_at_ticket
-        if complete is None or fetched.ticket <= complete:
+        """Handles a leader's fetch reply.  Status OK: the logs are equal as far as both go."""
+        all_reported_ticket = self._all_reported_ticket
+        if all_reported_ticket is None or fetched.ticket <= all_reported_ticket:
             return
         if fetched.reply.status != FetchStatus.OK:
             return
@@ -148,8 +148,8 @@
             self._outbox.persist(replica.finish_recovery())
             self._outbox.notice("recovered", fence=replica.fence, position=target.position)
 
-    # --- for the checker ---
+    # --- for state space exploration ---
     def key(self) -> tuple[Any, ...]:
-        """All that what follows depends on."""
-        waiting = tuple(sorted(self._retries)), tuple(sorted(self._asked.values()))
-        return (waiting, self._complete_at_ticket is not None, self._target)
+        """Returns all state that affects later behavior."""
+        waiting = tuple(sorted(self._retries)), tuple(sorted(self._requests.values()))
+        return (waiting, self._all_reported_ticket is not None, self._target)
--- a/violetroute/distribution/replica.py
+++ b/violetroute/distribution/replica.py
@@ -1,13 +1,14 @@
-"""The log of one control machine: promise, batches, commit, and what is dropped.  Pure.
+"""In-memory replica of the log: promise, batches, commit position and retention.  No I/O.
 
-Every change of what is stored is returned as a `Change`, so that memory and disk take the same
-steps.  Memory runs ahead of the disk; `durable` says how far the disk is known to be.
+Every modification of stored state is returned as `Change` objects, so that the disk applies the
+same steps.  Memory runs ahead of the disk; `durable` is the last position known to be on disk.
 
-- A promise only rises.  Under one fence there is one leader.
-- A committed batch is never truncated, and only committed ones are dropped from the front.
-- Batches are kept as bytes, encoded once, because many proxies are sent the same ones.
-- A commit costs O(what it commits): sizes are kept as running totals, and the configuration that a
-  snapshot names as of the commit.  Only `retain` and `install` look at more of the log.
+- The promised fence never decreases.  Each fence has at most one leader.
+- Committed batches are never truncated; retention drops only committed batches, oldest first.
+- Batches are stored in encoded form, because the same bytes are sent to many proxies.
+- A commit costs O(committed batches): sizes are running totals, and the configuration for
+  snapshots at the commit position is updated incrementally.  Only `retain` and `install` process
+  more of the log.
 """
 
 from __future__ import annotations
@@ -33,23 +34,23 @@
 from .configuration_sizes import ConfigurationSizes
 from .messages import BATCHES_PER_REPLY, Batch, LogPoint, Record, Snapshot, Topic
 
-REPLY_BYTES = 2 * 1024 * 1024  # bytes of batches of one reply; at least one batch is sent
+REPLY_BYTES = 2 * 1024 * 1024  # bytes of batches per reply; a reply has at least one batch
 
 
 class LogConflict(Exception):
-    """A change that would touch what is committed.  Nothing was changed."""
+    """A change that contradicts the log or its committed part.  Raised before any modification."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Entry:
-    """One batch as it is kept."""
+    """One batch of the log in encoded form."""
 
     fence: int
     written_ms: int
     raw: msgspec.Raw
     size: int
-    end: int  # bytes of this batch and all before it, since the process began or took a snapshot
-    configuration: tuple[Record, ...]  # its records of that topic, for snapshots
+    end: int  # total bytes up to and including this batch, since the start or the last `install`
+    configuration: tuple[Record, ...]  # its configuration records, for snapshots
 
     def __deepcopy__(self, memo: object) -> _Entry:
         return self
@@ -64,7 +65,7 @@
 
 
 class Replica:
-    """One machine's copy of the log, and what it has promised."""
+    """One machine's copy of the log and its promise to a leader."""
 
     __slots__ = (
         "_begin",
@@ -87,7 +88,7 @@
         self.leader = stored.leader
         self.recovering = stored.recovering
         self._snapshot = stored.snapshot
-        self._begin = 0  # bytes of all batches up to the base, as in `_Entry.end`
+        self._begin = 0  # total bytes up to the base, counted as `_Entry.end`
         self._entries: list[_Entry] = []
         self._add_entries(stored.batches)
         self._committed_configuration = CommittedConfiguration(stored.snapshot.configuration)
@@ -97,17 +98,20 @@
             self._configuration.add(batch.records)
         self.commit = stored.snapshot.base.position
         self.durable = self.last.position
-        self._unsynced: dict[int, int] = {}  # ticket of a persist: last position when it is done
+        self._unsynced: dict[int, int] = {}  # persist ticket -> durable position after it
 
     # --- the promise ---
     def may_promise(self, fence: int, leader: str) -> bool:
-        """Whether no higher fence, and under this fence no other leader, has been promised."""
+        """Whether no higher fence, and no other leader with this fence, has been promised."""
         if fence == self.fence:
             return self.leader in ("", leader)
         return fence > self.fence
 
     def promise(self, fence: int, leader: str) -> tuple[Change, ...]:
-        """Follow no lower fence from now on.  Empty if just that is promised already."""
+        """Promises to follow no leader with a lower fence.  Returns () if already promised.
+
+        Raises LogConflict if `may_promise` is false.
+        """
         if not self.may_promise(fence, leader):
             raise LogConflict(f"fence {self.fence} of {self.leader!r} is promised")
         if (fence, leader) == (self.fence, self.leader):
@@ -116,62 +120,62 @@
         return (SetPromise(fence, leader),)
 
     def finish_recovery(self) -> tuple[Change, ...]:
-        """What a lost disk held has been recovered."""
+        """Marks the recovery from a lost disk as complete."""
         self.recovering = False
         return (SetRecovering(False),)
 
-    # --- what is on disk ---
+    # --- durability ---
     def persist_started(self, ticket: int) -> None:
-        """All changes so far are on their way to the disk under this ticket."""
+        """Records that a write of all changes so far has started under this ticket."""
         self._unsynced[ticket] = self.last.position
 
     def persisted(self, ticket: int) -> None:
-        """All changes up to this ticket's are durable."""
+        """Records that all changes up to this ticket are durable."""
         for earlier in [each for each in self._unsynced if each <= ticket]:
             self.durable = self._unsynced.pop(earlier)
 
     @property
     def synced(self) -> bool:
-        """Whether everything that is in memory is durable."""
+        """Whether no write is outstanding: the disk equals memory."""
         return not self._unsynced
 
     # --- reading ---
     @property
     def base(self) -> LogPoint:
-        """The last point that is not kept as a batch; (0, 0) if none was dropped."""
+        """The last point that the snapshot replaces; (0, 0) if no batch was dropped."""
         return self._snapshot.base
 
     @property
     def last(self) -> LogPoint:
-        """The end of the log."""
+        """The last point of the log, durable or not."""
         if not self._entries:
             return self.base
         return LogPoint(self._entries[-1].fence, self.base.position + len(self._entries))
 
     def snapshot(self) -> Snapshot:
-        """What stands in for everything up to `base`."""
+        """Returns the snapshot that replaces all batches up to `base`."""
         return self._snapshot
 
     def snapshot_at_commit(self) -> Snapshot:
-        """What stands in for everything that is committed."""
+        """Returns a snapshot of the log up to the commit position."""
         fence = self.fence_at(self.commit)
         assert fence is not None  # the commit is never before the base or beyond the end
         base = LogPoint(fence, self.commit)
         return Snapshot(base, self._committed_configuration.records)
 
     def bytes_after(self, position: int) -> int | None:
-        """Bytes of the committed batches behind `position`; None: they are not all kept."""
+        """Returns the bytes of committed batches after `position`; None if some were dropped."""
         if position < self.base.position:
             return None
         return max(0, self._bytes_up_to(self.commit) - self._bytes_up_to(position))
 
     def _bytes_up_to(self, position: int) -> int:
-        """As in `_Entry.end`; a position beyond the end counts as the end."""
+        """Total bytes up to `position`, counted as `_Entry.end`; clamped to the end of the log."""
         kept = min(position - self.base.position, len(self._entries))
         return self._entries[kept - 1].end if kept else self._begin
 
     def fence_at(self, position: int) -> int | None:
-        """The fence of the batch there; None if it is not known (dropped, or beyond the end)."""
+        """Returns the fence of the batch at `position`; None if dropped or beyond the end."""
         if position == self.base.position:
             return self.base.fence
         if not self.base.position < position <= self.last.position:
@@ -179,15 +183,18 @@
         return self._at(position).fence
 
     def contains(self, point: LogPoint) -> bool:
-        """Whether the point is in the log.  False for what was dropped."""
+        """Whether the log holds this point.  False for dropped batches."""
         return self.fence_at(point.position) == point.fence
 
     def after(self, position: int, bytes_most: int) -> list[msgspec.Raw] | None:
-        """Committed batches behind `position`, at least one if there is one; None: not kept."""
+        """Returns encoded committed batches after `position`; None if some were dropped.
+
+        At least one batch is returned if there is one, even if it exceeds `bytes_most`.
+        """
         return self._after(position, self.commit, bytes_most)
 
     def batches_after(self, position: int, bytes_most: int = REPLY_BYTES) -> list[Batch] | None:
-        """Batches behind `position`, whether committed or not; None: not kept."""
+        """Returns batches after `position`, committed or not; None if some were dropped."""
         found = self._after(position, self.last.position, bytes_most)
         return None if found is None else [_decode(raw) for raw in found]
 
@@ -208,30 +215,30 @@
         return self._entries[position - self.base.position - 1]
 
     def common_prefix_end(self, point: LogPoint) -> int | None:
-        """The highest position at which a log that ends with `point` may be equal to this one.
+        """Returns the highest position up to which a log that ends with `point` may equal this one.
 
-        For a point that is not in this log.  Fences never fall along a log, so such a log's batches
-        are another's wherever this log has a higher fence than the point's.  None: it is dropped.
+        `point` must not be in this log.  Fences never decrease along a log, so the logs differ
+        wherever this log's fence exceeds that of `point`.  None if that part was dropped.
         """
         candidates = min(point.position - 1, self.last.position) - self.base.position
         if candidates < 0 or self.base.fence > point.fence:
             return None
-        not_higher = bisect_right(
+        prefix_length = bisect_right(
             self._entries, point.fence, hi=candidates, key=lambda entry: entry.fence
         )
-        return self.base.position + not_higher
+        return self.base.position + prefix_length
 
     def fits(self, records: tuple[Record, ...]) -> bool:
-        """Whether a snapshot can hold the configuration of the log and of these records."""
+        """Whether one snapshot can hold the log's configuration together with these records."""
         return self._configuration.fit(records)
 
     def reserve(self, records: tuple[Record, ...]) -> None:
-        """These will be appended: `fits` counts them from now on."""
+        """Makes `fits` count these records, which will be appended later."""
         self._configuration.add(records)
 
-    # --- changing ---
+    # --- modification ---
     def append(self, batches: Iterable[Batch]) -> tuple[Change, ...]:
-        """Batches that follow the end.  LogConflict if they don't."""
+        """Appends consecutive batches.  Raises LogConflict if they do not follow the end."""
         added = tuple(batches)
         end = self.last
         for batch in added:
@@ -253,7 +260,7 @@
             end = entry.end
 
     def truncate_after(self, position: int) -> tuple[Change, ...]:
-        """Drop what is behind `position`.  LogConflict if some of it is committed."""
+        """Drops batches after `position`.  Raises LogConflict if one of them is committed."""
         if position < self.commit:
             raise LogConflict(f"{position} is before the commit {self.commit}")
         if position >= self.last.position:
@@ -265,9 +272,9 @@
         return (TruncateAfter(position),)
 
     def install(self, snapshot: Snapshot) -> tuple[Change, ...]:
-        """Start from a snapshot whose base is beyond what this log has in common with its sender's.
+        """Replaces the log by a snapshot, when the sender no longer has the batches needed here.
 
-        LogConflict if it does not reach beyond what is committed here.
+        Raises LogConflict if its base is not after the commit position.
         """
         if snapshot.base.position <= self.commit:
             raise LogConflict(f"snapshot of {snapshot.base} is before the commit {self.commit}")
@@ -281,7 +288,10 @@
         return (*changes, SetBase(snapshot))
 
     def commit_to(self, position: int) -> bool:
-        """Everything up to `position` is committed; whether that is news."""
+        """Advances the commit position; returns False if it does not increase.
+
+        Raises LogConflict if `position` is beyond the end of the log.
+        """
         if position <= self.commit:
             return False
         if position > self.last.position:
@@ -292,7 +302,10 @@
         return True
 
     def retain(self, oldest_ms: float, bytes_most: int) -> tuple[Change, ...]:
-        """Drop committed batches that were written before `oldest_ms` or exceed `bytes_most`."""
+        """Drops the oldest committed batches, if written before `oldest_ms` or over the size limit.
+
+        `bytes_most` limits the total bytes of kept batches.
+        """
         end = self._bytes_up_to(self.last.position)
         begin = self._begin
         drop = 0
@@ -303,22 +316,22 @@
             drop += 1
         if not drop:
             return ()
-        self._snapshot = self._folded(drop)
+        self._snapshot = self._merge_into_snapshot(drop)
         del self._entries[:drop]
         self._begin = begin
         return (SetBase(self._snapshot),)
 
-    def _folded(self, drop: int) -> Snapshot:
-        """The snapshot after the first `drop` batches, one at least."""
+    def _merge_into_snapshot(self, drop: int) -> Snapshot:
+        """Returns the snapshot merged with the first `drop` batches (at least one)."""
         configuration = {record.key: record for record in self._snapshot.configuration}
         for entry in islice(self._entries, drop):
             configuration.update((record.key, record) for record in entry.configuration)
         base = LogPoint(self._entries[drop - 1].fence, self.base.position + drop)
         return Snapshot(base, tuple(configuration.values()))
 
-    # --- for the checker ---
+    # --- for state space exploration ---
     def key(self) -> tuple[Any, ...]:
-        """All that what follows depends on."""
+        """Returns all state that affects later behavior."""
         batches = tuple(bytes(entry.raw) for entry in self._entries)
         promise = (self.fence, self.leader, self.recovering)
         unsynced = tuple(self._unsynced.values())
