--- a/violetroute/distribution/recovery.py
+++ b/violetroute/distribution/recovery.py
@@ -22,7 +22,7 @@
 from typing import Any
 
 from .actions import MachineSettings
-from .following import Fetched
+from .following import FetchResult
 from .messages import Fetch, FetchStatus, LogPoint
 from .outbox import Outbox
 from .replica import Replica
@@ -129,7 +129,7 @@
         reported = [(name, 0, now - at) for name, at in self._reported_at.items()]
         return tuple(sorted(missing + reported))
 
-    def fetched(self, fetched: Fetched) -> None:
+    def fetched(self, fetched: FetchResult) -> None:
         """Handles a leader's fetch reply.  Status OK: the logs are equal as far as both go."""
         all_reported_ticket = self._all_reported_ticket
         if all_reported_ticket is None or fetched.ticket <= all_reported_ticket:
--- a/violetroute/distribution/replica.py
+++ b/violetroute/distribution/replica.py
@@ -186,19 +186,19 @@
         """Whether the log holds this point.  False for dropped batches."""
         return self.fence_at(point.position) == point.fence
 
-    def after(self, position: int, bytes_most: int) -> list[msgspec.Raw] | None:
+    def after(self, position: int, max_bytes: int) -> list[msgspec.Raw] | None:
         """Returns encoded committed batches after `position`; None if some were dropped.
 
-        At least one batch is returned if there is one, even if it exceeds `bytes_most`.
+        At least one batch is returned if there is one, even if it exceeds `max_bytes`.
         """
-        return self._after(position, self.commit, bytes_most)
+        return self._after(position, self.commit, max_bytes)
 
-    def batches_after(self, position: int, bytes_most: int = REPLY_BYTES) -> list[Batch] | None:
+    def batches_after(self, position: int, max_bytes: int = REPLY_BYTES) -> list[Batch] | None:
         """Returns batches after `position`, committed or not; None if some were dropped."""
-        found = self._after(position, self.last.position, bytes_most)
+        found = self._after(position, self.last.position, max_bytes)
         return None if found is None else [_decode(raw) for raw in found]
 
-    def _after(self, position: int, end: int, bytes_most: int) -> list[msgspec.Raw] | None:
+    def _after(self, position: int, end: int, max_bytes: int) -> list[msgspec.Raw] | None:
         if position < self.base.position:
             return None
         found: list[msgspec.Raw] = []
@@ -206,7 +206,7 @@
         for at in range(position + 1, min(end, position + BATCHES_PER_REPLY) + 1):
             entry = self._at(at)
             size += entry.size
-            if found and size > bytes_most:
+            if found and size > max_bytes:
                 break
             found.append(entry.raw)
         return found
@@ -230,7 +230,7 @@
 
     def fits(self, records: tuple[Record, ...]) -> bool:
         """Whether one snapshot can hold the log's configuration together with these records."""
-        return self._configuration.fit(records)
+        return self._configuration.fits(records)
 
     def reserve(self, records: tuple[Record, ...]) -> None:
         """Makes `fits` count these records, which will be appended later."""
@@ -301,16 +301,16 @@
         self.commit = position
         return True
 
-    def retain(self, oldest_ms: float, bytes_most: int) -> tuple[Change, ...]:
+    def retain(self, oldest_ms: float, max_bytes: int) -> tuple[Change, ...]:
         """Drops the oldest committed batches, if written before `oldest_ms` or over the size limit.
 
-        `bytes_most` limits the total bytes of kept batches.
+        `max_bytes` limits the total bytes of kept batches.
         """
         end = self._bytes_up_to(self.last.position)
         begin = self._begin
         drop = 0
         for entry in islice(self._entries, self.commit - self.base.position):
-            if entry.written_ms >= oldest_ms and end - begin <= bytes_most:
+            if entry.written_ms >= oldest_ms and end - begin <= max_bytes:
                 break
             begin = entry.end
             drop += 1
