--- a/benchmarks/bad_nodes.py
+++ b/benchmarks/bad_nodes.py
@@ -20,7 +20,7 @@
 import harness
 from bad_peers import descriptors
 
-from limebridge.standins.clients import Crowd
+from limebridge.standins.clients import LoadGenerator
 from limebridge.standins.nodes import Behaviour, CacheNode, serves
 from limebridge.standins.wire import reply
 
@@ -99,14 +99,16 @@
     return count
 
 
-async def played(nodes: list[Node], port: int, rate: float, count: int, most: float) -> Crowd:
-    crowd = Crowd(port, clients=100)
+async def played(
+    nodes: list[Node], port: int, rate: float, count: int, most: float
+) -> LoadGenerator:
+    crowd = LoadGenerator(port, clients=100)
     await crowd.connect()
     first = sum(node.connections for node in nodes)
     end = crowd.loop.time() + most
     while sum(node.connections for node in nodes) - first < count and crowd.loop.time() < end:
-        await crowd.play(rate, 1.0)
-    await crowd.rest()
+        await crowd.run(rate, 1.0)
+    await crowd.wait_for_answers()
     crowd.close()
     return crowd
 
@@ -136,8 +138,8 @@
             for node in nodes:
                 node.behaviour = serves
             good = await played(nodes, daemon.port, EASY, 1_000_000, 4.0)
-            served = sum(ask.kind == "served" for ask in good.asks[-1000:])
-            after, kinds = await settled(daemon.pid, before), crowd.kinds()
+            served = sum(ask.outcome == "served" for ask in good.finished[-1000:])
+            after, kinds = await settled(daemon.pid, before), crowd.count_outcomes()
             wrong = after > before or bool(kinds["expired"]) or served < 950
             bad |= wrong
             print(
--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -19,7 +19,7 @@
 import harness
 from cost import measure
 
-from limebridge.standins.clients import Crowd
+from limebridge.standins.clients import LoadGenerator
 from limebridge.standins.wire import bulk, read_answer
 
 ONE = '[cluster]\nappear = "one"\n'
@@ -49,13 +49,13 @@
 
 async def redirected(port: int, pid: int, rate: float, seconds: float) -> float:
     """Microseconds of CPU a question when about half are answered with -MOVED."""
-    crowd = Crowd(port, clients=40)
+    crowd = LoadGenerator(port, clients=40)
     await crowd.connect()
     before = harness.cpu(pid)
-    await crowd.play(rate, seconds)
-    await crowd.rest()
+    await crowd.run(rate, seconds)
+    await crowd.wait_for_answers()
     crowd.close()
-    return (harness.cpu(pid) - before) / crowd.asked * 1e6
+    return (harness.cpu(pid) - before) / crowd.sent * 1e6
 
 
 async def main() -> int:
@@ -79,7 +79,7 @@
                     async with harness.daemon(ports, operator=paths[name]) as daemon:
                         cost, crowd = await measure(daemon, options.rate, options.seconds)
                         costs[name].append(cost)
-                        served = min(served, crowd.kinds()["served"] / crowd.asked)
+                        served = min(served, crowd.count_outcomes()["served"] / crowd.sent)
             async with harness.daemon(ports, operator=paths["moved"]) as daemon:
                 moved = await redirected(daemon.port, daemon.pid, options.rate, options.seconds)
                 slots = await repeated(
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -18,24 +18,26 @@
 
 import harness
 
-from limebridge.standins.clients import Crowd
+from limebridge.standins.clients import LoadGenerator
 from limebridge.standins.configuration import SETTINGS
 
 WARM_UP = 1.0  # s, not counted
 
 
-async def measure(target: harness.Running, rate: float, seconds: float) -> tuple[float, Crowd]:
+async def measure(
+    target: harness.Running, rate: float, seconds: float
+) -> tuple[float, LoadGenerator]:
     """Microseconds of CPU a question."""
-    crowd = Crowd(target.port, clients=40)
+    crowd = LoadGenerator(target.port, clients=40)
     await crowd.connect()
-    await crowd.play(rate, WARM_UP)
-    await crowd.rest()
-    before, asked = harness.cpu(target.pid), crowd.asked
-    await crowd.play(rate, seconds)
-    await crowd.rest()
+    await crowd.run(rate, WARM_UP)
+    await crowd.wait_for_answers()
+    before, asked = harness.cpu(target.pid), crowd.sent
+    await crowd.run(rate, seconds)
+    await crowd.wait_for_answers()
     used = harness.cpu(target.pid) - before
     crowd.close()
-    return used / (crowd.asked - asked) * 1e6, crowd
+    return used / (crowd.sent - asked) * 1e6, crowd
 
 
 async def compare(
@@ -54,8 +56,8 @@
             floors.append(cost)
             cost, crowd = await measure(daemon, rate, seconds / 2)
             costs.append(cost)
-            served += crowd.kinds()["served"]
-            asked += crowd.asked
+            served += crowd.count_outcomes()["served"]
+            asked += crowd.sent
     return {
         "rate": rate,
         "bytes": size,
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -57,20 +57,20 @@
     async def schedule(self) -> None:
         self.found: list[float] = []
         for _ in range(self.rounds):
-            await self.until(lambda: len(self.effects.taken) > 2, "starts", lambda: "no effect")
+            await self.until(lambda: len(self.effects.applied) > 2, "starts", lambda: "no effect")
             await asyncio.sleep(2.0 * TERM)
-            last = self.effects.taken[-1]
+            last = self.effects.applied[-1]
             who = next(d for d in self.daemons if d.name == self._name(last.nonce))
             began = self.now
             fault = Fault(0.0, "stop", who.number, 3.0 * TERM)
             task = asyncio.create_task(self._do(who, fault))
             await self.until(
-                lambda last=last: self.effects.taken[-1].nonce != last.nonce,  # type: ignore[misc]
+                lambda last=last: self.effects.applied[-1].nonce != last.nonce,  # type: ignore[misc]
                 "goes on",
                 lambda: "no other owner",
             )
-            at = next(e.at for e in reversed(self.effects.taken) if e.nonce == last.nonce)
-            first = next(e.at for e in self.effects.taken if e.at > at)
+            at = next(e.at for e in reversed(self.effects.applied) if e.nonce == last.nonce)
+            first = next(e.at for e in self.effects.applied if e.at > at)
             self.found.append(first - max(at, began))
             await task
 
@@ -135,10 +135,10 @@
         assert self.consul is not None
         await asyncio.sleep(3.0)
         before, began = self.consul.kv.calls, self.now
-        beats = len(self.effects.taken)
+        beats = len(self.effects.applied)
         await asyncio.sleep(10.0)
         quiet = self.consul.kv.calls - before
-        self.effects_put = len(self.effects.taken) - beats
+        self.effects_put = len(self.effects.applied) - beats
         self.rest = (quiet, self.now - began)
         before, began = self.consul.kv.calls, self.now
         await asyncio.gather(*(d.ends(hard=True) for d in self.daemons))
@@ -317,14 +317,14 @@
         from limebridge.faults.relay import Path as Way
 
         await asyncio.sleep(2.0)
-        before = len(self.effects.taken)
+        before = len(self.effects.applied)
         await asyncio.sleep(5.0)
-        self.well = (len(self.effects.taken) - before) / 5.0
+        self.well = (len(self.effects.applied) - before) / 5.0
         for way in self.daemons[0].ways:
             way.set(Way(cut=True), Way(cut=True))
-        before = len(self.effects.taken)
+        before = len(self.effects.applied)
         await asyncio.sleep(8.0)
-        self.cut = (len(self.effects.taken) - before) / 8.0
+        self.cut = (len(self.effects.applied) - before) / 8.0
 
 
 def cut() -> None:
--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -15,7 +15,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from limebridge.child import Child, loud  # noqa: E402
+from limebridge.child import Child, print_warnings  # noqa: E402
 from limebridge.ports import free_ports  # noqa: E402
 from limebridge.standins.configuration import SETTINGS, configuration  # noqa: E402
 from limebridge.standins.discovery import Discovery  # noqa: E402
@@ -131,7 +131,7 @@
     )
     assert SETTINGS["membershipMode"] == "subscribe"
     with tempfile.TemporaryDirectory() as folder:
-        child = Child(Path(folder), "config", build=build, told=loud)
+        child = Child(Path(folder), "config", build=build, on_log_line=print_warnings)
         try:
             await child.start(raw, listen, operator)
             yield Running(child, listen)
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -67,9 +67,9 @@
                         used, crowd = await measure(daemon, rate, seconds)
                         found[name].append(used)
                         times = sorted(
-                            (ask.answered_at - ask.asked_at) * 1000.0
-                            for ask in crowd.asks
-                            if ask.kind == "served"
+                            (ask.ended_at - ask.sent_at) * 1000.0
+                            for ask in crowd.finished
+                            if ask.outcome == "served"
                         )
                         p99[name].append(times[int(0.99 * len(times))])
     ratio = statistics.mean(found["on"]) / statistics.mean(found["off"])
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -60,7 +60,7 @@
             harness.nodes(1, 200) as ports,
             harness.daemon(ports, operator=operator) as daemon,
         ):
-            while not any("index" in asked for asked in agent.asked):
+            while not any("index" in asked for asked in agent.requests):
                 await asyncio.sleep(0.05)
             await asyncio.sleep(2.0)
             before = harness.cpu(daemon.pid)
@@ -102,7 +102,7 @@
     for number in range(12):
         watch._stop_requests()  # answers are handed to it: there is no agent
         catalogue.check(f"cache-{number}", "critical")
-        body = bytearray(json.dumps(catalogue.listed("cache")).encode())
+        body = bytearray(json.dumps(catalogue.health_entries("cache")).encode())
         began = time.perf_counter()
         watch.answered(200, {"x-consul-index": str(number + 10)}, body, False)
         took.append(time.perf_counter() - began)
--- a/benchmarks/mixed.py
+++ b/benchmarks/mixed.py
@@ -16,11 +16,11 @@
 from limebridge.placement.fleet import Fleet, parse_fleet
 from limebridge.placement.plan import made
 from limebridge.placement.solver import solve
-from limebridge.standins.clients import Crowd
+from limebridge.standins.clients import LoadGenerator
 from limebridge.standins.configuration import SETTINGS, configuration
 from limebridge.standins.database import CustomerDatabase
 from limebridge.standins.discovery import Discovery
-from limebridge.standins.fleet import Effects, FleetNode
+from limebridge.standins.fleet import FleetNode, IdempotencyKeys
 from limebridge.standins.node_list import Lifecycle, NodeEntry
 from limebridge.virtual.kernel import Kernel
 from limebridge.virtual.loop import VirtualLoop
@@ -122,7 +122,7 @@
             node = FleetNode(
                 name,
                 database,
-                Effects(2.0),
+                IdempotencyKeys(2.0),
                 seen,
                 f"{seed}/{name}",
                 slots=cores,
@@ -157,41 +157,41 @@
         )
         port = listener.start(config.listen).port
         proxies.append((proxy, listener))
-        crowds.append(Crowd(port, 4, seed=seed * PROXIES + number, keys=2_000))
+        crowds.append(LoadGenerator(port, 4, seed=seed * PROXIES + number, keys=2_000))
     for crowd in crowds:
         await crowd.connect()
-    plays = [loop.create_task(crowd.play(rate() / PROXIES, WARM + seconds)) for crowd in crowds]
+    plays = [loop.create_task(crowd.run(rate() / PROXIES, WARM + seconds)) for crowd in crowds]
     await asyncio.sleep(WARM)
     if lost:
         for node in nodes:
             if node.name.startswith(SITES[-1]):
-                await node.die()
-                discovery.tell(entry(node, "terminated"))
+                await node.crash()
+                discovery.publish(entry(node, "terminated"))
     await asyncio.gather(*plays)
     for crowd in crowds:
-        await crowd.rest()
+        await crowd.wait_for_answers()
         crowd.close()
     result = _result(crowds, nodes, seen, database, seconds, lost)
     for proxy, listener in proxies:
         await listener.drain(1.0)
         proxy.close()
     for node in nodes:
-        await node.die()
+        await node.crash()
     await discovery.stop()
     await asyncio.sleep(0.01)
     return result
 
 
 def _result(
-    crowds: list[Crowd],
+    crowds: list[LoadGenerator],
     nodes: list[FleetNode],
     seen: Seen,
     database: CustomerDatabase,
     seconds: float,
     lost: bool,
 ) -> Result:
-    asks = [ask for crowd in crowds for ask in crowd.asks if ask.asked_at >= seen.counts_from]
-    served = sorted(ask.answered_at - ask.asked_at for ask in asks if ask.kind == "served")
+    asks = [ask for crowd in crowds for ask in crowd.finished if ask.sent_at >= seen.counts_from]
+    served = sorted(ask.ended_at - ask.sent_at for ask in asks if ask.outcome == "served")
     here = [node for node in nodes if not (lost and node.name.startswith(SITES[-1]))]
     whole = sum(node.capacity for node in here)
     busy = [seen.arrivals[node.name] / seconds / node.capacity for node in here]
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -26,7 +26,7 @@
 
 import harness
 
-from limebridge.standins.clients import Ask, Client, Crowd
+from limebridge.standins.clients import Client, ClientRequest, LoadGenerator
 
 STEP = 1.2  # from one load to the next on the way to the capacity
 STEP_SECONDS = 2.5
@@ -46,8 +46,8 @@
             await harness.stop(burner)
 
 
-def share(asks: list[Ask], kind: str) -> float:
-    return sum(a.kind == kind for a in asks) / max(1, len(asks))
+def share(asks: list[ClientRequest], kind: str) -> float:
+    return sum(a.outcome == kind for a in asks) / max(1, len(asks))
 
 
 def percentile(figures: list[float], part: float) -> float:
@@ -58,12 +58,12 @@
     """Requests a second that are served in time, at the load at which most are."""
     best, rate, falls = 0.0, start, 0
     while falls < 2:
-        crowd = Crowd(port, clients)
+        crowd = LoadGenerator(port, clients)
         await crowd.connect()
-        await crowd.play(rate, STEP_SECONDS)
-        await crowd.rest()
+        await crowd.run(rate, STEP_SECONDS)
+        await crowd.wait_for_answers()
         crowd.close()
-        served = crowd.kinds()["served"] / STEP_SECONDS
+        served = crowd.count_outcomes()["served"] / STEP_SECONDS
         falls = falls + 1 if served < best * 1.02 else 0
         best, rate = max(best, served), rate * STEP
     return best
@@ -72,25 +72,25 @@
 async def overload(
     port: int, clients: int, able: float, times: float, seconds: float
 ) -> dict[str, float]:
-    crowd = Crowd(port, clients, seed=2)
+    crowd = LoadGenerator(port, clients, seed=2)
     loop = asyncio.get_running_loop()
     await crowd.connect()
-    await crowd.play(able * 0.5, 1.0)
+    await crowd.run(able * 0.5, 1.0)
     start = loop.time()
 
     def pick(count: int) -> Client | None:
         return crowd.clients[0] if count % (20 * BURST) < BURST else None
 
-    await crowd.play(able * times, seconds, pick)
+    await crowd.run(able * times, seconds, pick)
     end = loop.time()
-    await crowd.play(able * 0.5, 1.0)
-    await crowd.play(able * 0.5, 1.0)
-    await crowd.rest()
+    await crowd.run(able * 0.5, 1.0)
+    await crowd.run(able * 0.5, 1.0)
+    await crowd.wait_for_answers()
     crowd.close()
-    during = [a for a in crowd.asks if start <= a.asked_at < end]
-    after = [a for a in crowd.asks if a.asked_at >= end + 1.0]
-    refused = [(a.answered_at - a.asked_at) * 1000.0 for a in during if a.kind == "refused"]
-    each = Counter(a.client for a in during if a.kind == "served")
+    during = [a for a in crowd.finished if start <= a.sent_at < end]
+    after = [a for a in crowd.finished if a.sent_at >= end + 1.0]
+    refused = [(a.ended_at - a.sent_at) * 1000.0 for a in during if a.outcome == "refused"]
+    each = Counter(a.client for a in during if a.outcome == "served")
     again = await capacity(port, clients, able * 0.8)
     before, able = able, (able + again) / 2.0
     goodput = share(during, "served") * len(during) / seconds / able
@@ -109,7 +109,7 @@
         "refusal_p99_ms": round(percentile(refused, 0.99), 1),
         "least_of_fair_share": round(min(each[c] for c in range(clients)) / max(fair, 1e-9), 2),
         "after_1s_served": round(share(after, "served"), 4),
-        "crowd_late_ms": round(crowd.late * 1000.0, 1),
+        "crowd_late_ms": round(crowd.max_lag * 1000.0, 1),
     }
 
 
@@ -117,31 +117,31 @@
     daemon: harness.Running, clients: int, deep: int, seconds: float
 ) -> dict[str, Any]:
     """Each client holds `deep` commands at any time: what is answered, it asks again."""
-    crowd = Crowd(daemon.port, clients, seed=3)
+    crowd = LoadGenerator(daemon.port, clients, seed=3)
     await crowd.connect()
-    loop, asks = asyncio.get_running_loop(), crowd.asks
+    loop, asks = asyncio.get_running_loop(), crowd.finished
     before = harness.resident_mb(daemon.pid)
     most, seen, end = before, 0, loop.time() + seconds
     for client in crowd.clients:
         for _ in range(deep):
-            crowd.ask(client)
+            crowd.send_request(client)
     while loop.time() < end:
         await asyncio.sleep(0.005)
         ended, seen = asks[seen:], len(asks)
         for ask in ended:
-            crowd.ask(crowd.clients[ask.client])
+            crowd.send_request(crowd.clients[ask.client])
         most = max(most, harness.resident_mb(daemon.pid))
-    await crowd.rest()
+    await crowd.wait_for_answers()
     crowd.close()
-    during = [ask for ask in asks if ask.answered_at < end]
-    waits = [(ask.answered_at - ask.asked_at) * 1000.0 for ask in during if ask.kind != "expired"]
-    each = Counter(ask.client for ask in during if ask.kind == "served")
+    during = [ask for ask in asks if ask.ended_at < end]
+    waits = [(ask.ended_at - ask.sent_at) * 1000.0 for ask in during if ask.outcome != "expired"]
+    each = Counter(ask.client for ask in during if ask.outcome == "served")
     return {
         "clients": clients,
         "deep": deep,
         "asked_per_s": round(len(during) / seconds),
         "served_per_s": round(share(during, "served") * len(during) / seconds),
-        "answers": dict(Counter(ask.kind for ask in asks)),
+        "answers": dict(Counter(ask.outcome for ask in asks)),
         "answer_p50_ms": round(percentile(waits, 0.5), 1),
         "answer_p99_ms": round(percentile(waits, 0.99), 1),
         "clients_served": len(each),
--- a/benchmarks/own_time.py
+++ b/benchmarks/own_time.py
@@ -62,7 +62,7 @@
     raw = configuration(
         discovery.port, entries, sockets=2048, memory_mb=192, caps=CAPS, classes=harness.CLASSES
     )
-    discovery.tell(*entries, reset=True)
+    discovery.publish(*entries, reset=True)
     process = Process(kernel, loop, lambda: kernel.now + 1.7e9, costs=costs)
     port = process.start(parse(raw))
     await asyncio.sleep(1.0)
--- a/benchmarks/refusal.py
+++ b/benchmarks/refusal.py
@@ -17,27 +17,27 @@
 
 import harness
 
-from limebridge.standins.clients import Client, Crowd
+from limebridge.standins.clients import Client, LoadGenerator
 
 
 async def measure(
     target: harness.Running, rate: float, seconds: float, deep: int, told: bytes
 ) -> tuple[float, float]:
     """Microseconds of CPU a question, and the share that was refused."""
-    crowd = Crowd(target.port, clients=200, told=told)
+    crowd = LoadGenerator(target.port, clients=200, wait_field=told)
     await crowd.connect()
 
     def pick(number: int) -> Client | None:
         return crowd.clients[number // deep % len(crowd.clients)] if deep > 1 else None
 
-    await crowd.play(rate, 0.5, pick, deep)
-    await crowd.rest()
-    used, asked = harness.cpu(target.pid), crowd.asked
-    await crowd.play(rate, seconds, pick, deep)
-    await crowd.rest()
+    await crowd.run(rate, 0.5, pick, deep)
+    await crowd.wait_for_answers()
+    used, asked = harness.cpu(target.pid), crowd.sent
+    await crowd.run(rate, seconds, pick, deep)
+    await crowd.wait_for_answers()
     crowd.close()
-    cost = (harness.cpu(target.pid) - used) / (crowd.asked - asked) * 1e6
-    return cost, crowd.kinds()["refused"] / crowd.asked
+    cost = (harness.cpu(target.pid) - used) / (crowd.sent - asked) * 1e6
+    return cost, crowd.count_outcomes()["refused"] / crowd.sent
 
 
 async def main() -> int:
--- a/benchmarks/request_cpu.py
+++ b/benchmarks/request_cpu.py
@@ -19,7 +19,7 @@
 from build_pair import BuildPair
 
 from limebridge.experiments.statistics import paired
-from limebridge.standins.clients import Crowd
+from limebridge.standins.clients import LoadGenerator
 
 RATE, SECONDS = 540.0, 0.2  # requests a second, of a round
 CLIENTS, NODES, SIZE = 40, 4, 200  # bytes of an answer
@@ -52,26 +52,26 @@
 
     def __init__(self, daemon: harness.Running) -> None:
         self._daemon = daemon
-        self._crowd = Crowd(daemon.port, CLIENTS)
+        self._crowd = LoadGenerator(daemon.port, CLIENTS)
         self.total = 0.0  # s of CPU in all rounds
         self.requests = 0
 
     async def start(self) -> None:
         await self._crowd.connect()
-        await self._crowd.play(RATE, WARM_UP)
-        await self._crowd.rest()
+        await self._crowd.run(RATE, WARM_UP)
+        await self._crowd.wait_for_answers()
 
     async def round(self) -> float:
         """Seconds of CPU a request."""
-        before, asked = harness.cpu(self._daemon.pid), self._crowd.asked
-        await self._crowd.play(RATE, SECONDS)
-        await self._crowd.rest()
+        before, asked = harness.cpu(self._daemon.pid), self._crowd.sent
+        await self._crowd.run(RATE, SECONDS)
+        await self._crowd.wait_for_answers()
         used = harness.cpu(self._daemon.pid) - before
-        requests = self._crowd.asked - asked
+        requests = self._crowd.sent - asked
         self.total += used
         self.requests += requests
-        self._crowd.asks.clear()
-        self._crowd.asked = 0
+        self._crowd.finished.clear()
+        self._crowd.sent = 0
         return used / requests
 
     def close(self) -> None:
--- a/benchmarks/request_load.py
+++ b/benchmarks/request_load.py
@@ -25,7 +25,7 @@
 
 import limebridge
 import violetroute
-from limebridge.standins.clients import Crowd
+from limebridge.standins.clients import LoadGenerator
 from limebridge.standins.configuration import SETTINGS, configuration
 from limebridge.standins.discovery import Discovery
 from limebridge.standins.nodes import CacheNode
@@ -124,41 +124,41 @@
         process = Process(self._kernel, self._loop, lambda: self._kernel.now + WALL_CLOCK)
         port = process.start(parse(self._configuration(discovery, nodes)))
         await asyncio.sleep(SETTLING)
-        crowd = Crowd(port, CLIENTS, seed=SEED)
+        crowd = LoadGenerator(port, CLIENTS, seed=SEED)
         await crowd.connect()
         await self._ask(crowd, requests // 4)  # a warm-up: first connections, first learning
         if counter is not None:
             counter.start()
-        before = crowd.asked
+        before = crowd.sent
         await self._ask(crowd, requests)
         counts = None if counter is None else counter.stop()
-        self._played = self._result(crowd, crowd.asked - before, counts)
+        self._played = self._result(crowd, crowd.sent - before, counts)
         crowd.close()
         await process.term()
         for node in nodes:
             await node.stop()
         await discovery.stop()
 
-    async def _ask(self, crowd: Crowd, requests: int) -> None:
+    async def _ask(self, crowd: LoadGenerator, requests: int) -> None:
         """About so many: the crowd ends by time."""
-        await crowd.play(self._load.rate, requests / self._load.rate, burst=self._load.burst)
-        await crowd.rest()
+        await crowd.run(self._load.rate, requests / self._load.rate, burst=self._load.burst)
+        await crowd.wait_for_answers()
 
     def _configuration(self, discovery: Discovery, nodes: list[HashingNode]) -> dict[str, object]:
         caps = SETTINGS["caps"] | {"secondCopies": self._load.second_copies}
         entries = [node.entry(f"s-{number}") for number, node in enumerate(nodes)]
-        discovery.tell(*entries, reset=True)
+        discovery.publish(*entries, reset=True)
         return configuration(
             discovery.port, entries, sockets=1024, memory_mb=192, caps=caps, classes=CLASSES
         )
 
-    def _result(self, crowd: Crowd, requests: int, counts: Counts | None) -> Played:
-        for ask in crowd.asks:
+    def _result(self, crowd: LoadGenerator, requests: int, counts: Counts | None) -> Played:
+        for ask in crowd.finished:
             self._digest.update(
-                b"%d %r %r %s\n" % (ask.client, ask.asked_at, ask.answered_at, ask.kind.encode())
+                b"%d %r %r %s\n" % (ask.client, ask.sent_at, ask.ended_at, ask.outcome.encode())
             )
-        served = sum(ask.kind == "served" for ask in crowd.asks[-requests:])
-        return Played(crowd.asked, requests, served, self._digest.hexdigest(), counts)
+        served = sum(ask.outcome == "served" for ask in crowd.finished[-requests:])
+        return Played(crowd.sent, requests, served, self._digest.hexdigest(), counts)
 
 
 def play_explored(requests: int, counter: InstructionCounter | None) -> Played:
--- a/limebridge/child.py
+++ b/limebridge/child.py
@@ -14,8 +14,8 @@
 from . import child_signals
 from .standins.configuration import environment
 
-READY = 20.0  # s for a daemon to listen
-END = 8.0  # s for it to drain; its longest deadline is 3 s
+START_TIMEOUT_S = 20.0  # s for a daemon to listen
+DRAIN_TIMEOUT_S = 8.0  # s for it to drain; its longest deadline is 3 s
 INSTALLED = (sys.executable, "-m", "violetroute")
 
 
@@ -27,11 +27,11 @@
     DRAINING = "draining"  # between SIGTERM and its end
 
 
-class Unready(Exception):
+class DaemonStartError(Exception):
     """A daemon did not start, or ended by itself; one line."""
 
 
-def loud(line: str) -> None:
+def print_warnings(line: str) -> None:
     """Its warnings go on to our own standard error."""
     if " WARNING " in line or " ERROR " in line:
         sys.stderr.write(line + "\n")
@@ -50,17 +50,17 @@
         owner: str,
         command: tuple[str, ...] = INSTALLED,
         build: Path | None = None,
-        told: Callable[[str], None] | None = None,
+        on_log_line: Callable[[str], None] | None = None,
     ) -> None:
         self.owner, self._command, self._folder, self._build = owner, command, folder, build
-        self._told = told
+        self._on_log_line = on_log_line
         self.state = ChildState.DOWN
         self.proxy_config: dict[str, Any] = {}
         self.port = 0
         self._operator: Path | None = None
         self._process: asyncio.subprocess.Process | None = None
         self._log: asyncio.Task[None] | None = None
-        self.last = "no word from it"
+        self.last_line = "no word from it"
         self.crashed = False  # it had ended before it was told to
 
     @property
@@ -73,7 +73,7 @@
         return self._process is None or self._process.returncode is not None
 
     async def start(self, raw: dict[str, Any], port: int, operator: Path | None = None) -> int:
-        """Until it listens on the port.  Unready when it does not: then it is gone."""
+        """Until it listens on the port.  DaemonStartError when it does not: then it is gone."""
         self.proxy_config, self.port = raw, port
         self._operator = operator = operator or self._operator  # of its earlier incarnations
         path = self._folder / f"{self.owner}.json"
@@ -91,13 +91,15 @@
         ready = asyncio.get_running_loop().create_future()
         self._log = asyncio.create_task(self._read(self._process, ready))
         try:
-            async with asyncio.timeout(READY):
+            async with asyncio.timeout(START_TIMEOUT_S):
                 await ready
         except TimeoutError:
-            raise Unready(f"{self.owner} is not ready after {READY:g} s: {self.last}") from None
+            raise DaemonStartError(
+                f"{self.owner} is not ready after {START_TIMEOUT_S:g} s: {self.last_line}"
+            ) from None
         else:
             if not ready.result():
-                raise Unready(f"{self.owner} ended at its start: {self.last}")
+                raise DaemonStartError(f"{self.owner} ended at its start: {self.last_line}")
             self.state = ChildState.UP
         finally:  # whoever called holds only daemons that are up
             if self.state is not ChildState.UP:
@@ -109,10 +111,10 @@
         assert process.stderr is not None
         while chunk := await process.stderr.read(65536):
             for line in chunk.decode(errors="replace").splitlines():
-                if not self.last.startswith("violetroute:"):  # why it ends; nothing tops that
-                    self.last = line.strip()[:300] or self.last
-                if self._told is not None:
-                    self._told(line)
+                if not self.last_line.startswith("violetroute:"):  # why it ends; nothing tops that
+                    self.last_line = line.strip()[:300] or self.last_line
+                if self._on_log_line is not None:
+                    self._on_log_line(line)
             if not ready.done() and b"daemon.listens" in chunk:
                 ready.set_result(True)
         if not ready.done():
@@ -131,7 +133,7 @@
         self.state, self.crashed = ChildState.DRAINING, process.returncode is not None
         child_signals.send(process.pid, signal.SIGTERM)
         try:
-            async with asyncio.timeout(END):
+            async with asyncio.timeout(DRAIN_TIMEOUT_S):
                 await process.wait()
             ended = True
         except TimeoutError:
--- a/limebridge/daemon_commands.py
+++ b/limebridge/daemon_commands.py
@@ -14,7 +14,7 @@
 
 from violetroute.config import ConfigError, load, load_operator_files
 
-from . import effect
+from . import config_summary
 
 OperatorFile = Annotated[
     Path | None,
@@ -49,9 +49,9 @@
     try:
         if path is not None and not environment.get("PROXY_CONFIG"):
             ours, plan = load_operator_files(path)
-            told = effect.of_operator(ours, path, None if plan is None else len(plan.nodes))
+            told = config_summary.of_operator(ours, path, None if plan is None else len(plan.nodes))
         else:
-            told = effect.of_configuration(load(environment, path))
+            told = config_summary.of_configuration(load(environment, path))
     except ConfigError as error:
         typer.echo(f"limebridge: {error}", err=True)
         raise typer.Exit(2) from None
--- a/limebridge/demo.py
+++ b/limebridge/demo.py
@@ -14,10 +14,10 @@
 
 from violetroute.cluster import SLOTS
 
-from .child import Child, Unready, loud
+from .child import Child, DaemonStartError, print_warnings
 from .ports import free_ports
-from .standins.cache_store import Shelf
-from .standins.clients import Crowd
+from .standins.cache_store import ReadThroughNode
+from .standins.clients import LoadGenerator
 from .standins.configuration import configuration
 from .standins.consul import Catalogue, Consul
 from .standins.database import CustomerDatabase
@@ -53,7 +53,7 @@
 @dataclass
 class Demo:
     ports: list[int]  # of the proxies
-    nodes: list[Shelf]
+    nodes: list[ReadThroughNode]
     discovery: Discovery
     database: CustomerDatabase
     processes: list[Child]
@@ -85,7 +85,7 @@
     """
     consul = await _consul() if with_consul else None
     database, discovery = CustomerDatabase(), await Discovery().start()
-    nodes = [await Shelf(database).start() for _ in range(count)]
+    nodes = [await ReadThroughNode(database).start() for _ in range(count)]
     if consul is not None:
         for number, node in enumerate(nodes):
             consul.catalogue.register(
@@ -139,10 +139,10 @@
     operator = folder / f"{name}.toml" if tables else None
     if operator is not None:
         operator.write_text(tables)
-    child = Child(folder, name, told=loud)
+    child = Child(folder, name, on_log_line=print_warnings)
     try:
         await child.start(raw | {"name": name}, port, operator)
-    except Unready as error:
+    except DaemonStartError as error:
         raise DemoError(f"the daemon did not start: {error}") from None
     return child
 
@@ -170,7 +170,7 @@
     async with running(count, with_consul, with_cluster) as demo:
         ready(demo)
         gone = asyncio.create_task(_first_end(demo.processes))
-        crowd = Crowd(demo.port, clients=20, keys=500)
+        crowd = LoadGenerator(demo.port, clients=20, keys=500)
         asking = asyncio.create_task(_ask(crowd, rate, told)) if told is not None else None
         stopping = asyncio.create_task(ended.wait())
         waits: set[asyncio.Task[Any]] = {gone, stopping} | ({asking} if asking else set())
@@ -196,13 +196,13 @@
 
 
 async def _ask(
-    crowd: Crowd, rate: float, told: Callable[[Counter[str], list[float]], None]
+    crowd: LoadGenerator, rate: float, told: Callable[[Counter[str], list[float]], None]
 ) -> None:
     await crowd.connect()
     while True:
-        await crowd.play(rate, 1.0)
-        asks, crowd.asks = crowd.asks, []
+        await crowd.run(rate, 1.0)
+        asks, crowd.finished = crowd.finished, []
         told(
-            Counter(a.kind for a in asks),
-            sorted((a.answered_at - a.asked_at) * 1000.0 for a in asks if a.kind == "served"),
+            Counter(a.outcome for a in asks),
+            sorted((a.ended_at - a.sent_at) * 1000.0 for a in asks if a.outcome == "served"),
         )
--- a/limebridge/faults/billed.py
+++ b/limebridge/faults/billed.py
@@ -169,7 +169,7 @@
     def _billed(self) -> Counter[BillLine]:
         """The units of all bills until now."""
         units: Counter[BillLine] = Counter()
-        for effect in self.effects.taken:
+        for effect in self.effects.applied:
             if effect.key.startswith("settlement/"):
                 for tenant, cls, count in effect.body["lines"]:
                     units[tenant, cls] += count
@@ -203,7 +203,7 @@
         seen: Counter[str] = Counter()
         exported = self._exported()
         sizes = {key: json.loads(row)["units"] for key, row in exported.batches.items()}
-        for effect in self.effects.taken:
+        for effect in self.effects.applied:
             if effect.key.startswith("settlement/"):
                 seen.update(effect.body["keys"])
                 units = sum(sizes.get(key, 0) for key in effect.body["keys"])
--- a/limebridge/faults/daemon.py
+++ b/limebridge/faults/daemon.py
@@ -10,11 +10,11 @@
 from pathlib import Path
 from typing import Protocol
 
-from limebridge.child import Child, ChildState, Unready
+from limebridge.child import Child, ChildState, DaemonStartError
 from limebridge.ports import free_ports
 from limebridge.standins.configuration import configuration
 from limebridge.standins.discovery import Discovery
-from limebridge.standins.effects import Effects
+from limebridge.standins.effects import EffectEndpoint
 from limebridge.standins.node_list import NodeEntry
 from limebridge.standins.operator_file import operator_file
 from violetroute.config.operator import LogTable, Operator
@@ -39,7 +39,7 @@
     command: tuple[str, ...]  # that starts a daemon
     works: list[str]
     history: History
-    effects: Effects
+    effects: EffectEndpoint
     consul_port: int  # 0: the store is a folder
     discovery: Discovery
     known: list[NodeEntry]  # the nodes that a configuration names
@@ -107,17 +107,19 @@
             if logged is not None:
                 rig.history.logged.append(LoggedEvent(rig.now, owner, logged))
 
-        child = Child(rig.folder, owner, rig.command, told=told)
+        child = Child(rig.folder, owner, rig.command, on_log_line=told)
         self.children.append(child)
         raw = configuration(rig.discovery.port, rig.known) | {"name": self.name}
         for last in (False, False, True):
             try:
                 await child.start(raw, free_ports(1)[0], self.operator())
                 break
-            except Unready as error:  # another rig on this machine has taken the port since
+            except (
+                DaemonStartError
+            ) as error:  # another rig on this machine has taken the port since
                 if last or "cannot listen" not in str(error):
                     raise
-                child.last = ""
+                child.last_line = ""
         return child
 
     @property
@@ -143,7 +145,7 @@
             os.kill(child.pid, signal.SIGKILL)
             await child.kill()
         elif not await child.term():
-            self.rig.complain("ends", f"{self.name} did not drain: {child.last}")
+            self.rig.complain("ends", f"{self.name} did not drain: {child.last_line}")
         self.limits.clear()
 
     async def close(self) -> None:
--- a/limebridge/faults/distribution/real_proxy.py
+++ b/limebridge/faults/distribution/real_proxy.py
@@ -173,7 +173,7 @@
         self.build: Path | None = None
 
     async def start(self) -> None:
-        """Until it listens.  Raises Unready."""
+        """Until it listens.  Raises DaemonStartError."""
         if self._discovery is None:
             self._discovery = await Discovery().start()
         raw = configuration(self._discovery.port, []) | {"name": self.name}
--- a/limebridge/faults/distribution/rig.py
+++ b/limebridge/faults/distribution/rig.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from limebridge.child import Unready
+from limebridge.child import DaemonStartError
 from limebridge.control.asking import Machines, NoAnswerError, ask
 from limebridge.control.process import ControlMachines, UnreadyError
 from limebridge.faults.interruption import finish, run
@@ -130,7 +130,7 @@
             ]
             await self._schedule()
             healed_after_s = await self._heal()
-        except (UnreadyError, Unready, NotReady) as error:
+        except (UnreadyError, DaemonStartError, NotReady) as error:
             self.judge.complain(Rule.CRASH, f"a process did not start: {error}")
         finally:
             self._ended = True
--- a/limebridge/faults/memory.py
+++ b/limebridge/faults/memory.py
@@ -30,7 +30,7 @@
 import msgspec
 
 from limebridge.standins.consul import Consul
-from limebridge.standins.effects import Effects
+from limebridge.standins.effects import EffectEndpoint
 from limebridge.virtual.kernel import Kernel
 from limebridge.virtual.loop import VirtualLoop
 from limebridge.virtual.session import quiet
@@ -60,8 +60,8 @@
         self.call = self.rng.choice(CALLS)
         self.works = [f"beat-{number}" for number in range(plan.works)]
         self.history = History()
-        self.effects, self.consul = Effects(), Consul(seed=plan.seed)
-        self.history.effects = self.effects.taken
+        self.effects, self.consul = EffectEndpoint(), Consul(seed=plan.seed)
+        self.history.effects = self.effects.applied
         self.started = 0  # incarnations, for their names
         self.beat, self.look = BEAT, 0.1
         self.broken: list[Violation] = []
@@ -125,8 +125,8 @@
         return self.history.undone(self.works, BEAT)
 
     async def _heal(self) -> None:
-        self.effects.trouble = lambda: ""
-        self.consul.heal()
+        self.effects.fault = lambda: ""
+        self.consul.end_fault()
         for path in (self.folder / "lease").glob("beat*"):
             if path.stat().st_size < 10:
                 path.unlink()  # by hand, as the operators' page says
@@ -225,7 +225,7 @@
                     leases[-1].unlink(missing_ok=True)
             case _:
                 if self.plan.store == "consul":
-                    await self.consul.fault(fault.kind, fault.seconds)
+                    await self.consul.inject_fault(fault.kind, fault.seconds)
 
     def finish(self) -> None:
         history = self.history
--- a/limebridge/faults/rig.py
+++ b/limebridge/faults/rig.py
@@ -19,9 +19,9 @@
 from pathlib import Path
 from typing import Any
 
-from limebridge.child import ChildState, Unready
+from limebridge.child import ChildState, DaemonStartError
 from limebridge.standins.discovery import Discovery
-from limebridge.standins.effects import Effects
+from limebridge.standins.effects import EffectEndpoint
 from limebridge.standins.nodes import CacheNode
 from violetroute.ledger.table import LedgerTable
 
@@ -60,8 +60,8 @@
         self.command = daemon_command(patch)
         self.works = [f"beat-{number}" for number in range(plan.works)]
         self.history = History()
-        self.effects, self.discovery = Effects(), Discovery()
-        self.history.effects = self.effects.taken
+        self.effects, self.discovery = EffectEndpoint(), Discovery()
+        self.history.effects = self.effects.applied
         self.consul: Any = None
         self.consul_port = 0
         self.rng = random.Random(f"rig/{plan.seed}")
@@ -95,7 +95,7 @@
             await self.goes_on()
             await self.settle()
             await self.end()
-        except Unready as error:
+        except DaemonStartError as error:
             self.complain("starts", str(error))
         finally:
             await finish(self._end_all())
@@ -214,14 +214,14 @@
                         await asyncio.sleep(fault.seconds)
                         path.unlink()  # by hand, as the operators' page says
             case _:
-                await self.consul.fault(fault.kind, fault.seconds)
+                await self.consul.inject_fault(fault.kind, fault.seconds)
 
     # --- afterwards ---
     async def heal(self) -> None:
         """All that can be mended is, and every daemon runs."""
-        self.effects.trouble = lambda: ""
+        self.effects.fault = lambda: ""
         if self.consul is not None:
-            self.consul.heal()
+            self.consul.end_fault()
         for path in (self.shared / "lease").glob("beat*"):
             with contextlib.suppress(FileNotFoundError):
                 if path.stat().st_size < 10:
@@ -238,7 +238,7 @@
             child = daemon.child
             if child is None or child.state is not ChildState.UP or child.ended:
                 if child is not None and child.state is ChildState.UP:
-                    self.complain("ends", f"{daemon.name} crashed: {child.last}")
+                    self.complain("ends", f"{daemon.name} crashed: {child.last_line}")
                 for started in daemon.children:  # one that was cut short in its draining
                     await started.kill()
                 await daemon.start()
--- a/limebridge/faults/sharing/daemon.py
+++ b/limebridge/faults/sharing/daemon.py
@@ -79,14 +79,14 @@
         return path
 
     async def start(self, tag: str = "", port: int = 0) -> Child:
-        """Start it, or a second process of its name as `tag`.  Raises Unready."""
+        """Start it, or a second process of its name as `tag`.  Raises DaemonStartError."""
         rig, tag = self.rig, tag or self.name
 
         def told(line: str) -> None:
             if '"event":"sharing.' in line:
                 rig.note(f"  {tag} {line[line.index('event') + 8 :][:120]}")
 
-        child = Child(rig.folder, tag, rig.command, told=told)
+        child = Child(rig.folder, tag, rig.command, on_log_line=told)
         self.children.append(child)
         raw = configuration(rig.discovery.port, rig.known) | {"name": self.name}
         await child.start(raw, free_ports(1)[0], self.operator(port or self.port, tag))
@@ -110,4 +110,4 @@
             child.state = ChildState.DOWN
             await child.kill()
         elif not await child.term():
-            self.rig.complain("ends", f"{self.name} did not drain: {child.last}")
+            self.rig.complain("ends", f"{self.name} did not drain: {child.last_line}")
--- a/limebridge/faults/sharing/rig.py
+++ b/limebridge/faults/sharing/rig.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path as FilePath
 
-from limebridge.child import Child, Unready
+from limebridge.child import Child, DaemonStartError
 from limebridge.faults.interruption import finish, run
 from limebridge.faults.launch import daemon_command
 from limebridge.faults.relay import Datagrams, Path
@@ -97,7 +97,7 @@
             self.ends = True
             await asyncio.gather(*tasks)
             await asyncio.gather(*(daemon.ends(hard=False) for daemon in self.daemons))
-        except Unready as error:
+        except DaemonStartError as error:
             self.complain("starts", str(error))
             end = self.now
         finally:
@@ -261,10 +261,10 @@
         self._set_paths()
         for twin in self.twins:
             if not await twin.term():
-                self.complain("ends", f"a twin did not drain: {twin.last}")
+                self.complain("ends", f"a twin did not drain: {twin.last_line}")
         for daemon in self.daemons:
             if daemon.child is None or daemon.child.ended:
-                last = daemon.child.last if daemon.child else ""
+                last = daemon.child.last_line if daemon.child else ""
                 self.complain("ends", f"{daemon.name} crashed: {last}")
         self.seen.healed_at = self.now
 
--- a/limebridge/faults/soak.py
+++ b/limebridge/faults/soak.py
@@ -43,7 +43,7 @@
         self._out_since: dict[str, float] = {}  # hosts that left service, and when it was told
         self._arrivals: dict[bytes, int] = {}  # of commands at nodes, by id
         self._result = SoakResult(plan)
-        self._child = Child(folder, "soak", command, told=self._logged)
+        self._child = Child(folder, "soak", command, on_log_line=self._logged)
         self._ended_at = 0.0
 
     async def run(self) -> SoakResult:
@@ -125,27 +125,29 @@
                 left = [n for n in range(self.plan.nodes) if n not in numbers]
                 self._in_service(left, True)
                 self._in_service(numbers, False)
-                self._discovery.tell(*self._nodes.nodes(left), reset=True)
+                self._discovery.publish(*self._nodes.nodes(left), reset=True)
             elif event.kind == "one_by_one":
                 await self._one_by_one(numbers[:20])
             elif event.kind in ("back", "restart"):
                 started = 1e3 if event.kind == "restart" else 0.0
                 self._in_service(numbers, True)
-                self._discovery.tell(*(self._nodes.node(n, started_at_ms=started) for n in numbers))
+                self._discovery.publish(
+                    *(self._nodes.node(n, started_at_ms=started) for n in numbers)
+                )
             else:
                 self._in_service(numbers, False)
                 lifecycle: Literal["terminating", "terminated"] = (
                     "terminating" if event.kind == "drain" else "terminated"
                 )
-                self._discovery.tell(*self._nodes.nodes(numbers, lifecycle))
+                self._discovery.publish(*self._nodes.nodes(numbers, lifecycle))
 
     async def _one_by_one(self, numbers: range) -> None:
         for number in numbers:
             self._in_service([number], False)
-            self._discovery.tell(self._nodes.node(number, "terminating"))
+            self._discovery.publish(self._nodes.node(number, "terminating"))
             await asyncio.sleep(0.02)
             self._in_service([number], True)
-            self._discovery.tell(self._nodes.node(number))
+            self._discovery.publish(self._nodes.node(number))
 
     def _in_service(self, numbers: Any, serves: bool) -> None:
         now = asyncio.get_running_loop().time()
--- a/limebridge/quiet.py
+++ b/limebridge/highs.py
@@ -8,7 +8,7 @@
 import highspy
 
 
-def quiet() -> highspy.Highs:
+def create_highs() -> highspy.Highs:
     """An instance that says nothing.
 
     Making the first one writes a banner to descriptor 1, before any option can be set: what a
--- a/limebridge/ledger/kills.py
+++ b/limebridge/ledger/kills.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 
 from limebridge.ports import free_ports
-from limebridge.standins.billing import Billing
+from limebridge.standins.billing import BillingEndpoint
 from limebridge.standins.configuration import configuration, environment
 from limebridge.standins.discovery import Discovery
 from limebridge.standins.nodes import CacheNode
@@ -67,7 +67,7 @@
         self.served = ServedLog(self.wall)
         self.ports: dict[str, int] = {}
         self.running: dict[str, asyncio.subprocess.Process] = {}
-        self.billing, self.discovery = Billing(), Discovery()
+        self.billing, self.discovery = BillingEndpoint(), Discovery()
         self.ends = False
         self.asked = 0
 
@@ -76,7 +76,7 @@
 
     async def open(self) -> None:
         await self.billing.start()
-        self.billing.trouble = lambda: self.rng.choice(TROUBLES) if self.rng.random() < 0.4 else ""
+        self.billing.fault = lambda: self.rng.choice(TROUBLES) if self.rng.random() < 0.4 else ""
         await self.discovery.start()
         self.nodes = [await CacheNode(self.served.serve).start() for _ in range(2)]
         for name in PROXIES:
@@ -194,7 +194,7 @@
         await asyncio.sleep(seconds / max(1, kills))
         field_.ends = True
         await asyncio.gather(*clients)
-        field_.billing.trouble = lambda: ""
+        field_.billing.fault = lambda: ""
         periods = Periods("UTC", 5)
         report.served, _ = read_served(field_.served.rows, periods, "nodes")
         report.before = await field_.settled(report.served)
--- a/limebridge/placement/solver.py
+++ b/limebridge/placement/solver.py
@@ -14,7 +14,7 @@
 import highspy
 import numpy as np
 
-from limebridge.quiet import quiet
+from limebridge.highs import create_highs
 
 from .fleet import Fleet
 from .model import RESTING, Model, Row, build, groups
@@ -52,7 +52,7 @@
         rows: list[Row],
         fixed: Mapping[int, float] | None = None,
     ) -> None:
-        self._highs = highs = quiet()
+        self._highs = highs = create_highs()
         for name, value in (
             ("random_seed", 1),
             ("time_limit", SECONDS),
--- a/limebridge/rehearsal/attainable.py
+++ b/limebridge/rehearsal/attainable.py
@@ -116,7 +116,7 @@
     import highspy  # half a second that a calm run does not need
     import numpy as np
 
-    from limebridge.quiet import quiet
+    from limebridge.highs import create_highs
 
     columns = [
         (number, place)
@@ -155,7 +155,7 @@
     model.a_matrix_.start_ = np.array(starts, dtype=np.int32)
     model.a_matrix_.index_ = np.array(rows, dtype=np.int32)
     model.a_matrix_.value_ = np.array(entries)
-    solver = quiet()
+    solver = create_highs()
     solver.passModel(model)
     solver.run()
     if solver.getModelStatus() != highspy.HighsModelStatus.kOptimal:
--- a/limebridge/rehearsal/command.py
+++ b/limebridge/rehearsal/command.py
@@ -21,7 +21,7 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn
 from rich.table import Table
 
-from limebridge.child import Unready
+from limebridge.child import DaemonStartError
 from violetroute.config import ConfigError
 
 from .engine import play
@@ -227,7 +227,7 @@
             results.append(play_real(made, made.run.seed + number, run))
             if results[-1].partial:
                 break
-    except (Unready, OSError) as error:
+    except (DaemonStartError, OSError) as error:
         _stop(error)
     return results
 
--- a/limebridge/rehearsal/crowd.py
+++ b/limebridge/rehearsal/crowd.py
@@ -22,10 +22,10 @@
 class Told(Protocol):
     """Who hears what clients saw; `id_` is a try's."""
 
-    def asked(self, at: float, id_: str, cls: str, wait: float) -> None: ...
+    def request_sent(self, at: float, id_: str, cls: str, wait: float) -> None: ...
     def answered(self, at: float, id_: str, answer: str) -> None: ...
     def expired(self, at: float, id_: str) -> None: ...
-    def closed_under(self, at: float, id_: str) -> None: ...
+    def connection_closed(self, at: float, id_: str) -> None: ...
 
 
 class Want:
@@ -76,7 +76,7 @@
         )
         value = (b"template",) if name == b"OBJ.SET" else ()
         connection.write(command(name, key, self.id.encode(), listed, *value))
-        self._front.told.asked(
+        self._front.told.request_sent(
             self._front.loop.time(), self.id, self.cls.name, self._patience + self._front.grace
         )
 
@@ -165,7 +165,7 @@
         self._transport = None
         want, self.want = self.want, None
         if want is not None:
-            self._front.told.closed_under(self._front.loop.time(), want.id)
+            self._front.told.connection_closed(self._front.loop.time(), want.id)
             want.ended("closed")
 
 
--- a/limebridge/rehearsal/engine.py
+++ b/limebridge/rehearsal/engine.py
@@ -13,11 +13,11 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from limebridge.rules import Judge, Terms
+from limebridge.rules import RuleChecker, RuleLimits
 from limebridge.standins.configuration import SETTINGS, configuration
 from limebridge.standins.database import CustomerDatabase
 from limebridge.standins.discovery import Discovery
-from limebridge.standins.fleet import Effects, FleetNode
+from limebridge.standins.fleet import FleetNode, IdempotencyKeys
 from limebridge.standins.node_list import Lifecycle, ListChange, NodeEntry
 from limebridge.virtual import Kernel, VirtualLoop
 from limebridge.virtual.costs import measured
@@ -68,9 +68,9 @@
         self.rooms: list[Room] = []
         self._watch = Watch()
         effects = {c.name: c.effect for c in scenario.classes}
-        terms = Terms(effects, cold_from=scenario.nodes.cold_from, warm=scenario.nodes.warm)
-        self.judges = {f"p{n}": Judge(terms) for n in range(scenario.proxies.count)}
-        self.fleet = Judge(terms)
+        terms = RuleLimits(effects, cold_from=scenario.nodes.cold_from, warm=scenario.nodes.warm)
+        self.judges = {f"p{n}": RuleChecker(terms) for n in range(scenario.proxies.count)}
+        self.fleet = RuleChecker(terms)
 
     def random(self, purpose: str) -> Random:  # a stream of its own for each purpose
         name = self.scenario.run.drawn_as or self.scenario.name
@@ -102,7 +102,7 @@
 
     def _line(self, owner: str, port: int, value: ListChange, burst: bool) -> None:
         for entry in value["instances"]:
-            self.judges[owner].heard(
+            self.judges[owner].node_reported(
                 self.kernel.now,
                 entry["instanceId"],
                 entry["lifecycle"] == "in_service",
@@ -113,14 +113,18 @@
     def run(self) -> Result:
         try:
             with quiet(logging.CRITICAL):
-                run(self.loop, self._play(), lambda what: self.fleet.fault(self.kernel.now, what))
+                run(
+                    self.loop,
+                    self._play(),
+                    lambda what: self.fleet.report_fault(self.kernel.now, what),
+                )
         except KeyboardInterrupt:
             self._partial = True
         return self.result()
 
     def result(self) -> Result:
         """What came of it, so far."""
-        broken = [b for judge in (*self.judges.values(), self.fleet) for b in judge.broken]
+        broken = [b for judge in (*self.judges.values(), self.fleet) for b in judge.violations]
         length = self.scenario.run.seconds
         if self._partial:  # what was asked in the last moments had no time for its answer
             length = max(1.0, min(length, self.kernel.now - self._began - REST))
@@ -182,14 +186,14 @@
         for process in self.processes:
             self._left(process)
         for judge in self.judges.values():
-            judge.end(self.kernel.now)
-        await asyncio.gather(*(node.die() for node in self.nodes))
+            judge.finish(self.kernel.now)
+        await asyncio.gather(*(node.crash() for node in self.nodes))
         await self.discovery.stop()
 
     def _left(self, process: Process) -> None:
         """An exited process holds nothing any more."""
         if held := self.kernel.held(process.owner):
-            self.judges[process.owner].fault(
+            self.judges[process.owner].report_fault(
                 self.kernel.now, f"{process.owner} left {held} descriptors open at its end"
             )
 
@@ -205,7 +209,7 @@
             plan.refusal_ms / 1000.0,
         )
         windows = [c.window_ms for c in scenario.classes if c.effect == "token"]
-        self.effects = Effects(max(windows, default=1000.0) / 1000.0)
+        self.effects = IdempotencyKeys(max(windows, default=1000.0) / 1000.0)
         self.discovery = await Discovery().start()
         self.nodes: list[FleetNode] = []
         self._kinds: dict[str, str] = {}
@@ -269,7 +273,7 @@
         ears.follow(self.discovery.port)
 
     def _list(self, *entries: NodeEntry, reset: bool = False) -> None:
-        self.discovery.tell(*entries, reset=reset)
+        self.discovery.publish(*entries, reset=reset)
 
     async def _daemon(self, owner: str, raw: dict[str, Any]) -> tuple[Any, int]:
         """A process of the daemon, and its port."""
@@ -290,7 +294,7 @@
         config = process.proxy_config
         if await process.term():  # its last timers may run out: they are told nothing any more
             self._left(process)
-            self.judges[process.owner].restarted(self.kernel.now, {})
+            self.judges[process.owner].proxy_restarted(self.kernel.now, {})
             process.start(config, port)
 
     def _links(self, port: int) -> None:
@@ -330,7 +334,7 @@
         self._ports[node.port] = site
         self._links(node.port)
         if cold:
-            node.begin_cold()
+            node.start_cold()
         self.nodes.append(node)
         self._worked[name], self._slots[name] = [], slots
         self._speeds[name] = speed
@@ -343,7 +347,7 @@
         return self.scenario.network.between_ms / 1000.0
 
     def _entry(self, node: FleetNode, lifecycle: Lifecycle = "in_service") -> NodeEntry:
-        born = 0.0 if node.born is None else (node.born + self.wall) * 1000.0
+        born = 0.0 if node.cold_since is None else (node.cold_since + self.wall) * 1000.0
         return node.entry(
             node.name,
             lifecycle,
@@ -360,7 +364,7 @@
             return
         work = 0.0
         for node in self.nodes:
-            able = node.able(now)
+            able = node.available_capacity(now)
             work += self._speeds[node.name] * able
             self._watch.looked(node.name, now - self._began, able)
         plan, flows = self.scenario.database, self.database.flowing.is_set()
@@ -372,14 +376,14 @@
         """What each node worked in the second before."""
         for node in self.nodes:
             done = self._worked[node.name]
-            done.append(round((node.worked - sum(done)), 6))
+            done.append(round((node.busy_seconds - sum(done)), 6))
         if self.kernel.now < self._began + self.scenario.run.seconds:
             self.loop.call_at(self.kernel.now + 1.0, self._look)
 
 
-def _node(judge: Judge, name: str) -> Any:
+def _node(judge: RuleChecker, name: str) -> Any:
     """The fleet's judge counts commands to a node that it may not have met."""
-    judge.heard(0.0, name, True)
+    judge.node_reported(0.0, name, True)
     return judge._nodes[name]
 
 
--- a/limebridge/rehearsal/real.py
+++ b/limebridge/rehearsal/real.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from limebridge.child import INSTALLED, Child, Unready
+from limebridge.child import INSTALLED, Child, DaemonStartError
 from limebridge.ports import free_ports
 from limebridge.standins.node_list import NodeEntry
 from limebridge.standins.operator_file import operator_file
@@ -57,7 +57,7 @@
         self.grace = LATE
 
     async def play(self) -> Result:
-        """Unready: a daemon could not be started."""
+        """DaemonStartError: a daemon could not be started."""
         self.loop = asyncio.get_running_loop()
         self.kernel = RealKernel(self.loop)
         beat = asyncio.create_task(self._beat())
@@ -92,7 +92,7 @@
         super()._list(*entries, reset=reset)
         for judge in self.judges.values():
             for entry in entries:
-                judge.heard(
+                judge.node_reported(
                     self.kernel.now + SLACK, entry["instanceId"], entry["lifecycle"] == "in_service"
                 )
 
@@ -113,24 +113,28 @@
     async def _restart(self, process: Any, port: int) -> None:
         if await process.term():
             self._left(process)
-            self.judges[process.owner].restarted(self.kernel.now, {})
+            self.judges[process.owner].proxy_restarted(self.kernel.now, {})
             await process.start(process.proxy_config, port)
 
     def _left(self, process: Any) -> None:
         if process.crashed:
-            self.judges[process.owner].fault(
-                self.kernel.now, f"{process.owner} crashed: {process.last}"
+            self.judges[process.owner].report_fault(
+                self.kernel.now, f"{process.owner} crashed: {process.last_line}"
             )
 
 
 def play_real(scenario: Scenario, seed: int | None = None, run: str = "") -> Result:
     """One run in real time; `run` is the daemon's command line, the installed one without it."""
     if scenario.proxies.count > MOST:
-        raise Unready(f"{scenario.proxies.count} daemons on one machine; {MOST} at most")
+        raise DaemonStartError(f"{scenario.proxies.count} daemons on one machine; {MOST} at most")
     if scenario.proxies.cores:
-        raise Unready("[proxies] cores: a share of a core is played on the virtual clock alone")
+        raise DaemonStartError(
+            "[proxies] cores: a share of a core is played on the virtual clock alone"
+        )
     if scenario.operator.log.level not in ("debug", "info"):
-        raise Unready("[operator.log] level: debug or info, since a start is read in the log")
+        raise DaemonStartError(
+            "[operator.log] level: debug or info, since a start is read in the log"
+        )
     command = tuple(shlex.split(run)) if run else INSTALLED
     with tempfile.TemporaryDirectory() as folder:
         morning = RealMorning(
--- a/limebridge/rehearsal/result.py
+++ b/limebridge/rehearsal/result.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from limebridge.rules import Break
+from limebridge.rules import Violation
 
 from .attainable import Share
 from .loss_attribution import Cost
@@ -20,7 +20,7 @@
     scenario: Scenario
     seed: int
     score: Score
-    broken: list[Break]
+    broken: list[Violation]
     database: list[int]  # fetches by second
     nodes: dict[str, list[float]]  # seconds of work by second, over its slots
     crossed: int  # commands that went to another site than their proxy's
--- a/limebridge/rehearsal/troubles.py
+++ b/limebridge/rehearsal/troubles.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from limebridge.rules import Judge
+from limebridge.rules import RuleChecker
 from limebridge.standins.database import CustomerDatabase
 from limebridge.standins.discovery import Discovery
 from limebridge.standins.fleet import FleetNode
@@ -26,7 +26,7 @@
     scenario: Scenario
     kernel: Any  # the virtual one, or real.py's
     loop: Any  # likewise
-    fleet: Judge
+    fleet: RuleChecker
     nodes: list[FleetNode]
     database: CustomerDatabase
     discovery: Discovery
@@ -63,7 +63,7 @@
     def _struck(self, event: Event, done: asyncio.Task[None]) -> None:
         """A trouble that could not be played, or a daemon that did not come back, fails the run."""
         if not done.cancelled() and (error := done.exception()) is not None:
-            self.fleet.fault(self.kernel.now, f"{event.kind} at {event.at:g} s: {error}")
+            self.fleet.report_fault(self.kernel.now, f"{event.kind} at {event.at:g} s: {error}")
 
     def _some(self, event: Event) -> list[FleetNode]:
         here = [
@@ -79,19 +79,19 @@
         await stalled(event.lasts, self._some(event))
 
     async def _loses_answers(self, event: Event) -> None:
-        await during(event.lasts, self._some(event), "loses_after", event.amount, None)
+        await during(event.lasts, self._some(event), "reset_after", event.amount, None)
 
     async def _dies(self, event: Event) -> None:
         some = self._some(event)
         for node in some:
-            await node.die()
+            await node.crash()
         await asyncio.sleep(event.lasts)
         for node in some:
             await self._back(node)
 
     async def _back(self, node: FleetNode) -> None:
         if not node.up:
-            node.begin_cold()
+            node.start_cold()
             await node.start(node.port)
             self._list(self._entry(node))
 
@@ -101,7 +101,7 @@
             await asyncio.sleep(1.0)
             node.draining = True
             await asyncio.sleep(1.0)
-            await node.die()
+            await node.crash()
             self._list(self._entry(node, "terminated"))
             await asyncio.sleep(event.lasts)
             await self._back(node)
--- a/limebridge/rules/__init__.py
+++ b/limebridge/rules/__init__.py
@@ -1,5 +1,5 @@
 """The four rules, judged from outside: by what clients, cache nodes and discovery saw."""
 
-from .judge import Break, Judge, Terms
+from .checker import RuleChecker, RuleLimits, Violation
 
-__all__ = ["Break", "Judge", "Terms"]
+__all__ = ["RuleChecker", "RuleLimits", "Violation"]
--- a/limebridge/rules/judge.py
+++ b/limebridge/rules/checker.py
@@ -12,7 +12,9 @@
 from dataclasses import dataclass, field
 
 PAUSE_SLACK = 0.05  # s after a pause for what became due in it
-PAUSE_SEEN = 0.1  # s of a pause that a process can see; what came in a shorter one may be late
+MIN_DETECTABLE_PAUSE_S = (
+    0.1  # s of a pause that a process can see; what came in a shorter one may be late
+)
 BURST = 0.01  # s in which a new watch may say a drain again that it has just taken back
 BEFORE = ""  # the source of what was handed over, or told by sources that are not followed any more
 GONE = 0.1  # s after which nothing begins for a client that has left, whatever came in between
@@ -20,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class Terms:
+class RuleLimits:
     """The figures of the rules, as the platform's settings state them."""
 
     effects: Mapping[str, str]  # by class: pure, token or side_effect
@@ -32,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class Break:
+class Violation:
     """A rule that was broken: 1 to 4, or 0 for the program's own bounds."""
 
     rule: int
@@ -68,28 +70,28 @@
     lately: deque[float] = field(default_factory=deque)
 
 
-class Judge:
+class RuleChecker:
     """Tell it what was seen, in the order of time; `broken` has what it found."""
 
-    def __init__(self, terms: Terms) -> None:
+    def __init__(self, terms: RuleLimits) -> None:
         self._terms = terms
         self._requests: dict[str, _Request] = {}
         self._nodes: dict[str, _Node] = {}
-        self.broken: list[Break] = []
+        self.violations: list[Violation] = []
         self.answers: dict[str, int] = {}
         self._paused_until = 0.0
         self._pauses: list[tuple[float, float]] = []
 
     def _break(self, rule: int, at: float, what: str, id_: str = "") -> None:
         story = tuple(self._requests[id_].story) if id_ in self._requests else ()
-        self.broken.append(Break(rule, at, what, id_, story))
+        self.violations.append(Violation(rule, at, what, id_, story))
 
-    def fault(self, at: float, what: str) -> None:
+    def report_fault(self, at: float, what: str) -> None:
         """A bound or promise of the program's own that did not hold."""
         self._break(0, at, what)
 
     # --- clients ---
-    def asked(self, at: float, id_: str, cls: str, wait: float) -> None:
+    def request_sent(self, at: float, id_: str, cls: str, wait: float) -> None:
         """The last byte of a request was written; its client waits so long."""
         request = self._requests[id_] = _Request(cls, self._terms.effects[cls], at, at + wait)
         request.story.append(f"{at:.6f} asked ({cls}, waits {wait * 1000:.0f} ms)")
@@ -108,7 +110,7 @@
         if answer == "refused" and request.effect == "side_effect" and request.accepted:
             self._break(2, at, f"refused, though {request.accepted[0]} may have run it", id_)
 
-    def stray(self, at: float, text: str) -> None:
+    def unexpected_answer(self, at: float, text: str) -> None:
         """Something came to a client that had nothing open."""
         self._break(1, at, f"an answer that nobody is owed: {text}")
 
@@ -119,13 +121,13 @@
         if not self._excused(request) and request.gone_at is None:
             self._break(1, at, "no final answer in time", id_)
 
-    def gone(self, at: float, id_: str) -> None:
+    def client_gone(self, at: float, id_: str) -> None:
         """The client has gone away: nothing is owed, and nothing more may be sent."""
         request = self._requests[id_]
         request.story.append(f"{at:.6f} its client has gone")
         request.gone_at = at
 
-    def end_came(self, at: float, id_: str) -> None:
+    def client_eof_received(self, at: float, id_: str) -> None:
         """The end of one that has gone is on the proxy's machine: its kernel knows.
 
         Counts also while the process stands.  An end behind more than the receive buffer holds is
@@ -133,7 +135,7 @@
         """
         self._requests[id_].end_came_at = at
 
-    def closed_under(self, at: float, id_: str) -> None:
+    def connection_closed(self, at: float, id_: str) -> None:
         """The proxy ended the connection while this was open on it."""
         request = self._requests[id_]
         request.story.append(f"{at:.6f} the connection was closed under it")
@@ -146,7 +148,7 @@
         self._requests[id_].excused = True
 
     # --- the proxy's process ---
-    def restarted(self, at: float, node_states: Mapping[str, bool]) -> None:
+    def proxy_restarted(self, at: float, node_states: Mapping[str, bool]) -> None:
         """A new process knows what it is handed, by node: whether it may be used.
 
         What its predecessor was told and has sent is gone with it; cold nodes are counted anew.
@@ -156,7 +158,7 @@
             seen.taken_back.clear()
             seen.told = {} if node_states.get(name, True) else {BEFORE: at}
 
-    def paused(self, at: float, until: float) -> None:
+    def proxy_paused(self, at: float, until: float) -> None:
         """The process gets no CPU until then: nobody can answer in time meanwhile."""
         self._paused_until = max(self._paused_until, until)
         self._pauses.append((at, until))
@@ -173,7 +175,7 @@
             request.excused
             or request.until <= self._paused_until + PAUSE_SLACK
             or any(
-                at <= request.asked_at <= until and until - at < PAUSE_SEEN
+                at <= request.asked_at <= until and until - at < MIN_DETECTABLE_PAUSE_S
                 for at, until in self._pauses
             )
         )
@@ -254,7 +256,7 @@
     # new, until that source tells of it as ready, or any source tells of a start of it that came
     # after that was told.  Told is what the process had the bytes of; what a wait that ran out
     # says once more is no telling.
-    def heard(
+    def node_reported(
         self,
         at: float,
         node: str,
@@ -285,7 +287,7 @@
             else:
                 seen.told[source] = at
 
-    def told_by(self, at: float) -> list[tuple[str, float]]:
+    def active_drains(self, at: float) -> list[tuple[str, float]]:
         """Of each drain or going that holds: who told it, and how many seconds ago."""
         return [
             (source, at - since)
@@ -293,7 +295,7 @@
             for source, since in seen.told.items()
         ]
 
-    def follows_others(self) -> None:
+    def sources_replaced(self) -> None:
         """The proxy was given other sources: what the old ones told holds until one speaks."""
         for seen in self._nodes.values():
             seen.taken_back.clear()
@@ -306,14 +308,14 @@
         seen.started_at, seen.capacity = at, capacity
         seen.lately.clear()
 
-    def end(self, at: float) -> None:
+    def finish(self, at: float) -> None:
         """All is over: each request has had its end."""
         for id_, request in self._requests.items():
             if (
                 request.answered_at is None
                 and request.gone_at is None
                 and not request.excused
-                and not any(b.request == id_ for b in self.broken)
+                and not any(b.request == id_ for b in self.violations)
             ):
                 self._break(1, at, "no final answer at the end", id_)
 
--- a/limebridge/scale/measure_connections.py
+++ b/limebridge/scale/measure_connections.py
@@ -99,7 +99,7 @@
         nodes = [await CacheNode(_answer).start() for _ in range(self._size)]
         discovery = await Discovery().start()
         known = [node.entry(f"cache-{number:05d}") for number, node in enumerate(nodes)]
-        discovery.tell(*known, reset=True)
+        discovery.publish(*known, reset=True)
         config = parse(configuration(discovery.port, known, sockets=SOCKETS))
         proxy = proxy_on(self._kernel, self.loop, config)
         self._watch_pool(proxy)
--- a/limebridge/standins/billing.py
+++ b/limebridge/standins/billing.py
@@ -1,6 +1,6 @@
 """A billing endpoint: POST of JSON lines with an idempotency key, and its troubles.
 
-Takes what `violetroute/ledger/export.py` describes.  Troubles are plain attributes; `trouble` is
+Takes what `violetroute/ledger/export.py` describes.  Troubles are plain attributes; `fault` is
 asked for each post and answers with one of their names, or "".
 """
 
@@ -12,18 +12,18 @@
 
 import zstandard
 
-from .endpoint import Endpoint
+from .endpoint import HttpEndpoint
 from .wire import read_request
 
 Unit = tuple[int, str | None, str]  # period, tenant, class
 
 
-class Billing(Endpoint):
+class BillingEndpoint(HttpEndpoint):
     """`billed` has units by ledger and line; what comes twice under one key counts once."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.taken: dict[str, bytes] = {}  # by key
+        self.accepted: dict[str, bytes] = {}  # by key
         self.last: dict[str, str] = {}  # by ledger
         self.order: dict[str, list[tuple[str, int]]] = {}  # keys and periods, by ledger
         self.billed: Counter[tuple[str, int, str | None, str]] = Counter()
@@ -35,13 +35,13 @@
             line, headers, body = await read_request(reader)
             self.posts += 1
             self.targets.append(line)
-            trouble = self.trouble()
-            if trouble == "lost before":
+            fault = self.fault()
+            if fault == "lost before":
                 writer.transport.abort()
                 return
             status, said = (
                 self._take(headers, body)
-                if trouble in ("", "lost after", "500 after", "cut after")
+                if fault in ("", "lost after", "500 after", "cut after")
                 else (0, b"")
             )
             answer = {
@@ -53,13 +53,13 @@
                 b"Content-Length: 0\r\n\r\n",
                 "noise": b"\x00\xff\r\n\r\n",
             }.get(
-                trouble,
+                fault,
                 b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%b" % (status, len(said), said),
             )
-            if trouble == "lost after":
+            if fault == "lost after":
                 writer.transport.abort()
                 return
-            writer.write(answer[:20] if trouble == "cut after" else answer)
+            writer.write(answer[:20] if fault == "cut after" else answer)
             await writer.drain()
         except (asyncio.IncompleteReadError, ConnectionError, KeyError, ValueError):
             pass
@@ -70,8 +70,8 @@
         key, after = headers["idempotency-key"].strip('"'), headers["ledger-after"].strip('"')
         if headers.get("content-encoding") == "zstd":
             body = zstandard.ZstdDecompressor().decompress(body)
-        if key in self.taken:
-            return (200, b"") if self.taken[key] == body else (422, b"")
+        if key in self.accepted:
+            return (200, b"") if self.accepted[key] == body else (422, b"")
         ledger = key.partition("/")[0]
         if after != self.last.get(ledger, ""):
             order = self.order[ledger]
@@ -83,7 +83,7 @@
         batch, *lines = (json.loads(line) for line in body.splitlines())
         if batch["units"] != sum(line["units"] for line in lines):
             return 400, b""
-        self.taken[key], self.last[ledger] = body, key
+        self.accepted[key], self.last[ledger] = body, key
         self.order.setdefault(ledger, []).append((key, batch["period"]))
         for line in lines:
             self.billed[ledger, batch["period"], line["tenant"], line["class"]] += line["units"]
--- a/limebridge/standins/cache_store.py
+++ b/limebridge/standins/cache_store.py
@@ -13,7 +13,7 @@
 REMEMBERED = 2.0  # s for which a node knows an idempotency key again
 
 
-class Shelf(CacheNode):
+class ReadThroughNode(CacheNode):
     """A read-through cache node; one command of a connection at a time."""
 
     def __init__(self, database: CustomerDatabase) -> None:
--- a/limebridge/standins/clients.py
+++ b/limebridge/standins/clients.py
@@ -14,16 +14,16 @@
 from .wire import command
 
 
-class Ask:
+class ClientRequest:
     """One question and what became of it."""
 
-    __slots__ = ("answered_at", "asked_at", "client", "ends_at", "kind", "sent", "words")
+    __slots__ = ("attempts", "client", "deadline", "ended_at", "outcome", "sent_at", "words")
 
-    def __init__(self, client: int, asked_at: float, ends_at: float, words: bytes) -> None:
-        self.words, self.sent = words, 0
-        self.client, self.asked_at, self.ends_at = client, asked_at, ends_at
-        self.answered_at = 0.0
-        self.kind = ""  # served, refused, failed, expired (no answer in time), closed
+    def __init__(self, client: int, sent_at: float, deadline: float, words: bytes) -> None:
+        self.words, self.attempts = words, 0
+        self.client, self.sent_at, self.deadline = client, sent_at, deadline
+        self.ended_at = 0.0
+        self.outcome = ""  # served, refused, failed, expired (no answer in time), closed
 
 
 class _Connection(asyncio.Protocol):
@@ -32,7 +32,7 @@
     def __init__(self, owner: Client) -> None:
         self._owner = owner
         self._buffer = bytearray()
-        self.open: deque[Ask] = deque()
+        self.open: deque[ClientRequest] = deque()
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -70,37 +70,37 @@
     def connection_lost(self, error: Exception | None) -> None:
         self.transport = None
         while self.open:
-            self._owner.crossed(self.open.popleft())
+            self._owner.connection_lost(self.open.popleft())
 
 
 class Client:
     """One connection at a time; asks on it and gives up on it when an answer is late."""
 
-    def __init__(self, crowd: Crowd, number: int) -> None:
-        self._crowd, self._number = crowd, number
+    def __init__(self, generator: LoadGenerator, number: int) -> None:
+        self._generator, self._number = generator, number
         self._connection: _Connection | None = None
 
     async def connect(self) -> None:
-        _, self._connection = await self._crowd.loop.create_connection(
-            lambda: _Connection(self), "127.0.0.1", self._crowd.port
+        _, self._connection = await self._generator.loop.create_connection(
+            lambda: _Connection(self), "127.0.0.1", self._generator.port
         )
 
-    def ask(self, words: bytes, wait: float) -> None:
-        now = self._crowd.loop.time()
-        ask = Ask(self._number, now, now + wait, words)
-        self._crowd.loop.call_at(ask.ends_at, self._expire, ask)
-        self._send(ask)
+    def send_request(self, words: bytes, wait: float) -> None:
+        now = self._generator.loop.time()
+        request = ClientRequest(self._number, now, now + wait, words)
+        self._generator.loop.call_at(request.deadline, self._expire, request)
+        self._send(request)
 
-    def _send(self, ask: Ask) -> None:
+    def _send(self, request: ClientRequest) -> None:
         connection = self._connection
         if connection is None or connection.transport is None or connection.transport.is_closing():
-            self._crowd.start(self._send_anew(ask))
+            self._generator.start(self._send_on_new_connection(request))
             return
-        ask.sent += 1
-        connection.open.append(ask)
-        connection.transport.write(ask.words)
+        request.attempts += 1
+        connection.open.append(request)
+        connection.transport.write(request.words)
 
-    async def _send_anew(self, ask: Ask) -> None:
+    async def _send_on_new_connection(self, request: ClientRequest) -> None:
         try:
             connection = self._connection
             if (
@@ -110,39 +110,39 @@
             ):
                 await self.connect()
         except OSError:
-            self.ended(ask, "closed")
+            self.ended(request, "closed")
             return
-        if not ask.kind:
-            self._send(ask)
+        if not request.outcome:
+            self._send(request)
 
-    def crossed(self, ask: Ask) -> None:
+    def connection_lost(self, request: ClientRequest) -> None:
         """The connection ended under it: once more on a new one, as the protocol says."""
-        if ask.sent > 1:
-            self.ended(ask, "closed")
-        elif not ask.kind:
-            self._send(ask)
+        if request.attempts > 1:
+            self.ended(request, "closed")
+        elif not request.outcome:
+            self._send(request)
 
-    def _expire(self, ask: Ask) -> None:
-        if ask.kind:
+    def _expire(self, request: ClientRequest) -> None:
+        if request.outcome:
             return
-        self.ended(ask, "expired")
+        self.ended(request, "expired")
         connection = self._connection
-        if connection is not None and ask in connection.open:
-            connection.open.remove(ask)
+        if connection is not None and request in connection.open:
+            connection.open.remove(request)
             if connection.transport is not None:
                 connection.transport.abort()
 
-    def ended(self, ask: Ask, kind: str) -> None:
-        if not ask.kind:
-            ask.kind, ask.answered_at = kind, self._crowd.loop.time()
-            self._crowd.asks.append(ask)
+    def ended(self, request: ClientRequest, kind: str) -> None:
+        if not request.outcome:
+            request.outcome, request.ended_at = kind, self._generator.loop.time()
+            self._generator.finished.append(request)
 
     def close(self) -> None:
         if self._connection is not None and self._connection.transport is not None:
             self._connection.transport.abort()
 
 
-class Crowd:
+class LoadGenerator:
     """Clients that together ask `rate` times a second, Poisson, for `seconds`."""
 
     def __init__(
@@ -152,17 +152,17 @@
         seed: int = 1,
         keys: int = 1000,
         wait: float = 0.6,
-        told: bytes = b"",
+        wait_field: bytes = b"",
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.port, self._keys, self._wait = port, keys, wait
-        self._told = told or b"%d" % int(wait * 1000.0)  # ms, as the proxy hears it
+        self._wait_field = wait_field or b"%d" % int(wait * 1000.0)  # ms, as the proxy hears it
         self._random = random.Random(seed)
         self.clients = [Client(self, number) for number in range(clients)]
-        self.asks: list[Ask] = []  # in the order of their ends
+        self.finished: list[ClientRequest] = []  # in the order of their ends
         self._tasks: set[asyncio.Task[None]] = set()
-        self.asked = 0
-        self.late = 0.0  # s, how far behind its own schedule the crowd has been at worst
+        self.sent = 0
+        self.max_lag = 0.0  # s, how far behind its own schedule the crowd has been at worst
 
     def start(self, work: Coroutine[None, None, None]) -> None:
         task = self.loop.create_task(work)
@@ -173,7 +173,7 @@
         for client in self.clients:
             await client.connect()
 
-    async def play(
+    async def run(
         self,
         rate: float,
         seconds: float,
@@ -190,15 +190,15 @@
             if at > now:
                 await asyncio.sleep(at - now)
             else:
-                self.late = max(self.late, now - at)
-            self.ask(pick(self.asked + 1) or self._random.choice(self.clients))
-            if self.asked % burst == 0:
+                self.max_lag = max(self.max_lag, now - at)
+            self.send_request(pick(self.sent + 1) or self._random.choice(self.clients))
+            if self.sent % burst == 0:
                 at += self._random.expovariate(rate / burst)
 
-    def ask(self, client: Client) -> None:
+    def send_request(self, client: Client) -> None:
         """One question of this client, now."""
-        self.asked += 1
-        client.ask(self._words(), self._wait)
+        self.sent += 1
+        client.send_request(self._words(), self._wait)
 
     def _words(self) -> bytes:
         key = b"key%d" % min(self._keys, int(self._random.paretovariate(0.9)))
@@ -206,17 +206,17 @@
             b"OBJ.GET",
             key,
             b"%016x" % self._random.getrandbits(64),
-            b"c=lookup,t=x,d=" + self._told,
+            b"c=lookup,t=x,d=" + self._wait_field,
         )
 
-    async def rest(self) -> None:
+    async def wait_for_answers(self) -> None:
         """Until each question has had its end."""
         async with asyncio.timeout(self._wait + 5.0):
-            while len(self.asks) < self.asked:
+            while len(self.finished) < self.sent:
                 await asyncio.sleep(0.01)
 
-    def kinds(self, since: float = 0.0, until: float = float("inf")) -> Counter[str]:
-        return Counter(a.kind for a in self.asks if since <= a.asked_at < until)
+    def count_outcomes(self, since: float = 0.0, until: float = float("inf")) -> Counter[str]:
+        return Counter(a.outcome for a in self.finished if since <= a.sent_at < until)
 
     def close(self) -> None:
         for client in self.clients:
--- a/limebridge/standins/consul.py
+++ b/limebridge/standins/consul.py
@@ -22,8 +22,8 @@
 from .consul_catalogue import FrozenAnswer, HealthEntry, MachineFields
 from .kv import KeyValues, duration
 
-WAIT = 300.0  # s of a blocking query that does not say for how long
-BODY_MOST = 1024 * 1024  # bytes of what a client sends
+DEFAULT_WAIT_S = 300.0  # s of a blocking query that does not say for how long
+MAX_BODY_BYTES = 1024 * 1024  # bytes of what a client sends
 
 
 @dataclass
@@ -50,18 +50,18 @@
         self.leader = True
         self._changed = asyncio.Event()
 
-    def change(self) -> None:
+    def raise_index(self) -> None:
         """After any change: the index rises, who waits is answered."""
         self.index += 1
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
-    def restart(self) -> None:
+    def restore_snapshot(self) -> None:
         """As servers restored from a snapshot: the same content under a small index."""
         self.index = 0
-        self.change()
+        self.raise_index()
 
-    async def after(self, index: int, seconds: float) -> None:
+    async def wait_for_change(self, index: int, seconds: float) -> None:
         """Until the index has passed `index`, or that long."""
         try:
             async with asyncio.timeout(seconds):
@@ -73,26 +73,28 @@
     # --- what a deployment does ---
     def register(self, id_: str, port: int, service: str = "cache", **more: Any) -> None:
         self.services[id_] = Registered(id_, service, port, **more)
-        self.change()
+        self.raise_index()
 
     def deregister(self, *ids: str) -> None:
         for id_ in ids:
             self.services.pop(id_, None)
-        self.change()
+        self.raise_index()
 
     def check(self, id_: str, status: str, check: str = "") -> None:
         self.services[id_].checks[check or f"service:{id_}"] = status
-        self.change()
+        self.raise_index()
 
-    def maintain(self, id_: str, on: bool) -> None:
+    def set_maintenance(self, id_: str, on: bool) -> None:
         name = f"_service_maintenance:{id_}"
         if on:
             self.services[id_].checks[name] = "critical"
         else:
             self.services[id_].checks.pop(name, None)
-        self.change()
+        self.raise_index()
 
-    def listed(self, service: str, tag: str = "", passing: bool = False) -> list[HealthEntry]:
+    def health_entries(
+        self, service: str, tag: str = "", passing: bool = False
+    ) -> list[HealthEntry]:
         return [
             self._element(each)
             for each in self.services.values()
@@ -138,22 +140,24 @@
     def __init__(self, catalogue: Catalogue | None = None, seed: int = 1) -> None:
         self.catalogue = catalogue or Catalogue()
         self._random = random.Random(seed)
-        self.asked: list[str] = []  # targets
+        self.requests: list[str] = []  # targets
         self.tokens: list[str] = []
         self.token = ""  # that is demanded, if any
         self.delay = 0.0  # s before any answer
-        self.answers: list[bytes] = []  # raw answers that are given first, once each
-        self.black = False  # takes connections and says nothing
+        self.canned_answers: list[bytes] = []  # raw answers that are given first, once each
+        self.unresponsive = False  # takes connections and says nothing
         self.status = 200  # of all answers
         self.retry_after = ""
         self.headers: dict[str, str] = {}  # more of them, or others
-        self.cut = 0  # bytes after which an answer breaks off; 0: whole
-        self.drip = 0.0  # s between the bytes of an answer
+        self.truncate_after = 0  # bytes after which an answer breaks off; 0: whole
+        self.byte_interval = 0.0  # s between the bytes of an answer
         self.frozen: FrozenAnswer | None = None  # a replica that hears nothing
-        self.told: Callable[[str, bytes], None] = lambda target, body: None  # whole good answers
+        self.on_answered: Callable[[str, bytes], None] = lambda target, body: (
+            None
+        )  # whole good answers
         self.open: dict[asyncio.StreamWriter, None] = {}
         self.kv = KeyValues(self.catalogue, self._random)
-        self.loses_answers = False  # what was asked is done, and then the connection is reset
+        self.drops_answers = False  # what was asked is done, and then the connection is reset
         self.port = 0
 
     async def start(self, port: int = 0, tls: ssl.SSLContext | None = None) -> Consul:
@@ -168,22 +172,22 @@
             writer.transport.abort()
         await asyncio.sleep(0)
 
-    async def fault(self, kind: str, seconds: float) -> None:
+    async def inject_fault(self, kind: str, seconds: float) -> None:
         """Of `limebridge.faults.plan`; `heal` ends what lasts."""
         if kind == "leader":
             self.catalogue.leader = False
             await asyncio.sleep(seconds)
             self.kv.new_leader(self._random.random() < 0.5)
-            self.heal()
+            self.end_fault()
         elif kind == "lose_answers":
-            self.loses_answers = True
+            self.drops_answers = True
             await asyncio.sleep(seconds)
-            self.heal()
+            self.end_fault()
         else:
-            self.kv.forget()
+            self.kv.lose_data()
 
-    def heal(self) -> None:
-        self.catalogue.leader, self.loses_answers = True, False
+    def end_fault(self) -> None:
+        self.catalogue.leader, self.drops_answers = True, False
 
     def logs(self) -> dict[str, list[bytes]]:
         """The fleet's logs: their records in order."""
@@ -196,7 +200,7 @@
 
     def freeze(self, service: str = "cache") -> None:
         """From now on this agent answers with what there is now."""
-        self.frozen = FrozenAnswer(self.catalogue.index, self.catalogue.listed(service))
+        self.frozen = FrozenAnswer(self.catalogue.index, self.catalogue.health_entries(service))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.open[writer] = None
@@ -217,10 +221,10 @@
             for name, _, value in (line.partition(":") for line in head[1:] if line)
         }
         length = int(headers.get("content-length", "0"))
-        if length > BODY_MOST:
+        if length > MAX_BODY_BYTES:
             raise ValueError("too much")
         body = await reader.readexactly(length)
-        self.asked.append(target)
+        self.requests.append(target)
         token = headers.get("x-consul-token", "")
         self.tokens.append(token)
         parts = urlsplit(target)
@@ -239,30 +243,30 @@
             status, said = await self._answer(method, target, body)
         await asyncio.sleep(self.delay)
         # Troubles last: one that begins while a query blocks meets its answer.
-        if self.loses_answers and method == "PUT":
+        if self.drops_answers and method == "PUT":
             writer.transport.abort()
             return False
-        if self.black:
+        if self.unresponsive:
             await asyncio.Event().wait()
-        if self.answers:
-            writer.write(self.answers.pop(0))
+        if self.canned_answers:
+            writer.write(self.canned_answers.pop(0))
             return True
         if token != self.token:
             status, said = 403, b"Permission denied"
         elif self.status != 200:
             status, said = self.status, b"No cluster leader"
         answer = self._framed(status, said, index)
-        if self.drip:
+        if self.byte_interval:
             for place in range(len(answer)):
                 writer.write(answer[place : place + 1])
-                await asyncio.sleep(self.drip)
-        elif self.cut:
-            writer.write(answer[: self.cut])
+                await asyncio.sleep(self.byte_interval)
+        elif self.truncate_after:
+            writer.write(answer[: self.truncate_after])
             return False
         else:
             writer.write(answer)
             if status == 200 and not reader.at_eof() and reader.exception() is None:
-                self.told(target, said)  # who had asked is still there
+                self.on_answered(target, said)  # who had asked is still there
         return True
 
     def _framed(self, status: int, body: bytes, index: int | None) -> bytes:
@@ -302,7 +306,7 @@
                 listed = (
                     self.frozen.entries
                     if self.frozen and "consistent" not in asks
-                    else self.catalogue.listed(name, asks.get("tag", ""), "passing" in asks)
+                    else self.catalogue.health_entries(name, asks.get("tag", ""), "passing" in asks)
                 )
                 said = listed if kind == "health" else [_as_catalogue(each) for each in listed]
                 return 200, json.dumps(said).encode()
@@ -319,12 +323,12 @@
 
     async def _block(self, asks: dict[str, str]) -> None:
         """Wait, as a blocking query does, for the index to pass the one that is named."""
-        seconds = duration(asks.get("wait", "")) or WAIT
+        seconds = duration(asks.get("wait", "")) or DEFAULT_WAIT_S
         seconds += self._random.uniform(0.0, seconds / 16)
         if self.frozen is not None:
             await asyncio.sleep(seconds)
         else:
-            await self.catalogue.after(int(asks["index"]), seconds)
+            await self.catalogue.wait_for_change(int(asks["index"]), seconds)
 
     def _put(self, path: list[str], asks: dict[str, str], body: Any) -> tuple[int, bytes]:
         catalogue = self.catalogue
@@ -349,11 +353,11 @@
                         for each in checks
                     },
                 )
-                catalogue.change()
+                catalogue.raise_index()
             case ["v1", "agent", "service", "deregister", id_] if id_ in catalogue.services:
                 catalogue.deregister(id_)
             case ["v1", "agent", "service", "maintenance", id_] if id_ in catalogue.services:
-                catalogue.maintain(id_, asks.get("enable", "").lower() in ("1", "t", "true"))
+                catalogue.set_maintenance(id_, asks.get("enable", "").lower() in ("1", "t", "true"))
             case ["v1", "agent", "check", ("update" | "pass" | "warn" | "fail") as verb, check]:
                 id_ = check.removeprefix("service:")
                 if id_ not in catalogue.services:
--- a/limebridge/standins/discovery.py
+++ b/limebridge/standins/discovery.py
@@ -12,9 +12,9 @@
     """Answers watches with what `tell` gives it; `refuse` makes it fail."""
 
     def __init__(self) -> None:
-        self.lines: list[ListChange] = []
-        self.asked: list[str] = []
-        self.refuse = False
+        self.changes: list[ListChange] = []
+        self.requests: list[str] = []
+        self.unavailable = False
         self.open: dict[asyncio.StreamWriter, None] = {}
 
     async def start(self) -> Discovery:
@@ -25,13 +25,13 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             head = await reader.readuntil(b"\r\n\r\n")
-            self.asked.append(head.split()[1].decode())
-            if self.refuse:
+            self.requests.append(head.split()[1].decode())
+            if self.unavailable:
                 writer.write(b"HTTP/1.1 503 Unavailable\r\nContent-Length: 0\r\n\r\n")
                 return
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             self.open[writer] = None
-            for line in self.lines:
+            for line in self.changes:
                 self.send(writer, json.dumps(line).encode())
             while True:  # the daemon's patience with a silent watch is 3 s
                 try:
@@ -49,12 +49,12 @@
     def send(self, writer: asyncio.StreamWriter, text: bytes) -> None:
         writer.write(b"%x\r\n%b\n\r\n" % (len(text) + 1, text))
 
-    def tell(self, *entries: NodeEntry, reset: bool = False) -> None:
-        self.lines.append(
-            {"generation": 100 + len(self.lines), "reset": reset, "instances": list(entries)}
+    def publish(self, *entries: NodeEntry, reset: bool = False) -> None:
+        self.changes.append(
+            {"generation": 100 + len(self.changes), "reset": reset, "instances": list(entries)}
         )
         for writer in list(self.open):
-            self.send(writer, json.dumps(self.lines[-1]).encode())
+            self.send(writer, json.dumps(self.changes[-1]).encode())
 
     async def stop(self) -> None:
         self._server.close()
--- a/limebridge/standins/disk.py
+++ b/limebridge/standins/disk.py
@@ -11,34 +11,34 @@
 SECTOR = 512
 
 
-class PowerCut(BaseException):
+class PowerLoss(BaseException):
     """Nothing runs any more; not for anybody to catch but who plays the cut."""
 
 
-class CutDisk:
-    """`cut_at`: the write at which the power fails; 0: never.  `writes` counts them."""
+class PowerLossDisk:
+    """`fail_at_write`: the write at which the power fails; 0: never.  `writes` counts them."""
 
-    def __init__(self, seed: int = 0, cut_at: int = 0) -> None:
-        self._seed, self.cut_at = seed, cut_at
+    def __init__(self, seed: int = 0, fail_at_write: int = 0) -> None:
+        self._seed, self.fail_at_write = seed, fail_at_write
         self.writes = 0
-        self.fails = 0  # of the next writes: OSError, and nothing is kept of them
-        self._kept: dict[str, bytes] = {}  # as the platter has it
-        self._now: dict[str, bytes] = {}  # as programs see it
+        self.failing_writes = 0  # of the next writes: OSError, and nothing is kept of them
+        self._durable: dict[str, bytes] = {}  # as the platter has it
+        self._visible: dict[str, bytes] = {}  # as programs see it
 
     def _write(self) -> None:
         self.writes += 1
-        if self.cut_at and self.writes >= self.cut_at:
-            raise PowerCut
-        if self.fails:
-            self.fails -= 1
+        if self.fail_at_write and self.writes >= self.fail_at_write:
+            raise PowerLoss
+        if self.failing_writes:
+            self.failing_writes -= 1
             raise OSError(28, "No space left on device")
 
-    def cut(self) -> None:
+    def lose_power(self) -> None:
         """The power has failed; what a start finds."""
         rng = random.Random(f"{self._seed}/{self.writes}")
         after: dict[str, bytes] = {}
-        for name in {**self._kept, **self._now}:
-            kept, now = self._kept.get(name), self._now.get(name)
+        for name in {**self._durable, **self._visible}:
+            kept, now = self._durable.get(name), self._visible.get(name)
             if kept is None:  # a new name: it may be there, with any of its bytes
                 if rng.random() < 0.5:
                     assert now is not None
@@ -50,46 +50,46 @@
                 after[name] = (
                     _torn(kept, now, rng) if now.startswith(kept) else rng.choice((kept, now))
                 )
-        self._kept, self._now = dict(after), dict(after)
-        self.cut_at = 0
+        self._durable, self._visible = dict(after), dict(after)
+        self.fail_at_write = 0
 
     # --- Files ---
     def lock(self) -> bool:
         return True  # one process at a time is the affair of who plays them
 
     def names(self) -> list[str]:
-        return sorted(self._now)
+        return sorted(self._visible)
 
     def read(self, name: str) -> bytes:
-        return self._now[name]
+        return self._visible[name]
 
     def append(self, name: str, data: bytes) -> None:
         self._write()
-        self._now[name] = self._now.get(name, b"") + data
+        self._visible[name] = self._visible.get(name, b"") + data
 
     def sync(self) -> None:
         self._write()
-        self._kept = dict(self._now)
+        self._durable = dict(self._visible)
 
     def put(self, name: str, data: bytes) -> None:
         aside = f"{name}.new"
         self._write()
-        self._now[aside] = data
+        self._visible[aside] = data
         self._write()
-        self._kept[aside] = data
+        self._durable[aside] = data
         self._write()
-        self._now[name] = self._now.pop(aside)
+        self._visible[name] = self._visible.pop(aside)
         self._write()
-        self._kept[name] = data
-        self._kept.pop(aside, None)
+        self._durable[name] = data
+        self._durable.pop(aside, None)
 
     def move(self, name: str, to: str) -> None:
         self._write()
-        self._now[to] = self._now.pop(name)
+        self._visible[to] = self._visible.pop(name)
 
     def remove(self, name: str) -> None:
         self._write()
-        self._now.pop(name, None)
+        self._visible.pop(name, None)
 
     def close(self) -> None:
         pass
--- a/limebridge/standins/effects.py
+++ b/limebridge/standins/effects.py
@@ -1,6 +1,6 @@
 """An endpoint that takes effects by key and fence, and tells a late owner so.
 
-Takes what `violetroute/fleet/job.py` describes.  Troubles are named by `trouble`.
+Takes what `violetroute/fleet/job.py` describes.  Troubles are named by `fault`.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .endpoint import Endpoint
+from .endpoint import HttpEndpoint
 from .wire import read_request
 
 
@@ -25,30 +25,30 @@
     body: Any
 
 
-class Effects(Endpoint):
+class EffectEndpoint(HttpEndpoint):
     """`taken` in their order; what comes twice under one key and body counts once."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.taken: list[Effect] = []
-        self.high: dict[str, tuple[int, str]] = {}  # fence and whose, by work
+        self.applied: list[Effect] = []
+        self.highest_fence: dict[str, tuple[int, str]] = {}  # fence and whose, by work
         self.bodies: dict[str, bytes] = {}  # by key
         self.conflicts = 0  # of one key with two bodies
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             _, headers, body = await read_request(reader)
-            trouble = self.trouble()
-            if trouble == "lost before":
+            fault = self.fault()
+            if fault == "lost before":
                 writer.transport.abort()
                 return
             status, said = self._take(headers, body)
-            if trouble == "twice":
+            if fault == "twice":
                 status, said = self._take(headers, body)
-            if trouble == "lost after":
+            if fault == "lost after":
                 writer.transport.abort()
                 return
-            if trouble == "500 after":
+            if fault == "500 after":
                 status, said = 500, b""
             writer.write(
                 b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%b" % (status, len(said), said)
@@ -63,17 +63,17 @@
         key = headers["idempotency-key"].strip('"')
         number, _, nonce = headers["fence"].partition(";")
         fence, work = int(number), key.partition("/")[0]
-        high, whose = self.high.get(work, (0, ""))
+        high, whose = self.highest_fence.get(work, (0, ""))
         if fence < high or (fence == high and nonce != whose):
             return 412, json.dumps({"fence": high}).encode()
-        self.high[work] = fence, nonce
+        self.highest_fence[work] = fence, nonce
         if key in self.bodies:
             if self.bodies[key] != body:
                 self.conflicts += 1
                 return 422, b""
             return 200, b""
         self.bodies[key] = body
-        self.taken.append(
+        self.applied.append(
             Effect(asyncio.get_running_loop().time(), key, fence, nonce, json.loads(body))
         )
         return 201, b""
--- a/limebridge/standins/endpoint.py
+++ b/limebridge/standins/endpoint.py
@@ -8,11 +8,11 @@
 from typing import Self
 
 
-class Endpoint:
-    """A subclass says how it serves.  `trouble` is asked for each request: a name, or ""."""
+class HttpEndpoint:
+    """A subclass says how it serves.  `fault` is asked for each request: a name, or ""."""
 
     def __init__(self) -> None:
-        self.trouble: Callable[[], str] = lambda: ""
+        self.fault: Callable[[], str] = lambda: ""
         self.port = 0
 
     async def start(self, port: int = 0, tls: ssl.SSLContext | None = None) -> Self:
--- a/limebridge/standins/fleet.py
+++ b/limebridge/standins/fleet.py
@@ -16,10 +16,10 @@
 from .nodes import CacheNode
 from .wire import command, read_words, reply
 
-MEAN_DRAW = math.exp(-0.1 + 0.4**2 / 2)  # of the factor that a command's work is drawn with
+MEAN_WORK_FACTOR = math.exp(-0.1 + 0.4**2 / 2)  # of the factor that a command's work is drawn with
 
 
-class Witness(Protocol):
+class NodeObserver(Protocol):
     """Who hears what a node saw; times are the loop's."""
 
     def arrived(self, at: float, node: str, id_: str, sent_at: float) -> None: ...
@@ -28,7 +28,7 @@
     def started(self, at: float, node: str, capacity: float) -> None: ...
 
 
-class Effects:
+class IdempotencyKeys:
     """The idempotency keys that a group of nodes knows, each for a window."""
 
     def __init__(self, window: float) -> None:
@@ -51,8 +51,8 @@
         self,
         name: str,
         database: CustomerDatabase,
-        effects: Effects,
-        witness: Witness,
+        effects: IdempotencyKeys,
+        witness: NodeObserver,
         seed: str,
         slots: int = 2,
         waiting: int = 8,
@@ -71,15 +71,17 @@
         self._sent_at = sent_at
         self._work_of = work  # s by class, in place of `service`
         self._keeps = keeps  # values; the oldest make way
-        self.worked = 0.0  # s of its slots' time
+        self.busy_seconds = 0.0  # s of its slots' time
         self._busy = 0
         self._free = asyncio.Semaphore(slots)
         self._kept: dict[bytes, bytes] = {}
-        self.born: float | None = None  # of a cold start; None is warm
-        self.life = 0  # counts starts: what an earlier process had in hand is gone
+        self.cold_since: float | None = None  # of a cold start; None is warm
+        self.incarnation = 0  # counts starts: what an earlier process had in hand is gone
         self.slowness = 1.0
-        self.swallows = self.spoils = self.errors = 0.0  # shares of the commands
-        self.loses_after: float | None = None  # s; all work is done, then its connection breaks
+        self.no_answer_share = self.malformed_share = self.error_share = (
+            0.0  # shares of the commands
+        )
+        self.reset_after: float | None = None  # s; all work is done, then its connection breaks
         self.draining = False
         self.flowing = asyncio.Event()  # cleared while it stalls
         self.flowing.set()
@@ -89,33 +91,33 @@
         """Requests a second when warm."""
         return self._slots / self._service
 
-    def begin_cold(self) -> None:
+    def start_cold(self) -> None:
         """As after a start: nothing kept, and slow."""
-        self.life += 1
+        self.incarnation += 1
         self._kept.clear()
         self.draining = False
         self._busy, self._free = 0, asyncio.Semaphore(self._slots)
-        self.born = asyncio.get_running_loop().time()
-        self._witness.started(self.born, self.name, self.capacity)
+        self.cold_since = asyncio.get_running_loop().time()
+        self._witness.started(self.cold_since, self.name, self.capacity)
 
-    def _share(self, now: float) -> float:
-        if self.born is None or now - self.born >= self._warm:
+    def _warm_share(self, now: float) -> float:
+        if self.cold_since is None or now - self.cold_since >= self._warm:
             return 1.0
-        return self._cold_from + (1.0 - self._cold_from) * (now - self.born) / self._warm
+        return self._cold_from + (1.0 - self._cold_from) * (now - self.cold_since) / self._warm
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         self.open[writer] = None
-        offset, loop, life = 0, asyncio.get_running_loop(), self.life
+        offset, loop, incarnation = 0, asyncio.get_running_loop(), self.incarnation
         try:
-            while life == self.life:
+            while incarnation == self.incarnation:
                 words = await read_words(reader)
                 now = loop.time()
                 sent = self._sent_at(writer, offset) if self._sent_at is not None else now
                 offset += len(command(*words))
-                if life != self.life:
+                if incarnation != self.incarnation:
                     break
-                await self._one(words, writer, now, sent, life)
+                await self._one(words, writer, now, sent, incarnation)
         except (asyncio.IncompleteReadError, ConnectionError, ValueError):
             pass
         finally:
@@ -123,7 +125,12 @@
             writer.close()
 
     async def _one(
-        self, words: list[bytes], writer: asyncio.StreamWriter, now: float, sent: float, life: int
+        self,
+        words: list[bytes],
+        writer: asyncio.StreamWriter,
+        now: float,
+        sent: float,
+        incarnation: int,
     ) -> None:
         id_ = words[2].decode(errors="replace")
         self._witness.arrived(now, self.name, id_, sent)
@@ -131,7 +138,7 @@
         if self.draining or self._busy >= self._slots + self._waiting:
             writer.write(b"-BUSY\r\n")
             return
-        if draw < self.errors:
+        if draw < self.error_share:
             writer.write(b"-ERR broken\r\n")
             return
         self._witness.accepted(now, self.name, id_)
@@ -141,17 +148,17 @@
         self._busy += 1
         try:
             async with self._free:
-                answer = await self._work(words, id_, life, fresh)
+                answer = await self._work(words, id_, incarnation, fresh)
         finally:
-            if life == self.life:
+            if incarnation == self.incarnation:
                 self._busy -= 1
-        if life != self.life or draw > 1.0 - self.swallows:
+        if incarnation != self.incarnation or draw > 1.0 - self.no_answer_share:
             return
-        if self.loses_after is not None:
-            await asyncio.sleep(self.loses_after)
+        if self.reset_after is not None:
+            await asyncio.sleep(self.reset_after)
             writer.transport.abort()
             return
-        if self._random.random() < self.spoils:
+        if self._random.random() < self.malformed_share:
             answer = self._random.choice(
                 (
                     b"\x81\x02\xff",
@@ -162,7 +169,7 @@
             )
         writer.write(answer)
 
-    async def _work(self, words: list[bytes], id_: str, life: int, fresh: bool) -> bytes:
+    async def _work(self, words: list[bytes], id_: str, incarnation: int, fresh: bool) -> bytes:
         loop = asyncio.get_running_loop()
         await self.flowing.wait()
         time = (
@@ -171,11 +178,11 @@
             else self._work_of.get(_field(words, b"c").decode(), self._service)
         )
         time *= self._random.lognormvariate(-0.1, 0.4) * self.slowness
-        time /= self._share(loop.time())
-        self.worked += time
+        time /= self._warm_share(loop.time())
+        self.busy_seconds += time
         await asyncio.sleep(time)
         await self.flowing.wait()
-        if life != self.life:
+        if incarnation != self.incarnation:
             return b""
         key = words[1]
         if words[0].upper() == b"OBJ.SET":
@@ -193,15 +200,15 @@
             return reply(value, b"miss")
         return reply(self._kept[key], b"hit")
 
-    def able(self, now: float) -> float:
+    def available_capacity(self, now: float) -> float:
         """Its slots' work a second at this moment, 1 being a warm slot's at its own speed."""
         if not self.up or not self.flowing.is_set() or self.draining:
             return 0.0
-        return self._slots * self._share(now) / self.slowness / MEAN_DRAW
+        return self._slots * self._warm_share(now) / self.slowness / MEAN_WORK_FACTOR
 
-    async def die(self) -> None:
+    async def crash(self) -> None:
         """The process ends at once, with all that it had in hand."""
-        self.life += 1
+        self.incarnation += 1
         self.up = False
         self._server.close()
         for writer in list(self.open):
--- a/limebridge/standins/kv.py
+++ b/limebridge/standins/kv.py
@@ -17,19 +17,19 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-LOCK_DELAY = 15.0  # s, of a session that does not say
-VALUE_MOST = 512 * 1024  # bytes
-STEPS_MOST = 128  # of a transaction
+DEFAULT_LOCK_DELAY_S = 15.0  # s, of a session that does not say
+MAX_VALUE_BYTES = 512 * 1024  # bytes
+MAX_TXN_OPERATIONS = 128  # of a transaction
 
 
-class Index(Protocol):
+class CatalogueIndex(Protocol):
     """What the servers agree on: `Catalogue`."""
 
     index: int
 
-    def change(self) -> None: ...
+    def raise_index(self) -> None: ...
 
-    async def after(self, index: int, seconds: float) -> None: ...
+    async def wait_for_change(self, index: int, seconds: float) -> None: ...
 
 
 @dataclass
@@ -54,7 +54,7 @@
 class KeyValues:
     """The servers' state; `change` of the catalogue is their index."""
 
-    servers: Index
+    servers: CatalogueIndex
     rng: random.Random
     entries: dict[str, Entry] = field(default_factory=dict)
     sessions: dict[str, Session] = field(default_factory=dict)
@@ -66,14 +66,14 @@
         return asyncio.get_running_loop().time()
 
     # --- what goes wrong ---
-    def forget(self) -> None:
+    def lose_data(self) -> None:
         """Servers that have lost their data."""
         for id_ in list(self.sessions):
             self._end(id_, tell=False)
         self.entries.clear()
         self.marks.clear()
         self.servers.index = 0
-        self.servers.change()
+        self.servers.raise_index()
 
     def new_leader(self, loses: bool) -> None:
         """Sessions are lost, or live on from now."""
@@ -81,10 +81,10 @@
             if loses:
                 self._end(id_)
             else:
-                self._wind(id_)
+                self._restart_ttl(id_)
 
     # --- sessions ---
-    def _wind(self, id_: str) -> None:
+    def _restart_ttl(self, id_: str) -> None:
         session = self.sessions[id_]
         if session.timer is not None:
             session.timer.cancel()
@@ -107,7 +107,7 @@
                     entry.modify = self.servers.index + 1
                 self.marks[key] = self.servers.index + 1
         if tell:
-            self.servers.change()
+            self.servers.raise_index()
 
     def _create(self, body: dict[str, Any]) -> tuple[int, bytes]:
         id_ = str(uuid.UUID(int=self.rng.getrandbits(128)))
@@ -117,11 +117,11 @@
         delay = body.get("LockDelay")
         self.sessions[id_] = Session(
             ttl,
-            LOCK_DELAY if delay is None else duration(str(delay)),
+            DEFAULT_LOCK_DELAY_S if delay is None else duration(str(delay)),
             body.get("Behavior", "release"),
         )
-        self._wind(id_)
-        self.servers.change()
+        self._restart_ttl(id_)
+        self.servers.raise_index()
         return 200, json.dumps({"ID": id_}).encode()
 
     # --- calls ---
@@ -133,7 +133,7 @@
         if method == "GET":
             key, recurse = "/".join(path[1:]), "recurse" in asks
             if "index" in asks:
-                await self._news(key, recurse, int(asks["index"]), asks.get("wait", ""))
+                await self._wait_for_key(key, recurse, int(asks["index"]), asks.get("wait", ""))
             return *self._get(key, recurse), self._index(key, recurse)
         return *self._put(method, path, body), self.servers.index
 
@@ -150,12 +150,12 @@
             ]
         )
 
-    async def _news(self, key: str, recurse: bool, index: int, wait: str) -> None:
+    async def _wait_for_key(self, key: str, recurse: bool, index: int, wait: str) -> None:
         """Until this prefix has changed, or that long."""
         seconds = (duration(wait) or 300.0) * self.rng.uniform(1.0, 1.0625)
         until = self._now + seconds
         while self._index(key, recurse) == index and self._now < until:
-            await self.servers.after(self.servers.index, until - self._now)
+            await self.servers.wait_for_change(self.servers.index, until - self._now)
 
     def _put(self, method: str, path: list[str], body: bytes) -> tuple[int, bytes]:
         match method, path:
@@ -164,7 +164,7 @@
             case "PUT", ["session", "renew", id_]:
                 if id_ not in self.sessions:
                     return 404, f"Session id '{id_}' not found".encode()
-                self._wind(id_)
+                self._restart_ttl(id_)
                 return 200, json.dumps([{"ID": id_}]).encode()
             case "PUT", ["session", "destroy", id_]:
                 self._end(id_)
@@ -198,7 +198,7 @@
 
     def _transaction(self, steps: list[dict[str, Any]]) -> tuple[int, bytes]:
         """All of it or nothing: checks come before any change, whatever their order."""
-        if len(steps) > STEPS_MOST:
+        if len(steps) > MAX_TXN_OPERATIONS:
             return 413, b"too many operations"
         asked = [step["KV"] for step in steps]
         wrong = [place for place, step in enumerate(asked) if not self._holds(step)]
@@ -211,7 +211,7 @@
             ).encode()
         for step in asked:
             self._apply(step)
-        self.servers.change()
+        self.servers.raise_index()
         return 200, json.dumps({"Results": [], "Errors": None}).encode()
 
     def _holds(self, step: dict[str, Any]) -> bool:
@@ -222,7 +222,7 @@
             case "check-not-exists":
                 return entry is None
             case "set":
-                return len(base64.b64decode(step["Value"])) <= VALUE_MOST
+                return len(base64.b64decode(step["Value"])) <= MAX_VALUE_BYTES
             case "lock":
                 return step["Session"] in self.sessions and (
                     entry is None
--- a/limebridge/virtual/client.py
+++ b/limebridge/virtual/client.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any, Protocol
 
-from limebridge.rules import Judge
+from limebridge.rules import RuleChecker
 from limebridge.standins.wire import read_answer
 
 from .network import Network
@@ -29,7 +29,7 @@
 class Asked(Protocol):
     """What a client asks of the run it is in."""
 
-    judge: Judge
+    judge: RuleChecker
     keys: dict[str, bytes]
     port: int
 
@@ -67,7 +67,7 @@
             writer = self._writer
         writer.write(words)
         now, wait = world.kernel.now, WAITS[cls]
-        world.judge.asked(now, id_, cls, wait)
+        world.judge.request_sent(now, id_, cls, wait)
         world.note(f"asked {id_} {cls} by {self.number}")
         self.open[id_] = world.loop.call_at(now + wait, self._expire, id_)
 
@@ -84,7 +84,7 @@
                     else "served"
                 )
                 if not self.open:
-                    world.judge.stray(world.kernel.now, repr(answer[:40]))
+                    world.judge.unexpected_answer(world.kernel.now, repr(answer[:40]))
                     break
                 id_ = next(iter(self.open))
                 self.open.pop(id_).cancel()
@@ -92,7 +92,9 @@
                     b"stored",
                     b"template of " + world.keys[id_],
                 ):
-                    world.judge.fault(world.kernel.now, f"{id_} got another's answer: {answer!r}")
+                    world.judge.report_fault(
+                        world.kernel.now, f"{id_} got another's answer: {answer!r}"
+                    )
                 world.note(f"{kind} {id_}")
                 world.judge.answered(world.kernel.now, id_, kind)
         except (asyncio.IncompleteReadError, ConnectionError, ValueError):
@@ -102,7 +104,7 @@
             timer.cancel()
             if not self._leaving:
                 world.note(f"closed under {id_}")
-                world.judge.closed_under(world.kernel.now, id_)
+                world.judge.connection_closed(world.kernel.now, id_)
         self.open.clear()
 
     def _expire(self, id_: str) -> None:
@@ -120,7 +122,7 @@
         self._leaving = True
         for id_, timer in self.open.items():
             timer.cancel()
-            world.judge.gone(world.kernel.now, id_)
+            world.judge.client_gone(world.kernel.now, id_)
         if self._writer is not None:
             world.leaving[self._writer.get_extra_info("socket")._sock] = list(self.open)
             self._writer.transport.abort()
--- a/limebridge/virtual/consul.py
+++ b/limebridge/virtual/consul.py
@@ -28,12 +28,12 @@
 
 FLAP = 0.3  # s between two states of a node that flaps
 HEALTHY: dict[str, Any] = {
-    "black": False,
+    "unresponsive": False,
     "status": 200,
     "retry_after": "",
     "delay": 0.0,
-    "cut": 0,
-    "answers": [],
+    "truncate_after": 0,
+    "canned_answers": [],
     "headers": {},
     "frozen": None,
 }
@@ -65,7 +65,7 @@
             self._register(node)
         self.table = replace_agents(self.agents)
         if self.plan.sources:
-            self.discovery.tell(*(self._entry(node) for node in self.nodes), reset=True)
+            self.discovery.publish(*(self._entry(node) for node in self.nodes), reset=True)
         return Operator(
             consul=self.table,
             membership=MembershipTable(sources=self.plan.sources, patience_s=2.0, settle_s=0.5),
@@ -103,7 +103,7 @@
             self._register(node)
         elif lifecycle == "terminating":
             if node.name in self.catalogue.services:
-                self.catalogue.maintain(node.name, True)
+                self.catalogue.set_maintenance(node.name, True)
         else:
             self.catalogue.deregister(node.name)
 
@@ -134,10 +134,12 @@
         self._told = (self._told - gone) | elements.keys()
         now = self.kernel.now
         for name in gone:
-            self.judge.heard(now, name, False, "consul")
+            self.judge.node_reported(now, name, False, "consul")
         for name, each in elements.items():
             started = float(each["Service"]["Meta"]["started_at_ms"])
-            self.judge.heard(now, name, not _drains(each), "consul", self._births.get(started))
+            self.judge.node_reported(
+                now, name, not _drains(each), "consul", self._births.get(started)
+            )
 
     def _restarted(self, states: dict[str, bool]) -> None:
         super()._restarted(states)
@@ -178,7 +180,7 @@
             await agent.start(agent.port)
 
     async def _consul_black(self, fault: Fault, node: FleetNode) -> None:
-        await self._agents(fault, black=True)
+        await self._agents(fault, unresponsive=True)
         for agent in self.agents:  # what hung goes on hanging: its connection ends
             for writer in list(agent.open):
                 writer.transport.abort()
@@ -194,12 +196,12 @@
         await self._agents(fault, delay=fault.amount)
 
     async def _consul_breaks_off(self, fault: Fault, node: FleetNode) -> None:
-        await self._agents(fault, cut=200 if fault.amount < 0.5 else 900)
+        await self._agents(fault, truncate_after=200 if fault.amount < 0.5 else 900)
 
     async def _consul_noise(self, fault: Fault, node: FleetNode) -> None:
         await self._agents(
             fault,
-            answers=[
+            canned_answers=[
                 b"\x00\xff\r\n\r\n",
                 b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\n{}",
                 b"HTTP/1.1 200 X\r\n\r\n[}",
@@ -211,11 +213,11 @@
 
     async def _consul_lags(self, fault: Fault, node: FleetNode) -> None:
         """The agents hear nothing of the servers for a while and answer all the same."""
-        frozen = FrozenAnswer(self.catalogue.index, self.catalogue.listed("cache"))
+        frozen = FrozenAnswer(self.catalogue.index, self.catalogue.health_entries("cache"))
         await self._agents(fault, frozen=frozen)
 
     async def _consul_index(self, fault: Fault, node: FleetNode) -> None:
-        self.catalogue.restart()
+        self.catalogue.restore_snapshot()
 
     async def _consul_empty(self, fault: Fault, node: FleetNode) -> None:
         await self._without(fault, list(self.catalogue.services))
@@ -231,8 +233,8 @@
         for name, registered in kept.items():
             self.catalogue.services.setdefault(name, registered)
             if name in self.draining:
-                self.catalogue.maintain(name, True)
-        self.catalogue.change()
+                self.catalogue.set_maintenance(name, True)
+        self.catalogue.raise_index()
 
     async def _consul_flaps(self, fault: Fault, node: FleetNode) -> None:
         end = self.kernel.now + fault.lasts
@@ -247,11 +249,11 @@
         names = list(self.catalogue.services)
         for name in names:
             self.catalogue.services[name].checks["serf"] = "critical"
-        self.catalogue.change()
+        self.catalogue.raise_index()
         await asyncio.sleep(fault.lasts)
         for registered in self.catalogue.services.values():
             registered.checks.pop("serf", None)
-        self.catalogue.change()
+        self.catalogue.raise_index()
 
     async def _plan_changes(self, fault: Fault, node: FleetNode) -> None:
         """A plan made for nobody in particular, taken on and taken back under load."""
@@ -269,8 +271,8 @@
     async def _discovery_moves(self, fault: Fault, node: FleetNode) -> None:
         """From Consul to the platform's list, and back."""
         both = self.config, replace(self.config, operator=Operator())
-        self.discovery.lines.clear()
-        self.discovery.tell(
+        self.discovery.changes.clear()
+        self.discovery.publish(
             *(
                 self._entry(one, "in_service" if one.name not in self.draining else "terminating")
                 for one in self.nodes
--- a/limebridge/virtual/explore.py
+++ b/limebridge/virtual/explore.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from limebridge.rules import Break
+from limebridge.rules import Violation
 
 from .coverage import lean
 from .network import BUFFER
@@ -32,7 +32,7 @@
 
     seed: int
     plan: Plan
-    broken: list[Break]
+    broken: list[Violation]
     requests: int
     digest: str
     met: Counter[str]
--- a/limebridge/virtual/ledger.py
+++ b/limebridge/virtual/ledger.py
@@ -16,8 +16,8 @@
 
 import msgspec
 
-from limebridge.standins.billing import Billing
-from limebridge.standins.disk import CutDisk, PowerCut
+from limebridge.standins.billing import BillingEndpoint
+from limebridge.standins.disk import PowerLoss, PowerLossDisk
 from violetroute.ledger import LedgerTable
 from violetroute.ledger.accounts import Book
 from violetroute.ledger.service import Ledger
@@ -110,7 +110,7 @@
         failure: BaseException | None = None
         try:
             result = job()
-        except PowerCut:
+        except PowerLoss:
             self._fails()
             return
         except Exception as error:
@@ -130,10 +130,10 @@
         self.trial, self.out = trial, Outcome()
         self.kernel = Kernel(trial.seed, start=1000.0)
         self.loop = VirtualLoop(self.kernel)
-        self.disk = CutDisk(trial.seed, trial.cut_at)
+        self.disk = PowerLossDisk(trial.seed, trial.cut_at)
         self.rng = random.Random(f"trial/{trial.seed}")
         self.wall_off = START - self.kernel.now
-        self.billing = Billing()
+        self.billing = BillingEndpoint()
         self.ledger: Ledger | None = None
         self.slow = WRITE
         self.starts = 0
@@ -175,7 +175,7 @@
     def power_fails(self) -> None:
         self.writer.dead = True
         self.stops()
-        self.disk.cut()
+        self.disk.lose_power()
         self.loop.call_later(1.0, self.start)
 
     def serve(self) -> None:
@@ -195,7 +195,7 @@
         trial, rng = self.trial, self.rng
         await self.billing.start()
         if trial.troubles:
-            self.billing.trouble = lambda: rng.choice(TROUBLES) if rng.random() < 0.4 else ""
+            self.billing.fault = lambda: rng.choice(TROUBLES) if rng.random() < 0.4 else ""
         self.start()
         end = self.kernel.now + trial.minutes * 60.0
         events: list[tuple[float, Callable[[], None]]] = []
@@ -221,8 +221,8 @@
 
     async def finish(self) -> Outcome:
         """All is well again, and time enough passes."""
-        self.billing.trouble = lambda: ""
-        self.disk.fails, self.slow = 0, WRITE
+        self.billing.fault = lambda: ""
+        self.disk.failing_writes, self.slow = 0, WRITE
         await asyncio.sleep(3.0)
         for _ in range(200):
             if self.ledger is None:
@@ -268,25 +268,25 @@
             self.out.at_risk += _units(ledger._book) - _units(kept)
 
     def cut_soon(self) -> None:
-        self.disk.cut_at = self.disk.writes + self.rng.randint(1, 6)
+        self.disk.fail_at_write = self.disk.writes + self.rng.randint(1, 6)
 
     def step(self) -> None:
         self.wall_off += self.rng.choice((-400.0, -30.0, 30.0, 400.0))
 
     def disk_trouble(self) -> None:
         if self.rng.random() < 0.5:
-            self.disk.fails = self.rng.randint(1, 5)
+            self.disk.failing_writes = self.rng.randint(1, 5)
         else:
             self.slow = 30.0
             self.loop.call_later(0.2, setattr, self, "slow", WRITE)
 
     def copy(self) -> None:
-        self.old = dict(self.disk._now)
+        self.old = dict(self.disk._visible)
 
     def restore(self) -> None:
         """Yesterday's disk comes back."""
         self.kill()
-        self.disk._now, self.disk._kept = dict(self.old), dict(self.old)
+        self.disk._visible, self.disk._durable = dict(self.old), dict(self.old)
 
 
 def _units(book: Book) -> int:
--- a/limebridge/virtual/process.py
+++ b/limebridge/virtual/process.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from limebridge.rules.judge import PAUSE_SEEN
+from limebridge.rules.checker import MIN_DETECTABLE_PAUSE_S
 from violetroute.clients import Listener
 from violetroute.config import Config
 from violetroute.proxy import Proxy
@@ -62,7 +62,7 @@
 
     def resumed(self, seconds: float) -> None:
         """As TurnSelector has it: told from PAUSE_SEEN on, and reckoned from the poll before."""
-        if seconds >= PAUSE_SEEN:
+        if seconds >= MIN_DETECTABLE_PAUSE_S:
             self._lost, self._turn = seconds, self.count
             if self._told is not None:
                 self._told(seconds)
--- a/limebridge/virtual/session.py
+++ b/limebridge/virtual/session.py
@@ -79,11 +79,11 @@
 
 async def refused(seconds: float, discovery: Discovery) -> None:
     """Discovery ends its watches and refuses new ones for `seconds` s."""
-    discovery.refuse = True
+    discovery.unavailable = True
     for writer in list(discovery.open):
         writer.transport.abort()
     await asyncio.sleep(seconds)
-    discovery.refuse = False
+    discovery.unavailable = False
 
 
 def sent_at(writer: asyncio.StreamWriter, offset: int) -> float:
--- a/limebridge/virtual/troubles.py
+++ b/limebridge/virtual/troubles.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from limebridge.rules import Judge
+from limebridge.rules import RuleChecker
 from limebridge.standins.discovery import Discovery
 from limebridge.standins.fleet import FleetNode
 from limebridge.standins.node_list import Lifecycle, NodeEntry
@@ -37,7 +37,7 @@
 
     plan: Plan
     kernel: Kernel
-    judge: Judge
+    judge: RuleChecker
     ears: Ears
     nodes: list[FleetNode]
     clients: list[Client]
@@ -61,7 +61,7 @@
         raise NotImplementedError
 
     def _replaced(self, old: NodeEntry, node: FleetNode) -> None:
-        self.discovery.tell(old, self._entry(node))
+        self.discovery.publish(old, self._entry(node))
 
     def _tell(self, node: FleetNode, lifecycle: Lifecycle) -> None:
         if lifecycle == "in_service":
@@ -69,15 +69,15 @@
         else:
             self.draining[node.name] = None
         self.note(f"told: {node.name} {lifecycle}")
-        self.discovery.tell(self._entry(node, lifecycle))
+        self.discovery.publish(self._entry(node, lifecycle))
 
     def _moved(self) -> None:
         """The process follows other sources from here on."""
-        self.judge.follows_others()
+        self.judge.sources_replaced()
 
     def _restarted(self, states: dict[str, bool]) -> None:
         self._listed = dict.fromkeys(name for name in states)
-        self.judge.restarted(self.kernel.now, states)
+        self.judge.proxy_restarted(self.kernel.now, states)
 
     # --- nodes ---
     async def _node_slow(self, fault: Fault, node: FleetNode) -> None:
@@ -87,13 +87,13 @@
         await stalled(fault.lasts, [node])
 
     async def _node_swallows(self, fault: Fault, node: FleetNode) -> None:
-        await during(fault.lasts, [node], "swallows", fault.amount, 0.0)
+        await during(fault.lasts, [node], "no_answer_share", fault.amount, 0.0)
 
     async def _node_spoils(self, fault: Fault, node: FleetNode) -> None:
-        await during(fault.lasts, [node], "spoils", fault.amount, 0.0)
+        await during(fault.lasts, [node], "malformed_share", fault.amount, 0.0)
 
     async def _node_errors(self, fault: Fault, node: FleetNode) -> None:
-        await during(fault.lasts, [node], "errors", fault.amount, 0.0)
+        await during(fault.lasts, [node], "error_share", fault.amount, 0.0)
 
     async def _node_resets(self, fault: Fault, node: FleetNode) -> None:
         for writer in list(node.open):
@@ -104,13 +104,13 @@
             writer.close()
 
     async def _node_dies(self, fault: Fault, node: FleetNode) -> None:
-        await node.die()
+        await node.crash()
         await asyncio.sleep(fault.lasts)
         await self._start_again(node)
 
     async def _start_again(self, node: FleetNode) -> None:
         if node.port not in self.kernel.listening:
-            node.begin_cold()
+            node.start_cold()
             await node.start(node.port)
             self._tell(node, "in_service")
 
@@ -119,20 +119,20 @@
         await asyncio.sleep(0.5 + fault.lasts)
         node.draining = True
         await asyncio.sleep(fault.lasts)
-        await node.die()
+        await node.crash()
         self._tell(node, "terminated")
         await asyncio.sleep(fault.lasts)
         await self._start_again(node)
 
     async def _node_replaced(self, fault: Fault, node: FleetNode) -> None:
         """Another id, cold, at the same address; the list says so late."""
-        await node.die()
+        await node.crash()
         await asyncio.sleep(fault.lasts)
         if node.port not in self.kernel.listening:
             # Only now: what is told meanwhile is told of the one that was there.
             old = self._entry(node, "terminated")
             node.name = f"{node.name}'"
-            node.begin_cold()
+            node.start_cold()
             await node.start(node.port)
             self.draining.pop(node.name, None)  # what was said of it before it was there
             self._replaced(old, node)
@@ -175,14 +175,14 @@
             self._entry(one, "in_service" if one.name not in self.draining else "terminating")
             for one in self.nodes
         ]
-        self.discovery.tell(*entries, reset=True)
+        self.discovery.publish(*entries, reset=True)
         self.config = replace(
             self.config, discovery=Address(self.config.discovery.host, self.discovery.port)
         )
         await self._reloads(lambda: self.config)
         for _ in range(3):
             await asyncio.sleep(0.1 + fault.lasts / 3)
-            old.tell(*(self._entry(one) for one in self.nodes))
+            old.publish(*(self._entry(one) for one in self.nodes))
 
     async def _clients_leave(self, fault: Fault, node: FleetNode) -> None:
         for client in self.clients[:: 2 if fault.amount < 0.5 else 1]:
@@ -236,7 +236,7 @@
             for id_ in client.open:
                 self.judge.excuse(id_)
         if self.kernel.held(OWNER):
-            self.judge.fault(self.kernel.now, "a killed process has descriptors")
+            self.judge.report_fault(self.kernel.now, "a killed process has descriptors")
         await self._again(fault)
 
     async def _again(self, fault: Fault) -> None:
@@ -265,7 +265,7 @@
     async def _proxy_paused(self, fault: Fault, node: FleetNode) -> None:
         if self.process.state == "up" and self.kernel.now >= self.process.paused_until:
             self.process.pause(fault.lasts)
-            self.judge.paused(self.kernel.now, self.process.paused_until)
+            self.judge.proxy_paused(self.kernel.now, self.process.paused_until)
 
     async def _wall_steps(self, fault: Fault, node: FleetNode) -> None:
         self._wall_off += fault.amount
--- a/limebridge/virtual/world.py
+++ b/limebridge/virtual/world.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from limebridge.rules import Break, Judge, Terms
+from limebridge.rules import RuleChecker, RuleLimits, Violation
 from limebridge.standins.configuration import SETTINGS, configuration
 from limebridge.standins.database import CustomerDatabase
 from limebridge.standins.discovery import Discovery
-from limebridge.standins.fleet import Effects, FleetNode
+from limebridge.standins.fleet import FleetNode, IdempotencyKeys
 from limebridge.standins.node_list import Lifecycle, ListChange, NodeEntry
 from limebridge.standins.wire import command
 from violetroute.config import Config, Operator, parse
@@ -44,7 +44,7 @@
     """What came of a run."""
 
     plan: Plan
-    broken: list[Break]
+    broken: list[Violation]
     requests: int
     answers: dict[str, int]
     digest: str  # over all that was seen, the same for a plan on any machine
@@ -65,7 +65,7 @@
             return
         fields = dict(getattr(record, "fields", ()))
         error = record.exc_info[1] if record.exc_info else None
-        self._world.judge.fault(
+        self._world.judge.report_fault(
             self._world.kernel.now, f"{record.getMessage()}: {fields.get('what', '')} {error!r}"
         )
 
@@ -77,7 +77,7 @@
         self.plan = plan
         self.kernel = Kernel(plan.seed, buffer=plan.buffer)
         self.loop = VirtualLoop(self.kernel, self.kernel.random("order") if plan.shuffle else None)
-        self.judge = Judge(Terms({c["name"]: c["effect"] for c in CLASSES}))
+        self.judge = RuleChecker(RuleLimits({c["name"]: c["effect"] for c in CLASSES}))
         self.trace: list[str] = []
         self.keys: dict[str, bytes] = {}
         self.met: Counter[str] = Counter()
@@ -101,7 +101,7 @@
     def _end_came(self, sock: Any) -> None:
         """A peer's end has come to this socket's machine."""
         for id_ in self.leaving.pop(sock.peer, ()):
-            self.judge.end_came(self.kernel.now, id_)
+            self.judge.client_eof_received(self.kernel.now, id_)
 
     # --- what nodes see ---
     def arrived(self, at: float, node: str, id_: str, sent_at: float) -> None:
@@ -131,11 +131,13 @@
     def run(self) -> Outcome:
         self.loop.set_exception_handler(self._stray)
         with quiet(logging.ERROR, Faults(self)):
-            run(self.loop, self._play(), lambda what: self.judge.fault(self.kernel.now, what))
+            run(
+                self.loop, self._play(), lambda what: self.judge.report_fault(self.kernel.now, what)
+            )
         digest = hashlib.sha256("\n".join(self.trace).encode()).hexdigest()
         return Outcome(
             self.plan,
-            self.judge.broken,
+            self.judge.violations,
             self.judge.requests,
             self.judge.answers,
             digest,
@@ -148,7 +150,7 @@
         error = context.get("exception")
         if isinstance(error, ConnectionError | asyncio.IncompleteReadError):
             return  # a stand-in's stream that nobody waits for
-        self.judge.fault(self.kernel.now, f"{context.get('message')}: {error!r}")
+        self.judge.report_fault(self.kernel.now, f"{context.get('message')}: {error!r}")
 
     async def _play(self) -> None:
         plan = self.plan
@@ -186,7 +188,7 @@
     async def _build(self) -> None:
         plan, loop = self.plan, self.loop
         self.database = CustomerDatabase(latency=0.03, seed=plan.seed)
-        effects = Effects(WINDOW)
+        effects = IdempotencyKeys(WINDOW)
         self.discovery = await Discovery().start()
         self.ears.follow(self.discovery.port)
         self.nodes = []
@@ -228,7 +230,10 @@
         """Whether nobody follows the list though it could be had."""
         link = self.kernel.link(self.discovery.port)
         return not (
-            self.discovery.open or self.discovery.refuse or link.blocked_to or link.blocked_back
+            self.discovery.open
+            or self.discovery.unavailable
+            or link.blocked_to
+            or link.blocked_back
         )
 
     def _entry(self, node: FleetNode, lifecycle: Lifecycle = "in_service") -> NodeEntry:
@@ -237,10 +242,10 @@
 
     def _born(self, node: FleetNode) -> float:
         """Its start as sources tell of it: Unix ms by the wall clock of now."""
-        if node.born is None:
+        if node.cold_since is None:
             return 0.0
-        said = (node.born + self._wall_off) * 1000.0
-        self._births[said] = node.born
+        said = (node.cold_since + self._wall_off) * 1000.0
+        self._births[said] = node.cold_since
         return said
 
     def _look(self) -> None:
@@ -254,17 +259,19 @@
             return
         proxy, listener = process.proxy, process.listener
         if listener.budget.used < 0:
-            self.judge.fault(now, f"the budget is {listener.budget.used}")
+            self.judge.report_fault(now, f"the budget is {listener.budget.used}")
         if proxy.open_requests > 20 * self.plan.clients + 200:
-            self.judge.fault(now, f"{proxy.open_requests} requests are open")
+            self.judge.report_fault(now, f"{proxy.open_requests} requests are open")
         if process.state != "up" or not self._unwatched():
             self._watched_at = now
         elif now - self._watched_at > UNWATCHED:
-            self.judge.fault(now, f"nobody watches discovery for {UNWATCHED:g} s, which is there")
+            self.judge.report_fault(
+                now, f"nobody watches discovery for {UNWATCHED:g} s, which is there"
+            )
             self._watched_at = now
         overdue = proxy.oldest_deadline
         if overdue is not None and now > overdue + 0.05:
-            self.judge.fault(now, f"a request is open {now - overdue:.3f} s past its time")
+            self.judge.report_fault(now, f"a request is open {now - overdue:.3f} s past its time")
 
     async def _finish(self) -> None:
         """Everybody leaves; nothing may be left of it."""
@@ -278,9 +285,9 @@
         if self.process.state == "up":
             await self.process.term()
             self._nothing(self.process.left())
-        self.judge.end(self.kernel.now)
+        self.judge.finish(self.kernel.now)
         for node in self.nodes:
-            await node.die()
+            await node.crash()
         for discovery in (self.discovery, *self._old):
             await discovery.stop()
         await self._end_sources()
@@ -288,7 +295,7 @@
     def _nothing(self, left: dict[str, int]) -> None:
         for what, count in left.items():
             if count:
-                self.judge.fault(self.kernel.now, f"{count} {what} are left at the end")
+                self.judge.report_fault(self.kernel.now, f"{count} {what} are left at the end")
 
     async def _end_sources(self) -> None:
         """What `_sources` has started."""
@@ -302,7 +309,7 @@
                 listed.pop(name, None)
             else:
                 listed[name] = None
-            self.judge.heard(
+            self.judge.node_reported(
                 self.kernel.now,
                 name,
                 ready,
@@ -312,7 +319,7 @@
             )
         for name in before:
             if value["reset"] and name not in listed:
-                self.judge.heard(self.kernel.now, name, False, "platform", burst=burst)
+                self.judge.node_reported(self.kernel.now, name, False, "platform", burst=burst)
         self._listed = listed
 
     def _answer(
@@ -338,7 +345,7 @@
         found = {
             f"a drain {'just told' if age < DRAIN_NEW else 'kept'}, by "
             f"{source or 'the list before'}"
-            for source, age in self.judge.told_by(now)
+            for source, age in self.judge.active_drains(now)
         }
         if self.ears.heard_at < self._started_at:
             found.add("not heard since its start")
--- a/tests/limebridge/rehearsal/test_rehearsal.py
+++ b/tests/limebridge/rehearsal/test_rehearsal.py
@@ -19,7 +19,7 @@
 from typer.testing import CliRunner
 
 from limebridge import child as children
-from limebridge.child import Unready
+from limebridge.child import DaemonStartError
 from limebridge.cli import app
 from limebridge.rehearsal import real as engines
 from limebridge.rehearsal import trace
@@ -498,7 +498,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(children, "READY", 1.0)
-    with pytest.raises(Unready, match="is not ready"):
+    with pytest.raises(DaemonStartError, match="is not ready"):
         engines.play_real(
             made(tmp_path, REAL), run=f"sh -c 'echo $$ > {tmp_path}/pid; exec sleep 60'"
         )
@@ -539,7 +539,7 @@
     text = REAL.replace("3.0", "1.0") + '[operator.log]\nlevel = "%s"\n'
     path = tmp_path / "level.toml"
     path.write_text(text % "error")
-    with pytest.raises(Unready, match="level"):
+    with pytest.raises(DaemonStartError, match="level"):
         engines.play_real(load(str(path)))
     path.write_text(text % "debug")
     engines.play_real(
--- a/tests/limebridge/test_quiet.py
+++ b/tests/limebridge/test_quiet.py
@@ -11,9 +11,9 @@
 PROGRAM = """
 from limebridge.placement.solver import solve
 from limebridge.placement.fleet import parse_fleet
-from limebridge.quiet import quiet
+from limebridge.highs import create_highs
 
-first = quiet()
+first = create_highs()
 first.addVar(0.0, 1.0)
 first.changeColCost(0, -1.0)
 first.run()
--- a/tests/limebridge/virtual/test_explore.py
+++ b/tests/limebridge/virtual/test_explore.py
@@ -13,7 +13,7 @@
 from typer.testing import CliRunner
 
 from limebridge.cli import app
-from limebridge.rules import Break
+from limebridge.rules import Violation
 from limebridge.virtual.coverage import BRINGS, History, lean, rare
 from limebridge.virtual.explore import explore, shrink
 from limebridge.virtual.plan import (
@@ -98,7 +98,7 @@
         runs += 1
         outcome = Outcome(plan, [], 0, {}, "", 0.0, [])
         if any(fault.kind == "path_cut" for fault in plan.faults):
-            outcome.broken.append(Break(2, 0.0, "planted"))
+            outcome.broken.append(Violation(2, 0.0, "planted"))
         return outcome
 
     smaller = shrink(msgspec.structs.replace(draw(1), faults=(*faults, guilty)), 2, run=run)
--- a/tests/limebridge/virtual/test_virtual.py
+++ b/tests/limebridge/virtual/test_virtual.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from limebridge.rules.judge import PAUSE_SEEN
+from limebridge.rules.checker import MIN_DETECTABLE_PAUSE_S
 from limebridge.standins.configuration import configuration
 from limebridge.standins.discovery import Discovery
 from limebridge.standins.nodes import CacheNode
@@ -134,4 +134,4 @@
 
 def test_the_kit_and_the_daemon_agree_which_pause_a_process_sees() -> None:
     """The virtual process has the judge's constant, so that it plays older builds as well."""
-    assert PAUSE_SEEN == MIN_PAUSE
+    assert MIN_DETECTABLE_PAUSE_S == MIN_PAUSE
--- a/tests/violetroute/distribution/test_distribution_configuration.py
+++ b/tests/violetroute/distribution/test_distribution_configuration.py
@@ -359,7 +359,8 @@
         super().__init__(folder, machines=1, daemons=2)
         self.logs: list[list[str]] = [[], []]
         self.daemons = [
-            Child(folder, f"p{number}", told=log.append) for number, log in enumerate(self.logs)
+            Child(folder, f"p{number}", on_log_line=log.append)
+            for number, log in enumerate(self.logs)
         ]
         self.tables: list[dict[str, Any]] = [{}, {}]
         nodes = folder / "nodes.json"
--- a/tests/violetroute/distribution/test_distribution_daemon.py
+++ b/tests/violetroute/distribution/test_distribution_daemon.py
@@ -71,7 +71,7 @@
         self.controls = ControlMachines(folder, free_ports(machines), told=self.lines.append)
         self.controls.write()
         self.daemons = [
-            Child(folder, f"p{number}", told=self.lines.append) for number in range(daemons)
+            Child(folder, f"p{number}", on_log_line=self.lines.append) for number in range(daemons)
         ]
         self.machines = Machines(
             [parse_address(address) for address in self.controls.addresses],
--- a/tests/violetroute/distribution/test_distribution_session_end.py
+++ b/tests/violetroute/distribution/test_distribution_session_end.py
@@ -221,7 +221,7 @@
     async def play() -> None:
         control = Scripted(ok())
         lines: list[str] = []
-        daemon = Child(tmp_path, "p0", told=lines.append)
+        daemon = Child(tmp_path, "p0", on_log_line=lines.append)
         operator = tmp_path / "p0.toml"
         table = f'controls = ["{control.address}"]\nkey_file = "{key_file}"'
         operator.write_text(f"[distribution]\n{table}\n")
--- a/tests/violetroute/fleet/test_fleet.py
+++ b/tests/violetroute/fleet/test_fleet.py
@@ -11,7 +11,7 @@
 import pytest
 
 from limebridge.standins.consul import Consul
-from limebridge.standins.effects import Effects
+from limebridge.standins.effects import EffectEndpoint
 from violetroute.config import ConfigError
 from violetroute.config.operator import parse_operator, restart_needed
 from violetroute.fleet import lease as leases
@@ -384,9 +384,9 @@
         consul = await Consul().start()
         a = await consul_store(consul, A, 5.0)
         await asked(lambda told: a.ask(Ask("v", 1, 0, None), told))
-        first, before = a.keys.session, len(consul.asked)
+        first, before = a.keys.session, len(consul.requests)
         await asked(lambda told: a.ask(Ask("w", 1, 0, None), told))
-        assert any(target.startswith("/v1/session/renew/") for target in consul.asked[before:])
+        assert any(target.startswith("/v1/session/renew/") for target in consul.requests[before:])
         consul.kv._end(first)
         await asked(lambda told: a.ask(Ask("u", 1, 0, None), told))  # makes another session
         assert a.keys.session not in ("", first)
@@ -402,16 +402,16 @@
     async def run() -> None:
         consul = await Consul().start()
         a = await consul_store(consul, A)
-        consul.loses_answers = True
+        consul.drops_answers = True
         answer, why = await asked(lambda told: a.ask(Ask("w", 1, 0, None), told))
         assert answer is None and why
-        consul.loses_answers = False
+        consul.drops_answers = False
         answer, _ = await asked(lambda told: a.ask(Ask("w", 2, 0, None), told))
         assert answer.accepted
         log = FencedLog("w", lambda position, record: None)
         result, _ = await asked(lambda told: a.run(claim(log, 3, "na", "a"), told))
         assert result == Done(0)
-        consul.kv.forget()
+        consul.kv.lose_data()
         answer, _ = await asked(lambda told: a.renew([("w", answer.lease.fence)], told))
         assert not answer["w"].accepted
         answer, _ = await asked(lambda told: a.ask(Ask("w", 3, 3, None), told))
@@ -537,20 +537,20 @@
 
 def test_works_are_spread_handed_back_and_go_on_elsewhere(tmp_path: Path) -> None:
     async def run() -> None:
-        effects = await Effects().start()
+        effects = await EffectEndpoint().start()
         one = fleet(tmp_path, "one", effects.port)
-        await until(lambda: len(one.owned()) == 2 and len(effects.taken) > 4)
+        await until(lambda: len(one.owned()) == 2 and len(effects.applied) > 4)
         two = fleet(tmp_path, "two", effects.port)
         await until(lambda: len(one.owned()) == 1 and len(two.owned()) == 1)  # handed on
         await one.close()
         await until(lambda: len(two.owned()) == 2)
-        seen = len(effects.taken)
-        await until(lambda: len(effects.taken) > seen + 4)
+        seen = len(effects.applied)
+        await until(lambda: len(effects.applied) > seen + 4)
         two.configure(())
         await until(lambda: not two.owned())
         two.stop()
         for work in ("beat-0", "beat-1"):
-            beats = [e.body["beat"] for e in effects.taken if e.key.startswith(work)]
+            beats = [e.body["beat"] for e in effects.applied if e.key.startswith(work)]
             assert beats == list(range(1, len(beats) + 1))
         await effects.stop()
 
@@ -559,11 +559,11 @@
 
 def test_an_owner_that_is_cut_off_from_the_endpoint_hands_its_work_on(tmp_path: Path) -> None:
     async def run() -> None:
-        effects = await Effects().start()
+        effects = await EffectEndpoint().start()
         cut = fleet(tmp_path, "cut", 1)  # nobody listens there
         await until(lambda: len(cut.owned()) == 2)
         well = fleet(tmp_path, "well", effects.port)
-        await until(lambda: len(well.owned()) == 2 and len(effects.taken) > 4)
+        await until(lambda: len(well.owned()) == 2 and len(effects.applied) > 4)
         cut.stop()
         well.stop()
         await effects.stop()
@@ -572,7 +572,7 @@
 
 
 def test_the_endpoint_refuses_a_late_owner_and_names_the_fence() -> None:
-    effects = Effects()
+    effects = EffectEndpoint()
     first = {"idempotency-key": '"w/4.n/0"', "fence": "4;n"}
 
     async def run() -> None:
--- a/tests/violetroute/ledger/test_ledger.py
+++ b/tests/violetroute/ledger/test_ledger.py
@@ -14,7 +14,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from limebridge.standins.disk import CutDisk
+from limebridge.standins.disk import PowerLossDisk
 from violetroute.config import ConfigError
 from violetroute.config.operator import parse_operator
 from violetroute.ledger import export, frames
@@ -237,12 +237,12 @@
         assert found.records == records[: len(found.records)] and found.error
 
 
-def store(disk: CutDisk, name: str = "p1") -> tuple[Store, Book]:
+def store(disk: PowerLossDisk, name: str = "p1") -> tuple[Store, Book]:
     return Store(disk, name), Book(Periods("UTC", 5), 60.0)
 
 
 def test_an_unreadable_checkpoint_costs_only_the_records_of_its_file() -> None:
-    disk = CutDisk()
+    disk = PowerLossDisk()
     one, made = store(disk)
     one.open(made)
     decide(made, made.begin_records("p1", "n", START))
@@ -260,7 +260,7 @@
 
 
 def test_another_proxys_ledger_is_not_opened_and_not_changed() -> None:
-    disk = CutDisk()
+    disk = PowerLossDisk()
     one, made = store(disk)
     decide(made, made.begin_records("p1", "n", START))
     one.rewrite(made.checkpoint())
@@ -271,7 +271,7 @@
 
 
 def test_a_ledger_of_a_later_version_is_not_opened() -> None:
-    disk = CutDisk()
+    disk = PowerLossDisk()
     one, made = store(disk)
     record = made.checkpoint()
     record[1]["version"] = frames.VERSION + 1
@@ -281,7 +281,7 @@
 
 
 def test_archives_are_read_up_to_a_torn_frame_and_old_ones_are_deleted() -> None:
-    disk = CutDisk()
+    disk = PowerLossDisk()
     one, _ = store(disk)
     one.commit(
         [], {START: b"12345678", 300: b"x" * 8}, [(START, b"one"), (START, b"two"), (300, b"old")]
--- a/tests/violetroute/ledger/test_ledger_daemon.py
+++ b/tests/violetroute/ledger/test_ledger_daemon.py
@@ -14,7 +14,7 @@
 import trustme
 
 from limebridge.ledger.kills import play
-from limebridge.standins.billing import Billing
+from limebridge.standins.billing import BillingEndpoint
 from tests.support.rig import CacheNode, Rig, get, serves, until
 from violetroute.ledger import LedgerTable
 from violetroute.ledger.files import Folder, folder_name
@@ -34,11 +34,13 @@
         return self.now
 
 
-Part = Callable[[Rig, Ledger, Billing, Clock], Awaitable[None]]
+Part = Callable[[Rig, Ledger, BillingEndpoint, Clock], Awaitable[None]]
 
 
-def run(part: Part, tmp_path: Path, tls: Any = None, name: str = "p1", **table: Any) -> Billing:
-    billing = Billing()
+def run(
+    part: Part, tmp_path: Path, tls: Any = None, name: str = "p1", **table: Any
+) -> BillingEndpoint:
+    billing = BillingEndpoint()
 
     async def whole() -> None:
         await billing.start(tls=tls)
@@ -72,7 +74,7 @@
 
 
 def test_served_requests_are_billed_after_their_period_closes(tmp_path: Path) -> None:
-    async def part(rig: Rig, ledger: Ledger, billing: Billing, clock: Clock) -> None:
+    async def part(rig: Rig, ledger: Ledger, billing: BillingEndpoint, clock: Clock) -> None:
         await ask(rig, 0, 5)
         clock.now += 400.0
         await until(lambda: sum(billing.billed.values()) == 5)
@@ -84,9 +86,9 @@
 def test_an_endpoint_that_is_down_for_days_costs_no_memory_and_receives_all_in_order(
     tmp_path: Path,
 ) -> None:
-    async def part(rig: Rig, ledger: Ledger, billing: Billing, clock: Clock) -> None:
+    async def part(rig: Rig, ledger: Ledger, billing: BillingEndpoint, clock: Clock) -> None:
         endpoint_down = [True]
-        billing.trouble = lambda: "lost before" if endpoint_down[0] else ""
+        billing.fault = lambda: "lost before" if endpoint_down[0] else ""
         for number in range(30):
             ledger.served(f"t{number}", "lookup", b"")
             await until(lambda: not ledger._counters.units)
@@ -112,9 +114,9 @@
 ) -> None:
     monkeypatch.setattr("violetroute.ledger.export.SLOW_RETRY_WAIT", 0.01)
 
-    async def part(rig: Rig, ledger: Ledger, billing: Billing, clock: Clock) -> None:
+    async def part(rig: Rig, ledger: Ledger, billing: BillingEndpoint, clock: Clock) -> None:
         faults_left = [trouble] * 10
-        billing.trouble = lambda: faults_left.pop() if faults_left else ""
+        billing.fault = lambda: faults_left.pop() if faults_left else ""
         await ask(rig, 0, 3)
         clock.now += 400.0
         await until(lambda: ledger._book.last_key)
@@ -140,7 +142,7 @@
             raise OSError(28, "No space left on device")
         put(self, name, data)
 
-    async def part(rig: Rig, ledger: Ledger, billing: Billing, clock: Clock) -> None:
+    async def part(rig: Rig, ledger: Ledger, billing: BillingEndpoint, clock: Clock) -> None:
         await until(lambda: ledger.state == "open")
         monkeypatch.setattr(Folder, "append", hangs)
         monkeypatch.setattr(Folder, "put", refuses)
@@ -159,7 +161,7 @@
 
 
 def test_a_second_process_of_the_same_name_waits_and_takes_over(tmp_path: Path) -> None:
-    async def part(rig: Rig, ledger: Ledger, billing: Billing, clock: Clock) -> None:
+    async def part(rig: Rig, ledger: Ledger, billing: BillingEndpoint, clock: Clock) -> None:
         await until(lambda: ledger.state == "open")
         other = Ledger(ledger.table, "p1", SocketNetwork(asyncio.get_running_loop(), clock=clock))
         await until(lambda: other.state == "elsewhere")
@@ -176,7 +178,7 @@
 
 
 def test_another_proxys_files_are_renamed_and_kept(tmp_path: Path) -> None:
-    async def part(rig: Rig, ledger: Ledger, billing: Billing, clock: Clock) -> None:
+    async def part(rig: Rig, ledger: Ledger, billing: BillingEndpoint, clock: Clock) -> None:
         await until(lambda: ledger.state == "open")
         await ask(rig, 0, 1)
         assert (ledger._book.incarnation, ledger._book.name) == (1, ledger.name)
@@ -208,7 +210,7 @@
 
     key(trustme.CA())  # by a CA that the endpoint does not trust
 
-    async def part(rig: Rig, ledger: Ledger, billing: Billing, clock: Clock) -> None:
+    async def part(rig: Rig, ledger: Ledger, billing: BillingEndpoint, clock: Clock) -> None:
         await ask(rig, 0, 2)
         clock.now += 400.0
         await until(lambda: ledger._backoff.failures > 1)
@@ -228,7 +230,7 @@
 def test_files_are_written_atomically_and_named_without_tenants(tmp_path: Path) -> None:
     out = tmp_path / "out"
 
-    async def part(rig: Rig, ledger: Ledger, billing: Billing, clock: Clock) -> None:
+    async def part(rig: Rig, ledger: Ledger, billing: BillingEndpoint, clock: Clock) -> None:
         ledger.served("../../x", "lookup", b"1")
         ledger.served("=1+1", "lookup", b"2")
         clock.now += 400.0
--- a/tests/violetroute/membership/test_consul.py
+++ b/tests/violetroute/membership/test_consul.py
@@ -355,7 +355,7 @@
 def test_drains_in_unusable_answers_apply_before_the_first_list() -> None:
     async def part(setting: Setting) -> None:
         setting.agent.headers = {"X-Consul-KnownLeader": "false"}
-        setting.catalogue.maintain("c1", True)
+        setting.catalogue.set_maintenance("c1", True)
         proxy = setting.rig.proxy
         proxy.reload(
             replace(
@@ -438,8 +438,8 @@
         await until(lambda: self.used() == set(wanted))
 
     async def asks_again(self) -> None:
-        count = sum(len(agent.asked) for agent in self.agents)
-        await until(lambda: sum(len(agent.asked) for agent in self.agents) > count + 1)
+        count = sum(len(agent.requests) for agent in self.agents)
+        await until(lambda: sum(len(agent.requests) for agent in self.agents) > count + 1)
 
 
 def follow(part: Callable[[Setting], Awaitable[None]], agents: int = 1, **table: Any) -> None:
@@ -460,9 +460,9 @@
             # The platform's names stay: the initial list had the nodes under them.
             await until(lambda: started[0].asked or agents > 1)
             await setting.uses("s-0", "s-1", "s-2", "s-3")
-            await until(lambda: any("index" in asked for a in started for asked in a.asked))
+            await until(lambda: any("index" in asked for a in started for asked in a.requests))
             await part(setting)
-            assert not rig.discovery.asked  # the platform's list is not requested too
+            assert not rig.discovery.requests  # the platform's list is not requested too
         for agent in started:
             await agent.stop()
 
@@ -472,12 +472,12 @@
 def test_drains_and_deregistrations_reach_the_proxy_and_requests_are_served() -> None:
     async def part(setting: Setting) -> None:
         assert await setting.rig.ask(get(1)) == [b"value of id1"]
-        setting.catalogue.maintain("c1", True)
+        setting.catalogue.set_maintenance("c1", True)
         await setting.uses("s-0", "s-2", "s-3")
         setting.catalogue.deregister("c2")
         await setting.uses("s-0", "s-3")
         setting.catalogue.check("c0", "critical")
-        setting.catalogue.maintain("c1", False)
+        setting.catalogue.set_maintenance("c1", False)
         await setting.uses("s-1", "s-3")
         setting.catalogue.check("c0", "passing")
         await setting.uses("s-0", "s-1", "s-3")
@@ -488,14 +488,14 @@
 
 def test_a_drain_among_many_changes_and_after_a_truncated_answer() -> None:
     async def part(setting: Setting) -> None:
-        setting.agent.cut = 700  # in the middle of the body
+        setting.agent.truncate_after = 700  # in the middle of the body
         for number in range(30):
             setting.catalogue.register(f"x{number}", 1 + number, service="other")
         setting.catalogue.check("c3", "warning")
-        setting.catalogue.maintain("c0", True)
+        setting.catalogue.set_maintenance("c0", True)
         await setting.asks_again()
         assert setting.used() == {"s-0", "s-1", "s-2", "s-3"}  # a truncated answer is not used
-        setting.agent.cut = 0
+        setting.agent.truncate_after = 0
         await setting.uses("s-1", "s-2", "s-3")
 
     follow(part)
@@ -503,18 +503,20 @@
 
 TROUBLES: dict[str, dict[str, Any]] = {
     "refused": {},
-    "black": {"black": True},
+    "black": {"unresponsive": True},
     "500": {"status": 500},
     "429": {"status": 429, "retry_after": "1"},
     "403": {"token": "secret"},
-    "headers only": {"cut": 120},
-    "noise": {"answers": [b"\x00\xff\r\n\r\n"] * 3},
-    "no json": {"answers": [b"HTTP/1.1 200 X\r\nContent-Length: 3\r\n\r\n{{{"] * 3},
-    "no list": {"answers": [b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\n{}"] * 3},
+    "headers only": {"truncate_after": 120},
+    "noise": {"canned_answers": [b"\x00\xff\r\n\r\n"] * 3},
+    "no json": {"canned_answers": [b"HTTP/1.1 200 X\r\nContent-Length: 3\r\n\r\n{{{"] * 3},
+    "no list": {"canned_answers": [b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\n{}"] * 3},
     "too large": {
-        "answers": [b"HTTP/1.1 200 X\r\nContent-Length: 99999999\r\n\r\n" + b"[" * 99999] * 2
+        "canned_answers": [b"HTTP/1.1 200 X\r\nContent-Length: 99999999\r\n\r\n" + b"[" * 99999] * 2
+    },
+    "redirect": {
+        "canned_answers": [b"HTTP/1.1 302 X\r\nLocation: /\r\nContent-Length: 0\r\n\r\n"] * 3
     },
-    "redirect": {"answers": [b"HTTP/1.1 302 X\r\nLocation: /\r\nContent-Length: 0\r\n\r\n"] * 3},
     "no leader": {"headers": {"X-Consul-KnownLeader": "false"}},
     "stale": {"headers": {"X-Consul-LastContact": "60000"}},
     "filtered": {"headers": {"X-Consul-Results-Filtered-By-ACLs": "true"}},
@@ -538,7 +540,7 @@
         await soon(failed.wait())
         assert setting.used() == {"s-0", "s-1", "s-2", "s-3"}
         assert await setting.rig.ask(get(7)) == [b"value of id7"]
-        setting.catalogue.maintain("c0", True)
+        setting.catalogue.set_maintenance("c0", True)
         if trouble == "refused":
             await agent.start(agent.port)
         else:
@@ -553,7 +555,7 @@
 def test_a_drain_applies_that_only_an_old_answer_has(header: str) -> None:
     async def part(setting: Setting) -> None:
         setting.agent.headers = {header: "false" if "Leader" in header else "60000"}
-        setting.catalogue.maintain("c0", True)
+        setting.catalogue.set_maintenance("c0", True)
         await setting.uses("s-1", "s-2", "s-3")
 
     follow(part)
@@ -561,9 +563,9 @@
 
 def test_another_agent_is_used_when_one_fails() -> None:
     async def part(setting: Setting) -> None:
-        first = next(agent for agent in setting.agents if agent.asked)
+        first = next(agent for agent in setting.agents if agent.requests)
         await first.stop()
-        setting.catalogue.maintain("c0", True)
+        setting.catalogue.set_maintenance("c0", True)
         await setting.uses("s-1", "s-2", "s-3")
 
     follow(part, agents=2)
@@ -571,9 +573,9 @@
 
 def test_an_index_that_goes_backwards_is_reset() -> None:
     async def part(setting: Setting) -> None:
-        setting.catalogue.restart()
-        await until(lambda: any("index=1&" in asked for asked in setting.agent.asked))
-        setting.catalogue.maintain("c0", True)
+        setting.catalogue.restore_snapshot()
+        await until(lambda: any("index=1&" in asked for asked in setting.agent.requests))
+        setting.catalogue.set_maintenance("c0", True)
         await setting.uses("s-1", "s-2", "s-3")
 
     follow(part)
@@ -584,19 +586,19 @@
         catalogue = setting.catalogue
         kept = dict(catalogue.services)
         catalogue.deregister(*kept)
-        await until(lambda: any(asked.endswith("consistent") for asked in setting.agent.asked))
+        await until(lambda: any(asked.endswith("consistent") for asked in setting.agent.requests))
         await setting.asks_again()
         assert len(setting.used()) == 4
         catalogue.services.update(kept)
-        catalogue.change()
+        catalogue.raise_index()
         await setting.asks_again()
         # A lagging replica reports three as gone; the leader does not.
         catalogue.deregister("c1", "c2", "c3")
         setting.agent.freeze()
         catalogue.services.update(kept)
-        count = len(setting.agent.asked)
+        count = len(setting.agent.requests)
         await until(
-            lambda: any(asked.endswith("consistent") for asked in setting.agent.asked[count:])
+            lambda: any(asked.endswith("consistent") for asked in setting.agent.requests[count:])
         )
         assert len(setting.used()) == 4
         setting.agent.frozen = None
@@ -611,11 +613,11 @@
         setting.agent.headers = {
             "X-Consul-Index": "0"
         }  # never blocks: each request returns at once
-        setting.catalogue.change()
+        setting.catalogue.raise_index()
         await setting.asks_again()
         loop = asyncio.get_running_loop()
-        count, began = len(setting.agent.asked), loop.time()
-        await until(lambda: len(setting.agent.asked) >= count + 5)
+        count, began = len(setting.agent.requests), loop.time()
+        await until(lambda: len(setting.agent.requests) >= count + 5)
         assert loop.time() - began >= 4 * 0.2 * 0.9
 
     follow(part, least_interval_s=0.2)
@@ -637,15 +639,15 @@
     async def part(setting: Setting) -> None:
         loop, agent = asyncio.get_running_loop(), setting.agent
         agent.status, agent.retry_after = 429, "2"
-        setting.catalogue.change()
-        count = len(agent.asked)
+        setting.catalogue.raise_index()
+        count = len(agent.requests)
         refused = asyncio.Event()
         told = setting.rig.proxy.list_failed
         setting.rig.proxy.list_failed = lambda silent=False: (refused.set(), told(silent))  # type: ignore
         await soon(refused.wait())
         began = loop.time()
         agent.status = 200
-        await until(lambda: len(agent.asked) > count)
+        await until(lambda: len(agent.requests) > count)
         assert loop.time() - began > 1.5  # the balancer's own retry wait is half a second at most
 
     follow(part)
@@ -662,14 +664,14 @@
 
     async def part(setting: Setting) -> None:
         if slow == "drips":
-            setting.agent.drip = 0.01
+            setting.agent.byte_interval = 0.01
         else:
-            setting.agent.answers = [b"HTTP/1.1 200 X\r\nContent-Length: 10\r\n\r\n["]
-        setting.catalogue.change()
+            setting.agent.canned_answers = [b"HTTP/1.1 200 X\r\nContent-Length: 10\r\n\r\n["]
+        setting.catalogue.raise_index()
         await until(lambda: said)
         assert said[0] == ("the answer takes too long" if slow == "drips" else "no answer in time")
-        setting.agent.drip = 0.0
-        setting.catalogue.maintain("c0", True)
+        setting.agent.byte_interval = 0.0
+        setting.catalogue.set_maintenance("c0", True)
         await setting.uses("s-1", "s-2", "s-3")
 
     follow(part)
@@ -683,9 +685,13 @@
                 body,
             )
 
-        good = json.dumps(setting.catalogue.listed("cache")).encode()
+        good = json.dumps(setting.catalogue.health_entries("cache")).encode()
         forged = json.dumps(
-            [each for each in setting.catalogue.listed("cache") if each["Service"]["ID"] != "c0"]
+            [
+                each
+                for each in setting.catalogue.health_entries("cache")
+                if each["Service"]["ID"] != "c0"
+            ]
         ).encode()
         told: list[CacheState] = []
         changed = setting.rig.proxy.list_changed
@@ -693,10 +699,10 @@
             told.extend(e.state for e in listing.entries),
             changed(listing),
         )
-        setting.agent.answers = [framed(good) + framed(forged)]
-        setting.catalogue.change()
+        setting.agent.canned_answers = [framed(good) + framed(forged)]
+        setting.catalogue.raise_index()
         await setting.asks_again()
-        setting.catalogue.maintain("c3", True)
+        setting.catalogue.set_maintenance("c3", True)
         await setting.uses("s-0", "s-1", "s-2")
         assert set(told) == {DRAINING}  # no node was gone in between
 
@@ -715,10 +721,10 @@
     async def part(setting: Setting) -> None:
         assert setting.agent.tokens[-1] == "one"
         setting.agent.token = "two"
-        setting.catalogue.change()
+        setting.catalogue.raise_index()
         await setting.asks_again()
         path.write_text("two\n")
-        setting.catalogue.maintain("c0", True)
+        setting.catalogue.set_maintenance("c0", True)
         await setting.uses("s-1", "s-2", "s-3")
 
     async def accept_any(setting: Setting) -> None:
@@ -751,7 +757,7 @@
                 "reset": True,
                 "instances": [node.entry(f"s-{number}") for number, node in enumerate(nodes)],
             }
-            rig.discovery.lines.append(whole)
+            rig.discovery.changes.append(whole)
             answers: list[bytes] = []
 
             async def load() -> None:
@@ -768,10 +774,10 @@
                 ),
             )
             rig.proxy.reload(to_consul)
-            await until(lambda: any("index" in asked for asked in agent.asked))
+            await until(lambda: any("index" in asked for asked in agent.requests))
             await until(lambda: not rig.discovery.open)
             assert setting.used() == {"s-0", "s-1", "s-2"}
-            catalogue.maintain("c0", True)
+            catalogue.set_maintenance("c0", True)
             await setting.uses("s-1", "s-2")
             rig.proxy.reload(rig.config)
             await rig.watched()
@@ -809,7 +815,7 @@
 
 def test_drains_are_repeated_with_another_index_and_not_after_an_expired_wait() -> None:
     async def part(setting: Setting) -> None:
-        setting.catalogue.maintain("c1", True)
+        setting.catalogue.set_maintenance("c1", True)
         await setting.uses("s-0", "s-2", "s-3")
         told: list[str] = []
         proxy = setting.rig.proxy
@@ -820,7 +826,7 @@
         )[1]
         await setting.asks_again()  # expired waits
         assert told == []
-        setting.catalogue.change()
+        setting.catalogue.raise_index()
         await until(lambda: told == ["s-1"])
 
     follow(part)
--- a/tests/violetroute/membership/test_consul_morning.py
+++ b/tests/violetroute/membership/test_consul_morning.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from limebridge.rules import Judge, Terms
-from limebridge.standins.clients import Crowd
+from limebridge.rules import RuleChecker, RuleLimits
+from limebridge.standins.clients import LoadGenerator
 from limebridge.standins.consul import Catalogue, Consul
 from limebridge.standins.database import CustomerDatabase
-from limebridge.standins.fleet import Effects, FleetNode
+from limebridge.standins.fleet import FleetNode, IdempotencyKeys
 from tests.support import stall_free_loop
 from tests.support.rig import Rig, until
 from tests.support.send_times import SendTimes
@@ -23,7 +23,14 @@
 
 CLASS = {"name": "lookup", "promiseMs": 300.0, "deadlineMs": 600.0, "effect": "pure", "worth": 2.0}
 STRAY_S = 0.55  # s after the last answer in which a later send is still detected
-ORDER = {"heard": 0, "asked": 1, "arrived": 2, "accepted": 3, "answered": 4, "expired": 5}
+ORDER = {
+    "node_reported": 0,
+    "request_sent": 1,
+    "arrived": 2,
+    "accepted": 3,
+    "answered": 4,
+    "expired": 5,
+}
 
 
 class Seen:
@@ -46,21 +53,23 @@
     def effect(self, at: float, node: str, id_: str) -> None: ...
     def started(self, at: float, node: str, capacity: float) -> None: ...
 
-    def clients(self, crowd: Crowd) -> None:
-        for ask in crowd.asks:
+    def clients(self, crowd: LoadGenerator) -> None:
+        for ask in crowd.finished:
             id_ = ask.words.split(b"\r\n")[6].decode()
-            self.events.append((ask.asked_at, "asked", (id_, "lookup", ask.ends_at - ask.asked_at)))
-            assert ask.kind != "closed"
-            if ask.kind == "expired":
-                self.events.append((ask.answered_at, "expired", (id_,)))
+            self.events.append(
+                (ask.sent_at, "request_sent", (id_, "lookup", ask.deadline - ask.sent_at))
+            )
+            assert ask.outcome != "closed"
+            if ask.outcome == "expired":
+                self.events.append((ask.ended_at, "expired", (id_,)))
             else:
-                self.events.append((ask.answered_at, "answered", (id_, ask.kind)))
+                self.events.append((ask.ended_at, "answered", (id_, ask.outcome)))
 
-    def judged(self) -> Judge:
-        judge = Judge(Terms({"lookup": "pure"}))
+    def judged(self) -> RuleChecker:
+        judge = RuleChecker(RuleLimits({"lookup": "pure"}))
         for at, what, rest in sorted(self.events, key=lambda e: (e[0], ORDER[e[1]])):
             getattr(judge, what)(at, *rest)
-        judge.end(max(at for at, _, _ in self.events) + 1.0)
+        judge.finish(max(at for at, _, _ in self.events) + 1.0)
         return judge
 
 
@@ -74,7 +83,7 @@
     async def run() -> None:
         loop, seen, catalogue = asyncio.get_running_loop(), Seen(), Catalogue()
         agents = [await Consul(catalogue, n).start() for n in range(2)]
-        database, effects = CustomerDatabase(latency=0.01), Effects(2.0)
+        database, effects = CustomerDatabase(latency=0.01), IdempotencyKeys(2.0)
         nodes = [
             FleetNode(
                 f"c{n}",
@@ -94,10 +103,10 @@
 
         def told(target: str, body: bytes) -> None:
             if catalogue.services["c1"].checks:  # the answer has its drain
-                seen.events.append((loop.time(), "heard", ("c1", False)))
+                seen.events.append((loop.time(), "node_reported", ("c1", False)))
 
         for agent in agents:
-            agent.told = told
+            agent.on_answered = told
         operator = Operator(
             consul=ConsulTable(
                 agents=tuple(f"127.0.0.1:{agent.port}" for agent in agents),
@@ -108,7 +117,7 @@
         )
         async with Rig(operator=operator, classes=[CLASS]) as rig:
             seen.times.watch(rig.proxy, {node.port for node in nodes})
-            crowd = Crowd(rig.port, 12)
+            crowd = LoadGenerator(rig.port, 12)
             await crowd.connect()
             await until(lambda: len(rig.proxy.nodes) == 6)
 
@@ -121,7 +130,7 @@
                 both(lambda agent: setattr(agent, "delay", 0.15))
                 catalogue.check("c0", "critical")
                 await asyncio.sleep(0.2)
-                catalogue.maintain("c1", True)  # a drain, reported late
+                catalogue.set_maintenance("c1", True)  # a drain, reported late
                 await until(lambda: len(rig.proxy.nodes) == 4)
                 both(lambda agent: setattr(agent, "delay", 0.0))
                 for status in ("passing", "critical") * 4:  # flapping
@@ -131,41 +140,41 @@
                 await until(lambda: len(rig.proxy.nodes) == 4)
                 for agent in agents:  # agents stop under load, while a node dies
                     await agent.stop()
-                await nodes[3].die()
+                await nodes[3].crash()
                 await asyncio.sleep(0.25)
                 time.sleep(stall_s)
                 await asyncio.sleep(0.25)
-                both(lambda agent: setattr(agent, "cut", 150))
+                both(lambda agent: setattr(agent, "truncate_after", 150))
                 for agent in agents:
                     await agent.start(agent.port)
                 await asyncio.sleep(0.3)
-                both(lambda agent: setattr(agent, "cut", 0))
+                both(lambda agent: setattr(agent, "truncate_after", 0))
                 catalogue.deregister("c3")
                 catalogue.check("c0", "passing")
                 await until(lambda: len(rig.proxy.nodes) == 4)
 
             troubles = asyncio.create_task(morning())
             for rate in (80.0, 160.0, 240.0):  # increasing load
-                await crowd.play(rate, 0.8)
+                await crowd.run(rate, 0.8)
             while not troubles.done():
-                await crowd.play(160.0, 0.1)
+                await crowd.run(160.0, 0.1)
             await troubles
-            await crowd.rest()
+            await crowd.wait_for_answers()
             crowd.close()
             await asyncio.sleep(STRAY_S)
         for agent in agents:
             await agent.stop()
         for node in nodes:
-            await node.die()
+            await node.crash()
         seen.clients(crowd)
         judge = seen.judged()
-        assert judge.broken == []
+        assert judge.violations == []
         assert seen.sent_late == []
         assert (
-            len(seen.times.answered) >= 0.95 * crowd.asked
+            len(seen.times.answered) >= 0.95 * crowd.sent
         )  # the answer time is known for nearly all
-        assert crowd.kinds()["served"] > 0.95 * crowd.asked
-        assert any(what == "heard" for _, what, _ in seen.events)
+        assert crowd.count_outcomes()["served"] > 0.95 * crowd.sent
+        assert any(what == "node_reported" for _, what, _ in seen.events)
 
     stall_free_loop.run(run())
 
@@ -178,7 +187,7 @@
         node = FleetNode(
             "c0",
             CustomerDatabase(latency=0.01),
-            Effects(2.0),
+            IdempotencyKeys(2.0),
             seen,
             "0",
             service=0.01,
@@ -214,15 +223,15 @@
 
             rig.proxy._answer = answer_and_send  # type: ignore[method-assign]
             rig.proxy.may_send = lambda each: each in planted or may_send(each)  # type: ignore[method-assign]
-            crowd = Crowd(rig.port, 1)
+            crowd = LoadGenerator(rig.port, 1)
             await crowd.connect()
-            await crowd.play(200.0, 0.1)
-            await crowd.rest()
+            await crowd.run(200.0, 0.1)
+            await crowd.wait_for_answers()
             await until(lambda: seen.sent_late)
             crowd.close()
         seen.clients(crowd)
         assert len(seen.sent_late) == 1 and seen.sent_late[0][2] >= after_s
-        broken = [each.what for each in seen.judged().broken]
+        broken = [each.what for each in seen.judged().violations]
         if after_s >= 0.1:  # the client has read the answer by then
             assert broken == ["sent to c0 after the final answer"]
 
--- a/tests/violetroute/membership/test_crossings_lists.py
+++ b/tests/violetroute/membership/test_crossings_lists.py
@@ -22,11 +22,11 @@
 
 async def refuses(here: Scene) -> None:
     """Discovery answers 503 to each call."""
-    here.discovery.refuse = True
+    here.discovery.unavailable = True
     for writer in list(here.discovery.open):
         writer.transport.abort()
     await asyncio.sleep(9.0)
-    here.discovery.refuse = False
+    here.discovery.unavailable = False
 
 
 async def unreachable(here: Scene) -> None:
@@ -45,11 +45,11 @@
 
 async def away(here: Scene) -> None:
     """Connections are refused: there is no process."""
-    port, asked = here.discovery.port, here.discovery.asked
+    port, asked = here.discovery.port, here.discovery.requests
     await here.discovery.stop()
     await asyncio.sleep(9.0)
     here.discovery._server = await asyncio.start_server(here.discovery._serve, "127.0.0.1", port)
-    here.discovery.asked = asked
+    here.discovery.requests = asked
 
 
 async def paused(here: Scene) -> None:
@@ -70,13 +70,13 @@
 
     async def part(here: Scene) -> None:
         await here.until(lambda: here.discovery.open)
-        here.discovery.tell(*here.entries(), reset=True)
+        here.discovery.publish(*here.entries(), reset=True)
         reader, writer = await here.client()
         for number in range(30):  # half a second of normal service before the fault
             writer.write(get(number))
             await read_answer(reader)
         await trouble(here)
-        here.discovery.tell(here.nodes[0].entry("s-0", "terminating"))
+        here.discovery.publish(here.nodes[0].entry("s-0", "terminating"))
         told = here.loop.time() + TOLD
         number = 100
         while here.loop.time() < told + 3.0:
@@ -105,13 +105,13 @@
 ) -> None:
     async def part(here: Scene) -> None:
         await here.until(lambda: here.discovery.open)
-        here.discovery.tell(*here.entries(), reset=True)
+        here.discovery.publish(*here.entries(), reset=True)
         mute, send = set(here.discovery.open), here.discovery.send
         here.discovery.send = lambda writer, text: (  # type: ignore[method-assign]
             None if writer in mute else send(writer, text)
         )
         await asyncio.sleep(0.05 * seed)
-        here.discovery.tell(here.nodes[0].entry("s-0", "terminating"))
+        here.discovery.publish(here.nodes[0].entry("s-0", "terminating"))
         told, drained = here.loop.time() + TOLD, here.nodes[0].port
         reader, writer = await here.client()
         number = 0
@@ -130,8 +130,8 @@
     async def part(here: Scene) -> None:
         await here.until(lambda: here.discovery.open, GRACE)
         reader, writer = await here.client()
-        here.discovery.tell(*here.entries(), reset=True)
-        here.discovery.tell(here.nodes[0].entry("s-0", "terminating"))
+        here.discovery.publish(*here.entries(), reset=True)
+        here.discovery.publish(here.nodes[0].entry("s-0", "terminating"))
         told, drained = here.loop.time(), here.nodes[0].port
         for number in range(200):
             writer.write(get(number))
@@ -191,8 +191,8 @@
     async def part(here: Scene) -> None:
         await here.until(lambda: here.discovery.open)
         writer = next(iter(here.discovery.open))
-        begun, asked = here.loop.time(), len(here.discovery.asked)
-        while len(here.discovery.asked) == asked:
+        begun, asked = here.loop.time(), len(here.discovery.requests)
+        while len(here.discovery.requests) == asked:
             assert here.loop.time() < begun + 2.0 + LINE_TIMEOUT + 1.6
             writer.write(b"1\r\n{\r\n")
             await asyncio.sleep(0.2)
--- a/tests/violetroute/membership/test_sources.py
+++ b/tests/violetroute/membership/test_sources.py
@@ -361,7 +361,7 @@
 
         write()
         async with Rig(*nodes) as rig:
-            rig.discovery.lines.append({"generation": 5, "reset": True, "instances": listed()})
+            rig.discovery.changes.append({"generation": 5, "reset": True, "instances": listed()})
             operator = Operator(
                 consul=ConsulTable(
                     agents=(f"127.0.0.1:{agent.port}",), least_interval_s=0.01, wait_s=0.5
@@ -396,7 +396,7 @@
             await until(lambda: used() == {"s-1", "s-2"})
             await agent.stop()
             await until(lambda: speaks() == "platform")
-            rig.discovery.refuse = True
+            rig.discovery.unavailable = True
             for writer in list(rig.discovery.open):
                 writer.transport.abort()
             await until(lambda: speaks() == "file")
@@ -408,7 +408,7 @@
             await until(lambda: used() == {"s-0", "s-1", "s-2"})
             await agent.start(agent.port)
             await until(lambda: speaks() == "consul")
-            catalogue.maintain("c2", True)
+            catalogue.set_maintenance("c2", True)
             await until(lambda: used() == {"s-0", "s-1"})
             seen = len(answers)
             await until(lambda: len(answers) > seen + 10)
--- a/tests/violetroute/sharing/test_sharing_daemon.py
+++ b/tests/violetroute/sharing/test_sharing_daemon.py
@@ -59,7 +59,9 @@
     async def start(self) -> None:
         self.discovery = await Discovery().start()
         self.node = await CacheNode().start()
-        self.children = [Child(self.folder, f"p{n}", told=self.lines.append) for n in range(2)]
+        self.children = [
+            Child(self.folder, f"p{n}", on_log_line=self.lines.append) for n in range(2)
+        ]
         raw = configuration(self.discovery.port, [self.node.entry("s-0")])
         async with asyncio.TaskGroup() as starts:
             for number, child in enumerate(self.children):
--- a/tests/violetroute/test_large_lists.py
+++ b/tests/violetroute/test_large_lists.py
@@ -14,7 +14,7 @@
 import pytest
 
 from limebridge.ports import free_ports
-from limebridge.standins.clients import Ask, Crowd
+from limebridge.standins.clients import ClientRequest, LoadGenerator
 from limebridge.standins.configuration import SETTINGS
 from limebridge.standins.large_list import LargeList
 from tests.support.rig import Discovery, configuration, until
@@ -41,26 +41,26 @@
     daemon: Program
     discovery: Discovery
     nodes: LargeList
-    crowd: Crowd
+    crowd: LoadGenerator
 
     async def run(self, seconds: float) -> None:
-        await self.crowd.play(RATE, seconds)
+        await self.crowd.run(RATE, seconds)
 
     async def check_answers(self) -> None:
         """Check that all requests are answered in time and nearly all are served."""
-        await self.crowd.rest()
-        late = [ask for ask in self.crowd.asks if waited(ask) > WAIT + SLACK]
-        worst = max(map(waited, self.crowd.asks))
-        kinds = self.crowd.kinds()
+        await self.crowd.wait_for_answers()
+        late = [ask for ask in self.crowd.finished if waited(ask) > WAIT + SLACK]
+        worst = max(map(waited, self.crowd.finished))
+        kinds = self.crowd.count_outcomes()
         assert not late and not kinds["expired"], f"{len(late)} late, the latest {worst:.3f} s"
-        assert kinds["served"] >= 0.9 * self.crowd.asked, kinds
+        assert kinds["served"] >= 0.9 * self.crowd.sent, kinds
         assert "Traceback" not in "".join(self.daemon.log)
-        assert len(self.discovery.asked) == 1, "the watch ended and was opened again"
+        assert len(self.discovery.requests) == 1, "the watch ended and was opened again"
 
 
-def waited(ask: Ask) -> float:
+def waited(ask: ClientRequest) -> float:
     """Seconds from a request to its answer."""
-    return ask.answered_at - ask.asked_at
+    return ask.ended_at - ask.sent_at
 
 
 @asynccontextmanager
@@ -72,7 +72,9 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw | {"settings": settings()}))
     daemon = Program(await launch(path, PROXY_DISCOVERY=raw["discovery"]), path, raw)
-    crowd = Crowd(daemon.port, clients=30, wait=WAIT + 2 * SLACK, told=b"%d" % (WAIT * 1000.0))
+    crowd = LoadGenerator(
+        daemon.port, clients=30, wait=WAIT + 2 * SLACK, wait_field=b"%d" % (WAIT * 1000.0)
+    )
     try:
         await daemon.logged("listens on")
         await until(lambda: discovery.open)
@@ -94,7 +96,7 @@
     async def run() -> None:
         async with large_fleet(tmp_path) as fleet:
             await fleet.run(BEFORE)
-            fleet.discovery.tell(*fleet.nodes.nodes(FIFTH, "terminating"))
+            fleet.discovery.publish(*fleet.nodes.nodes(FIFTH, "terminating"))
             await fleet.run(AFTER)
             await fleet.check_answers()
 
@@ -109,7 +111,7 @@
         async with large_fleet(tmp_path) as fleet:
             await fleet.run(BEFORE)
             left = [number for number in range(NODES) if number not in FIFTH]
-            fleet.discovery.tell(*fleet.nodes.nodes(left), reset=True)
+            fleet.discovery.publish(*fleet.nodes.nodes(left), reset=True)
             await fleet.run(AFTER)
             await fleet.check_answers()
 
@@ -122,7 +124,7 @@
 
     async def run() -> None:
         async with large_fleet(tmp_path) as fleet:
-            fleet.discovery.tell(*fleet.nodes.nodes(), reset=True)
+            fleet.discovery.publish(*fleet.nodes.nodes(), reset=True)
             await fleet.run(AFTER)
             await fleet.check_answers()
 
--- a/tests/violetroute/test_program.py
+++ b/tests/violetroute/test_program.py
@@ -133,12 +133,12 @@
     async def scenario() -> None:
         node = await CacheNode().start()
         old, new = await Discovery().start(), await Discovery().start()
-        new.refuse = True
+        new.unavailable = True
         async with program(tmp_path, old, node) as one:
             await until(lambda: old.open)
             one.configure(json.dumps(one.raw | {"discovery": f"127.0.0.1:{new.port}"}))
             await until(lambda: len(new.asked) >= 2)
-            new.refuse = False
+            new.unavailable = False
             await until(lambda: new.open)
         for part in (node, old, new):
             await part.stop()
--- a/tests/violetroute/transport/test_tls.py
+++ b/tests/violetroute/transport/test_tls.py
@@ -234,8 +234,8 @@
     mine.private_key_and_cert_chain_pem.write_to_path(str(tmp_path / "mine.pem"))
 
     async def part(rig: Rig, agent: Consul, catalogue: Catalogue) -> None:
-        await until(lambda: any("index" in asked for asked in agent.asked))
-        catalogue.maintain("c0", True)
+        await until(lambda: any("index" in asked for asked in agent.requests))
+        catalogue.set_maintenance("c0", True)
         await until(lambda: not rig.proxy.nodes)
 
     follow(
@@ -252,13 +252,13 @@
     old, new = trustme.CA(), trustme.CA()
 
     async def part(rig: Rig, agent: Consul, catalogue: Catalogue) -> None:
-        await until(lambda: any("index" in asked for asked in agent.asked))
+        await until(lambda: any("index" in asked for asked in agent.requests))
         await agent.stop()
-        asked = len(agent.asked)
+        asked = len(agent.requests)
         await agent.start(agent.port, server(new))
         ca_file(new, tmp_path)  # without a signal
-        await until(lambda: len(agent.asked) > asked)
-        catalogue.maintain("c0", True)
+        await until(lambda: len(agent.requests) > asked)
+        catalogue.set_maintenance("c0", True)
         await until(lambda: not rig.proxy.nodes)
 
     follow(tmp_path, part, server(old), tls_ca_file=ca_file(old, tmp_path))
