--- a/tests/violetroute/upstream/test_nodes.py
+++ b/tests/violetroute/upstream/test_nodes.py
@@ -147,7 +147,7 @@
 def test_a_draining_node_gets_nothing_new() -> None:
     async def scenario(rig: Rig, one: CacheNode, two: CacheNode) -> None:
         await rig.watched()
-        rig.discovery.tell(one.entry("s-0", "terminating"))
+        rig.discovery.publish(one.entry("s-0", "terminating"))
         await until(lambda: len(rig.proxy.nodes) == 1)
         before = len(one.commands)
         for number in range(40):
@@ -170,7 +170,7 @@
         reader, writer = await rig.client()
         writer.write(get(1))
         await until(lambda: node.commands)
-        rig.discovery.tell(node.entry("s-0", "terminating"))
+        rig.discovery.publish(node.entry("s-0", "terminating"))
         await until(lambda: not rig.proxy.nodes)
         go.set()
         assert await read_answer(reader) == b"value of id1"
@@ -184,7 +184,7 @@
         other = await CacheNode().start()
         await rig.watched()
         assert await rig.ask(get(1)) == [b"value of id1"]
-        rig.discovery.tell(other.entry("s-0"))
+        rig.discovery.publish(other.entry("s-0"))
         await until(lambda: not node.open)
         assert await rig.ask(get(2)) == [b"value of id2"]
         assert len(other.commands) == 1
@@ -197,11 +197,11 @@
     # The old id, not yet reported gone, gave the new, cold node its full share of requests.
     async def scenario(rig: Rig, node: CacheNode) -> None:
         await rig.watched()
-        rig.discovery.tell(node.entry("s-new", startedAtMs=5))
+        rig.discovery.publish(node.entry("s-new", startedAtMs=5))
         await until(lambda: rig.proxy.generation == 100)
         assert len(rig.proxy.nodes) == 1
         assert await rig.ask(get(1)) == [b"value of id1"]
-        rig.discovery.tell(node.entry("s-0", "terminated"), node.entry("s-2", "terminated"))
+        rig.discovery.publish(node.entry("s-0", "terminated"), node.entry("s-2", "terminated"))
         await until(lambda: rig.proxy.generation == 101)
         assert await rig.ask(get(2)) == [b"value of id2"]
 
@@ -214,7 +214,7 @@
         last = "s-0"
         for number in range(60):
             name = f"t-{number}"
-            rig.discovery.tell(node.entry(last, "terminated"), node.entry(name))
+            rig.discovery.publish(node.entry(last, "terminated"), node.entry(name))
             last = name
             await until(lambda number=number: rig.proxy.generation == 100 + number)
             assert await rig.ask(get(number)) == [b"value of id%d" % number]
@@ -228,12 +228,12 @@
     async def scenario(rig: Rig, node: CacheNode) -> None:
         for nonsense in (b'{"instances": 5}', b"[" * 50_000):
             await rig.watched()
-            asked = len(rig.discovery.asked)
+            asked = len(rig.discovery.requests)
             for writer in list(rig.discovery.open):
                 rig.discovery.send(writer, nonsense)
-            await until(lambda asked=asked: len(rig.discovery.asked) > asked)
+            await until(lambda asked=asked: len(rig.discovery.requests) > asked)
         await rig.watched()
-        rig.discovery.tell(
+        rig.discovery.publish(
             {"instanceId": "odd", "lifecycle": "in_service", "hostPort": "x"},
             node.entry("s-1", weight=float("nan")),
             node.entry("s-2"),
@@ -393,13 +393,13 @@
         other = CacheNode()
         other.port = server.sockets[0].getsockname()[1]
         await rig.watched()
-        rig.discovery.tell(other.entry("stuck"), reset=True)
+        rig.discovery.publish(other.entry("stuck"), reset=True)
         await until(lambda: len(rig.proxy.nodes) == 1 and rig.proxy.generation >= 100)
         asked = asyncio.create_task(rig.ask(put(1, value=value)))
         await soon(came.wait())
-        rig.discovery.tell(node.entry("s-0"))
+        rig.discovery.publish(node.entry("s-0"))
         await until(lambda: len(rig.proxy.nodes) == 2)
-        rig.discovery.tell(other.entry("stuck", "terminating"))
+        rig.discovery.publish(other.entry("stuck", "terminating"))
         assert await asked == [b"value of id1"]
         reads_on.set()
         await soon(done.wait())
