--- a/tests/violetroute/distribution/test_distribution_log_faults.py
+++ b/tests/violetroute/distribution/test_distribution_log_faults.py
@@ -283,7 +283,7 @@
 
 def lost_disk_taken_for_an_empty_log(patch: pytest.MonkeyPatch) -> None:
     def step(self: Recovery, now: float) -> None:
-        self._outbox.persist(self._replica.recovered())
+        self._outbox.persist(self._replica.finish_recovery())
 
     patch.setattr(Recovery, "step", step)
 
@@ -301,18 +301,18 @@
 
 def recovered_without_the_whole_log(patch: pytest.MonkeyPatch) -> None:
     def finish(self: Recovery) -> None:
-        if self._target is not None and self._replica.settled:
-            self._outbox.persist(self._replica.recovered())
+        if self._target is not None and self._replica.synced:
+            self._outbox.persist(self._replica.finish_recovery())
 
     patch.setattr(Recovery, "_finish", finish)
 
 
 def recovered_after_a_majority(patch: pytest.MonkeyPatch) -> None:
     def check_complete(self: Recovery) -> None:
-        if len(self._retries) <= 1 and self._complete_at_ticket is None:
-            self._complete_at_ticket = self._outbox.last_ticket
+        if len(self._retries) <= 1 and self._all_reported_ticket is None:
+            self._all_reported_ticket = self._outbox.last_ticket
 
-    patch.setattr(Recovery, "_check_complete", check_complete)
+    patch.setattr(Recovery, "_check_all_reported", check_complete)
 
 
 def recovering_acknowledgement_counted(patch: pytest.MonkeyPatch) -> None:
--- a/violetroute/sharing/loans.py
+++ b/violetroute/sharing/loans.py
@@ -107,7 +107,7 @@
         self._last_request: dict[str, int] = {}  # by borrower's life: highest request number
         self._number = 0
 
-    # --- what may be spent ---
+    # --- authority ---
     def own_authority(self, now: float) -> int:
         """The home part without what is lent; only the floor in the first `loan_s`."""
         if self.suspended:
@@ -230,11 +230,11 @@
         The loan replaces an earlier one: the lender deducts only the greatest of its loans to one
         borrower.
         """
-        asked = self._requests.get(lender)
-        if asked is None or asked[0] != number or self.suspended:
+        request = self._requests.get(lender)
+        if request is None or request[0] != number or self.suspended:
             return False
         del self._requests[lender]
-        until = asked[1] + self._terms.borrower_s
+        until = request[1] + self._terms.borrower_s
         if (
             amount > 0
             and now < until
