--- a/violetroute/fleet/runner.py
+++ b/violetroute/fleet/runner.py
@@ -69,10 +69,7 @@
 
 
 class Fleet:
-    """One proxy's participation in all elections.
-
-    `store` and `works` create the store of an incarnation and the work of a name.
-    """
+    """One proxy in all elections; `store` and `works` create its store and the work of a name."""
 
     def __init__(
         self,
@@ -85,7 +82,7 @@
     ) -> None:
         self.table, self._loop = table, net.loop
         self.me = IncarnationId(name[:MAX_NAME_CHARS], nonce or secrets.token_hex(8))
-        self._random = random.Random(f"{name}/{self.me.nonce}")
+        self._rng = random.Random(f"{name}/{self.me.nonce}")
         self._store = store(self.me)
         self._make_work = works
         self._timing = LeaseTiming(
@@ -97,7 +94,7 @@
         self._timer_at = 0.0
         self._polling = False
         # Spreads the first polls of proxies that were restarted together.
-        self._poll_at = self._loop.time() + table.look_s * self._random.random()
+        self._poll_at = self._loop.time() + table.look_s * self._rng.random()
         self._transferred_at = self._loop.time()
         self._view: StoreView | None = None
         self._last_error, self._last_error_at = "", -STORE_LOG_INTERVAL_S
@@ -111,9 +108,7 @@
         wanted = dict.fromkeys(works)
         for work in wanted:
             if work not in self._electors:
-                self._electors[work] = LeaderElector(
-                    work, self.me.nonce, self._timing, self._random
-                )
+                self._electors[work] = LeaderElector(work, self.me.nonce, self._timing, self._rng)
                 self._works[work] = self._make_work(work)
         for work, elector in self._electors.items():
             elector.set_candidate(work in wanted, elector.rank)
@@ -187,26 +182,24 @@
 
     # --- polling the store ---
     def _poll(self) -> None:
-        self._polling, requested_at = True, self._loop.time()
-        self._store.poll(lambda view, error: self._polled(requested_at, view, error))
+        self._polling, sent_at = True, self._loop.time()
+        self._store.poll(lambda view, error: self._polled(sent_at, view, error))
 
-    def _polled(self, requested_at: float, view: StoreView | None, error: str) -> None:
+    def _polled(self, sent_at: float, view: StoreView | None, error: str) -> None:
         if self._closed:
             return
         try:
-            self._process_poll(requested_at, view, error)
+            self._process_poll(sent_at, view, error)
         finally:
             self._tick_now()
 
-    def _process_poll(self, requested_at: float, view: StoreView | None, error: str) -> None:
+    def _process_poll(self, sent_at: float, view: StoreView | None, error: str) -> None:
         now = self._loop.time()
         self._polling = False
-        self._poll_at = max(
-            now, requested_at + self.table.look_s * (0.8 + 0.4 * self._random.random())
-        )
+        self._poll_at = max(now, sent_at + self.table.look_s * (0.8 + 0.4 * self._rng.random()))
         if view is None:
             self._store_failed(error)
-            self._poll_at = max(self._poll_at, now + self.table.look_s * self._random.random())
+            self._poll_at = max(self._poll_at, now + self.table.look_s * self._rng.random())
         else:
             self._store_recovered()
             self._view = view
@@ -219,7 +212,7 @@
                     continue
                 lease = view.leases.get(work)
                 alive = lease is None or lease.nonce not in view.dead
-                actions += elector.observe(now, requested_at, lease, alive)
+                actions += elector.observe(now, sent_at, lease, alive)
             self._perform(actions)
             self._balance(now)
 
@@ -288,9 +281,9 @@
                 self._perform(elector.fenced(self._loop.time(), floor))
                 self._schedule()
 
-        def run(steps: Steps, callback: Callable[[Result | None, str], None]) -> None:
+        def run(steps: Steps, done: Callable[[Result | None, str], None]) -> None:
             self._store.run(
-                steps, lambda result, error: None if self._closed else callback(result, error)
+                steps, lambda result, error: None if self._closed else done(result, error)
             )
 
         def transfer() -> None:
