--- a/tests/limebridge/faults/distribution/test_distribution_hard_cases.py
+++ b/tests/limebridge/faults/distribution/test_distribution_hard_cases.py
@@ -50,7 +50,7 @@
     """A proxy believes that it is fresh until it has said that it is not."""
 
     def fresh(self: Subscriber, now: float) -> bool:
-        return self.as_of is not None and not self._said_stale
+        return self.as_of is not None and not self._reported_stale
 
     patch.setattr(Subscriber, "fresh", fresh)
 
--- a/tests/violetroute/distribution/test_distribution_subscriber.py
+++ b/tests/violetroute/distribution/test_distribution_subscriber.py
@@ -375,7 +375,7 @@
 def test_refusals_go_with_every_poll_until_sixteen_later_ones() -> None:
     sub = subscriber()
     for position in range(20):
-        sub.refuse(position, "x" * 1000)
+        sub.add_refusal(position, "x" * 1000)
     for now in (1.0, 2.0):
         ask = sub.next(now)
         assert isinstance(ask, SendPoll)
--- a/violetroute/distribution/service.py
+++ b/violetroute/distribution/service.py
@@ -1,8 +1,8 @@
-"""The proxy's side: polls a control machine, applies what comes, and knows whether it is fresh.
+"""The proxy's long-poll client: polls a control machine, applies its records, reports freshness.
 
-One poll is under way at a time; the next one acknowledges what the last answer brought.  Decisions
-are the `Subscriber`'s; this module has the connections, the timer and the receivers.  A service
-needs no proxy: many of them can share one process and one event loop.
+One poll is in flight at a time; the next one acknowledges what the last reply brought.  The
+`Subscriber` makes the decisions; this module has the connections, the timer and the receiver.  A
+service does not need a proxy: many of them can share one process and one event loop.
 """
 
 from __future__ import annotations
@@ -40,32 +40,33 @@
 from .table import DistributionTable, control_addresses
 from .traffic import LogThrottle, Traffic
 
-CLIENTS_MAX = 2  # kept connections: to the machine that is asked, and to one that is tried
-NAME_CHARACTERS = 64
-REASON_CHARACTERS = 300  # as many as a poll's refusal may have
+MAX_CLIENTS = 2  # persistent connections: to the current machine, and to one that is on trial
+MAX_NAME_CHARACTERS = 64
+MAX_REASON_CHARACTERS = 300  # the maximum length of `messages.Reason`
 ERROR_RETRY_S = 1.0
 NEVER = float("inf")
 
 
 class Receiver(Protocol):
-    """Where records take effect.  An exception is reported as a refusal of that record."""
+    """Applies records.  An exception is reported to the control machines as a refused record."""
 
-    purges: int  # records that it was handed
+    # Numbers of calls of `purge` and `invalidate_all`, and of configuration records received.
+    purges: int
     voids: int
     configurations: int
 
     def purge(self, key: str) -> None:
-        """The object of this key is void."""
+        """Invalidate the object of this key."""
 
     def invalidate_all(self, reason: str) -> None:
-        """All objects are void."""
+        """Invalidate all objects."""
 
     def configure(self, change: ConfigurationChange) -> tuple[str, ...]:
-        """Configuration was published.  The reasons of what is refused."""
+        """Apply published configuration.  Returns one reason for each part that is refused."""
 
 
 class CountingReceiver:
-    """A receiver that only counts: what a cache node is to be told is not settled yet."""
+    """A receiver that only counts: how purges are sent to cache nodes is not specified yet."""
 
     __slots__ = ("configurations", "purges", "voids")
 
@@ -75,31 +76,31 @@
         self.voids = 0
 
     def purge(self, key: str) -> None:
-        """Counted."""
+        """Count the purge."""
         self.purges += 1
 
     def invalidate_all(self, reason: str) -> None:
-        """Counted."""
+        """Count the invalidation."""
         self.voids += 1
 
     def configure(self, change: ConfigurationChange) -> tuple[str, ...]:
-        """Counted, and nothing is refused."""
+        """Count the records; refuses nothing."""
         self.configurations += len(change.records)
         return ()
 
 
 class DistributionService:
-    """One proxy's.  Begins to poll at once; `close` ends it."""
+    """The subscription of one proxy.  Starts to poll when it is created; `close` ends it."""
 
     __slots__ = (
+        "_applies_configuration",
         "_clients",
         "_closed",
         "_keys",
         "_loop",
         "_net",
         "_skipped",
-        "_snapshot_is_due",
-        "_takes_configuration",
+        "_snapshot_pending",
         "_timer",
         "_timer_at",
         "_unreachable",
@@ -126,7 +127,7 @@
         self.name = _wire_name(name)
         self.incarnation = secrets.token_hex(8)
         self.traffic = Traffic()
-        self.polling = ""  # the address that is asked now
+        self.polling = ""  # address of the control machine whose poll is in flight
         settings = SubscriberSettings(
             self.name, region, _controls(table), stale_after_s=table.stale_after_s
         )
@@ -138,27 +139,29 @@
         self._wait_until = 0.0
         self._unreachable = LogThrottle(_log_unreachable)
         self._skipped = LogThrottle(_log_skipped)
-        self._takes_configuration = table.configuration
-        self._snapshot_is_due = False  # its configuration has not been handed on yet
+        self._applies_configuration = table.configuration
+        # Whether the receiver still lacks the configuration of the last snapshot.
+        self._snapshot_pending = False
         self._closed = False
         self._set_timer()
 
     def configure(self, table: DistributionTable) -> None:
-        """SIGHUP: other control machines."""
+        """Use the control machines of this table from now on (SIGHUP)."""
         self.subscriber.configure(_controls(table))
 
     def leave(self) -> Coroutine[None, None, None]:
-        """As `close`, at once; awaited, the control machines are told that it is never fresh again.
+        """Close at once, and return a coroutine that ends the sessions at the control machines.
 
-        For a process that shuts down, once it serves nobody any more.  Done when they have
-        answered, after END_TIMEOUT_S at the latest: they find out by themselves later.
+        For a process that shuts down and no longer serves clients.  The coroutine returns when all
+        machines have answered, after END_TIMEOUT_S at the latest: a machine that was not reached
+        drops the session later by itself.
         """
         addresses = tuple(self._clients)
         self.close()
         return end_sessions(self._net, self._keys, addresses, self.subscriber.end(), self.traffic)
 
     def close(self) -> None:
-        """Nothing is asked or applied any more."""
+        """Stop polling and close the connections.  Nothing is applied any more."""
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
@@ -168,7 +171,7 @@
         self._clients.clear()
 
     def status(self) -> ServiceStatus:
-        """For looking in."""
+        """The state for the introspection socket."""
         now = self._loop.time()
         as_of = self.subscriber.as_of
         return ServiceStatus(
@@ -196,25 +199,26 @@
             due = min(due, self._wait_until)
         if self._timer is not None:
             if self._timer_at <= due:
-                return  # it comes early and is set anew then
+                return  # it fires earlier and is rescheduled then
             self._timer.cancel()
         self._timer_at = due
         self._timer = None
         if due < NEVER:
-            self._timer = self._loop.call_at(due, self._due)
+            self._timer = self._loop.call_at(due, self._on_timer)
 
-    def _due(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
         self._step(lambda: self.subscriber.tick(self._loop.time()))
 
     def _step(self, event: Callable[[], list[Effect]]) -> None:
-        """One event of the subscriber and what follows from it.
+        """Run one event of the subscriber, execute its effects, and send the next poll if due.
 
-        A fault of ours is logged and costs ERROR_RETRY_S: the polls must not end with it.
+        An internal error is logged and delays the next poll by ERROR_RETRY_S: it must not end the
+        polling.
         """
         try:
-            self._carry_out(event())
-            if self._closed:  # by a receiver
+            self._execute(event())
+            if self._closed:  # the receiver has closed this service
                 return
             if not self.polling and self._loop.time() >= self._wait_until:
                 self._poll()
@@ -224,7 +228,7 @@
             if self._timer is not None:
                 self._timer.cancel()
             self._wait_until = self._timer_at = self._loop.time() + ERROR_RETRY_S
-            self._timer = self._loop.call_at(self._timer_at, self._due)
+            self._timer = self._loop.call_at(self._timer_at, self._on_timer)
 
     # --- polling ---
     def _poll(self) -> None:
@@ -232,35 +236,39 @@
         match self.subscriber.next(now):
             case WaitUntil(until):
                 self._wait_until = until
-            case SendPoll() as ask:
-                self._send(ask, now)
+            case SendPoll() as request:
+                self._send(request, now)
 
-    def _send(self, ask: SendPoll, sent_at: float) -> None:
-        def told(body: bytes | None, reason: str) -> None:
+    def _send(self, request: SendPoll, sent_at: float) -> None:
+        def on_response(body: bytes | None, reason: str) -> None:
             self.polling = ""
-            self._answered(ask, sent_at, body, reason)
+            self._response_received(request, sent_at, body, reason)
 
-        self._client(ask.address).request(path_of(ask.poll), encode(ask.poll), ask.timeout_s, told)
-        self.polling = ask.address
+        self._client(request.address).request(
+            path_of(request.poll), encode(request.poll), request.timeout_s, on_response
+        )
+        self.polling = request.address
 
-    def _answered(self, ask: SendPoll, sent_at: float, body: bytes | None, reason: str) -> None:
+    def _response_received(
+        self, request: SendPoll, sent_at: float, body: bytes | None, reason: str
+    ) -> None:
         now = self._loop.time()
-        reply = decode_reply(ask.poll, body)
+        reply = decode_reply(request.poll, body)
         if reply is None:
-            self._unreachable.record(now, ask.address, reason or "no reply to a poll")
-        self._step(lambda: self.subscriber.replied(now, sent_at, ask.address, reply))
+            self._unreachable.record(now, request.address, reason or "no reply to a poll")
+        self._step(lambda: self.subscriber.replied(now, sent_at, request.address, reply))
 
     def _client(self, address: str) -> HttpClient:
         client = self._clients.pop(address, None)
         if client is None:
             client = HttpClient(self._net, parse_address(address), self._keys, self.traffic)
-        while len(self._clients) >= CLIENTS_MAX:
+        while len(self._clients) >= MAX_CLIENTS:
             self._clients.pop(next(iter(self._clients))).close()
-        self._clients[address] = client  # the last one used stands last
+        self._clients[address] = client  # last in the dict: the most recently used
         return client
 
     # --- effects ---
-    def _carry_out(self, effects: list[Effect]) -> None:
+    def _execute(self, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
                 case Apply(batch):
@@ -274,15 +282,15 @@
                 case SequenceGap(expected, got):
                     missing = -1 if got is None else got
                     logs.event("distribution.gap", expected=expected, got=missing)
-        if self._snapshot_is_due:  # one that had no configuration
+        if self._snapshot_pending:  # the snapshot had no configuration, so no batch followed it
             self._configure(self.subscriber.position, ())
 
     def _apply(self, batch: Batch) -> None:
         skipped: Counter[int] = Counter()
-        fault: Exception | None = None
+        failure: Exception | None = None
         configuration: list[Record] = []
         for record in batch.records:
-            if record.topic == Topic.CONFIGURATION and self._takes_configuration:
+            if record.topic == Topic.CONFIGURATION and self._applies_configuration:
                 configuration.append(record)
                 continue
             if record.topic != Topic.PURGE:
@@ -290,52 +298,52 @@
                 continue
             try:
                 self.receiver.purge(record.key)
-            except Exception as error:  # of one record: the others are applied
-                fault = error
-        if fault is not None:
-            self._refused(batch.position, fault)
-        if configuration or self._snapshot_is_due:
+            except Exception as error:  # the batch's other records are still applied
+                failure = error
+        if failure is not None:
+            self._record_failed(batch.position, failure)
+        if configuration or self._snapshot_pending:
             self._configure(batch.position, tuple(configuration))
         for topic, count in skipped.items():
             self._skipped.record(self._loop.time(), str(topic), count=count)
 
     def _configure(self, position: int, records: tuple[Record, ...]) -> None:
-        change = ConfigurationChange(position, records, complete=self._snapshot_is_due)
-        self._snapshot_is_due = False
+        change = ConfigurationChange(position, records, complete=self._snapshot_pending)
+        self._snapshot_pending = False
         try:
             reasons = self.receiver.configure(change)
         except Exception as error:
-            self._refused(position, error)
+            self._record_failed(position, error)
             return
         for reason in reasons:
-            told = _wire_reason(reason)
-            logs.event("distribution.configuration_refused", position=position, reason=told)
-            self.subscriber.refuse(position, told)
+            sent_reason = _wire_reason(reason)
+            logs.event("distribution.configuration_refused", position=position, reason=sent_reason)
+            self.subscriber.add_refusal(position, sent_reason)
 
     def _invalidate_all(self, reason: str) -> None:
-        self._snapshot_is_due = self._takes_configuration
+        self._snapshot_pending = self._applies_configuration
         logs.event("distribution.snapshot", position=self.subscriber.position, reason=reason)
         try:
             self.receiver.invalidate_all(reason)
         except Exception as error:
-            self._refused(self.subscriber.position, error)
+            self._record_failed(self.subscriber.position, error)
 
-    def _refused(self, position: int, error: Exception) -> None:
+    def _record_failed(self, position: int, error: Exception) -> None:
         logs.event("daemon.fault", what="applying a record", error=error)
-        self.subscriber.refuse(position, _wire_reason(f"{type(error).__name__}: {error}"))
+        self.subscriber.add_refusal(position, _wire_reason(f"{type(error).__name__}: {error}"))
 
 
 def _wire_name(name: str) -> str:
-    """As a message may carry it: encodable, not empty, not too long."""
-    return name.encode("utf-8", "replace").decode()[:NAME_CHARACTERS] or "proxy"
+    """The name as `messages.Name` allows it: valid UTF-8, not empty, of limited length."""
+    return name.encode("utf-8", "replace").decode()[:MAX_NAME_CHARACTERS] or "proxy"
 
 
 def _wire_reason(reason: str) -> str:
-    """As a poll may carry it: one line that UTF-8 can encode, and not too long.
+    """The reason as a poll may carry it: one line, valid UTF-8, of limited length.
 
-    Every later poll carries the reason: one that cannot be encoded would end the polls for good.
+    Later polls repeat the reason: one that cannot be encoded would make all of them fail.
     """
-    return encodable(" ".join(reason.split()))[:REASON_CHARACTERS]
+    return encodable(" ".join(reason.split()))[:MAX_REASON_CHARACTERS]
 
 
 def _controls(table: DistributionTable) -> tuple[Control, ...]:
