--- a/violetroute/distribution/subscriber.py
+++ b/violetroute/distribution/subscriber.py
@@ -27,7 +27,7 @@
 
 import msgspec
 
-from .control_choice import Control, ControlChoice, SubscriberSettings
+from .control_choice import ControlEndpoint, ControlSelector, SubscriberSettings
 from .messages import Batch, Poll, PollReply, PollStatus, Snapshot
 
 MAX_REFUSALS = 16  # the maximum length of `Poll.refused`
@@ -116,9 +116,9 @@
         self._reported_stale = False
         self._refusals: deque[tuple[int, str]] = deque(maxlen=MAX_REFUSALS)
         self._random = random
-        self._choice = ControlChoice(settings, random)
+        self._selector = ControlSelector(settings, random)
 
-    def configure(self, controls: tuple[Control, ...]) -> None:
+    def configure(self, controls: tuple[ControlEndpoint, ...]) -> None:
         """Poll these control machines from now on.  The position and freshness are kept.
 
         A poll in flight may still be answered by a machine that is no longer in the list.  Raises
@@ -129,7 +129,7 @@
         if controls == self._settings.controls:
             return  # else each published table would make all proxies choose again at once
         self._settings = replace(self._settings, controls=controls)
-        self._choice = ControlChoice(self._settings, self._random)
+        self._selector = ControlSelector(self._settings, self._random)
 
     @property
     def position(self) -> int:
@@ -156,9 +156,9 @@
         """The next poll, or how long to wait for it.  Must not be called while one is in flight."""
         if self._ended:
             return WaitUntil(math.inf)
-        if now < self._choice.retry_at:
-            return WaitUntil(self._choice.retry_at)
-        address, timeout_s = self._choice.target(now)
+        if now < self._selector.retry_at:
+            return WaitUntil(self._selector.retry_at)
+        address, timeout_s = self._selector.target(now)
         return SendPoll(address, self._poll(), timeout_s)
 
     def end(self) -> Poll:
@@ -193,12 +193,12 @@
         if self._ended:
             return effects
         useful = reply is not None and self._apply_reply(now, sent_at, reply, effects)
-        if not self._choice.knows(address):
+        if not self._selector.knows(address):
             pass  # a machine removed by `configure`: its reply says nothing about the others
         elif useful:
-            self._choice.succeeded(now, address)
+            self._selector.succeeded(now, address)
         else:
-            self._choice.failed(now, address)
+            self._selector.failed(now, address)
         effects += self.tick(now)
         return effects
 
