--- a/benchmarks/mixed.py
+++ b/benchmarks/mixed.py
@@ -114,7 +114,7 @@
     kernel: Kernel, loop: VirtualLoop, seed: int, seconds: float, plan: Plan | None, lost: bool
 ) -> Result:
     seen = Seen(loop)
-    database = CustomerDatabase(at_once=64, latency=0.05, waiting=1024, seed=seed)
+    database = CustomerDatabase(concurrency=64, latency=0.05, queue_limit=1024, seed=seed)
     nodes: list[FleetNode] = []
     for site in SITES:
         for kind, (cores, speed) in KINDS.items():
@@ -126,8 +126,8 @@
                 seen,
                 f"{seed}/{name}",
                 slots=cores,
-                waiting=4 * cores,
-                service=WORK / speed,
+                queue_limit=4 * cores,
+                service_time=WORK / speed,
             )
             await node.start()
             nodes.append(node)
--- a/limebridge/explore_commands.py
+++ b/limebridge/explore_commands.py
@@ -153,7 +153,7 @@
             {
                 "digest": outcome.digest,
                 "requests": outcome.requests,
-                "broken": [[b.rule, round(b.at, 6), b.what] for b in outcome.broken],
+                "broken": [[b.rule, round(b.at, 6), b.message] for b in outcome.broken],
             }
         )
         if as_json
--- a/limebridge/rehearsal/command.py
+++ b/limebridge/rehearsal/command.py
@@ -350,7 +350,7 @@
         for why in result.failed:
             print(f"seed {result.seed}: {why}")
         for each in result.broken[:3]:
-            print(f"  rule {each.rule} at {each.at - 1000.0:.3f}: {each.what} {each.request}")
+            print(f"  rule {each.rule} at {each.at - 1000.0:.3f}: {each.message} {each.request}")
     for change in changed:
         print(
             f"{change['what']} {'worse' if change['worse'] else 'better'} by "
--- a/limebridge/rehearsal/engine.py
+++ b/limebridge/rehearsal/engine.py
@@ -68,7 +68,9 @@
         self.rooms: list[Room] = []
         self._watch = Watch()
         effects = {c.name: c.effect for c in scenario.classes}
-        terms = RuleLimits(effects, cold_from=scenario.nodes.cold_from, warm=scenario.nodes.warm)
+        terms = RuleLimits(
+            effects, cold_share=scenario.nodes.cold_from, warm_up=scenario.nodes.warm
+        )
         self.judges = {f"p{n}": RuleChecker(terms) for n in range(scenario.proxies.count)}
         self.fleet = RuleChecker(terms)
 
@@ -82,7 +84,9 @@
         judge = self.judges.get(owner)
         if judge is not None:
             judge.arrived(at, node, id_, sent_at)
-        self.fleet._count(at, node, self.fleet._nodes.setdefault(node, _node(self.fleet, node)))
+        self.fleet._check_cold_load(
+            at, node, self.fleet._nodes.setdefault(node, _node(self.fleet, node))
+        )
         self._watch.came(id_, at - self._began, node)
         self.commands += 1
         self.crossed += self._sites.get(owner) != self._sites.get(node)
@@ -148,7 +152,7 @@
             self.seed,
             found,
             broken,
-            [self.database.seconds.get(second, 0) for second in seconds],
+            [self.database.fetches_by_second.get(second, 0) for second in seconds],
             self._worked,
             self.crossed,
             self.commands,
@@ -367,7 +371,7 @@
             able = node.available_capacity(now)
             work += self._speeds[node.name] * able
             self._watch.looked(node.name, now - self._began, able)
-        plan, flows = self.scenario.database, self.database.flowing.is_set()
+        plan, flows = self.scenario.database, self.database.running.is_set()
         fetches = flows * plan.at_once / (plan.latency_ms / 1000.0 * self.database.slowness)
         self.rooms.append(Room(work * STEP, fetches * STEP))
         self.loop.call_at(self._began + STEP * len(self.rooms), self._measure)
--- a/limebridge/rehearsal/load.py
+++ b/limebridge/rehearsal/load.py
@@ -89,7 +89,7 @@
         asked.work = cls.work_ms / 1000.0
         asked.life = self._life(cls.deadline_ms / 1000.0 * high)
         asked.fresh = self._keys.meet(
-            words[1], cls.effect == "pure", self._database.flowing.is_set()
+            words[1], cls.effect == "pure", self._database.running.is_set()
         )
         Want(front, asked, cls, words, patience).go()
 
--- a/limebridge/rehearsal/report.py
+++ b/limebridge/rehearsal/report.py
@@ -51,7 +51,7 @@
         },
         "blame": result.blame,
         "costs": [[c.second, c.lost, c.by, c.part] for c in result.costs],
-        "broken": [[b.rule, round(b.at, 6), b.what, b.request] for b in result.broken[:BREAKS]],
+        "broken": [[b.rule, round(b.at, 6), b.message, b.request] for b in result.broken[:BREAKS]],
     }
 
 
--- a/limebridge/rehearsal/result.py
+++ b/limebridge/rehearsal/result.py
@@ -54,7 +54,7 @@
         ]
         told += self._missed()
         rules = Counter(each.rule for each in self.broken if each.rule)
-        told += [each.what for each in self.broken if not each.rule][:3]
+        told += [each.message for each in self.broken if not each.rule][:3]
         names = {
             1: "no request lost",
             2: "no effect twice",
--- a/limebridge/rehearsal/troubles.py
+++ b/limebridge/rehearsal/troubles.py
@@ -136,9 +136,9 @@
         self.database.slowness = 1.0
 
     async def _database_stops(self, event: Event) -> None:
-        self.database.flowing.clear()
+        self.database.running.clear()
         await asyncio.sleep(event.lasts)
-        self.database.flowing.set()
+        self.database.running.set()
 
     async def _discovery_down(self, event: Event) -> None:
         await refused(event.lasts, self.discovery)
--- a/limebridge/rules/__init__.py
+++ b/limebridge/rules/__init__.py
@@ -1,4 +1,4 @@
-"""The four rules, judged from outside: by what clients, cache nodes and discovery saw."""
+"""The four rules of the proxy, checked from what clients, cache nodes and discovery observe."""
 
 from .checker import RuleChecker, RuleLimits, Violation
 
--- a/limebridge/rules/checker.py
+++ b/limebridge/rules/checker.py
@@ -1,8 +1,9 @@
-"""The judge of the four rules.  It knows nothing of the proxy, only what its peers saw.
+"""Checks the four rules from what the proxy's peers observed, without knowledge of the proxy.
 
-It judges at each event, so a break that heals a moment later is told too, with the request's
-story up to then.  Times are seconds on one clock.  Where a peer can see only that something
-came, it tells when it was sent as well as it knows; what it can't know counts for the proxy.
+Every event is checked when it is reported, so a violation is recorded even if it is over a moment
+later, together with the trace of its request up to then.  All times are seconds on one clock.
+Where a peer sees only the arrival of a message, it reports the best known time of sending; an
+uncertainty counts in the proxy's favour.
 """
 
 from __future__ import annotations
@@ -11,70 +12,76 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-PAUSE_SLACK = 0.05  # s after a pause for what became due in it
-MIN_DETECTABLE_PAUSE_S = (
-    0.1  # s of a pause that a process can see; what came in a shorter one may be late
-)
-BURST = 0.01  # s in which a new watch may say a drain again that it has just taken back
-BEFORE = ""  # the source of what was handed over, or told by sources that are not followed any more
-GONE = 0.1  # s after which nothing begins for a client that has left, whatever came in between
-SLACK = 6  # requests beyond a cold node's bound: what chance alone brings
+# s after a pause in which the process still catches up on what became due during the pause
+PAUSE_SLACK_S = 0.05
+# s; a process cannot detect a shorter pause, and what arrived in one may be answered late
+MIN_DETECTABLE_PAUSE_S = 0.1
+# s in which a new watch may repeat a drain that it has just withdrawn
+REPEAT_WINDOW_S = 0.01
+# the source of states handed over at a restart, or reported by sources no longer followed
+FORMER_SOURCES = ""
+# s after the client's FIN has arrived; nothing may be sent after that, even if a pause intervened
+CLIENT_GONE_LIMIT_S = 0.1
+# requests over a cold node's limit that random arrivals alone can cause
+COLD_LIMIT_SLACK = 6
 
 
 @dataclass(frozen=True)
 class RuleLimits:
-    """The figures of the rules, as the platform's settings state them."""
+    """The limits of the rules, from the platform's settings."""
 
     effects: Mapping[str, str]  # by class: pure, token or side_effect
-    grace: float = 0.5  # s from hearing of a drain
-    overload: float = 3.0  # times a cold node's present capacity
-    fall: float = 3.0  # s over which that is counted
-    cold_from: float = 0.13  # share of its capacity that a node starts with
-    warm: float = 23.0  # s until it has all of it
+    grace: float = 0.5  # s from the report of a drain until nothing new may be sent
+    overload: float = 3.0  # allowed load of a cold node, as a multiple of its current capacity
+    window: float = 3.0  # s over which requests to a cold node are counted
+    cold_share: float = 0.13  # fraction of its warm capacity that a node has at its start
+    warm_up: float = 23.0  # s until a node has its full capacity
 
 
 @dataclass(frozen=True)
 class Violation:
-    """A rule that was broken: 1 to 4, or 0 for the program's own bounds."""
+    """A violation of one of the rules 1 to 4; rule 0 stands for the program's own limits."""
 
     rule: int
     at: float
-    what: str
+    message: str
     request: str = ""
-    story: tuple[str, ...] = ()
+    trace: tuple[str, ...] = ()
 
 
 @dataclass
 class _Request:
     cls: str
     effect: str
-    asked_at: float
-    until: float
-    story: list[str] = field(default_factory=list)
+    sent_at: float
+    deadline: float
+    trace: list[str] = field(default_factory=list)
     answered_at: float | None = None
     answer: str = ""
     gone_at: float | None = None
-    end_came_at: float | None = None  # to the proxy's machine
+    eof_at: float | None = None  # when the client's FIN reached the proxy's machine
     excused: bool = False
-    accepted: list[str] = field(default_factory=list)  # nodes that may have run it
+    accepted_by: list[str] = field(default_factory=list)  # nodes that may have run it
     effects: int = 0
 
 
 @dataclass
 class _Node:
-    told: dict[str, float] = field(default_factory=dict)  # by source: drains or gone, since then
-    taken_back: dict[str, tuple[float, float]] = field(default_factory=dict)  # since when, and when
-    burst_at: float = 0.0  # the end of the last burst in which it was told so again
+    # by source: since when the node is reported as draining or removed
+    unavailable: dict[str, float] = field(default_factory=dict)
+    # by source: since when it had been unavailable, and when that was withdrawn
+    withdrawn: dict[str, tuple[float, float]] = field(default_factory=dict)
+    repeated_at: float = 0.0  # the last time a new watch repeated a withdrawn drain
     started_at: float | None = None  # None: warm
-    capacity: float = 0.0  # requests a second when warm
-    lately: deque[float] = field(default_factory=deque)
+    capacity: float = 0.0  # requests per second when warm
+    recent_arrivals: deque[float] = field(default_factory=deque)
 
 
 class RuleChecker:
-    """Tell it what was seen, in the order of time; `broken` has what it found."""
+    """Receives observed events in order of time and collects rule violations in `violations`."""
 
-    def __init__(self, terms: RuleLimits) -> None:
-        self._terms = terms
+    def __init__(self, limits: RuleLimits) -> None:
+        self._limits = limits
         self._requests: dict[str, _Request] = {}
         self._nodes: dict[str, _Node] = {}
         self.violations: list[Violation] = []
@@ -82,89 +89,90 @@
         self._paused_until = 0.0
         self._pauses: list[tuple[float, float]] = []
 
-    def _break(self, rule: int, at: float, what: str, id_: str = "") -> None:
-        story = tuple(self._requests[id_].story) if id_ in self._requests else ()
-        self.violations.append(Violation(rule, at, what, id_, story))
+    def _violation(self, rule: int, at: float, message: str, id_: str = "") -> None:
+        trace = tuple(self._requests[id_].trace) if id_ in self._requests else ()
+        self.violations.append(Violation(rule, at, message, id_, trace))
 
-    def report_fault(self, at: float, what: str) -> None:
-        """A bound or promise of the program's own that did not hold."""
-        self._break(0, at, what)
+    def report_fault(self, at: float, message: str) -> None:
+        """Record that a limit or guarantee of the program itself did not hold (rule 0)."""
+        self._violation(0, at, message)
 
     # --- clients ---
     def request_sent(self, at: float, id_: str, cls: str, wait: float) -> None:
-        """The last byte of a request was written; its client waits so long."""
-        request = self._requests[id_] = _Request(cls, self._terms.effects[cls], at, at + wait)
-        request.story.append(f"{at:.6f} asked ({cls}, waits {wait * 1000:.0f} ms)")
+        """The client wrote the last byte of a request and waits `wait` seconds for the answer."""
+        request = self._requests[id_] = _Request(cls, self._limits.effects[cls], at, at + wait)
+        request.trace.append(f"{at:.6f} asked ({cls}, waits {wait * 1000:.0f} ms)")
 
     def answered(self, at: float, id_: str, answer: str) -> None:
-        """A whole answer came: served, refused or failed."""
+        """The client received a complete answer: served, refused or failed."""
         request = self._requests[id_]
-        request.story.append(f"{at:.6f} {answer}")
+        request.trace.append(f"{at:.6f} {answer}")
         self.answers[answer] = self.answers.get(answer, 0) + 1
         if request.answered_at is not None:
-            self._break(1, at, "a second final answer", id_)
+            self._violation(1, at, "a second final answer", id_)
             return
         request.answered_at, request.answer = at, answer
-        if at > request.until and not self._excused(request):
-            self._break(1, at, f"answered {(at - request.until) * 1000:.1f} ms late", id_)
-        if answer == "refused" and request.effect == "side_effect" and request.accepted:
-            self._break(2, at, f"refused, though {request.accepted[0]} may have run it", id_)
+        if at > request.deadline and not self._excused(request):
+            self._violation(1, at, f"answered {(at - request.deadline) * 1000:.1f} ms late", id_)
+        if answer == "refused" and request.effect == "side_effect" and request.accepted_by:
+            self._violation(2, at, f"refused, though {request.accepted_by[0]} may have run it", id_)
 
     def unexpected_answer(self, at: float, text: str) -> None:
-        """Something came to a client that had nothing open."""
-        self._break(1, at, f"an answer that nobody is owed: {text}")
+        """A client without an open request received data."""
+        self._violation(1, at, f"an answer to no open request: {text}")
 
     def expired(self, at: float, id_: str) -> None:
-        """The client's time is up without an answer."""
+        """The client's deadline passed without an answer."""
         request = self._requests[id_]
-        request.story.append(f"{at:.6f} out of time")
+        request.trace.append(f"{at:.6f} out of time")
         if not self._excused(request) and request.gone_at is None:
-            self._break(1, at, "no final answer in time", id_)
+            self._violation(1, at, "no final answer in time", id_)
 
     def client_gone(self, at: float, id_: str) -> None:
-        """The client has gone away: nothing is owed, and nothing more may be sent."""
+        """The client disconnected: no answer is required, and nothing more may be sent."""
         request = self._requests[id_]
-        request.story.append(f"{at:.6f} its client has gone")
+        request.trace.append(f"{at:.6f} its client has gone")
         request.gone_at = at
 
     def client_eof_received(self, at: float, id_: str) -> None:
-        """The end of one that has gone is on the proxy's machine: its kernel knows.
+        """The FIN of a disconnected client has reached the kernel of the proxy's machine.
 
-        Counts also while the process stands.  An end behind more than the receive buffer holds is
-        still at the sender, and nobody here can know of it.
+        This also counts while the process is paused.  A FIN behind more data than the receive
+        buffer holds is still at the sender, so the proxy cannot know of it.
         """
-        self._requests[id_].end_came_at = at
+        self._requests[id_].eof_at = at
 
     def connection_closed(self, at: float, id_: str) -> None:
-        """The proxy ended the connection while this was open on it."""
+        """The proxy closed the connection while this request was open on it."""
         request = self._requests[id_]
-        request.story.append(f"{at:.6f} the connection was closed under it")
-        if request.accepted and not request.excused:
-            self._break(1, at, "the connection was closed under a request sent on", id_)
+        request.trace.append(f"{at:.6f} the connection was closed under it")
+        if request.accepted_by and not request.excused:
+            self._violation(1, at, "the connection was closed under a request sent on", id_)
         request.gone_at = at
 
     def excuse(self, id_: str) -> None:
-        """Its client's own path was cut: no answer could have come."""
+        """The client's own network path was cut, so no answer could have reached it."""
         self._requests[id_].excused = True
 
     # --- the proxy's process ---
     def proxy_restarted(self, at: float, node_states: Mapping[str, bool]) -> None:
-        """A new process knows what it is handed, by node: whether it may be used.
+        """A new process took over, with a list that says which nodes may be used.
 
-        What its predecessor was told and has sent is gone with it; cold nodes are counted anew.
+        Reports to its predecessor and requests sent by it no longer count; the requests to cold
+        nodes are counted from zero.
         """
-        for name, seen in self._nodes.items():
-            seen.lately.clear()
-            seen.taken_back.clear()
-            seen.told = {} if node_states.get(name, True) else {BEFORE: at}
+        for name, node in self._nodes.items():
+            node.recent_arrivals.clear()
+            node.withdrawn.clear()
+            node.unavailable = {} if node_states.get(name, True) else {FORMER_SOURCES: at}
 
     def proxy_paused(self, at: float, until: float) -> None:
-        """The process gets no CPU until then: nobody can answer in time meanwhile."""
+        """The process gets no CPU until `until`; nothing due in between can be answered in time."""
         self._paused_until = max(self._paused_until, until)
         self._pauses.append((at, until))
 
-    def _could_know(self, at: float) -> float:
-        """When a process that got no CPU could know of what happened then."""
+    def _noticeable_at(self, at: float) -> float:
+        """Earliest time at which the process, paused or not, could notice an event at `at`."""
         return max(
             [until for began, until in self._pauses if began <= at + 0.01 <= until + 0.01],
             default=at,
@@ -173,9 +181,9 @@
     def _excused(self, request: _Request) -> bool:
         request.excused = (
             request.excused
-            or request.until <= self._paused_until + PAUSE_SLACK
+            or request.deadline <= self._paused_until + PAUSE_SLACK_S
             or any(
-                at <= request.asked_at <= until and until - at < MIN_DETECTABLE_PAUSE_S
+                at <= request.sent_at <= until and until - at < MIN_DETECTABLE_PAUSE_S
                 for at, until in self._pauses
             )
         )
@@ -183,79 +191,83 @@
 
     # --- cache nodes ---
     def arrived(self, at: float, node: str, id_: str, sent_at: float) -> None:
-        """A command came to a node, sent at this time or later."""
+        """A command arrived at a node; the proxy sent it at `sent_at` or later."""
         request, seen = self._requests.get(id_), self._nodes.setdefault(node, _Node())
         if request is None:
-            self._break(1, at, f"{node} got a request that nobody asked: {id_[:40]}")
+            self._violation(1, at, f"{node} got a request that no client sent: {id_[:40]}")
             return
-        request.story.append(f"{at:.6f} came to {node}, sent at {sent_at:.6f}")
+        request.trace.append(f"{at:.6f} came to {node}, sent at {sent_at:.6f}")
         if request.answered_at is not None and sent_at > request.answered_at:
-            self._break(1, at, f"sent to {node} after the final answer", id_)
-        if request.end_came_at is not None and sent_at > request.end_came_at + GONE:
-            self._break(
+            self._violation(1, at, f"sent to {node} after the final answer", id_)
+        if request.eof_at is not None and sent_at > request.eof_at + CLIENT_GONE_LIMIT_S:
+            self._violation(
                 1,
                 at,
-                f"sent to {node} {(sent_at - request.end_came_at) * 1000:.0f} ms "
-                "after its client's end had come",
+                f"sent to {node} {(sent_at - request.eof_at) * 1000:.0f} ms "
+                "after its client's end of stream had arrived",
                 id_,
             )
-        elif request.gone_at is not None and sent_at > self._could_know(request.gone_at) + 0.01:
-            self._break(1, at, f"sent to {node} after its client had gone", id_)
-        heard = min(seen.told.values(), default=None)
-        if heard is not None and sent_at > max(heard + self._terms.grace, seen.burst_at):
-            self._break(
+        elif request.gone_at is not None and sent_at > self._noticeable_at(request.gone_at) + 0.01:
+            self._violation(1, at, f"sent to {node} after its client had gone", id_)
+        reported_at = min(seen.unavailable.values(), default=None)
+        if reported_at is not None and sent_at > max(
+            reported_at + self._limits.grace, seen.repeated_at
+        ):
+            self._violation(
                 3,
                 at,
-                f"sent to {node} {(sent_at - heard) * 1000:.1f} ms after hearing "
+                f"sent to {node} {(sent_at - reported_at) * 1000:.1f} ms after the report "
                 "that it drains or is gone",
                 id_,
             )
-        if request.effect == "side_effect" and request.accepted:
-            self._break(2, at, f"sent to {node}, though {request.accepted[0]} may have run it", id_)
-        self._count(at, node, seen)
+        if request.effect == "side_effect" and request.accepted_by:
+            self._violation(
+                2, at, f"sent to {node}, though {request.accepted_by[0]} may have run it", id_
+            )
+        self._check_cold_load(at, node, seen)
 
-    def _count(self, at: float, node: str, seen: _Node) -> None:
+    def _check_cold_load(self, at: float, node: str, seen: _Node) -> None:
         if seen.started_at is None:
             return
-        terms, lately = self._terms, seen.lately
+        limits, arrivals = self._limits, seen.recent_arrivals
         age = at - seen.started_at
-        if age >= terms.warm:
+        if age >= limits.warm_up:
             return
-        lately.append(at)
-        while lately and lately[0] <= at - terms.fall:
-            lately.popleft()
-        share = terms.cold_from + (1.0 - terms.cold_from) * age / terms.warm
-        bound = terms.overload * seen.capacity * share * terms.fall + SLACK
-        if len(lately) > bound:
-            self._break(
+        arrivals.append(at)
+        while arrivals and arrivals[0] <= at - limits.window:
+            arrivals.popleft()
+        share = limits.cold_share + (1.0 - limits.cold_share) * age / limits.warm_up
+        bound = limits.overload * seen.capacity * share * limits.window + COLD_LIMIT_SLACK
+        if len(arrivals) > bound:
+            self._violation(
                 4,
                 at,
-                f"{node} got {len(lately)} in {terms.fall:g} s, {age:.1f} s after "
+                f"{node} got {len(arrivals)} in {limits.window:g} s, {age:.1f} s after "
                 f"its start; {bound:.0f} is the bound",
             )
 
     def accepted(self, at: float, node: str, id_: str) -> None:
-        """From here on it may run there."""
+        """The node accepted the request and may run it from now on."""
         request = self._requests.get(id_)
         if request is not None:
-            request.accepted.append(node)
-            request.story.append(f"{at:.6f} accepted by {node}")
+            request.accepted_by.append(node)
+            request.trace.append(f"{at:.6f} accepted by {node}")
 
     def effect(self, at: float, node: str, id_: str) -> None:
-        """It did what it does, for good."""
+        """The request took its permanent effect at the node."""
         request = self._requests.get(id_)
         if request is None:
             return
         request.effects += 1
-        request.story.append(f"{at:.6f} took effect at {node}")
+        request.trace.append(f"{at:.6f} took effect at {node}")
         if request.effects > 1 and request.effect != "pure":
-            self._break(2, at, f"took effect {request.effects} times", id_)
+            self._violation(2, at, f"took effect {request.effects} times", id_)
 
     # --- discovery and starts ---
-    # Rule three.  From `grace` after a source told that a node drains or is gone it gets nothing
-    # new, until that source tells of it as ready, or any source tells of a start of it that came
-    # after that was told.  Told is what the process had the bytes of; what a wait that ran out
-    # says once more is no telling.
+    # Rule 3: once `grace` has passed since a source reported a node as draining or removed, the
+    # node gets no new request until that source reports it as ready, or any source reports a
+    # start of the node later than that report.  A report counts from the time its bytes reached
+    # the process; a blocking query that times out and repeats the old state is no report.
     def node_reported(
         self,
         at: float,
@@ -265,51 +277,51 @@
         started_at: float | None = None,
         burst: bool = False,
     ) -> None:
-        """By now the proxy was told of a node by one of its sources.
+        """By `at` the proxy has received a node's state from one of its sources.
 
-        `started_at`: of the node, as the source has it. `burst`: a new watch says once more what
-        was said before; what it takes back and says again at once is no new telling.
+        `started_at`: the start time of the node, according to the source.  `burst`: a new watch
+        repeats earlier states; a drain that it withdraws and at once repeats is no new report.
         """
         seen = self._nodes.setdefault(node, _Node())
         if ready:
-            seen.told.pop(BEFORE, None)
-            since = seen.told.pop(source, None)
+            seen.unavailable.pop(FORMER_SOURCES, None)
+            since = seen.unavailable.pop(source, None)
             if since is not None:
-                seen.taken_back[source] = since, at
+                seen.withdrawn[source] = since, at
             if started_at is not None:
-                seen.told = {
-                    name: since for name, since in seen.told.items() if since >= started_at
+                seen.unavailable = {
+                    name: since for name, since in seen.unavailable.items() if since >= started_at
                 }
-        elif source not in seen.told:
-            since, taken_back_at = seen.taken_back.pop(source, (at, -1.0))
-            if burst and at - taken_back_at <= BURST:
-                seen.told[source], seen.burst_at = since, at
+        elif source not in seen.unavailable:
+            since, withdrawn_at = seen.withdrawn.pop(source, (at, -1.0))
+            if burst and at - withdrawn_at <= REPEAT_WINDOW_S:
+                seen.unavailable[source], seen.repeated_at = since, at
             else:
-                seen.told[source] = at
+                seen.unavailable[source] = at
 
     def active_drains(self, at: float) -> list[tuple[str, float]]:
-        """Of each drain or going that holds: who told it, and how many seconds ago."""
+        """Source and age in seconds of each report of a drain or removal that still holds."""
         return [
             (source, at - since)
             for seen in self._nodes.values()
-            for source, since in seen.told.items()
+            for source, since in seen.unavailable.items()
         ]
 
     def sources_replaced(self) -> None:
-        """The proxy was given other sources: what the old ones told holds until one speaks."""
+        """The proxy follows other sources; reports of the old ones hold until a new one reports."""
         for seen in self._nodes.values():
-            seen.taken_back.clear()
-            if seen.told:
-                seen.told = {BEFORE: min(seen.told.values())}
+            seen.withdrawn.clear()
+            if seen.unavailable:
+                seen.unavailable = {FORMER_SOURCES: min(seen.unavailable.values())}
 
     def started(self, at: float, node: str, capacity: float) -> None:
-        """A node's process started cold; it can do so many requests a second when warm."""
+        """A node's process started cold; warm, it serves `capacity` requests per second."""
         seen = self._nodes.setdefault(node, _Node())
         seen.started_at, seen.capacity = at, capacity
-        seen.lately.clear()
+        seen.recent_arrivals.clear()
 
     def finish(self, at: float) -> None:
-        """All is over: each request has had its end."""
+        """End of the run: report each request that has neither an answer nor an excuse."""
         for id_, request in self._requests.items():
             if (
                 request.answered_at is None
@@ -317,9 +329,9 @@
                 and not request.excused
                 and not any(b.request == id_ for b in self.violations)
             ):
-                self._break(1, at, "no final answer at the end", id_)
+                self._violation(1, at, "no final answer at the end", id_)
 
     @property
     def requests(self) -> int:
-        """Asked so far."""
+        """Number of requests sent so far."""
         return len(self._requests)
--- a/limebridge/standins/database.py
+++ b/limebridge/standins/database.py
@@ -1,4 +1,4 @@
-"""The customer database behind the cache nodes: slow, shared, and overrun by too many."""
+"""The customer database behind the cache nodes: slow, shared and easily overloaded."""
 
 from __future__ import annotations
 
@@ -7,47 +7,49 @@
 
 
 class CustomerDatabase:
-    """Serves `at_once` fetches side by side, each in about `latency` seconds; others wait.
+    """Runs `concurrency` fetches at once, each in about `latency` seconds; others queue.
 
-    Beyond `waiting` that wait a fetch is turned away, which costs it `refusal` seconds of the
-    time of one of those slots: asked far too much it falls over, and recovers when asked less.
+    A fetch that finds `queue_limit` others waiting is rejected.  Each rejection costs
+    `rejection_cost` seconds of one slot's time, so the database's throughput collapses under heavy
+    overload and recovers when the load falls.
     """
 
     def __init__(
         self,
-        at_once: int = 16,
+        concurrency: int = 16,
         latency: float = 0.05,
-        waiting: int = 256,
+        queue_limit: int = 256,
         seed: int = 1,
-        refusal: float = 0.0,
+        rejection_cost: float = 0.0,
     ) -> None:
-        self._slots = asyncio.Semaphore(at_once)
-        self._latency, self._limit = latency, at_once + waiting
+        self._slots = asyncio.Semaphore(concurrency)
+        self._latency, self._limit = latency, concurrency + queue_limit
         self._random = random.Random(seed)
-        self._refusal, self._owed = refusal, 0.0
-        self.fetches = self.turned_away = 0
-        self.slowness = 1.0
-        self.flowing = asyncio.Event()  # cleared while it stands still
-        self.flowing.set()
-        self.seconds: dict[int, int] = {}  # fetches begun, by the loop's second
-        self.open = 0
+        # s of slot time per rejection, and the sum that the next fetch has to spend
+        self._rejection_cost, self._unpaid_cost = rejection_cost, 0.0
+        self.fetches = self.rejected = 0
+        self.slowness = 1.0  # factor on the latency
+        self.running = asyncio.Event()  # cleared during a stall
+        self.running.set()
+        self.fetches_by_second: dict[int, int] = {}  # fetches started, by second of the loop's time
+        self.pending = 0
 
     async def fetch(self, key: bytes) -> bytes | None:
-        """The value of a key; None when too many wait."""
-        if self.open >= self._limit:
-            self.turned_away += 1
-            self._owed += self._refusal
+        """The value of a key, or None when the queue is full."""
+        if self.pending >= self._limit:
+            self.rejected += 1
+            self._unpaid_cost += self._rejection_cost
             return None
-        self.open += 1
+        self.pending += 1
         try:
             async with self._slots:
                 self.fetches += 1
                 second = int(asyncio.get_running_loop().time())
-                self.seconds[second] = self.seconds.get(second, 0) + 1
-                await self.flowing.wait()
+                self.fetches_by_second[second] = self.fetches_by_second.get(second, 0) + 1
+                await self.running.wait()
                 spread = self._random.lognormvariate(0.0, 0.3)
-                owed, self._owed = self._owed, 0.0
-                await asyncio.sleep(self._latency * self.slowness * spread + owed)
+                cost, self._unpaid_cost = self._unpaid_cost, 0.0
+                await asyncio.sleep(self._latency * self.slowness * spread + cost)
                 return b"template of " + key
         finally:
-            self.open -= 1
+            self.pending -= 1
--- a/limebridge/standins/fleet.py
+++ b/limebridge/standins/fleet.py
@@ -1,7 +1,7 @@
-"""Cache nodes as a fleet has them: slots, a queue, a cold start, hits, misses, effects.
+"""Cache nodes with limited slots, a queue, a cold start, hits, misses and effects.
 
-Written against asyncio alone, so that it runs on loopback sockets and on the virtual network.
-A `witness` is told what happens, for whoever judges.
+Uses asyncio alone, so that it runs on loopback sockets and on the virtual network.  Each node
+reports what happens to an observer, such as `limebridge.rules.RuleChecker`.
 """
 
 from __future__ import annotations
@@ -16,11 +16,12 @@
 from .nodes import CacheNode
 from .wire import command, read_words, reply
 
-MEAN_WORK_FACTOR = math.exp(-0.1 + 0.4**2 / 2)  # of the factor that a command's work is drawn with
+# mean of the lognormal factor that each command's service time is multiplied by
+MEAN_WORK_FACTOR = math.exp(-0.1 + 0.4**2 / 2)
 
 
 class NodeObserver(Protocol):
-    """Who hears what a node saw; times are the loop's."""
+    """Receives the events of a node; times are those of the event loop."""
 
     def arrived(self, at: float, node: str, id_: str, sent_at: float) -> None: ...
     def accepted(self, at: float, node: str, id_: str) -> None: ...
@@ -29,14 +30,14 @@
 
 
 class IdempotencyKeys:
-    """The idempotency keys that a group of nodes knows, each for a window."""
+    """Idempotency keys shared by a group of nodes; each is remembered for `window` seconds."""
 
     def __init__(self, window: float) -> None:
         self._window = window
         self._first: dict[bytes, float] = {}
 
-    def new(self, key: bytes, now: float) -> bool:
-        """Whether this is no repeat within the window."""
+    def register(self, key: bytes, now: float) -> bool:
+        """Record the key; return False for a repeat within the window."""
         first = self._first.get(key)
         if first is not None and now - first <= self._window:
             return False
@@ -45,65 +46,69 @@
 
 
 class FleetNode(CacheNode):
-    """One node; its troubles are plain attributes, to be set while it runs."""
+    """One node; its faults are plain attributes that can be set while it runs.
+
+    `slots` commands run at once, `queue_limit` more may wait; `service_time`, `warm_up` and the
+    values of `work_by_class` are in seconds.  `sent_at` gives the time at which the byte at an
+    offset of a connection was sent.
+    """
 
     def __init__(
         self,
         name: str,
         database: CustomerDatabase,
-        effects: IdempotencyKeys,
-        witness: NodeObserver,
+        keys: IdempotencyKeys,
+        observer: NodeObserver,
         seed: str,
         slots: int = 2,
-        waiting: int = 8,
-        service: float = 0.05,
-        cold_from: float = 0.13,
-        warm: float = 23.0,
+        queue_limit: int = 8,
+        service_time: float = 0.05,
+        cold_share: float = 0.13,
+        warm_up: float = 23.0,
         sent_at: Callable[[asyncio.StreamWriter, int], float] | None = None,
-        work: Mapping[str, float] | None = None,
-        keeps: int = 1_000_000,
+        work_by_class: Mapping[str, float] | None = None,
+        max_values: int = 1_000_000,
     ) -> None:
         super().__init__()
-        self.name, self._database, self._effects, self._witness = name, database, effects, witness
+        self.name, self._database, self._keys, self._observer = name, database, keys, observer
         self._random = random.Random(seed)
-        self._slots, self._waiting, self._service = slots, waiting, service
-        self._cold_from, self._warm = cold_from, warm
+        self._slots, self._queue_limit, self._service_time = slots, queue_limit, service_time
+        self._cold_share, self._warm_up = cold_share, warm_up
         self._sent_at = sent_at
-        self._work_of = work  # s by class, in place of `service`
-        self._keeps = keeps  # values; the oldest make way
-        self.busy_seconds = 0.0  # s of its slots' time
+        self._work_by_class = work_by_class  # s by class, instead of `service_time`
+        self._max_values = max_values  # the oldest value is evicted beyond that
+        self.busy_seconds = 0.0  # s of slot time spent on commands
         self._busy = 0
         self._free = asyncio.Semaphore(slots)
-        self._kept: dict[bytes, bytes] = {}
-        self.cold_since: float | None = None  # of a cold start; None is warm
-        self.incarnation = 0  # counts starts: what an earlier process had in hand is gone
-        self.slowness = 1.0
-        self.no_answer_share = self.malformed_share = self.error_share = (
-            0.0  # shares of the commands
-        )
-        self.reset_after: float | None = None  # s; all work is done, then its connection breaks
+        self._values: dict[bytes, bytes] = {}
+        self.cold_since: float | None = None  # time of the last cold start; None: warm
+        self.incarnation = 0  # counts starts; commands of an earlier incarnation are dropped
+        self.slowness = 1.0  # factor on the service time
+        # fractions of the commands: executed without an answer, answered malformed, failed
+        self.no_answer_share = self.malformed_share = self.error_share = 0.0
+        self.reset_after: float | None = None  # s after the work until its connection is reset
         self.draining = False
-        self.flowing = asyncio.Event()  # cleared while it stalls
-        self.flowing.set()
+        self.running = asyncio.Event()  # cleared during a stall
+        self.running.set()
 
     @property
     def capacity(self) -> float:
-        """Requests a second when warm."""
-        return self._slots / self._service
+        """Requests per second when warm."""
+        return self._slots / self._service_time
 
     def start_cold(self) -> None:
-        """As after a start: nothing kept, and slow."""
+        """Restart with an empty cache and at reduced speed."""
         self.incarnation += 1
-        self._kept.clear()
+        self._values.clear()
         self.draining = False
         self._busy, self._free = 0, asyncio.Semaphore(self._slots)
         self.cold_since = asyncio.get_running_loop().time()
-        self._witness.started(self.cold_since, self.name, self.capacity)
+        self._observer.started(self.cold_since, self.name, self.capacity)
 
-    def _warm_share(self, now: float) -> float:
-        if self.cold_since is None or now - self.cold_since >= self._warm:
+    def _speed(self, now: float) -> float:
+        if self.cold_since is None or now - self.cold_since >= self._warm_up:
             return 1.0
-        return self._cold_from + (1.0 - self._cold_from) * (now - self.cold_since) / self._warm
+        return self._cold_share + (1.0 - self._cold_share) * (now - self.cold_since) / self._warm_up
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
@@ -117,14 +122,14 @@
                 offset += len(command(*words))
                 if incarnation != self.incarnation:
                     break
-                await self._one(words, writer, now, sent, incarnation)
+                await self._handle(words, writer, now, sent, incarnation)
         except (asyncio.IncompleteReadError, ConnectionError, ValueError):
             pass
         finally:
             self.open.pop(writer, None)
             writer.close()
 
-    async def _one(
+    async def _handle(
         self,
         words: list[bytes],
         writer: asyncio.StreamWriter,
@@ -133,22 +138,22 @@
         incarnation: int,
     ) -> None:
         id_ = words[2].decode(errors="replace")
-        self._witness.arrived(now, self.name, id_, sent)
+        self._observer.arrived(now, self.name, id_, sent)
         draw = self._random.random()
-        if self.draining or self._busy >= self._slots + self._waiting:
+        if self.draining or self._busy >= self._slots + self._queue_limit:
             writer.write(b"-BUSY\r\n")
             return
         if draw < self.error_share:
             writer.write(b"-ERR broken\r\n")
             return
-        self._witness.accepted(now, self.name, id_)
-        # The group knows a key from its first arrival on, not from when it was worked on.
-        mark = _key(words)
-        fresh = not mark or self._effects.new(mark, now)
+        self._observer.accepted(now, self.name, id_)
+        # The group knows a key from its first arrival on, not only from its execution.
+        idempotency_key = _idempotency_key(words)
+        is_new = not idempotency_key or self._keys.register(idempotency_key, now)
         self._busy += 1
         try:
             async with self._free:
-                answer = await self._work(words, id_, incarnation, fresh)
+                answer = await self._work(words, id_, incarnation, is_new)
         finally:
             if incarnation == self.incarnation:
                 self._busy -= 1
@@ -169,45 +174,45 @@
             )
         writer.write(answer)
 
-    async def _work(self, words: list[bytes], id_: str, incarnation: int, fresh: bool) -> bytes:
+    async def _work(self, words: list[bytes], id_: str, incarnation: int, is_new: bool) -> bytes:
         loop = asyncio.get_running_loop()
-        await self.flowing.wait()
+        await self.running.wait()
         time = (
-            self._service
-            if self._work_of is None
-            else self._work_of.get(_field(words, b"c").decode(), self._service)
+            self._service_time
+            if self._work_by_class is None
+            else self._work_by_class.get(_field(words, b"c").decode(), self._service_time)
         )
         time *= self._random.lognormvariate(-0.1, 0.4) * self.slowness
-        time /= self._warm_share(loop.time())
+        time /= self._speed(loop.time())
         self.busy_seconds += time
         await asyncio.sleep(time)
-        await self.flowing.wait()
+        await self.running.wait()
         if incarnation != self.incarnation:
             return b""
         key = words[1]
         if words[0].upper() == b"OBJ.SET":
-            if fresh:
-                self._witness.effect(loop.time(), self.name, id_)
-            self._kept.pop(key, None)
+            if is_new:
+                self._observer.effect(loop.time(), self.name, id_)
+            self._values.pop(key, None)
             return reply(b"stored", b"miss")
-        if key not in self._kept:
+        if key not in self._values:
             value = await self._database.fetch(key)
             if value is None:
                 return b"-ERR origin\r\n"
-            self._kept[key] = value
-            if len(self._kept) > self._keeps:
-                del self._kept[next(iter(self._kept))]
+            self._values[key] = value
+            if len(self._values) > self._max_values:
+                del self._values[next(iter(self._values))]
             return reply(value, b"miss")
-        return reply(self._kept[key], b"hit")
+        return reply(self._values[key], b"hit")
 
     def available_capacity(self, now: float) -> float:
-        """Its slots' work a second at this moment, 1 being a warm slot's at its own speed."""
-        if not self.up or not self.flowing.is_set() or self.draining:
+        """Current throughput in warm slots at normal speed; 0 if the node takes no commands."""
+        if not self.up or not self.running.is_set() or self.draining:
             return 0.0
-        return self._slots * self._warm_share(now) / self.slowness / MEAN_WORK_FACTOR
+        return self._slots * self._speed(now) / self.slowness / MEAN_WORK_FACTOR
 
     async def crash(self) -> None:
-        """The process ends at once, with all that it had in hand."""
+        """End the process at once; commands in progress are lost."""
         self.incarnation += 1
         self.up = False
         self._server.close()
@@ -217,8 +222,8 @@
         await asyncio.sleep(0)
 
 
-def _key(words: list[bytes]) -> bytes:
-    """The idempotency key of a command, if it has one."""
+def _idempotency_key(words: list[bytes]) -> bytes:
+    """The idempotency key of a command, or b"" if it has none."""
     if words[0].upper() != b"OBJ.SET":
         return b""
     return _field(words, b"k")
--- a/limebridge/virtual/session.py
+++ b/limebridge/virtual/session.py
@@ -71,10 +71,10 @@
     """The nodes serve nothing for `seconds` s."""
     held = list(nodes)
     for node in held:
-        node.flowing.clear()
+        node.running.clear()
     await asyncio.sleep(seconds)
     for node in held:
-        node.flowing.set()
+        node.running.set()
 
 
 async def refused(seconds: float, discovery: Discovery) -> None:
--- a/limebridge/virtual/timeline.py
+++ b/limebridge/virtual/timeline.py
@@ -28,8 +28,8 @@
         return "\n".join([*lines, "no rule broken"])
     for found in outcome.broken[:5]:
         what = f"RULE {found.rule}" if found.rule else "A BOUND OF ITS OWN"
-        lines += ["", f"{what} broken at {found.at - 1000.0:.6f}: {found.what} {found.request}"]
-        lines += [f"    {step}" for step in found.story]
+        lines += ["", f"{what} broken at {found.at - 1000.0:.6f}: {found.message} {found.request}"]
+        lines += [f"    {step}" for step in found.trace]
     first = outcome.broken[0].at - 1000.0
     before = [line for line in outcome.trace if float(line.split(" ", 1)[0]) <= first]
     lines += ["", "what led there:", *(f"  {line}" for line in before[-LINES:])]
@@ -71,7 +71,7 @@
         at = x(found.at - 1000.0)
         parts.append(
             f'<line x1="{at:.1f}" x2="{at:.1f}" y1="0" y2="{height:.0f}" stroke="red">'
-            f"<title>{escape(found.what)} {escape(found.request)}</title></line>"
+            f"<title>{escape(found.message)} {escape(found.request)}</title></line>"
         )
     parts.append("</svg>")
     return (
--- a/limebridge/virtual/world.py
+++ b/limebridge/virtual/world.py
@@ -200,7 +200,7 @@
                 self,
                 f"{plan.seed}/node{number}",
                 slots=1,
-                service=0.06,
+                service_time=0.06,
                 sent_at=sent_at,
             )
             await node.start()
--- a/tests/limebridge/rehearsal/test_rehearsal.py
+++ b/tests/limebridge/rehearsal/test_rehearsal.py
@@ -519,7 +519,7 @@
         made(tmp_path, REAL.replace("3.0", "4.0")), run=f"{sys.executable} {tmp_path / 'd.py'}"
     )
     assert result.void or any("p0 crashed" in why for why in result.failed)
-    assert any("p0 crashed" in each.what for each in result.broken)
+    assert any("p0 crashed" in each.message for each in result.broken)
 
 
 def test_what_real_time_cannot_play_is_refused(tmp_path: Path) -> None:
--- a/tests/limebridge/rules/test_judge.py
+++ b/tests/limebridge/rules/test_judge.py
@@ -162,7 +162,7 @@
     judge.arrived(10.1, "n0", "r1", 10.05)
     judge.accepted(10.1, "n0", "r1")
     judge.answered(10.3, "r1", "refused")
-    assert [step.split(" ", 1)[1] for step in judge.violations[0].story] == [
+    assert [step.split(" ", 1)[1] for step in judge.violations[0].trace] == [
         "asked (once, waits 600 ms)",
         "came to n0, sent at 10.050000",
         "accepted by n0",
--- a/tests/limebridge/test_demo.py
+++ b/tests/limebridge/test_demo.py
@@ -123,10 +123,10 @@
 
 def test_the_database_turns_away_what_cannot_wait() -> None:
     async def part() -> None:
-        database = CustomerDatabase(at_once=2, latency=0.001, waiting=3)
+        database = CustomerDatabase(concurrency=2, latency=0.001, queue_limit=3)
         answers = await asyncio.gather(*(database.fetch(b"%d" % n) for n in range(9)))
         assert sum(a is None for a in answers) == 4 and database.fetches == 5
-        assert await database.fetch(b"k") == b"template of k" and not database.open
+        assert await database.fetch(b"k") == b"template of k" and not database.pending
 
     asyncio.run(part())
 
--- a/tests/violetroute/ledger/test_ledger.py
+++ b/tests/violetroute/ledger/test_ledger.py
@@ -251,7 +251,7 @@
     one.rewrite(made.checkpoint())
     one.commit(decide(made, made.usage_records(START, {(START, "a", "c"): 1})), {}, [])
     newest = disk.names()[-1]
-    disk._now[newest] = b"\0" * 20 + disk._now[newest][20:]
+    disk._visible[newest] = b"\0" * 20 + disk._visible[newest][20:]
     two, found = store(disk)
     said = two.open(found)
     assert said.renamed_files == [f"{newest}.bad"] and found.total_units(START) == 4
@@ -264,10 +264,10 @@
     one, made = store(disk)
     decide(made, made.begin_records("p1", "n", START))
     one.rewrite(made.checkpoint())
-    before = dict(disk._now)
+    before = dict(disk._visible)
     with pytest.raises(ForeignLedgerError, match="p1"):
         store(disk, "p2")[0].open(store(disk)[1])
-    assert disk._now == before
+    assert disk._visible == before
 
 
 def test_a_ledger_of_a_later_version_is_not_opened() -> None:
--- a/tests/violetroute/membership/test_consul.py
+++ b/tests/violetroute/membership/test_consul.py
@@ -458,7 +458,7 @@
         async with Rig(*nodes, operator=operator) as rig:
             setting = Setting(rig, catalogue, started)
             # The platform's names stay: the initial list had the nodes under them.
-            await until(lambda: started[0].asked or agents > 1)
+            await until(lambda: started[0].requests or agents > 1)
             await setting.uses("s-0", "s-1", "s-2", "s-3")
             await until(lambda: any("index" in asked for a in started for asked in a.requests))
             await part(setting)
--- a/tests/violetroute/membership/test_consul_morning.py
+++ b/tests/violetroute/membership/test_consul_morning.py
@@ -92,7 +92,7 @@
                 seen,
                 f"{n}",
                 slots=4,
-                service=0.01,
+                service_time=0.01,
                 sent_at=seen.times.sent_at,
             )
             for n in range(6)
@@ -190,7 +190,7 @@
             IdempotencyKeys(2.0),
             seen,
             "0",
-            service=0.01,
+            service_time=0.01,
             sent_at=seen.times.sent_at,
         )
         async with Rig(node, classes=[CLASS]) as rig:
@@ -231,7 +231,7 @@
             crowd.close()
         seen.clients(crowd)
         assert len(seen.sent_late) == 1 and seen.sent_late[0][2] >= after_s
-        broken = [each.what for each in seen.judged().violations]
+        broken = [each.message for each in seen.judged().violations]
         if after_s >= 0.1:  # the client has read the answer by then
             assert broken == ["sent to c0 after the final answer"]
 
--- a/tests/violetroute/test_program.py
+++ b/tests/violetroute/test_program.py
@@ -115,7 +115,7 @@
             assert old.open, "the old watch is still open"
             one.configure(json.dumps(one.raw | {"discovery": f"127.0.0.1:{new.port}"}))
             await until(lambda: new.open and not old.open)
-            assert new.asked == ["/v1/servers?follow=1&since=0"]
+            assert new.requests == ["/v1/servers?follow=1&since=0"]
             reader, writer = await soon(asyncio.open_connection("127.0.0.1", one.port))
             writer.write(get(1))
             assert await read_answer(reader) == b"value of id1"
@@ -137,7 +137,7 @@
         async with program(tmp_path, old, node) as one:
             await until(lambda: old.open)
             one.configure(json.dumps(one.raw | {"discovery": f"127.0.0.1:{new.port}"}))
-            await until(lambda: len(new.asked) >= 2)
+            await until(lambda: len(new.requests) >= 2)
             new.unavailable = False
             await until(lambda: new.open)
         for part in (node, old, new):
