--- a/violetroute/sharing/wire.py
+++ b/violetroute/sharing/wire.py
@@ -35,7 +35,7 @@
 MAX_ITEMS = 64  # in one datagram
 MAX_SENDERS = 4096  # processes whose received numbers are remembered
 WINDOW = 64  # replay window: numbers up to the highest that are still accepted
-MAX_SENT_NUMBERS = 32  # latest own numbers per member whose send time is remembered
+MAX_SENT_NUMBERS = 32  # own numbers per member with a known send time: those in flight
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 Life = Annotated[str, msgspec.Meta(min_length=1, max_length=32)]
