--- a/tests/limebridge/faults/distribution/test_distribution_hard_cases.py
+++ b/tests/limebridge/faults/distribution/test_distribution_hard_cases.py
@@ -57,7 +57,7 @@
 
 def answered_at_once(patch: pytest.MonkeyPatch) -> None:
     """A control machine answers proxies that the leader does not know of yet."""
-    session_of = Sessions._session_of
+    session_of = Sessions._get_or_create_session
 
     def registered(self: Sessions, now: float, poll: Poll) -> Session | None:
         session = session_of(self, now, poll)
@@ -65,7 +65,7 @@
             session.registered_commit = 0
         return session
 
-    patch.setattr(Sessions, "_session_of", registered)
+    patch.setattr(Sessions, "_get_or_create_session", registered)
 
 
 def one_session_a_name(patch: pytest.MonkeyPatch) -> None:
--- a/tests/violetroute/distribution/test_distribution_sessions.py
+++ b/tests/violetroute/distribution/test_distribution_sessions.py
@@ -246,7 +246,7 @@
         report = machine.sessions.next_report(now, 1)
         if report is not None:
             machine.sessions.replied(now, report, ReportReply(True, 1, 0, 1.0))
-    assert len(machine.sessions._waiting) < 200 and len(machine.sessions._timers) < 10
+    assert len(machine.sessions._waiting_for_commit) < 200 and len(machine.sessions._timers) < 10
 
 
 # --- contents ---
