--- a/limebridge/fleet/reading.py
+++ b/limebridge/fleet/reading.py
@@ -40,7 +40,7 @@
     if table.store == "folder":
         if not Path(table.folder).is_dir():
             raise Unread(f"{table.folder}: no such folder")
-        return FolderStore(Path(table.folder), NOBODY, wall).view()
+        return FolderStore(Path(table.folder), NOBODY, wall).read_view()
     found: StoreView = _asked(table, lambda store, told: store.poll(told))
     return found
 
--- a/tests/violetroute/fleet/test_fleet.py
+++ b/tests/violetroute/fleet/test_fleet.py
@@ -315,7 +315,7 @@
     for _ in range(4):
         assert b.renew([("w", 2)])["w"].accepted
     a._current = lambda work: stale  # type: ignore[method-assign]  # stopped since it has read
-    assert not a._change("w", lambda current: leases.renewed(current, 1, A)).accepted
+    assert not a._compare_and_set("w", lambda current: leases.renewed(current, 1, A)).accepted
     assert b.poll().leases["w"].nonce == "nb"
 
 
--- a/violetroute/fleet/__init__.py
+++ b/violetroute/fleet/__init__.py
@@ -1,8 +1,8 @@
-"""Work on behalf of the fleet: one owner at a time, fenced where the effect is (`[fleet]`).
+"""Fleet-wide jobs with one owner at a time, by leases with fencing tokens (`[fleet]`).
 
-`lease`, `election`, `assignment`, `log` and `settlement` decide and are pure; `folder` and `kv` are
-where leases and logs live; `job` and `ledger_files` do what an owner does; `runner` is the daemon's
-part.
+`lease`, `election`, `assignment`, `log` and `settlement` decide and are pure; `folder` and `kv`
+store leases and logs; `job` and `ledger_files` run the jobs; `runner` connects all of them to the
+daemon.
 """
 
 from .table import FleetTable
--- a/violetroute/fleet/kv.py
+++ b/violetroute/fleet/kv.py
@@ -1,18 +1,21 @@
-"""Leases and logs in Consul's KV store, under sessions, by its published HTTP API.
+"""Leases and logs in Consul's KV store, with sessions, over its HTTP API.
 
     PREFIX/lease/WORK                  the record, locked by its owner's session
-    PREFIX/log/NAME/SHELF/POSITION     one position of a log, made only where there is none
-
-One session is an incarnation's, made when it first asks for a work; renewing it renews all its
-leases in one call.  Who only waits has no session: it has one blocking query, so a fleet at rest
-costs one call a proxy and WAIT s.
-
-What of Consul is weak, and what meets it: a session may live on for twice its TTL (others wait
-longer; its owner has stopped by then); it may be lost with a leader (the owner is told at its next
-renewal, or by a look; its effects are fenced); `lock-delay` is turned off, since what it would
-guard against is the fence's business; an answer may be lost after the write (the record's nonce
-says whose it is); a snapshot put back, or an empty store, begins its indexes anew (the fence is in
-the record and in the logs, and what has met a higher one says so).
+    PREFIX/log/NAME/SEGMENT/POSITION   one position of a log, created only if absent
+
+An incarnation creates one session when it first acquires a lease; renewing it renews all its leases
+in one call.  A candidate without leases has no session, only one blocking query, so an idle fleet
+costs one call per proxy in BLOCKING_WAIT_S.
+
+Weak guarantees of Consul and how they are handled:
+
+- A session may outlive its TTL by a factor of two: candidates wait longer, its owner has stopped.
+- A session may be lost with the leader: the owner learns it from its next renewal or poll, and its
+  effects are rejected by their fence.
+- `lock-delay` is turned off: the fence already protects against the late writes that it is for.
+- A response may be lost after the write: the nonce in the record tells whose it is.
+- A restored snapshot or an empty store restarts its indexes: the fence is kept in the record and in
+  the logs, and a target that has seen a higher fence reports it.
 """
 
 from __future__ import annotations
@@ -38,43 +41,44 @@
 from .store import Answer, Callback, StoreView
 from .table import FleetTable
 
-BLOCKING_WAIT_S = 30.0  # s of a look without news
-WAIT_JITTER_DIVISOR = 16  # a server adds up to a 16th of it
-SEGMENT_POSITIONS = 16  # positions of a log in one shelf, which one call reads
-MAX_VALUE_BYTES = 512 * 1024  # bytes of a value, as servers have it unless told otherwise
-MAX_BODY_BYTES = 1024 * 1024  # bytes of an answer
-MAX_SEGMENT_BYTES = SEGMENT_POSITIONS * (
-    MAX_VALUE_BYTES * 4 // 3 + 1024
-)  # and of a shelf, in base64
+BLOCKING_WAIT_S = 30.0  # of a blocking query without a change
+WAIT_JITTER_DIVISOR = 16  # a server waits up to 1/16 longer
+SEGMENT_POSITIONS = 16  # positions of a log in one segment, which one call reads
+MAX_VALUE_BYTES = 512 * 1024  # the servers' default limit for a value
+MAX_BODY_BYTES = 1024 * 1024  # of a response
+# Maximum size of the response that holds one segment, in base64.
+MAX_SEGMENT_BYTES = SEGMENT_POSITIONS * (MAX_VALUE_BYTES * 4 // 3 + 1024)
 
 
 @dataclass(frozen=True, slots=True)
 class KvRequest:
-    """One call: what is asked, and s for its answer."""
+    """One HTTP request to an agent."""
 
     method: str
     target: str
     body: bytes = b""
-    limit: float = 0.0  # beyond the table's time for a call
-    most: int = MAX_BODY_BYTES  # bytes of the answer
+    extra_timeout_s: float = 0.0  # in addition to `call_s`
+    max_bytes: int = MAX_BODY_BYTES  # limit for the response body
 
 
 @dataclass(frozen=True, slots=True)
 class KvResponse:
+    """One HTTP response."""
+
     status: int
-    headers: Mapping[str, str]  # names in small letters
+    headers: Mapping[str, str]  # names in lower case
     body: bytes
 
 
 class UnusableResponseError(Exception):
-    """Nothing came, or nothing that counts."""
+    """The response has an error status or an invalid body."""
 
 
 Exchange = Generator[KvRequest, KvResponse, Any]
 
 
 class _Entry(msgspec.Struct, rename="pascal"):
-    """One key, as GET /v1/kv answers."""
+    """One key in the response of GET /v1/kv."""
 
     key: str
     modify_index: int
@@ -90,25 +94,25 @@
 
 
 class ConsulProtocol:
-    """What is asked, and what answers mean.  Pure; `session` is this incarnation's, "" for none."""
+    """The HTTP exchange of each operation.  Pure; `session` is the session's ID, "" for none."""
 
     def __init__(self, table: FleetTable, me: IncarnationId) -> None:
         self._prefix = quote(table.prefix, safe="/-._~")
         self._me, self._term_s = me, table.term_s
         self.session = ""
         self.index = 0
-        self._under: dict[str, str] = {}  # the session that each of our leases is locked by
+        self._session_by_work: dict[str, str] = {}  # that locks each lease of ours
 
-    # --- looking ---
+    # --- polling ---
     def poll(self) -> Exchange:
-        """All leases; waits for news where there was an index before."""
-        target, limit = f"/v1/kv/{self._prefix}/lease/?recurse", 0.0
+        """Read all leases; once an index is known, by a blocking query that waits for a change."""
+        target, extra_timeout_s = f"/v1/kv/{self._prefix}/lease/?recurse", 0.0
         if self.index:
             target += f"&index={self.index}&wait={round(BLOCKING_WAIT_S * 1000)}ms"
-            limit = BLOCKING_WAIT_S * (1.0 + 1.0 / WAIT_JITTER_DIVISOR)
-        answered = yield KvRequest("GET", target, limit=limit)
-        entries = _entries(answered)
-        text = answered.headers.get("x-consul-index", "0")
+            extra_timeout_s = BLOCKING_WAIT_S * (1.0 + 1.0 / WAIT_JITTER_DIVISOR)
+        response = yield KvRequest("GET", target, extra_timeout_s=extra_timeout_s)
+        entries = _decode_entries(response)
+        text = response.headers.get("x-consul-index", "0")
         index = int(text) if text.isdecimal() and len(text) < 20 else 0
         self.index = 0 if index < self.index else index
         found: dict[str, Lease] = {}
@@ -116,52 +120,52 @@
         for entry in entries:
             work = entry.key.rpartition("/")[2]
             try:
-                found[work] = _lease(entry, work)
+                found[work] = _decode_lease(entry, work)
             except UnreadableLeaseError as error:
                 unreadable[work] = str(error)
         return StoreView(found, None, frozenset(), unreadable)
 
     def _read(self, work: str) -> Generator[KvRequest, KvResponse, tuple[int, Lease | None]]:
-        answered = yield KvRequest("GET", f"/v1/kv/{self._lease_key(work)}?consistent")
-        entries = _entries(answered)
+        response = yield KvRequest("GET", f"/v1/kv/{self._lease_key(work)}?consistent")
+        entries = _decode_entries(response)
         if not entries:
             return 0, None
-        return entries[0].modify_index, _lease(entries[0], work)
+        return entries[0].modify_index, _decode_lease(entries[0], work)
 
     def _lease_key(self, work: str) -> str:
         return f"{self._prefix}/lease/{work}"
 
     # --- leases ---
-    def acquire(self, ask: Acquire, wall: float) -> Exchange:
-        """A session if there is none, and the record under it if it stands as we have read it."""
-        index, current = yield from self._read(ask.work)
-        # Only the store says that another's lease has ended: `over` is not looked at.
-        made = leases.acquired(ask.work, current, None, ask.floor, self._me, wall)
+    def acquire(self, request: Acquire, wall: float) -> Exchange:
+        """Create a session if there is none, then lock the record by compare-and-set."""
+        index, current = yield from self._read(request.work)
+        # Only Consul decides that another holder's lease has ended, so `expected` is not used.
+        made = leases.acquired(request.work, current, None, request.floor, self._me, wall)
         if made is None:
             return Answer(False, current)
-        # One that was made for an earlier ask may be about to end: its time to live has to be
-        # reckoned from after this asking, as the owner reckons its term.
+        # An earlier session may be about to expire.  Its TTL must start after this request was
+        # sent, since the owner counts its term from then.
         if not self.session or not (yield from self._renew_session()):
             yield from self._begin_session()
-        session = self.session  # what comes back later may have made another
-        key = self._lease_key(ask.work)
-        stands = (
+        session = self.session  # a concurrent call may replace it
+        key = self._lease_key(request.work)
+        precondition = (
             {"Verb": "check-index", "Key": key, "Index": index}
             if index
             else {"Verb": "check-not-exists", "Key": key}
         )
-        done = yield from self._transact(
-            stands,
+        committed = yield from self._transact(
+            precondition,
             {"Verb": "lock", "Key": key, "Value": _b64(leases.encode(made)), "Session": session},
         )
-        if not done:  # another was first, or our session has gone: the next ask will see
-            index, current = yield from self._read(ask.work)
+        if not committed:  # another was first, or the session has ended: the next request decides
+            index, current = yield from self._read(request.work)
         else:
-            self._under[ask.work] = session
-        return Answer(done, made if done else current)
+            self._session_by_work[request.work] = session
+        return Answer(committed, made if committed else current)
 
     def _begin_session(self) -> Generator[KvRequest, KvResponse, None]:
-        answered = yield KvRequest(
+        response = yield KvRequest(
             "PUT",
             "/v1/session/create",
             msgspec.json.encode(
@@ -174,45 +178,47 @@
                 }
             ),
         )
-        if answered.status != 200:
-            raise UnusableResponseError(f"no session: {answered.status} {_text(answered.body)}")
+        if response.status != 200:
+            raise UnusableResponseError(f"no session: {response.status} {_excerpt(response.body)}")
         try:
-            told = msgspec.json.decode(answered.body)
-            made = str(told["ID"])
+            decoded = msgspec.json.decode(response.body)
+            created = str(decoded["ID"])
         except (msgspec.DecodeError, KeyError, TypeError):
             raise UnusableResponseError("no session: an answer without an ID") from None
-        # Where two works ask at once the second keeps to the first one's, renewed for its own
-        # asking; the one that it has made just ends.
+        # If two works create a session at once, the second uses the first one's after renewing it
+        # for its own request; the session that it has created expires unused.
         if not self.session or not (yield from self._renew_session()):
-            self.session = made
+            self.session = created
 
     def _renew_session(self) -> Generator[KvRequest, KvResponse, bool]:
-        """Whether it stands."""
+        """Whether the session still exists."""
         session = self.session
-        answered = yield KvRequest("PUT", f"/v1/session/renew/{quote(session, safe='')}")
-        if answered.status == 404:
+        response = yield KvRequest("PUT", f"/v1/session/renew/{quote(session, safe='')}")
+        if response.status == 404:
             if self.session == session:
                 self.session = ""
             return False
-        if answered.status != 200:
-            raise UnusableResponseError(f"answered {answered.status}")
+        if response.status != 200:
+            raise UnusableResponseError(f"answered {response.status}")
         return True
 
     def renew(self, terms: Sequence[tuple[str, int]]) -> Exchange:
-        """A lease that was taken under a session before this one has gone with that one."""
+        """Renew the session.  A lease that was locked by an earlier session is lost with that."""
         session = self.session
-        stands = bool(session) and (yield from self._renew_session())
+        exists = bool(session) and (yield from self._renew_session())
         return {
-            work: Answer(stands and self._under.get(work) == session, None) for work, _ in terms
+            work: Answer(exists and self._session_by_work.get(work) == session, None)
+            for work, _ in terms
         }
 
     def release(self, work: str, fence: int) -> Exchange:
+        """Unlock the record and mark it as free by compare-and-set."""
         index, current = yield from self._read(work)
         made = leases.released(current, fence, self._me)
         if made is None or not self.session:
             return Answer(False, current)
         key = self._lease_key(work)
-        done = yield from self._transact(
+        committed = yield from self._transact(
             {"Verb": "check-index", "Key": key, "Index": index},
             {
                 "Verb": "unlock",
@@ -221,37 +227,37 @@
                 "Session": self.session,
             },
         )
-        return Answer(done, made if done else current)
+        return Answer(committed, made if committed else current)
 
     def _transact(self, *steps: dict[str, Any]) -> Generator[KvRequest, KvResponse, bool]:
-        """Whether all of it was done: one by itself never is."""
-        answered = yield KvRequest(
+        """Run a transaction: all steps or none.  Whether it was committed."""
+        response = yield KvRequest(
             "PUT", "/v1/txn", msgspec.json.encode([{"KV": step} for step in steps])
         )
-        if answered.status not in (200, 409):
-            raise UnusableResponseError(f"answered {answered.status} {_text(answered.body)}")
-        return answered.status == 200
+        if response.status not in (200, 409):
+            raise UnusableResponseError(f"answered {response.status} {_excerpt(response.body)}")
+        return response.status == 200
 
     # --- logs ---
-    def _position(self, log: str, position: int) -> tuple[str, str]:
-        """Shelf and key."""
-        shelf = f"{self._prefix}/log/{log}/{position // SEGMENT_POSITIONS:09d}/"
-        return shelf, f"{shelf}{position:012d}"
+    def _position_key(self, log: str, position: int) -> tuple[str, str]:
+        """The prefix of the segment, and the key."""
+        segment = f"{self._prefix}/log/{log}/{position // SEGMENT_POSITIONS:09d}/"
+        return segment, f"{segment}{position:012d}"
 
     def read(self, log: str, position: int) -> Exchange:
-        """Records from there on, to the end of a shelf at most: a full one is followed."""
-        shelf, _ = self._position(log, position)
-        answered = yield KvRequest(
-            "GET", f"/v1/kv/{shelf}?recurse&consistent", most=MAX_SEGMENT_BYTES
+        """The records from `position` to the end of its segment at most."""
+        segment, _ = self._position_key(log, position)
+        response = yield KvRequest(
+            "GET", f"/v1/kv/{segment}?recurse&consistent", max_bytes=MAX_SEGMENT_BYTES
         )
-        there = {entry.key: entry for entry in _entries(answered)}
+        by_key = {entry.key: entry for entry in _decode_entries(response)}
         found: list[bytes] = []
-        while (entry := there.get(self._position(log, position + len(found))[1])) is not None:
+        while (entry := by_key.get(self._position_key(log, position + len(found))[1])) is not None:
             found.append(entry.data)
         return found
 
     def run(self, steps: Steps) -> Exchange:
-        """All steps of a log."""
+        """Run all steps of a log operation; a read continues in the next segment."""
         answer: Any = None
         while True:
             try:
@@ -270,7 +276,7 @@
                         if not more:
                             break
                 case Put(log, position, data):
-                    key = self._position(log, position)[1]
+                    key = self._position_key(log, position)[1]
                     answer = yield from self._transact(
                         {"Verb": "check-not-exists", "Key": key},
                         {"Verb": "set", "Key": key, "Value": _b64(data)},
@@ -281,34 +287,32 @@
     return base64.b64encode(data).decode()
 
 
-def _text(body: bytes) -> str:
+def _excerpt(body: bytes) -> str:
     return " ".join(body[:100].decode("utf-8", "replace").split())
 
 
-def _entries(answered: KvResponse) -> list[_Entry]:
-    """NoAnswer for an answer that tells nothing."""
-    if answered.status == 404:
+def _decode_entries(response: KvResponse) -> list[_Entry]:
+    """The keys in a response; none for 404.  Raises UnusableResponseError."""
+    if response.status == 404:
         return []
-    if answered.status != 200:
-        raise UnusableResponseError(f"answered {answered.status} {_text(answered.body)}")
-    if answered.headers.get("x-consul-knownleader", "true").lower() == "false":
+    if response.status != 200:
+        raise UnusableResponseError(f"answered {response.status} {_excerpt(response.body)}")
+    if response.headers.get("x-consul-knownleader", "true").lower() == "false":
         raise UnusableResponseError("no leader")
     try:
-        return msgspec.json.decode(answered.body, type=list[_Entry])
+        return msgspec.json.decode(response.body, type=list[_Entry])
     except (msgspec.DecodeError, RecursionError) as error:
         raise UnusableResponseError(f"no list of keys: {error}") from None
 
 
-def _lease(entry: _Entry, work: str) -> Lease:
-    """Held is what a session holds; whoever wrote what it says."""
+def _decode_lease(entry: _Entry, work: str) -> Lease:
+    """The lease of an entry.  It is held only while a session locks it, whatever the value says."""
     lease = leases.decode(entry.data, work)
     return lease if entry.session else msgspec.structs.replace(lease, free=True)
 
 
 class ConsulStore:
-    """As `store.Store`: each call over connections of its own, one operation of a kind at a
-    time.
-    """
+    """A `store.Store` in Consul.  Each HTTP call has its own connection."""
 
     expires_leases = True
 
@@ -320,72 +324,76 @@
         self._calls: set[HttpCall] = set()
         self._closed = False
 
-    def poll(self, told: Callback[StoreView]) -> None:
-        self._run(self.protocol.poll(), told)
+    def poll(self, callback: Callback[StoreView]) -> None:
+        self._run(self.protocol.poll(), callback)
 
-    def acquire(self, ask: Acquire, told: Callback[Answer]) -> None:
-        self._run(self.protocol.acquire(ask, self._net.wall()), told)
+    def acquire(self, request: Acquire, callback: Callback[Answer]) -> None:
+        self._run(self.protocol.acquire(request, self._net.wall()), callback)
 
-    def renew(self, terms: Sequence[tuple[str, int]], told: Callback[Mapping[str, Answer]]) -> None:
-        self._run(self.protocol.renew(terms), told)
+    def renew(
+        self, terms: Sequence[tuple[str, int]], callback: Callback[Mapping[str, Answer]]
+    ) -> None:
+        self._run(self.protocol.renew(terms), callback)
 
-    def release(self, work: str, fence: int, told: Callback[Answer]) -> None:
-        self._run(self.protocol.release(work, fence), told)
+    def release(self, work: str, fence: int, callback: Callback[Answer]) -> None:
+        self._run(self.protocol.release(work, fence), callback)
 
-    def run(self, steps: Steps, told: Callback[Result]) -> None:
-        self._run(self.protocol.run(steps), told)
+    def run(self, steps: Steps, callback: Callback[Result]) -> None:
+        self._run(self.protocol.run(steps), callback)
 
     def close(self) -> None:
-        """A session ends with its time to live: nothing is waited for here."""
+        """Cancel all calls without waiting; the session expires after its TTL."""
         self._closed = True
         for call in list(self._calls):
             call.stop()
         self._calls.clear()
 
-    def _run(self, asking: Exchange, told: Callable[[Any, str], None]) -> None:
-        self._net.loop.call_soon(self._go_on, asking, None, told)
+    def _run(self, exchange: Exchange, callback: Callable[[Any, str], None]) -> None:
+        self._net.loop.call_soon(self._resume, exchange, None, callback)
 
-    def _go_on(
-        self, asking: Exchange, answered: KvResponse | None, told: Callable[[Any, str], None]
+    def _resume(
+        self, exchange: Exchange, response: KvResponse | None, callback: Callable[[Any, str], None]
     ) -> None:
         if self._closed:
             return
         try:
-            self._call(asking.send(answered), asking, told)  # type: ignore[arg-type]
+            self._call(exchange.send(response), exchange, callback)  # type: ignore[arg-type]
         except StopIteration as end:
-            told(end.value, "")
-        except Exception as error:  # also of ours: who asked would wait for good
-            told(None, one_line(error))
+            callback(end.value, "")
+        except Exception as error:  # internal errors too, or the callback would never be called
+            callback(None, one_line(error))
 
-    def _call(self, ask: KvRequest, asking: Exchange, told: Callable[[Any, str], None]) -> None:
+    def _call(
+        self, request: KvRequest, exchange: Exchange, callback: Callable[[Any, str], None]
+    ) -> None:
         table = self._table
         try:
             token = read_token(table.token_file)
         except OSError as error:
-            told(None, f"token_file: {error.strerror}")
+            callback(None, f"token_file: {error.strerror}")
             return
         headers = {"X-Consul-Token": token} if token else {}
         call: HttpCall
 
-        def done(status: int, headers: dict[str, str], body: bytes, why: str) -> None:
+        def done(status: int, headers: dict[str, str], body: bytes, error: str) -> None:
             self._calls.discard(call)
             if status:
-                self._go_on(asking, KvResponse(status, headers, body), told)
+                self._resume(exchange, KvResponse(status, headers, body), callback)
             else:
                 self._agent = (self._agent + 1) % len(table.agents)
-                asking.close()
-                told(None, why)
+                exchange.close()
+                callback(None, error)
 
         call = HttpCall(
             self._net,
             parse_address(table.agents[self._agent]),
             self._tls,
-            table.call_s + ask.limit,
-            ask.target,
+            table.call_s + request.extra_timeout_s,
+            request.target,
             headers,
-            ask.body,
+            request.body,
             done,
-            ask.method,
-            ask.most,
+            request.method,
+            request.max_bytes,
         )
         self._calls.add(call)
