--- a/tests/violetroute/distribution/test_distribution_daemon.py
+++ b/tests/violetroute/distribution/test_distribution_daemon.py
@@ -343,7 +343,7 @@
             made = await asyncio.to_thread(CliRunner().invoke, app, [*arguments, "--replace"])
             assert made.exit_code == 0, made.output
             again = await asyncio.to_thread(CliRunner().invoke, app, [*arguments, "--replace"])
-            assert again.exit_code == 1 and "there is a log already" in again.output
+            assert again.exit_code == 1 and "a log already exists" in again.output
             await process.start()
 
             async def recovered() -> bool:
@@ -791,7 +791,7 @@
             assert made.exit_code == 0
             for folder, words in (
                 (table["folder"], "Address already in use"),
-                (str(stage.controls.data_folder(0)), "another process has it"),
+                (str(stage.controls.data_folder(0)), "in use by another process"),
             ):
                 path.write_text(tomli_w.dumps(table | {"folder": folder}))
                 process = await asyncio.create_subprocess_exec(
--- a/tests/violetroute/distribution/test_distribution_log_faults.py
+++ b/tests/violetroute/distribution/test_distribution_log_faults.py
@@ -249,7 +249,7 @@
     def adopt(self: Preparation) -> None:
         self.ready = 1 + len(self._promises) >= self._quorum
 
-    patch.setattr(Preparation, "_adopt", adopt)
+    patch.setattr(Preparation, "_adopt_log", adopt)
 
 
 def counted_whatever_the_fence(patch: pytest.MonkeyPatch) -> None:
@@ -289,14 +289,14 @@
 
 
 def recovering_promise_counted(patch: pytest.MonkeyPatch) -> None:
-    own = Preparation._promised
+    own = Preparation._handle_promise
 
     def promised(self: Preparation, now: float, name: str, reply: object) -> None:
         if isinstance(reply, Promise):
             reply = Promise(reply.granted, reply.fence, reply.last, reply.commit)
         own(self, now, name, reply)  # type: ignore[arg-type]
 
-    patch.setattr(Preparation, "_promised", promised)
+    patch.setattr(Preparation, "_handle_promise", promised)
 
 
 def recovered_without_the_whole_log(patch: pytest.MonkeyPatch) -> None:
--- a/tests/violetroute/distribution/test_distribution_replica.py
+++ b/tests/violetroute/distribution/test_distribution_replica.py
@@ -6,7 +6,7 @@
 from math import inf
 
 from violetroute.distribution.actions import Answer, MachineSettings, Stored
-from violetroute.distribution.followers import ANSWERS_KNOWN, Followers
+from violetroute.distribution.followers import MAX_ECHOED_ANSWERS, Followers
 from violetroute.distribution.following import FetchResult
 from violetroute.distribution.messages import (
     CONFIGURATION_KEYS,
@@ -85,7 +85,7 @@
 
 def test_the_echo_of_a_forgotten_answer_shows_nothing() -> None:
     followers = leading(replica(1))
-    for number in range(1, ANSWERS_KNOWN + 2):
+    for number in range(1, MAX_ECHOED_ANSWERS + 2):
         followers.fetched(float(number), number, fetch())
         followers.step(number + 0.5)
     followers.fetched(9.0, 99, fetch(answered=1))
--- a/tests/violetroute/distribution/test_distribution_storage.py
+++ b/tests/violetroute/distribution/test_distribution_storage.py
@@ -120,7 +120,7 @@
 
 def test_another_machines_folder_or_segment_is_refused(tmp_path: Path) -> None:
     path = made(tmp_path / "c0", *WRITES)
-    with pytest.raises(StorageError, match="of 'c0', not of 'c1'"):
+    with pytest.raises(StorageError, match="to 'c0', not to 'c1'"):
         Storage(path, "c1")
     init_folder(tmp_path / "other", "c0", "another log", False)
     shutil.copy(tmp_path / "other" / FIRST, path / FIRST)
@@ -131,9 +131,9 @@
 def test_a_folder_is_one_process_alone(tmp_path: Path) -> None:
     path = made(tmp_path / "c0")
     storage = Storage(path, "c0")
-    with pytest.raises(StorageError, match="another process has it"):
+    with pytest.raises(StorageError, match="in use by another process"):
         Storage(path, "c0")
-    with pytest.raises(StorageError, match="another process has it"):
+    with pytest.raises(StorageError, match="in use by another process"):
         init_folder(path, "c0", "log1", True)
     storage.close()
     Storage(path, "c0").close()
@@ -142,7 +142,7 @@
 def test_init_does_not_touch_a_log_that_is_there(tmp_path: Path) -> None:
     path = made(tmp_path / "c0", *WRITES)
     before = opened(path)
-    with pytest.raises(StorageError, match="there is a log already"):
+    with pytest.raises(StorageError, match="a log already exists"):
         init_folder(path, "c0", "log2", False)
     assert opened(path) == before
 
@@ -223,7 +223,7 @@
 
 def test_frames_that_are_whole_and_do_not_follow_are_refused(tmp_path: Path) -> None:
     path = made(tmp_path / "c0", *WRITES[:2])
-    with pytest.raises(Exception, match="position 9 where 3 follows"):
+    with pytest.raises(Exception, match="position 9, expected 3"):
         made(tmp_path / "c1", *WRITES[:2], [AppendBatches((batch(9),))])
     segment = path / FIRST
     segment.write_bytes(segment.read_bytes() + encode_frame(b"\x91\x92\xa1?\x01"))
--- a/violetroute/distribution/followers.py
+++ b/violetroute/distribution/followers.py
@@ -1,13 +1,15 @@
-"""The other replicas as the leader knows them: their fetches, what is committed, and since when.
+"""The leader's view of its followers: held fetches, acknowledgements, commit position.  No I/O.
 
-Pure.  Each replica has one held fetch at most; a newer one takes its place and the older one is
-answered.  A fetch that echoes the number of an answer was written after that answer came, so its
-sender still followed this leader when the answer was written: `as_of` is the greatest time that a
-majority has shown so.  (The time of the last answer alone would not do: a fetch that was repeated
-after a timeout may have been written before the answer to the first one.)
+At most one fetch per follower is held; a newer one replaces it, and the older one is answered.
 
-A fetch acknowledges nothing before the leader has the most recent log of a majority (`serving`).
-Until then the leader may still drop the point that both have, and write others at its position.
+A fetch that echoes the number of an answer was written after that answer arrived, so its sender
+still followed this leader when the answer was written.  `as_of` is the latest time that a majority
+confirmed in this way.  The time of the last answer alone is not sufficient: a fetch that was
+repeated after a timeout may have been written before the answer to the first one arrived.
+
+A fetch acknowledges nothing until the leader has the most recent log of a majority (`serving`).
+Before that the leader may still truncate the batch at a common point, and write another one at its
+position.
 """
 
 from __future__ import annotations
@@ -22,12 +24,12 @@
 from .replica import Replica
 from .transfer import batches_for
 
-ANSWERS_KNOWN = 4  # of the last answers to a replica, whose echo may still come
+MAX_ECHOED_ANSWERS = 4  # last answers to a follower whose echo is still accepted
 
 
 @dataclass(slots=True)
 class _Held:
-    """A fetch that is answered when there is news, or at `until`."""
+    """A fetch that is answered once there is new data, at the latest at `until`."""
 
     ticket: int
     fetch: Fetch
@@ -36,18 +38,18 @@
 
 @dataclass(slots=True)
 class _Follower:
-    """One other replica."""
+    """One follower.  Times are the leader's monotonic seconds."""
 
-    durable: int = 0  # it has everything up to here on its disk
-    followed_at: float = -inf  # it still followed then
-    heard_at: float = -inf
-    number: int = 0  # of the last answer
-    answered_at: dict[int, float] = field(default_factory=dict)  # by number
+    durable: int = 0  # acknowledged position: durable there
+    followed_at: float = -inf  # last time at which it is known to have followed
+    last_fetch_at: float = -inf
+    number: int = 0  # number of the last answer
+    answered_at: dict[int, float] = field(default_factory=dict)  # time by answer number
     held: _Held | None = None
 
 
 class Followers:
-    """Of one term."""
+    """All followers during one term."""
 
     __slots__ = (
         "_fence",
@@ -71,18 +73,18 @@
         self._outbox = outbox
         others = [name for name in settings.machines if name != settings.name]
         self._followers = {name: _Follower() for name in others}
-        self.serving = False  # the log has everything that was committed before this term
+        self.serving = False  # the log has all batches committed before this term
 
     @property
     def next_at(self) -> float:
-        """When a held fetch is due without news."""
+        """Time at which the first held fetch must be answered; infinite without one."""
         held = [each.held.until for each in self._followers.values() if each.held is not None]
         return min(held, default=inf)
 
     def fetched(self, now: float, ticket: int, fetch: Fetch) -> None:
-        """A fetch under this term's fence.  It is held until `step` answers it."""
+        """Accepts a fetch with this term's fence.  It is held until `step` answers it."""
         follower = self._followers[fetch.replica]
-        follower.heard_at = now
+        follower.last_fetch_at = now
         if not fetch.recovering:
             self._acknowledged(follower, fetch)
         if follower.held is not None:
@@ -96,14 +98,14 @@
             follower.durable = max(follower.durable, fetch.last.position)
 
     def step(self, now: float) -> None:
-        """Answer each held fetch for which there is news, or whose time is over."""
+        """Answers held fetches for which there is new data or whose hold time is over."""
         for follower in self._followers.values():
             held = follower.held
-            if held is not None and (now >= held.until or self._has_news(held.fetch)):
+            if held is not None and (now >= held.until or self._has_new_data(held.fetch)):
                 follower.held = None
                 self._answer(now, follower, held)
 
-    def _has_news(self, fetch: Fetch) -> bool:
+    def _has_new_data(self, fetch: Fetch) -> bool:
         if not self.serving:
             return False
         replica = self._replica
@@ -116,28 +118,28 @@
             return
         follower.number += 1
         follower.answered_at[follower.number] = now
-        follower.answered_at.pop(follower.number - ANSWERS_KNOWN, None)
+        follower.answered_at.pop(follower.number - MAX_ECHOED_ANSWERS, None)
         reply = batches_for(self._replica, held.fetch, follower.number)
         self._outbox.answer(held.ticket, reply)
 
     def abandoned(self, ticket: int) -> None:
-        """The caller of a held fetch has gone."""
+        """Drops the held fetch of a disconnected caller."""
         for follower in self._followers.values():
             if follower.held is not None and follower.held.ticket == ticket:
                 follower.held = None
 
     def end(self, fence: int) -> None:
-        """The term is over: all held fetches are told so, with the highest fence that is known."""
+        """Ends the term: answers all held fetches NOT_LEADER, with the highest fence known."""
         for follower in self._followers.values():
             held, follower.held = follower.held, None
             if held is not None:
                 self._outbox.answer(held.ticket, FetchReply(FetchStatus.NOT_LEADER, fence))
 
     def committed(self) -> int | None:
-        """The greatest position of this term that is durable at a majority; None: there is none.
+        """Returns the highest position of this term that is durable on a majority; None if none.
 
-        Only batches of the own fence are counted; earlier ones are committed along with them (Raft,
-        section 5.4.2: a batch of an earlier term may be replaced though a majority has it).
+        Only batches of this term count; earlier ones are committed along with them.  A batch of an
+        earlier term may be replaced even though a majority has it (Raft, section 5.4.2).
         """
         durable = [each.durable for each in self._followers.values()]
         durable.append(self._replica.durable)
@@ -145,16 +147,19 @@
         return position if self._replica.fence_at(position) == self._fence else None
 
     def quorum_followed_at(self, now: float) -> float:
-        """The greatest time at which a majority still followed; minus infinity: never yet."""
+        """Returns the last time at which a majority followed, this machine included as of `now`.
+
+        Minus infinity if no majority has followed yet.
+        """
         times = [each.followed_at for each in self._followers.values()]
         times.append(now)
         return sorted(times, reverse=True)[self._quorum - 1]
 
     def as_of(self, now: float) -> float | None:
-        """No other leader had committed anything then that is not committed here.
+        """Returns the time up to which all commits of other leaders are committed here.
 
-        None before the first batch of the term is committed: what earlier leaders committed is
-        in the log, but it is not known up to where.
+        None until the first batch of the term is committed: the log has all batches that earlier
+        leaders committed, but their commit position is unknown.
         """
         if self._replica.fence_at(self._replica.commit) != self._fence:
             return None
@@ -162,15 +167,15 @@
         return followed_at if followed_at > -inf else None
 
     def positions(self, now: float) -> tuple[tuple[str, int, float], ...]:
-        """Name, durable position and seconds since it was heard (negative: never) of each."""
+        """Returns name, durable position and seconds since the last fetch (-1: none) of each."""
         return tuple(
-            (name, each.durable, now - each.heard_at if each.heard_at > -inf else -1.0)
+            (name, each.durable, now - each.last_fetch_at if each.last_fetch_at > -inf else -1.0)
             for name, each in sorted(self._followers.items())
         )
 
-    # --- for the checker ---
+    # --- for state space exploration ---
     def key(self, now: float) -> tuple[Any, ...]:
-        """All that what follows depends on."""
+        """Returns all state that affects later behavior, with times relative to `now`."""
         return tuple(
             (
                 name,
--- a/violetroute/distribution/leadership.py
+++ b/violetroute/distribution/leadership.py
@@ -120,7 +120,7 @@
 
     def fetched(self, now: float, ticket: int, fetch: Fetch) -> None:
         """Handles a follower's fetch with this term's fence."""
-        self._preparation.follows(fetch.replica)
+        self._preparation.record_fetch(fetch.replica)
         self._followers.fetched(now, ticket, fetch)
 
     def published(self, now: float, ticket: int, publish: Publish) -> None:
--- a/violetroute/distribution/log_state.py
+++ b/violetroute/distribution/log_state.py
@@ -1,8 +1,8 @@
-"""What the frames of the log segments say, and the state that follows from them.  Pure.
+"""Contents of the log segments' frames, and the state that a replay of them yields.  No I/O.
 
-Each segment begins with a header that has everything but the batches as of its beginning, so that
-segments whose batches are all covered by the base snapshot can be removed.  Each further frame has
-the changes of one write, in order.
+Each segment begins with a header that holds all state at that point except the batches.  Older
+segments can therefore be removed once the base snapshot covers all their batches.  Each further
+frame holds the changes of one write, in order.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 )
 from .messages import Batch, LogPoint, Snapshot
 
-VERSION = 1
+VERSION = 1  # of the segment format
 
 
 class InconsistentError(Exception):
-    """Frames that are whole but do not follow from each other; one line."""
+    """Intact frames that contradict each other; the message is one line."""
 
 
 class _Frame(msgspec.Struct, frozen=True, array_like=True):
-    """Base of what is stored.  Fields may be added at the end, with defaults."""
+    """Base of the stored structures.  Fields may be added at the end, with defaults."""
 
 
 class SegmentHeader(_Frame, frozen=True, tag="h"):
-    """The state at the beginning of the segment `number`."""
+    """All state but the batches at the beginning of the segment `number`."""
 
     version: int
     log: str
@@ -77,12 +77,12 @@
 
 
 def encode_changes(changes: Iterable[Change]) -> bytes:
-    """The body of a frame."""
+    """Encodes the changes of one write as a frame body."""
     return _encode(tuple(_to_stored(change) for change in changes))
 
 
 def decode_changes(body: bytes) -> list[Change]:
-    """InconsistentError for a body that has no changes."""
+    """Decodes a frame body.  Raises InconsistentError if it holds no changes."""
     try:
         return [_from_stored(change) for change in _decode_changes(body)]
     except msgspec.DecodeError as error:
@@ -90,12 +90,12 @@
 
 
 def encode_header(header: SegmentHeader) -> bytes:
-    """The body of a segment's first frame."""
+    """Encodes the body of a segment's first frame."""
     return _encode(header)
 
 
 def decode_header(body: bytes) -> SegmentHeader:
-    """InconsistentError for another body, or one of a later version."""
+    """Decodes a header.  Raises InconsistentError for other bodies and other versions."""
     try:
         header = _decode_header(body)
     except msgspec.DecodeError as error:
@@ -135,7 +135,7 @@
 
 @dataclass(slots=True)
 class LogState:
-    """All that is stored but the batches themselves."""
+    """All stored state except the batches."""
 
     log: str
     machine: str
@@ -146,7 +146,7 @@
     next_position: int = 1
 
     def apply(self, change: Change) -> None:
-        """InconsistentError for batches that do not follow."""
+        """Applies a change.  Raises InconsistentError for batches that are not consecutive."""
         match change:
             case SetPromise(fence, leader):
                 self.fence, self.leader = fence, leader
@@ -163,13 +163,11 @@
     def _append(self, batches: tuple[Batch, ...]) -> None:
         for batch in batches:
             if batch.position != self.next_position:
-                raise InconsistentError(
-                    f"position {batch.position} where {self.next_position} follows"
-                )
+                raise InconsistentError(f"position {batch.position}, expected {self.next_position}")
             self.next_position += 1
 
     def header(self, number: int) -> SegmentHeader:
-        """For the segment that begins now."""
+        """Returns the header of a new segment that begins with the current state."""
         return SegmentHeader(
             VERSION,
             self.log,
@@ -184,7 +182,7 @@
 
 
 class Replay:
-    """Reads segments in order.  `state` and `batches` are what they add up to."""
+    """Replays segments in order; `state` and `batches` hold the result so far."""
 
     def __init__(self, log: str, machine: str) -> None:
         self.state = LogState(log, machine)
@@ -192,9 +190,11 @@
         self._first = True
 
     def begin_segment(self, header: SegmentHeader) -> None:
-        """InconsistentError unless it goes on where the segment before ended."""
+        """Starts a segment.  Raises InconsistentError unless it continues the previous one."""
         if (header.log, header.machine) != (self.state.log, self.state.machine):
-            raise InconsistentError(f"of the log {header.log} on the machine {header.machine}")
+            raise InconsistentError(
+                f"it belongs to the log {header.log} on the machine {header.machine}"
+            )
         if self._first:
             self._first = False
             self.state = LogState(
@@ -207,10 +207,10 @@
                 header.next_position,
             )
         elif header != self.state.header(header.number):
-            raise InconsistentError("it does not follow from the segment before")
+            raise InconsistentError("it does not continue the previous segment")
 
     def apply(self, change: Change) -> None:
-        """One change after another."""
+        """Applies one change to the state and the batches."""
         self.state.apply(change)
         match change:
             case AppendBatches(batches):
@@ -223,7 +223,7 @@
                 self.batches = [batch for batch in self.batches if batch.position > base]
 
     def result(self) -> Stored:
-        """InconsistentError where batches between the base and the log's end are missing."""
+        """Returns the replayed log.  Raises InconsistentError for a gap after the base."""
         state = self.state
         base = state.snapshot.base.position
         batches = [batch for batch in self.batches if batch.position > base]
--- a/violetroute/distribution/preparation.py
+++ b/violetroute/distribution/preparation.py
@@ -1,10 +1,10 @@
-"""The beginning of a term: promises of a majority, and the most recent log among them.  Pure.
+"""Preparation of a term: collects promises of a majority, copies their most recent log.  No I/O.
 
-The own promise is durable before the first `Prepare` is sent; recovery of a lost disk relies on it.
-Promises of recovering replicas are not counted: they do not know what they acknowledged.  Any batch
-that was committed before is in the log of one of a majority, and the log with the greatest last
-point has all that the others of that majority have.  Who has not promised is asked again and again
-during the whole term, so that it learns of its leader.
+The leader's own promise is durable before the first `Prepare` is sent; the recovery of a lost disk
+relies on this.  Promises of recovering replicas do not count, since such a replica does not know
+what it acknowledged.  Every committed batch is in the log of some member of any majority, and the
+log with the greatest last point has every committed batch of that majority.  Replicas that have
+not promised are sent `Prepare` throughout the term, so that they learn who leads.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Copy:
-    """A fetch of batches from the replica with the most recent log."""
+    """An outstanding fetch from the replica with the most recent log."""
 
     ticket: int
     source: str
@@ -32,10 +32,9 @@
 
 
 class Preparation:
-    """Collects promises under one fence, then copies the most recent log."""
+    """Preparation of one leader's term, with one fencing token."""
 
     __slots__ = (
-        "_asked",
         "_contacts",
         "_copy",
         "_drift",
@@ -43,6 +42,7 @@
         "_followers",
         "_name",
         "_outbox",
+        "_prepares",
         "_promises",
         "_quorum",
         "_replica",
@@ -70,46 +70,46 @@
         self._outbox = outbox
         others = [name for name in settings.machines if name != settings.name]
         self._retries = {name: Backoff(settings.retry_s, random, now) for name in others}
-        self._asked: dict[int, str] = {}
+        self._prepares: dict[int, str] = {}
         self._promises: dict[str, Promise] = {}
         self._drift = settings.drift
-        self._contacts: dict[str, float] = {}  # of those that promised, as in `contact_time`
-        self.contacts: tuple[float, ...] = ()  # of the majority, once it is ready
+        self._contacts: dict[str, float] = {}  # by promising machine, as `contact_time`
+        self.contacts: tuple[float, ...] = ()  # of the promising majority, once `ready`
         self._followers: set[str] = set()
         self._copy: _Copy | None = None
-        self.ready = False  # the log has everything that was committed before this term
-        self.fenced_by: int | None = None  # a fence under which another leader was promised
+        self.ready = False  # the log has all batches committed before this term
+        self.fenced_by: int | None = None  # higher fence promised to another leader
 
     @property
     def next_at(self) -> float:
-        """When `step` is wanted."""
+        """Time of the next `step`; infinite if none is due."""
         if not self.ready and not self._replica.synced:
             return inf
-        return min((self._retries[name].next_at for name in self._unasked()), default=inf)
+        return min((self._retries[name].next_at for name in self._to_prepare()), default=inf)
 
-    def _unasked(self) -> list[str]:
-        asked = set(self._asked.values())
-        known = asked | self._promises.keys()
+    def _to_prepare(self) -> list[str]:
+        prepared = set(self._prepares.values())
+        known = prepared | self._promises.keys()
         if self.ready:
             known |= self._followers
         return [name for name in self._retries if name not in known]
 
-    def follows(self, replica: str) -> None:
-        """It has sent a fetch under this term's fence: it need not be asked any more."""
+    def record_fetch(self, replica: str) -> None:
+        """Records a fetch with this term's fence; the replica needs no further `Prepare`."""
         self._followers.add(replica)
 
     def step(self, now: float) -> None:
-        """Ask who has not promised; with a majority, copy what is missing here."""
+        """Sends due `Prepare` messages; with a majority, copies missing batches."""
         if not self.ready and not self._replica.synced:
-            return  # the own promise, or a part of the copy, is on its way to the disk
-        for name in self._unasked():
+            return  # the own promise or copied batches are not durable yet
+        for name in self._to_prepare():
             if now >= self._retries[name].next_at:
                 prepare = Prepare(self._name, self._fence)
-                self._asked[self._outbox.send(name, prepare, self._timeout_s)] = name
+                self._prepares[self._outbox.send(name, prepare, self._timeout_s)] = name
         if not self.ready and self._copy is None:
-            self._adopt()
+            self._adopt_log()
 
-    def _adopt(self) -> None:
+    def _adopt_log(self) -> None:
         counted = {
             name: promise.last for name, promise in self._promises.items() if not promise.recovering
         }
@@ -126,18 +126,18 @@
         self._copy = _Copy(ticket, source, fetch)
 
     def owns(self, ticket: int) -> bool:
-        """Whether the reply with this ticket is to a request of this term's beginning."""
-        return ticket in self._asked or (self._copy is not None and self._copy.ticket == ticket)
+        """Whether this ticket is of an outstanding `Prepare` or copy fetch."""
+        return ticket in self._prepares or (self._copy is not None and self._copy.ticket == ticket)
 
     def replied(self, now: float, ticket: int, reply: Reply | None) -> None:
-        """The reply to a `Prepare` or to a fetch of the copy; None: there was none."""
-        if ticket in self._asked:
-            self._promised(now, self._asked.pop(ticket), reply)
+        """Handles the reply to a `Prepare` or a copy fetch; None if there was none."""
+        if ticket in self._prepares:
+            self._handle_promise(now, self._prepares.pop(ticket), reply)
         elif self._copy is not None and self._copy.ticket == ticket:
             copy, self._copy = self._copy, None
-            self._copied(now, copy, reply)
+            self._handle_copy(now, copy, reply)
 
-    def _promised(self, now: float, name: str, reply: Reply | None) -> None:
+    def _handle_promise(self, now: float, name: str, reply: Reply | None) -> None:
         if not isinstance(reply, Promise):
             self._retries[name].failed(now)
         elif not reply.granted:
@@ -146,7 +146,7 @@
             self._promises[name] = reply
             self._contacts[name] = contact_time(reply, now, self._drift)
 
-    def _copied(self, now: float, copy: _Copy, reply: Reply | None) -> None:
+    def _handle_copy(self, now: float, copy: _Copy, reply: Reply | None) -> None:
         if isinstance(reply, FetchReply) and self._is_progress(copy, reply):
             try:
                 self._outbox.persist(apply_reply(self._replica, copy.fetch, reply))
@@ -156,7 +156,7 @@
                 return
         elif isinstance(reply, FetchReply) and reply.fence > self._fence:
             self.fenced_by = reply.fence
-        del self._promises[copy.source]  # ask again: another may have become the better source
+        del self._promises[copy.source]  # prepare again: another source may be better now
         self._retries[copy.source].failed(now)
 
     def _is_progress(self, copy: _Copy, reply: FetchReply) -> bool:
@@ -164,9 +164,9 @@
             return False
         return bool(reply.batches) or reply.status != FetchStatus.OK
 
-    # --- for the checker ---
+    # --- for state space exploration ---
     def key(self, now: float) -> tuple[Any, ...]:
-        """All that what follows depends on."""
+        """Returns all state that affects later behavior, with times relative to `now`."""
         due = tuple(
             (name, retry.failures, max(0.0, round(retry.next_at - now, 6)))
             for name, retry in sorted(self._retries.items())
@@ -178,5 +178,5 @@
         )
         contacts = tuple(round(at - now, 6) for at in self.contacts)
         followers = tuple(sorted(self._followers))
-        asked = tuple(sorted(self._asked.values()))
-        return (self.ready, followers, due, asked, promises, contacts, copy)
+        prepared = tuple(sorted(self._prepares.values()))
+        return (self.ready, followers, due, prepared, promises, contacts, copy)
--- a/violetroute/distribution/roster.py
+++ b/violetroute/distribution/roster.py
@@ -1,12 +1,12 @@
-"""The proxies that the leader knows: live sessions by machine, and those that are missing.  Pure.
+"""The proxies known to the leader: live sessions by machine, and missing proxies.  No I/O.
 
-A proxy process may have sessions at several machines while it moves; it counts once, with the
-greatest position that any of them has reported (positions only rise within an incarnation).  A
-process without a session any more is remembered by its name until the name is back, an hour at
-most, so that a status can say who is missing and since when.
+A proxy process may have sessions at several machines while it moves.  It counts once, with the
+greatest position that any of them reported (positions only increase within an incarnation).  The
+name of a proxy that lost its last session is kept until it reconnects, for at most an hour, so
+that a status can list missing proxies and since when they are missing.
 
-Cost: a report is O(sessions that it names).  The least position is one `min` over a dict of
-integers, after a change that may have raised it.
+Cost: O(sessions named) per report.  The minimum position is recomputed with one `min` over a dict
+of integers, after a change that may have raised it.
 """
 
 from __future__ import annotations
@@ -20,29 +20,29 @@
 
 MAX_MISSING = 4096
 MISSING_RETENTION_S = 3600.0
-MAX_REFUSALS = 1024  # refusals that a status names
+MAX_REFUSALS = 1024  # refusals listed in a status
 
 
 @dataclass(frozen=True, slots=True)
 class Missing:
-    """The last session of a name, which ended or was not answered since `since`."""
+    """Last session of a missing proxy, which has had no session since `since` (seconds)."""
 
     state: SessionState
     since: float
 
 
 class Roster:
-    """All live sessions, and the names that are missing.  `now`: the leader's seconds."""
+    """Live sessions and missing proxies.  `now` is the leader's monotonic time in seconds."""
 
     def __init__(self) -> None:
         self._states: dict[SessionKey, SessionState] = {}
-        self._holders: dict[SessionKey, set[str]] = {}  # machines that have the session
+        self._holders: dict[SessionKey, set[str]] = {}  # names of machines that have the session
         self._positions: dict[SessionKey, int] = {}
-        self._least: int | None = None
-        self._least_known = True
-        self._refusing: dict[SessionKey, None] = {}
-        self._live_names: dict[str, int] = {}  # sessions of each name
-        self._missing: dict[str, Missing] = {}  # the longest missing first
+        self._min_position: int | None = None
+        self._min_position_valid = True
+        self._with_refusals: dict[SessionKey, None] = {}
+        self._live_names: dict[str, int] = {}  # number of live sessions by proxy name
+        self._missing: dict[str, Missing] = {}  # by proxy name, longest missing first
         self._machines: dict[str, dict[SessionKey, None]] = {}
 
     def __len__(self) -> int:
@@ -50,22 +50,22 @@
 
     @property
     def missing(self) -> Mapping[str, Missing]:
-        """Proxies without a session, by name."""
+        """Proxies without a live session, by name."""
         return self._missing
 
     @property
     def min_position(self) -> int | None:
-        """Every live session has applied everything up to here; None: there is no session."""
-        if not self._least_known:
-            self._least = min(self._positions.values(), default=None)
-            self._least_known = True
-        return self._least
+        """Minimum applied position of all live sessions; None without a session."""
+        if not self._min_position_valid:
+            self._min_position = min(self._positions.values(), default=None)
+            self._min_position_valid = True
+        return self._min_position
 
     @property
     def refused(self) -> tuple[tuple[str, int, str], ...]:
-        """Proxy, position and reason of refusals, at most `MAX_REFUSALS`."""
+        """Proxy, position and reason of up to `MAX_REFUSALS` refused changes."""
         found: list[tuple[str, int, str]] = []
-        for key in self._refusing:
+        for key in self._with_refusals:
             refusals = self._states[key].refused
             found.extend((key[0], position, reason) for position, reason in refusals)
             if len(found) >= MAX_REFUSALS:
@@ -73,32 +73,32 @@
         return tuple(found[:MAX_REFUSALS])
 
     def furthest_behind(self, commit: int, most: int) -> list[SessionState]:
-        """Live sessions that have not applied everything up to `commit`, the last ones first."""
+        """Returns up to `most` live sessions behind `commit`, lowest position first."""
         behind = [key for key, position in self._positions.items() if position < commit]
         chosen = nsmallest(most, behind, key=self._positions.__getitem__)
         return [self._states[key] for key in chosen]
 
     def update(self, machine: str, states: Iterable[SessionState]) -> None:
-        """These sessions are at the machine, in these states."""
+        """Adds or updates sessions of a machine.  States with a lower position are ignored."""
         at_machine = self._machines.setdefault(machine, {})
         positions = self._positions
         for state in states:
             key = (state.name, state.incarnation)
             if key not in at_machine:
                 at_machine[key] = None
-                self._join(key, machine, state)
-            before = positions[key]
-            if state.position < before:
+                self._add_session(key, machine, state)
+            previous = positions[key]
+            if state.position < previous:
                 continue
             positions[key] = state.position
             self._states[key] = state
-            if before == self._least:
-                self._least_known = False
-            if state.refused or key in self._refusing:
-                self._note_refusals(key, state)
+            if previous == self._min_position:
+                self._min_position_valid = False
+            if state.refused or key in self._with_refusals:
+                self._update_refusals(key, state)
 
     def end(self, now: float, machine: str, keys: Iterable[SessionKey]) -> None:
-        """These sessions of the machine have ended."""
+        """Removes ended sessions of a machine."""
         at_machine = self._machines.get(machine, {})
         for key in keys:
             if key not in at_machine:
@@ -106,24 +106,24 @@
             del at_machine[key]
             self._holders[key].discard(machine)
             if not self._holders[key]:
-                self._remove(now, key)
+                self._remove_session(now, key)
 
     def replace(self, now: float, machine: str, states: tuple[SessionState, ...]) -> None:
-        """The machine has these sessions and no others."""
+        """Replaces all sessions of a machine."""
         named = {(state.name, state.incarnation) for state in states}
         gone = [key for key in self._machines.get(machine, {}) if key not in named]
         self.update(machine, states)
         self.end(now, machine, gone)
 
-    def forget(self, now: float) -> None:
-        """Forget the names that have been missing for `MISSING_RETENTION_S`."""
+    def expire_missing(self, now: float) -> None:
+        """Drops proxies that have been missing for `MISSING_RETENTION_S`."""
         while self._missing:
             name = next(iter(self._missing))
             if now - self._missing[name].since < MISSING_RETENTION_S:
                 return
             del self._missing[name]
 
-    def _join(self, key: SessionKey, machine: str, state: SessionState) -> None:
+    def _add_session(self, key: SessionKey, machine: str, state: SessionState) -> None:
         holders = self._holders.get(key)
         if holders is not None:
             holders.add(machine)
@@ -131,22 +131,22 @@
         self._holders[key] = {machine}
         self._states[key] = state
         self._positions[key] = state.position
-        self._least_known = False
+        self._min_position_valid = False
         self._live_names[state.name] = self._live_names.get(state.name, 0) + 1
         self._missing.pop(state.name, None)
 
-    def _note_refusals(self, key: SessionKey, state: SessionState) -> None:
+    def _update_refusals(self, key: SessionKey, state: SessionState) -> None:
         if state.refused:
-            self._refusing[key] = None
+            self._with_refusals[key] = None
         else:
-            del self._refusing[key]
+            del self._with_refusals[key]
 
-    def _remove(self, now: float, key: SessionKey) -> None:
+    def _remove_session(self, now: float, key: SessionKey) -> None:
         state = self._states.pop(key)
         del self._holders[key]
         del self._positions[key]
-        self._least_known = False
-        self._refusing.pop(key, None)
+        self._min_position_valid = False
+        self._with_refusals.pop(key, None)
         name = key[0]
         self._live_names[name] -= 1
         if self._live_names[name]:
--- a/violetroute/distribution/storage.py
+++ b/violetroute/distribution/storage.py
@@ -1,16 +1,18 @@
-"""A control machine's folder: identity, and the log in segments.  Blocks: not on the loop's thread.
+"""Storage of a control machine: a folder with its identity and the log segments.
 
     identity               JSON: the log's identity and the machine's name; written last by `init`
     segment-0000000001     frames; see `frames.py` and `log_state.py`
-    lock                   an OFD lock, held as long as the folder is open
+    lock                   holds an OFD lock while the folder is open
 
-A folder without an identity is refused: the promises and batches of a lost disk have been
-acknowledged to others, so it must never be taken for an empty log.  `init_folder` makes an empty
-log, or with `recovering` the replacement of a lost one.
+All calls block; call them outside the event loop's thread.
 
-`write` returns once its changes are on the disk.  After an OSError the file's state is not known
-(a failed fsync may have dropped what it was to sync), so nothing is written any more: the process
-has to end, and the next start reads what is there.
+A folder without an identity is rejected.  Promises and batches on a lost disk were acknowledged to
+other machines, so a missing log must never be treated as an empty one.  `init_folder` creates an
+empty log, or with `recovering` the replacement of a lost one.
+
+`write` returns once its changes are durable.  After an OSError the state of the file is unknown (a
+failed fsync may have dropped the data), so all later writes fail: the process must end, and the
+next start replays what is on disk.
 """
 
 from __future__ import annotations
@@ -40,19 +42,19 @@
     encode_header,
 )
 
-SEGMENT_BYTES = 8 * 1024 * 1024  # after which a new segment is begun
-SEGMENT_BYTES_MAX = 300 * 1024 * 1024  # of one that is read
-IDENTITY_BYTES = 4096
+SEGMENT_BYTES = 8 * 1024 * 1024  # a segment of this size is rotated
+SEGMENT_BYTES_MAX = 300 * 1024 * 1024  # larger segments are rejected when read
+IDENTITY_BYTES = 4096  # maximum size of the identity file
 SEGMENT_NAME = re.compile(r"segment-(\d{10})")
 LOCK_FORMAT = struct.Struct("hhqqi4x")  # l_type, l_whence, l_start, l_len, l_pid
 
 
 class StorageError(Exception):
-    """A folder that cannot be used; one line."""
+    """The folder cannot be used; the message is one line."""
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """Whose folder it is."""
+    """Log and machine to which a folder belongs."""
 
     log: str
     machine: str
@@ -60,7 +62,7 @@
 
 @dataclass(slots=True)
 class _Segment:
-    """`highest`: the greatest position of a batch in it; 0 without one."""
+    """A segment file.  `highest` is the highest batch position in it; 0 without batches."""
 
     number: int
     path: Path
@@ -69,28 +71,28 @@
 
 
 def init_folder(path: Path, machine: str, log: str, recovering: bool) -> None:
-    """An empty log; `recovering`: the replacement of a lost one.
+    """Creates an empty log, or with `recovering` the replacement of a lost one.
 
-    StorageError where there is a log already or the folder is in use, OSError where it cannot be
-    written.  The identity comes last: a folder whose init was interrupted is refused at a start and
-    can be made anew.
+    Raises StorageError if the folder has a log or is in use, OSError if it cannot be written.  The
+    identity is written last: a folder with an interrupted init is rejected at start-up, and can be
+    initialized again.
     """
     path.mkdir(parents=True, exist_ok=True)
     lock = _lock(path)
     try:
         if (path / "identity").exists():
-            raise StorageError(f"{path}: there is a log already")
+            raise StorageError(f"{path}: a log already exists")
         for segment in _segments(path):
             segment.path.unlink()
         state = LogState(log, machine, recovering=recovering)
         _write_segment(path, state, 1)
-        _replace(path / "identity", msgspec.json.encode(Identity(log, machine)))
+        _write_atomically(path / "identity", msgspec.json.encode(Identity(log, machine)))
     finally:
         os.close(lock)
 
 
 class Storage:
-    """The open folder of one machine.  StorageError or OSError where it cannot be used."""
+    """The open, locked folder of one machine.  Raises StorageError or OSError if unusable."""
 
     def __init__(self, path: Path, machine: str) -> None:
         self._path = path
@@ -98,33 +100,35 @@
         self._failed = False
         identity = _read_identity(path)
         if identity.machine != machine:
-            raise StorageError(f"{path}: the folder of {identity.machine!r}, not of {machine!r}")
+            raise StorageError(
+                f"{path}: the folder belongs to {identity.machine!r}, not to {machine!r}"
+            )
         self._lock = _lock(path)
         try:
-            self._segments, replay = _read(path, identity)
+            self._segments, replay = _replay_segments(path, identity)
             self.stored: Stored | None = replay.result()
             self._state = replay.state
             self._open_last()
         except InconsistentError as error:
             self.close()
-            raise StorageError(f"{path}: the log does not add up: {error}") from None
+            raise StorageError(f"{path}: the log is inconsistent: {error}") from None
         except BaseException:
             self.close()
             raise
 
     def take_stored(self) -> Stored:
-        """What the folder held when it was opened; not kept here any longer."""
+        """Returns the state replayed at opening and releases it, to free memory.  Call once."""
         stored, self.stored = self.stored, None
         assert stored is not None
         return stored
 
     def write(self, changes: Sequence[Change]) -> None:
-        """Durable once it returns.  OSError; also at each call after the first that failed."""
+        """Writes changes durably.  After one failed call every later call raises OSError."""
         if self._failed:
             raise OSError("an earlier write failed")
         if not changes:
             return
-        self._failed = True  # until it has succeeded
+        self._failed = True  # reset on success
         for change in changes:
             self._state.apply(change)
         self._append(encode_frame(encode_changes(changes)))
@@ -137,7 +141,7 @@
         self._failed = False
 
     def close(self) -> None:
-        """Another process may have the folder."""
+        """Closes the segment and releases the folder's lock."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
             self._descriptor = -1
@@ -164,16 +168,16 @@
         self._open_last()
 
     def _remove_covered(self) -> None:
-        """The oldest segments, as long as the base covers all their batches."""
+        """Removes the oldest segments whose batches are all covered by the base snapshot."""
         base = self._state.snapshot.base.position
         while len(self._segments) > 1 and self._segments[0].highest <= base:
             with contextlib.suppress(FileNotFoundError):
                 self._segments[0].path.unlink()
-            sync_folder(self._path)  # in order: a segment is not missing between two others
+            sync_folder(self._path)  # sync each removal, so a crash leaves no gap in the middle
             del self._segments[0]
 
 
-def _read(path: Path, identity: Identity) -> tuple[list[_Segment], Replay]:
+def _replay_segments(path: Path, identity: Identity) -> tuple[list[_Segment], Replay]:
     segments = _segments(path)
     if not segments:
         raise StorageError(f"{path}: its segments are missing")
@@ -195,12 +199,12 @@
         raise InconsistentError("too large")
     frames = decode_frames(data)
     if not frames.bodies:
-        raise InconsistentError("its header does not add up")
+        raise InconsistentError("its header is damaged")
     if frames.damaged or (frames.good < len(data) and not last):
-        raise InconsistentError(f"a frame at byte {frames.good} does not add up, others follow it")
+        raise InconsistentError(f"the frame at byte {frames.good} is damaged, and others follow it")
     header = decode_header(frames.bodies[0])
     if header.number != segment.number:
-        raise InconsistentError(f"it is segment {header.number}")
+        raise InconsistentError(f"its header is of segment {header.number}")
     replay.begin_segment(header)
     for body in frames.bodies[1:]:
         changes = decode_changes(body)
@@ -208,17 +212,17 @@
             replay.apply(change)
         segment.highest = max(segment.highest, _highest(changes))
     if frames.good < len(data):
-        _drop_tail(segment.path, frames.good)
+        _truncate_file(segment.path, frames.good)
     segment.size = frames.good
 
 
 def _highest(changes: Sequence[Change]) -> int:
-    """The greatest position of a batch that is appended; 0 without one."""
+    """Returns the highest position of an appended batch; 0 without one."""
     appended = [change for change in changes if isinstance(change, AppendBatches)]
     return max((batch.position for change in appended for batch in change.batches), default=0)
 
 
-def _drop_tail(path: Path, length: int) -> None:
+def _truncate_file(path: Path, length: int) -> None:
     descriptor = os.open(path, os.O_WRONLY | os.O_CLOEXEC)
     try:
         os.ftruncate(descriptor, length)
@@ -239,12 +243,12 @@
 def _write_segment(path: Path, state: LogState, number: int) -> _Segment:
     data = encode_frame(encode_header(state.header(number)))
     segment = _Segment(number, path / f"segment-{number:010}", len(data))
-    _replace(segment.path, data)
+    _write_atomically(segment.path, data)
     return segment
 
 
-def _replace(path: Path, data: bytes) -> None:
-    """The whole file or nothing of it, on the disk once it returns."""
+def _write_atomically(path: Path, data: bytes) -> None:
+    """Writes the file atomically and durably."""
     temporary = path.with_name(f"{path.name}.new")
     write_synced(temporary, data)
     os.replace(temporary, path)
@@ -256,15 +260,15 @@
         return msgspec.json.decode(read_bounded(path / "identity", IDENTITY_BYTES), type=Identity)
     except FileNotFoundError:
         raise StorageError(
-            f"{path}: there is no log here; `limebridge control init` makes a new one, and with "
-            "--replace the replacement of one that is lost"
+            f"{path}: there is no log here; `limebridge control init` creates a new one, and with "
+            "--replace the replacement of a lost one"
         ) from None
     except msgspec.DecodeError as error:
         raise StorageError(f"{path}: identity: {error}") from None
 
 
 def _lock(path: Path) -> int:
-    """A descriptor that holds the folder's lock until it is closed."""
+    """Acquires the folder's lock and returns the descriptor that holds it until closed."""
     descriptor = os.open(path / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o644)
     try:
         fcntl.fcntl(
@@ -273,6 +277,6 @@
     except OSError as error:
         os.close(descriptor)
         if isinstance(error, (BlockingIOError, PermissionError)):
-            raise StorageError(f"{path}: another process has it") from None
+            raise StorageError(f"{path}: in use by another process") from None
         raise
     return descriptor
