--- a/limebridge/standins/__init__.py
+++ b/limebridge/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the daemon's peers, against asyncio alone: any event loop can run them."""
+"""Test doubles of the daemon's peers; they use asyncio alone, so any event loop can run them."""
--- a/limebridge/standins/billing.py
+++ b/limebridge/standins/billing.py
@@ -1,7 +1,7 @@
-"""A billing endpoint: POST of JSON lines with an idempotency key, and its troubles.
+"""A billing endpoint that accepts JSON lines by POST with an idempotency key.
 
-Takes what `violetroute/ledger/export.py` describes.  Troubles are plain attributes; `fault` is
-asked for each post and answers with one of their names, or "".
+It accepts the requests that `violetroute/ledger/export.py` describes.  `fault` is called for each
+post and returns the name of a fault, or "".
 """
 
 from __future__ import annotations
@@ -19,28 +19,28 @@
 
 
 class BillingEndpoint(HttpEndpoint):
-    """`billed` has units by ledger and line; what comes twice under one key counts once."""
+    """Counts units in `billed` by ledger and line; a repeat under the same key counts once."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.accepted: dict[str, bytes] = {}  # by key
-        self.last: dict[str, str] = {}  # by ledger
+        self.accepted: dict[str, bytes] = {}  # bodies by key
+        self.last_key: dict[str, str] = {}  # key of the last batch, by ledger
         self.order: dict[str, list[tuple[str, int]]] = {}  # keys and periods, by ledger
         self.billed: Counter[tuple[str, int, str | None, str]] = Counter()
         self.posts = 0
-        self.targets: list[str] = []
+        self.request_lines: list[str] = []
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             line, headers, body = await read_request(reader)
             self.posts += 1
-            self.targets.append(line)
+            self.request_lines.append(line)
             fault = self.fault()
             if fault == "lost before":
                 writer.transport.abort()
                 return
-            status, said = (
-                self._take(headers, body)
+            status, content = (
+                self._accept(headers, body)
                 if fault in ("", "lost after", "500 after", "cut after")
                 else (0, b"")
             )
@@ -54,7 +54,7 @@
                 "noise": b"\x00\xff\r\n\r\n",
             }.get(
                 fault,
-                b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%b" % (status, len(said), said),
+                b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%b" % (status, len(content), content),
             )
             if fault == "lost after":
                 writer.transport.abort()
@@ -66,24 +66,24 @@
         finally:
             writer.close()
 
-    def _take(self, headers: dict[str, str], body: bytes) -> tuple[int, bytes]:
+    def _accept(self, headers: dict[str, str], body: bytes) -> tuple[int, bytes]:
         key, after = headers["idempotency-key"].strip('"'), headers["ledger-after"].strip('"')
         if headers.get("content-encoding") == "zstd":
             body = zstandard.ZstdDecompressor().decompress(body)
         if key in self.accepted:
             return (200, b"") if self.accepted[key] == body else (422, b"")
         ledger = key.partition("/")[0]
-        if after != self.last.get(ledger, ""):
+        if after != self.last_key.get(ledger, ""):
             order = self.order[ledger]
-            known = [place for place, (taken, _) in enumerate(order) if taken == after]
-            behind = order[known[0] + 1 :] if known else order
+            known = [index for index, (accepted, _) in enumerate(order) if accepted == after]
+            later = order[known[0] + 1 :] if known else order
             return 412, json.dumps(
-                {"last": self.last[ledger], "periods": sorted({p for _, p in behind})}
+                {"last": self.last_key[ledger], "periods": sorted({p for _, p in later})}
             ).encode()
         batch, *lines = (json.loads(line) for line in body.splitlines())
         if batch["units"] != sum(line["units"] for line in lines):
             return 400, b""
-        self.accepted[key], self.last[ledger] = body, key
+        self.accepted[key], self.last_key[ledger] = body, key
         self.order.setdefault(ledger, []).append((key, batch["period"]))
         for line in lines:
             self.billed[ledger, batch["period"], line["tenant"], line["class"]] += line["units"]
--- a/limebridge/standins/clients.py
+++ b/limebridge/standins/clients.py
@@ -1,7 +1,7 @@
-"""Clients that ask at the times they drew, whether or not answers come (open loop).
+"""Open-loop load: clients send at random times, whether or not earlier answers have arrived.
 
-Waiting for one answer before the next question would hide just the delays that are looked
-for (coordinated omission), so a client whose answer is late pipelines the next question.
+Waiting for an answer before the next request would hide the very delays to be measured
+(coordinated omission), so a client whose answer is late pipelines its next request.
 """
 
 from __future__ import annotations
@@ -15,19 +15,27 @@
 
 
 class ClientRequest:
-    """One question and what became of it."""
-
-    __slots__ = ("attempts", "client", "deadline", "ended_at", "outcome", "sent_at", "words")
-
-    def __init__(self, client: int, sent_at: float, deadline: float, words: bytes) -> None:
-        self.words, self.attempts = words, 0
+    """One request and its outcome; times are seconds of the event loop's clock."""
+
+    __slots__ = (
+        "attempts",
+        "client",
+        "command_bytes",
+        "deadline",
+        "ended_at",
+        "outcome",
+        "sent_at",
+    )
+
+    def __init__(self, client: int, sent_at: float, deadline: float, command_bytes: bytes) -> None:
+        self.command_bytes, self.attempts = command_bytes, 0
         self.client, self.sent_at, self.deadline = client, sent_at, deadline
         self.ended_at = 0.0
         self.outcome = ""  # served, refused, failed, expired (no answer in time), closed
 
 
 class _Connection(asyncio.Protocol):
-    """Its own kept connection; answers come in the order of the questions."""
+    """A client's persistent connection; answers arrive in the order of the requests."""
 
     def __init__(self, owner: Client) -> None:
         self._owner = owner
@@ -41,21 +49,21 @@
 
     def data_received(self, data: bytes) -> None:
         self._buffer += data
-        while self.open and (end := self._answer()):
-            kind = {b"$": "served", b"*": "served"}.get(bytes(self._buffer[:1]))
-            kind = kind or ("refused" if self._buffer.startswith(b"-BUSY") else "failed")
+        while self.open and (end := self._answer_length()):
+            outcome = {b"$": "served", b"*": "served"}.get(bytes(self._buffer[:1]))
+            outcome = outcome or ("refused" if self._buffer.startswith(b"-BUSY") else "failed")
             del self._buffer[:end]
-            self._owner.ended(self.open.popleft(), kind)
+            self._owner.ended(self.open.popleft(), outcome)
 
-    def _answer(self) -> int:
-        """Where the first answer ends; 0 when it is not whole."""
+    def _answer_length(self) -> int:
+        """Length in bytes of the first buffered answer; 0 while it is incomplete."""
         buffer = self._buffer
         line = buffer.find(b"\r\n") + 2
         if line < 2:
             return 0
         if buffer[:1] == b"$":
             end = line + int(buffer[1 : line - 2]) + 2
-        elif buffer[:1] == b"*":  # straight from a node: value, how it went, null
+        elif buffer[:1] == b"*":  # directly from a cache node: value, hit or miss, null
             second = buffer.find(b"\r\n", line) + 2
             if second < 2:
                 return 0
@@ -74,7 +82,7 @@
 
 
 class Client:
-    """One connection at a time; asks on it and gives up on it when an answer is late."""
+    """Uses one connection at a time, and aborts it when an answer misses its deadline."""
 
     def __init__(self, generator: LoadGenerator, number: int) -> None:
         self._generator, self._number = generator, number
@@ -85,9 +93,10 @@
             lambda: _Connection(self), "127.0.0.1", self._generator.port
         )
 
-    def send_request(self, words: bytes, wait: float) -> None:
+    def send_request(self, command_bytes: bytes, wait: float) -> None:
+        """Send a command that expires after `wait` seconds."""
         now = self._generator.loop.time()
-        request = ClientRequest(self._number, now, now + wait, words)
+        request = ClientRequest(self._number, now, now + wait, command_bytes)
         self._generator.loop.call_at(request.deadline, self._expire, request)
         self._send(request)
 
@@ -98,7 +107,7 @@
             return
         request.attempts += 1
         connection.open.append(request)
-        connection.transport.write(request.words)
+        connection.transport.write(request.command_bytes)
 
     async def _send_on_new_connection(self, request: ClientRequest) -> None:
         try:
@@ -116,7 +125,7 @@
             self._send(request)
 
     def connection_lost(self, request: ClientRequest) -> None:
-        """The connection ended under it: once more on a new one, as the protocol says."""
+        """Resend a request once on a new connection after its own ended: the protocol allows it."""
         if request.attempts > 1:
             self.ended(request, "closed")
         elif not request.outcome:
@@ -132,9 +141,10 @@
             if connection.transport is not None:
                 connection.transport.abort()
 
-    def ended(self, request: ClientRequest, kind: str) -> None:
+    def ended(self, request: ClientRequest, outcome: str) -> None:
+        """Record the first outcome of a request."""
         if not request.outcome:
-            request.outcome, request.ended_at = kind, self._generator.loop.time()
+            request.outcome, request.ended_at = outcome, self._generator.loop.time()
             self._generator.finished.append(request)
 
     def close(self) -> None:
@@ -143,7 +153,11 @@
 
 
 class LoadGenerator:
-    """Clients that together ask `rate` times a second, Poisson, for `seconds`."""
+    """A number of clients that share one Poisson process of requests.
+
+    `wait`: seconds until a request expires.  `wait_field`: the wait that requests announce to the
+    proxy, in milliseconds; by default the same.
+    """
 
     def __init__(
         self,
@@ -156,13 +170,13 @@
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.port, self._keys, self._wait = port, keys, wait
-        self._wait_field = wait_field or b"%d" % int(wait * 1000.0)  # ms, as the proxy hears it
+        self._wait_field = wait_field or b"%d" % int(wait * 1000.0)  # ms
         self._random = random.Random(seed)
         self.clients = [Client(self, number) for number in range(clients)]
-        self.finished: list[ClientRequest] = []  # in the order of their ends
+        self.finished: list[ClientRequest] = []  # in order of completion
         self._tasks: set[asyncio.Task[None]] = set()
         self.sent = 0
-        self.max_lag = 0.0  # s, how far behind its own schedule the crowd has been at worst
+        self.max_lag = 0.0  # s that sending has been behind its schedule, at most
 
     def start(self, work: Coroutine[None, None, None]) -> None:
         task = self.loop.create_task(work)
@@ -180,9 +194,9 @@
         pick: Callable[[int], Client | None] = lambda number: None,
         burst: int = 1,
     ) -> None:
-        """Returns when the last question has been asked; `pick` may say who asks the nth.
+        """Send `rate` requests per second for `seconds`; return when the last one is sent.
 
-        Questions come `burst` at a time.
+        `pick` may choose the client of the nth request.  Requests are sent `burst` at a time.
         """
         start = at = self.loop.time()
         while at - start < seconds:
@@ -196,11 +210,11 @@
                 at += self._random.expovariate(rate / burst)
 
     def send_request(self, client: Client) -> None:
-        """One question of this client, now."""
+        """Send one request from this client now."""
         self.sent += 1
-        client.send_request(self._words(), self._wait)
+        client.send_request(self._command(), self._wait)
 
-    def _words(self) -> bytes:
+    def _command(self) -> bytes:
         key = b"key%d" % min(self._keys, int(self._random.paretovariate(0.9)))
         return command(
             b"OBJ.GET",
@@ -210,12 +224,13 @@
         )
 
     async def wait_for_answers(self) -> None:
-        """Until each question has had its end."""
+        """Return once every request has an outcome."""
         async with asyncio.timeout(self._wait + 5.0):
             while len(self.finished) < self.sent:
                 await asyncio.sleep(0.01)
 
     def count_outcomes(self, since: float = 0.0, until: float = float("inf")) -> Counter[str]:
+        """Number of requests per outcome, of those sent in this interval."""
         return Counter(a.outcome for a in self.finished if since <= a.sent_at < until)
 
     def close(self) -> None:
--- a/limebridge/standins/configuration.py
+++ b/limebridge/standins/configuration.py
@@ -1,4 +1,4 @@
-"""What the platform hands a proxy at its start, as PROXY_CONFIG holds it."""
+"""The configuration that the platform gives a proxy at its start, as in PROXY_CONFIG."""
 
 from __future__ import annotations
 
@@ -56,9 +56,9 @@
     listen: int = 0,
     **settings: Any,
 ) -> dict[str, Any]:
-    """Discovery and the proxy by their loopback ports; `settings` replace those above.
+    """A configuration for loopback: `discovery` and `listen` are ports.
 
-    `known`: entries of the platform's list, see `node_list`.
+    `known`: entries of the platform's list, see `node_list`.  `settings` override SETTINGS.
     """
     return {
         "name": "n0",
@@ -72,9 +72,10 @@
 
 
 def environment(path: Path) -> dict[str, str]:
-    """For a daemon started as a child: this configuration, and no operator's file by accident.
+    """Environment of a child daemon: this configuration, and no operator's file from our own.
 
-    Its log is read here, and a file that the user's own environment names could silence it.
+    The parent reads the daemon's log, which an operator's file named in the user's environment
+    could turn off.
     """
-    kept = {key: value for key, value in os.environ.items() if key != "LIMEBRIDGE_OPERATOR"}
-    return kept | {"PROXY_CONFIG": str(path)}
+    variables = {key: value for key, value in os.environ.items() if key != "LIMEBRIDGE_OPERATOR"}
+    return variables | {"PROXY_CONFIG": str(path)}
--- a/limebridge/standins/discovery.py
+++ b/limebridge/standins/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the whole list, and a watch on its changes, over HTTP/1.1."""
+"""Discovery: the full list of nodes and a watch for its changes, over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Discovery:
-    """Answers watches with what `tell` gives it; `refuse` makes it fail."""
+    """Sends published changes to all watches; answers 503 while `unavailable` is set."""
 
     def __init__(self) -> None:
         self.changes: list[ListChange] = []
@@ -18,6 +18,7 @@
         self.open: dict[asyncio.StreamWriter, None] = {}
 
     async def start(self) -> Discovery:
+        """Listen on a port that the kernel picks, given in `port`."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
@@ -33,7 +34,8 @@
             self.open[writer] = None
             for line in self.changes:
                 self.send(writer, json.dumps(line).encode())
-            while True:  # the daemon's patience with a silent watch is 3 s
+            # The daemon ends a watch after 2.7 s without a line, so an empty one is sent every 2 s.
+            while True:
                 try:
                     async with asyncio.timeout(2.0):
                         await reader.read()
@@ -47,9 +49,11 @@
             writer.close()
 
     def send(self, writer: asyncio.StreamWriter, text: bytes) -> None:
+        """Send one line as an HTTP chunk."""
         writer.write(b"%x\r\n%b\n\r\n" % (len(text) + 1, text))
 
     def publish(self, *entries: NodeEntry, reset: bool = False) -> None:
+        """Send entries to all open watches and to later ones; `reset`: they are the full list."""
         self.changes.append(
             {"generation": 100 + len(self.changes), "reset": reset, "instances": list(entries)}
         )
@@ -57,6 +61,7 @@
             self.send(writer, json.dumps(self.changes[-1]).encode())
 
     async def stop(self) -> None:
+        """Stop listening and abort all watches."""
         self._server.close()
         for writer in list(self.open):
             writer.transport.abort()
--- a/limebridge/standins/disk.py
+++ b/limebridge/standins/disk.py
@@ -1,7 +1,8 @@
-"""A disk in memory that can lose its power at any write.
+"""An in-memory disk that can lose power at any write.
 
-What was synced stays.  Of the rest a cut keeps, drops, reorders or tears sectors as its seed says,
-and undoes names that the folder had not kept.  As `violetroute.ledger.files.Files`.
+Synced data survives.  Of the rest, a power loss keeps, drops, reorders or tears sectors, and
+undoes creations, moves and removals of files, all by seed.  It has the interface of
+`violetroute.ledger.files.Files`.
 """
 
 from __future__ import annotations
@@ -12,20 +13,20 @@
 
 
 class PowerLoss(BaseException):
-    """Nothing runs any more; not for anybody to catch but who plays the cut."""
+    """The power failed: nothing may run any more, so only the simulation may catch this."""
 
 
 class PowerLossDisk:
-    """`fail_at_write`: the write at which the power fails; 0: never.  `writes` counts them."""
+    """Files in memory.  The power fails at write number `fail_at_write` (0: never)."""
 
     def __init__(self, seed: int = 0, fail_at_write: int = 0) -> None:
         self._seed, self.fail_at_write = seed, fail_at_write
         self.writes = 0
-        self.failing_writes = 0  # of the next writes: OSError, and nothing is kept of them
-        self._durable: dict[str, bytes] = {}  # as the platter has it
-        self._visible: dict[str, bytes] = {}  # as programs see it
+        self.failing_writes = 0  # how many of the next writes raise OSError and write nothing
+        self._durable: dict[str, bytes] = {}  # content that survives a power loss
+        self._visible: dict[str, bytes] = {}  # content that programs read
 
-    def _write(self) -> None:
+    def _count_write(self) -> None:
         self.writes += 1
         if self.fail_at_write and self.writes >= self.fail_at_write:
             raise PowerLoss
@@ -34,28 +35,30 @@
             raise OSError(28, "No space left on device")
 
     def lose_power(self) -> None:
-        """The power has failed; what a start finds."""
+        """Fail the power: replace the content by what the next start finds."""
         rng = random.Random(f"{self._seed}/{self.writes}")
-        after: dict[str, bytes] = {}
+        survivors: dict[str, bytes] = {}
         for name in {**self._durable, **self._visible}:
-            kept, now = self._durable.get(name), self._visible.get(name)
-            if kept is None:  # a new name: it may be there, with any of its bytes
+            durable, visible = self._durable.get(name), self._visible.get(name)
+            if durable is None:  # a new name may have survived, with any of its bytes
                 if rng.random() < 0.5:
-                    assert now is not None
-                    after[name] = _torn(b"", now, rng)
-            elif now is None:  # removed, or moved: that may be undone
+                    assert visible is not None
+                    survivors[name] = _torn(b"", visible, rng)
+            elif visible is None:  # a removal or a move may be undone
                 if rng.random() < 0.5:
-                    after[name] = kept
+                    survivors[name] = durable
             else:
-                after[name] = (
-                    _torn(kept, now, rng) if now.startswith(kept) else rng.choice((kept, now))
+                survivors[name] = (
+                    _torn(durable, visible, rng)
+                    if visible.startswith(durable)
+                    else rng.choice((durable, visible))
                 )
-        self._durable, self._visible = dict(after), dict(after)
+        self._durable, self._visible = dict(survivors), dict(survivors)
         self.fail_at_write = 0
 
     # --- Files ---
     def lock(self) -> bool:
-        return True  # one process at a time is the affair of who plays them
+        return True  # the simulation runs one process at a time
 
     def names(self) -> list[str]:
         return sorted(self._visible)
@@ -64,47 +67,50 @@
         return self._visible[name]
 
     def append(self, name: str, data: bytes) -> None:
-        self._write()
+        self._count_write()
         self._visible[name] = self._visible.get(name, b"") + data
 
     def sync(self) -> None:
-        self._write()
+        self._count_write()
         self._durable = dict(self._visible)
 
     def put(self, name: str, data: bytes) -> None:
-        aside = f"{name}.new"
-        self._write()
-        self._visible[aside] = data
-        self._write()
-        self._durable[aside] = data
-        self._write()
-        self._visible[name] = self._visible.pop(aside)
-        self._write()
+        temporary = f"{name}.new"
+        self._count_write()
+        self._visible[temporary] = data
+        self._count_write()
+        self._durable[temporary] = data
+        self._count_write()
+        self._visible[name] = self._visible.pop(temporary)
+        self._count_write()
         self._durable[name] = data
-        self._durable.pop(aside, None)
+        self._durable.pop(temporary, None)
 
     def move(self, name: str, to: str) -> None:
-        self._write()
+        self._count_write()
         self._visible[to] = self._visible.pop(name)
 
     def remove(self, name: str) -> None:
-        self._write()
+        self._count_write()
         self._visible.pop(name, None)
 
     def close(self) -> None:
         pass
 
 
-def _torn(kept: bytes, now: bytes, rng: random.Random) -> bytes:
-    """Some of the sectors behind what is kept, in any order: holes are zeros, tears are noise."""
-    new = bytearray(now[len(kept) :])
+def _torn(durable: bytes, visible: bytes, rng: random.Random) -> bytes:
+    """The durable bytes and a random part of the unsynced sectors behind them.
+
+    Lost sectors read as zeros, torn ones end in random bytes.
+    """
+    new = bytearray(visible[len(durable) :])
     end = rng.choice((0, len(new), rng.randint(0, len(new))))
     del new[end:]
-    for place in range(0, len(new), SECTOR):
+    for offset in range(0, len(new), SECTOR):
         chance = rng.random()
         if chance < 0.15:
-            new[place : place + SECTOR] = bytes(len(new[place : place + SECTOR]))
+            new[offset : offset + SECTOR] = bytes(len(new[offset : offset + SECTOR]))
         elif chance < 0.25:
-            half = place + rng.randrange(SECTOR)
-            new[half : place + SECTOR] = rng.randbytes(len(new[half : place + SECTOR]))
-    return kept + bytes(new)
+            tear = offset + rng.randrange(SECTOR)
+            new[tear : offset + SECTOR] = rng.randbytes(len(new[tear : offset + SECTOR]))
+    return durable + bytes(new)
--- a/limebridge/standins/effects.py
+++ b/limebridge/standins/effects.py
@@ -1,6 +1,6 @@
-"""An endpoint that takes effects by key and fence, and tells a late owner so.
+"""An endpoint that applies effects by idempotency key and rejects outdated fencing tokens.
 
-Takes what `violetroute/fleet/job.py` describes.  Troubles are named by `fault`.
+It accepts the requests that `violetroute/fleet/job.py` describes.  `fault` names its faults.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Effect:
-    """One that was taken: when, its key, its fence and whose, and its body."""
+    """An applied effect; `at` is the event loop's time, `nonce` identifies the fence's owner."""
 
     at: float
     key: str
@@ -26,14 +26,14 @@
 
 
 class EffectEndpoint(HttpEndpoint):
-    """`taken` in their order; what comes twice under one key and body counts once."""
+    """Collects effects in `applied`, in order; a repeat with the same key and body counts once."""
 
     def __init__(self) -> None:
         super().__init__()
         self.applied: list[Effect] = []
-        self.highest_fence: dict[str, tuple[int, str]] = {}  # fence and whose, by work
+        self.highest_fence: dict[str, tuple[int, str]] = {}  # fence and nonce, by work
         self.bodies: dict[str, bytes] = {}  # by key
-        self.conflicts = 0  # of one key with two bodies
+        self.conflicts = 0  # requests with a known key and another body
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -42,16 +42,16 @@
             if fault == "lost before":
                 writer.transport.abort()
                 return
-            status, said = self._take(headers, body)
+            status, answer = self._apply(headers, body)
             if fault == "twice":
-                status, said = self._take(headers, body)
+                status, answer = self._apply(headers, body)
             if fault == "lost after":
                 writer.transport.abort()
                 return
             if fault == "500 after":
-                status, said = 500, b""
+                status, answer = 500, b""
             writer.write(
-                b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%b" % (status, len(said), said)
+                b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%b" % (status, len(answer), answer)
             )
             await writer.drain()
         except (asyncio.IncompleteReadError, ConnectionError, KeyError, ValueError):
@@ -59,13 +59,13 @@
         finally:
             writer.close()
 
-    def _take(self, headers: dict[str, str], body: bytes) -> tuple[int, bytes]:
+    def _apply(self, headers: dict[str, str], body: bytes) -> tuple[int, bytes]:
         key = headers["idempotency-key"].strip('"')
         number, _, nonce = headers["fence"].partition(";")
         fence, work = int(number), key.partition("/")[0]
-        high, whose = self.highest_fence.get(work, (0, ""))
-        if fence < high or (fence == high and nonce != whose):
-            return 412, json.dumps({"fence": high}).encode()
+        highest, owner = self.highest_fence.get(work, (0, ""))
+        if fence < highest or (fence == highest and nonce != owner):
+            return 412, json.dumps({"fence": highest}).encode()
         self.highest_fence[work] = fence, nonce
         if key in self.bodies:
             if self.bodies[key] != body:
--- a/limebridge/standins/large_list.py
+++ b/limebridge/standins/large_list.py
@@ -1,6 +1,6 @@
-"""Thousands of cache nodes in one process, each at a loopback address of its own.
+"""Thousands of cache nodes in one process, each at its own loopback address.
 
-All listen on the same port, and all answer at once as `serves` does.
+All listen on the same port and answer at once, as `serves` does.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class LargeList(CacheNode):
-    """`count` nodes that share one process, one port and one behaviour."""
+    """`count` nodes in one process that share a port and a behaviour."""
 
     def __init__(self, count: int) -> None:
         super().__init__()
@@ -41,12 +41,12 @@
         return self
 
     def record(self, words: list[bytes]) -> None:
-        """Nothing is kept of a command."""
+        """Discard the command; storing all of them would cost memory."""
 
     def node(
         self, number: int, lifecycle: Lifecycle = "in_service", started_at_ms: float = 0.0
     ) -> NodeEntry:
-        """The node with this number in discovery's form."""
+        """The list entry of the node with this number."""
         return {
             "instanceId": f"s-{number * 2654435761 % 2**32:08x}",
             "hostPort": f"{host_of(number)}:{self.port}",
@@ -61,7 +61,7 @@
     def nodes(
         self, numbers: Iterable[int] | None = None, lifecycle: Lifecycle = "in_service"
     ) -> list[NodeEntry]:
-        """The nodes with these numbers, or all of them."""
+        """The list entries of the nodes with these numbers, by default of all nodes."""
         chosen = range(self.count) if numbers is None else numbers
         return [self.node(number, lifecycle) for number in chosen]
 
--- a/limebridge/standins/node_list.py
+++ b/limebridge/standins/node_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of cache nodes, as discovery and PROXY_CONFIG carry it."""
+"""The platform's list of cache nodes, in the format of discovery and PROXY_CONFIG."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class NodeFields(TypedDict, total=False):
-    """What an entry says of a node beside its name and lifecycle."""
+    """Fields of an entry besides the name and the lifecycle."""
 
     hostPort: str
     zone: str
     machineType: str
     cell: int
     weight: float
-    startedAtMs: float  # Unix time
+    startedAtMs: float  # Unix time in ms
 
 
 class NodeEntry(NodeFields):
@@ -26,8 +26,8 @@
 
 
 class ListChange(TypedDict):
-    """A line of the watch: entries that replace those of the same names, or the whole list."""
+    """A line of the watch: entries that replace those with the same names, or the full list."""
 
     generation: int
-    reset: bool  # it is the whole list
+    reset: bool  # True: the full list
     instances: list[NodeEntry]
--- a/limebridge/standins/nodes.py
+++ b/limebridge/standins/nodes.py
@@ -1,4 +1,4 @@
-"""A cache node that answers each command as its behaviour says."""
+"""A cache node that answers commands with a replaceable function, its behaviour."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 from .node_list import Lifecycle, NodeEntry, NodeFields
 from .wire import read_words, reply
 
-# Given the command's words (name, key, id, list, value) and where to answer.
+# Called with the command's words (name, key, id, list, value) and the writer for the answer.
 Behaviour = Callable[[list[bytes], asyncio.StreamWriter], Awaitable[None]]
 
 
 async def serves(words: list[bytes], writer: asyncio.StreamWriter) -> None:
+    """Answer at once with a value that contains the request's id."""
     writer.write(reply(b"value of " + words[2]))
 
 
@@ -26,9 +27,10 @@
         self.connections = 0
         self.open: dict[asyncio.StreamWriter, None] = {}
         self.port = 0
-        self.up = False  # its process runs
+        self.up = False  # whether its process runs
 
     async def start(self, port: int = 0) -> Self:
+        """Listen; port 0 lets the kernel pick one, which is then in `port`."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", port)
         self.port = self._server.sockets[0].getsockname()[1]
         self.up = True
@@ -49,10 +51,11 @@
             writer.close()
 
     def record(self, words: list[bytes]) -> None:
-        """What a test looks back at; a node that runs for long keeps less."""
+        """Store a command for tests; subclasses that run for long store less."""
         self.commands.append(words)
 
     async def stop(self) -> None:
+        """Stop listening and abort all connections."""
         self.up = False
         self._server.close()
         for writer in list(self.open):
@@ -62,7 +65,7 @@
     def entry(
         self, name: str, lifecycle: Lifecycle = "in_service", **fields: Unpack[NodeFields]
     ) -> NodeEntry:
-        """This node in discovery's form; `fields` replace what it says otherwise."""
+        """The list entry of this node; `fields` override the default values."""
         return {
             "instanceId": name,
             "hostPort": f"127.0.0.1:{self.port}",
--- a/limebridge/standins/operator_file.py
+++ b/limebridge/standins/operator_file.py
@@ -1,4 +1,4 @@
-"""Operators' files for daemons that the kit starts."""
+"""Operator's files for daemons started by the test kit."""
 
 from __future__ import annotations
 
@@ -9,5 +9,5 @@
 
 
 def operator_file(operator: Operator) -> str:
-    """The text of the file; tables that say nothing are left out."""
+    """The settings as TOML; values equal to their defaults are left out."""
     return tomli_w.dumps(msgspec.to_builtins(operator))
--- a/limebridge/standins/served_log.py
+++ b/limebridge/standins/served_log.py
@@ -1,4 +1,4 @@
-"""What cache nodes write down of the requests that they serve, to reconcile ledgers with."""
+"""Records of the requests that cache nodes served, to reconcile ledgers with."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class ServedLog:
-    """Records of all nodes that serve by it, as `limebridge.ledger.reconcile.read_served` reads.
+    """Collects the records of all nodes whose behaviour is `serve`, for `read_served`.
 
-    `wall`: Unix s.  A request's id begins with its proxy's name and "-".
+    `wall` returns the Unix time in seconds.  Request ids must begin with the proxy's name and "-".
     """
 
     def __init__(self, wall: Callable[[], float]) -> None:
@@ -20,7 +20,7 @@
         self.rows: list[str] = []  # JSON objects
 
     async def serve(self, words: list[bytes], writer: asyncio.StreamWriter) -> None:
-        """The behaviour of a cache node."""
+        """Behaviour of a cache node: record the request and answer it."""
         fields = dict(item.split("=") for item in words[3].decode().split(","))
         request_id = words[2].decode()
         record = {
--- a/limebridge/standins/wire.py
+++ b/limebridge/standins/wire.py
@@ -1,4 +1,4 @@
-"""The platform's RESP2 commands and answers, as its clients and cache nodes write them."""
+"""RESP2 commands and answers in the forms that the platform's clients and cache nodes send."""
 
 from __future__ import annotations
 
@@ -6,22 +6,25 @@
 
 
 def bulk(data: bytes) -> bytes:
+    """Encode a RESP2 bulk string."""
     return b"$%d\r\n%b\r\n" % (len(data), data)
 
 
 def command(*words: bytes) -> bytes:
+    """Encode a command as a RESP2 array of bulk strings."""
     return b"*%d\r\n" % len(words) + b"".join(map(bulk, words))
 
 
 def reply(value: bytes, hit: bytes = b"hit") -> bytes:
-    """What a cache node answers: the value, how it went, no load report."""
+    """Encode a cache node's answer: the value, hit or miss, and no load report."""
     return b"*3\r\n" + bulk(value) + bulk(hit) + b"$-1\r\n"
 
 
 async def read_request(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """One HTTP/1.1 request with a length: its line, headers by small names, body.
+    """Read one HTTP/1.1 request: its request line, headers by lower-case name, and body.
 
-    KeyError without a length, ValueError for one that is none, IncompleteReadError at an end.
+    Raises KeyError without a Content-Length, ValueError if that is no number, and
+    IncompleteReadError if the peer closes early.
     """
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     headers = {
@@ -32,7 +35,7 @@
 
 
 async def read_words(reader: asyncio.StreamReader) -> list[bytes]:
-    """One command; IncompleteReadError when the peer ends first."""
+    """Read one command.  Raises IncompleteReadError if the peer closes early."""
     count = int((await reader.readuntil(b"\r\n"))[1:-2])
     words = []
     for _ in range(count):
@@ -42,7 +45,7 @@
 
 
 async def read_answer(reader: asyncio.StreamReader) -> bytes:
-    """One answer of the proxy: a value without its length, or the whole line."""
+    """Read one answer of the proxy: the value of a bulk string, else the full line."""
     line = await reader.readuntil(b"\r\n")
     if not line.startswith(b"$"):
         return line[:-2]
--- a/tests/violetroute/cluster/test_redirects.py
+++ b/tests/violetroute/cluster/test_redirects.py
@@ -199,7 +199,7 @@
         await rig.ask(get(1))
         cluster.importing[slot] = target
         assert await rig.ask(get(2), get(3)) == [b"value of id2", b"value of id3"]
-        assert sorted(target.ran) == [b"id2", b"id3"]  # each on its own connection
+        assert sorted(target.executed) == [b"id2", b"id3"]  # each on its own connection
         assert [words for words in target.commands if words[0] == b"ASKING"] == [[b"ASKING"]] * 2
         del cluster.importing[slot]
         before = len(target.commands)
@@ -231,16 +231,16 @@
     async def part(rig: Rig, cluster: SlotCluster) -> None:
         owner = cluster.owner(key_slot(b"k"))
         assert await rig.ask(put(1, cls=b"once")) == [b"value of id1"]
-        assert sum(node.ran.count(b"id1") for node in cluster.nodes) == 1
+        assert sum(node.executed.count(b"id1") for node in cluster.nodes) == 1
 
         async def fails(words: list[bytes], writer: asyncio.StreamWriter) -> None:
-            owner.ran.append(words[2])
+            owner.executed.append(words[2])
             writer.transport.abort()
             raise ConnectionError
 
         owner.behaviour = fails
         assert await rig.ask(put(2, cls=b"once")) == [b"-ERR failed"]
-        assert sum(node.ran.count(b"id2") for node in cluster.nodes) == 1
+        assert sum(node.executed.count(b"id2") for node in cluster.nodes) == 1
 
     clustered(part)
 
@@ -312,7 +312,7 @@
             await until(lambda seen=seen: done > seen or asking.done())
         assert not asking.done(), asking.exception()
         asking.cancel()
-        ran = [id_ for node in cluster.nodes for id_ in node.ran]
+        ran = [id_ for node in cluster.nodes for id_ in node.executed]
         assert len(ran) == len(set(ran)) and len(ran) >= 200 * 20
 
     clustered(part)
--- a/tests/violetroute/fleet/test_fleet.py
+++ b/tests/violetroute/fleet/test_fleet.py
@@ -599,11 +599,11 @@
     first = {"idempotency-key": '"w/4.n/0"', "fence": "4;n"}
 
     async def run() -> None:
-        assert effects._take(first, b"1")[0] == 201
-        assert effects._take(first, b"1")[0] == 200
-        assert effects._take(first, b"2")[0] == 422
+        assert effects._apply(first, b"1")[0] == 201
+        assert effects._apply(first, b"1")[0] == 200
+        assert effects._apply(first, b"2")[0] == 422
         for fence in ("3;m", "4;m"):
-            status, said = effects._take({"idempotency-key": '"w/3.m/1"', "fence": fence}, b"1")
+            status, said = effects._apply({"idempotency-key": '"w/3.m/1"', "fence": fence}, b"1")
             assert status == 412 and json.loads(said) == {"fence": 4}
 
     asyncio.run(run())
--- a/tests/violetroute/membership/test_consul_morning.py
+++ b/tests/violetroute/membership/test_consul_morning.py
@@ -55,7 +55,7 @@
 
     def clients(self, crowd: LoadGenerator) -> None:
         for ask in crowd.finished:
-            id_ = ask.words.split(b"\r\n")[6].decode()
+            id_ = ask.command_bytes.split(b"\r\n")[6].decode()
             self.events.append(
                 (ask.sent_at, "request_sent", (id_, "lookup", ask.deadline - ask.sent_at))
             )
