--- a/tests/violetroute/fleet/test_fleet.py
+++ b/tests/violetroute/fleet/test_fleet.py
@@ -456,18 +456,18 @@
 
 def test_a_period_is_billed_when_all_have_closed_it_or_were_waited_for() -> None:
     books = settlement(0.0)
-    books.gathered(
+    books.update(
         1400.0,
         [batch("a/1.x/1", 1000, 5)],
         [ClosedThrough("a", 1300.0), ClosedThrough("b", 1000.0)],
     )
     assert books.missing(1000) == ["b"] and books.decide() is None
-    books.gathered(2200.0, [], [])
+    books.update(2200.0, [], [])
     bill = books.decide()
     assert bill["missing"] == ["b"] and bill["units"] == 6 and bill["kind"] == "bill"
     books.apply(bill)
     assert books.decide() is None
-    books.gathered(
+    books.update(
         2300.0, [batch("b/1.y/1", 1000, 2), batch("a/1.x/1", 1000, 5)], [ClosedThrough("b", 1300.0)]
     )
     late = books.decide()
@@ -477,12 +477,12 @@
 def test_no_batch_is_in_two_bills_whoever_wrote_them() -> None:
     one, two = settlement(5000.0), settlement(5000.0)
     for books in (one, two):
-        books.gathered(5000.0, [batch("a/1.x/1", 1000, 5)], [ClosedThrough("a", 1300.0)])
+        books.update(5000.0, [batch("a/1.x/1", 1000, 5)], [ClosedThrough("a", 1300.0)])
     bill = one.decide()
     assert two.decide() == bill
     two.apply(bill)
     assert two.decide() is None
-    two.gathered(5001.0, [batch("a/1.x/1", 1000, 5)], [])  # its file is still there
+    two.update(5001.0, [batch("a/1.x/1", 1000, 5)], [])  # its file is still there
     assert two.decide() is None
     two.apply("nonsense")
     two.apply({"keys": [7, "x", None, "a/1.x/999999999999999999"], "units": "x", "period": 1})
@@ -492,7 +492,7 @@
     keys = SettledKeys()
     for number in (5, 1, 3, 2, 4, 9, 7, 8):
         keys.add(f"a/1.x/{number}")
-    assert keys.ranges == 2
+    assert keys.range_count == 2
     assert "a/1.x/4" in keys and "a/1.x/6" not in keys and "b/1.x/4" not in keys
 
 
@@ -523,7 +523,9 @@
     books = settlement(0.0)
     gatherer, said = BatchReader(tmp_path, books, Now(), lambda: 5000.0), []
     gatherer(said.append)
-    assert said == [""] and list(books.batches) == ["a/1.x/1"] and list(books.through) == ["a"]
+    assert (
+        said == [""] and list(books.batches) == ["a/1.x/1"] and list(books.closed_through) == ["a"]
+    )
     books.apply(books.decide())
     gatherer(said.append)
     assert (tmp_path / "settled" / "good.jsonl").exists() and not books.batches
--- a/tests/violetroute/fleet/test_fleet_guards.py
+++ b/tests/violetroute/fleet/test_fleet_guards.py
@@ -287,7 +287,7 @@
     (tmp_path / "bad.jsonl").write_bytes(bad.replace(b"a/1.x/1", b"b/1.x/1"))
     (tmp_path / "good.jsonl").write_bytes(GOOD)
     books = settlement(9e9)
-    books.end = lambda period: float(Periods("UTC", 5).end(period))
+    books.period_end = lambda period: float(Periods("UTC", 5).end(period))
     said: list[str] = []
     BatchReader(tmp_path, books, Now(), lambda: 9e9)(said.append)
     assert said == [""] and list(books.batches) == ["a/1.x/1"]
@@ -303,12 +303,12 @@
         (tmp_path / f"{name}.through").write_text(f'{{"ledger":"{name}","until":{until_}}}')
     books = settlement(0.0)
     BatchReader(tmp_path, books, Now(), lambda: 0.0)(lambda why: None)
-    assert list(books.through) == ["d"]
+    assert list(books.closed_through) == ["d"]
 
 
 def test_a_bill_takes_no_more_batches_than_a_store_takes_and_the_rest_follows() -> None:
     books = settlement(1e6)
-    books.gathered(
+    books.update(
         1e6,
         [
             Batch(f"a/1.x/{n}", 1000, "period", (("t", "c", 1),), MAX_BYTES_PER_ENTRY // 2 - 1)
--- a/violetroute/fleet/ledger_files.py
+++ b/violetroute/fleet/ledger_files.py
@@ -1,4 +1,4 @@
-"""What the ledgers have handed over as files, for the settlement.  Blocks, beside the loop."""
+"""Reads the files that ledgers export, for the settlement, on a writer thread."""
 
 from __future__ import annotations
 
@@ -17,15 +17,18 @@
 
 from .settlement import Batch, ClosedThrough, Settlement, is_key
 
-MAX_FILE_BYTES = 3 * 1024 * 1024  # bytes of a batch's file: a bill of it alone is an entry
-MAX_TIME = 32_503_680_000  # Unix s, the year 3000: no calendar is asked for a period beyond
-MAX_FILES_PER_READ = 2000  # files that one look reads; the others are read by the next
-MAX_PENDING_BATCHES = 5000  # that wait to be billed; no more are read until some are
+MAX_FILE_BYTES = (
+    3 * 1024 * 1024
+)  # of a batch's file: a bill of this batch alone must fit in an entry
+# Unix time of the year 3000: later periods are rejected before any calendar arithmetic.
+MAX_TIME_S = 32_503_680_000
+MAX_FILES_PER_READ = 2000  # the others are read by the next call
+MAX_PENDING_BATCHES = 5000  # not billed yet; no more are read until some are billed
 CLOSED_SUFFIX = ".through"
-SETTLED_FOLDER = "settled"  # the folder in which files lie whose batches the log names
+SETTLED_FOLDER = "settled"  # subfolder for the files of settled batches
 
 
-Units = Annotated[int, msgspec.Meta(ge=-(2**53), le=2**53)]  # JSON's readers keep these exactly
+Units = Annotated[int, msgspec.Meta(ge=-(2**53), le=2**53)]  # exact in every JSON parser
 
 
 class _Line(msgspec.Struct):
@@ -36,7 +39,7 @@
 
 class _Head(msgspec.Struct):
     batch: str
-    period: Annotated[int, msgspec.Meta(ge=0, le=MAX_TIME)]
+    period: Annotated[int, msgspec.Meta(ge=0, le=MAX_TIME_S)]
     kind: str
     lines: int
     units: Units
@@ -44,18 +47,18 @@
 
 class _ClosedThrough(msgspec.Struct):
     ledger: str
-    until: Annotated[float, msgspec.Meta(ge=0.0, le=MAX_TIME)]
+    until: Annotated[float, msgspec.Meta(ge=0.0, le=MAX_TIME_S)]
 
 
 def parse(data: bytes) -> Batch:
-    """A batch's JSON lines.  ValueError for anything that does not add up."""
+    """A batch from its JSON lines.  ValueError if they are invalid or do not match the header."""
     rows = data.splitlines()
     head = msgspec.json.decode(rows[0] if rows else b"", type=_Head)
     lines = [msgspec.json.decode(row, type=_Line) for row in rows[1:]]
     if not is_key(head.batch):
-        raise ValueError(f"{head.batch[:100]!r} is no batch's key")
+        raise ValueError(f"{head.batch[:100]!r} is not a batch key")
     if len(lines) != head.lines or sum(line.units for line in lines) != head.units:
-        raise ValueError("its lines do not add up to what it says")
+        raise ValueError("the lines do not match the count and the units of the header")
     return Batch(
         head.batch,
         head.period,
@@ -66,40 +69,45 @@
 
 
 class BatchReader:
-    """Reads what is new in the folder, and feeds a settlement with it on the loop."""
+    """Reads new files of the folder on a thread, and updates a settlement on the event loop.
+
+    The instance is the `gather` function of a `LogWork`.
+    """
 
     def __init__(
         self, folder: Path, settlement: Settlement, writer: Writer, wall: Callable[[], float]
     ) -> None:
         self._folder, self._settlement, self._writer = folder, settlement, writer
         self._wall = wall
-        self._known: dict[str, str] = {}  # files that have been read: their batches' keys, or ""
+        self._key_by_file: dict[str, str] = {}  # "" for an invalid file
 
-    def __call__(self, told: Callable[[str], None]) -> None:
-        known, settled = dict(self._known), self._settlement.settled
-        # Only the loop's thread changes the settlement: which files are done is asked here.
-        done = [name for name, key in known.items() if key and key in settled]
-        room = min(MAX_FILES_PER_READ, max(0, MAX_PENDING_BATCHES - len(self._settlement.batches)))
+    def __call__(self, callback: Callable[[str], None]) -> None:
+        known, settled = dict(self._key_by_file), self._settlement.settled
+        # Computed on the event loop, which alone changes the settlement.
+        settled_files = [name for name, key in known.items() if key and key in settled]
+        max_files = min(
+            MAX_FILES_PER_READ, max(0, MAX_PENDING_BATCHES - len(self._settlement.batches))
+        )
 
         def job() -> tuple[list[tuple[str, Batch]], list[ClosedThrough], dict[str, str], set[str]]:
-            return self._read(known, done, room)
+            return self._read(known, settled_files, max_files)
 
-        def gathered(found: Any, error: BaseException | None) -> None:
+        def finished(found: Any, error: BaseException | None) -> None:
             if error is not None:
-                told(one_line(error))
+                callback(one_line(error))
                 return
-            batches, through, wrong, names = found
-            for name, why in wrong.items():
-                logs.event("fleet.work_failed", work="settlement", reason=f"{name}: {why}")
-                self._known[name] = ""
+            batches, through, errors, names = found
+            for name, reason in errors.items():
+                logs.event("fleet.work_failed", work="settlement", reason=f"{name}: {reason}")
+                self._key_by_file[name] = ""
             for name, batch in batches:
-                self._known[name] = batch.key
-            for name in [name for name in self._known if name not in names]:
-                del self._known[name]
-            self._settlement.gathered(self._wall(), [batch for _, batch in batches], through)
-            told("")
+                self._key_by_file[name] = batch.key
+            for name in [name for name in self._key_by_file if name not in names]:
+                del self._key_by_file[name]
+            self._settlement.update(self._wall(), [batch for _, batch in batches], through)
+            callback("")
 
-        self._writer.submit(job, gathered)
+        self._writer.submit(job, finished)
 
     def close(self) -> None:
         """Close the writer without waiting for a read that is under way."""
@@ -108,17 +116,17 @@
     def _read(
         self,
         known: dict[str, str],
-        done: list[str],
-        room: int,
+        settled_files: list[str],
+        max_files: int,
     ) -> tuple[list[tuple[str, Batch]], list[ClosedThrough], dict[str, str], set[str]]:
         batches: list[tuple[str, Batch]] = []
         through: list[ClosedThrough] = []
-        wrong: dict[str, str] = {}
+        errors: dict[str, str] = {}
         if not self._folder.exists():
-            return batches, through, wrong, set()
-        if done:
+            return batches, through, errors, set()
+        if settled_files:
             (self._folder / SETTLED_FOLDER).mkdir(exist_ok=True)
-        for name in done:  # out of the way: a look reads names, and those must not pile up
+        for name in settled_files:  # keeps the listing of the folder short
             with contextlib.suppress(FileNotFoundError):
                 os.replace(self._folder / name, self._folder / SETTLED_FOLDER / name)
         names = set(os.listdir(self._folder))
@@ -126,21 +134,21 @@
             path = self._folder / name
             if name.endswith(CLOSED_SUFFIX):
                 try:
-                    each = msgspec.json.decode(_bounded(path, 4096), type=_ClosedThrough)
+                    each = msgspec.json.decode(_read_limited(path, 4096), type=_ClosedThrough)
                     through.append(ClosedThrough(each.ledger, each.until))
                 except ValueError as error:
-                    wrong[name] = str(error)
-            elif name.endswith(".jsonl") and name not in known and len(batches) < room:
+                    errors[name] = str(error)
+            elif name.endswith(".jsonl") and name not in known and len(batches) < max_files:
                 try:
-                    batches.append((name, parse(_bounded(path, MAX_FILE_BYTES))))
+                    batches.append((name, parse(_read_limited(path, MAX_FILE_BYTES))))
                 except (ValueError, RecursionError) as error:
-                    wrong[name] = str(error)
-        wrong = {name: why for name, why in wrong.items() if name not in known}
-        return batches, through, wrong, names
+                    errors[name] = str(error)
+        errors = {name: reason for name, reason in errors.items() if name not in known}
+        return batches, through, errors, names
 
 
-def _bounded(path: Path, most: int) -> bytes:
-    data = read_bounded(path, most)
-    if len(data) > most:
-        raise ValueError(f"longer than {most} bytes")
+def _read_limited(path: Path, max_bytes: int) -> bytes:
+    data = read_bounded(path, max_bytes)
+    if len(data) > max_bytes:
+        raise ValueError(f"longer than {max_bytes} bytes")
     return data
--- a/violetroute/fleet/make.py
+++ b/violetroute/fleet/make.py
@@ -1,4 +1,4 @@
-"""Puts the fleet's part together from the operator's tables."""
+"""Creates the fleet's runner, store and works from the operator's settings."""
 
 from __future__ import annotations
 
@@ -19,14 +19,16 @@
 from .store import Store
 from .table import FleetTable
 
-SETTLE_EVERY = 1.0  # s between two looks at what the ledgers have handed over
+SETTLE_INTERVAL_S = 1.0  # between two reads of the exported ledger files
 
 
 def make_fleet(table: FleetTable, ledger: LedgerTable, name: str, net: Network) -> Fleet:
+    """The runner for the works of `table`."""
     return Fleet(table, name, net, store_factory(table, net), work_factory(table, ledger, net))
 
 
 def store_factory(table: FleetTable, net: Network) -> Callable[[IncarnationId], Store]:
+    """A function that creates the store of an incarnation."""
     if table.store == "consul":
         from .kv import ConsulStore
 
@@ -43,7 +45,7 @@
 
 
 def work_factory(table: FleetTable, ledger: LedgerTable, net: Network) -> Callable[[str], Work]:
-    """What a name of `works` stands for."""
+    """A function that creates the work of a name in `works`."""
     endpoint = parse_address(table.endpoint) if table.endpoint else None
 
     def made(name: str) -> Work:
@@ -57,7 +59,7 @@
                 name,
                 net,
                 settlement,
-                SETTLE_EVERY,
+                SETTLE_INTERVAL_S,
                 endpoint,
                 table.path,
                 table.call_s,
--- a/violetroute/fleet/settlement.py
+++ b/violetroute/fleet/settlement.py
@@ -1,14 +1,15 @@
-"""One bill over all proxies for each period: what is due, and who is waited for.  Pure.
-
-Each proxy's ledger hands over batches (`violetroute/ledger/export.py`, as files) and says up to
-when it has closed (`NAME.through`).  The owner of the work `settlement` makes of them one bill a
-period, as entries of the fenced log: an entry names the batches that it settles, so what is settled
-is what the log says, and no batch is in two entries, through any change of owner in any step.
-
-A period is billed once every proxy that is expected has closed it, or `wait_s` after its end: who
-is missing then is named in the bill.  A batch that comes later, or that the ledger itself calls a
-correction, becomes a correction of that period, as soon as it is there.  Units of several batches
-are added by tenant and class; no proxy's name is in the lines, but each batch's key is.
+"""Bills the usage of all proxies, one bill per period.  Pure.
+
+The ledger of each proxy exports batches as files (`violetroute/ledger/export.py`) and reports the
+time up to which it is closed (`NAME.through`).  The owner of the work `settlement` combines them
+into one bill per period, in entries of the fenced log.  An entry names the batches that it settles.
+The log alone defines which batches are settled, so no batch is in two entries, whenever the owner
+changes.
+
+A period is billed once all expected ledgers have closed it, or `wait_s` after its end; the bill
+names the ledgers that are missing.  A batch that arrives after the bill becomes a correction of its
+period at once.  The units of all batches are added up by tenant and class.  The lines of a bill
+contain no proxy's name, but the bill lists the key of each batch.
 """
 
 from __future__ import annotations
@@ -19,14 +20,16 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-MAX_BATCHES_PER_ENTRY = 1000  # batches of one entry; more make several entries of one period
-MAX_LINES_PER_ENTRY = 5000  # of one entry, but for a single batch that has more
-MAX_BYTES_PER_ENTRY = 256 * 1024  # of its batches' files, likewise: Consul takes half a megabyte
+# Limits of one entry; a period with more has several entries.  A single batch may exceed the limits
+# for lines and bytes.
+MAX_BATCHES_PER_ENTRY = 1000
+MAX_LINES_PER_ENTRY = 5000
+MAX_BYTES_PER_ENTRY = 256 * 1024  # of the batches' files; a value in Consul has at most 512 KiB
 
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """One that a ledger has handed over."""
+    """A batch of usage that a ledger has exported."""
 
     key: str  # LEDGER/INCARNATION.NONCE/SEQ
     period: int
@@ -36,59 +39,63 @@
 
     @property
     def ledger(self) -> str:
+        """The name of the ledger, from the key."""
         return self.key.partition("/")[0]
 
 
 @dataclass(frozen=True, slots=True)
 class ClosedThrough:
-    """A ledger's word: all that ends by `until` (Unix s) is closed and handed over."""
+    """A ledger has closed and exported all periods that end by `until` (Unix s)."""
 
     ledger: str
     until: float
 
 
 class SettledKeys:
-    """Keys of batches that are settled, as ranges: a ledger's numbers rise by ones."""
+    """The keys of settled batches, stored as ranges, since a ledger numbers them consecutively."""
 
     def __init__(self) -> None:
-        self._of: dict[str, list[list[int]]] = {}  # ranges, first and last, in order
+        self._ranges_by_prefix: dict[str, list[list[int]]] = {}  # sorted [first, last]
 
     def __contains__(self, key: str) -> bool:
-        prefix, number = _parts(key)
-        ranges = self._of.get(prefix, [])
-        place = bisect_right(ranges, [number, 2**62]) - 1
-        return place >= 0 and ranges[place][0] <= number <= ranges[place][1]
+        prefix, number = _split_key(key)
+        ranges = self._ranges_by_prefix.get(prefix, [])
+        index = bisect_right(ranges, [number, 2**62]) - 1
+        return index >= 0 and ranges[index][0] <= number <= ranges[index][1]
 
     def add(self, key: str) -> None:
+        """Add a key.  ValueError if it is not a batch's key."""
         if key in self:
             return
-        prefix, number = _parts(key)
-        ranges = self._of.setdefault(prefix, [])
-        place = bisect_right(ranges, [number, 2**62])
-        ranges.insert(place, [number, number])
-        if place + 1 < len(ranges) and ranges[place + 1][0] == number + 1:
-            ranges[place][1] = ranges.pop(place + 1)[1]
-        if place and ranges[place - 1][1] == number - 1:
-            ranges[place - 1][1] = ranges.pop(place)[1]
+        prefix, number = _split_key(key)
+        ranges = self._ranges_by_prefix.setdefault(prefix, [])
+        index = bisect_right(ranges, [number, 2**62])
+        ranges.insert(index, [number, number])
+        if index + 1 < len(ranges) and ranges[index + 1][0] == number + 1:
+            ranges[index][1] = ranges.pop(index + 1)[1]
+        if index and ranges[index - 1][1] == number - 1:
+            ranges[index - 1][1] = ranges.pop(index)[1]
 
     @property
-    def ranges(self) -> int:
-        return sum(map(len, self._of.values()))
+    def range_count(self) -> int:
+        """Number of ranges stored."""
+        return sum(map(len, self._ranges_by_prefix.values()))
 
 
-def _parts(key: str) -> tuple[str, int]:
-    """ValueError for what is no batch's key."""
+def _split_key(key: str) -> tuple[str, int]:
+    """The prefix and the number.  ValueError if `key` is not a batch's key."""
     prefix, _, number = key.rpartition("/")
     if not prefix or not number.isdecimal() or len(number) > 15:
-        raise ValueError(f"{key!r} is no batch's key")
+        raise ValueError(f"{key!r} is not a batch key")
     return prefix, int(number)
 
 
 def is_key(key: object) -> bool:
+    """Whether `key` has the form of a batch's key."""
     if not isinstance(key, str) or len(key) > 400:
         return False
     try:
-        _parts(key)
+        _split_key(key)
     except ValueError:
         return False
     return True
@@ -96,20 +103,25 @@
 
 @dataclass
 class Settlement:
-    """`end` gives a period's end (Unix s); `wait_s` and `expect_s` in s."""
+    """Decides the next bill or correction.
+
+    `period_end`: the end of a period in Unix s.  `wait_s`: how long a bill waits for missing
+    ledgers after the end of its period.  `expect_s`: a ledger that closed nothing for so long
+    before that end is not expected to.
+    """
 
-    end: Callable[[int], float]
+    period_end: Callable[[int], float]
     wait_s: float
     expect_s: float
     settled: SettledKeys = field(default_factory=SettledKeys)
     billed: dict[int, int] = field(default_factory=dict)  # units, by period
-    batches: dict[str, Batch] = field(default_factory=dict)  # there, and not settled
-    through: dict[str, ClosedThrough] = field(default_factory=dict)  # by ledger
-    now: float = 0.0  # Unix s, as it was last gathered
+    batches: dict[str, Batch] = field(default_factory=dict)  # read and not settled, by key
+    closed_through: dict[str, ClosedThrough] = field(default_factory=dict)  # by ledger
+    now: float = 0.0  # Unix s of the last update
 
     # --- the log ---
     def apply(self, body: Any) -> None:
-        """An entry that counts.  Settled is what it names, whoever wrote it."""
+        """Process a valid entry of the log: the batches that it names are settled."""
         if not isinstance(body, dict) or not isinstance(body.get("keys"), list):
             return
         for key in body["keys"]:
@@ -120,31 +132,32 @@
         if isinstance(period, int) and isinstance(units, int):
             self.billed[period] = self.billed.get(period, 0) + units
 
-    # --- what there is ---
-    def gathered(
-        self, now: float, batches: Iterable[Batch], through: Iterable[ClosedThrough]
-    ) -> None:
-        """What stands in the folder now; `now` is the wall's."""
+    # --- files ---
+    def update(self, now: float, batches: Iterable[Batch], closed: Iterable[ClosedThrough]) -> None:
+        """Add what was read from the folder at `now` (Unix s)."""
         self.now = now
         for batch in batches:
             if batch.key not in self.settled:
                 self.batches[batch.key] = batch
-        for each in through:
-            self.through[each.ledger] = each
+        for each in closed:
+            self.closed_through[each.ledger] = each
 
     # --- decisions ---
     def missing(self, period: int) -> list[str]:
-        """Ledgers that are expected to close this period and have not."""
-        end = self.end(period)
+        """The ledgers that are expected to close this period and have not."""
+        end = self.period_end(period)
         return sorted(
-            each.ledger for each in self.through.values() if end - self.expect_s <= each.until < end
+            each.ledger
+            for each in self.closed_through.values()
+            if end - self.expect_s <= each.until < end
         )
 
     def due(self, period: int) -> bool:
+        """Whether the period can be billed or corrected now."""
         if period in self.billed:
             return True
-        return self.now >= self.end(period) + self.wait_s or (
-            self.now >= self.end(period) and not self.missing(period)
+        return self.now >= self.period_end(period) + self.wait_s or (
+            self.now >= self.period_end(period) and not self.missing(period)
         )
 
     def decide(self) -> Any:
@@ -178,6 +191,8 @@
             "units": sum(units.values()),
             "lines": [
                 [tenant, cls, units[tenant, cls]]
-                for tenant, cls in sorted(units, key=lambda of: (of[0] is None, of[0] or "", of[1]))
+                for tenant, cls in sorted(
+                    units, key=lambda row: (row[0] is None, row[0] or "", row[1])
+                )
             ],
         }
--- a/violetroute/fleet/table.py
+++ b/violetroute/fleet/table.py
@@ -1,4 +1,4 @@
-"""`[fleet]` of the operator's file."""
+"""The `[fleet]` table of the operator's file."""
 
 from __future__ import annotations
 
@@ -13,32 +13,33 @@
 
 
 class FleetTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[fleet]`: off while `store` is.  `works` changes with SIGHUP, the rest at the next start."""
+    """`[fleet]`; `store = "off"` turns it off.  SIGHUP applies `works`, a restart the rest."""
 
-    store: Literal["off", "folder", "consul"] = "off"  # where leases and logs live
-    folder: str = ""  # of "folder": shared by the processes of one machine
-    agents: tuple[str, ...] = ()  # of "consul": "ADDRESS:PORT", asked in turn when one fails
-    prefix: str = "limebridge"  # of "consul": the keys' beginning
+    store: Literal["off", "folder", "consul"] = "off"  # where leases and logs are kept
+    folder: str = ""  # for "folder": shared by the processes of one machine
+    agents: tuple[str, ...] = ()  # for "consul": "ADDRESS:PORT"; the next after a failure
+    prefix: str = "limebridge"  # for "consul": prefix of all keys
     token_file: str = ""
     tls_ca_file: str = ""
     tls_cert_file: str = ""
     tls_key_file: str = ""
     tls_name: str = ""
-    works: tuple[WorkName, ...] = ()  # that this proxy is ready to own; "settlement", "beat-..."
-    # Of a lease; with "consul" a session's TTL, of which Consul takes 10 s at least unless its
-    # own settings say otherwise.
+    works: tuple[WorkName, ...] = ()  # candidate for: "settlement", "beat-NAME"
+    # Term of a lease.  With "consul" the TTL of the session, which has to be at least 10 s by
+    # Consul's default settings.
     term_s: Annotated[float, msgspec.Meta(ge=0.2, le=86_400.0)] = 15.0
-    drift: Annotated[float, msgspec.Meta(ge=0.0, le=0.2)] = 0.05  # by which clocks' rates differ
-    look_s: Seconds = 1.0  # between two looks at the store; with "consul" one look waits for news
-    call_s: Seconds = 3.0  # for one answer of the store
-    move_s: Seconds = 60.0  # at least between two works that are handed on for balance
+    drift: Annotated[float, msgspec.Meta(ge=0.0, le=0.2)] = 0.05  # max error of a clock's rate
+    look_s: Seconds = 1.0  # between two polls; with "consul" a poll waits for a change
+    call_s: Seconds = 3.0  # timeout of one call to the store or the endpoint
+    move_s: Seconds = 60.0  # minimum time between two transfers for balance
     # Between two entries of the example work.
     beat_s: Annotated[float, msgspec.Meta(ge=0.01, le=86_400.0)] = 5.0
-    endpoint: str = ""  # "ADDRESS:PORT" that is posted each bill and each beat; "" is none
+    endpoint: str = ""  # "ADDRESS:PORT" that each entry is posted to; "": none
     path: str = "/v1/effects"
-    wait_s: Seconds = 900.0  # that settlement waits for a proxy that has not closed a period
-    expect_s: Seconds = 86_400.0  # after which a proxy that closes no period is not waited for
+    wait_s: Seconds = 900.0  # that a bill waits for a ledger that has not closed the period
+    expect_s: Seconds = 86_400.0  # a ledger that closed nothing for so long is not awaited
 
     @property
     def tls(self) -> TlsFiles:
+        """The TLS files for Consul."""
         return TlsFiles(self.tls_ca_file, self.tls_cert_file, self.tls_key_file, self.tls_name)
