--- a/limebridge/faults/state_space.py
+++ b/limebridge/faults/state_space.py
@@ -4,10 +4,10 @@
 state's key holds everything that later steps depend on, with times relative to now, so that each
 state is followed once.
 
-The ownership model runs `LeaderElector`, the rules of `lease`, `claim` and `append` against a store that
-serves calls late, loses answers or forgets everything, and a log that takes effects.  Processes are
-stopped between a check and its effect, killed and started again.  Clocks run as far apart as the
-terms allow.  After every step it checks:
+The ownership model runs `LeaderElector`, the rules of `lease`, `claim` and `append` against a store
+that serves calls late, loses answers or forgets everything, and a log that takes effects.
+Processes are stopped between a check and its effect, killed and started again.  Clocks run as far
+apart as the terms allow.  After every step it checks:
 
 - **order**: no entry follows one with a higher fence, and no two incarnations use one fence;
 - **late**: every entry belongs to the claim that it follows, so a late owner has no effect;
