--- a/tests/violetroute/fleet/test_fleet.py
+++ b/tests/violetroute/fleet/test_fleet.py
@@ -1,4 +1,4 @@
-"""Leases, logs, stores and the settlement, each for itself."""
+"""Leases, leader election, fenced logs, stores and the settlement, each on its own."""
 
 from __future__ import annotations
 
@@ -54,13 +54,13 @@
 TERMS = LeaseTiming(10.0, 0.05, 0.1)
 
 
-class Even:
+class NoJitter:
     def random(self) -> float:
         return 0.0
 
 
 def owner(me: IncarnationId = A, terms: LeaseTiming = TERMS) -> LeaderElector:
-    made = LeaderElector("w", me.nonce, terms, Even())
+    made = LeaderElector("w", me.nonce, terms, NoJitter())
     made.set_candidate(True)
     return made
 
@@ -84,15 +84,15 @@
         b'{"v":2,"work":"w","fence":3,"name":"a","nonce":"n","more":1}',
     ],
 )
-def test_a_record_that_is_not_ours_to_judge_is_no_lease(data: bytes) -> None:
+def test_malformed_or_later_records_are_unreadable(data: bytes) -> None:
     with pytest.raises(UnreadableLeaseError):
         leases.decode(data, "w")
 
 
-def test_a_fence_rises_above_the_record_and_above_all_that_was_heard_of() -> None:
+def test_a_new_fence_is_above_the_record_and_the_floor() -> None:
     made = leases.acquired("w", None, None, 7, B, 0.0)
     assert made is not None and made.fence == 8
-    assert leases.acquired("w", lease(3), None, 0, B, 0.0) is None  # another's, and not watched
+    assert leases.acquired("w", lease(3), None, 0, B, 0.0) is None  # held by another, not observed
     over = LeaseVersion(3, A.nonce, 0)
     made = leases.acquired("w", lease(3), over, 0, B, 0.0)
     assert made is not None and made.fence == 4
@@ -102,27 +102,27 @@
     assert leases.renewed(lease(3, free=True), 3, A) is None
 
 
-def test_a_seal_admits_no_lower_fence_and_no_second_life_under_one() -> None:
+def test_a_fence_guard_rejects_lower_fences_and_a_second_nonce() -> None:
     guard = FenceGuard()
     assert guard.admits(3, "x") and guard.admits(3, "x")
     assert not guard.admits(3, "y") and not guard.admits(2, "x")
     assert guard.admits(4, "y") and not guard.admits(3, "x")
 
 
-# --- owners ---
-def test_a_term_ends_by_the_time_of_the_asking_and_before_any_other_may_take_it() -> None:
+# --- leader election ---
+def test_a_term_counts_from_the_request_and_ends_before_others_may_acquire() -> None:
     one = owner()
     one.observe(0.0, 0.0, None, True)
-    (ask,) = one.tick(0.0)
-    assert isinstance(ask, Acquire)
-    assert one.granted(5.0, ask.number, 1) == [TermBegan("w", 1)]
+    (request,) = one.tick(0.0)
+    assert isinstance(request, Acquire)
+    assert one.granted(5.0, request.number, 1) == [TermBegan("w", 1)]
     assert one.valid_fence(9.0) == 1 and one.valid_fence(9.0, duration=0.1) == 0
     assert one.valid_until == pytest.approx(10.0 * 0.95 / 1.05)
-    assert one.valid_until / 0.95 <= 10.0 / 1.05 + 1e-9  # its slow clock, another's fast one
+    assert one.valid_until / 0.95 <= 10.0 / 1.05 + 1e-9  # a slow clock here, a fast one elsewhere
     assert one.tick(9.1) == [TermEnded("w", 1, "lapsed")] and one.valid_fence(9.1) == 0
 
 
-def test_another_waits_for_a_whole_term_of_standing_still_unless_the_process_has_ended() -> None:
+def test_a_candidate_waits_a_whole_term_unless_the_holders_process_has_ended() -> None:
     two = owner(B)
     two.observe(0.0, 0.0, lease(), True)
     assert two.tick(9.9) == []
@@ -134,7 +134,7 @@
     assert isinstance(three.tick(0.0)[0], Acquire)
 
 
-def test_where_the_store_vouches_nobody_reckons_anothers_term() -> None:
+def test_candidates_wait_for_a_store_that_expires_leases_itself() -> None:
     two = owner(B, LeaseTiming(10.0, 0.05, 0.1, expires_leases=True))
     two.observe(0.0, 0.0, lease(), True)
     assert two.tick(1e6) == [] and two.next_at == float("inf")
@@ -142,37 +142,37 @@
     assert isinstance(two.tick(1e6)[0], Acquire)
 
 
-def test_an_answer_that_was_given_up_says_nothing() -> None:
+def test_a_response_to_an_abandoned_call_is_ignored() -> None:
     one = owner()
     one.observe(0.0, 0.0, None, True)
-    (ask,) = one.tick(0.0)
-    assert isinstance(ask, Acquire)
-    one.failed(1.0, ask.number)
-    assert one.granted(1.1, ask.number, 1) == [] and one.state == "waiting"
-    one.observe(1.2, 1.2, lease(), True)  # it was granted all the same: ours, so taken over at once
-    (again,) = one.tick(5.0)
-    assert isinstance(again, Acquire) and again.floor == 1
+    (request,) = one.tick(0.0)
+    assert isinstance(request, Acquire)
+    one.failed(1.0, request.number)
+    assert one.granted(1.1, request.number, 1) == [] and one.state == "waiting"
+    one.observe(1.2, 1.2, lease(), True)  # it was granted: own record, taken over at once
+    (retry,) = one.tick(5.0)
+    assert isinstance(retry, Acquire) and retry.floor == 1
 
 
-def test_who_is_fenced_off_begins_above_and_follows_no_senseless_floor() -> None:
+def test_a_fenced_owner_gets_a_higher_fence_and_ignores_an_invalid_floor() -> None:
     one = owner()
     one.observe(0.0, 0.0, None, True)
-    (ask,) = one.tick(0.0)
-    assert isinstance(ask, Acquire)
-    one.granted(0.0, ask.number, 1)
+    (request,) = one.tick(0.0)
+    assert isinstance(request, Acquire)
+    one.granted(0.0, request.number, 1)
     assert one.fenced(0.1, 40) == [TermEnded("w", 1, "fenced")]
     one.fenced(0.1, 2**60)
     one.work_stopped()
-    (ask,) = one.tick(2.0)
-    assert isinstance(ask, Acquire) and ask.floor == 40
+    (request,) = one.tick(2.0)
+    assert isinstance(request, Acquire) and request.floor == 40
 
 
-def test_a_lease_is_handed_back_when_what_was_begun_has_ended_and_others_come_first() -> None:
+def test_a_lease_is_released_after_the_work_stopped_and_then_others_come_first() -> None:
     one = owner()
     one.observe(0.0, 0.0, None, True)
-    (ask,) = one.tick(0.0)
-    assert isinstance(ask, Acquire)
-    one.granted(0.0, ask.number, 1)
+    (request,) = one.tick(0.0)
+    assert isinstance(request, Acquire)
+    one.granted(0.0, request.number, 1)
     one.set_candidate(False)
     assert one.tick(0.1) == [TermEnded("w", 1, "resigned")] and one.next_at == one.valid_until
     one.work_stopped()
@@ -183,12 +183,12 @@
     assert one.tick(5.0) == [] and isinstance(one.tick(10.3)[0], Acquire)
 
 
-def test_renewals_begin_early_and_go_on_after_failures() -> None:
+def test_renewals_start_early_and_are_retried_after_failures() -> None:
     one = owner()
     one.observe(0.0, 0.0, None, True)
-    (ask,) = one.tick(0.0)
-    assert isinstance(ask, Acquire)
-    one.granted(0.0, ask.number, 1)
+    (request,) = one.tick(0.0)
+    assert isinstance(request, Acquire)
+    one.granted(0.0, request.number, 1)
     assert one.tick(2.9) == []
     (renew,) = one.tick(3.1)
     assert isinstance(renew, Renew)
@@ -198,8 +198,8 @@
     assert one.valid_until > 12.0
 
 
-# --- spread ---
-def test_who_leaves_moves_only_its_own_works() -> None:
+# --- assignment ---
+def test_a_leaving_member_moves_only_its_own_works() -> None:
     members = [IncarnationId(f"p{n}", f"n{n}") for n in range(8)]
     works = [f"w{n}" for n in range(200)]
     firsts = {work: preference_order(work, members)[0] for work in works}
@@ -210,7 +210,7 @@
     assert min(share) > 8 and max(share) < 50
 
 
-def test_who_has_its_share_comes_after_the_others_and_hands_on_what_is_too_much() -> None:
+def test_a_member_with_its_fair_share_ranks_last_and_transfers_a_surplus() -> None:
     works, members = ["u", "v", "w"], [A, B, IncarnationId("c", "nc")]
     assert fair_share(3, 3) == 1
     found = ranks(works, A, members, {"u": "na", "v": "na"})
@@ -220,7 +220,7 @@
     assert surplus_work(works, B, members, {"u": "na", "v": "na", "w": "nb"}) is None
 
 
-def test_of_any_fleet_few_ask_first() -> None:
+def test_few_candidates_have_the_lowest_random_rank_in_any_fleet() -> None:
     for size in (8, 710, 5000):
         drawn = [random_ranks(["w"], IncarnationId(f"p{n}", f"n{n}"), {})["w"] for n in range(size)]
         first = min(drawn)
@@ -229,8 +229,8 @@
 
 
 # --- logs ---
-def put_all(steps: Any, records: list[bytes]) -> Any:
-    """Steps run over a list, as a store would."""
+def run_steps(steps: Any, records: list[bytes]) -> Any:
+    """Run the steps of a log operation on a list, as a store would."""
     answer: Any = None
     while True:
         try:
@@ -245,35 +245,35 @@
             answer = records[step.position :]
 
 
-def test_a_late_owner_meets_the_claim_that_ended_its_term() -> None:
+def test_a_late_owner_is_fenced_by_the_claim_that_ended_its_term() -> None:
     records: list[bytes] = []
     taken: list[Any] = []
     one, two = (
         FencedLog("w", lambda position, record: taken.append(record.body)) for _ in range(2)
     )
-    assert put_all(claim(one, 1, "na", "a"), records) == Done(0)
+    assert run_steps(claim(one, 1, "na", "a"), records) == Done(0)
     late = append(one, 1, "na", "a", lambda: "late")
     step = late.send(None)
-    while not isinstance(step, Put):  # checked, and then stopped
+    while not isinstance(step, Put):  # suspended between the check and the put
         step = late.send([])
-    assert put_all(claim(two, 2, "nb", "b"), records) == Done(1)
-    assert put_all(append(two, 2, "nb", "b", lambda: "ours"), records) == Done(2)
-    late.send(False)  # its place is taken
+    assert run_steps(claim(two, 2, "nb", "b"), records) == Done(1)
+    assert run_steps(append(two, 2, "nb", "b", lambda: "ours"), records) == Done(2)
+    late.send(False)  # the position is taken
     with pytest.raises(StopIteration) as end:
         late.send(records[1:])
     assert end.value.value == Fenced(2)
-    assert taken == ["ours", "ours"]  # once in each reading
+    assert taken == ["ours", "ours"]  # once for each reader
 
 
-def test_what_is_no_record_counts_for_nobody_and_stops_nobody() -> None:
+def test_invalid_records_are_ignored_and_block_nobody() -> None:
     records = [b"garbage", b"[" * 100, b'{"v":9}']
     log = FencedLog("w", lambda position, record: None)
-    assert put_all(claim(log, 1, "na", "a"), records) == Done(3)
+    assert run_steps(claim(log, 1, "na", "a"), records) == Done(3)
     assert log.ignored == 3
-    assert put_all(claim(FencedLog("w", lambda *told: None), 1, "nb", "b"), records) == Fenced(1)
+    assert run_steps(claim(FencedLog("w", lambda *entry: None), 1, "nb", "b"), records) == Fenced(1)
 
 
-def test_a_log_that_everybody_writes_is_left_for_later() -> None:
+def test_a_claim_gives_up_after_64_contended_puts() -> None:
     log = FencedLog("w", lambda position, record: None)
     steps = claim(log, 1, "na", "a")
     step, tries = steps.send(None), 0
@@ -291,49 +291,51 @@
     return made
 
 
-def test_a_folder_keeps_leases_and_says_whose_process_has_ended(tmp_path: Path) -> None:
+def test_the_folder_keeps_leases_and_detects_ended_processes(tmp_path: Path) -> None:
     a, b = store(tmp_path), store(tmp_path, B)
     answer = a.acquire(Acquire("w", 1, 0, None))
     assert answer.accepted and answer.lease is not None and answer.lease.fence == 1
     assert not b.acquire(Acquire("w", 1, 0, None)).accepted
     assert a.renew([("w", 1)])["w"].accepted
-    seen = b.poll()
-    assert seen.leases["w"].beat == 1 and seen.dead == frozenset() and seen.members == {A, B}
+    view = b.poll()
+    assert view.leases["w"].beat == 1 and view.dead == frozenset() and view.members == {A, B}
     a._release_lock()  # as the kernel does when its process ends
     assert b.poll().dead == {"na"}
-    assert b.acquire(Acquire("w", 2, 0, leases.version_of(seen.leases["w"]))).accepted
+    assert b.acquire(Acquire("w", 2, 0, leases.version_of(view.leases["w"]))).accepted
     assert not a.renew([("w", 1)])["w"].accepted
     assert len(list((tmp_path / "lease").glob("w@*"))) <= 2
 
 
-def test_a_version_that_was_tidied_away_can_not_be_put_again(tmp_path: Path) -> None:
+def test_a_removed_version_cannot_be_created_again(tmp_path: Path) -> None:
     a, b = store(tmp_path), store(tmp_path, B)
     a.acquire(Acquire("w", 1, 0, None))
     stale = a._current("w")
-    seen = b.poll().leases["w"]
-    b.acquire(Acquire("w", 1, 0, leases.version_of(seen)))
+    record = b.poll().leases["w"]
+    b.acquire(Acquire("w", 1, 0, leases.version_of(record)))
     for _ in range(4):
         assert b.renew([("w", 2)])["w"].accepted
-    a._current = lambda work: stale  # type: ignore[method-assign]  # stopped since it has read
+    a._current = lambda work: stale  # type: ignore[method-assign]  # suspended after its read
     assert not a._compare_and_set("w", lambda current: leases.renewed(current, 1, A)).accepted
     assert b.poll().leases["w"].nonce == "nb"
 
 
-def test_a_folder_that_is_copied_back_or_gone_does_not_make_the_living_dead(tmp_path: Path) -> None:
+def test_running_processes_recover_their_lock_files_in_a_lost_or_restored_folder(
+    tmp_path: Path,
+) -> None:
     a, b = store(tmp_path / "f"), store(tmp_path / "f", B)
     a.acquire(Acquire("w", 1, 0, None))
     os.rename(tmp_path / "f", tmp_path / "old")
-    a.open()  # the folder begins anew
+    a.open()  # creates the folder again
     b.open()
     assert b.poll().members == {A, B} and b.poll().leases == {}
     (tmp_path / "f" / "alive" / "na").unlink()
-    (tmp_path / "f" / "alive" / "na").write_bytes(b"{}")  # a copy, with nobody's lock
+    (tmp_path / "f" / "alive" / "na").write_bytes(b"{}")  # a copy that nobody has locked
     assert "na" in b.poll().dead
     a.poll()
     assert b.poll().dead == frozenset()
 
 
-def test_garbage_in_the_folder_makes_no_owner_and_is_named(tmp_path: Path) -> None:
+def test_malformed_files_in_the_folder_are_reported_and_grant_nothing(tmp_path: Path) -> None:
     a = store(tmp_path)
     (tmp_path / "lease" / "w@000000000003").write_bytes(b"\x00" * 9000)
     (tmp_path / "lease" / "v@999999999999").write_bytes(leases.encode(Lease(1, "v", 1, "x", "nx")))
@@ -341,14 +343,14 @@
     (tmp_path / "alive" / "Not A Nonce").write_bytes(b"x")
     os.mkfifo(tmp_path / "lease" / "u@000000000001")
     os.mkfifo(tmp_path / "alive" / "pipe")
-    seen = a.poll()
-    assert set(seen.unreadable) == {"w", "u"} and seen.members == {A}
+    view = a.poll()
+    assert set(view.unreadable) == {"w", "u"} and view.members == {A}
     for work in ("w", "u", "v"):
         with pytest.raises(UnreadableLeaseError):
             a.acquire(Acquire(work, 1, 0, LeaseVersion(1, "nx", 0)))
 
 
-def test_a_log_in_a_folder_goes_over_several_shelves(tmp_path: Path) -> None:
+def test_a_log_in_a_folder_spans_several_segments(tmp_path: Path) -> None:
     a = store(tmp_path)
     log = FencedLog("w", lambda position, record: None)
     assert a.run(claim(log, 1, "na", "a")) == Done(0)
@@ -366,32 +368,32 @@
     return ConsulStore(table, SocketNetwork(asyncio.get_running_loop()), me)
 
 
-async def asked(ask: Any) -> Any:
+async def call(request: Any) -> Any:
     done = asyncio.get_running_loop().create_future()
-    ask(lambda answer, why: done.set_result((answer, why)))
+    request(lambda answer, why: done.set_result((answer, why)))
     async with asyncio.timeout(10.0):
         return await done
 
 
-def test_consul_keeps_a_lease_under_a_session_and_frees_it_with_it() -> None:
+def test_consul_frees_a_lease_when_its_session_ends() -> None:
     async def run() -> None:
         consul = await Consul().start()
         a, b = await consul_store(consul, A), await consul_store(consul, B)
-        answer, _ = await asked(lambda told: a.acquire(Acquire("w", 1, 6, None), told))
+        answer, _ = await call(lambda callback: a.acquire(Acquire("w", 1, 6, None), callback))
         assert answer.accepted and answer.lease.fence == 7
-        answer, _ = await asked(lambda told: b.acquire(Acquire("w", 1, 0, None), told))
+        answer, _ = await call(lambda callback: b.acquire(Acquire("w", 1, 0, None), callback))
         assert not answer.accepted and answer.lease.nonce == "na"
-        answer, _ = await asked(lambda told: a.renew([("w", 7)], told))
+        answer, _ = await call(lambda callback: a.renew([("w", 7)], callback))
         assert answer["w"].accepted
-        view, _ = await asked(b.poll)
+        view, _ = await call(b.poll)
         assert not view.leases["w"].free and view.members is None
-        view, _ = await asked(b.poll)  # waits for news: nobody renews, so the session ends
+        view, _ = await call(b.poll)  # blocking query: nobody renews, so the session ends
         assert view.leases["w"].free and view.leases["w"].fence == 7
-        answer, _ = await asked(lambda told: b.acquire(Acquire("w", 2, 0, None), told))
+        answer, _ = await call(lambda callback: b.acquire(Acquire("w", 2, 0, None), callback))
         assert answer.accepted and answer.lease.fence == 8
-        answer, _ = await asked(lambda told: a.renew([("w", 7)], told))
+        answer, _ = await call(lambda callback: a.renew([("w", 7)], callback))
         assert not answer["w"].accepted
-        answer, _ = await asked(lambda told: b.release("w", 8, told))
+        answer, _ = await call(lambda callback: b.release("w", 8, callback))
         assert answer.accepted
         a.close()
         b.close()
@@ -400,18 +402,20 @@
     asyncio.run(run())
 
 
-def test_a_lease_is_not_taken_under_a_session_that_is_about_to_end_nor_renewed_by_another() -> None:
+def test_acquiring_renews_the_session_and_a_new_session_renews_no_old_lease() -> None:
     async def run() -> None:
         consul = await Consul().start()
         a = await consul_store(consul, A, 5.0)
-        await asked(lambda told: a.acquire(Acquire("v", 1, 0, None), told))
+        await call(lambda callback: a.acquire(Acquire("v", 1, 0, None), callback))
         first, before = a.protocol.session, len(consul.requests)
-        await asked(lambda told: a.acquire(Acquire("w", 1, 0, None), told))
+        await call(lambda callback: a.acquire(Acquire("w", 1, 0, None), callback))
         assert any(target.startswith("/v1/session/renew/") for target in consul.requests[before:])
         consul.kv._end(first)
-        await asked(lambda told: a.acquire(Acquire("u", 1, 0, None), told))  # makes another session
+        await call(
+            lambda callback: a.acquire(Acquire("u", 1, 0, None), callback)
+        )  # creates another session
         assert a.protocol.session not in ("", first)
-        answer, _ = await asked(lambda told: a.renew([("v", 1), ("u", 1)], told))
+        answer, _ = await call(lambda callback: a.renew([("v", 1), ("u", 1)], callback))
         assert not answer["v"].accepted and answer["u"].accepted
         a.close()
         await consul.stop()
@@ -419,24 +423,24 @@
     asyncio.run(run())
 
 
-def test_an_answer_lost_after_the_write_and_a_store_that_forgets_are_got_over() -> None:
+def test_a_response_lost_after_the_write_and_lost_data_are_recovered_from() -> None:
     async def run() -> None:
         consul = await Consul().start()
         a = await consul_store(consul, A)
         consul.drops_answers = True
-        answer, why = await asked(lambda told: a.acquire(Acquire("w", 1, 0, None), told))
+        answer, why = await call(lambda callback: a.acquire(Acquire("w", 1, 0, None), callback))
         assert answer is None and why
         consul.drops_answers = False
-        answer, _ = await asked(lambda told: a.acquire(Acquire("w", 2, 0, None), told))
+        answer, _ = await call(lambda callback: a.acquire(Acquire("w", 2, 0, None), callback))
         assert answer.accepted
         log = FencedLog("w", lambda position, record: None)
-        result, _ = await asked(lambda told: a.run(claim(log, 3, "na", "a"), told))
+        result, _ = await call(lambda callback: a.run(claim(log, 3, "na", "a"), callback))
         assert result == Done(0)
         consul.kv.lose_data()
-        answer, _ = await asked(lambda told: a.renew([("w", answer.lease.fence)], told))
+        answer, _ = await call(lambda callback: a.renew([("w", answer.lease.fence)], callback))
         assert not answer["w"].accepted
-        answer, _ = await asked(lambda told: a.acquire(Acquire("w", 3, 3, None), told))
-        assert answer.accepted and answer.lease.fence == 4  # above what was heard of
+        answer, _ = await call(lambda callback: a.acquire(Acquire("w", 3, 3, None), callback))
+        assert answer.accepted and answer.lease.fence == 4  # above the floor
         a.close()
         await consul.stop()
 
@@ -454,7 +458,7 @@
     return made
 
 
-def test_a_period_is_billed_when_all_have_closed_it_or_were_waited_for() -> None:
+def test_a_period_is_billed_when_all_have_closed_it_or_the_wait_is_over() -> None:
     books = settlement(0.0)
     books.update(
         1400.0,
@@ -474,7 +478,7 @@
     assert late["kind"] == "correction" and late["keys"] == ["b/1.y/1"]
 
 
-def test_no_batch_is_in_two_bills_whoever_wrote_them() -> None:
+def test_no_batch_is_in_two_bills_of_different_owners() -> None:
     one, two = settlement(5000.0), settlement(5000.0)
     for books in (one, two):
         books.update(5000.0, [batch("a/1.x/1", 1000, 5)], [ClosedThrough("a", 1300.0)])
@@ -488,7 +492,7 @@
     two.apply({"keys": [7, "x", None, "a/1.x/999999999999999999"], "units": "x", "period": 1})
 
 
-def test_settled_keys_are_kept_as_ranges() -> None:
+def test_settled_keys_are_stored_as_ranges() -> None:
     keys = SettledKeys()
     for number in (5, 1, 3, 2, 4, 9, 7, 8):
         keys.add(f"a/1.x/{number}")
@@ -496,10 +500,10 @@
     assert "a/1.x/4" in keys and "a/1.x/6" not in keys and "b/1.x/4" not in keys
 
 
-def test_files_that_do_not_add_up_are_left_alone(tmp_path: Path) -> None:
-    class Now:
-        def submit(self, job: Any, told: Any) -> None:
-            told(job(), None)
+def test_invalid_batch_files_are_skipped(tmp_path: Path) -> None:
+    class ImmediateWriter:
+        def submit(self, job: Any, callback: Any) -> None:
+            callback(job(), None)
 
         def close(self, wait_s: float) -> None:
             pass
@@ -521,18 +525,20 @@
     ):
         (tmp_path / name).write_bytes(data)
     books = settlement(0.0)
-    gatherer, said = BatchReader(tmp_path, books, Now(), lambda: 5000.0), []
-    gatherer(said.append)
+    reader, reports = BatchReader(tmp_path, books, ImmediateWriter(), lambda: 5000.0), []
+    reader(reports.append)
     assert (
-        said == [""] and list(books.batches) == ["a/1.x/1"] and list(books.closed_through) == ["a"]
+        reports == [""]
+        and list(books.batches) == ["a/1.x/1"]
+        and list(books.closed_through) == ["a"]
     )
     books.apply(books.decide())
-    gatherer(said.append)
+    reader(reports.append)
     assert (tmp_path / "settled" / "good.jsonl").exists() and not books.batches
     assert (tmp_path / "short.jsonl").exists()
 
 
-# --- the whole part ---
+# --- runner, store and works together ---
 def fleet(path: Path, name: str, endpoint: int, **more: Any) -> Fleet:
     from violetroute.fleet.make import store_factory
 
@@ -560,13 +566,13 @@
             await asyncio.sleep(0.01)
 
 
-def test_works_are_spread_handed_back_and_go_on_elsewhere(tmp_path: Path) -> None:
+def test_works_are_balanced_released_and_continued_by_another_proxy(tmp_path: Path) -> None:
     async def run() -> None:
         effects = await EffectEndpoint().start()
         one = fleet(tmp_path, "one", effects.port)
         await until(lambda: len(one.owned()) == 2 and len(effects.applied) > 4)
         two = fleet(tmp_path, "two", effects.port)
-        await until(lambda: len(one.owned()) == 1 and len(two.owned()) == 1)  # handed on
+        await until(lambda: len(one.owned()) == 1 and len(two.owned()) == 1)  # transferred
         await one.close()
         await until(lambda: len(two.owned()) == 2)
         seen = len(effects.applied)
@@ -582,10 +588,10 @@
     asyncio.run(run())
 
 
-def test_an_owner_that_is_cut_off_from_the_endpoint_hands_its_work_on(tmp_path: Path) -> None:
+def test_an_owner_that_cannot_reach_the_endpoint_transfers_its_work(tmp_path: Path) -> None:
     async def run() -> None:
         effects = await EffectEndpoint().start()
-        cut = fleet(tmp_path, "cut", 1)  # nobody listens there
+        cut = fleet(tmp_path, "cut", 1)  # nothing listens on port 1
         await until(lambda: len(cut.owned()) == 2)
         well = fleet(tmp_path, "well", effects.port)
         await until(lambda: len(well.owned()) == 2 and len(effects.applied) > 4)
@@ -596,7 +602,7 @@
     asyncio.run(run())
 
 
-def test_the_endpoint_refuses_a_late_owner_and_names_the_fence() -> None:
+def test_the_endpoint_rejects_a_late_owner_and_reports_the_fence() -> None:
     effects = EffectEndpoint()
     first = {"idempotency-key": '"w/4.n/0"', "fence": "4;n"}
 
@@ -605,8 +611,8 @@
         assert effects._take(first, b"1")[0] == 200
         assert effects._take(first, b"2")[0] == 422
         for fence in ("3;m", "4;m"):
-            status, said = effects._take({"idempotency-key": '"w/3.m/1"', "fence": fence}, b"1")
-            assert status == 412 and json.loads(said) == {"fence": 4}
+            status, body = effects._take({"idempotency-key": '"w/3.m/1"', "fence": fence}, b"1")
+            assert status == 412 and json.loads(body) == {"fence": 4}
 
     asyncio.run(run())
 
@@ -629,7 +635,7 @@
         ({"store": "folder", "folder": "/x", "term": 1.0}, "term"),
     ],
 )
-def test_a_setting_that_can_not_be_meant_is_one_line_with_its_key(
+def test_an_invalid_setting_is_reported_on_one_line_with_its_key(
     table: dict[str, Any], key: str
 ) -> None:
     with pytest.raises(ConfigError) as wrong:
@@ -637,7 +643,7 @@
     assert f"[fleet] {key}" in str(wrong.value) and "\n" not in str(wrong.value)
 
 
-def test_works_change_with_a_reload_and_the_rest_with_a_restart() -> None:
+def test_works_change_with_a_reload_and_other_settings_with_a_restart() -> None:
     def read(**more: Any) -> Any:
         return parse_operator({"fleet": {"store": "folder", "folder": "/x"} | more}, "op.toml")
 
--- a/tests/violetroute/fleet/test_fleet_guards.py
+++ b/tests/violetroute/fleet/test_fleet_guards.py
@@ -1,4 +1,4 @@
-"""Guards of the fleet's part, each against the thing that it guards from."""
+"""Safety checks of the fleet's code, each against the failure that it prevents."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from tests.violetroute.fleet.test_fleet import (
     A,
     B,
-    asked,
+    call,
     batch,
     consul_store,
     lease,
     owner,
-    put_all,
+    run_steps,
     settlement,
     store,
 )
@@ -48,37 +48,38 @@
 from violetroute.transport.writer import ThreadWriter
 
 
-class Now:
-    """Does a job at once."""
+class ImmediateWriter:
+    """Runs each job immediately."""
 
-    def submit(self, job: Any, told: Any) -> None:
-        told(job(), None)
+    def submit(self, job: Any, callback: Any) -> None:
+        callback(job(), None)
 
     def close(self, wait_s: float) -> None:
         pass
 
 
-# --- records of strangers ---
+# --- records of unknown origin ---
 @pytest.mark.parametrize(
     "nonce", ["{}/precious", "../../../precious", "", "N" * 5, "a b", "a" * 65]
 )
-def test_a_nonce_that_is_no_name_is_no_lease_and_no_record(tmp_path: Path, nonce: str) -> None:
-    """A mark of that name would be tidied away.  Only files of this test's own are named here: run
-    against a build with the fault it removes what it names.
+def test_a_nonce_that_is_no_safe_file_name_is_rejected(tmp_path: Path, nonce: str) -> None:
+    """A lock file with such a name would be removed with those of ended processes.
+
+    All paths are the test's own, since a build with this fault deletes the file that is named.
     """
     precious, nonce = tmp_path / "precious", nonce.format(tmp_path)
     precious.write_text("x")
     a = store(tmp_path / "f" / "leases")
     data = msgspec.json.encode(Lease(1, "w", 3, "x", nonce))
     (tmp_path / "f" / "leases" / "lease" / "w@000000000007").write_bytes(data)
-    seen = a.poll()
-    assert precious.exists() and "w" in seen.unreadable
+    view = a.poll()
+    assert precious.exists() and "w" in view.unreadable
     with pytest.raises(UnreadableLeaseError):
         leases.decode(data, "w")
     assert logs.decode(logs.encode(Record(1, "w", 1, nonce, "claim")), "w") is None
 
 
-def test_a_crowd_of_other_files_hides_no_life(
+def test_many_other_files_do_not_hide_a_running_process(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(folders, "MAX_MEMBERS", 3)
@@ -87,14 +88,14 @@
     for number in range(5):
         (tmp_path / "alive" / f"Not A Mark {number}").write_bytes(b"x")
     held = [store(tmp_path, IncarnationId("c", f"c{number}")) for number in range(5)]
-    assert "zz-a" not in b.poll().dead  # it stands behind those that are read, and lives
+    assert "zz-a" not in b.poll().dead  # beyond the members that are read, and running
     a._release_lock()
     assert "zz-a" in b.poll().dead
     for each in held:
         each._release_lock()
 
 
-def test_what_killed_processes_have_left_is_tidied_away(tmp_path: Path) -> None:
+def test_files_left_by_killed_processes_are_removed(tmp_path: Path) -> None:
     a, b = store(tmp_path), store(tmp_path, B)
     for name in (".gone.7", ".na.7"):
         (tmp_path / "lease" / name).write_bytes(b"half")
@@ -102,11 +103,11 @@
         store(tmp_path, IncarnationId("c", f"c{number}"))._release_lock()
     b.poll()
     assert sorted(os.listdir(tmp_path / "alive")) == ["na", "nb"]
-    assert os.listdir(tmp_path / "lease") == [".na.7"]  # its process lives
+    assert os.listdir(tmp_path / "lease") == [".na.7"]  # its process is running
     a.close()
 
 
-def test_an_unreadable_record_is_not_asked_for_until_one_can_be_read() -> None:
+def test_a_lease_is_not_acquired_while_its_record_is_unreadable() -> None:
     one = owner()
     one.observe(0.0, 0.0, None, True)
     one.unreadable()
@@ -115,31 +116,31 @@
     assert isinstance(one.tick(101.0)[0], Acquire)
 
 
-def test_an_answer_of_any_kind_ends_the_backing_off() -> None:
+def test_any_response_resets_the_backoff() -> None:
     one = owner()
     one.observe(0.0, 0.0, None, True)
     now = 0.0
     for _ in range(6):
-        (ask,) = one.tick(now)
-        assert isinstance(ask, Acquire)
-        one.failed(now, ask.number)
+        (request,) = one.tick(now)
+        assert isinstance(request, Acquire)
+        one.failed(now, request.number)
         now = one.next_at
-    (ask,) = one.tick(now)
-    assert isinstance(ask, Acquire)
-    one.denied(now, ask.number, lease(3, B))
+    (request,) = one.tick(now)
+    assert isinstance(request, Acquire)
+    one.denied(now, request.number, lease(3, B))
     one.observe(now, now, lease(3, B, free=True), True)
     now = one.next_at
-    (ask,) = one.tick(now)
-    assert isinstance(ask, Acquire)
-    one.failed(now, ask.number)
+    (request,) = one.tick(now)
+    assert isinstance(request, Acquire)
+    one.failed(now, request.number)
     assert one.next_at - now <= 1.0  # a tenth of a term, as after a first failure
 
 
-# --- works that stand still ---
-class Hangs(ThreadWriter):
-    """Takes jobs and does none."""
+# --- works that make no progress ---
+class HangingWriter(ThreadWriter):
+    """Accepts jobs and runs none."""
 
-    def submit(self, job: Any, told: Any) -> None:
+    def submit(self, job: Any, callback: Any) -> None:
         pass
 
 
@@ -155,14 +156,14 @@
     )
 
 
-def joined(
+def start_fleet(
     path: Path, name: str, hangs: bool = False, endpoint: int = 0, term_s: float = 0.5
 ) -> Fleet:
     loop = asyncio.get_running_loop()
     net = SocketNetwork(loop)
 
     def made(me: IncarnationId) -> ThreadedFolderStore:
-        logs = Hangs(loop) if hangs else ThreadWriter(loop)
+        logs = HangingWriter(loop) if hangs else ThreadWriter(loop)
         return ThreadedFolderStore(FolderStore(path, me, net.wall), ThreadWriter(loop), logs)
 
     return Fleet(
@@ -188,16 +189,16 @@
             await asyncio.sleep(0.01)
 
 
-def test_an_owner_whose_disk_hangs_gives_its_work_up(
+def test_an_owner_whose_disk_hangs_transfers_its_work(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(job, "JOB_TIMEOUT_S", 0.3)
 
     async def run() -> None:
-        hung = joined(tmp_path, "hung", hangs=True)
+        hung = start_fleet(tmp_path, "hung", hangs=True)
         await until(hung.owned)
-        well = joined(tmp_path, "well")
-        await until(well.owned)  # renewals go on, so no term would have ended by itself
+        well = start_fleet(tmp_path, "well")
+        await until(well.owned)  # renewals continue, so the term would not have expired
         assert not hung.owned()
         hung.stop()
         well.stop()
@@ -206,13 +207,13 @@
 
 
 @pytest.mark.parametrize("fence", [1, 0, -5, 2**60, "x", None])
-def test_a_refusal_that_names_no_later_owner_costs_no_fence(tmp_path: Path, fence: Any) -> None:
-    """Or each try would be another term, and another claim in the log."""
+def test_a_412_without_a_later_fence_does_not_end_the_term(tmp_path: Path, fence: Any) -> None:
+    """Otherwise each retry would start another term and write another claim to the log."""
 
     async def answers(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        said = json.dumps({"fence": fence}).encode()
-        writer.write(b"HTTP/1.1 412 X\r\nContent-Length: %d\r\n\r\n%b" % (len(said), said))
+        body = json.dumps({"fence": fence}).encode()
+        writer.write(b"HTTP/1.1 412 X\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         writer.close()
         posts.append(1)
 
@@ -221,10 +222,10 @@
     async def run() -> None:
         server = await asyncio.start_server(answers, "127.0.0.1", 0)
         FolderStore(tmp_path, A, lambda: 0.0).run(
-            claim(FencedLog("beat-0", lambda *told: None), 6, "na", "a")
+            claim(FencedLog("beat-0", lambda *entry: None), 6, "na", "a")
         )
-        one = joined(tmp_path, "one", endpoint=server.sockets[0].getsockname()[1], term_s=6.0)
-        await until(lambda: len(posts) >= 3)  # well within a term, after which it is handed on
+        one = start_fleet(tmp_path, "one", endpoint=server.sockets[0].getsockname()[1], term_s=6.0)
+        await until(lambda: len(posts) >= 3)  # well within a term, after which it is transferred
         assert one.owned() == {"beat-0": 7}
         one.stop()
         server.close()
@@ -232,7 +233,7 @@
     asyncio.run(run())
 
 
-def test_a_fault_of_a_decision_is_told_to_who_waits_for_consul() -> None:
+def test_an_exception_in_a_decision_reaches_the_callback_of_the_consul_store() -> None:
     def wrong() -> Any:
         raise KeyError("a slip of ours")
 
@@ -240,8 +241,8 @@
         consul = await Consul().start()
         a = await consul_store(consul, A)
         log = FencedLog("w", lambda position, record: None)
-        await asked(lambda told: a.run(claim(log, 1, "na", "a"), told))
-        result, why = await asked(lambda told: a.run(append(log, 1, "na", "a", wrong), told))
+        await call(lambda callback: a.run(claim(log, 1, "na", "a"), callback))
+        result, why = await call(lambda callback: a.run(append(log, 1, "na", "a", wrong), callback))
         assert result is None and "slip" in why
         a.close()
         await consul.stop()
@@ -249,25 +250,27 @@
     asyncio.run(run())
 
 
-def test_a_log_goes_over_several_of_consuls_shelves() -> None:
+def test_a_log_in_consul_spans_several_segments() -> None:
     async def run() -> None:
         consul = await Consul().start()
         a = await consul_store(consul, A)
         log, count = FencedLog("w", lambda position, record: None), 40
-        await asked(lambda told: a.run(claim(log, 1, "na", "a"), told))
+        await call(lambda callback: a.run(claim(log, 1, "na", "a"), callback))
         for number in range(count):
-            await asked(lambda told, n=number: a.run(append(log, 1, "na", "a", lambda: n), told))
-        seen: list[Any] = []
-        fresh = FencedLog("w", lambda position, record: seen.append(record.body))
-        await asked(lambda told: a.run(append(fresh, 1, "na", "a", lambda: None), told))
-        assert seen == list(range(count))
+            await call(
+                lambda callback, n=number: a.run(append(log, 1, "na", "a", lambda: n), callback)
+            )
+        read: list[Any] = []
+        fresh = FencedLog("w", lambda position, record: read.append(record.body))
+        await call(lambda callback: a.run(append(fresh, 1, "na", "a", lambda: None), callback))
+        assert read == list(range(count))
         a.close()
         await consul.stop()
 
     asyncio.run(run())
 
 
-# --- one file among the others ---
+# --- exported files ---
 GOOD = (
     b'{"batch":"a/1.x/1","seq":1,"kind":"period","period":1000,"lines":1,"units":5}\n'
     b'{"tenant":"acme","class":"lookup","units":5}\n'
@@ -283,30 +286,30 @@
         GOOD.replace(b"acme", b"x" * (4 * 1024 * 1024)),
     ],
 )
-def test_one_bad_file_does_not_stop_the_other_bills(tmp_path: Path, bad: bytes) -> None:
+def test_an_invalid_file_does_not_stop_other_bills(tmp_path: Path, bad: bytes) -> None:
     (tmp_path / "bad.jsonl").write_bytes(bad.replace(b"a/1.x/1", b"b/1.x/1"))
     (tmp_path / "good.jsonl").write_bytes(GOOD)
     books = settlement(9e9)
     books.period_end = lambda period: float(Periods("UTC", 5).end(period))
-    said: list[str] = []
-    BatchReader(tmp_path, books, Now(), lambda: 9e9)(said.append)
-    assert said == [""] and list(books.batches) == ["a/1.x/1"]
+    reports: list[str] = []
+    BatchReader(tmp_path, books, ImmediateWriter(), lambda: 9e9)(reports.append)
+    assert reports == [""] and list(books.batches) == ["a/1.x/1"]
     records: list[bytes] = []
     log = FencedLog("w", lambda position, record: books.apply(record.body))
-    put_all(claim(log, 1, "na", "a"), records)
-    put_all(append(log, 1, "na", "a", books.decide), records)
+    run_steps(claim(log, 1, "na", "a"), records)
+    run_steps(append(log, 1, "na", "a", books.decide), records)
     assert log.entries == 1 and not books.batches
 
 
-def test_a_through_that_makes_no_sense_is_left_alone(tmp_path: Path) -> None:
+def test_an_invalid_through_file_is_ignored(tmp_path: Path) -> None:
     for name, until_ in (("a", "1e300"), ("b", "-1"), ("c", '"x"'), ("d", "1300")):
         (tmp_path / f"{name}.through").write_text(f'{{"ledger":"{name}","until":{until_}}}')
     books = settlement(0.0)
-    BatchReader(tmp_path, books, Now(), lambda: 0.0)(lambda why: None)
+    BatchReader(tmp_path, books, ImmediateWriter(), lambda: 0.0)(lambda error: None)
     assert list(books.closed_through) == ["d"]
 
 
-def test_a_bill_takes_no_more_batches_than_a_store_takes_and_the_rest_follows() -> None:
+def test_a_bill_is_split_at_the_size_limit_of_a_store() -> None:
     books = settlement(1e6)
     books.update(
         1e6,
@@ -323,29 +326,29 @@
     assert sizes == [2, 2, 1]
 
 
-def test_no_more_is_read_than_waits_to_be_billed(tmp_path: Path) -> None:
+def test_no_batches_are_read_while_too_many_are_pending(tmp_path: Path) -> None:
     (tmp_path / "good.jsonl").write_bytes(GOOD)
     books = settlement(0.0)
     books.batches = {f"z/1.x/{n}": batch(f"z/1.x/{n}", 1000, 1) for n in range(MAX_PENDING_BATCHES)}
-    gatherer = BatchReader(tmp_path, books, Now(), lambda: 0.0)
-    gatherer(lambda why: None)
+    reader = BatchReader(tmp_path, books, ImmediateWriter(), lambda: 0.0)
+    reader(lambda error: None)
     assert "a/1.x/1" not in books.batches
     books.batches.clear()
-    gatherer(lambda why: None)
+    reader(lambda error: None)
     assert "a/1.x/1" in books.batches
 
 
-def test_a_ledger_has_closed_what_is_over_counted_and_confirmed() -> None:
+def test_a_ledger_closes_a_period_that_is_over_counted_and_confirmed() -> None:
     book = Book(Periods("UTC", 5), grace_s=60.0)
     now = 3000.0
-    assert book.closed_until(now) == 2700.0  # the period that began at 2,700 is open
+    assert book.closed_until(now) == 2700.0  # the period from 2,700 is open
     assert book.closed_until(3059.0) == 2700.0 and book.closed_until(3060.0) == 3000.0
     for record in book.usage_records(now, {(2400, "t", "c"): 3}):
         book.apply(record)
     assert book.closed_until(now) == 2400.0
     for record in book.batch_records(now):
         book.apply(record)
-    assert book.closed_until(now) == 2400.0  # prepared, and not handed over
+    assert book.closed_until(now) == 2400.0  # prepared, not exported
     (seq,) = book.batches
     held = Book(Periods("UTC", 5), grace_s=60.0)
     held.apply(book.checkpoint())
@@ -354,11 +357,11 @@
     assert book.closed_until(now) == 2700.0
     for record in held.held_records(seq, "an operator has to look"):
         held.apply(record)
-    assert held.closed_until(now) == 2700.0  # it holds up nobody
+    assert held.closed_until(now) == 2700.0  # a held batch blocks nothing
 
 
-# --- the loop ---
-def test_a_plans_file_is_read_when_it_has_changed_and_not_each_look(
+# --- plan file ---
+def test_a_plan_file_is_read_only_after_it_changed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     loop, reads = VirtualLoop(Kernel()), []
@@ -366,13 +369,13 @@
     path.write_bytes(msgspec.json.encode(Plan(1, 0.0, {"a": 1.0}, fence=1)))
     load = placement.load_plan
     monkeypatch.setattr(placement, "load_plan", lambda of: reads.append(1) or load(of))
-    keeper = PlanManager(loop, lambda: 0.0, lambda sizes: None)
-    keeper.set_plan(None, PlacementTable(file=str(path), every_s=0.001))
+    manager = PlanManager(loop, lambda: 0.0, lambda sizes: None)
+    manager.set_plan(None, PlacementTable(file=str(path), every_s=0.001))
     loop.run_until_complete(asyncio.sleep(3.0))
-    assert len(reads) == 1 and keeper._plan is not None
+    assert len(reads) == 1 and manager._plan is not None
     path.write_bytes(msgspec.json.encode(Plan(1, 0.0, {"a": 1.0}, fence=22)))
     loop.run_until_complete(asyncio.sleep(0.5))
-    assert len(reads) == 2 and keeper._plan.fence == 22
-    assert loop.poll.turns < 200  # looks are 0.1 s apart at least
-    keeper.close()
+    assert len(reads) == 2 and manager._plan.fence == 22
+    assert loop.poll.turns < 200  # reads are at least 0.1 s apart
+    manager.close()
     loop.close()
