--- a/violetroute/distribution/__main__.py
+++ b/violetroute/distribution/__main__.py
@@ -1,9 +1,9 @@
-"""`python -m violetroute.distribution FILE`: one control machine.  Start-up, signals, exit.
+"""`python -m violetroute.distribution FILE`: runs one control machine.
 
-Prints one JSON line once it serves.  SIGHUP reads the file anew and takes on its `[log]`.
+Prints one JSON line once it serves.  SIGHUP reloads the file and applies its `[log]` table.
 
-Exit codes: 0 after SIGTERM or SIGINT; 1 where it cannot serve or its disk fails; 2 for a file that
-cannot be meant.
+Exit codes: 0 after SIGTERM or SIGINT; 1 if it cannot start or an error ends it, such as a failed
+disk; 2 for an invalid file.
 """
 
 from __future__ import annotations
@@ -28,22 +28,21 @@
 
 
 def report(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """The loop's exception handler: one stray error ends its own connection alone."""
+    """Event loop exception handler: logs the error and keeps the process running."""
     logs.event("control.fault", what=str(context.get("message")), error=context.get("exception"))
 
 
 class Reloader:
-    """SIGHUP: takes on what the file says now of `[log]`, and says what waits for a restart.
+    """Handles SIGHUP: applies the file's `[log]` table and logs which keys need a restart.
 
-    A file that cannot be used changes nothing.  A signal that comes before the process serves is
-    acted on once it does.
+    An invalid file changes nothing.  A signal before the process serves takes effect once it does.
     """
 
     def __init__(self, path: str, file: ControlFile, log_handler: Logs) -> None:
         self._path, self._running, self._log_handler = path, file, log_handler
 
     def reload(self) -> None:
-        """Read the file anew."""
+        """Reloads the file."""
         try:
             file = load_control_file(self._path)
         except ConfigError as error:
@@ -57,18 +56,18 @@
 
 
 class EarlySignal:
-    """Remembers a SIGHUP that comes before the loop runs; its default action ends the process."""
+    """Records an early SIGHUP, whose default action would end the process."""
 
     def __init__(self) -> None:
         self.pending = False
 
-    def came(self, number: int, frame: object) -> None:
-        """The handler."""
+    def record(self, number: int, frame: object) -> None:
+        """Signal handler."""
         self.pending = True
 
 
 async def serve(file: ControlFile, reloader: Reloader, early: EarlySignal) -> int:
-    """Until a signal or a failure; the exit code."""
+    """Runs until a signal or a failure, and returns the exit code."""
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(report)
     ended: asyncio.Future[int] = loop.create_future()
@@ -85,9 +84,9 @@
         loop.add_signal_handler(number, end, 0)
     try:
         control = ControlServer(file, SocketNetwork(loop), failed)
-        door = introspection_listener(file, control)
-        if door is not None:
-            await door.open()
+        listener = introspection_listener(file, control)
+        if listener is not None:
+            await listener.open()
     except (OSError, ValueError, StorageError) as error:
         print(f"violetroute.distribution: {error}", file=sys.stderr)
         return 1
@@ -98,23 +97,23 @@
     logs.event("control.serves", address=address, machine=file.name)
     print(json.dumps({"control": address}), flush=True)
     code = await ended
-    if door is not None:
-        door.close()
+    if listener is not None:
+        listener.close()
     await control.close()
     logs.event("control.ended", machine=file.name)
-    await asyncio.sleep(0)  # lets the loop tell what was closed last
+    await asyncio.sleep(0)  # lets callbacks of closed transports run
     return code
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """The exit code.  `arguments`: in place of those of the command line."""
+    """Runs the program; returns the exit code.  `arguments` replace those of the command line."""
     parser = argparse.ArgumentParser(
         prog="violetroute.distribution", description="A control machine of limebridge."
     )
     parser.add_argument("file", metavar="FILE", help="the control machine's file (TOML)")
     options = parser.parse_args(arguments)
     early = EarlySignal()
-    signal.signal(signal.SIGHUP, early.came)
+    signal.signal(signal.SIGHUP, early.record)
     log_handler = Logs(LineWriter(sys.stderr.fileno()).write, monotonic, wall, LogTable())
     log_handler.install()
     try:
--- a/violetroute/distribution/actions.py
+++ b/violetroute/distribution/actions.py
@@ -1,8 +1,8 @@
-"""What one control machine asks its surroundings to do, and what it is started with.  Data only.
+"""Actions, stored changes and settings of a control machine.  Data only.
 
-`Machine` decides; sockets, disk, clock and lease belong to `control.py` and to the test kit.  Each
-`Persist` and each `Send` has a ticket of its own and is answered exactly once with it.  The ticket
-of an `Answer` is the one under which the request came in.
+`Machine` decides; `control.py` or the test kit provides sockets, disk, clock and lease.  Each
+`Persist` and each `Send` has a unique ticket and is completed exactly once with it.  An `Answer`
+carries the ticket of the request that it answers.
 """
 
 from __future__ import annotations
@@ -31,10 +31,13 @@
 Response = Promise | FetchReply | ReportReply | PollReply | Published | StatusReply
 
 
-# --- changes of what is stored ---
+# --- changes of stored state ---
 @dataclass(frozen=True, slots=True)
 class SetPromise:
-    """Follow no leader with a lower fence; under this fence only `leader` ("": not known yet)."""
+    """Promise: follow no leader with a lower fence, and with this one only `leader`.
+
+    An empty `leader` is not known yet.
+    """
 
     fence: int
     leader: str
@@ -42,28 +45,28 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendBatches:
-    """Batches that follow the end of the log, in order and without a gap."""
+    """Append consecutive batches to the end of the log."""
 
     batches: tuple[Batch, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class TruncateAfter:
-    """Drop all batches behind this position; never a committed one."""
+    """Truncate the log after this position; never drops a committed batch."""
 
     position: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetBase:
-    """Drop all batches up to the snapshot's base.  Beyond the end: the log is empty from there."""
+    """Replace all batches up to the snapshot's base.  A base beyond the end empties the log."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class SetRecovering:
-    """False: this replica has recovered what a lost disk held, and counts for a quorum again."""
+    """Set the recovery flag.  False: recovered from a lost disk, counts for a quorum again."""
 
     recovering: bool
 
@@ -76,8 +79,8 @@
 class Persist:
     """Store the changes in order and durably, then call `Machine.persisted(now, ticket)`.
 
-    Several are stored in the order in which they were emitted.  A crash may lose any number of the
-    last ones that were not reported as persisted; of one of them no part, a part, or all.
+    `Persist` actions are stored in the order in which they were emitted.  A crash may lose any
+    suffix of those not yet reported as persisted; one of them may be stored in part.
     """
 
     ticket: int
@@ -88,7 +91,7 @@
 class Send:
     """Send a request to the control machine `to`, then call `Machine.replied` with the reply.
 
-    None is the reply when there was none within `timeout_s`.
+    The reply is None after `timeout_s` (seconds) or a failure.
     """
 
     ticket: int
@@ -99,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The response to the request that came in under `ticket`."""
+    """Send this response to the request with `ticket`."""
 
     ticket: int
     message: Response
@@ -107,9 +110,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Fenced:
-    """This machine's term is over: a leader with the higher `fence` exists.
+    """End this machine's term: a leader with the higher `fence` exists.
 
-    The lease keeper takes it as the floor of its next term.
+    The lease runner uses it as the lower bound of its next fence.
     """
 
     fence: int
@@ -117,12 +120,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseLease:
-    """Give the lease back: this machine can't lead now, another one may be able to."""
+    """Release the lease: this machine can't lead now, another one may be able to."""
 
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """One line of the log."""
+    """Write a log line: event name and fields, see `notices.py`."""
 
     event: str
     fields: tuple[tuple[str, str | int | float], ...] = ()
@@ -131,51 +134,49 @@
 Action = Persist | Send | Answer | Fenced | ReleaseLease | Notice
 
 
-# --- what a machine is started with ---
+# --- initial state and settings ---
 @dataclass(frozen=True, slots=True)
 class Stored:
-    """What the storage holds at the start of a process."""
+    """Stored state at the start of a process."""
 
     log: str  # identity of the log, the same on all machines
-    fence: int = 0  # promised
-    leader: str = ""  # to whom
+    fence: int = 0  # promised fence
+    leader: str = ""  # leader to which it was promised
     snapshot: Snapshot = field(default_factory=lambda: Snapshot(LogPoint()))
-    batches: tuple[Batch, ...] = ()  # those that follow the snapshot's base
-    recovering: bool = False  # the disk is a replacement of a lost one
+    batches: tuple[Batch, ...] = ()  # batches after the snapshot's base
+    recovering: bool = False  # the folder replaces a lost one
 
 
 @dataclass(frozen=True, slots=True)
 class MachineSettings:
-    """Fixed for the life of a process.  Times in seconds of the machine's own monotonic clock."""
+    """Settings, fixed for a process.  Times are seconds of the machine's monotonic clock."""
 
     name: str
     machines: tuple[str, ...]  # names of all control machines, this one included
-    batch_s: float = 0.1  # publications of one window become one batch
-    hold_s: float = 0.25  # a fetch without news is answered after this time
-    retry_s: float = 0.2  # first delay before a failed request is repeated; doubled up to 8 times
+    batch_s: float = 0.1  # window in which publications are combined into one batch
+    hold_s: float = 0.25  # a fetch without new data is answered after this time
+    retry_s: float = 0.2  # first retry delay of a failed request; grows to 8 times this
     timeout_s: float = 2.0  # of a request to another control machine
-    release_lease_after_s: float = (
-        10.0  # a leader without a majority gives the lease back after this time
-    )
-    stale_after_s: float = 2.8
-    drift: float = 0.05  # most that two clocks differ in rate
+    # A leader without a majority releases the lease after this time.
+    release_lease_after_s: float = 10.0
+    stale_after_s: float = 2.8  # staleness bound of the proxies
+    drift: float = 0.05  # maximum relative rate error of any clock
     keep_s: float = 3600.0  # committed batches are kept for this time
-    keep_bytes: int = 64 * 1024 * 1024  # and at most this many bytes of them
-    retention_interval_s: float = (
-        10.0  # between two looks for batches that need not be kept any more
-    )
-    max_publications: int = 1024  # that wait for their commit; beyond these: OVERLOADED
-    unix_offset_s: float = 0.0  # Unix time less the machine's clock at the start of the process
-    poll_hold_s: float = 0.8  # a proxy's poll without news is answered after this time
-    spread_s: float = 0.4  # least time between two answers with batches to one proxy
-    report_s: float = 0.2  # least time between two reports to the leader
-    heartbeat_s: float = 0.25  # most time between two reports
-    delta_bytes: int = 128 * 1024  # a proxy that lacks more gets a snapshot
-    catch_up_bytes_per_s: float = 4500.0  # for who lacks what was committed `stale_after_s` ago
+    keep_bytes: int = 64 * 1024 * 1024  # maximum bytes of kept committed batches
+    retention_interval_s: float = 10.0  # time between two removals of expired batches
+    max_publications: int = 1024  # uncommitted at a time; more are rejected as OVERLOADED
+    unix_offset_s: float = 0.0  # Unix time minus the machine's clock, at process start
+    poll_hold_s: float = 0.8  # a proxy's poll without new data is answered after this time
+    spread_s: float = 0.4  # minimum time between two answers with batches to one proxy
+    report_s: float = 0.2  # minimum time between two reports to the leader
+    heartbeat_s: float = 0.25  # maximum time between two reports
+    delta_bytes: int = 128 * 1024  # a proxy that lacks more bytes gets a snapshot
+    # Send rate for a proxy that lacks batches committed more than `stale_after_s` ago.
+    catch_up_bytes_per_s: float = 4500.0
     max_sessions: int = SESSIONS_PER_REPORT
 
     def sessions(self) -> SessionSettings:
-        """The part of them that concerns the proxies' sessions."""
+        """Returns the settings of the proxies' sessions."""
         return SessionSettings(
             hold_s=self.poll_hold_s,
             spread_s=self.spread_s,
--- a/violetroute/distribution/control.py
+++ b/violetroute/distribution/control.py
@@ -1,8 +1,8 @@
 """The control process: sockets, timers, disk and lease around one `Machine`.
 
-Every event of the outside becomes one call of the machine, on the loop's thread, and the actions
-that it returns are carried out in their order before the next event.  A fault in the machine ends
-the process: what it knows may be half changed, and what it has promised is on the disk.
+Every external event becomes one call of the machine on the event loop's thread.  The returned
+actions are executed in order before the next event.  An exception in the machine ends the process:
+its memory may be inconsistent, while its promises are safe on disk.
 """
 
 from __future__ import annotations
@@ -52,12 +52,11 @@
 
 
 class ControlServer:
-    """One control machine.
+    """One running control machine.
 
-    OSError where it cannot listen, StorageError for its folder, ValueError where the process may
-    have too few descriptors.
-
-    `failed` is told once, with the reason, when the process has to end by itself.
+    Raises OSError if it cannot listen, StorageError if its folder is unusable, and ValueError if
+    the process has too few file descriptors.  `failed` is called once with the reason, when an
+    error forces the process to end.
     """
 
     def __init__(self, file: ControlFile, net: Network, failed: Callable[[str], None]) -> None:
@@ -68,7 +67,7 @@
         self._timer_at = NEVER
         keys = read_keys(file.key_file)
         self._bounds = connection_bounds(soft_limit(), len(file.machine))
-        self._polls: set[int] = set()  # tickets of those that are not answered
+        self._polls: set[int] = set()  # tickets of unanswered polls
         self._addresses = {each.name: parse_address(each.address) for each in file.machine}
         self._storage = Storage(Path(file.folder), file.name)
         try:
@@ -95,16 +94,16 @@
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The listening address."""
         return self._server.address
 
     async def close(self) -> None:
-        """Hands the lease back, and ends; also after `failed` was told."""
+        """Releases the lease and closes everything; also needed after `failed` was called."""
         await self._fleet.close()
         self._stop()
 
     def status(self, what: str) -> ControlStatus:
-        """For looking in from this machine.  KeyError for what there is not."""
+        """Returns a view for the introspection socket.  Raises KeyError for an unknown view."""
         if what != "traffic":
             raise KeyError(what)
         return ControlStatus(
@@ -117,9 +116,9 @@
             client=replace(self._pool.traffic),
         )
 
-    # --- from the HTTP server ---
+    # --- called by the HTTP server ---
     def requested(self, ticket: int, path: str, body: bytes) -> None:
-        """A genuine request."""
+        """Handles an authenticated request."""
         try:
             message = decode_request(path, body)
         except UnreadableError:
@@ -133,20 +132,20 @@
         self._event(lambda now: self._machine.requested(now, ticket, message))
 
     def abandoned(self, ticket: int) -> None:
-        """Its connection has gone."""
+        """Handles the disconnect of a request's connection."""
         self._polls.discard(ticket)
         self._event(lambda _: self._machine.abandoned(ticket))
 
-    # --- from the lease ---
+    # --- called by the lease work ---
     def lead(self, fence: int) -> None:
-        """A term begins."""
+        """Starts a term with this fencing token."""
         self._event(lambda now: self._machine.lead(now, fence))
 
     def step_down(self) -> None:
-        """It is over."""
+        """Ends the term."""
         self._event(self._machine.step_down)
 
-    # --- from the disk ---
+    # --- called by the persister ---
     def _persisted(self, ticket: int) -> None:
         self._event(lambda now: self._machine.persisted(now, ticket))
 
@@ -159,7 +158,7 @@
                 self._carry_out(action)
         except Exception as error:
             logs.event("control.fault", what="an event of the machine", error=error)
-            self._end("a fault of ours")
+            self._end("internal error")
             return
         self._set_timer()
 
@@ -175,27 +174,27 @@
             case Fenced(fence):
                 self._work.fenced(fence)
             case ReleaseLease():
-                self._work.hand_on()
+                self._work.release_lease()
             case Notice():
                 log_notice(action)
 
     def _send(self, send: Send) -> None:
-        def told(body: bytes | None, _: str) -> None:
+        def reply_received(body: bytes | None, _: str) -> None:
             reply = decode_reply(send.message, body)
             self._event(lambda now: self._machine.replied(now, send.ticket, reply))
 
         address = self._addresses[send.to]
         path, body = path_of(send.message), encode(send.message)
         try:
-            self._pool.request(address, path, body, send.timeout_s, told)
+            self._pool.request(address, path, body, send.timeout_s, reply_received)
         except BusyError:
-            self._loop.call_soon(told, None, "")
+            self._loop.call_soon(reply_received, None, "")
 
-    # --- time ---
+    # --- timer ---
     def _set_timer(self) -> None:
         due = self._machine.next_at
         if self._ended or (self._timer is not None and self._timer_at <= due):
-            return  # a timer that comes early is set anew then
+            return  # an early timer is set again when it fires
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -207,7 +206,7 @@
         self._timer = None
         self._event(self._machine.tick)
 
-    # --- the end ---
+    # --- shutdown ---
     def _end(self, reason: str) -> None:
         if not self._ended:
             self._stop()
@@ -228,7 +227,7 @@
 
 
 def introspection_listener(file: ControlFile, control: ControlServer) -> IntrospectionSocket | None:
-    """Where it can be looked in at from this machine, if the file names a place."""
+    """Returns the local introspection socket, if the file configures one."""
     return IntrospectionSocket(file.socket, control.status) if file.socket else None
 
 
--- a/violetroute/distribution/control_choice.py
+++ b/violetroute/distribution/control_choice.py
@@ -1,10 +1,10 @@
-"""Which control machine a proxy asks, and when a better one is tried again.  Pure.
+"""Selection of the control machine that a proxy polls, with failover and failback.  No I/O.
 
-The machines of the proxy's own region come first, then all others,
-each group by rendezvous hashing of the proxy's name (Thaler and Ravishankar, 1998): the proxies of
-a machine that fails spread evenly over the others.  After a failure the next machine is asked at
-once, after further ones in a row with a jittered exponential backoff.  A proxy that is not at its
-first choice tries the better ones now and then, more rarely after each failed trial.
+Machines of the proxy's own region come first, then all others.  Each group is ordered by rendezvous
+hashing of the proxy's name (Thaler and Ravishankar, 1998), so the proxies of a failed machine
+spread evenly over the others.  After a first failure the next machine is polled at once, after
+further consecutive failures with jittered exponential backoff.  A proxy that is not at its first
+choice tries the preferred machines periodically, and less often after each failed round of trials.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from hashlib import blake2b
 from random import Random
 
-FIRST_TRIAL_DELAY_S = 5.0  # s at a lesser machine before a better one is tried
-MAX_TRIAL_DELAY_S = 60.0  # s between two trials at most, before jitter
-TRIAL_TIMEOUT_FRACTION = 0.5  # of `timeout_s`: a failed trial must not make the proxy stale
+FIRST_TRIAL_DELAY_S = 5.0  # time at a less preferred machine before the first trial
+MAX_TRIAL_DELAY_S = 60.0  # maximum time between two trials, before jitter
+TRIAL_TIMEOUT_FRACTION = 0.5  # of `timeout_s`, so that a failed trial does not make the proxy stale
 
 
 @dataclass(frozen=True, slots=True)
 class ControlEndpoint:
-    """A control machine: "HOST:PORT" and its region."""
+    """Address ("HOST:PORT") and region of a control machine."""
 
     address: str
     region: str
@@ -30,10 +30,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SubscriberSettings:
-    """Who this proxy is and whom it may ask; times in seconds of its own clock.
+    """Identity, control machines and times of a proxy.  Times are seconds of its own clock.
 
-    `drift`: the largest relative error of any clock.  The leader's bound has it, this module does
-    not need it (see the module's text); it is here since both ends are configured together.
+    `drift` is the maximum relative rate error of any clock.  It is unused on the proxy's side,
+    since the leader's bound already includes it (see `subscriber.py`).  It is here because both
+    sides are configured together.
     """
 
     name: str
@@ -50,7 +51,7 @@
 def preference(
     name: str, region: str, controls: Sequence[ControlEndpoint]
 ) -> tuple[ControlEndpoint, ...]:
-    """The order in which a proxy asks control machines: those of its region first."""
+    """Returns a proxy's order of preference; control machines of its region come first."""
 
     def rank(control: ControlEndpoint) -> tuple[bool, bytes]:
         key = f"{name}\0{control.address}".encode("utf-8", "surrogatepass")
@@ -60,79 +61,79 @@
 
 
 class ControlSelector:
-    """Which control machine is asked, when, and when a better one is tried again."""
+    """Tracks the current control machine, its failures and trials of preferred ones."""
 
     def __init__(self, settings: SubscriberSettings, random: Random) -> None:
         self._settings = settings
         self._random = random
         order = preference(settings.name, settings.region, settings.controls)
         self._order = tuple(control.address for control in order)
-        self._current = 0  # index in the order
-        self._failures = 0  # in a row, at current machines
-        self._trial = 0  # index of the better machine that is tried next
-        self._trial_pause_s = FIRST_TRIAL_DELAY_S
+        self._current = 0  # index in `_order`
+        self._failures = 0  # consecutive failures, across current machines
+        self._trial_index = 0  # index in `_order` of the preferred machine that is tried next
+        self._trial_delay_s = FIRST_TRIAL_DELAY_S
         self._trial_at = math.inf
-        self._returned_at: float | None = None  # when a trial succeeded last
+        self._returned_at: float | None = None  # time of the last successful trial
         self.retry_at = -math.inf
 
     def knows(self, address: str) -> bool:
-        """Whether this machine is one of the choice."""
+        """Whether this address is one of the configured control machines."""
         return address in self._order
 
     def target(self, now: float) -> tuple[str, float]:
-        """The address to ask and how long to wait for its answer."""
+        """Returns the address to poll and the timeout in seconds."""
         if self._current and not self._failures and now >= self._trial_at:
-            return self._order[self._trial], self._settings.timeout_s * TRIAL_TIMEOUT_FRACTION
+            return self._order[self._trial_index], self._settings.timeout_s * TRIAL_TIMEOUT_FRACTION
         return self._order[self._current], self._settings.timeout_s
 
     def succeeded(self, now: float, address: str) -> None:
-        """The machine gave a useful answer."""
+        """Records a usable answer of the machine at `address`."""
         index = self._order.index(address)
         if index != self._current:
             self._returned_at = now
             self._current = index
-            self._trial = 0
-            self._plan_trial(now)
+            self._trial_index = 0
+            self._schedule_trial(now)
         elif self._failures and self._current:
-            self._plan_trial(now)
+            self._schedule_trial(now)
         self._failures = 0
-        self._forgive(now)
+        self._reset_trial_delay(now)
 
     def failed(self, now: float, address: str) -> None:
-        """The machine gave no answer, or one that is of no use."""
+        """Records a missing or unusable answer of the machine at `address`."""
         if address != self._order[self._current]:
             self._trial_failed(now)
             return
-        if self._returned_at is not None:  # it was not well for long: try it more rarely
+        if self._returned_at is not None:  # it failed again soon: try it less often
             self._returned_at = None
-            self._lengthen_pause()
+            self._double_trial_delay()
         self._failures += 1
         self._current = (self._current + 1) % len(self._order)
-        self._trial = 0
+        self._trial_index = 0
         self.retry_at = now + self._backoff()
 
     def _trial_failed(self, now: float) -> None:
-        self._trial = (self._trial + 1) % max(1, self._current)
-        if self._trial == 0:
-            self._lengthen_pause()
-        self._plan_trial(now)
+        self._trial_index = (self._trial_index + 1) % max(1, self._current)
+        if self._trial_index == 0:
+            self._double_trial_delay()
+        self._schedule_trial(now)
 
     def _backoff(self) -> float:
-        """Nothing after the first failure, then exponential with jitter; seconds."""
+        """Returns the delay in seconds: 0 after the first failure, then exponential with jitter."""
         if self._failures == 1 and len(self._order) > 1:
             return 0.0
         exponent = min(self._failures - 1, 16)
-        longest = min(self._settings.retry_first_s * 2.0**exponent, self._settings.retry_most_s)
-        return longest * self._random.uniform(0.5, 1.0)
+        max_delay_s = min(self._settings.retry_first_s * 2.0**exponent, self._settings.retry_most_s)
+        return max_delay_s * self._random.uniform(0.5, 1.0)
 
-    def _lengthen_pause(self) -> None:
-        self._trial_pause_s = min(self._trial_pause_s * 2, MAX_TRIAL_DELAY_S)
+    def _double_trial_delay(self) -> None:
+        self._trial_delay_s = min(self._trial_delay_s * 2, MAX_TRIAL_DELAY_S)
 
-    def _forgive(self, now: float) -> None:
-        """Back for a whole longest pause without a failure: the next absence is a new one."""
+    def _reset_trial_delay(self, now: float) -> None:
+        """Resets the trial delay after `MAX_TRIAL_DELAY_S` without a failure since failback."""
         if self._returned_at is not None and now - self._returned_at >= MAX_TRIAL_DELAY_S:
             self._returned_at = None
-            self._trial_pause_s = FIRST_TRIAL_DELAY_S
+            self._trial_delay_s = FIRST_TRIAL_DELAY_S
 
-    def _plan_trial(self, now: float) -> None:
-        self._trial_at = now + self._trial_pause_s * self._random.uniform(0.5, 1.5)
+    def _schedule_trial(self, now: float) -> None:
+        self._trial_at = now + self._trial_delay_s * self._random.uniform(0.5, 1.5)
--- a/violetroute/distribution/control_file.py
+++ b/violetroute/distribution/control_file.py
@@ -1,4 +1,4 @@
-"""The control machine's own file (TOML), checked whole before anything starts."""
+"""The control machine's configuration file (TOML), validated completely before anything starts."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class MachineTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[[machine]]`: one control machine, as the others reach it."""
+    """`[[machine]]`: one control machine and the address at which the others reach it."""
 
     name: MachineName
     address: str  # "HOST:PORT"
@@ -34,45 +34,46 @@
 
 
 class Timings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[timings]`: the same at all control machines.  Seconds, where no other unit is said."""
-
-    stale_after_s: StaleAfter = STALE_AFTER_S  # the same at all proxies, too
-    drift: Annotated[float, msgspec.Meta(ge=0.0, le=0.2)] = DRIFT  # by which clocks' rates differ
-    batch_s: Annotated[float, msgspec.Meta(ge=0.0, le=60.0)] = 0.1  # in which publications are
-    #                           gathered into one batch
-    fetch_hold_s: Hold = 0.25  # for which a replica's fetch without news is held
-    hold_s: Hold = 0.8  # for which a proxy's poll without news is held
-    spread_s: Annotated[float, msgspec.Meta(ge=0.0, le=60.0)] = 0.4  # between two answers with
-    #                           batches to one proxy
-    report_s: Annotated[float, msgspec.Meta(ge=0.0, le=60.0)] = 0.2  # between two reports to the
-    #                           leader, at least
-    heartbeat_s: Hold = 0.25  # and at most
-    keep_s: Annotated[float, msgspec.Meta(ge=1.0, le=1e7)] = 3600.0  # for which batches are kept
-    delta_bytes: Annotated[int, msgspec.Meta(ge=1024, le=MESSAGE_BYTES)] = 128 * 1024  # of batches,
-    #                           beyond which a proxy is given a snapshot
-    # Bytes a second for a proxy that lacks batches which were committed `stale_after_s` ago.
+    """`[timings]`: must be equal on all control machines.  Seconds, unless stated otherwise."""
+
+    stale_after_s: StaleAfter = STALE_AFTER_S  # must equal the setting of all proxies, too
+    drift: Annotated[float, msgspec.Meta(ge=0.0, le=0.2)] = DRIFT  # max clock rate error
+    # Window in which publications are combined into one batch.
+    batch_s: Annotated[float, msgspec.Meta(ge=0.0, le=60.0)] = 0.1
+    fetch_hold_s: Hold = 0.25  # hold time of a replica's fetch without new data
+    hold_s: Hold = 0.8  # hold time of a proxy's poll without new data
+    # Minimum time between two answers with batches to one proxy.
+    spread_s: Annotated[float, msgspec.Meta(ge=0.0, le=60.0)] = 0.4
+    # Minimum time between two reports to the leader.
+    report_s: Annotated[float, msgspec.Meta(ge=0.0, le=60.0)] = 0.2
+    heartbeat_s: Hold = 0.25  # maximum time between two reports to the leader
+    # Retention time of committed batches.
+    keep_s: Annotated[float, msgspec.Meta(ge=1.0, le=1e7)] = 3600.0
+    # A proxy that lacks more bytes of batches gets a snapshot.
+    delta_bytes: Annotated[int, msgspec.Meta(ge=1024, le=MESSAGE_BYTES)] = 128 * 1024
+    # Bytes per second for a proxy that lacks batches committed more than `stale_after_s` ago.
     catch_up_bytes_per_s: Annotated[float, msgspec.Meta(ge=100.0, le=1e9)] = 4500.0
 
 
 class ControlFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole file."""
+    """All tables and keys of the file."""
 
-    name: MachineName  # one of the names of [[machine]]
-    listen: str  # "HOST:PORT"; port 0: any free one
-    folder: str  # the log; made by `limebridge control init`
-    key_file: str  # the key that proxies and control machines share
+    name: MachineName  # must be one of the names of [[machine]]
+    listen: str  # "HOST:PORT"; port 0: any free port
+    folder: str  # of the log; created by `limebridge control init`
+    key_file: str  # key shared by proxies and control machines
     machine: Annotated[
         tuple[MachineTable, ...], msgspec.Meta(min_length=1, max_length=MACHINES_MAX)
-    ]  # all control machines, this one among them
-    fleet: FleetTable  # the store of the lease; `works` is set by the process
+    ]  # all control machines, including this one
+    fleet: FleetTable  # store of the lease; the process sets `works`
     region: Region = ""
     timings: Timings = Timings()
     log: LogTable = LogTable()
-    socket: Annotated[str, msgspec.Meta(max_length=100)] = ""  # a Unix socket for looking in
+    socket: Annotated[str, msgspec.Meta(max_length=100)] = ""  # Unix socket for introspection
 
 
 def load_control_file(path: str) -> ControlFile:
-    """ConfigError, one line that names the file and the key."""
+    """Loads and validates the file.  Raises ConfigError, which names the file and the key."""
     file = to_struct(read_toml(path), ControlFile, path)
     try:
         _check(file)
@@ -84,7 +85,7 @@
 
 
 def restart_needed(before: ControlFile, now: ControlFile) -> list[str]:
-    """Keys and tables that differ and are taken on at the next start only: all but `[log]`."""
+    """Returns changed keys and tables that need a restart: all but `[log]`."""
     return [
         name
         for name in ControlFile.__struct_fields__
@@ -93,7 +94,7 @@
 
 
 def _check(file: ControlFile) -> None:
-    """ValueError "key: what is wrong"."""
+    """Validates across keys.  Raises ValueError with a message "key: reason"."""
     _check_address("listen", file.listen)
     for machine in file.machine:
         _check_address("machine", machine.address)
--- a/violetroute/distribution/descriptors.py
+++ b/violetroute/distribution/descriptors.py
@@ -1,11 +1,11 @@
-"""How many connections a control machine accepts, by its process's limit of descriptors.
+"""Connection limits of a control machine, derived from its limit of file descriptors.
 
-The lease's store, the log and the connections to the other machines need descriptors as well.  If
-accepted connections could take the last one, the lease would lapse and the next segment of the log
-could not be opened, which ends the process.  So the number of connections is bounded at the start.
+The lease store, the log and the connections to other machines need descriptors as well.  If
+accepted connections could use the last one, the lease would expire, and the next log segment could
+not be opened, which ends the process.  The number of connections is therefore bounded at start-up.
 
-Proxies have a part of them only: the other control machines and commands must find room at a
-machine that more proxies ask than it can serve, or a leader could lose its majority by it.
+Proxies may use only a part of them.  Other control machines and commands must be able to connect
+to a machine with too many proxies, since a leader could lose its majority otherwise.
 """
 
 from __future__ import annotations
@@ -16,32 +16,36 @@
 from .http_client import CLIENTS_PER_ADDRESS
 from .http_server import MAX_CONNECTIONS
 
-RESERVED_DESCRIPTORS = 64  # standard streams, loop, listeners, callers of the local socket, the
-#                            lease's store, the log
-COMMAND_CONNECTIONS = 16  # of `limebridge control`
-PROXY_CONNECTIONS_MIN = 32  # with room for fewer a control machine is of no use
+# Standard streams, event loop, listeners, clients of the local socket, lease store, log.
+RESERVED_DESCRIPTORS = 64
+COMMAND_CONNECTIONS = 16  # reserved for `limebridge control`
+PROXY_CONNECTIONS_MIN = 32  # a control machine with fewer would be useless
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionBounds:
-    """Of one control machine.  `proxies`: of these, for polls that are under way."""
+    """Maximum connections of a control machine, and of these, concurrent polls of proxies."""
 
     connections: int
     proxies: int
 
 
 def soft_limit() -> int:
-    """Descriptors that this process may have; twice MAX_CONNECTIONS if there is no limit."""
+    """Returns the soft limit of descriptors.
+
+    Without a limit it is a number that suffices for MAX_CONNECTIONS and all reserves.
+    """
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return 2 * MAX_CONNECTIONS if soft == resource.RLIM_INFINITY else soft
 
 
 def connection_bounds(descriptors: int, machines: int) -> ConnectionBounds:
-    """For a process that may have so many descriptors, one of so many control machines.
+    """Returns the limits for a process with `descriptors`, in a group of `machines`.
 
-    ValueError, one line, where they are too few.
+    Raises ValueError, with a one-line message, if there are too few descriptors.
     """
-    peers = CLIENTS_PER_ADDRESS * (machines - 1)  # connections that they open, and as many to them
+    # Inbound from the other machines, and as many outbound.
+    peers = CLIENTS_PER_ADDRESS * (machines - 1)
     connections = min(MAX_CONNECTIONS, descriptors - RESERVED_DESCRIPTORS - peers)
     proxies = connections - peers - COMMAND_CONNECTIONS
     if proxies < PROXY_CONNECTIONS_MIN:
--- a/violetroute/distribution/factory.py
+++ b/violetroute/distribution/factory.py
@@ -1,4 +1,4 @@
-"""Makes the proxy's side from the operator's table, and lets it tell the proxy's parts."""
+"""Builds the proxy's distribution service from the operator's table and connects its hooks."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class HooksReceiver(CountingReceiver):
-    """Hands what comes to the proxy's parts, and counts it."""
+    """Forwards purges and configuration changes to the proxy's hooks, and counts them."""
 
     __slots__ = ("_configuration", "_hooks")
 
@@ -30,46 +30,46 @@
         self._configuration = configuration
 
     def purge(self, key: str) -> None:
-        """The first fault of a part is raised once all parts have been told."""
+        """Calls all purge hooks, then raises the first error of a hook if there is one."""
         super().purge(key)
-        _tell_all(self._hooks.on_purge, key)
+        _call_all(self._hooks.on_purge, key)
 
     def invalidate_all(self, reason: str) -> None:
-        """As `purge`."""
+        """Calls all invalidation hooks; errors as for `purge`."""
         super().invalidate_all(reason)
-        _tell_all(self._hooks.on_purge_all, reason)
+        _call_all(self._hooks.on_purge_all, reason)
 
     def configure(self, change: ConfigurationChange) -> tuple[str, ...]:
-        """Taken on by the same checks as the operator's file."""
+        """Applies a table after the checks of the operator's file; returns reasons for refusal."""
         reasons = super().configure(change)
         return reasons if self._configuration is None else self._configuration.change(change)
 
 
-def _tell_all(parts: Sequence[Callable[[str], None]], text: str) -> None:
-    fault: Exception | None = None
-    for part in parts:
+def _call_all(hooks: Sequence[Callable[[str], None]], text: str) -> None:
+    first_error: Exception | None = None
+    for hook in hooks:
         try:
-            part(text)
-        except Exception as error:  # of one part: the others are told
-            fault = fault or error
-    if fault is not None:
-        raise fault
+            hook(text)
+        except Exception as error:  # the other hooks still run
+            first_error = first_error or error
+    if first_error is not None:
+        raise first_error
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyDistribution:
-    """The service, and what it has published of the operator's file."""
+    """The service, and the configuration published through the log."""
 
     service: DistributionService
     configuration: PublishedConfiguration
 
 
 def make_distribution(
-    table: DistributionTable, name: str, net: Network, hooks: EventHooks, take_on: ApplyTables
+    table: DistributionTable, name: str, net: Network, hooks: EventHooks, apply_tables: ApplyTables
 ) -> ProxyDistribution:
-    """OSError or ValueError where the key file cannot be read."""
+    """Builds the service.  Raises OSError or ValueError if the key file cannot be read."""
     keys = read_keys(table.key_file)
-    configuration = PublishedConfiguration(take_on)
+    configuration = PublishedConfiguration(apply_tables)
     receiver = HooksReceiver(hooks, configuration)
     service = DistributionService(table, keys, name, table.region, net, receiver)
     return ProxyDistribution(service, configuration)
@@ -78,11 +78,11 @@
 def introspection_listener(
     table: DistributionTable, service: DistributionService
 ) -> IntrospectionSocket | None:
-    """Where it can be looked in at from this machine, if the table names a place."""
+    """Returns the local introspection socket, if the table configures one."""
 
-    def answer(what: str) -> ServiceStatus:
+    def view(what: str) -> ServiceStatus:
         if what != "distribution":
             raise KeyError(what)
         return service.status()
 
-    return IntrospectionSocket(table.socket, answer) if table.socket else None
+    return IntrospectionSocket(table.socket, view) if table.socket else None
--- a/violetroute/distribution/lease.py
+++ b/violetroute/distribution/lease.py
@@ -1,4 +1,4 @@
-"""The lease of the leader: the work `distribution` of the fleet's runner."""
+"""Connects the leader lease to the control process: the work `distribution` of the fleet runner."""
 
 from __future__ import annotations
 
@@ -11,50 +11,50 @@
 WORK = "distribution"
 
 
-class Leading(Protocol):
-    """The control process."""
+class LeaseHolder(Protocol):
+    """The control process, as a lease holder."""
 
     def lead(self, fence: int) -> None:
-        """A term begins."""
+        """Starts a term with this fencing token."""
 
     def step_down(self) -> None:
-        """It is over; also told where none had begun."""
+        """Ends the term; also called when no term is active."""
 
 
 class LeaderWork:
-    """Tells the control process when it leads, and the lease's runner what became of the term.
+    """Forwards lease changes to the control process, and its results to the lease runner.
 
-    What the process says of its term is told from the loop: the runner may be in the middle of
-    beginning the term when the machine finds that it is fenced.
+    Calls to the runner are deferred with `call_soon`: the machine may find that it is fenced while
+    the runner is still starting the term.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, leading: Leading) -> None:
-        self._loop, self._leading = loop, leading
+    def __init__(self, loop: asyncio.AbstractEventLoop, holder: LeaseHolder) -> None:
+        self._loop, self._holder = loop, holder
         self._term: Term | None = None
 
-    # --- from the lease's runner ---
+    # --- called by the lease runner ---
     def begin(self, term: Term) -> None:
-        """The lease is ours."""
+        """Handles the acquired lease: starts the term."""
         self._term = term
-        self._leading.lead(term.fence)
+        self._holder.lead(term.fence)
 
     def end(self, ended: Callable[[], None]) -> None:
-        """It is not any more.  Nothing has to be waited for: followers compare the fence."""
+        """Handles the end of the lease.  No wait is needed, since followers compare fences."""
         self._term = None
-        self._leading.step_down()
+        self._holder.step_down()
         ended()
 
     def close(self) -> None:
-        """The process ends."""
+        """Drops the term at the end of the process."""
         self._term = None
 
-    # --- from the control process ---
+    # --- called by the control process ---
     def fenced(self, fence: int) -> None:
-        """A leader with this higher fence exists."""
+        """Reports to the runner that a leader with this higher fence exists."""
         if self._term is not None:
             self._loop.call_soon(self._term.fenced, fence)
 
-    def hand_on(self) -> None:
-        """Another machine may be able to lead."""
+    def release_lease(self) -> None:
+        """Releases the lease, since another machine may be able to lead."""
         if self._term is not None:
             self._loop.call_soon(self._term.transfer)
--- a/violetroute/distribution/notices.py
+++ b/violetroute/distribution/notices.py
@@ -1,4 +1,4 @@
-"""The machine's notices as lines of the log."""
+"""Writes the machine's notices to the log."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def log_notice(notice: Notice) -> None:
-    """One line; a notice that has no event of its own is told as `control.notice`."""
+    """Logs one line; notices without a log event of their own are logged as `control.notice`."""
     fields = dict(notice.fields)
     match notice.event:
         case "term_began":
--- a/violetroute/distribution/persister.py
+++ b/violetroute/distribution/persister.py
@@ -1,4 +1,4 @@
-"""Stores a machine's changes beside the loop, in order; several that wait share one fsync."""
+"""Stores a machine's changes in order on a writer thread; one fsync per group (group commit)."""
 
 from __future__ import annotations
 
@@ -12,14 +12,16 @@
 from .actions import Persist
 from .storage import Storage
 
-GROUP_MAX = 16  # `Persist` actions of one write: each has at most one message's bytes
-CLOSE_WAIT_S = 2.0  # for a write that is under way at the end
+GROUP_MAX = 16  # `Persist` actions per write; each has at most the bytes of one message
+CLOSE_WAIT_S = 2.0  # maximum wait for a running write at close
 
 
 class Persister:
-    """`persisted` is told each ticket once it is durable, `failed` once when nothing more can be.
+    """Writes `Persist` actions to the storage in order.
 
-    Both from the loop.  After a failure no ticket is told any more: the process has to end.
+    Calls `persisted` with each ticket once it is durable, and `failed` once with the reason when a
+    write fails.  Both run on the event loop.  After a failure nothing is written or reported any
+    more; the process must end.
     """
 
     def __init__(
@@ -36,12 +38,12 @@
         self._ended = False
 
     def submit(self, persist: Persist) -> None:
-        """Store its changes after those that were submitted before."""
+        """Queues the changes behind those submitted before."""
         self._waiting.append(persist)
         self._write_next()
 
     def close(self) -> None:
-        """Nothing is told any more; a write that is under way is waited for."""
+        """Stops callbacks and waits up to `CLOSE_WAIT_S` for a running write."""
         self._ended = True
         self._writer.close(CLOSE_WAIT_S)
 
--- a/violetroute/distribution/publications.py
+++ b/violetroute/distribution/publications.py
@@ -59,9 +59,8 @@
         self._max_pending = settings.max_publications
         self._fence = fence
         self._outbox = outbox
-        self._pending: OrderedDict[str, _Pending] = (
-            OrderedDict()
-        )  # by publication id, in order of arrival
+        # By publication id, in order of arrival.
+        self._pending: OrderedDict[str, _Pending] = OrderedDict()
         self._committed: OrderedDict[str, int] = OrderedDict()  # publication id -> position
         self._due_at = inf
 
