--- a/tests/violetroute/fleet/test_fleet_guards.py
+++ b/tests/violetroute/fleet/test_fleet_guards.py
@@ -17,8 +17,8 @@
 from tests.violetroute.fleet.test_fleet import (
     A,
     B,
-    call,
     batch,
+    call,
     consul_store,
     lease,
     owner,
--- a/violetroute/fleet/election.py
+++ b/violetroute/fleet/election.py
@@ -24,7 +24,7 @@
 from .lease import MAX_FENCE, Lease, LeaseVersion, version_of
 
 RENEW_FRACTION = 1.0 / 3.0  # of hold_s, after which a renewal is sent: two of them may be lost
-JITTER = 0.2  # fraction of a wait
+JITTER = 0.2  # max fraction by which a wait is shortened
 INFINITE = float("inf")
 FIRST_BACKOFF = 0.1  # fraction of a term, after the first failed call; doubles
 MAX_BACKOFF = 1.0  # fraction of a term: a recovered store is called again within one term
@@ -150,7 +150,7 @@
         # Seconds left when a late renewal was confirmed; 0 if it was in time.
         self.late_margin_s = 0.0
         self._observed: LeaseVersion | None = None
-        self._observed_at: float | None = None  # first seen so; None: not read yet
+        self._observed_at: float | None = None  # when it was first seen; None: not read yet
         self._available_at = 0.0  # earliest time at which the lease may be acquired
         self._acquire_at = self._renew_at = self._gained_at = self._sent_at = 0.0
         self._pending_call = ""  # acquire, renew, release or none
@@ -235,7 +235,7 @@
         return self._end_term("resigned", now) if self.state == "owner" else []
 
     def _acquire_due_at(self) -> float:
-        """When to acquire.  Each rank waits `step_s` longer, so no candidate waits forever."""
+        """When to acquire.  Each rank waits `step_s` longer; the wait is bounded, as ranks are."""
         return max(self._acquire_at, self._available_at + self.rank * self._timing.step_s)
 
     def _start_call(self, kind: str, now: float) -> int:
--- a/violetroute/fleet/job.py
+++ b/violetroute/fleet/job.py
@@ -34,7 +34,6 @@
 # After this time, or one term if longer, a job outside the event loop counts as hung.  A hung disk
 # blocks only its own jobs; lease renewals use a separate writer and would go on.
 JOB_TIMEOUT_S = 60.0
-#               holds up only what is done at it, and renewals have a writer of their own
 
 
 class Decider(Protocol):
@@ -80,14 +79,14 @@
         interval_s: float,
         endpoint: Address | None,
         path: str,
-        limit_s: float,
+        timeout_s: float,
         gather: Callable[[Callable[[str], None]], None] | None = None,
         on_close: Callable[[], None] = lambda: None,
     ) -> None:
         self.name, self._net, self._loop = name, net, net.loop
         self._decider, self._interval, self._gather = decider, interval_s, gather
         self._on_close = on_close
-        self._endpoint, self._path, self._limit = endpoint, path, limit_s
+        self._endpoint, self._path, self._timeout = endpoint, path, timeout_s
         self._outbox = Outbox(endpoint is not None)
         self._log = FencedLog(name, self._applied)
         self._term: Term | None = None
@@ -290,7 +289,7 @@
             self._net,
             endpoint,
             None,
-            self._limit,
+            self._timeout,
             self._path,
             headers,
             msgspec.json.encode(record.body),
--- a/violetroute/fleet/runner.py
+++ b/violetroute/fleet/runner.py
@@ -1,6 +1,6 @@
 """Runs leader election in the daemon: timers, calls to the store, starting and stopping works.
 
-`election` and `assignment` decide; this file performs the actions in this order:
+`election` and `assignment` decide; this file performs their actions by these rules:
 
 - at most one poll is pending, and at most one call for each work;
 - renewals that are due are sent together, so many works cost one call;
@@ -49,7 +49,7 @@
     fence: int
     me: IncarnationId
     is_valid: Callable[[], bool]  # whether an effect may start now
-    fenced: Callable[[int], None]  # reports a rejected effect and the fence that rejected it
+    fenced: Callable[[int], None]  # reports a rejected effect and its target's highest fence
     run: Callable[[Steps, Callable[[Result | None, str], None]], None]  # runs a log operation
     transfer: Callable[[], None]  # steps down, so that another process can take over
     term_s: float
@@ -229,10 +229,10 @@
         works = [work for work, elector in self._electors.items() if elector.is_candidate]
         held = {work: lease.nonce for work, lease in view.leases.items() if not lease.free}
         if view.members is None:
-            found = assignment.random_ranks(works, self.me, held)
+            ranks = assignment.random_ranks(works, self.me, held)
         else:
-            found = assignment.ranks(works, self.me, view.members, held)
-        for work, rank in found.items():
+            ranks = assignment.ranks(works, self.me, view.members, held)
+        for work, rank in ranks.items():
             self._electors[work].set_candidate(True, rank)
 
     def _balance(self, now: float) -> None:
