--- a/tests/violetroute/distribution/test_distribution_configuration.py
+++ b/tests/violetroute/distribution/test_distribution_configuration.py
@@ -74,7 +74,7 @@
         return ""
 
     def publish(self, position: int, *records: Record, complete: bool = False) -> tuple[str, ...]:
-        return self.published.change(ConfigurationChange(position, records, complete))
+        return self.published.apply_change(ConfigurationChange(position, records, complete))
 
 
 # --- the merge ---
@@ -116,12 +116,16 @@
     "a table for the next start": ("ledger", 'zone = "UTC"', "cannot be published"),
     "one machine's jobs": ("fleet", "works = []", "cannot be published"),
     "an unknown table": ("logs", "", "cannot be published"),
-    "a key for the next start": ("limits", "client_share = 0.5", "client_share: is set by"),
-    "a file of one machine": ("placement", 'file = "plan"', "file: is set by"),
-    "a secret": ("consul", 'token_file = "token"', "token_file: is set by"),
-    "sharing beyond budgets": ("sharing", 'listen = "127.0.0.1:1"', "listen: is set by"),
-    "no TOML": ("log", "level = ", "no TOML"),
-    "no text": ("log", "\udcff", "no TOML"),
+    "a key for the next start": (
+        "limits",
+        "client_share = 0.5",
+        "client_share: can only be set in",
+    ),
+    "a file of one machine": ("placement", 'file = "plan"', "file: can only be set in"),
+    "a secret": ("consul", 'token_file = "token"', "token_file: can only be set in"),
+    "sharing beyond budgets": ("sharing", 'listen = "127.0.0.1:1"', "listen: can only be set in"),
+    "no TOML": ("log", "level = ", "not valid TOML"),
+    "no text": ("log", "\udcff", "not valid TOML"),
     "an unknown key": ("log", 'levl = "info"', "did you mean level?"),
     "a wrong value": ("log", 'level = "loud"', "level:"),
     "too long": ("log", "#" * (MAX_BODY_BYTES + 1), "more than"),
--- a/tests/violetroute/distribution/test_distribution_http.py
+++ b/tests/violetroute/distribution/test_distribution_http.py
@@ -258,7 +258,7 @@
 
     with caplog.at_level(logging.INFO, "violetroute"):
         run(play)
-    assert refusals(caplog) == [{"reason": "a request without our signature", "count": 1}]
+    assert refusals(caplog) == [{"reason": "missing or invalid signature", "count": 1}]
 
 
 def test_during_a_change_of_keys_both_are_taken() -> None:
@@ -404,7 +404,7 @@
     with caplog.at_level(logging.INFO, "violetroute"):
         run(play)
     assert [line["reason"] for line in refusals(caplog)] == [
-        "half a request, or an answer that is not taken"
+        "timeout of an incomplete request or an unread answer"
     ]
 
 
@@ -419,14 +419,14 @@
         async with served() as (server, recorder):
             client, told = client_of(server.address), OnResponse()
             assert await asked(client) == (b"cba", "")
-            gone = server.gone
+            forget = server.forget
 
             def ask_before_the_end_is_read(connection: Any) -> None:
-                gone(connection)
+                forget(connection)
                 if server.connections == 0 and not client.busy and len(recorder.requests) == 1:
                     client.request("/poll", b"xyz", 10.0, told)
 
-            monkeypatch.setattr(server, "gone", ask_before_the_end_is_read)
+            monkeypatch.setattr(server, "forget", ask_before_the_end_is_read)
             await until(lambda: told.calls)
             (body, reason) = told.calls[0]
             assert body is None and reason
@@ -566,7 +566,7 @@
             client = client_of(address)
             assert await asked(client) == (b"old", "")
             body, reason = await asked(client)
-            assert body is None and "not signed" in reason
+            assert body is None and "no valid signature" in reason
             client.close()
 
     run(play)
--- a/tests/violetroute/distribution/test_distribution_unauthenticated_bodies.py
+++ b/tests/violetroute/distribution/test_distribution_unauthenticated_bodies.py
@@ -18,7 +18,7 @@
     run,
     served,
 )
-from violetroute.distribution.http_server import SHORT_BODY_BYTES, TOO_LONG, HttpServer
+from violetroute.distribution.http_server import SHORT_BODY_BYTES, TOO_MANY_LONG_BODIES, HttpServer
 from violetroute.distribution.messages import MESSAGE_BYTES
 from violetroute.distribution.unauthenticated import (
     MAX_UNAUTHENTICATED_BYTES,
@@ -76,7 +76,7 @@
 
     with caplog.at_level(logging.INFO, "violetroute"):
         run(play)
-    assert {"reason": TOO_LONG, "count": 1} in refusals(caplog)
+    assert {"reason": TOO_MANY_LONG_BODIES, "count": 1} in refusals(caplog)
 
 
 def test_short_bodies_of_strangers_count_as_well() -> None:
--- a/violetroute/distribution/committed_configuration.py
+++ b/violetroute/distribution/committed_configuration.py
@@ -1,4 +1,4 @@
-"""The last committed record of each configuration key, kept up to date with the commit.  Pure."""
+"""Keeps the last committed record of each configuration key.  Pure."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class CommittedConfiguration:
-    """What a snapshot of the present commit names.  Cost: O(records of the new commit)."""
+    """The configuration of a snapshot at the current commit.  Cost: O(newly committed records)."""
 
     __slots__ = ("_by_key", "_records")
 
@@ -17,14 +17,14 @@
         self._records: tuple[Record, ...] | None = None
 
     def committed(self, records: Iterable[Record]) -> None:
-        """These configuration records are committed, in this order."""
+        """Add configuration records that were committed, in this order."""
         for record in records:
             self._by_key[record.key] = record
             self._records = None
 
     @property
     def records(self) -> tuple[Record, ...]:
-        """One record of each key, shared by all snapshots until the next change."""
+        """The last record of each key.  All snapshots share the tuple until the next change."""
         if self._records is None:
             self._records = tuple(self._by_key.values())
         return self._records
--- a/violetroute/distribution/configuration.py
+++ b/violetroute/distribution/configuration.py
@@ -1,12 +1,12 @@
-"""Published tables of the operator's file, as a proxy merges them with its own file.  Pure.
+"""Published tables of the operator's file, which a proxy merges with its own file.  Pure.
 
-A published table replaces the file's table of the same name; the last position of the log wins.
-Only tables that SIGHUP changes can be published, and of these only keys that mean the same on every
-machine: keys that name files of one machine or need a restart stay the file's own.
+A published table replaces the file's table of the same name; the latest position in the log wins.
+Only tables that SIGHUP can change may be published, and only those keys that mean the same on every
+machine.  Keys that name local files or need a restart always come from the local file.
 
-The whole check is the caller's: `PublishedConfiguration` hands it the tables to merge and is told
-why they cannot be used.  Tables that were refused are tried again with the next change and the next
-SIGHUP, so that a mended file or a later record lets them in.
+The caller validates: `PublishedConfiguration` passes it the tables to merge and gets back the
+reason why they cannot be used.  Refused tables are tried again with the next change and the next
+SIGHUP, so that they are accepted once the file is fixed or a later record makes them valid.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from .configuration_change import ConfigurationChange
 from .messages import MAX_BODY_BYTES, Record
 
-# The tables that can be published, and those of their keys that stay each file's own.
+# The tables that can be published, and their keys that only the local file can set.
 LOCAL_KEYS: Mapping[str, frozenset[str]] = MappingProxyType(
     {
         "log": frozenset(),
@@ -52,114 +52,121 @@
 )
 
 
-NAME_CHARACTERS = 64  # of an unknown table's name, in a reason
+MAX_NAME_CHARACTERS = 64  # of an unknown table's name in an error text
 
 
-# By the table's name: the published table, or None to take it back.
+# The published table by its name, or None to remove it.
 TableChanges = dict[str, TomlTable | None]
 
 
 class TableRefusedError(Exception):
-    """A table cannot be published; one line."""
+    """A table cannot be published.  The text is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class PublishedTables:
-    """Tables by name, and the position of the last batch that changed one of them."""
+    """Published tables by name, and the position of the last batch that changed one of them."""
 
     values: Mapping[str, TomlTable] = field(default_factory=dict)
     position: int = 0
 
     def with_changes(self, changes: TableChanges, position: int) -> PublishedTables:
-        """These tables with some replaced, and without those whose change is None."""
+        """A copy with the changed tables, without those whose change is None."""
         values = {**self.values, **changes}
         kept = {name: table for name, table in values.items() if table is not None}
         return PublishedTables(kept, position)
 
     def merged(self, file: TomlTable) -> TomlTable:
-        """The operator's file, as `tomllib` gives it, with these tables in place of its own."""
+        """The operator's file as parsed by `tomllib`, with its tables replaced by these."""
         merged = dict(file)
         for name, table in self.values.items():
-            merged[name] = {**_local(name, file.get(name)), **table}
+            merged[name] = {**_local_keys(name, file.get(name)), **table}
         return merged
 
 
-# Reads the operator's file anew, checks it whole with these tables, and takes it on.  Answers with
-# the reason for which it cannot be used, in one line, or with "".
+# Reads the operator's file again, validates it merged with these tables, and applies it.  Returns
+# "", or one line with the reason why it cannot be used.
 ApplyTables = Callable[[PublishedTables], str]
 
 
 class PublishedConfiguration:
-    """What one proxy has in force of the published tables, and what it wants to have."""
+    """The published tables that one proxy has in force, and all that are published."""
 
-    __slots__ = ("_accepted", "_take_on", "_wanted")
+    __slots__ = ("_accepted", "_apply_tables", "_published")
 
-    def __init__(self, take_on: ApplyTables) -> None:
-        self._take_on = take_on
+    def __init__(self, apply_tables: ApplyTables) -> None:
+        self._apply_tables = apply_tables
         self._accepted = PublishedTables()
-        self._wanted = PublishedTables()  # the log's, those that were refused among them
+        self._published = PublishedTables()  # the tables of the log, also the refused ones
 
     @property
     def accepted(self) -> PublishedTables:
         """The tables that are in force."""
         return self._accepted
 
-    def change(self, change: ConfigurationChange) -> tuple[str, ...]:
-        """Take on the records together; the reasons of what was refused."""
+    def apply_change(self, change: ConfigurationChange) -> tuple[str, ...]:
+        """Apply the records together.  Returns one reason for each part that was refused."""
         reasons: list[str] = []
-        changes = _changes(change.records, reasons)
+        changes = _parse_changes(change.records, reasons)
         if not changes and not change.complete:
             return tuple(reasons)
         if change.complete:
-            self._wanted = tables = PublishedTables().with_changes(changes, change.position)
+            self._published = tables = PublishedTables().with_changes(changes, change.position)
         else:
-            self._wanted = self._wanted.with_changes(changes, change.position)
+            self._published = self._published.with_changes(changes, change.position)
             tables = self._accepted.with_changes(changes, change.position)
-        if not self._wanted.values and not self._accepted.values:
-            return tuple(reasons)  # nothing is published, as before
-        reason = self._try(tables)
+        if not self._published.values and not self._accepted.values:
+            return tuple(reasons)  # nothing is published now, and nothing was before
+        reason = self._apply_published(tables)
         if reason:
             reasons.append(_one_line(reason))
         return tuple(reasons)
 
     def reload(self) -> str:
-        """SIGHUP: the file anew, with the published tables.  "" or why the old ones stay."""
-        return self._try(self._accepted)
-
-    def _try(self, tables: PublishedTables) -> str:
-        """Try everything that is wanted, then `tables`."""
-        reason = self._take(self._wanted)
-        if reason and tables.values != self._wanted.values:
-            reason = self._take(tables)
+        """Read the file again (SIGHUP), merged with the published tables.
+
+        Returns "", or the reason why the old configuration stays in force.
+        """
+        return self._apply_published(self._accepted)
+
+    def _apply_published(self, tables: PublishedTables) -> str:
+        """Try to apply all published tables; if that fails, `tables`.  Returns "" or a reason."""
+        reason = self._apply(self._published)
+        if reason and tables.values != self._published.values:
+            reason = self._apply(tables)
         return reason
 
-    def _take(self, tables: PublishedTables) -> str:
-        reason = self._take_on(tables)
+    def _apply(self, tables: PublishedTables) -> str:
+        reason = self._apply_tables(tables)
         if not reason:
             self._accepted = tables
         return reason
 
 
 def check_name(name: str) -> None:
-    """TableRefusedError for a table that cannot be published."""
+    """Raise TableRefusedError for a table that cannot be published."""
     if name not in LOCAL_KEYS:
         known = ", ".join(LOCAL_KEYS)
-        shown = name[:NAME_CHARACTERS]
+        shown = name[:MAX_NAME_CHARACTERS]
         raise TableRefusedError(f"[{shown}] cannot be published; these can: {known}")
 
 
 def parse_table(name: str, body: bytes) -> TomlTable:
-    """A table of the operator's file from its TOML text.  TableRefusedError."""
+    """Parse a table of the operator's file from its TOML text.
+
+    Raises TableRefusedError for a table that cannot be published, is too large or invalid, or sets
+    a key that only the local file can set.
+    """
     check_name(name)
     if len(body) > MAX_BODY_BYTES:
         raise TableRefusedError(f"[{name}] has more than {MAX_BODY_BYTES} bytes")
     try:
         table = tomllib.loads(body.decode())
     except (ValueError, RecursionError) as error:
-        raise TableRefusedError(f"[{name}] is no TOML: {one_line(error)}") from None
+        raise TableRefusedError(f"[{name}] is not valid TOML: {one_line(error)}") from None
     local = sorted(LOCAL_KEYS[name] & table.keys())
     if local:
-        raise TableRefusedError(f"[{name}] {local[0]}: is set by each machine's own file")
+        raise TableRefusedError(f"[{name}] {local[0]}: can only be set in each machine's own file")
     try:
         to_struct({name: table}, Operator, "published")
     except ConfigError as error:
@@ -167,8 +174,8 @@
     return table
 
 
-def _changes(records: Iterable[Record], reasons: list[str]) -> TableChanges:
-    """The last change of each table; None takes a table back.  Unusable records are left out."""
+def _parse_changes(records: Iterable[Record], reasons: list[str]) -> TableChanges:
+    """The last change of each table; None removes it.  Appends to `reasons` for invalid records."""
     changes: TableChanges = {}
     for record in records:
         if not record.body:
@@ -182,12 +189,12 @@
 
 
 def _one_line(reason: str) -> str:
-    """Names from a record may hold anything."""
+    """Collapse whitespace: table names in a record may contain line breaks."""
     return " ".join(reason.split())
 
 
-def _local(name: str, table: object) -> TomlTable:
-    """The keys of the file's table that a published one does not replace."""
+def _local_keys(name: str, table: object) -> TomlTable:
+    """The keys of the file's table that a published table does not replace."""
     if not isinstance(table, dict):
         return {}
     return {key: value for key, value in table.items() if key in LOCAL_KEYS[name]}
--- a/violetroute/distribution/configuration_change.py
+++ b/violetroute/distribution/configuration_change.py
@@ -1,4 +1,4 @@
-"""Configuration records as a receiver gets them.  Data only."""
+"""A change of the published configuration, as a receiver gets it.  Data only."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationChange:
-    """The configuration records of one batch; `complete`: of a snapshot, so of all tables."""
+    """The configuration records of one batch.
+
+    `complete`: they come from a snapshot, so tables without a record are not published.
+    """
 
     position: int
     records: tuple[Record, ...]
--- a/violetroute/distribution/configuration_sizes.py
+++ b/violetroute/distribution/configuration_sizes.py
@@ -1,8 +1,8 @@
-"""Whether the configuration in the log fits into one snapshot.  Pure.
+"""Checks whether the configuration in the log fits into one snapshot.  Pure.
 
-A snapshot holds the last record of each configuration key, and is one message.  Records are counted
-when they are accepted or appended; those that are truncated or never appended are still counted
-until the process ends, which only makes the bound stricter.
+A snapshot is one message that holds the last record of each configuration key.  Records are counted
+when they are accepted or appended.  Records that are truncated or never appended stay counted until
+the process ends, which only makes the limit stricter.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
         self._bytes = 0
 
     def add(self, records: Iterable[Record]) -> None:
-        """They are in the log, or will be appended."""
+        """Count records that are in the log or will be appended to it."""
         for key, size in _largest(records).items():
             known = self._sizes.get(key, 0)
             if size > known:
@@ -30,7 +30,7 @@
                 self._bytes += size - known
 
     def fits(self, records: Iterable[Record]) -> bool:
-        """Whether a snapshot of the log can hold these too."""
+        """Whether a snapshot of the log can hold these records too."""
         largest = _largest(records)
         added = sum(max(0, size - self._sizes.get(key, 0)) for key, size in largest.items())
         keys = len(self._sizes.keys() | largest.keys())
--- a/violetroute/distribution/factory.py
+++ b/violetroute/distribution/factory.py
@@ -42,7 +42,7 @@
     def configure(self, change: ConfigurationChange) -> tuple[str, ...]:
         """Taken on by the same checks as the operator's file."""
         reasons = super().configure(change)
-        return reasons if self._configuration is None else self._configuration.change(change)
+        return reasons if self._configuration is None else self._configuration.apply_change(change)
 
 
 def _tell_all(parts: Sequence[Callable[[str], None]], text: str) -> None:
@@ -65,11 +65,11 @@
 
 
 def make_distribution(
-    table: DistributionTable, name: str, net: Network, hooks: EventHooks, take_on: ApplyTables
+    table: DistributionTable, name: str, net: Network, hooks: EventHooks, apply_tables: ApplyTables
 ) -> ProxyDistribution:
     """OSError or ValueError where the key file cannot be read."""
     keys = read_keys(table.key_file)
-    configuration = PublishedConfiguration(take_on)
+    configuration = PublishedConfiguration(apply_tables)
     receiver = HooksReceiver(hooks, configuration)
     service = DistributionService(table, keys, name, table.region, net, receiver)
     return ProxyDistribution(service, configuration)
--- a/violetroute/distribution/following.py
+++ b/violetroute/distribution/following.py
@@ -1,8 +1,9 @@
-"""A replica that does not lead: whom it asks for batches, and what it does with the answer.  Pure.
+"""The fetch loop of a follower: where it fetches batches from, and how it applies replies.  Pure.
 
-One fetch at a time, and none while something is on its way to the disk: a fetch acknowledges its
-`last` as durable.  The leader is the one that was promised; while it does not answer, the others
-are asked in turn, each second time, since a refusal names the leader that its sender knows.
+One fetch is in flight at a time, and none is sent while a write to the disk is pending, since a
+fetch acknowledges its `last` as durable.  The leader is the machine that the replica's last promise
+went to.  While the leader does not answer, every second fetch goes to one of the other machines in
+turn: a machine that does not lead names the leader it knows in its reply.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutstandingFetch:
-    """A fetch that has not been answered yet."""
+    """A fetch that has not been answered yet, and the machine it was sent to."""
 
     ticket: int
     to: str
@@ -31,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchResult:
-    """A reply of the leader that is followed; it has been applied."""
+    """A reply from the current leader that has been applied."""
 
     ticket: int
     sent_at: float
@@ -42,15 +43,15 @@
     """The fetch loop of one replica."""
 
     __slots__ = (
-        "_answered",
         "_backoff",
+        "_last_reply_number",
         "_name",
-        "_others",
         "_outbox",
         "_outstanding",
+        "_peer_index",
+        "_peers",
         "_replica",
         "_timeout_s",
-        "_turn",
     )
 
     def __init__(
@@ -62,30 +63,30 @@
         now: float,
     ) -> None:
         self._name = settings.name
-        self._others = tuple(name for name in settings.machines if name != settings.name)
+        self._peers = tuple(name for name in settings.machines if name != settings.name)
         self._timeout_s = settings.timeout_s
         self._replica = replica
         self._outbox = outbox
         self._backoff = Backoff(settings.retry_s, random, now)
         self._outstanding: OutstandingFetch | None = None
-        self._answered = 0  # number of the leader's last answer
-        self._turn = 0  # whom of the others to ask next
+        self._last_reply_number = 0  # `number` of the leader's last reply
+        self._peer_index = 0  # index in `_peers` of the machine tried last
 
     @property
     def leader(self) -> str:
-        """Whom this replica follows; empty if it knows no leader or was itself the last one."""
+        """The leader's name; empty if none is known or this machine was the last leader itself."""
         return "" if self._replica.leader == self._name else self._replica.leader
 
     @property
     def next_at(self) -> float:
-        """When `step` is wanted; infinite while a reply or the disk is waited for."""
+        """When `step` is due; infinite while a reply or a write to the disk is pending."""
         waiting = self._outstanding is not None or not self._replica.synced
-        return inf if waiting or not self._others else self._backoff.next_at
+        return inf if waiting or not self._peers else self._backoff.next_at
 
     def leader_changed(self, now: float) -> None:
-        """Another promise was made: what is on its way belongs to an earlier one."""
+        """A new promise was made: drop the outstanding fetch, which belongs to an earlier one."""
         self._outstanding = None
-        self._answered = 0
+        self._last_reply_number = 0
         self._backoff.succeeded(now)
 
     def step(self, now: float) -> None:
@@ -99,7 +100,7 @@
             replica.last,
             replica.commit,
             recovering=replica.recovering,
-            answered=self._answered,
+            answered=self._last_reply_number,
         )
         to = self._target()
         ticket = self._outbox.send(to, fetch, self._timeout_s)
@@ -108,18 +109,18 @@
     def _target(self) -> str:
         if self.leader and self._backoff.failures % 2 == 0:
             return self.leader
-        self._turn = (self._turn + 1) % len(self._others)
-        return self._others[self._turn]
+        self._peer_index = (self._peer_index + 1) % len(self._peers)
+        return self._peers[self._peer_index]
 
     def owns(self, ticket: int) -> bool:
-        """Whether the reply with this ticket is to the outstanding fetch."""
+        """Whether this ticket is that of the outstanding fetch."""
         return self._outstanding is not None and self._outstanding.ticket == ticket
 
     def replied(self, now: float, reply: Reply | None) -> FetchResult | None:
-        """The reply to the outstanding fetch; what the leader told, if it came from the leader."""
+        """Apply the reply to the outstanding fetch.  None if it failed or is not the leader's."""
         outstanding, self._outstanding = self._outstanding, None
         assert outstanding is not None
-        if not isinstance(reply, FetchReply) or not self._is_leaders(outstanding, reply):
+        if not isinstance(reply, FetchReply) or not self._is_from_leader(outstanding, reply):
             self._backoff.failed(now)
             return None
         try:
@@ -129,21 +130,21 @@
             self._backoff.failed(now)
             return None
         self._outbox.persist(changes)
-        self._answered = reply.number
+        self._last_reply_number = reply.number
         self._backoff.succeeded(now)
         return FetchResult(outstanding.ticket, outstanding.sent_at, reply)
 
-    def _is_leaders(self, outstanding: OutstandingFetch, reply: FetchReply) -> bool:
+    def _is_from_leader(self, outstanding: OutstandingFetch, reply: FetchReply) -> bool:
         return (
             reply.status != FetchStatus.NOT_LEADER
             and reply.fence == self._replica.fence == outstanding.fetch.fence
             and outstanding.to == self._replica.leader
         )
 
-    # --- for the checker ---
+    # --- for the state space explorer ---
     def key(self, now: float) -> tuple[Any, ...]:
-        """All that what follows depends on."""
+        """All state that the future behaviour depends on."""
         outstanding = self._outstanding
         sent = None if outstanding is None else (outstanding.to, outstanding.fetch)
         due = max(0.0, round(self._backoff.next_at - now, 6))
-        return (sent, self._answered, self._turn, self._backoff.failures, due)
+        return (sent, self._last_reply_number, self._peer_index, self._backoff.failures, due)
--- a/violetroute/distribution/http_client.py
+++ b/violetroute/distribution/http_client.py
@@ -1,13 +1,14 @@
-"""The client's side: kept HTTP/1.1 connections that carry one request at a time.
+"""HTTP client: persistent HTTP/1.1 connections that carry one request at a time.
 
-Promises of `HttpClient.request`:
+Guarantees of `HttpClient.request`:
 
-- `told` is called exactly once, from the loop, never from within `request`; never after `close`.
-- An answer counts only if it is whole, has status 200 and is signed for this very request.
-- Without an answer within `timeout_s` the connection is closed: a late answer cannot be taken for
-  that of a later request.
+- `on_response` is called exactly once, by the event loop, never from within `request` and never
+  after `close`.
+- A response is accepted only if it is complete, has status 200 and is signed for this request.
+- The connection is closed if there is no response within `timeout_s`, so that a late response
+  cannot be taken for that of a later request.
 
-"No answer" means nothing: the server may have taken the request and acted on it.
+A missing response does not mean that the request failed: the server may have processed it.
 """
 
 from __future__ import annotations
@@ -24,9 +25,8 @@
 from .signing import HEADER, HEADER_NAME, RequestSignature, sign_request, verify_answer
 from .traffic import HEADER_BYTES, READ_BUFFER, Traffic
 
-IDLE_TIMEOUT_S = (
-    30.0  # after which a kept connection is not used again; less than the server's bound
-)
+# A connection is not reused after this idle time, which is less than the server's idle timeout.
+IDLE_TIMEOUT_S = 30.0
 CLIENTS_PER_ADDRESS = 8  # of a pool
 OK = 200
 
@@ -34,11 +34,11 @@
 
 
 class BusyError(Exception):
-    """A request is under way on this connection, or on all that a pool may have."""
+    """A request is in progress on this client, or on all clients that a pool may have."""
 
 
 class HttpClient:
-    """Requests to one address, one at a time, over a connection that is kept between them."""
+    """Sends requests to one address, one at a time, over a persistent connection."""
 
     __slots__ = (
         "_address",
@@ -47,8 +47,8 @@
         "_idle_since",
         "_keys",
         "_net",
+        "_on_response",
         "_timer",
-        "_told",
         "traffic",
     )
 
@@ -58,21 +58,21 @@
         self._net, self._address, self._keys = net, address, keys
         self.traffic = traffic if traffic is not None else Traffic()
         self._connection: _Connection | None = None
-        self._told: OnResponse | None = None
+        self._on_response: OnResponse | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._idle_since = 0.0
         self._closed = False
 
     @property
     def busy(self) -> bool:
-        """Whether a request is under way."""
-        return self._told is not None
+        """Whether a request is in progress."""
+        return self._on_response is not None
 
-    def request(self, path: str, body: bytes, timeout_s: float, told: OnResponse) -> None:
-        """POST `body` to `path`.  BusyError while another request is under way."""
-        if self._told is not None or self._closed:
+    def request(self, path: str, body: bytes, timeout_s: float, on_response: OnResponse) -> None:
+        """POST `body` to `path`.  Raises BusyError during another request and after `close`."""
+        if self._on_response is not None or self._closed:
             raise BusyError
-        self._told = told
+        self._on_response = on_response
         self.traffic.requests += 1
         loop = self._net.loop
         self._timer = loop.call_later(timeout_s, self._failed, "no answer in time")
@@ -83,33 +83,36 @@
         connection.send(path, body, sign_request(self._keys, path, body))
 
     def close(self) -> None:
-        """Nothing more is told; the server may have taken what was under way all the same."""
+        """Close the connection; `on_response` is not called any more.
+
+        The server may still process a request that was in progress.
+        """
         self._closed = True
         self._finish()
         self._disconnect()
 
     # --- from the connection ---
-    def _answered(self, body: bytes, keep: bool) -> None:
-        told = self._finish()
+    def _response_received(self, body: bytes, keep_alive: bool) -> None:
+        on_response = self._finish()
         self._idle_since = self._net.loop.time()
-        if not keep:
+        if not keep_alive:
             self._disconnect()
-        if told is not None:
-            told(body, "")
+        if on_response is not None:
+            on_response(body, "")
 
     def _failed(self, reason: str) -> None:
-        told = self._finish()
+        on_response = self._finish()
         self._disconnect()
-        if told is not None:
+        if on_response is not None:
             self.traffic.failures += 1
-            told(None, reason)
+            on_response(None, reason)
 
     def _finish(self) -> OnResponse | None:
-        told, self._told = self._told, None
+        on_response, self._on_response = self._on_response, None
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        return told
+        return on_response
 
     def _disconnect(self) -> None:
         connection, self._connection = self._connection, None
@@ -118,7 +121,7 @@
 
 
 class _Connection:
-    """One connection of a client.  After `drop` it tells its client nothing."""
+    """One connection of a client.  After `drop` it does not call its client any more."""
 
     __slots__ = (
         "_body",
@@ -137,9 +140,9 @@
     ) -> None:
         self._client: HttpClient | None = client
         self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEADER_BYTES)
-        self._pending = b""  # a request that waits for the connection
+        self._pending = b""  # a request to send once the connection is established
         self._opened = False
-        self._signature: RequestSignature | None = None  # of the request under way
+        self._signature: RequestSignature | None = None  # of the request in progress
         self._status, self._mac = 0, b""
         self._body = bytearray()
         self._stream: Stream = net.connect(address, self, timeout_s)
@@ -196,7 +199,7 @@
             return
         self._client.traffic.bytes_in += count
         if self._signature is None:
-            self._fail("the server sent what was not asked for")
+            self._fail("the server sent data without a request")
             return
         self._parse(bytes(READ_BUFFER[:count]))
 
@@ -209,7 +212,7 @@
         pass
 
     def lost(self, error: OSError | None) -> None:
-        self._fail(str(error or "the connection is gone"))
+        self._fail(str(error or "the connection is closed"))
 
     # --- the answer ---
     def _parse(self, data: bytes) -> None:
@@ -218,10 +221,13 @@
             while self._client is not None and self._next_event():
                 pass
         except (h11.RemoteProtocolError, ValueError) as error:
-            self._fail(f"no answer that can be read: {error}")
+            self._fail(f"invalid HTTP response: {error}")
 
     def _next_event(self) -> bool:
-        """Whether to go on.  ValueError for an answer that is too long."""
+        """Process the next event.  Returns whether to continue.
+
+        Raises ValueError if the response is too long.
+        """
         event = self._http.next_event()
         match event:
             case h11.Response(status_code=status, headers=headers):
@@ -229,7 +235,7 @@
                 self._mac = dict(headers).get(HEADER_NAME, b"")
             case h11.Data(data=data):
                 if len(self._body) + len(data) > MESSAGE_BYTES:
-                    raise ValueError("it is too long")
+                    raise ValueError("the body is too long")
                 self._body += data
             case h11.EndOfMessage():
                 self._complete()
@@ -249,17 +255,17 @@
         if self._status != OK:
             self._fail(f"status {self._status}")
         elif not verify_answer(client._keys, signature, self._mac, body):
-            self._fail("the answer is not signed by our key for this request")
+            self._fail("the response has no valid signature for this request")
         else:
-            keep = self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
-            keep = keep and not self._http.trailing_data[0]
-            if keep:
+            keep_alive = self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
+            keep_alive = keep_alive and not self._http.trailing_data[0]
+            if keep_alive:
                 self._http.start_next_cycle()
-            client._answered(body, keep)
+            client._response_received(body, keep_alive)
 
 
 class HttpPool:
-    """Kept connections to several addresses; requests to one address at a time go over several."""
+    """Clients for several addresses; concurrent requests to one address use several clients."""
 
     __slots__ = ("_clients", "_keys", "_net", "traffic")
 
@@ -269,9 +275,9 @@
         self._clients: dict[Address, list[HttpClient]] = {}
 
     def request(
-        self, address: Address, path: str, body: bytes, timeout_s: float, told: OnResponse
+        self, address: Address, path: str, body: bytes, timeout_s: float, on_response: OnResponse
     ) -> None:
-        """As `HttpClient.request`.  BusyError when CLIENTS_PER_ADDRESS requests are under way."""
+        """As `HttpClient.request`.  BusyError if CLIENTS_PER_ADDRESS requests are in progress."""
         clients = self._clients.setdefault(address, [])
         client = next((each for each in clients if not each.busy), None)
         if client is None:
@@ -279,10 +285,10 @@
                 raise BusyError
             client = HttpClient(self._net, address, self._keys, self.traffic)
             clients.append(client)
-        client.request(path, body, timeout_s, told)
+        client.request(path, body, timeout_s, on_response)
 
     def close(self) -> None:
-        """Nothing more is told."""
+        """Close all clients; no `on_response` is called any more."""
         for clients in self._clients.values():
             for client in clients:
                 client.close()
--- a/violetroute/distribution/http_server.py
+++ b/violetroute/distribution/http_server.py
@@ -1,18 +1,18 @@
-"""The server's side: bounded HTTP/1.1 connections, one request at a time on each.
+"""HTTP/1.1 server with bounded resources: one request at a time on each connection.
 
-A request is told to the handler once it is whole and its signature holds, with a *ticket*: the
-number by which it is answered, at once or much later.  If the connection goes first, the handler is
-told that the ticket was abandoned, exactly once, and an answer to it does nothing.
+A request is passed to the handler once it is complete and its signature is valid, with a *ticket*:
+the number by which it is answered, at once or much later.  If the connection closes first, the
+handler is notified exactly once that the ticket was abandoned; an answer to it has no effect.
 
-Bounds: connections; a request's head, body and the time it may take; the bytes of all long bodies
-that are not whole yet, and of all bodies on unauthenticated connections; idle time; the time to
-take an answer.  A peer that sends more while its request is under way is disconnected: we never
-keep what we are not ready for.
+Limits: connections; a request's header, body and duration; the bytes of all long bodies not yet
+complete, and of all bodies on unauthenticated connections; idle time; the time to read an answer.
+A peer that sends more data while its request is in progress is disconnected: the server never
+buffers data that it is not ready to process.
 
-A connection is *unauthenticated* until a genuine request has come on it.  When all places are
-taken, the oldest unauthenticated connection makes way for a new one, so that a host without a key
-cannot keep the others out.  One on which a long request is arriving counts as new again with every
-`PROGRESS_BYTES`.  One that has been authenticated keeps its place.
+A connection is *unauthenticated* until a request with a valid signature has arrived on it.  At the
+limit of connections, a new one evicts the oldest unauthenticated one, so that a host without a key
+cannot lock out the others.  A connection on which a long request is arriving counts as new again
+after every `PROGRESS_BYTES`.  An authenticated connection is never evicted.
 """
 
 from __future__ import annotations
@@ -39,34 +39,34 @@
 
 MAX_CONNECTIONS = 4096
 BACKLOG = 1024
-REQUEST_TIMEOUT_S = 10.0  # from a request's first byte, or the connection's begin, to its last byte
+REQUEST_TIMEOUT_S = 10.0  # from a request's first byte, or the connection's start, to its last byte
 IDLE_TIMEOUT_S = 60.0  # between an answer and the next request
-ANSWER_TIMEOUT_S = 20.0  # for the peer to take an answer
-SWEEP_INTERVAL_S = 1.0  # between two looks at these times
-SHORT_BODY_BYTES = 16 * 1024  # up to here a body does not count towards MAX_LONG_BODIES_BYTES
-MAX_LONG_BODIES_BYTES = 64 * 1024 * 1024  # of all long bodies that are not whole yet
-MAX_ACCEPTS_PER_ITERATION = 64  # of the loop: what is open has to be served meanwhile
-ACCEPT_RETRY_S = 1.0  # after the descriptors ran out
+ANSWER_TIMEOUT_S = 20.0  # for the peer to read an answer
+SWEEP_INTERVAL_S = 1.0  # between two checks of the connections' deadlines
+SHORT_BODY_BYTES = 16 * 1024  # only bytes beyond this count towards MAX_LONG_BODIES_BYTES
+MAX_LONG_BODIES_BYTES = 64 * 1024 * 1024  # of all long bodies that are not complete yet
+MAX_ACCEPTS_PER_ITERATION = 64  # of the event loop, so that open connections are served meanwhile
+ACCEPT_RETRY_S = 1.0  # after the process ran out of file descriptors
 MAX_PATH_BYTES = 64
-PROGRESS_BYTES = 16_384  # of a body, after which a connection counts as a new one again
+PROGRESS_BYTES = 16_384  # of a body, after which its connection counts as new again
 NEVER = float("inf")
-NOT_UNDERSTOOD = "a request that is not understood"
-TOO_MANY = "too many connections"
-TOO_LONG = "too many long requests of unauthenticated connections"
+INVALID_REQUEST = "invalid request"
+TOO_MANY_CONNECTIONS = "too many connections"
+TOO_MANY_LONG_BODIES = "too many long requests of unauthenticated connections"
 
 
 class RequestHandler(Protocol):
-    """What the server tells.  It may answer from within `requested`."""
+    """Handles the server's requests.  It may answer from within `requested`."""
 
     def requested(self, ticket: int, path: str, body: bytes) -> None:
-        """A genuine request.  It has to be answered or refused once."""
+        """A request with a valid signature.  It must be answered or refused exactly once."""
 
     def abandoned(self, ticket: int) -> None:
-        """Who asked is gone; an answer would do nothing."""
+        """The request's connection was closed; an answer would have no effect."""
 
 
 class HttpServer:
-    """`address.port` 0 is any free one; `self.address` has it.  OSError when it cannot listen."""
+    """Listens on `address`; port 0 is any free one (see `self.address`).  Raises OSError."""
 
     def __init__(
         self,
@@ -79,7 +79,7 @@
     ) -> None:
         self.net, self.keys, self.handler = net, keys, handler
         self.traffic = traffic if traffic is not None else Traffic()
-        self.long_body_bytes = 0  # bytes, of those that are not whole yet
+        self.long_body_bytes = 0  # bytes beyond SHORT_BODY_BYTES of bodies not complete yet
         self._connections_max = connections
         self._connections: set[_Connection] = set()
         self.unauthenticated = UnauthenticatedConnections[_Connection]()
@@ -94,23 +94,23 @@
 
     @property
     def connections(self) -> int:
-        """Open ones."""
+        """Number of open connections."""
         return len(self._connections)
 
     def answer(self, ticket: int, body: bytes) -> None:
-        """With status 200.  Nothing happens for a ticket that was abandoned."""
+        """Answer with status 200.  Has no effect for an abandoned ticket."""
         connection = self._tickets.pop(ticket, None)
         if connection is not None:
             connection.answer(body)
 
-    def refuse(self, ticket: int, status: int, reason: str = NOT_UNDERSTOOD) -> None:
-        """With an empty body; the connection is closed.  `reason`: one of few, for the log."""
+    def refuse(self, ticket: int, status: int, reason: str = INVALID_REQUEST) -> None:
+        """Answer with an empty body and close.  `reason` is logged: one of few fixed texts."""
         connection = self._tickets.pop(ticket, None)
         if connection is not None:
             connection.refuse(status, reason)
 
     def close(self) -> None:
-        """Nobody new; every connection is closed, and nothing more is told."""
+        """Stop listening and close every connection.  The handler is not called any more."""
         self._closed = True
         self._tickets.clear()
         self._sweeper.cancel()
@@ -128,28 +128,28 @@
         if self._tickets.pop(ticket, None) is not None:
             self.handler.abandoned(ticket)
 
-    def refused(self, reason: str) -> None:
-        """Counted, and logged at most once a minute for each reason."""
+    def record_refusal(self, reason: str) -> None:
+        """Count a refusal; each reason is logged at most once a minute."""
         self.traffic.failures += 1
         self._refusals.record(self.net.loop.time(), reason)
 
     def body_grew(self, connection: _Connection, count: int) -> None:
-        """So many more bytes of a body came on it.  It may be closed for that, or others."""
-        for first in self.unauthenticated.add_to_body(connection, count):
-            self.refused(TOO_LONG)
-            self._evict(first)
+        """Count `count` more bytes of a body.  May close this connection or others."""
+        for evicted in self.unauthenticated.add_to_body(connection, count):
+            self.record_refusal(TOO_MANY_LONG_BODIES)
+            self._evict(evicted)
 
-    def gone(self, connection: _Connection) -> None:
+    def forget(self, connection: _Connection) -> None:
         self._connections.discard(connection)
         self.unauthenticated.remove(connection)
 
-    # --- the door and the clock ---
+    # --- the listening socket and the timer ---
     @property
     def _accepts_per_iteration(self) -> int:
-        """At most half of the places for unauthenticated connections.
+        """At most half of the connections that are left for unauthenticated ones.
 
-        So a new connection is not evicted before the loop has read what came with it: whoever sends
-        its request at once is heard, however many others connect.
+        So a new connection is not evicted before the event loop has read the data that came with
+        it: a client that sends its request at once is served, however many others connect.
         """
         authenticated = len(self._connections) - len(self.unauthenticated)
         places = self._connections_max - authenticated
@@ -163,7 +163,7 @@
             try:
                 stream = self._listener.accept(connection)
             except OSError:
-                self.refused("no descriptor is left")
+                self.record_refusal("out of file descriptors")
                 self._listener.watch(False)
                 self.net.loop.call_later(ACCEPT_RETRY_S, self._accept_again)
                 return
@@ -173,9 +173,9 @@
             self._admit(connection)
 
     def _admit(self, connection: _Connection) -> None:
-        """Give it a place, if need be that of the oldest unauthenticated connection."""
+        """Add a connection.  At the limit, evict the oldest unauthenticated one or reject it."""
         if len(self._connections) >= self._connections_max:
-            self.refused(TOO_MANY)
+            self.record_refusal(TOO_MANY_CONNECTIONS)
             oldest = self.unauthenticated.oldest()
             if oldest is None:
                 connection.abort()
@@ -185,7 +185,7 @@
         self.unauthenticated.add(connection)
 
     def _evict(self, connection: _Connection) -> None:
-        self.gone(connection)
+        self.forget(connection)
         connection.abort()
 
     def _accept_again(self) -> None:
@@ -196,7 +196,7 @@
         self._sweeper = self.net.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.net.loop.time()
         for connection in [each for each in self._connections if each.deadline <= now]:
-            connection.too_late()
+            connection.deadline_passed()
 
 
 class _Connection:
@@ -217,7 +217,7 @@
         self._server = server
         self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=HEADER_BYTES)
         self._stream: Stream | None = None
-        self._ticket = 0  # of the request that the handler has
+        self._ticket = 0  # of the request that the handler is processing; 0: none
         self._path = ""
         self._signature: RequestSignature | None = None
         self._body = bytearray()
@@ -233,7 +233,7 @@
         self._ticket = 0
         try:
             mac = sign_answer(self._server.keys, signature, body)
-        except KeyError:  # the key file has changed meanwhile
+        except KeyError:  # the key was removed from the key file during the request
             self.abort()
             return
         self._send(200, [("Content-Length", str(len(body))), (HEADER, mac)], body)
@@ -245,21 +245,21 @@
             self._close()
 
     def refuse(self, status: int, reason: str) -> None:
-        """Answer with an error and close."""
-        self._server.refused(reason)
+        """Answer with an error status and close the connection."""
+        self._server.record_refusal(reason)
         self._ticket = 0
         if self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             self._send(status, [("Content-Length", "0"), ("Connection", "close")], b"")
         self._close()
 
-    def too_late(self) -> None:
-        """The time of what is under way is over."""
+    def deadline_passed(self) -> None:
+        """Close the connection: its deadline has passed."""
         if self._http.our_state is not h11.IDLE or self._body or self._http.trailing_data[0]:
-            self._server.refused("half a request, or an answer that is not taken")
+            self._server.record_refusal("timeout of an incomplete request or an unread answer")
         self.abort()
 
     def abort(self) -> None:
-        self._forget_body()
+        self._discard_body()
         if self._stream is not None:
             self._stream.abort()
 
@@ -273,7 +273,7 @@
     def received(self, count: int) -> None:
         self._server.traffic.bytes_in += count
         if self._ticket:
-            self._server.refused("more was sent while a request is under way")
+            self._server.record_refusal("data received while a request is in progress")
             self.abort()
             return
         if self._http.our_state is h11.IDLE and not self._http.trailing_data[0]:
@@ -288,8 +288,8 @@
             self.deadline = self._now() + IDLE_TIMEOUT_S
 
     def lost(self, error: OSError | None) -> None:
-        self._forget_body()
-        self._server.gone(self)
+        self._discard_body()
+        self._server.forget(self)
         ticket, self._ticket = self._ticket, 0
         if ticket:
             self._server.abandon(ticket)
@@ -301,10 +301,10 @@
             while self._next_event():
                 pass
         except h11.RemoteProtocolError as error:
-            self.refuse(error.error_status_hint, "a request that is no HTTP or too long")
+            self.refuse(error.error_status_hint, "malformed or oversized HTTP request")
 
     def _next_event(self) -> bool:
-        """Whether to go on with what came."""
+        """Process the next event.  Returns whether to continue with the received data."""
         event = self._http.next_event()
         match event:
             case h11.Request():
@@ -319,9 +319,9 @@
     def _begin_request(self, request: h11.Request) -> bool:
         signature = parse_request_header(dict(request.headers).get(HEADER_NAME, b""))
         if request.method != b"POST" or len(request.target) > MAX_PATH_BYTES:
-            self.refuse(400, NOT_UNDERSTOOD)
+            self.refuse(400, INVALID_REQUEST)
         elif signature is None:
-            self.refuse(403, "a request without our signature")
+            self.refuse(403, "missing or invalid signature")
         else:
             self._path = request.target.decode("ascii")
             self._signature = signature
@@ -334,24 +334,24 @@
         length = len(self._body) + len(data)
         if length // PROGRESS_BYTES > len(self._body) // PROGRESS_BYTES:
             self._server.unauthenticated.renew(self)
-        counted = max(0, len(self._body) - SHORT_BODY_BYTES)
-        self._server.long_body_bytes += max(0, length - SHORT_BODY_BYTES) - counted
+        counted_before = max(0, len(self._body) - SHORT_BODY_BYTES)
+        self._server.long_body_bytes += max(0, length - SHORT_BODY_BYTES) - counted_before
         self._body += data
         self._server.body_grew(self, len(data))
         if self._stream is None or self._stream.closing:
-            return False  # that was too much
+            return False  # `body_grew` has closed this connection
         if length > MESSAGE_BYTES:
-            self.refuse(413, "a request that is no HTTP or too long")
+            self.refuse(413, "malformed or oversized HTTP request")
         elif length > SHORT_BODY_BYTES and self._server.long_body_bytes > MAX_LONG_BODIES_BYTES:
-            self.refuse(503, "too many long requests at one time")
+            self.refuse(503, "too many long requests in progress")
         return not self._stream.closing
 
     def _complete(self) -> bool:
         body = bytes(self._body)
-        self._forget_body()
+        self._discard_body()
         assert self._signature is not None
         if not verify_request(self._server.keys, self._signature, self._path, body):
-            self.refuse(403, "a request without our signature")
+            self.refuse(403, "missing or invalid signature")
             return False
         self._server.unauthenticated.remove(self)
         self._server.traffic.requests += 1
@@ -359,7 +359,7 @@
         self.deadline = NEVER
         self._server.handler.requested(self._ticket, self._path, body)
         if self._ticket and self._http.trailing_data[0]:
-            self._server.refused("more was sent while a request is under way")
+            self._server.record_refusal("data received while a request is in progress")
             self.abort()
         return not self._ticket and self._stream is not None and not self._stream.closing
 
@@ -381,12 +381,12 @@
         return self._stream is None or not self._stream.unsent
 
     def _close(self) -> None:
-        self._forget_body()
+        self._discard_body()
         self.deadline = self._now() + ANSWER_TIMEOUT_S
         if self._stream is not None:
             self._stream.close()
 
-    def _forget_body(self) -> None:
+    def _discard_body(self) -> None:
         self._server.long_body_bytes -= max(0, len(self._body) - SHORT_BODY_BYTES)
         self._server.unauthenticated.end_body(self)
         self._body.clear()
--- a/violetroute/distribution/session_end.py
+++ b/violetroute/distribution/session_end.py
@@ -1,4 +1,4 @@
-"""A proxy's last requests: they end its sessions at the control machines that it asked lately."""
+"""Ends a proxy's sessions at the control machines that it polled recently."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from .routes import encode, path_of
 from .traffic import Traffic
 
-END_TIMEOUT_S = 0.5  # a machine that does not answer drops the session by itself
+END_TIMEOUT_S = 0.5  # a machine that was not reached drops the session later by itself
 
 
 async def end_sessions(
     net: Network, keys: Keys, addresses: Iterable[str], poll: Poll, traffic: Traffic
 ) -> None:
-    """Send the poll to each address, over connections of its own; what is answered says nothing.
+    """Send the poll to each address over new connections; the answers are ignored.
 
-    Returns when all have answered or failed, after END_TIMEOUT_S at the latest.
+    Returns when all machines have answered or failed, after END_TIMEOUT_S at the latest.
     """
     clients = [HttpClient(net, parse_address(each), keys, traffic) for each in addresses]
     try:
@@ -32,11 +32,11 @@
 
 
 async def _request(net: Network, client: HttpClient, poll: Poll) -> None:
-    told: asyncio.Future[None] = net.loop.create_future()
+    finished: asyncio.Future[None] = net.loop.create_future()
 
     def finish(body: bytes | None, reason: str) -> None:
-        if not told.done():  # the caller may have been cancelled
-            told.set_result(None)
+        if not finished.done():  # the caller may have been cancelled
+            finished.set_result(None)
 
     client.request(path_of(poll), encode(poll), END_TIMEOUT_S, finish)
-    await told
+    await finished
--- a/violetroute/distribution/unauthenticated.py
+++ b/violetroute/distribution/unauthenticated.py
@@ -1,55 +1,58 @@
-"""Connections on which no genuine request has come yet, and which of them makes way.  Pure.
+"""Connections without an authenticated request yet, and which of them is evicted first.  Pure.
 
-Whether a request is genuine is known when it is whole, so a stranger can make the server hold the
-bodies of requests that never end. The sum of these bodies is bounded. Beyond it the body that began
-first is ended: whoever wants to end one of somebody else's has to bring as many bytes as the bound
-with bodies that began later, before that one is whole.
+A request can be authenticated only when it is complete, so a host without a key can make the server
+buffer the bodies of requests that never end.  The sum of these bodies is bounded.  Beyond it, the
+connection whose body began first is evicted.  To evict the connection of another host, an attacker
+must send as many bytes as the bound, in bodies that began later, before that body is complete.
 """
 
 from __future__ import annotations
 
 from typing import Generic, TypeVar
 
-MAX_UNAUTHENTICATED_BYTES = 16 * 1024 * 1024  # of all their bodies; the longest one has 4 MiB
+MAX_UNAUTHENTICATED_BYTES = 16 * 1024 * 1024  # of all their bodies; one body has at most 4 MiB
 
 Connection = TypeVar("Connection")
 
 
 class UnauthenticatedConnections(Generic[Connection]):
-    """Those of one server. `body_bytes`: of their bodies that are not whole yet."""
+    """The unauthenticated connections of one server.
+
+    `body_bytes`: the received bytes of their bodies that are not complete yet.
+    """
 
     def __init__(self, max_body_bytes: int = MAX_UNAUTHENTICATED_BYTES) -> None:
         self.body_bytes = 0
         self._body_bytes_most = max_body_bytes
         self._connections: dict[Connection, None] = {}  # the oldest first
-        self._bodies: dict[Connection, int] = {}  # bytes; the body that began first is the first
+        self._bodies: dict[Connection, int] = {}  # body bytes; in the order in which bodies began
 
     def __len__(self) -> int:
         return len(self._connections)
 
     def add(self, connection: Connection) -> None:
-        """A new one."""
+        """Add a new connection."""
         self._connections[connection] = None
 
     def remove(self, connection: Connection) -> None:
-        """It has been authenticated, or it is gone.  Nothing happens if it is not there."""
+        """Remove a connection that was authenticated or closed.  No effect if it is not there."""
         self._connections.pop(connection, None)
         self.end_body(connection)
 
     def renew(self, connection: Connection) -> None:
-        """It counts as the newest from now on, if it is there."""
+        """Make it the newest connection.  No effect if it is not there."""
         if connection in self._connections:
             del self._connections[connection]
             self._connections[connection] = None
 
     def oldest(self) -> Connection | None:
-        """The first to make way when all places are taken."""
+        """The connection to evict at the limit of connections; None if there is none."""
         return next(iter(self._connections), None)
 
     def add_to_body(self, connection: Connection, count: int) -> list[Connection]:
-        """So many more bytes came.  The connections that have to go, so that the bound holds.
+        """Count `count` more body bytes.  Removes and returns the connections to evict.
 
-        They are removed. Nothing is counted for a connection that is not there.
+        Bytes of a connection that is not there are not counted.
         """
         if connection not in self._connections:
             return []
@@ -63,5 +66,5 @@
         return ended
 
     def end_body(self, connection: Connection) -> None:
-        """Its body is whole, or is not kept any more."""
+        """Stop counting its body, which is complete or was discarded."""
         self.body_bytes -= self._bodies.pop(connection, 0)
