--- a/violetroute/distribution/factory.py
+++ b/violetroute/distribution/factory.py
@@ -42,7 +42,7 @@
     def configure(self, change: ConfigurationChange) -> tuple[str, ...]:
         """Applies a table after the checks of the operator's file; returns reasons for refusal."""
         reasons = super().configure(change)
-        return reasons if self._configuration is None else self._configuration.change(change)
+        return reasons if self._configuration is None else self._configuration.apply_change(change)
 
 
 def _call_all(hooks: Sequence[Callable[[str], None]], text: str) -> None:
