--- a/tests/violetroute/fleet/test_fleet.py
+++ b/tests/violetroute/fleet/test_fleet.py
@@ -560,9 +560,9 @@
     return Fleet(table, name, net, store_factory(table, net), work)
 
 
-async def until(what: Any) -> None:
+async def until(condition: Any) -> None:
     async with asyncio.timeout(20.0):
-        while not what():
+        while not condition():
             await asyncio.sleep(0.01)
 
 
--- a/tests/violetroute/fleet/test_fleet_guards.py
+++ b/tests/violetroute/fleet/test_fleet_guards.py
@@ -183,9 +183,9 @@
     )
 
 
-async def until(what: Any) -> None:
+async def until(condition: Any) -> None:
     async with asyncio.timeout(20.0):
-        while not what():
+        while not condition():
             await asyncio.sleep(0.01)
 
 
