--- a/tests/violetroute/distribution/test_control_log_events.py
+++ b/tests/violetroute/distribution/test_control_log_events.py
@@ -1,4 +1,4 @@
-"""`[log] events` of a control machine's file is checked by name, as the operator's file's is."""
+"""Event names in the control file's `[log] events` are validated as in the operator file."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def written(folder: Path, log: dict[str, Any]) -> Path:
-    """A control machine's file with this `[log]`."""
+    """Writes a control file with this `[log]` table."""
     machines = ControlMachines(folder, free_ports(1))
     if not machines.folder.joinpath("c0").exists():
         machines.write()
@@ -35,7 +35,7 @@
 
 @pytest.fixture
 def process_state() -> Iterator[None]:
-    """What `main` changes of this process is put back."""
+    """Restores the SIGHUP handler and log handlers that `main` replaces."""
     hangup, handlers = signal.getsignal(signal.SIGHUP), logging.getLogger().handlers[:]
     yield
     signal.signal(signal.SIGHUP, hangup)
@@ -57,7 +57,7 @@
     assert err.count("\n") == 1 and f"{path}: {HINT}" in err
 
 
-def test_both_files_say_the_same(tmp_path: Path) -> None:
+def test_control_and_operator_file_report_the_same_error(tmp_path: Path) -> None:
     control = written(tmp_path, {"events": UNKNOWN})
     operator = tmp_path / "operator.toml"
     operator.write_text(tomli_w.dumps({"log": {"events": UNKNOWN}}))
--- a/tests/violetroute/distribution/test_distribution_freshness.py
+++ b/tests/violetroute/distribution/test_distribution_freshness.py
@@ -1,8 +1,9 @@
-"""Whoever believes itself fresh has applied what is reported as in force, under any schedule.
+"""A proxy that considers itself fresh has applied everything reported as in force.
 
-These schedules do not reach every rule: builds that drop sessions without the drift of clocks, that
-report to an earlier leader again, or whose proxies take an age before they have applied all of the
-commit (every answer reaches it here), pass.  The tests of the single modules fail for them.
+Random fault schedules check this.  They do not reach every rule: builds pass that drop sessions
+without allowing for clock drift, that report to an earlier leader again, or whose proxies accept
+an age before they have applied the whole commit (here every answer reaches the commit).  The unit
+tests of the modules fail for these builds.
 """
 
 from __future__ import annotations
@@ -30,9 +31,9 @@
 
 
 def random_plan(seed: int, kinds: tuple[tuple[str, tuple[str, ...]], ...]) -> Plan:
-    """Up to eight faults of these kinds, any delays, and one change of leader.
+    """Generates up to eight faults of these kinds, random delays and one change of leader.
 
-    Drawn evenly from one seed: built by hypothesis field by field, most plans had hardly a fault.
+    All values derive from one seed: with fields built by hypothesis, most plans had hardly a fault.
     """
     random = Random(seed)
     faults = (random_fault(random, *random.choice(kinds)) for _ in range(random.randint(0, 8)))
--- a/tests/violetroute/distribution/test_distribution_in_force.py
+++ b/tests/violetroute/distribution/test_distribution_in_force.py
@@ -1,4 +1,4 @@
-"""What the leader reports as in force: by time, early, and what keeps it from being early."""
+"""The leader's in-force position: time rule, early rule and what delays the early rule."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Term:
-    """A term whose first batch, at position 1, is committed at 0."""
+    """A term whose first batch, at position 1, is committed at time 0."""
 
     def __init__(self, names: tuple[str, ...] = NAMES) -> None:
         self.core = InForceTracker(InForceSettings(), names, 0.0)
@@ -51,7 +51,7 @@
 
 
 def running(*states: SessionState, position: int = 5) -> Term:
-    """Both machines have reported at 1.0, `a` with these sessions; `position` was committed."""
+    """Returns a term with `position` committed and reports of both machines; `a` has `states`."""
     term = Term()
     term.committed(0.9, position)
     term.report(1.0, "b")
@@ -59,8 +59,8 @@
     return term
 
 
-# --- by time ---
-def test_the_bound_after_its_commit_a_batch_is_in_force() -> None:
+# --- time rule ---
+def test_batch_is_in_force_by_time_after_drop_after_s() -> None:
     term = Term()
     term.committed(2.0, 7)
     term.core.tick(BOUND, None)
@@ -72,7 +72,7 @@
     assert term.core.in_force == 7 and pytest.approx(2.8 * 1.05 / 0.95) == BOUND
 
 
-def test_earlier_terms_count_from_the_first_commit_of_this_one() -> None:
+def test_positions_of_earlier_terms_count_from_the_first_commit() -> None:
     core = InForceTracker(InForceSettings(), NAMES, 0.0)
     core.committed(10.0, 500)
     core.tick(10.0 + BOUND - 0.001, 13.0)
@@ -81,15 +81,15 @@
     assert core.in_force == 500
 
 
-# --- early ---
-def test_early_when_all_sessions_have_applied_it() -> None:
+# --- early rule ---
+def test_position_is_early_in_force_once_all_sessions_applied_it() -> None:
     term = running(state("p", 5), state("q", 4))
     assert term.core.in_force == 4 and term.core.applied == 4
     term.report(1.2, "a", state("q", 5), full=False)
     assert term.core.in_force == 5 and term.core.sessions == 2
 
 
-def test_not_early_while_a_machine_has_not_reported() -> None:
+def test_early_rule_waits_for_reports_of_all_machines() -> None:
     term = Term()
     term.report(1.0, "a", state("p", 1))
     assert term.core.in_force == 0 and term.core.applied == 1
@@ -97,7 +97,7 @@
     assert term.core.in_force == 1
 
 
-def test_a_machine_that_never_reports_counts_for_the_bound_only() -> None:
+def test_machine_without_report_delays_early_rule_only_for_drop_after_s() -> None:
     term = Term()
     term.report(1.0, "a", state("p", 1))
     term.report(BOUND, "a", full=False)
@@ -106,7 +106,7 @@
     assert term.core.in_force == 2
 
 
-def test_nothing_is_early_before_the_first_commit() -> None:
+def test_report_before_first_commit_is_refused() -> None:
     core = InForceTracker(InForceSettings(), NAMES, 0.0)
     reply = core.reported(5.0, Report("a", "i", 1, 1, True, running_ms=1e6), 0, 5.0)
     assert not reply.leader
@@ -114,7 +114,7 @@
     assert core.in_force == 0
 
 
-def test_a_finding_is_reported_once_as_of_has_reached_its_time() -> None:
+def test_early_position_waits_until_as_of_reaches_its_time() -> None:
     term = Term()
     term.report(0.9, "b")
     term.report(1.0, "a", state("p", 1), as_of=0.9)
@@ -125,7 +125,7 @@
     assert term.core.in_force == 1
 
 
-def test_without_as_of_only_the_time_counts() -> None:
+def test_early_rule_needs_as_of() -> None:
     term = Term()
     for machine in NAMES:
         report = Report(machine, "i", 1, 1, True, running_ms=1e6)
@@ -134,22 +134,22 @@
     assert term.core.in_force == 0
 
 
-def test_a_reply_tells_the_age() -> None:
+def test_report_reply_has_age_of_as_of() -> None:
     assert Term().report(2.0, "a", as_of=1.5) == ReportReply(True, 1, 1, 500.0)
 
 
-def test_a_finding_is_about_what_was_applied_at_its_time() -> None:
-    """A session that comes between the finding and as_of is not held to it."""
+def test_later_session_does_not_delay_an_early_position() -> None:
+    """A session that joins later does not delay a position that all had applied."""
     term = Term()
     term.report(0.9, "b")
     term.report(1.0, "a", state("p", 1), as_of=0.5)
     term.report(1.1, "b", state("new", 0), full=False, as_of=0.5)
     term.core.tick(1.2, 1.05)
-    assert term.core.in_force == 1  # the new one is answered only from position 1 on
+    assert term.core.in_force == 1  # the new session is answered only from position 1 on
 
 
 # --- machines that were restarted ---
-def test_a_restarted_machine_is_in_doubt_for_the_bound_since_its_start() -> None:
+def test_restarted_machine_blocks_early_rule_until_drop_after_s_of_uptime() -> None:
     term = Term()
     term.report(0.5, "b", running_s=0.2)
     term.report(0.6, "a")
@@ -158,32 +158,32 @@
     assert term.core.in_force == 0
 
 
-def test_a_machine_that_restarts_within_the_term_is_in_doubt_again() -> None:
+def test_machine_restart_within_the_term_blocks_early_rule_again() -> None:
     term = running(state("p", 5))
     term.report(1.5, "b", incarnation="j", running_s=0.1)
     term.committed(1.6, 6)
     term.report(1.7, "a", state("p", 6), full=False)
     assert term.core.in_force == 5
-    until = 1.0 + BOUND  # the earlier incarnation was answered at 1.0 last
+    until = 1.0 + BOUND  # the earlier incarnation was last answered at 1.0
     term.report(until - 0.1, "a", full=False)
     assert term.core.in_force == 5
     term.report(until + 0.01, "a", full=False)
     assert term.core.in_force == 6
 
 
-def test_a_replaced_incarnation_is_refused() -> None:
+def test_report_of_replaced_incarnation_is_refused() -> None:
     term = running()
     assert term.report(1.5, "b", incarnation="j").leader
     assert not term.report(1.6, "b", state("p", 0), incarnation="i").leader
     assert term.core.sessions == 0
 
 
-def test_an_unknown_machine_is_refused() -> None:
+def test_report_of_unknown_machine_is_refused() -> None:
     assert not Term().report(1.0, "z").leader
 
 
 # --- reports and their numbers ---
-def test_a_missing_report_asks_for_a_full_one_and_changes_nothing() -> None:
+def test_gap_in_report_numbers_requests_full_report() -> None:
     term = running(state("p", 4))
     reply = term.report(1.2, "a", state("p", 5), full=False, number=3)
     assert reply.send_full and reply.age_ms < 0 and term.core.applied == 4
@@ -191,20 +191,20 @@
     assert term.core.in_force == 5
 
 
-def test_a_copy_or_an_overtaken_report_changes_nothing() -> None:
+def test_duplicate_or_reordered_report_is_ignored() -> None:
     term = running(state("p", 4))
     term.report(1.2, "a", state("p", 5), state("q", 3), full=False)
     assert term.report(1.3, "a", state("p", 5), number=1).send_full
     assert term.core.sessions == 2 and term.core.applied == 3
 
 
-def test_the_first_report_of_a_term_has_to_be_full() -> None:
+def test_first_report_of_a_term_must_be_full() -> None:
     term = Term()
     assert term.report(1.0, "a", state("p", 1), full=False).send_full
     assert term.core.sessions == 0
 
 
-def test_a_full_report_replaces_and_an_end_removes() -> None:
+def test_full_report_replaces_and_end_removes_sessions() -> None:
     term = running(state("p", 4), state("q", 3))
     term.report(1.2, "a", full=False, ended=(("q", "i"),))
     assert term.core.in_force == 4 and term.core.sessions == 1
@@ -212,7 +212,7 @@
     assert term.core.in_force == 5 and term.core.sessions == 1
 
 
-def test_a_session_that_moves_counts_once_with_its_greatest_position() -> None:
+def test_moving_session_counts_once_with_its_greatest_position() -> None:
     term = running(state("p", 3))
     term.report(1.2, "b", state("p", 5), full=False)
     assert term.core.sessions == 1 and term.core.in_force == 5
@@ -220,19 +220,19 @@
     assert term.core.sessions == 1 and term.core.stale == 0
 
 
-def test_an_older_position_of_an_earlier_machine_takes_nothing_back() -> None:
+def test_older_position_from_another_machine_is_ignored() -> None:
     term = running(state("p", 5))
     term.report(1.2, "b", state("p", 2), full=False)
     assert term.core.applied == 5
 
 
-def test_two_incarnations_of_a_name_are_two() -> None:
+def test_two_incarnations_of_a_name_are_two_sessions() -> None:
     term = running(state("p", 5), state("p", 2, incarnation="j"))
     assert term.core.sessions == 2 and term.core.in_force == 2
 
 
-# --- silent machines ---
-def test_the_sessions_of_a_silent_machine_are_dropped_after_the_bound() -> None:
+# --- machines without reports ---
+def test_sessions_of_unresponsive_machine_are_dropped_after_drop_after_s() -> None:
     term = running(state("p", 2), position=2)
     term.committed(3.0, 6)
     term.report(1.0 + BOUND - 0.01, "b", full=False)
@@ -242,7 +242,7 @@
     assert term.core.sessions == 0 and term.core.in_force == 6
 
 
-def test_a_machine_that_was_dropped_has_to_report_in_full() -> None:
+def test_dropped_machine_must_send_full_report() -> None:
     term = running(state("p", 2))
     now = 1.0 + BOUND
     assert term.report(now, "a", full=False).send_full
@@ -250,7 +250,7 @@
 
 
 # --- status ---
-def test_who_is_missing_is_remembered_by_name_until_it_is_back() -> None:
+def test_missing_proxy_is_listed_until_it_reconnects() -> None:
     term = running(state("p", 5), state("q", 5))
     term.report(2.0, "a", full=False, ended=(("p", "i"),))
     (entry,) = term.core.lagging(12.0, 100)
@@ -259,7 +259,7 @@
     assert term.core.stale == 0 and term.core.lagging(12.0, 100) == ()
 
 
-def test_the_missing_are_forgotten_after_an_hour_and_bounded() -> None:
+def test_missing_proxies_expire_after_an_hour_and_are_bounded() -> None:
     term = running(state("p", 5))
     term.report(2.0, "a", full=False, ended=(("p", "i"),))
     term.core.tick(2.0 + MISSING_RETENTION_S - 1, None)
@@ -272,7 +272,7 @@
     assert other.core.stale == MAX_MISSING
 
 
-def test_who_lags_is_told_with_how_long() -> None:
+def test_lagging_proxies_are_listed_with_their_lag() -> None:
     term = running(state("p", 5), state("q", 3), state("z", 5))
     term.committed(2.0, 6)
     term.committed(3.0, 7)
@@ -281,14 +281,14 @@
     assert second.behind_s == pytest.approx(2.0) and not second.stale
 
 
-def test_refusals_are_told_until_the_proxy_has_none_any_more() -> None:
+def test_refusals_are_listed_until_the_proxy_has_none() -> None:
     term = running(state("p", 5, refused="bad table"))
     assert term.core.refused == (("p", 5, "bad table"),)
     term.report(1.2, "a", state("p", 6), full=False)
     assert term.core.refused == ()
 
 
-def test_the_time_of_being_in_force_is_kept_for_a_while() -> None:
+def test_in_force_times_are_kept_for_a_bounded_history() -> None:
     term = running(state("p", 5))
     assert term.core.in_force_at(3) == 1.0 and term.core.in_force_at(6) is None
     for index in range(3 * MAX_HISTORY):
--- a/tests/violetroute/distribution/test_distribution_log_faults.py
+++ b/tests/violetroute/distribution/test_distribution_log_faults.py
@@ -1,7 +1,7 @@
-"""Stories in which one rule of the log matters; without the rule each of them breaks a promise.
+"""Scenarios in which one safety rule of the log is decisive.
 
-Each story is played on the machines as they are, where every check of the cluster has to hold, and
-with the rule taken out, where one has to fail.
+Each scenario runs twice: on the real machines, where every cluster check must hold, and with the
+rule disabled by a patch, where a check must fail.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
 Fault = Callable[[pytest.MonkeyPatch], None]
 
 
-def led_by_first(size: int = 3) -> Cluster:
-    """A cluster that m0 leads, with everything committed everywhere."""
+def cluster_led_by_m0(size: int = 3) -> Cluster:
+    """Returns a cluster led by m0, with all batches committed on all machines."""
     cluster = Cluster(size)
     cluster.lead("m0")
     cluster.run(0.6)
@@ -40,8 +40,8 @@
     return frozenset(names)
 
 
-def heals(cluster: Cluster) -> None:
-    """Once all is well, a new leader commits."""
+def check_heals(cluster: Cluster) -> None:
+    """Ends all faults and checks that a new leader commits and all machines recover."""
     cluster.cut = cluster.slow_disks = frozenset()
     for name in cluster.names:
         cluster.nodes[name].paused = False
@@ -57,19 +57,19 @@
 
 
 def acknowledged_by(name: str, leader: Machine) -> int:
-    """The last position that the leader knows to be durable at this replica."""
+    """Returns the position that this replica has acknowledged to the leader."""
     assert leader._leadership is not None
     return {each[0]: each[1] for each in leader._leadership.positions(0.0)}[name]
 
 
-# --- stories ---
+# --- scenarios ---
 def ack_lost_with_the_process() -> Cluster:
-    """A replica's process ends while the batch is on its way to the disk."""
-    cluster = led_by_first()
+    """A replica crashes before the write of a batch reaches its disk."""
+    cluster = cluster_led_by_m0()
     cluster.cut, cluster.slow_disks = cut("m2"), cut("m1")
     cluster.publish("m0", "x")
     cluster.run(1.0)
-    cluster.nodes["m1"].writes.clear()  # nothing of it reached the disk
+    cluster.nodes["m1"].writes.clear()  # the write is lost
     cluster.crash("m1")
     cluster.cut, cluster.slow_disks = cut("m0"), frozenset()
     cluster.start("m1")
@@ -79,8 +79,8 @@
 
 
 def promise_lost_with_the_process() -> Cluster:
-    """A replica promises, its process ends before the promise is stored, and it follows the old."""
-    cluster = led_by_first()
+    """A replica crashes before its promise is stored, and then follows the old leader."""
+    cluster = cluster_led_by_m0()
     cluster.cut, cluster.slow_disks = cut("m0"), cut("m2")
     cluster.lead("m1")
     cluster.run(0.5)
@@ -94,8 +94,8 @@
 
 
 def leader_with_an_old_log() -> Cluster:
-    """The new leader lacks what was committed, and one of its majority has it."""
-    cluster = led_by_first()
+    """The new leader lacks a committed batch, and one replica of its majority has it."""
+    cluster = cluster_led_by_m0()
     cluster.cut = cut("m2")
     cluster.publish("m0", "x")
     cluster.run(1.0)
@@ -106,19 +106,19 @@
 
 
 def batch_of_an_earlier_term_at_a_majority() -> Cluster:
-    """Raft, figure 8: a batch of an earlier term is at a majority, and is replaced all the same."""
-    cluster = led_by_first()
+    """Raft, figure 8: a batch of an earlier term is on a majority, but is replaced later."""
+    cluster = cluster_led_by_m0()
     cluster.cut = cut("m1", "m2")
     cluster.publish("m0", "x")
-    cluster.run(0.5)  # x is at position 2 of m0 alone
+    cluster.run(0.5)  # x is only on m0, at position 2
     cluster.cut = cut("m0")
     cluster.lead("m1")
-    cluster.settle_until(lambda: cluster.machine("m1").replica.durable == 2)  # another batch there
+    cluster.settle_until(lambda: cluster.machine("m1").replica.durable == 2)  # another batch at 2
     cluster.flying.clear()
     cluster.cut = cut("m1")
     cluster.lead("m0")
     cluster.give_up_all("m2")
-    cluster.settle_until(lambda: cluster.machine("m2").replica.durable == 2)  # x is at m0 and m2
+    cluster.settle_until(lambda: cluster.machine("m2").replica.durable == 2)  # x is on m0 and m2
     cluster.settle_until(lambda: acknowledged_by("m2", cluster.machine("m0")) == 2)
     cluster.cut = cut("m0")
     cluster.flying.clear()
@@ -129,8 +129,8 @@
 
 
 def fetch_before_the_most_recent_log_is_copied() -> Cluster:
-    """A follower has what its leader is about to drop, at the positions that are written next."""
-    cluster = led_by_first(5)
+    """A follower has batches that its leader is about to truncate and to replace."""
+    cluster = cluster_led_by_m0(5)
     cluster.cut = cut("m2", "m3", "m4")
     for key in ("x", "y"):
         cluster.publish("m0", key)
@@ -155,8 +155,8 @@
 
 
 def repeated_fetch_from_before_the_answer() -> Cluster:
-    """Two fetches of one replica arrive after it has promised, and helped to commit, elsewhere."""
-    cluster = led_by_first()
+    """Two delayed fetches of a replica arrive after it followed and acknowledged a new leader."""
+    cluster = cluster_led_by_m0()
     first = cluster.hold_back("m1", Fetch)
     cluster.give_up_all("m1")
     second = cluster.hold_back("m1", Fetch)
@@ -169,9 +169,9 @@
     return cluster
 
 
-def lost_disk_at_once_elected_with() -> Cluster:
-    """What one of two acknowledged is gone with its disk, and the third asks it for a promise."""
-    cluster = led_by_first()
+def election_with_a_lost_disk() -> Cluster:
+    """One of two acknowledging replicas loses its disk, and the third requests its promise."""
+    cluster = cluster_led_by_m0()
     cluster.cut = cut("m2")
     cluster.publish("m0", "x")
     cluster.run(1.0)
@@ -184,8 +184,8 @@
 
 
 def recovery_ends_in_the_middle_of_the_log() -> Cluster:
-    """The leader fails while a machine whose disk was lost has a part of the log."""
-    cluster = led_by_first()
+    """The leader fails while a recovering machine has copied only a part of the log."""
+    cluster = cluster_led_by_m0()
     cluster.cut = cut("m2")
     for key in ("x", "y", "z"):
         cluster.publish("m0", key)
@@ -205,17 +205,17 @@
 
 
 def promise_from_before_the_loss(size: int) -> Cluster:
-    """A promise is on its way to a leader-to-be while the disk that held it is lost."""
-    cluster = led_by_first(size)
+    """A promise is in transit to a candidate while the disk that held it is lost."""
+    cluster = cluster_led_by_m0(size)
     candidate, promising = cluster.names[-1], cluster.names[-2 if size == 3 else 2]
     cluster.run(0.1)
     cluster.flying.clear()
     cluster.lead(candidate)
     cluster.sync(candidate)
-    asked = next(each for each in cluster.flying if each.to == promising)
-    assert isinstance(asked.message, Prepare)
+    request = next(each for each in cluster.flying if each.to == promising)
+    assert isinstance(request.message, Prepare)
     cluster.flying.clear()
-    cluster.arrive(asked)
+    cluster.arrive(request)
     cluster.sync(promising)
     promise = cluster.hold_back(candidate, Promise)
     cluster.flying.clear()
@@ -233,7 +233,7 @@
     return cluster
 
 
-# --- the rules taken out ---
+# --- disabled rules ---
 def acknowledged_before_durable(patch: pytest.MonkeyPatch) -> None:
     def next_at(self: FetchLoop) -> float:
         return inf if self._outstanding is not None else self._backoff.next_at
@@ -326,9 +326,9 @@
 
 @dataclass(frozen=True)
 class Case:
-    """A story, the rule without which it goes wrong, and how many batches a reply may hold."""
+    """A scenario, the rule that it needs, and the maximum number of batches per reply."""
 
-    story: Callable[[], Cluster]
+    scenario: Callable[[], Cluster]
     fault: Fault
     batches_per_reply: int = 512
 
@@ -340,8 +340,8 @@
     Case(batch_of_an_earlier_term_at_a_majority, counted_whatever_the_fence, 1),
     Case(fetch_before_the_most_recent_log_is_copied, counted_before_the_log_is_copied),
     Case(repeated_fetch_from_before_the_answer, last_answer_without_an_echo),
-    Case(lost_disk_at_once_elected_with, lost_disk_taken_for_an_empty_log),
-    Case(lost_disk_at_once_elected_with, recovering_promise_counted),
+    Case(election_with_a_lost_disk, lost_disk_taken_for_an_empty_log),
+    Case(election_with_a_lost_disk, recovering_promise_counted),
     Case(recovery_ends_in_the_middle_of_the_log, recovered_without_the_whole_log, 1),
     Case(lambda: promise_from_before_the_loss(5), recovered_after_a_majority),
     Case(lambda: promise_from_before_the_loss(3), recovering_acknowledgement_counted),
@@ -350,14 +350,16 @@
 
 
 @pytest.mark.parametrize("case", CASES, ids=IDS)
-def test_the_story_breaks_no_promise_and_heals(case: Case, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_scenario_violates_no_check_and_heals(case: Case, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(replica_module, "BATCHES_PER_REPLY", case.batches_per_reply)
-    heals(case.story())
+    check_heals(case.scenario())
 
 
 @pytest.mark.parametrize("case", CASES, ids=IDS)
-def test_without_its_rule_it_does(case: Case, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_scenario_violates_a_check_without_its_rule(
+    case: Case, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(replica_module, "BATCHES_PER_REPLY", case.batches_per_reply)
     case.fault(monkeypatch)
     with pytest.raises(Broken):
-        case.story()
+        case.scenario()
--- a/tests/violetroute/distribution/test_distribution_schedules.py
+++ b/tests/violetroute/distribution/test_distribution_schedules.py
@@ -1,6 +1,6 @@
-"""Random schedules of all that may go wrong with 3 and 5 control machines.
+"""Random fault schedules on clusters of 3 and 5 control machines.
 
-What has to hold after each event is in `distribution_checks`.
+`distribution_checks` has the invariants that are checked after each event.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def heal(cluster: Cluster) -> None:
-    """All run and reach each other; a new leader has to commit, and lost disks recover."""
+    """Ends all faults; then a new leader must commit, and lost disks must recover."""
     cluster.cut = frozenset()
     for name in cluster.names:
         cluster.nodes[name].paused = False
--- a/violetroute/distribution/control_choice.py
+++ b/violetroute/distribution/control_choice.py
@@ -45,7 +45,7 @@
     timeout_s: float = 1.5
     hold_s: float = 0.8
     retry_first_s: float = 0.1
-    retry_most_s: float = 1.0
+    max_retry_s: float = 1.0
 
 
 def preference(
@@ -123,7 +123,7 @@
         if self._failures == 1 and len(self._order) > 1:
             return 0.0
         exponent = min(self._failures - 1, 16)
-        max_delay_s = min(self._settings.retry_first_s * 2.0**exponent, self._settings.retry_most_s)
+        max_delay_s = min(self._settings.retry_first_s * 2.0**exponent, self._settings.max_retry_s)
         return max_delay_s * self._random.uniform(0.5, 1.0)
 
     def _double_trial_delay(self) -> None:
--- a/violetroute/distribution/control_file.py
+++ b/violetroute/distribution/control_file.py
@@ -103,9 +103,9 @@
     if file.name not in names:
         raise ValueError(f"name: {file.name!r} is none of the names of [[machine]]")
     if len(set(names)) != len(names):
-        raise ValueError("machine: a name stands there twice")
+        raise ValueError("machine: a name occurs twice")
     if len(set(addresses)) != len(addresses):
-        raise ValueError("machine: an address stands there twice")
+        raise ValueError("machine: an address occurs twice")
     if not file.folder:
         raise ValueError("folder: missing")
     try:
@@ -113,11 +113,13 @@
     except (OSError, ValueError) as error:
         raise ValueError(f"key_file: {error}") from None
     if file.fleet.store == "off":
-        raise ValueError("[fleet] store: off, but the lease of the leader needs one")
+        raise ValueError("[fleet] store: off, but the leader lease needs a store")
     if file.fleet.works:
-        raise ValueError("[fleet] works: the control process owns the work distribution only")
+        raise ValueError(
+            "[fleet] works: must be empty, the control process only runs the work distribution"
+        )
     if file.timings.hold_s * (1.0 + file.timings.drift) >= file.timings.stale_after_s:
-        raise ValueError("[timings] hold_s: has to be less than stale_after_s")
+        raise ValueError("[timings] hold_s: must be less than stale_after_s / (1 + drift)")
 
 
 def _check_address(key: str, text: str) -> None:
--- a/violetroute/distribution/in_force.py
+++ b/violetroute/distribution/in_force.py
@@ -172,10 +172,10 @@
         entry = self._in_force_times.reached(position)
         return None if entry is None else entry.at
 
-    def lagging(self, now: float, most: int) -> tuple[Lagging, ...]:
-        """Returns up to `most` proxies that are missing or behind; missing ones come first."""
-        missing = list(self._roster.missing.values())[:most]
-        behind = self._roster.furthest_behind(self._commit, most - len(missing))
+    def lagging(self, now: float, limit: int) -> tuple[Lagging, ...]:
+        """Returns up to `limit` proxies that are missing or behind; missing ones come first."""
+        missing = list(self._roster.missing.values())[:limit]
+        behind = self._roster.furthest_behind(self._commit, limit - len(missing))
         proxies = [_missing(entry, now) for entry in missing]
         proxies.extend(self._behind(state, now) for state in behind)
         return tuple(proxies)
--- a/violetroute/distribution/preparation.py
+++ b/violetroute/distribution/preparation.py
@@ -3,8 +3,8 @@
 The leader's own promise is durable before the first `Prepare` is sent; the recovery of a lost disk
 relies on this.  Promises of recovering replicas do not count, since such a replica does not know
 what it acknowledged.  Every committed batch is in the log of some member of any majority, and the
-log with the greatest last point has every committed batch of that majority.  Replicas that have
-not promised are sent `Prepare` throughout the term, so that they learn who leads.
+log with the greatest last point has every committed batch of that majority.  `Prepare` is repeated
+throughout the term to replicas that neither promised nor fetched, so that they learn who leads.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class Preparation:
-    """Preparation of one leader's term, with one fencing token."""
+    """Preparation of one leader's term with the fencing token `fence`."""
 
     __slots__ = (
         "_contacts",
@@ -95,7 +95,7 @@
         return [name for name in self._retries if name not in known]
 
     def record_fetch(self, replica: str) -> None:
-        """Records a fetch with this term's fence; the replica needs no further `Prepare`."""
+        """Records a fetch with this term's fence; once `ready`, its sender gets no `Prepare`."""
         self._followers.add(replica)
 
     def step(self, now: float) -> None:
--- a/violetroute/distribution/roster.py
+++ b/violetroute/distribution/roster.py
@@ -18,8 +18,8 @@
 from .messages import SessionState
 from .session import SessionKey
 
-MAX_MISSING = 4096
-MISSING_RETENTION_S = 3600.0
+MAX_MISSING = 4096  # missing proxies kept for the status; the longest missing are dropped first
+MISSING_RETENTION_S = 3600.0  # time for which a missing proxy is kept
 MAX_REFUSALS = 1024  # refusals listed in a status
 
 
@@ -72,10 +72,10 @@
                 break
         return tuple(found[:MAX_REFUSALS])
 
-    def furthest_behind(self, commit: int, most: int) -> list[SessionState]:
-        """Returns up to `most` live sessions behind `commit`, lowest position first."""
+    def furthest_behind(self, commit: int, limit: int) -> list[SessionState]:
+        """Returns up to `limit` live sessions behind `commit`, lowest position first."""
         behind = [key for key, position in self._positions.items() if position < commit]
-        chosen = nsmallest(most, behind, key=self._positions.__getitem__)
+        chosen = nsmallest(limit, behind, key=self._positions.__getitem__)
         return [self._states[key] for key in chosen]
 
     def update(self, machine: str, states: Iterable[SessionState]) -> None:
