--- a/tests/violetroute/fleet/test_fleet.py
+++ b/tests/violetroute/fleet/test_fleet.py
@@ -411,9 +411,8 @@
         await call(lambda callback: a.acquire(Acquire("w", 1, 0, None), callback))
         assert any(target.startswith("/v1/session/renew/") for target in consul.requests[before:])
         consul.kv._end(first)
-        await call(
-            lambda callback: a.acquire(Acquire("u", 1, 0, None), callback)
-        )  # creates another session
+        # Creates another session.
+        await call(lambda callback: a.acquire(Acquire("u", 1, 0, None), callback))
         assert a.protocol.session not in ("", first)
         answer, _ = await call(lambda callback: a.renew([("v", 1), ("u", 1)], callback))
         assert not answer["v"].accepted and answer["u"].accepted
