--- a/tests/violetroute/distribution/test_distribution_daemon.py
+++ b/tests/violetroute/distribution/test_distribution_daemon.py
@@ -831,7 +831,7 @@
         ({"controls": ["here"]}, "controls: not an address"),
         ({"controls": ["127.0.0.1:1 a b"]}, "controls:"),
         ({"controls": ["127.0.0.1:1"]}, "key_file:"),
-        ({"controls": ["127.0.0.1:1", "127.0.0.1:1 x"]}, "controls: an address stands there twice"),
+        ({"controls": ["127.0.0.1:1", "127.0.0.1:1 x"]}, "controls: duplicate address"),
         ({"stale_after_s": 0.1}, "stale_after_s:"),
         ({"control": []}, "did you mean controls?"),
     ],
--- a/violetroute/distribution/__init__.py
+++ b/violetroute/distribution/__init__.py
@@ -1,4 +1,4 @@
-"""Versioned records from the control machines to every proxy, with acknowledgement.
+"""Distributes versioned records from the control machines to every proxy, with acknowledgement.
 
 See `docs/design/distribution.md`.
 """
--- a/violetroute/distribution/retry.py
+++ b/violetroute/distribution/retry.py
@@ -4,18 +4,18 @@
 
 from typing import Protocol
 
-MAX_DOUBLINGS = 3  # the delay grows up to eight times the first one
+MAX_DOUBLINGS = 3  # the delay grows to at most eight times the first one
 
 
 class Random(Protocol):
-    """The part of `random.Random` that is used."""
+    """The part of `random.Random` that `Backoff` uses."""
 
     def random(self) -> float:
         """A number in [0, 1)."""
 
 
 class Backoff:
-    """When to try again; the delay doubles with each failure."""
+    """Computes the time of the next attempt; the delay doubles with each failure."""
 
     __slots__ = ("_first_s", "_random", "failures", "next_at")
 
@@ -26,12 +26,12 @@
         self.next_at = now
 
     def succeeded(self, now: float) -> None:
-        """The next try may be made at once."""
+        """Reset the delay: the next attempt may be made at once."""
         self.failures = 0
         self.next_at = now
 
     def failed(self, now: float) -> None:
-        """The next try is made after the delay, half of it random."""
+        """Schedule the next attempt after the delay, half of which is random."""
         delay = self._first_s * 2 ** min(self.failures, MAX_DOUBLINGS)
         self.failures += 1
         self.next_at = now + delay * (0.5 + 0.5 * self._random.random())
--- a/violetroute/distribution/routes.py
+++ b/violetroute/distribution/routes.py
@@ -1,6 +1,6 @@
-"""Which path carries which message, and how requests and replies are encoded.
+"""Maps messages to HTTP paths, and encodes and decodes requests and replies.
 
-MessagePack bodies; a request's type follows from its path, a reply's type from its request's.
+Bodies are MessagePack.  The path determines a request's type, and that the type of its reply.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class UnreadableError(Exception):
-    """A body that is not the message of its path, or a path that there is not."""
+    """The path is unknown, or the body is not a valid message for it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,12 +59,12 @@
 
 
 def path_of(message: AnyRequest) -> str:
-    """Where to post it."""
+    """The path that the message is posted to."""
     return _ROUTES[type(message)].path
 
 
 def decode_request(path: str, body: bytes) -> AnyRequest:
-    """UnreadableError for an unknown path, or a body that is not its message."""
+    """Decode a request.  Raises UnreadableError for an unknown path or an invalid body."""
     route = _BY_PATH.get(path)
     if route is None:
         raise UnreadableError(path)
@@ -76,7 +76,7 @@
 
 
 def decode_reply(request: AnyRequest, body: bytes | None) -> Any:
-    """The reply to such a request; None for no body, or one that is not its reply."""
+    """Decode the reply to `request`.  None if there is no body or it is not a valid reply."""
     if body is None:
         return None
     try:
--- a/violetroute/distribution/status.py
+++ b/violetroute/distribution/status.py
@@ -1,6 +1,6 @@
-"""What a proxy's service and a control machine say to who looks in from their machine.  Data only.
+"""Status of a proxy's subscription and of a control machine, for introspection.  Data only.
 
-They are answered as JSON objects with these keys; see `docs/operators/distribution.md`.
+Encoded as JSON objects with these keys; see `docs/operators/distribution.md`.
 """
 
 from __future__ import annotations
@@ -11,30 +11,31 @@
 
 
 class ServiceStatus(msgspec.Struct, frozen=True):
-    """The proxy's side: what is applied, and whom it asks."""
+    """Status of a proxy's subscription: its position, freshness and traffic."""
 
     name: str
     incarnation: str  # of this process
-    position: int  # everything up to it is applied
+    position: int  # of the last applied batch
     fresh: bool
-    as_of_age_s: float | None  # everything committed so long ago is applied; None: not known
-    asks: str  # the control machine of the poll that is under way; "" between two polls
-    purges: int  # records that the receiver was handed, since the start; so are the next two
+    as_of_age_s: float | None  # everything committed this long ago is applied; None: unknown
+    asks: str  # address of the control machine whose poll is in flight; "" between two polls
+    # Purges, invalidations of everything and configuration records since the start.
+    purges: int
     voids: int
     configurations: int
     bytes_in: int  # of HTTP, since the start
     bytes_out: int
     polls: int
-    failed: int  # polls without an answer that counts
+    failed: int  # polls without a valid answer
 
 
 class ControlStatus(msgspec.Struct, frozen=True):
-    """A control machine: connections and traffic, since its start."""
+    """Status of a control machine; the traffic is counted since its start."""
 
     leading: bool
-    connections: int  # accepted and open
+    connections: int  # accepted and still open
     connections_max: int
-    polls: int  # of proxies, under way
+    polls: int  # of proxies, not answered yet
     polls_max: int
-    server: Traffic  # requests that it answered
-    client: Traffic  # requests that it sent to other control machines
+    server: Traffic  # of requests to this machine
+    client: Traffic  # of requests from this machine to other control machines
--- a/violetroute/distribution/storage.py
+++ b/violetroute/distribution/storage.py
@@ -200,8 +200,10 @@
     frames = decode_frames(data)
     if not frames.bodies:
         raise InconsistentError("its header is damaged")
-    if frames.damaged or (frames.good < len(data) and not last):
-        raise InconsistentError(f"the frame at byte {frames.good} is damaged, and others follow it")
+    if frames.damaged or (frames.valid_bytes < len(data) and not last):
+        raise InconsistentError(
+            f"the frame at byte {frames.valid_bytes} is damaged, and others follow it"
+        )
     header = decode_header(frames.bodies[0])
     if header.number != segment.number:
         raise InconsistentError(f"its header is of segment {header.number}")
@@ -211,9 +213,9 @@
         for change in changes:
             replay.apply(change)
         segment.highest = max(segment.highest, _highest(changes))
-    if frames.good < len(data):
-        _truncate_file(segment.path, frames.good)
-    segment.size = frames.good
+    if frames.valid_bytes < len(data):
+        _truncate_file(segment.path, frames.valid_bytes)
+    segment.size = frames.valid_bytes
 
 
 def _highest(changes: Sequence[Change]) -> int:
--- a/violetroute/distribution/table.py
+++ b/violetroute/distribution/table.py
@@ -1,4 +1,4 @@
-"""`[distribution]` of the operator's file."""
+"""The table `[distribution]` of the operator's file."""
 
 from __future__ import annotations
 
@@ -18,50 +18,50 @@
 
 
 class ControlAddress(msgspec.Struct, frozen=True):
-    """One control machine, as a proxy reaches it."""
+    """The address and region of one control machine."""
 
     address: str  # "HOST:PORT"
     region: str = ""
 
 
 class DistributionTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`[distribution]`: off while `controls` is empty.
+    """The table `[distribution]`.  Distribution is off while `controls` is empty.
 
-    `controls` changes with SIGHUP, the rest at the next start.
+    SIGHUP applies changes of `controls`; all other keys need a restart.
     """
 
-    # "HOST:PORT REGION" of each control machine; the region may be left out.
+    # "HOST:PORT REGION" of each control machine; the region is optional.
     controls: Annotated[tuple[str, ...], msgspec.Meta(max_length=CONTROLS_MAX)] = ()
     key_file: str = ""  # the key that proxies and control machines share, as in [sharing]
-    region: Region = ""  # where this proxy runs; control machines of the same one are preferred
-    # What was committed longer ago a proxy has applied, or it is stale.  The same at all proxies
-    # and all control machines.
+    region: Region = ""  # of this proxy, which prefers control machines of the same region
+    # A proxy is stale unless it has applied everything committed longer ago than this.  Must be the
+    # same at all proxies and all control machines.
     stale_after_s: StaleAfter = STALE_AFTER_S
-    socket: Annotated[str, msgspec.Meta(max_length=100)] = ""  # a Unix socket for looking in
-    configuration: bool = False  # take on tables of the operator's file that are published
+    socket: Annotated[str, msgspec.Meta(max_length=100)] = ""  # Unix socket for introspection
+    configuration: bool = False  # apply published tables of the operator's file
 
 
 def restart_is_needed(before: DistributionTable, now: DistributionTable) -> bool:
-    """Whether something other than the list of control machines differs, or it is on or off now."""
+    """Whether a key other than `controls` differs, or distribution was turned on or off."""
     same_otherwise = msgspec.structs.replace(now, controls=before.controls) == before
     return not same_otherwise or bool(now.controls) != bool(before.controls)
 
 
 def control_addresses(table: DistributionTable) -> tuple[ControlAddress, ...]:
-    """`controls`, taken apart.  ValueError for an entry that is no address."""
+    """Parse `controls`.  Raises ValueError for an invalid entry."""
     return tuple(_control_address(text) for text in table.controls)
 
 
 def _control_address(text: str) -> ControlAddress:
     words = text.split()
     if not 1 <= len(words) <= 2:
-        raise ValueError(f'"HOST:PORT REGION" is wanted, not {text!r}')
+        raise ValueError(f'expected "HOST:PORT REGION", not {text!r}')
     parse_address(words[0])
     return ControlAddress(words[0], words[1] if len(words) == 2 else "")
 
 
 def check_distribution(table: DistributionTable) -> None:
-    """ValueError "key: what is wrong" for a table that cannot be meant."""
+    """Raise ValueError with the text "KEY: REASON" for an invalid table."""
     if not table.controls:
         if table != DistributionTable():
             raise ValueError("controls: missing, and other keys are set")
@@ -71,7 +71,7 @@
     except ValueError as error:
         raise ValueError(f"controls: {error}") from None
     if len(set(addresses)) != len(addresses):
-        raise ValueError("controls: an address stands there twice")
+        raise ValueError("controls: duplicate address")
     try:
         read_keys(table.key_file)
     except (OSError, ValueError) as error:
--- a/violetroute/distribution/traffic.py
+++ b/violetroute/distribution/traffic.py
@@ -1,28 +1,29 @@
-"""What is shared by the client's and the server's side of HTTP: counters, bounds, a read buffer."""
+"""Counters, limits and the read buffer that the HTTP client and server share."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
-HEADER_BYTES = 4096  # of a request's or an answer's head
+HEADER_BYTES = 4096  # maximum size of a request's or an answer's header
 READ_BYTES = 64 * 1024
-READ_BUFFER = memoryview(bytearray(READ_BYTES))  # filled and read in one step, so all share it
+# Shared by all connections: the event loop fills it and its data is consumed in one step.
+READ_BUFFER = memoryview(bytearray(READ_BYTES))
 LOG_EVERY_S = 60.0  # between two log lines of one reason
 
 
 @dataclass(slots=True)
 class Traffic:
-    """Bytes as HTTP has them, without the headers of TCP and IP."""
+    """Traffic counters.  Bytes are those of HTTP, without TCP and IP headers."""
 
     bytes_in: int = 0
     bytes_out: int = 0
-    requests: int = 0  # begun by a client, or taken by a server
-    failures: int = 0  # of a client: no answer; of a server: refused
+    requests: int = 0  # sent by a client, or accepted by a server
+    failures: int = 0  # of a client: requests without a valid answer; of a server: refusals
 
 
 class LogThrottle:
-    """At most one log line in LOG_EVERY_S for each key, with the count since the line before."""
+    """Logs at most once in LOG_EVERY_S for each key, with the count since the last log line."""
 
     __slots__ = ("_counts", "_log", "_logged_at")
 
@@ -32,7 +33,7 @@
         self._logged_at: dict[str, float] = {}
 
     def record(self, now: float, key: str, detail: str = "", count: int = 1) -> None:
-        """`key` is one of few, as it is kept; `detail` is that of the last one."""
+        """Count an event and log it if due, with `detail`.  Keys must be few: they are kept."""
         self._counts[key] = self._counts.get(key, 0) + count
         logged_at = self._logged_at.get(key)
         if logged_at is None or now - logged_at >= LOG_EVERY_S:
--- a/violetroute/distribution/transfer.py
+++ b/violetroute/distribution/transfer.py
@@ -1,4 +1,4 @@
-"""How batches go from one log to another: the answer to a fetch, and its application.  Pure."""
+"""Replicates batches from one log to another: builds the reply to a fetch and applies it.  Pure."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 
 
 def batches_for(replica: Replica, fetch: Fetch, number: int = 0) -> FetchReply:
-    """What follows the fetch's `last` in this log, or from where its sender has to start again."""
+    """The reply to a fetch.
+
+    It has the batches that follow the fetch's `last`, or says where the sender must truncate its
+    log, or has a snapshot if the common part of the logs is no longer kept.
+    """
     status = FetchStatus.OK
     batches = None
     truncate_to = 0
@@ -32,22 +36,22 @@
 
 
 def apply_reply(replica: Replica, fetch: Fetch, reply: FetchReply) -> tuple[Change, ...]:
-    """Take over what a leader (or the source of a copy) answered to `fetch`.
+    """Apply the reply of a leader, or of the replica that is copied, to `fetch`.
 
-    LogConflict for a reply that can't be applied: malformed, or against what is committed here.
+    Raises LogConflict if the reply is malformed or contradicts what is committed here.
     """
     if replica.last != fetch.last:
-        raise LogConflict(f"the log ends with {replica.last} and no more with {fetch.last}")
+        raise LogConflict(f"the log ends at {replica.last}, no longer at {fetch.last}")
     if reply.status == FetchStatus.SNAPSHOT:
         if reply.snapshot is None:
-            raise LogConflict("the snapshot is missing")
+            raise LogConflict("the reply has no snapshot")
         return replica.install(reply.snapshot)
     if reply.status == FetchStatus.DIVERGED:
         if reply.truncate_to >= replica.last.position:
-            raise LogConflict(f"nothing to drop after {reply.truncate_to}")
+            raise LogConflict(f"nothing to truncate after {reply.truncate_to}")
         return replica.truncate_after(reply.truncate_to)
     if reply.status != FetchStatus.OK:
-        raise LogConflict(f"status {reply.status} has no batches")
+        raise LogConflict(f"unexpected status {reply.status}")
     changes = replica.append(reply.batches)
     replica.commit_to(min(reply.commit, replica.last.position))
     return changes
