--- a/limebridge/__init__.py
+++ b/limebridge/__init__.py
@@ -1,1 +1,1 @@
-"""limebridge: the command line and the kit round the daemon; the daemon never imports it."""
+"""limebridge: command line and test kit of the daemon, which never imports this package."""
--- a/limebridge/__main__.py
+++ b/limebridge/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m limebridge`, the same as the console script."""
+"""`python -m limebridge`, equivalent to the console script."""
 
 from .cli import app
 
--- a/limebridge/child.py
+++ b/limebridge/child.py
@@ -1,4 +1,4 @@
-"""The daemon as a child on loopback: for the demo, rehearsals in real time and benchmarks."""
+"""Runs the daemon as a child process on loopback: for the demo, real-time runs and benchmarks."""
 
 from __future__ import annotations
 
@@ -14,34 +14,34 @@
 from . import child_signals
 from .standins.configuration import environment
 
-START_TIMEOUT_S = 20.0  # s for a daemon to listen
-DRAIN_TIMEOUT_S = 8.0  # s for it to drain; its longest deadline is 3 s
+START_TIMEOUT_S = 20.0  # until the daemon listens
+DRAIN_TIMEOUT_S = 8.0  # the longest deadline of a request is 3 s
 INSTALLED = (sys.executable, "-m", "violetroute")
 
 
 class ChildState(StrEnum):
-    """What was last done to a child; it may have ended by itself since (`Child.ended`)."""
+    """State by the last action on a child; it may have exited since then (`Child.ended`)."""
 
-    DOWN = "down"  # not started yet, or ended as it was told to
-    UP = "up"  # it listens
-    DRAINING = "draining"  # between SIGTERM and its end
+    DOWN = "down"  # not started, or ended by `term`
+    UP = "up"  # listening
+    DRAINING = "draining"  # between SIGTERM and its exit
 
 
 class DaemonStartError(Exception):
-    """A daemon did not start, or ended by itself; one line."""
+    """A daemon could not be started; the message is one line."""
 
 
 def print_warnings(line: str) -> None:
-    """Its warnings go on to our own standard error."""
+    """Copy a log line to standard error if it is a warning or an error."""
     if " WARNING " in line or " ERROR " in line:
         sys.stderr.write(line + "\n")
 
 
 class Child:
-    """One process of the daemon, and its incarnations, one after another.
+    """A daemon process that can be started repeatedly.
 
-    `command` starts it, from the folder `build` if one is given; `folder` holds its files; every
-    line of its log goes to `told`, and all of it is taken, so that a flood blocks nothing.
+    `command` starts it, in the folder `build` if given; `folder` holds its files.  Each line of its
+    log is passed to `on_log_line`.  The log is always read, so a full pipe never blocks the daemon.
     """
 
     def __init__(
@@ -60,22 +60,28 @@
         self._operator: Path | None = None
         self._process: asyncio.subprocess.Process | None = None
         self._log: asyncio.Task[None] | None = None
-        self.last_line = "no word from it"
-        self.crashed = False  # it had ended before it was told to
+        self.last_line = "no log line"
+        self.crashed = False  # it had exited before `term` was called
 
     @property
     def pid(self) -> int:
+        """Process id of the latest start."""
         assert self._process is not None
         return self._process.pid
 
     @property
     def ended(self) -> bool:
+        """Whether no process is running."""
         return self._process is None or self._process.returncode is not None
 
     async def start(self, raw: dict[str, Any], port: int, operator: Path | None = None) -> int:
-        """Until it listens on the port.  DaemonStartError when it does not: then it is gone."""
+        """Start the daemon; return `port` once it listens there.
+
+        `raw`: its configuration without `listen`.  `operator`: its operator's file; by default that
+        of the previous start.  Raises DaemonStartError, after which no process is left.
+        """
         self.proxy_config, self.port = raw, port
-        self._operator = operator = operator or self._operator  # of its earlier incarnations
+        self._operator = operator = operator or self._operator
         path = self._folder / f"{self.owner}.json"
         path.write_text(json.dumps(raw | {"listen": f"127.0.0.1:{port}"}))
         more = () if operator is None else ("--operator", str(operator))
@@ -101,17 +107,19 @@
             if not ready.result():
                 raise DaemonStartError(f"{self.owner} ended at its start: {self.last_line}")
             self.state = ChildState.UP
-        finally:  # whoever called holds only daemons that are up
+        finally:  # no process may be left when the start fails
             if self.state is not ChildState.UP:
                 await self.kill()
         return port
 
     async def _read(self, process: asyncio.subprocess.Process, ready: asyncio.Future[bool]) -> None:
-        """All of its log is taken, a line of it kept: a flood of it costs no memory here."""
+        """Read all of the log but keep only one line, so that a long log costs no memory."""
         assert process.stderr is not None
         while chunk := await process.stderr.read(65536):
             for line in chunk.decode(errors="replace").splitlines():
-                if not self.last_line.startswith("violetroute:"):  # why it ends; nothing tops that
+                if not self.last_line.startswith(
+                    "violetroute:"
+                ):  # the reason of its exit; keep that
                     self.last_line = line.strip()[:300] or self.last_line
                 if self._on_log_line is not None:
                     self._on_log_line(line)
@@ -121,12 +129,12 @@
             ready.set_result(False)
 
     async def wait(self) -> int:
-        """Its exit status, once it has ended."""
+        """Wait for the exit; return the exit status."""
         assert self._process is not None
         return await self._process.wait()
 
     async def term(self) -> bool:
-        """SIGTERM, and whether it drained in time; killed if not."""
+        """Send SIGTERM; return whether it drained in time, and kill it if it did not."""
         process = self._process
         if process is None:
             return False
@@ -143,7 +151,7 @@
         return ended
 
     async def kill(self) -> None:
-        """It is gone when this returns."""
+        """Kill the process and wait for its exit."""
         process = self._process
         if process is not None and process.returncode is None:
             child_signals.send(process.pid, signal.SIGKILL)
--- a/limebridge/child_signals.py
+++ b/limebridge/child_signals.py
@@ -1,7 +1,7 @@
-"""Signals to a child process of asyncio's that keep the exit code of one that ended by itself.
+"""Signals to asyncio child processes that do not lose the exit code of a child that has exited.
 
-`Process.send_signal` polls the child first.  For a child that has just ended, that poll takes the
-exit code, which asyncio's watcher then misses.
+`Process.send_signal` polls the child first.  If the child has just exited, that poll reaps the exit
+code, which asyncio's watcher then misses.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 
 
 def has_ended(pid: int) -> bool:
-    """Whether this child has ended, by the kernel; its exit code is left where it is."""
+    """Whether the kernel reports that this child has exited; the exit code is not reaped."""
     try:
         return os.waitid(os.P_PID, pid, os.WEXITED | os.WNOHANG | os.WNOWAIT) is not None
-    except ChildProcessError:  # its exit code has been taken
+    except ChildProcessError:  # its exit code has been reaped
         return True
 
 
 def send(pid: int, number: signal.Signals) -> None:
-    """The signal to a child, unless it has ended."""
+    """Send a signal to a child, unless it has exited."""
     with suppress(ProcessLookupError):
         descriptor = os.pidfd_open(pid)
         try:
-            if not has_ended(pid):  # so the descriptor was opened while the number was the child's
+            if not has_ended(pid):  # then the pid was still the child's when it was opened
                 signal.pidfd_send_signal(descriptor, number)
         finally:
             os.close(descriptor)
--- a/limebridge/cli.py
+++ b/limebridge/cli.py
@@ -1,6 +1,6 @@
-"""The command line: `limebridge COMMAND`; `limebridge --help` lists the commands.
+"""The command line `limebridge COMMAND`; `limebridge --help` lists the commands.
 
-A command's modules are imported when it is used: together they take more than a second.
+A command's modules are imported when it runs, since importing all of them takes over a second.
 """
 
 from __future__ import annotations
@@ -26,22 +26,22 @@
     LazyCommand(
         "check",
         "limebridge.daemon_commands:check",
-        "Say what the daemon would do with these files, and start nothing.",
+        "Check the files and show the resulting configuration, without starting the daemon.",
     ),
     LazyCommand(
         "serve",
         "limebridge.daemon_commands:serve",
-        "Be the daemon: this process becomes it.",
+        "Run the daemon in place of this process.",
     ),
     LazyCommand(
         "explore",
         "limebridge.explore_commands:explore",
-        "Run the daemon's own code in memory against faults drawn from seeds.",
+        "Run the daemon's own code in memory against faults generated from seeds.",
     ),
     LazyCommand(
         "replay",
         "limebridge.explore_commands:replay",
-        "Play one plan again and tell its story.  Exit status 1 when it breaks something.",
+        "Run one plan again and print its trace.  Exit status 1 when it violates a rule or bound.",
     ),
     LazyCommand(
         "placement",
@@ -82,7 +82,7 @@
 
 
 class CommandLine(TyperGroup):
-    """The group of all commands."""
+    """The group of all commands, each of which is loaded on use."""
 
     def __init__(self, **attributes: Any) -> None:
         super().__init__(**attributes)
@@ -94,13 +94,13 @@
     add_completion=False,
     cls=CommandLine,
     no_args_is_help=True,
-    help="The kit round the limebridge proxy.",
+    help="Command line and test kit of the limebridge proxy.",
 )
 
 
 @app.callback()
 def _main() -> None:
-    """The kit round the limebridge proxy."""
+    """Command line and test kit of the limebridge proxy."""
 
 
 if __name__ == "__main__":
--- a/limebridge/config_summary.py
+++ b/limebridge/config_summary.py
@@ -1,4 +1,4 @@
-"""What follows from the configuration files, in their units: what `limebridge check` says."""
+"""Summary of the effective configuration, in the units of the files, for `limebridge check`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def of_operator(operator: Operator, path: str | None, planned: int | None) -> dict[str, object]:
-    """What follows from the operator's file; `planned`: nodes of the placement's plan."""
+    """Summarise the operator's file; `planned`: number of nodes in the placement's plan."""
     ledger, fleet = operator.ledger, operator.fleet
     return {
         "operator's file": path or "none: defaults",
@@ -34,7 +34,7 @@
 
 
 def of_configuration(config: Config) -> dict[str, object]:
-    """What follows from a configuration, in the units of the files."""
+    """Summarise a full configuration."""
     return {
         "name": config.name,
         "listen": f"{config.listen.host}:{config.listen.port}",
--- a/limebridge/daemon_commands.py
+++ b/limebridge/daemon_commands.py
@@ -1,4 +1,4 @@
-"""`limebridge check | serve`: the daemon's files, and the daemon itself."""
+"""`limebridge check | serve`: check the daemon's files, or run the daemon."""
 
 from __future__ import annotations
 
@@ -19,13 +19,14 @@
 OperatorFile = Annotated[
     Path | None,
     typer.Option(
-        "--operator", metavar="FILE", help="The operator's file; wins over LIMEBRIDGE_OPERATOR."
+        "--operator", metavar="FILE", help="The operator's file; overrides LIMEBRIDGE_OPERATOR."
     ),
 ]
 PlatformFile = Annotated[
     Path | None,
     typer.Argument(
-        metavar="[CONFIG.json]", help="The platform's file; else the one that PROXY_CONFIG names."
+        metavar="[CONFIG.json]",
+        help="The platform's file; by default the one named by PROXY_CONFIG.",
     ),
 ]
 
@@ -37,35 +38,37 @@
 def check(
     config: PlatformFile = None,
     operator: OperatorFile = None,
-    as_json: Annotated[bool, typer.Option("--json", help="One JSON object.")] = False,
+    as_json: Annotated[bool, typer.Option("--json", help="Print one JSON object.")] = False,
 ) -> None:
-    """Say what the daemon would do with these files, and start nothing.
+    """Check the files and show the resulting configuration, without starting the daemon.
 
-    With --operator and no platform's file, the operator's is checked alone. Exit status 2 when
-    the daemon would refuse them.
+    With --operator and no platform's file, only the operator's file is checked. Exit status 2
+    when the daemon would reject the files.
     """
     environment = _environment(config)
     path = str(operator) if operator is not None else None
     try:
         if path is not None and not environment.get("PROXY_CONFIG"):
-            ours, plan = load_operator_files(path)
-            told = config_summary.of_operator(ours, path, None if plan is None else len(plan.nodes))
+            settings, plan = load_operator_files(path)
+            summary = config_summary.of_operator(
+                settings, path, None if plan is None else len(plan.nodes)
+            )
         else:
-            told = config_summary.of_configuration(load(environment, path))
+            summary = config_summary.of_configuration(load(environment, path))
     except ConfigError as error:
         typer.echo(f"limebridge: {error}", err=True)
         raise typer.Exit(2) from None
     if as_json:
-        print(json.dumps(told))
+        print(json.dumps(summary))
         return
     table = Table("what", "value", show_header=False, box=None)
-    for key, value in told.items():
+    for key, value in summary.items():
         table.add_row(key, ", ".join(value) if isinstance(value, list) else str(value))
     Console().print(table)
 
 
 def serve(config: PlatformFile = None, operator: OperatorFile = None) -> None:
-    """Be the daemon: this process becomes it."""
+    """Run the daemon in place of this process."""
     arguments = [sys.executable, "-m", "violetroute"]
     if operator is not None:
         arguments += ["--operator", str(operator)]
--- a/limebridge/demo.py
+++ b/limebridge/demo.py
@@ -1,4 +1,4 @@
-"""The real daemon as a child, with stand-ins round it, on loopback ports."""
+"""Runs the real daemon as a child process, with test doubles as its peers, on loopback."""
 
 from __future__ import annotations
 
@@ -47,11 +47,13 @@
 
 
 class DemoError(Exception):
-    """The daemon did not start, or ended by itself; said in one line."""
+    """The daemon did not start, or exited by itself; the message is one line."""
 
 
 @dataclass
 class Demo:
+    """The running processes and test doubles of a demo."""
+
     ports: list[int]  # of the proxies
     nodes: list[ReadThroughNode]
     discovery: Discovery
@@ -61,27 +63,33 @@
 
     @property
     def port(self) -> int:
+        """Port of the first proxy."""
         return self.ports[0]
 
     def describe(self) -> dict[str, Any]:
-        words: dict[str, Any] = {"proxy": f"127.0.0.1:{self.port}"}
+        """Addresses of all parts, as printed by `limebridge demo --json`."""
+        addresses: dict[str, Any] = {"proxy": f"127.0.0.1:{self.port}"}
         if len(self.ports) > 1:
-            words["proxies"] = [f"127.0.0.1:{port}" for port in self.ports]
-        words |= {
+            addresses["proxies"] = [f"127.0.0.1:{port}" for port in self.ports]
+        addresses |= {
             "nodes": [f"127.0.0.1:{node.port}" for node in self.nodes],
             "discovery": f"127.0.0.1:{self.discovery.port}",
         }
-        return words if self.consul is None else words | {"consul": f"127.0.0.1:{self.consul.port}"}
+        return (
+            addresses
+            if self.consul is None
+            else addresses | {"consul": f"127.0.0.1:{self.consul.port}"}
+        )
 
 
 @asynccontextmanager
 async def running(
     count: int, with_consul: bool = False, with_cluster: bool = False
 ) -> AsyncIterator[Demo]:
-    """Everything started and ready; ended in order whatever happens.
+    """Start everything and yield it when ready; stop all of it at the end, also after errors.
 
-    `with_consul`: the nodes are registered there as the service `cache`, and the proxy follows it.
-    `with_cluster`: two proxies appear as the nodes of a cluster and share its slots.
+    `with_consul`: the nodes are registered in Consul as the service `cache`, which the proxy
+    follows.  `with_cluster`: two proxies share the slots of a cluster.
     """
     consul = await _consul() if with_consul else None
     database, discovery = CustomerDatabase(), await Discovery().start()
@@ -110,8 +118,8 @@
     with tempfile.TemporaryDirectory() as folder:
         processes: list[Child] = []
         try:
-            for place, port in enumerate(ports):
-                processes.append(await _start(Path(folder), f"n{place}", raw, port, tables))
+            for index, port in enumerate(ports):
+                processes.append(await _start(Path(folder), f"n{index}", raw, port, tables))
             yield Demo(ports, nodes, discovery, database, processes, consul)
             await asyncio.gather(*(process.term() for process in processes))
         finally:
@@ -125,12 +133,12 @@
 
 
 def _cluster(ports: list[int]) -> str:
-    """The operator's table for proxies n0, n1, ... that share the slots evenly."""
+    """The `cluster` table for proxies n0, n1, ... that share the slots evenly."""
     step = SLOTS // len(ports)
     parts = "".join(
-        f'[[cluster.proxies]]\nname = "n{place}"\naddress = "127.0.0.1:{port}"\n'
-        f'slots = ["{place * step}-{(place + 1) * step - 1}"]\n'
-        for place, port in enumerate(ports)
+        f'[[cluster.proxies]]\nname = "n{index}"\naddress = "127.0.0.1:{port}"\n'
+        f'slots = ["{index * step}-{(index + 1) * step - 1}"]\n'
+        for index, port in enumerate(ports)
     )
     return f'[cluster]\nappear = "several"\n{parts}'
 
@@ -151,41 +159,45 @@
     return await Consul(Catalogue()).start()
 
 
-async def play(
+async def run(
     count: int,
     rate: float,
     ready: Callable[[Demo], None],
-    told: Callable[[Counter[str], list[float]], None] | None,
+    report: Callable[[Counter[str], list[float]], None] | None,
     with_consul: bool = False,
     with_cluster: bool = False,
 ) -> None:
-    """Until SIGTERM or SIGINT.  With `told`, clients ask and it hears once a second.
+    """Run a demo with `count` nodes until SIGTERM or SIGINT.
 
-    DemoError when the daemon ends by itself.
+    `ready` is called once all is started.  With `report`, clients send `rate` requests per second,
+    and `report` is called each second with their outcomes and the latencies of served ones in ms,
+    sorted.  Raises DemoError when a daemon does not start or exits by itself.
     """
-    ended = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ended.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     async with running(count, with_consul, with_cluster) as demo:
         ready(demo)
-        gone = asyncio.create_task(_first_end(demo.processes))
-        crowd = LoadGenerator(demo.port, clients=20, keys=500)
-        asking = asyncio.create_task(_ask(crowd, rate, told)) if told is not None else None
-        stopping = asyncio.create_task(ended.wait())
-        waits: set[asyncio.Task[Any]] = {gone, stopping} | ({asking} if asking else set())
+        daemon_end = asyncio.create_task(_first_exit(demo.processes))
+        generator = LoadGenerator(demo.port, clients=20, keys=500)
+        load = (
+            asyncio.create_task(_send_load(generator, rate, report)) if report is not None else None
+        )
+        stop = asyncio.create_task(stop_requested.wait())
+        waits: set[asyncio.Task[Any]] = {daemon_end, stop} | ({load} if load else set())
         done, _ = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-        for task in (asking, stopping, gone):
+        for task in (load, stop, daemon_end):
             if task is not None:
                 task.cancel()
-        crowd.close()
-        if gone in done:
-            raise DemoError(f"the daemon ended with {gone.result()}")
-        if asking is not None and asking in done:
-            asking.result()
+        generator.close()
+        if daemon_end in done:
+            raise DemoError(f"the daemon ended with {daemon_end.result()}")
+        if load is not None and load in done:
+            load.result()
 
 
-async def _first_end(processes: list[Child]) -> int:
+async def _first_exit(processes: list[Child]) -> int:
     waits = [asyncio.ensure_future(process.wait()) for process in processes]
     try:
         done, _ = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
@@ -195,14 +207,18 @@
             wait.cancel()
 
 
-async def _ask(
-    crowd: LoadGenerator, rate: float, told: Callable[[Counter[str], list[float]], None]
+async def _send_load(
+    generator: LoadGenerator, rate: float, report: Callable[[Counter[str], list[float]], None]
 ) -> None:
-    await crowd.connect()
+    await generator.connect()
     while True:
-        await crowd.run(rate, 1.0)
-        asks, crowd.finished = crowd.finished, []
-        told(
-            Counter(a.outcome for a in asks),
-            sorted((a.ended_at - a.sent_at) * 1000.0 for a in asks if a.outcome == "served"),
+        await generator.run(rate, 1.0)
+        requests, generator.finished = generator.finished, []
+        report(
+            Counter(request.outcome for request in requests),
+            sorted(
+                (request.ended_at - request.sent_at) * 1000.0
+                for request in requests
+                if request.outcome == "served"
+            ),
         )
--- a/limebridge/demo_command.py
+++ b/limebridge/demo_command.py
@@ -1,4 +1,4 @@
-"""`limebridge demo`: the daemon with everything that it needs, on loopback."""
+"""`limebridge demo`: the daemon and all its peers on loopback."""
 
 from __future__ import annotations
 
@@ -17,22 +17,25 @@
 
 def demo(
     nodes: Annotated[int, typer.Option(min=1, max=64, help="Cache nodes.")] = 4,
-    rate: Annotated[float, typer.Option(min=0.1, max=5000.0, help="Questions a second.")] = 100.0,
+    rate: Annotated[float, typer.Option(min=0.1, max=5000.0, help="Requests per second.")] = 100.0,
     as_json: Annotated[
-        bool, typer.Option("--json", help="One line once all is ready; no clients; until SIGTERM.")
+        bool,
+        typer.Option(
+            "--json", help="Print one line when all is ready; run without clients until SIGTERM."
+        ),
     ] = False,
     consul: Annotated[
         bool,
         typer.Option(
             "--consul",
-            help="The nodes are the service `cache` of a Consul that the proxy follows.",
+            help="Register the nodes as the service `cache` in Consul, which the proxy follows.",
         ),
     ] = False,
     cluster: Annotated[
         bool,
         typer.Option(
             "--cluster",
-            help="Two proxies that share the slots of a cluster, for cluster clients.",
+            help="Run two proxies that share the slots of a cluster, for cluster clients.",
         ),
     ] = False,
 ) -> None:
@@ -40,7 +43,7 @@
     try:
         if as_json:
             asyncio.run(
-                demo_module.play(
+                demo_module.run(
                     nodes,
                     rate,
                     lambda d: print(json.dumps(d.describe()), flush=True),
@@ -51,7 +54,8 @@
             )
         elif cluster:
             raise typer.BadParameter(
-                "goes with --json: the table's clients speak no cluster", param_hint="--cluster"
+                "requires --json: the clients behind the table do not support clusters",
+                param_hint="--cluster",
             )
         else:
             _show(nodes, rate, consul)
@@ -67,28 +71,28 @@
 
     def table() -> Table:
         made = Table("requests", "served", "refused", "failed", "p50 ms", "p99 ms")
-        figures = [last[int(part * len(last))] if last else 0.0 for part in (0.5, 0.99)]
+        percentiles = [last[int(fraction * len(last))] if last else 0.0 for fraction in (0.5, 0.99)]
         made.add_row(
             str(sum(total.values())),
             str(total["served"]),
             str(total["refused"]),
             str(total["failed"] + total["expired"] + total["closed"]),
-            *(f"{figure:.1f}" for figure in figures),
+            *(f"{value:.1f}" for value in percentiles),
         )
         return made
 
     with Live(table(), console=console, auto_refresh=False) as live:
 
         def ready(running: demo_module.Demo) -> None:
-            words = running.describe()
+            addresses = running.describe()
             live.console.print(
-                f"proxy {words['proxy']}, discovery {words['discovery']}, "
-                f"nodes {', '.join(words['nodes'])}; Ctrl-C ends it"
+                f"proxy {addresses['proxy']}, discovery {addresses['discovery']}, "
+                f"nodes {', '.join(addresses['nodes'])}; stop with Ctrl-C"
             )
 
-        def told(kinds: Counter[str], times: list[float]) -> None:
-            total.update(kinds)
-            last[:] = times
+        def report(outcomes: Counter[str], latencies: list[float]) -> None:
+            total.update(outcomes)
+            last[:] = latencies
             live.update(table(), refresh=True)
 
-        asyncio.run(demo_module.play(nodes, rate, ready, told, consul))
+        asyncio.run(demo_module.run(nodes, rate, ready, report, consul))
--- a/limebridge/explore_commands.py
+++ b/limebridge/explore_commands.py
@@ -1,4 +1,4 @@
-"""`limebridge explore | replay`: plans of faults against the daemon's code in memory."""
+"""`limebridge explore | replay`: run fault plans against the daemon's code in memory."""
 
 from __future__ import annotations
 
@@ -25,40 +25,43 @@
 
 
 def explore(
-    seeds: Annotated[int, typer.Option(min=1, help="How many seeds.")] = 1000,
+    seeds: Annotated[int, typer.Option(min=1, help="Number of seeds.")] = 1000,
     first: Annotated[int, typer.Option("--from", min=0, help="The first seed.")] = 0,
-    jobs: Annotated[int, typer.Option(min=0, help="Processes; 0 is one a core.")] = 0,
-    budget: Annotated[float, typer.Option(min=0.0, help="Seconds after which to end.")] = 0,
+    jobs: Annotated[int, typer.Option(min=0, help="Processes; 0: one per core.")] = 0,
+    budget: Annotated[
+        float, typer.Option(min=0.0, help="Seconds after which to stop; 0: no limit.")
+    ] = 0,
     keep: Annotated[
         Path | None,
-        typer.Option(metavar="DIR", help="Where shrunk plans of what broke are written."),
+        typer.Option(metavar="DIR", help="Directory for the shrunk plans of failed seeds."),
     ] = None,
     patch: PatchFile = None,
     consul: Annotated[
-        bool, typer.Option("--consul", help="The list comes from Consul, whose faults come on top.")
+        bool,
+        typer.Option("--consul", help="Take the list of nodes from Consul, and add its faults."),
     ] = False,
     goes_on: Annotated[
         bool,
         typer.Option(
             "--next",
-            help="Seeds that no run here has played, leaning towards what this build has met "
-            "least; --from is not looked at.",
+            help="Run seeds that were not run here before, biased towards the combinations met "
+            "least by this build; --from is ignored.",
         ),
     ] = False,
     fleet: Annotated[
         bool,
         typer.Option(
             "--fleet",
-            help="Several processes and the works that they own (`limebridge faults`).",
+            help="Run several processes and the works that they own (`limebridge faults`).",
         ),
     ] = False,
-    as_json: Annotated[bool, typer.Option("--json", help="JSON as the last line.")] = False,
+    as_json: Annotated[bool, typer.Option("--json", help="Print JSON as the last line.")] = False,
 ) -> None:
-    """Run the daemon's own code in memory against faults drawn from seeds.
+    """Run the daemon's own code in memory against faults generated from seeds.
 
-    Exit status 1 when a rule or a bound was broken, 2 when the arguments can't be used.
+    Exit status 1 when a rule or a bound was violated, 2 for unusable arguments.
     """
-    prepare = _patched(patch)
+    prepare = _patch_function(patch)
     if fleet:
         from .faults.command import explore_fleet
 
@@ -73,7 +76,7 @@
             typer.echo(f"limebridge: {error}", err=True)
             raise typer.Exit(2) from None
         pairs = coverage.rare(met, consul)
-        keep = keep or Path("found")  # a plan that leans is more than its seed
+        keep = keep or Path("found")  # a biased plan cannot be regenerated from its seed alone
     columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn())
     with Progress(*columns, console=Console(stderr=True), disable=as_json) as progress:
         bar = progress.add_task("exploring", total=seeds)
@@ -90,14 +93,14 @@
             keep.mkdir(parents=True, exist_ok=True)
             path = keep / f"seed-{found.seed}.json"
             path.write_text(plans.dump(smaller))
-            line = ["limebridge replay", str(path)]
+            command = ["limebridge replay", str(path)]
         else:
-            line = ["limebridge replay", str(found.seed), *(["--consul"] if consul else [])]
-        typer.echo(" ".join([*line, *(["--patch", str(patch)] if patch else [])]), err=True)
+            command = ["limebridge replay", str(found.seed), *(["--consul"] if consul else [])]
+        typer.echo(" ".join([*command, *(["--patch", str(patch)] if patch else [])]), err=True)
         typer.echo(timeline.tell(runner.play(smaller)), err=True)
     if history is not None:
         history.add(summary.seeds, summary.met)
-    told = {
+    result = {
         "first": first,
         "seeds": summary.seeds,
         "seconds": round(summary.seconds, 2),
@@ -108,7 +111,7 @@
         "digest": summary.digest,
     }
     if as_json:
-        print(json.dumps(told))
+        print(json.dumps(result))
     else:
         table = Table("fault", "while a request was", "times")
         for key, count in sorted(summary.met.items()):
@@ -124,25 +127,25 @@
 def replay(
     what: Annotated[str, typer.Argument(metavar="FILE_OR_SEED")],
     html: Annotated[
-        Path | None, typer.Option(metavar="FILE", help="Write a picture with the story.")
+        Path | None, typer.Option(metavar="FILE", help="Write a timeline with the trace.")
     ] = None,
     patch: PatchFile = None,
     consul: Annotated[
         bool,
         typer.Option(
-            "--consul", help="The seed is one of `explore --consul`; a file says so itself."
+            "--consul", help="The seed is one of `explore --consul`; a file contains this itself."
         ),
     ] = False,
-    as_json: Annotated[bool, typer.Option("--json", help="One JSON object.")] = False,
+    as_json: Annotated[bool, typer.Option("--json", help="Print one JSON object.")] = False,
 ) -> None:
-    """Play one plan again and tell its story.  Exit status 1 when it breaks something."""
+    """Run one plan again and print its trace.  Exit status 1 when it violates a rule or bound."""
     try:
-        draw = plans.draw_consul if consul else plans.draw
-        plan = draw(int(what)) if what.isdecimal() else plans.read(Path(what))
+        generate = plans.draw_consul if consul else plans.draw
+        plan = generate(int(what)) if what.isdecimal() else plans.read(Path(what))
     except (OSError, ValueError) as error:
         typer.echo(f"limebridge: {error}", err=True)
         raise typer.Exit(2) from None
-    prepare = _patched(patch)
+    prepare = _patch_function(patch)
     if prepare is not None:
         prepare()
     outcome = runner.play(plan)
@@ -162,15 +165,15 @@
     raise typer.Exit(1 if outcome.broken else 0)
 
 
-def _patched(path: Path | None) -> Callable[[], None] | None:
-    """What applies a patch, in this process or another."""
+def _patch_function(path: Path | None) -> Callable[[], None] | None:
+    """A function that applies the patch in this or another process; None without a file."""
     if path is None:
         return None
     if not path.is_file():
         typer.echo(f"limebridge: no file {path}", err=True)
         raise typer.Exit(2)
-    return functools.partial(_plant, str(path))
+    return functools.partial(_apply_patch, str(path))
 
 
-def _plant(path: str) -> None:
+def _apply_patch(path: str) -> None:
     runpy.run_path(path)["plant"]()
--- a/limebridge/highs.py
+++ b/limebridge/highs.py
@@ -1,4 +1,4 @@
-"""HiGHS without its banner, and with one thread."""
+"""HiGHS solver instances without a banner and with one thread."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 def create_highs() -> highspy.Highs:
-    """An instance that says nothing.
+    """Create an instance that prints nothing.
 
-    Making the first one writes a banner to descriptor 1, before any option can be set: what a
-    command prints has to be its answer alone.
+    The first instance writes a banner to file descriptor 1 before any option can be set, but a
+    command's output must be its result alone.
 
-    One thread for every instance: the first run in a process makes a scheduler for all later ones,
-    and an instance that asks for another number of threads then fails with "Not Set".
+    All instances use one thread: the first run in a process creates a scheduler for all later ones,
+    and an instance with another number of threads then fails with "Not Set".
     """
     sys.stdout.flush()
     kept, nowhere = os.dup(1), os.open(os.devnull, os.O_WRONLY)
--- a/limebridge/lazy_command.py
+++ b/limebridge/lazy_command.py
@@ -11,7 +11,7 @@
 
 
 class LazyCommand(TyperCommand):
-    """Lists a command by name and help text, and imports the command itself to run it."""
+    """A command listed by name and help text; its module is imported when it runs."""
 
     def __init__(self, name: str, target: str, help: str) -> None:
         """`target`: MODULE:ATTRIBUTE of a Typer application or of a function.
@@ -22,7 +22,7 @@
         self._name, self._target = name, target
 
     def load(self) -> Any:
-        """The command itself, as typer makes it of an application or a function."""
+        """Import the target and return the command that typer makes of it."""
         module, _, attribute = self._target.partition(":")
         target = getattr(importlib.import_module(module), attribute)
         parent = typer.Typer(add_completion=False)
@@ -33,5 +33,5 @@
         return get_group(parent).commands[self._name]
 
     def make_context(self, *arguments: Any, **extra: Any) -> Any:
-        """The context of the command itself, so that its parameters are parsed and it is run."""
+        """Return the loaded command's context, so that its parameters are parsed and it runs."""
         return self.load().make_context(*arguments, **extra)
--- a/limebridge/ports.py
+++ b/limebridge/ports.py
@@ -1,10 +1,10 @@
-"""Loopback ports for processes that the kit starts.
+"""Loopback ports for processes that the test kit starts.
 
-A process is told its port before it listens there, so the port must stay free in between, and
-again while the process is restarted.  A port that the kernel picks (bind to port 0) does not:
-once the probe is closed, the kernel may give the same port to any outgoing connection.  So ports
-are taken from below the range that the kernel picks from, in blocks.  A process claims a block
-for as long as it lives, by a socket that it keeps bound to the first port of the block.
+A process is given its port before it listens there, so the port must stay free until then, and
+while the process restarts.  A port that the kernel picked (bind to port 0) may not: once the probe
+is closed, the kernel may assign it to any outgoing connection.  So ports are allocated in blocks
+below the kernel's ephemeral range.  A process claims a block, until it exits, by keeping a socket
+bound to the first port of the block.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 from pathlib import Path
 
 KERNEL_RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
-DEFAULT_KERNEL_RANGE = "32768 60999"  # where the file cannot be read
+DEFAULT_KERNEL_RANGE = "32768 60999"  # used if the file cannot be read
 FIRST_PORT = 10_000
-BLOCK_SIZE = 128  # the first port of a block is its claim
+BLOCK_SIZE = 128  # ports; the first one is bound as the claim on the block
 
 
 class NoPortsLeftError(Exception):
-    """No block is left, or every port of the blocks of this process is in use."""
+    """No block of ports is left to claim."""
 
 
 def kernel_range() -> tuple[int, int]:
-    """The first and the last port that the kernel picks from."""
+    """First and last port of the kernel's ephemeral range."""
     try:
         text = KERNEL_RANGE.read_text()
     except OSError:
@@ -36,17 +36,17 @@
 
 
 class PortBlocks:
-    """Hands out the ports of the blocks that this process has claimed, the least recent first."""
+    """Allocates ports from the blocks claimed by this process, the least recently used first."""
 
     def __init__(self, first: int = FIRST_PORT, end: int | None = None) -> None:
-        """Blocks lie from `first` up to, and without, `end` (the kernel's range if not given)."""
+        """Blocks lie in [first, end); `end` is the start of the kernel's range by default."""
         self._next_block = first
         self._end = kernel_range()[0] if end is None else end
         self._claims: list[socket.socket] = []
         self._ports: deque[int] = deque()
 
     def free_ports(self, count: int) -> list[int]:
-        """`count` different ports that nobody is bound to, for TCP and for UDP.
+        """Return `count` different ports to which no TCP or UDP socket is bound.
 
         Raises NoPortsLeftError.
         """
@@ -64,7 +64,7 @@
         return found + self.free_ports(count - len(found))
 
     def close(self) -> None:
-        """Give all blocks back."""
+        """Release all blocks."""
         while self._claims:
             self._claims.pop().close()
         self._ports.clear()
@@ -76,7 +76,7 @@
             claim = socket.socket()
             try:
                 claim.bind(("127.0.0.1", first))
-            except OSError:  # another process has it
+            except OSError:  # claimed by another process
                 claim.close()
                 continue
             self._claims.append(claim)
@@ -96,11 +96,11 @@
 
 
 _blocks = PortBlocks()
-os.register_at_fork(after_in_child=_blocks.close)  # the claims are the parent's
+os.register_at_fork(after_in_child=_blocks.close)  # the claims belong to the parent
 
 
 def free_ports(count: int) -> list[int]:
-    """`count` different loopback ports, free for TCP and UDP, from the blocks of this process.
+    """Return `count` different loopback ports that are free for TCP and UDP.
 
     Raises NoPortsLeftError.
     """
--- a/limebridge/standins/consul.py
+++ b/limebridge/standins/consul.py
@@ -1,11 +1,12 @@
-"""A Consul agent with its catalogue, as far as a client of services sees it, on loopback.
+"""A Consul agent with its catalogue on loopback, limited to what clients of services use.
 
-By the published HTTP API: `PUT /v1/agent/service/register`, `deregister/:id`, `maintenance/:id`,
+It implements these calls of the published HTTP API, with blocking queries:
+`PUT /v1/agent/service/register`, `deregister/:id`, `maintenance/:id`,
 `PUT /v1/agent/check/update/:id`, `GET /v1/health/service/:name`, `/v1/catalog/service/:name`,
-`/v1/catalog/services`, `/v1/status/leader`, `/v1/agent/self`, with blocking queries.  Several
-agents may stand before one `Catalogue`, as agents do before the servers.  Troubles are plain
-attributes of an agent, to be set while it runs.  Written against asyncio alone, so that it runs
-on the virtual network as well.
+`/v1/catalog/services`, `/v1/status/leader` and `/v1/agent/self`.  Several
+agents may share one `Catalogue`, as agents share the servers.  Faults are plain attributes of an
+agent that can be set while it runs.  It uses asyncio alone, so it also runs on the virtual
+network.
 """
 
 from __future__ import annotations
@@ -22,13 +23,13 @@
 from .consul_catalogue import FrozenAnswer, HealthEntry, MachineFields
 from .kv import KeyValues, duration
 
-DEFAULT_WAIT_S = 300.0  # s of a blocking query that does not say for how long
-MAX_BODY_BYTES = 1024 * 1024  # bytes of what a client sends
+DEFAULT_WAIT_S = 300.0  # for a blocking query without a `wait` parameter
+MAX_BODY_BYTES = 1024 * 1024  # limit on a request's body
 
 
 @dataclass
-class Registered:
-    """One instance and its checks."""
+class ServiceInstance:
+    """A registered service instance and its checks."""
 
     id: str
     service: str
@@ -42,27 +43,27 @@
 
 
 class Catalogue:
-    """What the servers agree on, and its index."""
+    """The replicated state of the servers and its index."""
 
     def __init__(self) -> None:
         self.index = 10
-        self.services: dict[str, Registered] = {}
+        self.services: dict[str, ServiceInstance] = {}
         self.leader = True
         self._changed = asyncio.Event()
 
     def raise_index(self) -> None:
-        """After any change: the index rises, who waits is answered."""
+        """Raise the index after a change and wake all blocking queries."""
         self.index += 1
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
     def restore_snapshot(self) -> None:
-        """As servers restored from a snapshot: the same content under a small index."""
+        """Keep the content but restart the index at 1, as servers restored from a snapshot do."""
         self.index = 0
         self.raise_index()
 
     async def wait_for_change(self, index: int, seconds: float) -> None:
-        """Until the index has passed `index`, or that long."""
+        """Return when the index differs from `index`, or after `seconds`."""
         try:
             async with asyncio.timeout(seconds):
                 while self.index == index:
@@ -72,19 +73,23 @@
 
     # --- what a deployment does ---
     def register(self, id_: str, port: int, service: str = "cache", **more: Any) -> None:
-        self.services[id_] = Registered(id_, service, port, **more)
+        """Add or replace an instance; `more` are fields of ServiceInstance."""
+        self.services[id_] = ServiceInstance(id_, service, port, **more)
         self.raise_index()
 
     def deregister(self, *ids: str) -> None:
+        """Remove instances with a single rise of the index."""
         for id_ in ids:
             self.services.pop(id_, None)
         self.raise_index()
 
     def check(self, id_: str, status: str, check: str = "") -> None:
+        """Set the status of a check, by default of the service's own."""
         self.services[id_].checks[check or f"service:{id_}"] = status
         self.raise_index()
 
     def set_maintenance(self, id_: str, on: bool) -> None:
+        """Switch the maintenance mode of an instance, which is a critical check."""
         name = f"_service_maintenance:{id_}"
         if on:
             self.services[id_].checks[name] = "critical"
@@ -95,17 +100,18 @@
     def health_entries(
         self, service: str, tag: str = "", passing: bool = False
     ) -> list[HealthEntry]:
+        """Entries of a service; `passing`: only those whose checks all pass."""
         return [
-            self._element(each)
-            for each in self.services.values()
-            if each.service == service
-            and (not tag or tag in each.tags)
-            and not (passing and set(each.checks.values()) - {"passing"})
+            self._health_entry(instance)
+            for instance in self.services.values()
+            if instance.service == service
+            and (not tag or tag in instance.tags)
+            and not (passing and set(instance.checks.values()) - {"passing"})
         ]
 
-    def _element(self, each: Registered) -> HealthEntry:
+    def _health_entry(self, instance: ServiceInstance) -> HealthEntry:
         node: MachineFields = {
-            "Node": each.machine,
+            "Node": instance.machine,
             "Address": "127.0.0.1",
             "Datacenter": "dc1",
             "Meta": {},
@@ -113,67 +119,67 @@
         return {
             "Node": node,
             "Service": {
-                "ID": each.id,
-                "Service": each.service,
-                "Address": each.address,
-                "Port": each.port,
-                "Tags": each.tags,
-                "Meta": each.meta,
-                "Weights": each.weights,
+                "ID": instance.id,
+                "Service": instance.service,
+                "Address": instance.address,
+                "Port": instance.port,
+                "Tags": instance.tags,
+                "Meta": instance.meta,
+                "Weights": instance.weights,
             },
             "Checks": [
                 {
-                    "Node": each.machine,
+                    "Node": instance.machine,
                     "CheckID": name,
                     "Status": status,
-                    "ServiceID": each.id,
-                    "ServiceName": each.service,
+                    "ServiceID": instance.id,
+                    "ServiceName": instance.service,
                 }
-                for name, status in ({"serfHealth": "passing"} | each.checks).items()
+                for name, status in ({"serfHealth": "passing"} | instance.checks).items()
             ],
         }
 
 
 class Consul:
-    """One agent."""
+    """One agent; its constructor lists the faults that can be set."""
 
     def __init__(self, catalogue: Catalogue | None = None, seed: int = 1) -> None:
         self.catalogue = catalogue or Catalogue()
         self._random = random.Random(seed)
-        self.requests: list[str] = []  # targets
+        self.requests: list[str] = []  # request targets
         self.tokens: list[str] = []
-        self.token = ""  # that is demanded, if any
-        self.delay = 0.0  # s before any answer
-        self.canned_answers: list[bytes] = []  # raw answers that are given first, once each
-        self.unresponsive = False  # takes connections and says nothing
-        self.status = 200  # of all answers
+        self.token = ""  # the token that is required, if any
+        self.delay = 0.0  # s before each answer
+        self.canned_answers: list[bytes] = []  # raw answers, each sent once before any normal one
+        self.unresponsive = False  # accepts connections and sends nothing
+        self.status = 200  # HTTP status of all answers
         self.retry_after = ""
-        self.headers: dict[str, str] = {}  # more of them, or others
-        self.truncate_after = 0  # bytes after which an answer breaks off; 0: whole
-        self.byte_interval = 0.0  # s between the bytes of an answer
-        self.frozen: FrozenAnswer | None = None  # a replica that hears nothing
-        self.on_answered: Callable[[str, bytes], None] = lambda target, body: (
-            None
-        )  # whole good answers
+        self.headers: dict[str, str] = {}  # added to the answer's headers, or replacing them
+        self.truncate_after = 0  # bytes after which an answer is cut off; 0: never
+        self.byte_interval = 0.0  # s between two bytes of an answer; 0: sent at once
+        self.frozen: FrozenAnswer | None = None  # answer of a replica without updates
+        # called with target and body of each complete answer with status 200
+        self.on_answered: Callable[[str, bytes], None] = lambda target, body: None
         self.open: dict[asyncio.StreamWriter, None] = {}
         self.kv = KeyValues(self.catalogue, self._random)
-        self.drops_answers = False  # what was asked is done, and then the connection is reset
+        self.drops_answers = False  # writes are applied, and then the connection is reset
         self.port = 0
 
     async def start(self, port: int = 0, tls: ssl.SSLContext | None = None) -> Consul:
+        """Listen; port 0 lets the kernel pick one, which is then in `port`."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", port, ssl=tls)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
 
     async def stop(self) -> None:
-        """Gone at once; `start` with the same port brings it back."""
+        """Stop at once; `start` with the same port starts it again."""
         self._server.close()
         for writer in list(self.open):
             writer.transport.abort()
         await asyncio.sleep(0)
 
     async def inject_fault(self, kind: str, seconds: float) -> None:
-        """Of `limebridge.faults.plan`; `heal` ends what lasts."""
+        """Inject a fault of `limebridge.faults.plan`; return when it is over."""
         if kind == "leader":
             self.catalogue.leader = False
             await asyncio.sleep(seconds)
@@ -187,10 +193,11 @@
             self.kv.lose_data()
 
     def end_fault(self) -> None:
+        """End a missing leader and dropped answers."""
         self.catalogue.leader, self.drops_answers = True, False
 
     def logs(self) -> dict[str, list[bytes]]:
-        """The fleet's logs: their records in order."""
+        """The records of the fleet's logs in order, by work."""
         found: dict[str, list[bytes]] = {}
         for key, entry in sorted(self.kv.entries.items()):
             parts = key.split("/")
@@ -199,13 +206,13 @@
         return found
 
     def freeze(self, service: str = "cache") -> None:
-        """From now on this agent answers with what there is now."""
+        """From now on answer with the current state of the catalogue."""
         self.frozen = FrozenAnswer(self.catalogue.index, self.catalogue.health_entries(service))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.open[writer] = None
         try:
-            while await self._one(reader, writer):
+            while await self._handle_request(reader, writer):
                 pass
         except (asyncio.IncompleteReadError, ConnectionError, ValueError):
             pass
@@ -213,7 +220,9 @@
             self.open.pop(writer, None)
             writer.close()
 
-    async def _one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+    async def _handle_request(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> bool:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
         method, target, _ = head[0].split(" ", 2)
         headers = {
@@ -222,7 +231,7 @@
         }
         length = int(headers.get("content-length", "0"))
         if length > MAX_BODY_BYTES:
-            raise ValueError("too much")
+            raise ValueError("request body too large")
         body = await reader.readexactly(length)
         self.requests.append(target)
         token = headers.get("x-consul-token", "")
@@ -231,18 +240,18 @@
         index: int | None = None
         if parts.path.startswith(("/v1/kv/", "/v1/session/", "/v1/txn")):
             if self.catalogue.leader:
-                asks = {
+                query = {
                     name: values[0]
                     for name, values in parse_qs(parts.query, keep_blank_values=True).items()
                 }
                 path = [unquote(part) for part in parts.path.removeprefix("/v1/").split("/")]
-                status, said, index = await self.kv.answer(method, path, asks, body)
+                status, content, index = await self.kv.answer(method, path, query, body)
             else:
-                status, said = 500, b"No cluster leader"
+                status, content = 500, b"No cluster leader"
         else:
-            status, said = await self._answer(method, target, body)
+            status, content = await self._answer(method, target, body)
         await asyncio.sleep(self.delay)
-        # Troubles last: one that begins while a query blocks meets its answer.
+        # Faults are read after the wait, so one that starts during a blocking query applies to it.
         if self.drops_answers and method == "PUT":
             writer.transport.abort()
             return False
@@ -252,13 +261,13 @@
             writer.write(self.canned_answers.pop(0))
             return True
         if token != self.token:
-            status, said = 403, b"Permission denied"
+            status, content = 403, b"Permission denied"
         elif self.status != 200:
-            status, said = self.status, b"No cluster leader"
-        answer = self._framed(status, said, index)
+            status, content = self.status, b"No cluster leader"
+        answer = self._encode(status, content, index)
         if self.byte_interval:
-            for place in range(len(answer)):
-                writer.write(answer[place : place + 1])
+            for offset in range(len(answer)):
+                writer.write(answer[offset : offset + 1])
                 await asyncio.sleep(self.byte_interval)
         elif self.truncate_after:
             writer.write(answer[: self.truncate_after])
@@ -266,10 +275,10 @@
         else:
             writer.write(answer)
             if status == 200 and not reader.at_eof() and reader.exception() is None:
-                self.on_answered(target, said)  # who had asked is still there
+                self.on_answered(target, content)  # the client is still connected
         return True
 
-    def _framed(self, status: int, body: bytes, index: int | None) -> bytes:
+    def _encode(self, status: int, body: bytes, index: int | None) -> bytes:
         if index is None:
             index = self.frozen.index if self.frozen else self.catalogue.index
         headers = {
@@ -282,7 +291,7 @@
             headers["Retry-After"] = self.retry_after
         headers |= self.headers
         text = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
-        if self._random.random() < 0.5:  # both framings are to be met
+        if self._random.random() < 0.5:  # so that clients meet both framings
             return (
                 f"HTTP/1.1 {status} X\r\n{text}Transfer-Encoding: chunked\r\n\r\n".encode()
                 + (b"%x\r\n%b\r\n" % (len(body), body) if body else b"")
@@ -292,28 +301,34 @@
 
     async def _answer(self, method: str, target: str, body: bytes) -> tuple[int, bytes]:
         parts = urlsplit(target)
-        asks = {
+        query = {
             name: values[0]
             for name, values in parse_qs(parts.query, keep_blank_values=True).items()
         }
         path = [unquote(part) for part in parts.path.strip("/").split("/")]
         if method == "PUT":
-            return self._put(path, asks, json.loads(body) if body else {})
+            return self._put(path, query, json.loads(body) if body else {})
         match path:
             case ["v1", "health" | "catalog" as kind, "service", name]:
-                if "index" in asks and "consistent" not in asks:
-                    await self._block(asks)
+                if "index" in query and "consistent" not in query:
+                    await self._wait_for_index(query)
                 listed = (
                     self.frozen.entries
-                    if self.frozen and "consistent" not in asks
-                    else self.catalogue.health_entries(name, asks.get("tag", ""), "passing" in asks)
+                    if self.frozen and "consistent" not in query
+                    else self.catalogue.health_entries(
+                        name, query.get("tag", ""), "passing" in query
+                    )
                 )
-                said = listed if kind == "health" else [_as_catalogue(each) for each in listed]
-                return 200, json.dumps(said).encode()
+                content = (
+                    listed if kind == "health" else [_as_catalogue(instance) for instance in listed]
+                )
+                return 200, json.dumps(content).encode()
             case ["v1", "catalog", "services"]:
                 tags: dict[str, list[str]] = {}
-                for each in self.catalogue.services.values():
-                    tags[each.service] = sorted({*tags.get(each.service, []), *each.tags})
+                for instance in self.catalogue.services.values():
+                    tags[instance.service] = sorted(
+                        {*tags.get(instance.service, []), *instance.tags}
+                    )
                 return 200, json.dumps(tags).encode()
             case ["v1", "status", "leader"]:
                 return 200, b'"127.0.0.1:8300"' if self.catalogue.leader else b'""'
@@ -321,23 +336,24 @@
                 return 200, b'{"Config": {"Datacenter": "dc1", "NodeName": "machine-1"}}'
         return 404, b"no such thing"
 
-    async def _block(self, asks: dict[str, str]) -> None:
-        """Wait, as a blocking query does, for the index to pass the one that is named."""
-        seconds = duration(asks.get("wait", "")) or DEFAULT_WAIT_S
+    async def _wait_for_index(self, query: dict[str, str]) -> None:
+        """Block until the index differs from the query's, or its wait time has passed."""
+        seconds = duration(query.get("wait", "")) or DEFAULT_WAIT_S
         seconds += self._random.uniform(0.0, seconds / 16)
         if self.frozen is not None:
             await asyncio.sleep(seconds)
         else:
-            await self.catalogue.wait_for_change(int(asks["index"]), seconds)
+            await self.catalogue.wait_for_change(int(query["index"]), seconds)
 
-    def _put(self, path: list[str], asks: dict[str, str], body: Any) -> tuple[int, bytes]:
+    def _put(self, path: list[str], query: dict[str, str], body: Any) -> tuple[int, bytes]:
         catalogue = self.catalogue
         match path:
             case ["v1", "agent", "service", "register"]:
-                body = {key.lower(): value for key, value in body.items()}  # as Go decodes it
+                # Go decodes JSON keys case-insensitively.
+                body = {key.lower(): value for key, value in body.items()}
                 checks = body.get("checks") or ([body["check"]] if body.get("check") else [])
                 id_ = body.get("id") or body["name"]
-                catalogue.services[id_] = Registered(
+                catalogue.services[id_] = ServiceInstance(
                     id_,
                     body["name"],
                     int(body.get("port") or 0),
@@ -346,18 +362,20 @@
                     body.get("meta") or {},
                     body.get("weights") or {"Passing": 1, "Warning": 1},
                     {
-                        f"service:{id_}": {key.lower(): value for key, value in each.items()}.get(
-                            "status"
-                        )
+                        f"service:{id_}": {
+                            key.lower(): value for key, value in definition.items()
+                        }.get("status")
                         or "critical"
-                        for each in checks
+                        for definition in checks
                     },
                 )
                 catalogue.raise_index()
             case ["v1", "agent", "service", "deregister", id_] if id_ in catalogue.services:
                 catalogue.deregister(id_)
             case ["v1", "agent", "service", "maintenance", id_] if id_ in catalogue.services:
-                catalogue.set_maintenance(id_, asks.get("enable", "").lower() in ("1", "t", "true"))
+                catalogue.set_maintenance(
+                    id_, query.get("enable", "").lower() in ("1", "t", "true")
+                )
             case ["v1", "agent", "check", ("update" | "pass" | "warn" | "fail") as verb, check]:
                 id_ = check.removeprefix("service:")
                 if id_ not in catalogue.services:
@@ -370,6 +388,6 @@
 
 
 def _as_catalogue(entry: HealthEntry) -> dict[str, object]:
-    """The entry as /v1/catalog/service/NAME has it."""
+    """The entry in the format of /v1/catalog/service/NAME."""
     service = {f"Service{key}": value for key, value in entry["Service"].items()}
     return entry["Node"] | service
--- a/limebridge/standins/consul_catalogue.py
+++ b/limebridge/standins/consul_catalogue.py
@@ -1,4 +1,4 @@
-"""What Consul's health and catalogue calls answer, field by field as its API has them."""
+"""Answers of Consul's health and catalogue calls, with the field names of its API."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class MachineFields(TypedDict):
-    """The machine that an instance runs on: "Node" to Consul."""
+    """The machine that an instance runs on, which Consul calls "Node"."""
 
     Node: str
     Address: str
@@ -16,7 +16,7 @@
 
 
 class ServiceFields(TypedDict):
-    """An instance of a service."""
+    """The service fields of an instance."""
 
     ID: str
     Service: str
@@ -38,7 +38,7 @@
 
 
 class HealthEntry(TypedDict):
-    """An element of the answer of /v1/health/service/NAME."""
+    """An element of an answer to /v1/health/service/NAME."""
 
     Node: MachineFields
     Service: ServiceFields
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class FrozenAnswer:
-    """What an agent goes on to answer that hears nothing from the servers."""
+    """The answer that an agent without updates from the servers keeps giving."""
 
     index: int
     entries: list[HealthEntry]
--- a/limebridge/standins/kv.py
+++ b/limebridge/standins/kv.py
@@ -1,10 +1,10 @@
-"""Consul's sessions, keys and transactions, as far as locks need them, by the published HTTP API.
+"""The sessions, keys and transactions of Consul's HTTP API, limited to what locks need.
 
 `PUT /v1/session/create`, `renew/:id`, `destroy/:id`; `GET /v1/kv/:key` with `recurse` and blocking
 queries; `PUT /v1/txn` with the verbs set, lock, unlock, delete, check-index, check-not-exists.
-With the known weak points: a session ends between one and two times its TTL after its last renewal,
-a new leader begins the reckoning anew or has lost the sessions, `lock-delay` keeps a key locked
-after a session was invalidated, and servers that have lost their data begin at index 1.
+It reproduces these weaknesses: a session ends between one and two times its TTL after its last
+renewal, a new leader restarts the TTL or has lost the sessions, `lock-delay` keeps a key locked
+after its session was invalidated, and servers that have lost their data restart at index 1.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-DEFAULT_LOCK_DELAY_S = 15.0  # s, of a session that does not say
-MAX_VALUE_BYTES = 512 * 1024  # bytes
-MAX_TXN_OPERATIONS = 128  # of a transaction
+DEFAULT_LOCK_DELAY_S = 15.0  # for a session without LockDelay
+MAX_VALUE_BYTES = 512 * 1024
+MAX_TXN_OPERATIONS = 128
 
 
 class CatalogueIndex(Protocol):
-    """What the servers agree on: `Catalogue`."""
+    """The index of the servers' state, which `Catalogue` has."""
 
     index: int
 
@@ -34,6 +34,8 @@
 
 @dataclass
 class Session:
+    """A session; `ttl` and `lock_delay` in seconds."""
+
     ttl: float
     lock_delay: float
     behavior: str
@@ -42,43 +44,46 @@
 
 @dataclass
 class Entry:
+    """A key's value, and the indexes of its creation and its last change."""
+
     value: bytes
     create: int
     modify: int
     lock: int = 0
     session: str = ""
-    free_at: float = 0.0  # until then the lock-delay holds
+    locked_until: float = 0.0  # end of the lock-delay
 
 
 @dataclass
 class KeyValues:
-    """The servers' state; `change` of the catalogue is their index."""
+    """Sessions and keys of the servers, which share the index of the catalogue."""
 
     servers: CatalogueIndex
     rng: random.Random
     entries: dict[str, Entry] = field(default_factory=dict)
     sessions: dict[str, Session] = field(default_factory=dict)
-    marks: dict[str, int] = field(default_factory=dict)  # the last change of each key, gone or not
+    # index of each key's last change, kept after a deletion
+    last_changes: dict[str, int] = field(default_factory=dict)
     calls: int = 0
 
     @property
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    # --- what goes wrong ---
+    # --- faults ---
     def lose_data(self) -> None:
-        """Servers that have lost their data."""
+        """Forget all data, as servers that have lost their disks do."""
         for id_ in list(self.sessions):
-            self._end(id_, tell=False)
+            self._end(id_, notify=False)
         self.entries.clear()
-        self.marks.clear()
+        self.last_changes.clear()
         self.servers.index = 0
         self.servers.raise_index()
 
-    def new_leader(self, loses: bool) -> None:
-        """Sessions are lost, or live on from now."""
+    def new_leader(self, loses_sessions: bool) -> None:
+        """A new leader loses all sessions, or restarts their TTLs."""
         for id_ in list(self.sessions):
-            if loses:
+            if loses_sessions:
                 self._end(id_)
             else:
                 self._restart_ttl(id_)
@@ -92,7 +97,7 @@
             session.ttl * self.rng.uniform(1.0, 2.0), self._end, id_
         )
 
-    def _end(self, id_: str, tell: bool = True) -> None:
+    def _end(self, id_: str, notify: bool = True) -> None:
         session = self.sessions.pop(id_, None)
         if session is None:
             return
@@ -103,10 +108,10 @@
                     del self.entries[key]
                 else:
                     entry.session = ""
-                    entry.free_at = self._now + session.lock_delay
+                    entry.locked_until = self._now + session.lock_delay
                     entry.modify = self.servers.index + 1
-                self.marks[key] = self.servers.index + 1
-        if tell:
+                self.last_changes[key] = self.servers.index + 1
+        if notify:
             self.servers.raise_index()
 
     def _create(self, body: dict[str, Any]) -> tuple[int, bytes]:
@@ -126,32 +131,32 @@
 
     # --- calls ---
     async def answer(
-        self, method: str, path: list[str], asks: dict[str, str], body: bytes
+        self, method: str, path: list[str], query: dict[str, str], body: bytes
     ) -> tuple[int, bytes, int]:
-        """Status, body and index: of a read the highest of what it looked at, as a prefix has."""
+        """Status, body and index; the index of a read is the highest among the keys it covers."""
         self.calls += 1
         if method == "GET":
-            key, recurse = "/".join(path[1:]), "recurse" in asks
-            if "index" in asks:
-                await self._wait_for_key(key, recurse, int(asks["index"]), asks.get("wait", ""))
+            key, recurse = "/".join(path[1:]), "recurse" in query
+            if "index" in query:
+                await self._wait_for_key(key, recurse, int(query["index"]), query.get("wait", ""))
             return *self._get(key, recurse), self._index(key, recurse)
         return *self._put(method, path, body), self.servers.index
 
     def _index(self, key: str, recurse: bool) -> int:
-        """What has gone leaves its mark, or nobody would hear of it."""
+        """Highest index of the covered keys; deleted ones count, so that queries see deletions."""
         return max(
             [
                 1,
                 *(
                     modify
-                    for name, modify in self.marks.items()
+                    for name, modify in self.last_changes.items()
                     if name == key or (recurse and name.startswith(key))
                 ),
             ]
         )
 
     async def _wait_for_key(self, key: str, recurse: bool, index: int, wait: str) -> None:
-        """Until this prefix has changed, or that long."""
+        """Block until the covered keys change, or the wait time has passed."""
         seconds = (duration(wait) or 300.0) * self.rng.uniform(1.0, 1.0625)
         until = self._now + seconds
         while self._index(key, recurse) == index and self._now < until:
@@ -196,62 +201,64 @@
             ]
         ).encode()
 
-    def _transaction(self, steps: list[dict[str, Any]]) -> tuple[int, bytes]:
-        """All of it or nothing: checks come before any change, whatever their order."""
-        if len(steps) > MAX_TXN_OPERATIONS:
+    def _transaction(self, raw_operations: list[dict[str, Any]]) -> tuple[int, bytes]:
+        """Apply all operations or none; all checks run before the first change."""
+        if len(raw_operations) > MAX_TXN_OPERATIONS:
             return 413, b"too many operations"
-        asked = [step["KV"] for step in steps]
-        wrong = [place for place, step in enumerate(asked) if not self._holds(step)]
-        if wrong:
+        operations = [operation["KV"] for operation in raw_operations]
+        failed = [
+            index for index, operation in enumerate(operations) if not self._is_allowed(operation)
+        ]
+        if failed:
             return 409, json.dumps(
                 {
                     "Results": None,
-                    "Errors": [{"OpIndex": place, "What": "failed"} for place in wrong],
+                    "Errors": [{"OpIndex": index, "What": "failed"} for index in failed],
                 }
             ).encode()
-        for step in asked:
-            self._apply(step)
+        for operation in operations:
+            self._apply(operation)
         self.servers.raise_index()
         return 200, json.dumps({"Results": [], "Errors": None}).encode()
 
-    def _holds(self, step: dict[str, Any]) -> bool:
-        entry = self.entries.get(step["Key"])
-        match step["Verb"]:
+    def _is_allowed(self, operation: dict[str, Any]) -> bool:
+        entry = self.entries.get(operation["Key"])
+        match operation["Verb"]:
             case "check-index":
-                return entry is not None and entry.modify == step["Index"]
+                return entry is not None and entry.modify == operation["Index"]
             case "check-not-exists":
                 return entry is None
             case "set":
-                return len(base64.b64decode(step["Value"])) <= MAX_VALUE_BYTES
+                return len(base64.b64decode(operation["Value"])) <= MAX_VALUE_BYTES
             case "lock":
-                return step["Session"] in self.sessions and (
+                return operation["Session"] in self.sessions and (
                     entry is None
-                    or entry.session == step["Session"]
-                    or (not entry.session and self._now >= entry.free_at)
+                    or entry.session == operation["Session"]
+                    or (not entry.session and self._now >= entry.locked_until)
                 )
             case "unlock":
-                return entry is not None and entry.session == step["Session"]
+                return entry is not None and entry.session == operation["Session"]
             case "delete":
                 return True
         return False
 
-    def _apply(self, step: dict[str, Any]) -> None:
-        key, verb, index = step["Key"], step["Verb"], self.servers.index + 1
+    def _apply(self, operation: dict[str, Any]) -> None:
+        key, verb, index = operation["Key"], operation["Verb"], self.servers.index + 1
         if not verb.startswith("check"):
-            self.marks[key] = index
+            self.last_changes[key] = index
         if verb == "delete":
             self.entries.pop(key, None)
         elif verb in ("set", "lock", "unlock"):
             entry = self.entries.setdefault(key, Entry(b"", index, index))
-            entry.value, entry.modify = base64.b64decode(step["Value"]), index
-            if verb == "lock" and entry.session != step["Session"]:
-                entry.session, entry.lock = step["Session"], entry.lock + 1
+            entry.value, entry.modify = base64.b64decode(operation["Value"]), index
+            if verb == "lock" and entry.session != operation["Session"]:
+                entry.session, entry.lock = operation["Session"], entry.lock + 1
             elif verb == "unlock":
                 entry.session = ""
 
 
 def duration(text: str) -> float:
-    """A Go duration of one unit, as clients send it."""
+    """Seconds of a Go duration with one unit, as clients send it; 0.0 for other text."""
     for unit, factor in (("ms", 0.001), ("s", 1.0), ("m", 60.0)):
         if text.endswith(unit) and text.removesuffix(unit).isdecimal():
             return int(text.removesuffix(unit)) * factor
--- a/limebridge/terminal_text.py
+++ b/limebridge/terminal_text.py
@@ -1,13 +1,13 @@
-"""Text that came from elsewhere, as a terminal may show it."""
+"""Makes untrusted text safe to print on a terminal."""
 
 from __future__ import annotations
 
 
 def printable(text: object) -> str:
-    """On one line, with control and format characters and lone surrogates as their escapes.
+    """The text on one line, with control and format characters and lone surrogates escaped.
 
-    A name that comes from the network could otherwise move the cursor, rewrite what stands on the
-    screen, or set the terminal's title.
+    Otherwise a name from the network could move the cursor, rewrite text on the screen or set the
+    terminal's title.
     """
     return "".join(
         each if each.isprintable() else each.encode("unicode_escape").decode() for each in str(text)
