--- a/tests/violetroute/distribution/test_distribution_in_force.py
+++ b/tests/violetroute/distribution/test_distribution_in_force.py
@@ -171,7 +171,7 @@
     assert term.core.in_force == 6
 
 
-def test_report_of_replaced_incarnation_is_refused() -> None:
+def test_a_replaced_incarnation_is_refused() -> None:
     term = running()
     assert term.report(1.5, "b", incarnation="j").leader
     assert not term.report(1.6, "b", state("p", 0), incarnation="i").leader
@@ -226,7 +226,7 @@
     assert term.core.applied == 5
 
 
-def test_two_incarnations_of_a_name_are_two_sessions() -> None:
+def test_two_incarnations_of_a_name_are_two() -> None:
     term = running(state("p", 5), state("p", 2, incarnation="j"))
     assert term.core.sessions == 2 and term.core.in_force == 2
 
@@ -281,7 +281,7 @@
     assert second.behind_s == pytest.approx(2.0) and not second.stale
 
 
-def test_refusals_are_listed_until_the_proxy_has_none() -> None:
+def test_refusals_are_told_until_the_proxy_has_none_any_more() -> None:
     term = running(state("p", 5, refused="bad table"))
     assert term.core.refused == (("p", 5, "bad table"),)
     term.report(1.2, "a", state("p", 6), full=False)
--- a/tests/violetroute/distribution/test_distribution_log.py
+++ b/tests/violetroute/distribution/test_distribution_log.py
@@ -1,4 +1,4 @@
-"""Rules of the control machines' log, of publications and of leaders, one at a time."""
+"""Unit tests of the replicated log, publications and leaders of control machines."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 def batches(*fences: int) -> tuple[Batch, ...]:
-    """A log with these fences from position 1 on."""
+    """Returns consecutive batches with these fences, from position 1."""
     return tuple(Batch(place + 1, fence, 0) for place, fence in enumerate(fences))
 
 
@@ -75,19 +75,19 @@
 
 
 # --- the log of one machine ---
-def test_a_promise_only_rises_and_names_one_leader() -> None:
-    """Two machines may be given one fence by a store that forgot; only the first is followed."""
+def test_promised_fence_never_decreases_and_has_one_leader() -> None:
+    """A store that lost data may issue one fence to two machines; only the first is followed."""
     log = replica(promised=3)
     assert not log.may_promise(2, "m0")
     assert not log.may_promise(3, "m1")
     assert log.promise(3, "m0") == ()
-    assert len(log.promise(4, "")) == 1  # heard of; its leader is not known yet
+    assert len(log.promise(4, "")) == 1  # adopted fence; its leader is not known yet
     assert log.may_promise(4, "m2")
     with pytest.raises(LogConflict):
         log.promise(3, "m0")
 
 
-def test_a_committed_batch_is_never_truncated() -> None:
+def test_committed_batch_is_never_truncated() -> None:
     log = replica(1, 1, 2, commit=2)
     with pytest.raises(LogConflict):
         log.truncate_after(1)
@@ -95,8 +95,8 @@
     assert log.last == LogPoint(1, 2)
 
 
-def test_batches_without_the_one_before_are_refused() -> None:
-    """A gap, a fence that falls, and one above the promise: each would break the log's order."""
+def test_append_refuses_gaps_and_wrong_fences() -> None:
+    """A gap, a decreasing fence and one above the promise would violate the order of the log."""
     log = replica(1, 2, promised=3)
     for batch in (Batch(4, 2, 0), Batch(3, 1, 0), Batch(3, 4, 0), Batch(2, 2, 0)):
         with pytest.raises(LogConflict):
@@ -104,7 +104,7 @@
     assert log.last == LogPoint(2, 2)
 
 
-def test_what_is_truncated_is_not_durable_when_an_earlier_write_ends() -> None:
+def test_truncated_batch_does_not_become_durable_by_an_earlier_write() -> None:
     log = replica(1)
     log.append((Batch(2, 1, 0), Batch(3, 1, 0)))
     log.persist_started(1)
@@ -121,20 +121,20 @@
 @pytest.mark.parametrize(
     ("leader", "last", "common"),
     [
-        ((1, 1, 3, 3), LogPoint(2, 4), 2),  # all of fence 3 is another log's
-        ((1, 1, 2, 3), LogPoint(2, 5), 3),  # the end of fence 2 may be common
+        ((1, 1, 3, 3), LogPoint(2, 4), 2),  # the other log has no batch of fence 3
+        ((1, 1, 2, 3), LogPoint(2, 5), 3),  # the batch of fence 2 may be common
         ((1, 1), LogPoint(1, 4), 2),
         ((3, 3), LogPoint(2, 2), 0),
         ((1, 2, 2), LogPoint(1, 3), 1),
     ],
 )
-def test_a_diverged_log_is_cut_where_both_may_be_equal(
+def test_diverged_log_is_truncated_to_the_possible_common_prefix(
     leader: tuple[int, ...], last: LogPoint, common: int
 ) -> None:
     assert replica(*leader).common_prefix_end(last) == common
 
 
-def test_only_committed_batches_are_dropped_and_configuration_is_kept() -> None:
+def test_retention_drops_committed_batches_and_keeps_configuration() -> None:
     first = Batch(1, 1, 1000, (Record(Topic.CONFIGURATION, "a", b"1"), purge("p")))
     second = Batch(2, 1, 2000, (Record(Topic.CONFIGURATION, "a", b"2"),))
     third = Batch(3, 1, 3000)
@@ -147,7 +147,7 @@
     assert log.last == LogPoint(1, 3) and log.contains(LogPoint(1, 2))
 
 
-def test_a_snapshot_never_replaces_what_is_committed() -> None:
+def test_snapshot_before_the_commit_position_is_refused() -> None:
     log = replica(1, 1, 1, commit=2)
     with pytest.raises(LogConflict):
         log.install(Snapshot(LogPoint(1, 2)))
@@ -155,7 +155,7 @@
     assert (log.commit, log.last) == (7, LogPoint(5, 7))
 
 
-def test_proxies_are_sent_committed_batches_alone() -> None:
+def test_only_committed_batches_are_returned_for_proxies() -> None:
     log = replica(1, 1, 1, commit=2)
     assert len(log.after(0, 10**6) or ()) == 2
     assert len(log.after(0, 1) or ()) == 1  # at least one
@@ -163,7 +163,7 @@
 
 
 class CountingEntries(list[object]):
-    """The entries of a log, counting how many are read."""
+    """A log's entries; counts the entries read."""
 
     reads = 0
 
@@ -179,7 +179,7 @@
 
 
 @pytest.mark.parametrize("kept", [100, 10_000])
-def test_a_commit_reads_what_is_new_and_not_the_whole_log(kept: int) -> None:
+def test_commit_reads_only_new_entries(kept: int) -> None:
     log = replica(*([1] * kept), commit=kept)
     entries = log._entries = CountingEntries(log._entries)  # type: ignore[assignment]
     log.append((Batch(kept + 1, 1, 0),))
@@ -190,8 +190,8 @@
     assert entries.reads < 20  # type: ignore[attr-defined]
 
 
-def test_sizes_and_the_snapshot_at_the_commit_are_as_if_counted_anew() -> None:
-    """After appends, truncations, commits, snapshots and what is dropped, in any order."""
+def test_incremental_sizes_and_snapshots_equal_a_full_count() -> None:
+    """Random appends, truncations, commits, snapshots and retention, compared with a full count."""
     for seed in range(30):
         chosen = random.Random(seed)
         log = Replica(Stored("log-1", 99, "m0"))
@@ -235,7 +235,7 @@
 
 
 # --- publications ---
-def test_a_window_of_publications_is_one_batch() -> None:
+def test_publications_of_one_window_form_one_batch() -> None:
     cluster = led()
     tickets = [cluster.publish("m0", f"k{number}") for number in range(5)]
     cluster.run(0.6)
@@ -252,7 +252,7 @@
     assert cluster.machine("m0").replica.last.position == 2
 
 
-def test_a_repeat_while_it_is_pending_takes_the_place_of_the_first_caller() -> None:
+def test_retry_of_pending_publication_replaces_the_first_caller() -> None:
     cluster = led()
     first, second = cluster.publish("m0", "k"), cluster.publish("m0", "k")
     assert answer(cluster, first).status == PublishStatus.UNKNOWN
@@ -273,7 +273,7 @@
     assert answer(cluster, tickets[1]).status == PublishStatus.COMMITTED
 
 
-def test_configuration_that_no_snapshot_could_hold_is_refused() -> None:
+def test_configuration_beyond_snapshot_limits_is_refused() -> None:
     cluster = led()
     for number in range(CONFIGURATION_KEYS + 1):
         record = Record(Topic.CONFIGURATION, f"table{number}", b"")
@@ -286,7 +286,7 @@
 
 
 def test_at_the_end_of_a_term_callers_are_told_what_is_known() -> None:
-    """What was appended may be committed by the next leader; what was not, will not be."""
+    """The next leader may commit appended publications, and never commits others."""
     cluster = led()
     cluster.cut = frozenset(("m0",))
     appended = cluster.publish("m0", "a")
@@ -314,7 +314,7 @@
     assert ("m0", 2) in cluster.fenced
 
 
-def test_a_leader_without_a_majority_hands_its_lease_on() -> None:
+def test_leader_without_a_majority_releases_its_lease() -> None:
     cluster = led()
     cluster.cut = frozenset(("m0",))
     cluster.run(9.0)
@@ -324,8 +324,8 @@
     assert not cluster.machine("m0").leading
 
 
-def test_a_promise_that_is_lost_after_its_first_fetch() -> None:
-    """The fetch tells the same; the promise is not asked for again, and not missed."""
+def test_lost_promise_is_not_requested_again_after_a_fetch() -> None:
+    """A fetch shows that the replica follows, so `Prepare` is not repeated."""
     cluster = Cluster(3)
     cluster.lead("m0")
     promise = cluster.hold_back("m0", Promise)
@@ -335,21 +335,21 @@
     assert [machine.replica.commit for machine in cluster.machines()] == [1, 1, 1]
 
 
-def test_a_fence_that_is_not_higher_is_refused() -> None:
+def test_lead_with_a_fence_that_is_not_higher_is_refused() -> None:
     cluster = led()
     cluster.step_down("m0")
     cluster.lead("m0", fence=1)
     assert cluster.fenced == [("m0", 1)] and not cluster.machine("m0").leading
 
 
-def test_a_recovering_machine_does_not_lead() -> None:
+def test_recovering_machine_releases_the_lease() -> None:
     machine = Machine(MachineSettings("m0", NAMES), Stored("log-1", recovering=True), Even(), 0.0)
     assert ReleaseLease() in machine.lead(0.0, 5)
     assert not machine.leading
 
 
 class Even(random.Random):
-    """No jitter."""
+    """Random source without jitter."""
 
     def random(self) -> float:
         return 0.0
@@ -363,7 +363,7 @@
     assert answer(cluster, ticket).status == PublishStatus.COMMITTED
 
 
-def test_a_follower_that_was_down_gets_a_snapshot_of_what_is_not_kept() -> None:
+def test_follower_gets_a_snapshot_of_dropped_batches() -> None:
     cluster = Cluster(3, keep_s=2.0, retention_interval_s=1.0)
     cluster.lead("m0")
     cluster.run(0.6)
@@ -380,7 +380,7 @@
     assert cluster.machine("m2").replica.commit == 6
 
 
-def test_requests_are_answered_by_machines_that_can_not_serve_them() -> None:
+def test_followers_answer_requests_that_only_a_leader_serves() -> None:
     cluster = led()
     fetch = cluster.request("m1", Fetch("m2", 1, LogPoint(), 0))
     published = cluster.publish("m1", "k")
@@ -396,7 +396,7 @@
     assert (found.leader, found.commit, found.log) == ("m0", 1, "log-1")
 
 
-def test_messages_of_strangers_change_nothing() -> None:
+def test_messages_of_unknown_machines_change_nothing() -> None:
     cluster = led()
     before = cluster.machine("m1").replica.key()
     for message in (Prepare("x", 99), Prepare("m1", 99), Fetch("x", 99, LogPoint(), 0)):
@@ -407,7 +407,7 @@
     assert cluster.machine("m1").replica.key() == before
 
 
-def test_a_promise_and_an_acknowledgement_wait_for_the_disk() -> None:
+def test_promise_and_acknowledgement_wait_for_durability() -> None:
     machine = Machine(MachineSettings("m1", NAMES), Stored("log-1"), Even(), 0.0)
     actions = machine.requested(0.0, 7, Prepare("m0", 1))
     assert isinstance(actions[0], Persist)
@@ -434,7 +434,7 @@
     assert first in cluster.answers and second not in cluster.answers
 
 
-def test_a_proxy_gets_what_is_published() -> None:
+def test_proxy_receives_published_batches() -> None:
     cluster = led()
     cluster.run(1.0)
     ticket = cluster.request("m1", Poll("p", "i", "r", "", 0))
@@ -453,7 +453,7 @@
     assert 0 <= second.age_ms < 2800
 
 
-def test_the_status_of_the_leader_tells_what_is_in_force() -> None:
+def test_leader_status_reports_in_force_and_replica_positions() -> None:
     cluster = led()
     cluster.run(4.0)
     found = cluster.answers[cluster.request("m0", StatusRequest())]
@@ -466,7 +466,7 @@
     ]
 
 
-def test_a_copy_goes_its_own_way() -> None:
+def test_copy_of_a_machine_is_independent() -> None:
     cluster = led()
     machine = cluster.machine("m0")
     made = machine.copy()
--- a/tests/violetroute/distribution/test_distribution_replica.py
+++ b/tests/violetroute/distribution/test_distribution_replica.py
@@ -1,4 +1,4 @@
-"""Rules of the log, of what a leader knows of the others, and of a recovery, each by itself."""
+"""Unit tests of the replica, the leader's view of followers, and recovery."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 
 def replica(*fences: int, base: LogPoint | None = None) -> Replica:
-    """A log with these fences behind its base."""
+    """Returns a log with batches of these fences after its base."""
     base = base or LogPoint()
     batches = tuple(Batch(base.position + 1 + at, fence, 0) for at, fence in enumerate(fences))
     return Replica(Stored("log-1", 9, "m0", Snapshot(base), batches))
 
 
 def leading(log: Replica, fence: int = 1) -> Followers:
-    """The other replicas of a leader that has the most recent log."""
+    """Returns the followers of a leader that has the most recent log."""
     followers = Followers(MachineSettings("m0", NAMES), fence, log, Outbox(log))
     followers.serving = True
     return followers
@@ -45,23 +45,23 @@
 
 
 # --- the log ---
-def test_what_is_truncated_is_not_durable_from_then_on() -> None:
-    """Also before the truncation is stored: the batches that follow are others."""
+def test_truncation_lowers_the_durable_position_immediately() -> None:
+    """This holds before the truncation is stored, since later batches there are different."""
     log = replica(1, 1, 1)
     assert log.durable == 3
     log.truncate_after(1)
     assert log.durable == 1
 
 
-def test_a_log_of_a_lower_fence_than_the_base_has_to_start_from_the_snapshot() -> None:
-    """Its batch at the base's position is another one, so it may not keep it."""
+def test_log_with_lower_fence_than_the_base_needs_the_snapshot() -> None:
+    """Its batch at the base's position is a different one and must not be kept."""
     log = replica(2, 3, base=LogPoint(2, 5))
     assert log.common_prefix_end(LogPoint(1, 9)) is None
     assert log.common_prefix_end(LogPoint(2, 9)) == 6
 
 
-def test_the_configuration_of_an_installed_snapshot_counts_for_what_still_fits() -> None:
-    """Else a publication is taken that no snapshot could hold."""
+def test_installed_configuration_counts_towards_the_snapshot_limit() -> None:
+    """Otherwise a publication would be accepted that no snapshot can hold."""
     log = replica(1)
     names = [f"table{number}" for number in range(CONFIGURATION_KEYS + 1)]
     *held, more = (Record(Topic.CONFIGURATION, name) for name in names)
@@ -70,11 +70,11 @@
     assert not log.fits((more,)) and log.fits((held[0],))
 
 
-# --- the other replicas ---
-def test_only_the_echo_of_an_answer_shows_that_a_replica_followed() -> None:
+# --- followers ---
+def test_only_an_echoed_answer_confirms_a_follower() -> None:
     followers = leading(replica(1))
     followers.fetched(0.0, 1, fetch())
-    followers.step(1.0)  # the first answer, at the end of its hold time
+    followers.step(1.0)  # first answer, after the hold time
     for unknown in (0, 9):
         followers.fetched(2.0, 2, fetch(answered=unknown))
         followers.abandoned(2)
@@ -83,7 +83,7 @@
     assert followers.quorum_followed_at(3.0) == 1.0
 
 
-def test_the_echo_of_a_forgotten_answer_shows_nothing() -> None:
+def test_echo_of_a_dropped_answer_confirms_nothing() -> None:
     followers = leading(replica(1))
     for number in range(1, MAX_ECHOED_ANSWERS + 2):
         followers.fetched(float(number), number, fetch())
@@ -94,8 +94,8 @@
     assert followers.quorum_followed_at(9.0) == 2.5
 
 
-def test_a_fetch_that_is_held_at_the_end_of_the_term_is_told_so() -> None:
-    """Its sender would look for the next leader only after its timeout."""
+def test_end_of_term_answers_held_fetches() -> None:
+    """Otherwise its sender would look for the next leader only after its timeout."""
     log = replica(1)
     outbox = Outbox(log)
     followers = Followers(MachineSettings("m0", NAMES), 1, log, outbox)
@@ -115,14 +115,14 @@
         self.recovery = Recovery(settings, self.log, self.outbox, random.Random(1), 0.0)
         self.recovery.step(0.0)
 
-    def told_by_all(self) -> None:
+    def all_report(self) -> None:
         for ticket in (1, 2):
             self.recovery.replied(0.1, ticket, answered=True)
 
     def fetched(
         self, last: int = 1, fence: int = 9, ticket: int = 9, status: FetchStatus = FetchStatus.OK
     ) -> bool:
-        """The leader answers a fetch; whether the replica counts again then."""
+        """Delivers the leader's fetch reply; returns whether the replica has recovered."""
         self.recovery.fetched(FetchResult(ticket, 0.0, FetchReply(status, fence, last=last)))
         return self.recovered()
 
@@ -131,44 +131,44 @@
         return not self.log.recovering
 
 
-def test_an_answer_to_a_fetch_that_was_sent_before_all_have_told_does_not_count() -> None:
-    """What it names may lack what was committed with a promise from before the loss."""
+def test_reply_to_a_fetch_sent_before_all_reported_does_not_count() -> None:
+    """That reply may lack batches committed with the help of a promise from before the loss."""
     machine = Recovering()
     earlier = machine.outbox.send("m0", fetch(), 1.0)
     assert not machine.fetched(ticket=earlier)
-    machine.told_by_all()
+    machine.all_report()
     assert not machine.fetched(ticket=earlier)
     assert machine.fetched(ticket=earlier + 1)
 
 
-def test_a_diverged_log_and_a_snapshot_are_no_whole_log() -> None:
+def test_diverged_and_snapshot_replies_do_not_end_recovery() -> None:
     machine = Recovering()
-    machine.told_by_all()
+    machine.all_report()
     assert not machine.fetched(status=FetchStatus.DIVERGED)
     assert not machine.fetched(status=FetchStatus.SNAPSHOT)
     assert machine.fetched()
 
 
-def test_the_log_of_an_earlier_leader_is_not_enough() -> None:
+def test_log_of_an_earlier_leader_does_not_end_recovery() -> None:
     machine = Recovering()
-    machine.told_by_all()
+    machine.all_report()
     assert not machine.fetched(last=2)
     machine.log.promise(10, "m2")
     machine.log.append((Batch(2, 9, 0),))
     assert not machine.recovered()
 
 
-def test_a_later_leader_says_anew_what_the_whole_log_is() -> None:
+def test_later_leader_redefines_the_required_position() -> None:
     machine = Recovering()
-    machine.told_by_all()
+    machine.all_report()
     assert not machine.fetched(last=5)  # not all of it was committed
     machine.log.promise(10, "m2")
     assert machine.fetched(last=1, fence=10)
 
 
-def test_what_is_not_durable_is_not_recovered() -> None:
+def test_recovery_waits_for_durability() -> None:
     machine = Recovering()
-    machine.told_by_all()
+    machine.all_report()
     machine.outbox.persist(machine.log.append((Batch(2, 9, 0),)))
     assert not machine.fetched(last=2)
     machine.log.persisted(machine.outbox.last_ticket)
--- a/tests/violetroute/distribution/test_distribution_storage.py
+++ b/tests/violetroute/distribution/test_distribution_storage.py
@@ -1,4 +1,4 @@
-"""A control machine's folder: what is told as stored is there after a crash at any byte."""
+"""Storage of a control machine: persisted changes survive a crash at any byte."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def made(path: Path, *writes: Sequence[Change], recovering: bool = False) -> Path:
-    """A folder with these writes, one after the other."""
+    """Creates a folder and performs these writes in order."""
     init_folder(path, "c0", "log1", recovering)
     storage = Storage(path, "c0")
     for changes in writes:
@@ -71,13 +71,13 @@
 
 
 # --- start ---
-def test_a_new_folder_is_an_empty_log(tmp_path: Path) -> None:
+def test_new_folder_is_an_empty_log(tmp_path: Path) -> None:
     assert opened(made(tmp_path / "new")) == Stored("log1")
     lost = made(tmp_path / "lost", recovering=True)
     assert opened(lost) == Stored("log1", recovering=True)
 
 
-def test_what_was_written_is_there_at_the_next_start(tmp_path: Path) -> None:
+def test_writes_are_replayed_at_the_next_start(tmp_path: Path) -> None:
     path = made(tmp_path / "c0", *WRITES)
     expected = Stored("log1", 7, "", Snapshot(LogPoint(4, 2)), (batch(3, 4), batch(4, 4)), False)
     assert opened(path) == expected
@@ -99,7 +99,7 @@
 
 
 def test_missing_segments_are_refused(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(storage_module, "SEGMENT_BYTES", 1)  # each write begins a new one
+    monkeypatch.setattr(storage_module, "SEGMENT_BYTES", 1)  # every write rotates the segment
     path = made(tmp_path / "c0", *WRITES[:4])
     names = sorted(each.name for each in path.glob("segment-*"))
     assert len(names) == 5
@@ -107,7 +107,7 @@
         copy = tmp_path / f"without-{name}"
         shutil.copytree(path, copy)
         (copy / name).unlink()
-        if name == FIRST:  # has the promise only, and each header repeats it
+        if name == FIRST:  # holds only the promise, which each header repeats
             assert opened(copy) == opened(path)
             continue
         with pytest.raises(StorageError):
@@ -128,7 +128,7 @@
         Storage(path, "c0")
 
 
-def test_a_folder_is_one_process_alone(tmp_path: Path) -> None:
+def test_folder_is_locked_by_one_process(tmp_path: Path) -> None:
     path = made(tmp_path / "c0")
     storage = Storage(path, "c0")
     with pytest.raises(StorageError, match="in use by another process"):
@@ -139,7 +139,7 @@
     Storage(path, "c0").close()
 
 
-def test_init_does_not_touch_a_log_that_is_there(tmp_path: Path) -> None:
+def test_init_refuses_an_existing_log(tmp_path: Path) -> None:
     path = made(tmp_path / "c0", *WRITES)
     before = opened(path)
     with pytest.raises(StorageError, match="a log already exists"):
@@ -147,15 +147,15 @@
     assert opened(path) == before
 
 
-def test_an_init_that_was_interrupted_can_be_made_again(tmp_path: Path) -> None:
+def test_interrupted_init_can_be_repeated(tmp_path: Path) -> None:
     path = made(tmp_path / "c0", *WRITES)
-    (path / "identity").unlink()  # the last that init writes
+    (path / "identity").unlink()  # init writes it last
     init_folder(path, "c0", "log1", True)
     assert opened(path) == Stored("log1", recovering=True)
 
 
 # --- crashes ---
-def test_a_crash_at_any_byte_loses_nothing_that_was_stored(tmp_path: Path) -> None:
+def test_crash_at_any_byte_loses_no_stored_change(tmp_path: Path) -> None:
     path = tmp_path / "c0"
     init_folder(path, "c0", "log1", False)
     segment = path / FIRST
@@ -171,22 +171,22 @@
         segment.write_bytes(data[:length])
         whole = max(number for number, end in enumerate(ends) if end <= length)
         assert opened(path) == states[whole]
-        assert segment.stat().st_size == ends[whole]  # the torn tail is gone from the file, too
-    for length in range(ends[0]):  # a header is put there whole: less of it is damage
+        assert segment.stat().st_size == ends[whole]  # the torn tail is truncated from the file
+    for length in range(ends[0]):  # headers are written atomically: a partial one is damage
         segment.write_bytes(data[:length])
         with pytest.raises(StorageError):
             Storage(path, "c0")
 
 
-def test_a_tail_whose_bytes_never_reached_the_disk_is_dropped(tmp_path: Path) -> None:
+def test_tail_with_unwritten_blocks_is_dropped(tmp_path: Path) -> None:
     path = made(tmp_path / "c0", *WRITES[:2])
     before, segment = opened(path), path / FIRST
     good = segment.read_bytes()
     frame = encode_frame(b"x" * 300)
     for tail in (
-        bytes(len(frame)),  # the length was kept and none of the blocks
-        bytes(HEADER.size) + frame[HEADER.size :],  # all but the first block
-        frame[:-100] + bytes(100),  # all but the last one
+        bytes(len(frame)),  # length on disk, no data blocks
+        bytes(HEADER.size) + frame[HEADER.size :],  # first block missing
+        frame[:-100] + bytes(100),  # last block missing
         b"\xff" * 50,
     ):
         segment.write_bytes(good + tail)
@@ -205,10 +205,10 @@
         with pytest.raises(StorageError) as refused:
             Storage(path, "c0")
         assert "\n" not in str(refused.value)
-    assert segment.stat().st_size == len(data)  # nothing was cut off
+    assert segment.stat().st_size == len(data)  # nothing was truncated
 
 
-def test_damage_in_an_earlier_segment_is_refused_at_its_end_too(
+def test_damaged_end_of_an_earlier_segment_is_refused(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(storage_module, "SEGMENT_BYTES", 1)
@@ -221,7 +221,7 @@
             Storage(path, "c0")
 
 
-def test_frames_that_are_whole_and_do_not_follow_are_refused(tmp_path: Path) -> None:
+def test_intact_but_inconsistent_frames_are_refused(tmp_path: Path) -> None:
     path = made(tmp_path / "c0", *WRITES[:2])
     with pytest.raises(Exception, match="position 9, expected 3"):
         made(tmp_path / "c1", *WRITES[:2], [AppendBatches((batch(9),))])
@@ -243,7 +243,7 @@
     ),
     st.sampled_from([1, 400, 2000]),
 )
-def test_any_course_reads_as_a_plain_list_would(
+def test_any_sequence_of_changes_equals_the_reference_model(
     tmp_path_factory: pytest.TempPathFactory, course: list[list[Step]], segment_bytes: int
 ) -> None:
     path = tmp_path_factory.mktemp("course") / "c0"
@@ -263,7 +263,7 @@
 
 
 class Model:
-    """The state as a list of batches and four values."""
+    """Reference model: the state as a list of batches and four values."""
 
     def __init__(self) -> None:
         self.fence, self.leader, self.recovering = 0, "", False
@@ -302,40 +302,40 @@
         )
 
 
-def test_segments_that_the_base_covers_are_removed(
+def test_segments_covered_by_the_base_are_removed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(storage_module, "SEGMENT_BYTES", 2000)
     path = tmp_path / "c0"
     init_folder(path, "c0", "log1", False)
     storage = Storage(path, "c0")
-    most = 0
+    max_bytes = 0
     for position in range(1, 400):
         storage.write([AppendBatches((batch(position, 1, ("k" * 100,)),))])
         if position % 50 == 0:
             storage.write([base(position - 20)])
-        most = max(most, sum(each.stat().st_size for each in path.glob("segment-*")))
+        max_bytes = max(max_bytes, sum(each.stat().st_size for each in path.glob("segment-*")))
     storage.close()
-    assert most < 70 * 180 + 3 * 2000
+    assert max_bytes < 70 * 180 + 3 * 2000
     stored = opened(path)
     assert [each.position for each in stored.batches] == list(range(331, 400))
 
 
-# --- beside the loop ---
+# --- persister ---
 class HeldWriter:
-    """Jobs wait until they are released."""
+    """A writer whose jobs run only when the test calls them."""
 
     def __init__(self) -> None:
         self.jobs: list[Callable[[], None]] = []
 
-    def submit(self, job: Job[T], told: JobCallback[T]) -> None:
+    def submit(self, job: Job[T], callback: JobCallback[T]) -> None:
         def work() -> None:
             try:
                 result = job()
             except Exception as error:
-                told(None, error)
+                callback(None, error)
             else:
-                told(result, None)
+                callback(result, None)
 
         self.jobs.append(work)
 
@@ -343,7 +343,7 @@
         pass
 
 
-def test_writes_that_wait_share_one_sync_and_are_told_in_order(
+def test_queued_writes_share_one_sync_and_complete_in_order(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = made(tmp_path / "c0")
@@ -353,26 +353,26 @@
     monkeypatch.setattr(
         storage_module.os, "fdatasync", lambda number: (syncs.append(number), real(number))
     )
-    writer, told, failed = HeldWriter(), list[int](), list[str]()
-    persister = Persister(storage, writer, told.append, failed.append)
+    writer, persisted, failed = HeldWriter(), list[int](), list[str]()
+    persister = Persister(storage, writer, persisted.append, failed.append)
     for number in range(1, 11):
         persister.submit(Persist(number, (AppendBatches((batch(number),)),)))
-    assert len(writer.jobs) == 1 and not told
+    assert len(writer.jobs) == 1 and not persisted
     writer.jobs.pop()()
-    assert told == [1] and len(writer.jobs) == 1
+    assert persisted == [1] and len(writer.jobs) == 1
     writer.jobs.pop()()
-    assert told == list(range(1, 11)) and len(syncs) == 2 and not failed
+    assert persisted == list(range(1, 11)) and len(syncs) == 2 and not failed
     storage.close()
     assert len(opened(path).batches) == 10
 
 
-def test_after_a_write_that_failed_nothing_is_told_any_more(
+def test_after_a_failed_write_nothing_is_reported(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = made(tmp_path / "c0")
     storage = Storage(path, "c0")
-    writer, told, failed = HeldWriter(), list[int](), list[str]()
-    persister = Persister(storage, writer, told.append, failed.append)
+    writer, persisted, failed = HeldWriter(), list[int](), list[str]()
+    persister = Persister(storage, writer, persisted.append, failed.append)
     persister.submit(Persist(1, (AppendBatches((batch(1),)),)))
     writer.jobs.pop()()
 
@@ -385,28 +385,28 @@
         persister.submit(Persist(3, (AppendBatches((batch(3),)),)))
         writer.jobs.pop()()
     persister.submit(Persist(4, (AppendBatches((batch(4),)),)))
-    assert told == [1] and failed == ["[Errno 5] Input/output error"] and not writer.jobs
+    assert persisted == [1] and failed == ["[Errno 5] Input/output error"] and not writer.jobs
     with pytest.raises(OSError, match="an earlier write failed"):
         storage.write([SetPromise(9, "")])
     storage.close()
     assert [each.position for each in opened(path).batches] in ([1], [1, 2])
 
 
-def test_the_thread_writes_beside_the_loop(tmp_path: Path) -> None:
+def test_writer_thread_persists_in_order(tmp_path: Path) -> None:
     path = made(tmp_path / "c0")
 
-    async def play() -> None:
+    async def run() -> None:
         storage = Storage(path, "c0")
-        told, failed = list[int](), list[str]()
+        persisted, failed = list[int](), list[str]()
         writer = ThreadWriter(asyncio.get_running_loop())
-        persister = Persister(storage, writer, told.append, failed.append)
+        persister = Persister(storage, writer, persisted.append, failed.append)
         for number in range(1, 101):
             persister.submit(Persist(number, (AppendBatches((batch(number),)),)))
-        assert not told
-        await until(lambda: len(told) == 100)
-        assert told == list(range(1, 101)) and not failed
+        assert not persisted
+        await until(lambda: len(persisted) == 100)
+        assert persisted == list(range(1, 101)) and not failed
         persister.close()
         storage.close()
 
-    asyncio.run(play())
+    asyncio.run(run())
     assert len(opened(path).batches) == 100
