--- a/tests/violetroute/fleet/test_fleet.py
+++ b/tests/violetroute/fleet/test_fleet.py
@@ -411,9 +411,8 @@
         await call(lambda callback: a.acquire(Acquire("w", 1, 0, None), callback))
         assert any(target.startswith("/v1/session/renew/") for target in consul.requests[before:])
         consul.kv._end(first)
-        await call(
-            lambda callback: a.acquire(Acquire("u", 1, 0, None), callback)
-        )  # creates another session
+        # Creates another session.
+        await call(lambda callback: a.acquire(Acquire("u", 1, 0, None), callback))
         assert a.protocol.session not in ("", first)
         answer, _ = await call(lambda callback: a.renew([("v", 1), ("u", 1)], callback))
         assert not answer["v"].accepted and answer["u"].accepted
@@ -560,9 +559,9 @@
     return Fleet(table, name, net, store_factory(table, net), work)
 
 
-async def until(what: Any) -> None:
+async def until(condition: Any) -> None:
     async with asyncio.timeout(20.0):
-        while not what():
+        while not condition():
             await asyncio.sleep(0.01)
 
 
@@ -607,11 +606,11 @@
     first = {"idempotency-key": '"w/4.n/0"', "fence": "4;n"}
 
     async def run() -> None:
-        assert effects._take(first, b"1")[0] == 201
-        assert effects._take(first, b"1")[0] == 200
-        assert effects._take(first, b"2")[0] == 422
+        assert effects._apply(first, b"1")[0] == 201
+        assert effects._apply(first, b"1")[0] == 200
+        assert effects._apply(first, b"2")[0] == 422
         for fence in ("3;m", "4;m"):
-            status, body = effects._take({"idempotency-key": '"w/3.m/1"', "fence": fence}, b"1")
+            status, body = effects._apply({"idempotency-key": '"w/3.m/1"', "fence": fence}, b"1")
             assert status == 412 and json.loads(body) == {"fence": 4}
 
     asyncio.run(run())
