--- a/snowstall/balance.py
+++ b/snowstall/balance.py
@@ -29,7 +29,7 @@
 RETRY_RATE, RETRY_BURST = 0.15, 6.0  # retry budget: earned by each request, and saved up at most
 READMIT_MS = 30_000.0  # an ejected cache that no request could probe is used again after this
 # A cache has stalled if it answers nothing for the slowest mean latency plus this many deviations,
-# and for at least this many ms, since this process may pause that long without a report.
+# and for at least this many ms: `on_pause` is not called for shorter pauses of this process.
 STALL_DEVIATIONS, MIN_STALL_MS = 4.0, 100.0
 MIN_SUBSCRIBE_MS, SUBSCRIBE_MS_PER_PROXY = 500.0, 50.0  # range of the wait before a subscription
 # Its bounds after a failed call, a timed-out watch, at a local agent: changes must arrive in 6 s.
--- a/snowstall/hashing.py
+++ b/snowstall/hashing.py
@@ -16,9 +16,8 @@
 _LANE_BITS, _LANE_BYTES = 128, 16
 _ONES = sum(1 << (_LANE_BITS * lane) for lane in range(LANES))
 _LOW_HALVES = _ONES * _MASK
-_STEPS = sum(
-    (((lane + 1) * _GOLDEN) & _MASK) << (_LANE_BITS * lane) for lane in range(LANES)
-)  # the summands of `mix` for salts 0, 1, ...
+# The summands of `mix` for salts 0, 1, ..., one in each lane.
+_STEPS = sum((((lane + 1) * _GOLDEN) & _MASK) << (_LANE_BITS * lane) for lane in range(LANES))
 
 
 def mix(value: int, salt: int = 0) -> int:
--- a/tests/violetroute/ledger/test_ledger.py
+++ b/tests/violetroute/ledger/test_ledger.py
@@ -87,9 +87,8 @@
     assert first is not None and first.kind == "period" and first.units == 4
     before = export.json_lines(first)
     count(made, START + 20, acme=2)  # the clock has stepped back
-    assert (
-        decide(made, made.batch_records(START + 21)) == []
-    )  # late units are collected for `grace_s`
+    # Late units are collected for `grace_s` before they become a correction.
+    assert decide(made, made.batch_records(START + 21)) == []
     decide(made, made.batch_records(START + 381))
     late = list(made.batches.values())[1]
     assert (late.kind, late.period, late.lines) == ("correction", START, [("acme", "lookup", 2)])
--- a/tests/violetroute/membership/test_consul_morning.py
+++ b/tests/violetroute/membership/test_consul_morning.py
@@ -170,9 +170,8 @@
         judge = seen.judged()
         assert judge.violations == []
         assert seen.sent_late == []
-        assert (
-            len(seen.times.answered) >= 0.95 * crowd.sent
-        )  # the answer time is known for nearly all
+        # The answer time is known for nearly all requests.
+        assert len(seen.times.answered) >= 0.95 * crowd.sent
         assert crowd.count_outcomes()["served"] > 0.95 * crowd.sent
         assert any(what == "node_reported" for _, what, _ in seen.events)
 
--- a/tests/violetroute/membership/test_list_reader.py
+++ b/tests/violetroute/membership/test_list_reader.py
@@ -14,7 +14,7 @@
 from violetroute.membership.list_reader import LINE_LIMIT, ListReader, ObjectSplitter, WatchError
 from violetroute.transport import Address, parse_address
 
-CPU_FOR_TEN_THOUSAND = 0.3  # s; guards against parsing time that blocks the event loop
+CPU_FOR_TEN_THOUSAND = 0.3  # s; a list of 10,000 nodes is parsed in one event loop iteration
 
 
 def instance(number: int, **fields: object) -> dict[str, Any]:
--- a/tests/violetroute/membership/test_merge_whole.py
+++ b/tests/violetroute/membership/test_merge_whole.py
@@ -52,9 +52,8 @@
     wall: float = 1000.0  # Unix ms; increases with each event, so that starts are ordered
     started: float = 0.0  # of the node, as reported last
     restarted: bool = False
-    removed_at: dict[str, float] = field(
-        default_factory=dict
-    )  # the rule: when each source reported a drain or removal
+    # By source: when it reported a drain or removal that is in force (the model's own record).
+    removed_at: dict[str, float] = field(default_factory=dict)
     drains_initially: bool = False  # whether the node drains in the initial list
 
     def step(self, source: str, event: str) -> None:
--- a/tests/violetroute/placement/test_placement.py
+++ b/tests/violetroute/placement/test_placement.py
@@ -288,9 +288,8 @@
             assert await spread(100) == [0, 60, 0]
             reload(None, moved_per_s=1.0)
             await asyncio.wait_for(wait_for_sizes(rig, {}), 20)
-            assert (
-                min((await spread(200))[::2]) > 5
-            )  # s-1 is left out: its recent requests still count as load
+            # s-1 is left out: its recent requests still count as load.
+            assert min((await spread(200))[::2]) > 5
 
     async def wait_for_sizes(rig: Rig, target: dict[str, float]) -> None:
         sizes = {stable_hash(name.encode()): size for name, size in target.items()}
--- a/tests/violetroute/resp/test_resp.py
+++ b/tests/violetroute/resp/test_resp.py
@@ -17,9 +17,8 @@
     ),
     st.binary(max_size=12),
 )
-LENGTH_PREFIXES = st.sampled_from(
-    [b"", b"0", b"00", b"-", b"+", b" ", b"1"]
-)  # put before a valid length
+# Put before a valid length.
+LENGTH_PREFIXES = st.sampled_from([b"", b"0", b"00", b"-", b"+", b" ", b"1"])
 
 
 def encoded(words: list[bytes], odd: bytes) -> bytes:
--- a/tests/violetroute/sharing/test_sharing.py
+++ b/tests/violetroute/sharing/test_sharing.py
@@ -155,9 +155,8 @@
     assert amount == 9_500  # all but the floor
     assert borrower.accept_grant(3.1, "lender", ask.number, amount) is None
     assert lender.loans.authority(3.1) == 500 and borrower.loans.authority(3.1) == 19_500
-    assert (
-        borrower.loans.authority(4.01) == 10_000
-    )  # the lender waits longer, since the borrower's clock may be slow
+    # The lender waits longer, since the borrower's clock may be slow.
+    assert borrower.loans.authority(4.01) == 10_000
     assert lender.loans.authority(4.05) == 500 and lender.loans.authority(4.11) == 10_000
 
 
--- a/tests/violetroute/sharing/test_sharing_anti_entropy_bytes.py
+++ b/tests/violetroute/sharing/test_sharing_anti_entropy_bytes.py
@@ -161,9 +161,8 @@
     def paid(*times: float) -> float:
         """Charged bytes of the answers to two requests at these times."""
         one = member(*(f"p{number}" for number in range(50)))
-        one._anti_entropy._sent_pacer = BytePacer(
-            1e-6, 1e12, 0.0
-        )  # full, so a refill has no effect
+        # The bucket is full, so a refill has no effect.
+        one._anti_entropy._sent_pacer = BytePacer(1e-6, 1e12, 0.0)
         before = one._anti_entropy._sent_pacer._level
         for index, now in enumerate(times):
             assert hears(one, now, BucketRequest(index, 4, index))
--- a/tests/violetroute/sharing/test_sharing_talk.py
+++ b/tests/violetroute/sharing/test_sharing_talk.py
@@ -375,9 +375,8 @@
     assert made.on_peer_reports(1.0, [3, 77], []) == []  # 77 is unknown
     assert 3 not in sent(made, 2.0, 200)
     assert len(sent(made, 3.0, 200)) == 9
-    assert (
-        made.on_peer_reports(4.0, range(10), []) == []
-    )  # all of them: some must still get requests
+    # All nodes are reported unhealthy, and some must still get requests.
+    assert made.on_peer_reports(4.0, range(10), []) == []
     assert sent(made, 5.0, 200)
 
 
--- a/tests/violetroute/upstream/test_nodes.py
+++ b/tests/violetroute/upstream/test_nodes.py
@@ -434,14 +434,14 @@
     async def run() -> None:
         async with Rig(CacheNode(holds), CacheNode(holds)) as rig:
             asked = asyncio.create_task(rig.ask(get(1)))
-            await until(lambda: rig.proxy.request_states() == ["1 out, try 1"])
+            await until(lambda: rig.proxy.request_states() == ["1 in flight, attempt 1"])
             (request,) = rig.proxy._open.values()
             first = request.attempts[0]
             rig.proxy._give_up(first, Result.RESET)
-            assert rig.proxy.request_states() == ["1 out, try 2"]
+            assert rig.proxy.request_states() == ["1 in flight, attempt 2"]
             for _ in range(3):
                 rig.proxy.attempt_ended(first, Result.RESET)
-            assert rig.proxy.request_states() == ["1 out, try 2"]
+            assert rig.proxy.request_states() == ["1 in flight, attempt 2"]
             held.set()
             assert await asked == [b"id1"] and not rig.proxy.open_requests
 
@@ -467,8 +467,7 @@
             asked_at = asyncio.get_running_loop().time()
             assert (await rig.ask(put(1, wait=8000)))[0].startswith(b"-")
             await soon(ended.wait())
-            assert (
-                asyncio.get_running_loop().time() - asked_at < 4.0
-            )  # not only when its client gives up
+            # The connection must not wait until its client gives up.
+            assert asyncio.get_running_loop().time() - asked_at < 4.0
 
     stall_free_loop.run(run())
--- a/violetroute/ledger/export.py
+++ b/violetroute/ledger/export.py
@@ -5,7 +5,7 @@
 - One POST per batch, of JSON lines: the first describes the batch, the others are its units.
 - `Idempotency-Key` (IETF draft-ietf-httpapi-idempotency-key-header): the batch's key, the same for
   each attempt.  2xx: accepted, now or before.  409: an attempt with this key is still in progress.
-  422: the key was used with another body, which is our fault; the batch is held.
+  422: the key was used with another body, which is a bug of the exporter; the batch is held.
 - `Ledger-After`: the key of this ledger's previous batch.  412 if the endpoint's last batch from
   this ledger is another one; the body then has that batch and the periods of the batches after
   ours: {"last": KEY, "periods": [UNIX SECONDS, ...]}.  So a ledger whose disk was restored or lost
@@ -131,7 +131,7 @@
             "fork", "the endpoint knows a later batch", last=fork.last, periods=tuple(fork.periods)
         )
     if status == 422:
-        return ExportResult("held", "the endpoint has other contents under this key")
+        return ExportResult("held", "the endpoint has this key with other contents")
     if status == 409:
         return ExportResult("again", "409: an earlier attempt is in progress")
     if status in (429, 503):
--- a/violetroute/ledger/frames.py
+++ b/violetroute/ledger/frames.py
@@ -48,26 +48,26 @@
 def decode(data: bytes) -> DecodedLog:
     """The records before the first damaged frame.  Never raises."""
     if not data.startswith(MAGIC):
-        return DecodedLog([], 0, "not a ledger file" if data else "empty")
+        return DecodedLog([], 0, "no ledger's file" if data else "empty")
     found, offset = DecodedLog([], len(MAGIC)), len(MAGIC)
     while offset < len(data):
         if len(data) - offset < FRAME_HEADER.size:
-            found.error = "an incomplete frame"
+            found.error = "half a frame"
             break
         length, check = FRAME_HEADER.unpack_from(data, offset)
         body = data[offset + FRAME_HEADER.size : offset + FRAME_HEADER.size + length]
         if not 0 < length <= MAX_RECORD_BYTES or len(body) < length:
-            found.error = "an incomplete frame"
+            found.error = "half a frame"
             break
         if zlib.crc32(body) != check:
-            found.error = "a frame with a wrong checksum"
+            found.error = "a frame does not add up"
             break
         try:
             record = msgspec.msgpack.decode(body)
         except msgspec.DecodeError:
             record = None
         if not isinstance(record, list) or not record or not isinstance(record[0], str):
-            found.error = "a frame without a valid record"
+            found.error = "a frame that adds up is no record"
             break
         found.records.append(record)
         offset += FRAME_HEADER.size + length
--- a/violetroute/ledger/store.py
+++ b/violetroute/ledger/store.py
@@ -122,7 +122,7 @@
         """Read the lines of a batch from its file.  ValueError if it is damaged."""
         read = decode(self._files.read(f"batch-{seq}"))
         if len(read.records) != 1 or read.records[0][0] != "lines":
-            raise ValueError(f"batch-{seq}: {read.error or 'no lines in it'}")
+            raise ValueError(f"batch-{seq}: {read.error or 'no lines'}")
         return list(read.records[0][1])
 
     def read_corrections(self) -> dict[str, bytes]:
--- a/violetroute/listing.py
+++ b/violetroute/listing.py
@@ -31,9 +31,8 @@
     """The effect of one list."""
 
     members: list[Member] = field(default_factory=list)  # for the balancer, now
-    joining: list[tuple[int, Entry]] = field(
-        default_factory=list
-    )  # ids; in service now or after the slices
+    # Ids and entries of nodes that enter service, now or in a later slice.
+    joining: list[tuple[int, Entry]] = field(default_factory=list)
     removed: list[str] = field(default_factory=list)  # names of nodes out of service
 
 
@@ -169,10 +168,10 @@
         )
 
 
-def notify_placement(list_change: ListChange, whole: bool, keeper: PlanManager) -> None:
+def notify_placement(list_change: ListChange, whole: bool, plan_manager: PlanManager) -> None:
     """Notify the placement plan of nodes that entered or left service.
 
     `whole`: set for the first list of the process.
     """
     nodes = ((number, ListedNode(e.instance, e.zone, e.kind)) for number, e in list_change.joining)
-    keeper.update_nodes(whole, nodes, list_change.removed)
+    plan_manager.update_nodes(whole, nodes, list_change.removed)
--- a/violetroute/logs.py
+++ b/violetroute/logs.py
@@ -227,7 +227,7 @@
     "placement.unkept": Event(logging.WARNING, "cannot store which plan was accepted", ("reason",)),
     "requests.fault": Event(logging.ERROR, "internal error while handling a request", ("what",)),
     "requests.refused": Event(
-        logging.WARNING, "requests were refused or failed", ("count", "reasons")
+        logging.WARNING, "requests were refused or failed in the last second", ("count", "reasons")
     ),
     "tls.unusable": Event(
         logging.ERROR, "cannot load the new TLS files, keeping the previous ones", ("reason",)
--- a/violetroute/proxy.py
+++ b/violetroute/proxy.py
@@ -1,6 +1,6 @@
 """Tracks open requests and connects the balancer to clients, cache nodes and discovery.
 
-The proxy owns the Balancer: it reports events to it and performs the actions that it returns.
+The only owner of the Balancer: reports each event as it occurs, performs each action unchanged.
 """
 
 from __future__ import annotations
@@ -383,7 +383,7 @@
             self.attempt_ended(attempt, result if may_have_run else Result.NEVER_SENT)
 
     def _answer(self, request: OpenRequest, *parts: bytes | bytearray) -> None:
-        """Send the final answer.  No other code does, so a second answer is detected here."""
+        """Send the final answer, which no other code does; a second one is logged and not sent."""
         if request.answered:
             log_fault(f"second final answer for request {request.id}")
             return
--- a/violetroute/requests.py
+++ b/violetroute/requests.py
@@ -30,9 +30,9 @@
     def state(self) -> str:
         """The state as text, for monitoring."""
         if self.answered:
-            return "answered, attempts out"
+            return "answered, attempts in flight"
         if self.in_flight:
-            return f"{self.in_flight} out, try {len(self.attempts)}"
+            return f"{self.in_flight} in flight, attempt {len(self.attempts)}"
         return "held"
 
     def may_begin(self, attempt: Attempt, now: float) -> bool:
--- a/violetroute/sharing/anti_entropy.py
+++ b/violetroute/sharing/anti_entropy.py
@@ -131,9 +131,8 @@
         self._page_at = -math.inf  # earliest time of the next legacy page request
         self._backoff, self._backoff_until = BACKOFF_S, -math.inf
         self._sent_pacer = BytePacer(SENT_BYTES_S, BURST_S, now)
-        self._last_sent_to: tuple[float, str] | None = (
-            None  # time and receiver of the last datagram
-        )
+        # Time and receiver of the last datagram.
+        self._last_sent_to: tuple[float, str] | None = None
         self._requested_pacer = BytePacer(REQUESTED_BYTES_S, BURST_S, now)
 
     # --- requests ---
--- a/violetroute/transport/introspection_socket.py
+++ b/violetroute/transport/introspection_socket.py
@@ -36,9 +36,8 @@
                 os.unlink(self._path)
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         try:
-            os.fchmod(
-                sock.fileno(), 0o600
-            )  # before bind, so that the file never has another mode (Linux)
+            # Before bind, so that the file never has another mode (Linux).
+            os.fchmod(sock.fileno(), 0o600)
             sock.bind(self._path)
             self._server = await asyncio.start_unix_server(self._serve, sock=sock, limit=MAX_LINE)
         except OSError:
