--- a/snowstall/attempts.py
+++ b/snowstall/attempts.py
@@ -6,9 +6,9 @@
 from .gate import AdmissionLimiter
 from .messages import Effect, Group, Request, RequestClass, Result
 
-BROKEN_CONNECTION_COST = 0.5  # of the retry budget: a broken connection caused little or no load
+BROKEN_CONNECTION_COST = 0.5  # retries charged for a broken connection, which caused little load
 REPEAT_MARGIN_MS = 200.0  # no repeats this close to the window's end: they may wait to connect
-MIN_TIME_SHARE = 0.4  # of the latency target; with less time even healthy caches seem to fail
+MIN_TIME_SHARE = 0.4  # share of the latency target; with less time even healthy caches seem to fail
 
 REDIRECTS = frozenset({Result.MOVED, Result.ASK})
 RETRY_COST = {
@@ -27,8 +27,8 @@
     cls: RequestClass
     arrived_at: float
     key: int
-    limiter: AdmissionLimiter  # of cached keys, or of keys that the origin must serve
-    patient: bool  # its client allows the time that most answers take
+    limiter: AdmissionLimiter  # the limiter for cached keys, or that for keys the origin must serve
+    patient: bool  # whether the client allows the time that most answers take
     attempts: list[Attempt] = field(default_factory=list)
     done: bool = False
     streaming: bool = False
@@ -36,7 +36,7 @@
 
     @property
     def representative(self) -> bool:
-        """Whether its outcome says something about the caches: it had enough time and no pause."""
+        """Whether its outcome is evidence about the caches: it had enough time and no pause."""
         given = self.request.give_up_at - self.arrived_at
         return not self.paused and given >= MIN_TIME_SHARE * self.cls.latency_target
 
@@ -45,7 +45,7 @@
         return sum(a.in_flight for a in self.attempts)
 
     def may_refuse(self) -> bool:
-        """Whether the client may be told that a retry is safe, which a refusal means."""
+        """Whether the request may be refused, which tells the client that a retry is safe."""
         if self.cls.effect is Effect.PURE or not any(a.ran for a in self.attempts):
             return True
         return self.cls.effect is Effect.KEYED and self.cls.group is Group.ALL
--- a/snowstall/balance.py
+++ b/snowstall/balance.py
@@ -31,16 +31,16 @@
 # A cache has stalled if it answers nothing for the slowest mean latency plus this many deviations,
 # and for at least this many ms: `on_pause` is not called for shorter pauses of this process.
 STALL_DEVIATIONS, MIN_STALL_MS = 4.0, 100.0
-MIN_SUBSCRIBE_MS, SUBSCRIBE_MS_PER_PROXY = 500.0, 50.0  # range of the wait before a subscription
+MIN_SUBSCRIBE_MS, SUBSCRIBE_MS_PER_PROXY = 500.0, 50.0  # max wait to subscribe: min, per proxy
 # Its bounds after a failed call, a timed-out watch, at a local agent: changes must arrive in 6 s.
 MAX_SUBSCRIBE_MS, MAX_RENEW_MS, LOCAL_AGENT_MS = 1_500.0, 1_000.0, 50.0
 HEDGE_DEVIATIONS = 3.0  # an answer this late, hit or miss, is probably stuck in an overload
-MAX_HEDGE_SHARE = 0.7  # of the latency target; a second copy sent later comes too late itself
+MAX_HEDGE_SHARE = 0.7  # share of the latency target; a second copy sent later is late itself
 RETURN_FACTOR, RETURN_SLACK_MS = 1.3, 100.0  # returns after backoff * factor + slack count as new
-MIN_BACKOFF_MS = 40.0  # enough when nothing is shed: another cache may take the next try
+MIN_BACKOFF_MS = 40.0  # enough when nothing is shed: another cache may serve the retry
 MAX_HOLD_SHARE = 0.5  # share of the client's time that a request waits for the first cache
-TURN_BUDGET_MS = 15.0  # of an event loop turn; the rest of it is for requests already accepted
-HIGH_VALUE_TURN_FACTOR = 2.0  # times that budget for requests of more than the lowest value
+TURN_BUDGET_MS = 15.0  # in overload, the lowest value is accepted this long in a loop iteration
+HIGH_VALUE_TURN_FACTOR = 2.0  # multiple of that budget for requests above the lowest value
 MAX_PER_CONNECTION = 4  # requests accepted per connection and turn, so that each gets its share
 LOOP_BACKOFF = 0.5  # share of the longest backoff: an overload of one proxy is over sooner
 
--- a/snowstall/cache.py
+++ b/snowstall/cache.py
@@ -35,11 +35,12 @@
 
     def __init__(self, cache: Cache, now: float) -> None:
         self.cache, self.sent_at, self.in_flight = cache, now, True
-        self.overtaken = False  # a request sent there later was answered quickly
+        self.overtaken = False  # whether a request sent there later was answered quickly
         self.paused_ms = 0.0  # time that this process was paused while it was in flight
-        self.cache_fault = False  # its failure says something about this cache, not about the load
-        self.cache_error = False  # an error of the cache and not of the origin
-        self.ran = True  # it may have run; False once an outcome proves that it did not
+        # Whether its failure is evidence against the cache, not of overload.
+        self.cache_fault = False
+        self.cache_error = False  # whether it failed with an error of the cache, not of the origin
+        self.ran = True  # whether it may have run; False once an outcome proves that it did not
 
 
 class Cache:
@@ -75,14 +76,16 @@
         self.id, self.zone, self.kind, self.cell = member.id, member.zone, member.kind, member.cell
         self.started_at = self.cold_since = member.started_at
         self.listed_weight = weight
-        self.ring_slot: int | None = None  # set by the ring; None while it has no points there
+        # Slot number in the ring; None while it has no points there.
+        self.ring_slot: int | None = None
         self.resize(weight)
         self.salt = mix(member.id, 1 << 20)
         self.listed = True
-        self.in_flight: dict[Attempt, None] = {}  # in the order of sending
-        self.error_share = INITIAL_ERROR_SHARE  # of its recent answers
+        self.in_flight: dict[Attempt, None] = {}  # attempts in flight, in the order of sending
+        self.error_share = INITIAL_ERROR_SHARE  # share of errors in its recent answers
         self.served_at = -math.inf
-        self.unanswered_since = math.inf  # since when it has attempts in flight and answers none
+        # Start of a period without an answer while attempts are in flight.
+        self.unanswered_since = math.inf
         self.sent_count = self.sent_at = self.excluded_until = 0.0
         self.slow_sum = self.slow_weight = self.slow_at = 0.0
         self.maybe_restarted = False  # was down while listed: cold when it answers again
--- a/snowstall/caches.py
+++ b/snowstall/caches.py
@@ -15,7 +15,7 @@
 HEAD_THRESHOLD_DIVISOR = 5.0  # theta = 1/(5n), the paper's default
 HEAD_REFRESH_MS = 1_000.0  # shortest time between two computations of the head and of d
 MAX_REMEMBERED_ORDERS = 2_048  # keys whose cache order is remembered, per instance
-Orders = dict[int, list[Cache]]  # by key
+Orders = dict[int, list[Cache]]  # the caches in a key's order, by key
 MAX_RESIZES_PER_TURN = 32  # caches resized in one event: 1 to 6 ms of CPU
 MAX_SIZE = 8.0  # times an even share of the keys, the most that a plan may give one cache
 
@@ -29,7 +29,8 @@
         self._origins: list[Cache] = []
         self._ready: list[Cache] = []
         self._ring = Ring()
-        self._sizes: dict[int, float] = {}  # by cache, from a plan; empty without one
+        # Key shares from a plan, by cache id; empty without a plan.
+        self._sizes: dict[int, float] = {}
         self._to_resize: list[Cache] = []  # caches to which changed sizes are yet to be applied
         self._placements: Orders = {}
         self._zone_placements: Orders = {}
@@ -37,8 +38,10 @@
         self.head: set[int] = set()  # the hot keys
         self.choices = 2  # candidates of a hot key (d); all ready caches means W-Choices
         self._head_due = now
-        self._latencies: dict[tuple[str, bool], Mean] = {}  # by class, for hits and misses
-        self.ejected: dict[int, Cache] = {}  # failed, and have answered nothing since
+        # Mean latency by class name and whether it was a hit.
+        self._latencies: dict[tuple[str, bool], Mean] = {}
+        # Caches that failed and have answered nothing since, by id.
+        self.ejected: dict[int, Cache] = {}
         self._unit_weight = 1.0
 
     def _advance_clock(self, now: float) -> None:
--- a/snowstall/choice.py
+++ b/snowstall/choice.py
@@ -18,7 +18,7 @@
 MAX_FALLBACK_SCAN = 256  # caches scanned if no candidate takes the key; of more a random sample
 SPARE_CANDIDATES = 3  # candidates in addition, to replace cold or ejected ones
 STICKINESS = 1.2  # load by which a tail key's second cache must be better: a copy costs a fetch
-MIN_ZONAL_PRICE = 0.02  # from this cross-zone price on, another copy of a head key is cheaper
+MIN_ZONAL_PRICE = 0.02  # cross-zone price from which another copy of a head key is cheaper
 SPEED_POWER = 2.0  # exponent that turns the speeds of two kinds into their shares of the keys
 INITIAL_RAMP_SHARE = 0.5  # a starting cache gets this part of its ramp first: all requests miss
 
--- a/snowstall/gate.py
+++ b/snowstall/gate.py
@@ -12,7 +12,7 @@
 # are reported late.
 GAIN, DELAY_SCALE_MS = 2.5, 200.0
 TARGET_CONGESTION = 0.25  # congestion at which the limit neither grows nor shrinks
-EASE = 0.55  # of the latency target: slower answers show queueing long before they are late
+EASE = 0.55  # share of the latency target; slower answers show queueing long before they are late
 # The limit grows by this factor faster while it is below this share of the recent peak rate.
 FAST_GROWTH_BELOW, FAST_GROWTH_FACTOR = 0.7, 3.0
 INITIAL_LIMIT_FACTOR = 1.25  # times the rate admitted lately: the first limit
@@ -21,7 +21,7 @@
 PEAK_DECAY_MS, MIN_SHARE_OF_PEAK = 8_000.0, 0.4  # the limit stays above this share of the peak
 MIN_LIMIT_PER_S = 0.2  # requests a second; without any, a recovery would never be noticed
 MAX_LIMIT_FACTOR = 1.3  # times the offered load: nothing reaches a higher limit
-MAX_DEBT_MS = 100.0  # of the limit: how far the highest value may run ahead of the lowest
+MAX_DEBT_MS = 100.0  # the highest value may overdraw the tokens by the limit's rate times this
 # Refused requests that are expected to return: keys that are remembered, and requests of each.
 MAX_RETURN_KEYS, MAX_RETURNS_PER_KEY = 2_048, 32
 TIMEOUT_TOLERANCE_MS = 3.0  # a returning client's timeout may differ by this
@@ -55,7 +55,8 @@
             self._demand_at
         ) = now
         self._demand: dict[float, float] = {}  # offered load by value
-        self._returns: dict[int, list[tuple[float, float]]] = {}  # by key: (timeout, expiry)
+        # Expected returns of refused requests, by key: (timeout, expiry).
+        self._returns: dict[int, list[tuple[float, float]]] = {}
         self._buckets: dict[str, tuple[float, float]] = {}
         if shared_with is not None:  # both limiters see the same clients and tenants
             self._returns, self._buckets = shared_with._returns, shared_with._buckets
--- a/snowstall/learning.py
+++ b/snowstall/learning.py
@@ -11,16 +11,17 @@
 
 MAX_KNOWN_KEYS = 8_192  # keys whose last server is remembered
 EJECTION_MS = 1_000.0  # time until a failed cache gets its first probes
-MAX_EJECTED_SHARE = 0.4  # never eject more than this share of the caches
+MAX_EJECTED_SHARE = 0.4  # max share of the caches that may be ejected
 PROBE_RATE, PROBE_BURST = 0.03, 2.0  # probe budget: earned by each request, and to start with
 PROBES_PER_RECOVERY = 2.0  # more probes after each that was answered: many recover at once
 # Share of full or late attempts; below it an unresponsive cache is a single cache's fault.
 CONGESTED_SHARE = 0.2
-MAX_EJECTED_CALM = 0.8  # below that never eject more than this share, however well the others do
+MAX_EJECTED_CALM = 0.8  # max share of the caches to eject while fewer attempts are full or late
 RECENT_MS = 300.0  # a cache that answered this recently is up, even if its connections break
 MAX_PRESUMED_COLD_SHARE = 0.25  # more caches than this don't restart within one warm-up
 ERROR_GAIN, MAX_ERROR_SHARE = 0.1, 0.1  # above that error share the origin suffers: no retries
-FAULTY_ERROR_SHARE = 0.2  # with this share of errors a cache is at fault, if most others have few
+# Error share from which a cache is at fault, if most others have few errors.
+FAULTY_ERROR_SHARE = 0.2
 MIN_ANSWERS = 10  # number of answers from which a mean latency counts as known
 OVERDUE_DEVIATIONS = 2.0  # an attempt that had less time than this was cut off, not late
 
@@ -33,11 +34,13 @@
         # One limit for requests that some cache likely has, one for those that reach the origin.
         self.cache_limiter = AdmissionLimiter(settings, now)
         self.origin_limiter = AdmissionLimiter(settings, now, self.cache_limiter)
-        self.load_samples: deque[LoadSample] = deque(maxlen=256)  # to be shared with other proxies
+        # Outcomes to share with other proxies.
+        self.load_samples: deque[LoadSample] = deque(maxlen=256)
         # By key: the cache that served it last, and when.
         self._last_servers: dict[int, tuple[Cache, float]] = {}
-        self._answer_times: dict[str, Mean] = {}  # by class, of patient clients' requests
-        self._kinds: dict[str, Mean] = {}  # by kind of cache: latency as a ratio to the class mean
+        # Mean answer time of patient clients' requests, by class.
+        self._answer_times: dict[str, Mean] = {}
+        self._kinds: dict[str, Mean] = {}  # latency relative to the class mean, by kind of cache
         self._probes = PROBE_BURST
         self._stalled_after = math.inf  # ms without an answer after which a cache has stalled
         self._error_share = self._overload_share = 0.0
--- a/snowstall/messages.py
+++ b/snowstall/messages.py
@@ -49,7 +49,7 @@
     value: float = 1.0
     late_value: float = 0.0  # share of the value that a late answer has
     group: Group = Group.ALL
-    repeat_window: float = 0.0  # how long caches drop repeats of a keyed request
+    repeat_window: float = 0.0  # ms for which caches drop repeats of a keyed request
 
     def __post_init__(self) -> None:
         for name in ("latency_target", "deadline"):
@@ -82,14 +82,14 @@
     can_cancel: bool = False
     can_probe: bool = False
     weighted: bool = False  # the list has weights that can be compared
-    cold_share: float = 0.1  # of its full load that a starting cache can take
-    warm_time: float = 0.0  # after which a started cache can take its full load
-    subscribe_within: float = 10_000.0  # a new subscription is begun in half of this time
+    cold_share: float = 0.1  # share of its full load that a starting cache can take
+    warm_time: float = 0.0  # ms after its start from which a cache can take its full load
+    subscribe_within: float = 10_000.0  # ms; a new subscription begins within half of this time
     cross_zone_price: float = 0.0
     origin_price: float = 0.0
     waste_price: float = 0.0
     max_backoff: float = 0.0
-    over_quota_factor: float = 1.0  # on the value of requests beyond a tenant's quota
+    over_quota_factor: float = 1.0  # factor on the value of requests beyond a tenant's quota
     tenants: tuple[Tenant, ...] = ()
 
     def __post_init__(self) -> None:
@@ -114,8 +114,8 @@
     CANCELLED = "cancelled"
     NEVER_SENT = "never_sent"
     MISS = "miss"
-    MOVED = "moved"  # not run: redirected to the cache that owns the slot
-    ASK = "asked"  # not run: redirected to another cache for this request only
+    MOVED = "moved"  # not run; the reply redirects to the cache that owns the slot
+    ASK = "asked"  # not run; redirected to another cache for this request only
     MALFORMED = "spoilt"  # the answer cannot be parsed; the request has run
 
 
@@ -178,7 +178,7 @@
     latency: float
     hit: bool | None = None
     report: dict[str, float] | None = None
-    redirect_to: int | None = None  # for MOVED and ASK: the target, if it is listed
+    redirect_to: int | None = None  # target of MOVED or ASK, if it is listed
 
 
 @dataclass(slots=True)
--- a/snowstall/ring.py
+++ b/snowstall/ring.py
@@ -39,11 +39,11 @@
         self._segments: list[array[int]] = [array("Q") for _ in range(SEGMENTS)]
         self._appenders = [segment.append for segment in self._segments]
         self._sorted_lengths = [0] * SEGMENTS  # a longer segment is unsorted
-        self._slots: list[Cache | None] = []  # by slot; None where the cache was removed
+        self._slots: list[Cache | None] = []  # the cache in each slot; None where it was removed
         self._free_slots: list[int] = []  # slots without points
         self._removed_slots: list[int] = []  # empty slots that may still have points
-        self._sweeping_slots: list[int] = []  # those that the current sweep will free
-        self._next_segment = SEGMENTS  # to be swept; SEGMENTS without a sweep
+        self._sweeping_slots: list[int] = []  # removed slots that the current sweep will free
+        self._next_segment = SEGMENTS  # next segment to sweep; SEGMENTS while no sweep is running
 
     def zone_size(self, zone: str) -> int:
         """Return the number of caches of this zone that have points."""
--- a/violetroute/__main__.py
+++ b/violetroute/__main__.py
@@ -264,7 +264,7 @@
     daemon.proxy.close()
     if daemon.sharing is not None:
         daemon.sharing.close()
-    if daemon.distribution is not None:  # it stayed up to date during the drain
+    if daemon.distribution is not None:  # distribution continues until the drain has ended
         await daemon.distribution.leave()
     for each in (sharing_socket, distribution_socket):
         if each is not None:
--- a/violetroute/admission.py
+++ b/violetroute/admission.py
@@ -45,7 +45,7 @@
         unread = max(readable_ms, waited * 1000.0)
         cls = self.classes.get(command.class_name)
         if cls is not None and command.wait > cls.deadline:
-            command.wait = cls.deadline  # a client can't extend its class's deadline
+            command.wait = cls.deadline  # a client's wait can't exceed its class's deadline
         backoff = self.balancer.on_arrival(
             self._clock(),
             command.class_name,
--- a/violetroute/clients/assembly.py
+++ b/violetroute/clients/assembly.py
@@ -8,7 +8,7 @@
 
 from .budget import UNBUDGETED_ARGUMENT, Budget
 
-MAX_ARGUMENTS = 16  # of a command; the longest known command has five
+MAX_ARGUMENTS = 16  # arguments of a command; the longest known command has five
 
 
 class CommandAssembler:
@@ -23,7 +23,7 @@
 
     def __init__(self, budget: Budget) -> None:
         self._budget = budget
-        self.missing_arguments = 0  # of the current command; 0 between commands
+        self.missing_arguments = 0  # arguments missing from the current command; 0 between commands
         self._args: list[bytes | bytearray] = []
         self._body: bytearray | None = None
         self._charge = 0  # bytes of the budget that the command holds
--- a/violetroute/clients/connection.py
+++ b/violetroute/clients/connection.py
@@ -40,13 +40,13 @@
         self._pumping = self._flushing = False
         self._batch: list[bytes | bytearray] = []  # answers for one combined write
         self._loop_turn = self._taken_in_turn = 0  # a turn, and requests accepted in it
-        self._session: Session | None = None  # of the cluster dialect
+        self._session: Session | None = None  # state of the cluster dialect, if it is on
         self._read_delay = ReadDelay()
-        self.draining = False  # answers what it has read, then ends
+        self.draining = False  # reads no more, answers what was read, then ends
         self.ending = False  # takes no further command; ends after the pending answers
         self.lingering_since = 0.0
-        self.state: dict[ClientConnection, None] | None = None  # its set in the listener
-        self.since = 0.0  # start of its current state
+        self.state: dict[ClientConnection, None] | None = None  # the listener's set that holds it
+        self.since = 0.0  # loop time at which it entered its state
         self.consecutive_errors = 0  # invalid commands in a row
         self._unsent, self._unsent_since = 0, 0.0
         self._written = 0  # bytes charged to the budget that the kernel has not yet taken
--- a/violetroute/clients/listener.py
+++ b/violetroute/clients/listener.py
@@ -51,8 +51,8 @@
         self.draining = False
         self._server_socket: ListeningSocket | None = None
         self._accept_timer: asyncio.TimerHandle | None = None  # set while accepting is paused
-        self._slots_used = 0  # from accept until the stream is lost
-        # Each connection is in one of these, longest in its state first.
+        self._slots_used = 0  # slots are used from accept until the stream is lost
+        # Each connection is in one of these sets; the one that entered it first comes first.
         self._awaiting_first_byte: dict[ClientConnection, None] = {}
         self._partial: dict[ClientConnection, None] = {}
         self._idle: dict[ClientConnection, None] = {}
@@ -283,7 +283,7 @@
             if not connection.has_unread_input():  # otherwise after its answer or time limit
                 connection.drain()
         for connection in list(self._serving):
-            if connection.has_unread_input():  # commands behind the current ones: answered too
+            if connection.has_unread_input():  # commands behind the current ones are answered too
                 self.loop.call_later(UNREAD_AFTER_TERM, connection.drain)
             else:
                 connection.drain()
--- a/violetroute/cluster/dialect.py
+++ b/violetroute/cluster/dialect.py
@@ -15,7 +15,7 @@
 from .slots import key_slot
 from .topology import Topology
 
-MAX_NAME_BYTES = 128  # of a client's name
+MAX_NAME_BYTES = 128  # longest client name
 VERSION = b"7.0.0"  # the Redis version whose command set the answers follow
 # name: arity, flags, first key, last key, step, summary (see COMMAND INFO and COMMAND DOCS)
 COMMANDS: dict[bytes, tuple[int, tuple[str, ...], int, int, int, bytes]] = {
--- a/violetroute/cluster/table.py
+++ b/violetroute/cluster/table.py
@@ -20,6 +20,6 @@
 
     appear: Literal["off", "one", "several"] = "off"
     announce: str = ""  # "one": ADDRESS:PORT for clients; default: its listening address
-    proxies: tuple[ClusterProxy, ...] = ()  # for "several"
+    proxies: tuple[ClusterProxy, ...] = ()  # with "several": the members of the cluster
     follow: bool = False  # follow redirections of cache nodes; else they count as malformed
-    foreign: Literal["moved", "serve"] = "moved"  # for "several": keys of another proxy
+    foreign: Literal["moved", "serve"] = "moved"  # with "several": handling of another proxy's keys
--- a/violetroute/cluster/topology.py
+++ b/violetroute/cluster/topology.py
@@ -32,7 +32,7 @@
 
     members: tuple[ClusterMember, ...]
     own_index: int
-    slot_owners: list[int]  # of each slot, a index in `members`
+    slot_owners: list[int]  # by slot: the owner's index in `members`
     foreign_moved: bool
 
     def moved_reply(self, slot: int) -> bytes | None:
@@ -114,7 +114,8 @@
         if table.announce:
             address = _address("announce", table.announce)
         elif listen.host in ("0.0.0.0", "::"):
-            address = Address("", listen.port)  # in Redis: the host that the client connected to
+            # An empty host means the one that the client connected to.
+            address = Address("", listen.port)
         whole = ((0, SLOTS - 1),)
         return Topology((ClusterMember(_id(name), address, whole),), 0, [0] * SLOTS, False)
     names = [proxy.name for proxy in table.proxies]
--- a/violetroute/config/operator.py
+++ b/violetroute/config/operator.py
@@ -54,19 +54,22 @@
     # Client connections with a request need at most a third: each request can have two attempts at
     # once, and a client connection without a request can be closed.
     client_share: Fraction = 0.55  # fraction of the descriptors; the rest is for cache nodes
-    value_share: Fraction = 0.4  # of the memory beyond the program; buffers use as much
-    idle_share: Fraction = 0.25  # of the client slots may be idle: a client with a connection limit
-    #                           needs some connections for requests
-    crowd_share: Fraction = 0.75  # of the slots: above it, idle connections end after idle_s
-    depth: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 128  # open commands of one
-    #                           connection; beyond it reading pauses
-    mistakes: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 8  # invalid commands in a row
-    #                           after which a connection ends
-    first_byte_s: Seconds = 2.2  # until a connection's first byte
-    command_s: Seconds = 2.4  # to receive one command
-    idle_s: Seconds = 2.0  # without a request, after which clients expect a close
-    reader_s: Seconds = 15.0  # in which a client takes no byte of its answers
-    reply_s: Seconds = 0.15  # from the first byte of a node's reply to its last
+    # Fraction of the memory beyond the program's own for values; buffers use as much.
+    value_share: Fraction = 0.4
+    # Fraction of the client slots that may be idle: a client with a limit on its connections needs
+    # some of them for requests.
+    idle_share: Fraction = 0.25
+    # Fraction of the client slots in use above which idle connections are closed after `idle_s`.
+    crowd_share: Fraction = 0.75
+    # Open commands per connection; beyond it reading pauses.
+    depth: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 128
+    # Invalid commands in a row after which a connection is closed.
+    mistakes: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 8
+    first_byte_s: Seconds = 2.2  # timeout for a connection's first byte
+    command_s: Seconds = 2.4  # timeout for receiving one command
+    idle_s: Seconds = 2.0  # idle time after which clients expect a close
+    reader_s: Seconds = 15.0  # timeout for a client that reads none of its answers
+    reply_s: Seconds = 0.15  # timeout from the first byte of a node's reply to its last
     idle_per_node: Annotated[int, msgspec.Meta(ge=0, le=10_000)] = 32  # idle connections kept
 
 
@@ -95,7 +98,7 @@
         )
 
 
-NEEDS_RESTART = ("client_share", "value_share", "idle_share")  # of [limits]
+NEEDS_RESTART = ("client_share", "value_share", "idle_share")  # keys of [limits]
 
 
 # A table as returned by tomllib; the whole file is one.  It is unchecked: it may have any keys, and
--- a/violetroute/config/platform.py
+++ b/violetroute/config/platform.py
@@ -159,8 +159,8 @@
     operator: Operator
     operator_path: str | None
     unknown: tuple[str, ...]  # unknown keys of the platform's file
-    plan: Plan | None = None  # if [placement] names one
-    topology: Topology | None = None  # if [cluster] is on
+    plan: Plan | None = None  # set if [placement] names a file
+    topology: Topology | None = None  # set if [cluster] is on
 
     @property
     def limits(self) -> Limits:
--- a/violetroute/ledger/accounts.py
+++ b/violetroute/ledger/accounts.py
@@ -44,7 +44,7 @@
     key: str
     state: Literal["prepared", "sent", "held"] = "prepared"
     reason: str = ""  # why it is held, or who signed it and in which file
-    spilled_units: int | None = None  # its units while its lines are in a file
+    spilled_units: int | None = None  # sum of its lines while they are in a file; else None
 
     @property
     def units(self) -> int:
@@ -67,10 +67,11 @@
     nonce: str = ""
     next_seq: int = 1
     last_key: str = ""  # key of the last confirmed batch
-    unbatched_units: dict[int, dict[Key, int]] = field(default_factory=dict)  # by period
+    # Units not yet in a batch, by period.
+    unbatched_units: dict[int, dict[Key, int]] = field(default_factory=dict)
     closed: dict[int, None] = field(default_factory=dict)
     closed_before: int = 0  # earlier periods count as closed too
-    batches: dict[int, Batch] = field(default_factory=dict)  # by number, until confirmed
+    batches: dict[int, Batch] = field(default_factory=dict)  # unconfirmed batches by number
     confirmed_units: dict[int, int] = field(default_factory=dict)  # units confirmed, by period
     gaps: list[tuple[float, float, str]] = field(default_factory=list)
     last_write_at: float = 0.0  # Unix s of the last record with a time
@@ -82,7 +83,7 @@
     def begin_records(self, name: str, nonce: str, now: float) -> list[Record]:
         """A new process opens the book.  Its gap is recorded if the last one did not close it."""
         records: list[Record] = []
-        if not self.closed_cleanly:  # its unwritten units are lost
+        if not self.closed_cleanly:  # the last process's unwritten units are lost
             records += self.gap_records(self.last_write_at, now, "its process was killed")
         return [*records, ["begin", VERSION, name, self.incarnation + 1, nonce, now]]
 
--- a/violetroute/ledger/counters.py
+++ b/violetroute/ledger/counters.py
@@ -15,7 +15,7 @@
 from .accounts import MAX_TENANT_BYTES
 
 MAX_IDS = 200_000  # hashes that wait for a write; more are dropped and counted
-MAX_PERIODS = 64  # if a jumping clock makes more, only the latest two are kept
+MAX_PERIODS = 64  # periods; if a jumping clock makes more, only the latest two are kept
 
 
 class UsageCounters:
@@ -24,7 +24,7 @@
     def __init__(self, max_tenants: int, ids: bool = False) -> None:
         self._max_tenants, self._keeps_ids = max_tenants, ids
         self.units: dict[tuple[int, str | None, str], int] = {}
-        self.ids: dict[int, bytearray] = {}  # by period, 8 bytes each
+        self.ids: dict[int, bytearray] = {}  # request id hashes by period, 8 bytes each
         self.ids_dropped = self._pending_ids = 0
         self._tenants: dict[int, dict[str, None]] = {}  # tenants counted by name, by period
         self._newcomers: dict[int, int] = {}
--- a/violetroute/ledger/export.py
+++ b/violetroute/ledger/export.py
@@ -30,8 +30,8 @@
 
 MAX_RETRY_AFTER = 3600.0  # s; a longer Retry-After is cut to this
 SLOW_RETRY_WAIT = 60.0  # s; shortest wait after a response that a retry rarely changes
-MAX_KEY_CHARS = 400  # of the key in a 412 response
-MAX_FORK_PERIODS = 100_000  # in a 412 response
+MAX_KEY_CHARS = 400  # longest key in a 412 response
+MAX_FORK_PERIODS = 100_000  # most periods in a 412 response
 
 
 def idempotency_key(batch: Batch) -> str:
--- a/violetroute/ledger/table.py
+++ b/violetroute/ledger/table.py
@@ -17,20 +17,21 @@
     folder: str = ""  # contains one folder per proxy; created if missing
     zone: str = "UTC"  # time zone of the period boundaries
     period_min: Literal[5, 10, 15, 30, 60] = 15
-    grace_s: Seconds = 60.0  # from a period's end to its closing; later units are corrections
-    flush_s: Annotated[float, msgspec.Meta(ge=0.01, le=60.0)] = 0.5  # between writes
-    # Counted by name in a period; the others are counted together.
+    grace_s: Seconds = 60.0  # time from a period's end to its closing; later units are corrections
+    flush_s: Annotated[float, msgspec.Meta(ge=0.01, le=60.0)] = 0.5  # interval of writes
+    # Tenants counted by name in one period; the others are counted together.
     tenants_most: Annotated[int, msgspec.Meta(ge=10, le=100_000)] = 2000
     ids: bool = False  # store a hash of each request's id, for disputes
-    retain_days: Annotated[int, msgspec.Meta(ge=1, le=4000)] = 400  # for closed periods
+    # Days after which the archive of a closed period is deleted.
+    retain_days: Annotated[int, msgspec.Meta(ge=1, le=4000)] = 400
     export: Literal["off", "files", "http"] = "off"
-    export_folder: str = ""  # for "files"
+    export_folder: str = ""  # folder of the export "files"
     formats: tuple[Literal["csv", "jsonl"], ...] = ("jsonl",)
-    closings: bool = False  # for "files": write NAME.through, the time up to which all is closed
-    endpoint: str = ""  # for "http": "ADDRESS:PORT", no host names
+    closings: bool = False  # with "files": write NAME.through, the time up to which all is closed
+    endpoint: str = ""  # "ADDRESS:PORT" of the export "http", no host names
     path: str = "/v1/usage"
     compress: bool = True  # send zstd; the endpoint has to support it
-    timeout_s: Seconds = 10.0  # for one POST
+    timeout_s: Seconds = 10.0  # timeout of one POST
     retry_s: Seconds = 1.0  # wait after the first failure; doubles, with jitter
     retry_most_s: Seconds = 300.0
     tls_ca_file: str = ""
--- a/violetroute/listing.py
+++ b/violetroute/listing.py
@@ -30,7 +30,7 @@
 class ListChange:
     """The effect of one list."""
 
-    members: list[Member] = field(default_factory=list)  # for the balancer, now
+    members: list[Member] = field(default_factory=list)  # entries that the balancer applies at once
     # Ids and entries of nodes that enter service, now or in a later slice.
     joining: list[tuple[int, Entry]] = field(default_factory=list)
     removed: list[str] = field(default_factory=list)  # names of nodes out of service
@@ -52,8 +52,8 @@
     ) -> None:
         self._loop, self._places, self._pool = loop, places, pool
         self._clock, self._on_members = clock, on_members
-        self._applied: dict[str, Entry] = {}  # by name; without nodes that are gone
-        self._ids: dict[str, int] = {}  # by name, of the nodes in `_applied`
+        self._applied: dict[str, Entry] = {}  # applied entries by name, without nodes that are gone
+        self._ids: dict[str, int] = {}  # ids of the nodes in `_applied`, by name
         self._waiting: dict[str, Entry] = {}  # ready nodes that wait for a slice, by name
         self._next: asyncio.Handle | None = None
 
--- a/violetroute/membership/list_reader.py
+++ b/violetroute/membership/list_reader.py
@@ -105,7 +105,7 @@
         self._decode_list = msgspec.json.Decoder(_List).decode
         self._decode_instance = msgspec.json.Decoder(_Instance).decode
         self._by_text: dict[bytes, Entry] = {}
-        self._addresses: dict[str, Address] = {}  # by their text
+        self._addresses: dict[str, Address] = {}  # parsed addresses by their text
 
     def read(self, text: bytes) -> Listing:
         """Parse a list.  Raises ValueError if the text is not a list of cache nodes.
--- a/violetroute/membership/merge.py
+++ b/violetroute/membership/merge.py
@@ -5,7 +5,7 @@
 list yet would flicker. There are two exceptions to the precedence:
 
 - A **drain or removal** applies at once, whichever source reports it (the guarantee on drains),
-  until that source withdraws it or the current source reports a later start of the node. Harm: a
+  until that source withdraws it or the current source reports a later start of the node. Drawback: a
   list that is emptied by hand takes nodes out of service while another source is current, so such
   a source must be removed from `sources` first.
 - A current source that becomes unavailable stays current for `patience_s`: its last list is better
@@ -107,7 +107,7 @@
                     reports.removals.pop(entry.instance, None)
         if listing.whole:
             vanished = [entry for name, entry in before.items() if name not in latest]
-            # A list that loses most nodes at once says nothing reliable about single ones.
+            # A list that loses most nodes at once is no reliable evidence about a single node.
             if len(vanished) <= (1.0 - self._table.least_match) * len(before):
                 for entry in vanished:
                     self._record_removal(reports, wall, entry, gone=True)
@@ -163,7 +163,7 @@
                     reports.unavailable_since is None
                     or now < reports.unavailable_since + self._table.patience_s
                 ):
-                    return  # it stays current
+                    return  # the current source keeps its place
                 continue
             if not reports.is_available or not reports.ready_entries:
                 continue  # an empty list is never selected
--- a/violetroute/membership/source.py
+++ b/violetroute/membership/source.py
@@ -39,7 +39,7 @@
     """
 
     def __init__(self) -> None:
-        self._entries_by_name: dict[str, Entry] = {}  # by reported name
+        self._entries_by_name: dict[str, Entry] = {}  # entries by reported name
         self._name_map: dict[str, str] = {}  # the source's name: the reported name
         self._new_source = False
 
--- a/violetroute/membership/staleness.py
+++ b/violetroute/membership/staleness.py
@@ -9,7 +9,7 @@
   before each return. When more than the fraction `floor` is critical at once, the checks are more
   likely at fault than the nodes, and health is ignored for all (Envoy's panic threshold).
 - If more than the fraction `floor` **disappears** in one answer, a consistent read from the leader
-  has to confirm it. An empty answer is never accepted: it says nothing reliable of single nodes.
+  has to confirm it. An empty answer is never accepted: it is no evidence about single nodes.
 """
 
 from __future__ import annotations
--- a/violetroute/membership/table.py
+++ b/violetroute/membership/table.py
@@ -19,10 +19,11 @@
     """The sources of the list of nodes, by precedence.  Reloaded on SIGHUP."""
 
     sources: tuple[Source, ...] = ()  # empty: Consul if [consul] has agents, else the platform
-    file: str = ""  # for the source "file": a list in the platform's form
-    file_every_s: Annotated[float, msgspec.Meta(ge=0.02, le=0.4)] = 0.2  # between checks
-    patience_s: Seconds = 15.0  # for which an unavailable source stays current
-    settle_s: Seconds = 5.0  # for which a recovered source must be up to be current again
+    file: str = ""  # path of the source "file": a list in the platform's form
+    # Interval of the checks for a changed file.
+    file_every_s: Annotated[float, msgspec.Meta(ge=0.02, le=0.4)] = 0.2
+    patience_s: Seconds = 15.0  # time for which an unavailable source stays current
+    settle_s: Seconds = 5.0  # time that a recovered source must be up to be current again
     least_match: Share = 0.5  # fraction of the last source's nodes that the next must list
 
 
@@ -45,13 +46,13 @@
     tls_cert_file: str = ""  # client certificate, if agents require one
     tls_key_file: str = ""
     tls_name: str = ""  # name in an agent's certificate; default: its address
-    wait_s: Seconds = 10.0  # for which a query without a change stays open
+    wait_s: Seconds = 10.0  # time for which a query without a change stays open
     least_interval_s: Seconds = 0.1  # minimum between two requests
     body_mb: Annotated[float, msgspec.Meta(ge=0.01, le=256.0)] = 16.0  # max size of an answer
-    floor: Share = 0.5  # with a larger fraction critical at once, health is ignored
+    floor: Share = 0.5  # fraction critical at once above which health is ignored
     return_s: Seconds = 1.0  # wait of a flapping node before it returns; doubles
     return_most_s: Seconds = 30.0
-    cold_after_s: Seconds = 5.0  # critical for this long counts as a restart
+    cold_after_s: Seconds = 5.0  # a node critical for this long counts as restarted
     drain_tag: str = "draining"  # marks a drain, like Consul's maintenance mode
     zone_meta: str = "zone"  # keys of the service's Meta
     kind_meta: str = "machine_type"
--- a/violetroute/placement/plan.py
+++ b/violetroute/placement/plan.py
@@ -25,12 +25,13 @@
 
     file: str = ""  # the plan file; read at the start and on SIGHUP
     least_match: Share = 0.5  # fraction of the listed nodes that a plan has to cover
-    moved_per_s: Annotated[float, msgspec.Meta(gt=0.0, le=1.0)] = 0.02  # fraction of
-    #                           the keys that may move per second when the plan changes
-    every_s: Annotated[float, msgspec.Meta(ge=0.0, le=3600.0)] = 0.0  # between checks for a
-    #                           changed file; 0: only with SIGHUP
+    # Fraction of the keys that may move per second when the plan changes.
+    moved_per_s: Annotated[float, msgspec.Meta(gt=0.0, le=1.0)] = 0.02
+    # Seconds between checks for a changed file; 0: it is read again only on SIGHUP.
+    every_s: Annotated[float, msgspec.Meta(ge=0.0, le=3600.0)] = 0.0
     seen: str = ""  # file that keeps the highest accepted version over restarts
-    stale_h: Annotated[float, msgspec.Meta(gt=0.0, le=100_000.0)] = 168.0  # age to be logged
+    # Hours: the age from which a plan is logged as stale.
+    stale_h: Annotated[float, msgspec.Meta(gt=0.0, le=100_000.0)] = 168.0
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -38,8 +39,8 @@
 
     limebridge_placement: int  # format version
     made_at: float  # Unix seconds
-    nodes: dict[str, Share]  # by instance id of discovery; they add up to 1
-    others: dict[str, Share] = {}  # for other nodes, by "SITE/KIND" or "KIND"
+    nodes: dict[str, Share]  # shares of the keys by instance id, which add up to 1
+    others: dict[str, Share] = {}  # shares of unnamed nodes, by "SITE/KIND" or "KIND"
     note: str = ""
     fence: int = 0  # fence of the owner that published it; 0: made by hand
     position: int = 0  # position in the owner's log
--- a/violetroute/placement/plan_manager.py
+++ b/violetroute/placement/plan_manager.py
@@ -47,7 +47,7 @@
         self._mismatch = ""
         self._step_timer: asyncio.TimerHandle | None = None
         self._poll_timer: asyncio.TimerHandle | None = None
-        self._file_signature: object = None  # of the file when it was last loaded
+        self._file_signature: object = None  # identifies the file's content when it was last loaded
         self._max_version = (0, 0)  # highest version of an accepted plan
         self._last_rejected = (0, 0)  # version of a rejected plan, to log it once
 
--- a/violetroute/refusals.py
+++ b/violetroute/refusals.py
@@ -7,7 +7,7 @@
 
 from . import logs
 
-LOG_INTERVAL = 1.0  # s
+LOG_INTERVAL = 1.0  # s between log lines
 
 
 class RefusalCounter:
--- a/violetroute/requests.py
+++ b/violetroute/requests.py
@@ -11,7 +11,7 @@
 
 FAILED = b"-ERR failed\r\n"
 ANSWER_MARGIN_MS = 10.0  # reserved for sending the answer to the client
-MAX_MARGIN_SHARE = 0.05  # of the client's wait; bounds ANSWER_MARGIN_MS for short waits
+MAX_MARGIN_SHARE = 0.05  # share of the client's wait; bounds ANSWER_MARGIN_MS for short waits
 
 
 class OpenRequest:
--- a/violetroute/resp/commands.py
+++ b/violetroute/resp/commands.py
@@ -17,7 +17,7 @@
 _WAIT_OPTION = re.compile(rb"(?:^|,)(d=[^,]*)")
 _WAIT_FORMAT = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")  # ms; float() accepts more forms
 _MAX_CACHED_OPTIONS = 512  # entries: option lists without their wait, one per class and tenant
-_MAX_CACHED_BYTES = 128  # of an option list that is cached
+_MAX_CACHED_BYTES = 128  # longest option list that is cached
 _options_cache: dict[tuple[bytes, bytes], tuple[str, str, bool]] = {}
 
 
--- a/violetroute/resp/framing.py
+++ b/violetroute/resp/framing.py
@@ -11,11 +11,11 @@
 from dataclasses import dataclass
 from typing import Literal
 
-MAX_LINE_BYTES = 1024  # of a status line; no known line is longer
-MAX_LENGTH_DIGITS = 10  # of a length
+MAX_LINE_BYTES = 1024  # longest status line; no known line is longer
+MAX_LENGTH_DIGITS = 10  # digits of a length
 BULK_LIMIT = 64 * 1024  # bytes of the protocol's longest value
-MAX_WORD_BYTES = 1024  # of a command's name, key and id
-MAX_OPTIONS_BYTES = 4 * 1024  # of a command's option list
+MAX_WORD_BYTES = 1024  # longest name, key or id of a command
+MAX_OPTIONS_BYTES = 4 * 1024  # longest option list of a command
 MAX_ARRAY_ITEMS = 64  # commands have at most five, replies three
 CRLF = b"\r\n"
 
--- a/violetroute/resp/replies.py
+++ b/violetroute/resp/replies.py
@@ -6,7 +6,7 @@
 
 from .framing import Array, Bulk, Line, Piece, ProtocolError, Token
 
-MAX_EXTRA_BYTES = 4 * 1024  # of the outcome and of the load report
+MAX_EXTRA_BYTES = 4 * 1024  # longest outcome or load report
 
 
 class Reply:
--- a/violetroute/sharing/anti_entropy.py
+++ b/violetroute/sharing/anti_entropy.py
@@ -57,20 +57,20 @@
     encode_item,
 )
 
-COMPARE_INTERVAL_S = 10.0  # between two comparisons, on average
-COMPARE_SOON_S = 1.0  # after an exchange that found differences
-MAX_COMPARE_INTERVAL_S = 80.0  # after several exchanges without differences
-ANSWER_TIMEOUT_S = 1.0  # of a request
+COMPARE_INTERVAL_S = 10.0  # mean interval between comparisons
+COMPARE_SOON_S = 1.0  # interval after an exchange that found differences
+MAX_COMPARE_INTERVAL_S = 80.0  # interval after several exchanges without differences
+ANSWER_TIMEOUT_S = 1.0  # timeout of a request
 BACKOFF_S, MAX_BACKOFF_S = 0.25, 2.0  # pause after an unanswered request: first, longest
 WINDOW = 4  # open bucket requests
-MAX_ATTEMPTS = 4  # of requests for one bucket in one exchange
+MAX_ATTEMPTS = 4  # requests for one bucket in one exchange
 SENT_BYTES_S = 2048.0  # bytes/s of requests and answers sent; other traffic needs the rest
 REQUESTED_BYTES_S = 4096.0  # bytes/s of answers; a new member of 2,600 needs about 150 KB
 BURST_S = 2.0  # seconds of these rates that may be used at once
 DATAGRAM_BYTES = 160  # overhead of a datagram without items, with UDP and IP headers
-OVERHEAD_SHARE = 0.15  # of the bytes of items, for the overhead of further datagrams
-ITEM_BYTES = 480  # of members in an item: two fit a datagram, one does with the longest names
-ANSWER_BYTES = 2000  # of one answer; the rest is requested again
+OVERHEAD_SHARE = 0.15  # share added to the items' bytes for the overhead of further datagrams
+ITEM_BYTES = 480  # member bytes per item: two items fit a datagram, or one with the longest names
+ANSWER_BYTES = 2000  # member bytes per answer; the members left out are requested again
 MAX_COARSENESS = 8  # own buckets in one bucket of a peer; bounds the work of an answer
 FAR_BEHIND = 2  # a list shorter than 1/FAR_BEHIND of the peer's belongs to a new member
 LEGACY_AFTER = 3  # unanswered comparisons in a row; the peers may be older builds
@@ -104,7 +104,7 @@
     any_peer: bool  # a new member may request from all peers: all know more than it does
     buckets: int
     waiting: list[BucketQuery]
-    open: dict[int, BucketQuery] = field(default_factory=dict)  # by request number
+    open: dict[int, BucketQuery] = field(default_factory=dict)  # open queries by request number
     found_differences: bool = False
 
 
--- a/violetroute/sharing/budget.py
+++ b/violetroute/sharing/budget.py
@@ -28,9 +28,9 @@
 DEMAND_WINDOW_S = 1.0  # time constant of the exponential average of demand
 HEADROOM_FACTOR = 1.3  # a proxy wants this times its demand, and keeps it when it lends
 RETURN_FACTOR = 2.0  # a borrower returns what exceeds this times its demand
-MAX_REQUESTS_PER_TICK = 8  # loan requests
-ANSWER_TIMEOUT_S = 0.4  # of a loan request
-MAX_REQUEST_INTERVAL_S = 1.0  # between two rounds of requests without a loan
+MAX_REQUESTS_PER_TICK = 8  # loan requests sent in one tick
+ANSWER_TIMEOUT_S = 0.4  # timeout of a loan request
+MAX_REQUEST_INTERVAL_S = 1.0  # longest interval of request rounds while none yields a loan
 REOPEN_S = 5.0  # without a rejected request, until a budget is no longer logged as exhausted
 MAX_SPARE_AGE_S = 5.0  # older reports of spare capacity are ignored
 
--- a/violetroute/sharing/digest.py
+++ b/violetroute/sharing/digest.py
@@ -21,7 +21,7 @@
 from .wire import MAX_BUCKETS, SHORT_BYTES, Rumor
 
 LEAVES = MAX_BUCKETS  # finest buckets; a bucket consists of one or several adjacent leaves
-BUCKET_MEMBERS = 16  # on average in a bucket, until there are MAX_BUCKETS buckets
+BUCKET_MEMBERS = 16  # members per bucket on average, until there are MAX_BUCKETS buckets
 SHORT_MASK = 2 ** (8 * SHORT_BYTES) - 1
 
 
@@ -64,7 +64,8 @@
         self.count = 0
         self.whole = 0  # digest of all members
         self._digests = [0] * LEAVES
-        self._hashes: list[dict[str, int]] = [{} for _ in range(LEAVES)]  # by name
+        # Hashes of the members by name, for each leaf.
+        self._hashes: list[dict[str, int]] = [{} for _ in range(LEAVES)]
 
     def put(self, name: str, life: str, incarnation: int) -> None:
         """Add a member that is up, or replace its entry."""
--- a/violetroute/sharing/expiry_queue.py
+++ b/violetroute/sharing/expiry_queue.py
@@ -22,7 +22,7 @@
 
     def __init__(self) -> None:
         self._lists = RowLists()
-        self._bucket = array("q")  # by row
+        self._bucket = array("q")  # the bucket of each row
         self._first: dict[int, int] = {}  # row, by bucket
         self._order: list[int] = []  # a heap of the buckets
 
--- a/violetroute/sharing/gossip.py
+++ b/violetroute/sharing/gossip.py
@@ -24,13 +24,14 @@
 from .report_budget import ByteBucket, ReportBudget
 from .wire import HealthReport, HeavyHitterReport, Item, LoadReport, SpareReport
 
-ROUND_S = 0.5  # between two rounds
+ROUND_S = 0.5  # interval of rounds
 CALM_FANOUT, TROUBLE_FANOUT = 2, 16  # members that a round reports to
 URGENT_BADNESS = 0.5  # bad outcomes; from here on a round uses TROUBLE_FANOUT
 MAX_REPORT_AGE_S = 5.0
 MAX_OUTCOME_AGE_S = 1.0
 HITTERS_INTERVAL_S = 1.0  # shortest time between two heavy hitter reports
-SAMPLED_SHARE = 0.25  # of requests; counting all costs as much as the rest of this module
+# Share of the requests counted; counting all costs as much as the rest of this module.
+SAMPLED_SHARE = 0.25
 # Evidence of an unhealthy node; other results are caused by the load or the client.
 BAD_RESULTS = frozenset({Result.LATE, Result.RESET, Result.NO_CONNECTION})
 
@@ -57,9 +58,11 @@
     to: list[str] = field(default_factory=list)  # all receivers of reports
     reports: list[Report] = field(default_factory=list)
     unhealthy: list[int] = field(default_factory=list)  # nodes, by the peers' reports
-    newly_unhealthy: list[int] = field(default_factory=list)  # not so in the round before
-    recovered: list[int] = field(default_factory=list)  # unhealthy in the round before only
-    outcomes: list[LoadSample] = field(default_factory=list)  # of peers' requests
+    # Nodes that were not unhealthy in the previous round.
+    newly_unhealthy: list[int] = field(default_factory=list)
+    # Nodes that were unhealthy only in the previous round.
+    recovered: list[int] = field(default_factory=list)
+    outcomes: list[LoadSample] = field(default_factory=list)  # outcomes of peers' requests
 
     @property
     def items(self) -> list[Item]:
--- a/violetroute/sharing/load_reports.py
+++ b/violetroute/sharing/load_reports.py
@@ -23,7 +23,7 @@
 MAX_RELATIVE_WEIGHT = 2.0  # times the median member's count
 MIN_MEMBERS = 3  # members that must report in a round
 REPORTED_PER_OUTCOME = 4.0  # reported outcomes that yield one for the balancer
-MAX_OUTCOMES = 8  # for the balancer in a round; more would outweigh its own outcomes
+MAX_OUTCOMES = 8  # outcomes passed on per round; more would outweigh the balancer's own
 MAX_MEMBERS = 256  # reports kept in one round
 
 
--- a/violetroute/sharing/loans.py
+++ b/violetroute/sharing/loans.py
@@ -34,7 +34,7 @@
 MAX_LENT = 1024  # active loans of one lender; no more are granted beyond
 MAX_BORROWERS = 4096  # borrowers whose last request number is remembered
 MAX_OPEN_REQUESTS = 64  # requests without an answer
-MAX_LENDERS = 1024  # of one borrower
+MAX_LENDERS = 1024  # lenders of one borrower
 MIN_LOAN = 10  # thousandths of a request a second; less is not worth the messages
 
 
@@ -79,7 +79,7 @@
 
     member: str  # the lender, or the borrower's life
     amount: int
-    left_s: float  # until it expires
+    left_s: float  # s until it expires
 
 
 class Loans:
@@ -101,10 +101,11 @@
         self.home, self._terms = home, terms
         self.suspended = False  # another process has our name: no authority
         self._home_available_at = now + terms.loan_s  # loans of a previous process expire by then
-        self._requests: dict[str, tuple[int, float]] = {}  # by lender: request number and time (s)
-        self._borrowed: dict[str, BorrowedLoan] = {}  # by lender
-        self._lent: dict[str, list[LentLoan]] = {}  # by borrower's life
-        self._last_request: dict[str, int] = {}  # by borrower's life: highest request number
+        # Open requests by lender: number and time (s).
+        self._requests: dict[str, tuple[int, float]] = {}
+        self._borrowed: dict[str, BorrowedLoan] = {}  # borrowed loans by lender
+        self._lent: dict[str, list[LentLoan]] = {}  # lent loans by the borrower's `life`
+        self._last_request: dict[str, int] = {}  # highest request number by the borrower's `life`
         self._number = 0
 
     # --- authority ---
--- a/violetroute/sharing/members.py
+++ b/violetroute/sharing/members.py
@@ -39,12 +39,12 @@
 
 MAX_MEMBERS = 4096
 HELPERS = 3  # members that send an indirect probe
-DIRECT_SHARE = 0.35  # of a period until the indirect probe starts
-RELAY_SHARE = 0.8  # of the rest of the period, after which a helper sends a nack
+DIRECT_SHARE = 0.35  # share of a period until the indirect probe starts
+RELAY_SHARE = 0.8  # share of the rest of the period after which a helper sends a nack
 MAX_HEALTH = 6  # upper bound of the local health score; 0 is healthy
 PAGE_MEMBERS = 12  # members in the answer to one `PageRequest`
-RECONNECT_S = 3.0  # between two pings of a dead member or of a seed
-FORGET_S = 60.0  # until dead members are forgotten; several reconnects were tried by then
+RECONNECT_S = 3.0  # interval of pings of a dead member or of a seed
+FORGET_S = 60.0  # time until a dead member is forgotten, after several attempts to reconnect
 
 
 class Members:
@@ -116,7 +116,7 @@
         """Messages to send now.  Must be called each TICK_S, else the tick counts as late."""
         late = is_late(now - self._ticked_at, self._period)
         self._ticked_at, self._postponed = now, False
-        # A nack says that this helper is healthy and received no ack; a late one can say neither.
+        # A nack means that this helper is healthy and received no ack; a late one proves neither.
         over = self._relays.overdue(now)
         out = [Send(relay.requester, "", (Nack(relay.number),)) for relay in over if not late]
         probe = self._probe
@@ -174,7 +174,7 @@
 
     def _request_helpers(self, probe: Probe) -> list[Send]:
         names = self.up()
-        picked = self._random.sample(names, min(HELPERS + 1, len(names)))  # the target too, perhaps
+        picked = self._random.sample(names, min(HELPERS + 1, len(names)))  # may include the target
         helpers = [name for name in picked if name != probe.target][:HELPERS]
         probe.helpers = len(helpers)
         return [
@@ -201,7 +201,7 @@
             self._changed(name, "", self._list.forget(name).state)
 
     def _declare_dead(self, now: float, late: bool) -> None:
-        size, health = self.size, self.health  # before members declared dead change them
+        size, health = self.size, self.health  # values before the members declared dead change them
         times = [
             suspicion_time(size, self._period, n, health) for n in range(MAX_CONFIRMATIONS + 1)
         ]
@@ -324,7 +324,7 @@
         known = self.members.get(rumor.name)
         if known is None:
             if rumor.state in ("d", "l") or len(self.members) >= MAX_MEMBERS:
-                return []  # an end of an unknown member changes nothing
+                return []  # the death or leave of an unknown member changes nothing
             known = self.add_member(rumor, now)
             self._changed(rumor.name, "a", "")
             if rumor.state == "a":
--- a/violetroute/sharing/node_health.py
+++ b/violetroute/sharing/node_health.py
@@ -43,7 +43,7 @@
 from .wire import HealthReport
 
 MIN_WITNESSES = 3
-MIN_BAD_OUTCOMES = 2.0  # not decayed; one request in a hundred fails at any node
+MIN_BAD_OUTCOMES = 2.0  # bad outcomes after decay; one request in a hundred fails at any node
 BAD_SHARE = 0.5
 RECOVERED_SHARE = 0.3  # an unhealthy node recovers at or below this share
 ISOLATED_SHARE = 0.75
@@ -52,8 +52,8 @@
 SUFFICIENT_OWN_OUTCOMES = 4.0
 MAX_NODES = 4096
 MAX_MEMBERS = 4096
-TROUBLE_TTL_S = 20.0  # after the last report of trouble: five half-lives
-MAX_REPORTED_NODES = 24  # in one datagram
+TROUBLE_TTL_S = 20.0  # time that trouble lasts after its last report: five half-lives
+MAX_REPORTED_NODES = 24  # nodes reported in one datagram
 MAX_OUTCOME_ROWS = 16_384  # reports of all members, spread evenly over the nodes
 MIN_ROWS_PER_NODE = 8  # reports of each node, however many nodes there are
 MAX_EXPIRED_PER_ROUND = 512  # expired reports dropped in one round without trouble
@@ -78,8 +78,8 @@
     name: str
     zone: str
     first: int = NO_ROW  # first of its rows in the table
-    nodes: int = 0  # that it reports
-    troubled: int = 0  # of them, those with trouble
+    nodes: int = 0  # number of nodes that it reports
+    troubled: int = 0  # number of nodes for which it reports trouble
 
     @property
     def isolated(self) -> bool:
@@ -285,7 +285,7 @@
 
     def _is_unhealthy(self, node: _Node, own: DecayingOutcomes, isolated: Collection[str]) -> bool:
         if own.weight >= SUFFICIENT_OWN_OUTCOMES:
-            return False  # the balancer decides by own evidence
+            return False  # the balancer uses this proxy's own outcomes instead
         table = self._table
         rows = {member: row for member, row in node.rows.items() if member not in isolated}
         near = [row for member, row in rows.items() if self._witnesses[member].zone == self._zone]
--- a/violetroute/sharing/outcome_table.py
+++ b/violetroute/sharing/outcome_table.py
@@ -37,7 +37,7 @@
         self.good = array("d")  # outcomes, decayed to `at`
         self.bad = array("d")
         self.at = array("d")
-        self.until = array("d")  # when the row expires
+        self.until = array("d")  # time (s) at which the row expires
         self.trouble = array("b")  # 1 if the member reports trouble
         self.by_member = RowLists()
         self.expiry = ExpiryQueue()
--- a/violetroute/sharing/own_outcomes.py
+++ b/violetroute/sharing/own_outcomes.py
@@ -29,9 +29,9 @@
     def __init__(self) -> None:
         self._nodes: dict[int, _Node] = {}
         self._added_count = self._reports = 0  # nodes added and reports sent so far
-        self._troubled: dict[int, _Node] = {}  # with bad outcomes, perhaps not decayed yet
+        self._troubled: dict[int, _Node] = {}  # nodes whose bad outcomes may not have decayed yet
         self._sound = OrderedEntries[Turn]()  # the other nodes with outcomes
-        self._turns: dict[int, Turn] = {}  # by node, as in `_sound`
+        self._turns: dict[int, Turn] = {}  # the turn of each node in `_sound`
 
     def add_node(self, node: int) -> None:
         """Add a node that is not known."""
--- a/violetroute/sharing/probe.py
+++ b/violetroute/sharing/probe.py
@@ -7,11 +7,11 @@
 
 from .rumors import MAX_CONFIRMATIONS
 
-TICK_S = 0.1  # between two ticks of a process that gets the CPU
-LATE_SHARE = 0.25  # of a period: delay from which a tick counts as late
-POSTPONE_SHARE = 0.65  # of a period: postponement by a late tick; the time helpers have
+TICK_S = 0.1  # interval of ticks while the process gets the CPU
+LATE_SHARE = 0.25  # share of a period: delay from which a tick counts as late
+POSTPONE_SHARE = 0.65  # share of a period by which a late tick postpones; the time helpers have
 SUSPICION_FACTOR = 4.0  # periods per log10 of the fleet size: shortest suspicion time
-UNCONFIRMED_FACTOR = 3.0  # times that: suspicion time without confirmations
+UNCONFIRMED_FACTOR = 3.0  # multiple of that: suspicion time without confirmations
 
 
 @dataclass(slots=True)
--- a/violetroute/sharing/report_budget.py
+++ b/violetroute/sharing/report_budget.py
@@ -15,10 +15,10 @@
 from . import wire
 from .wire import Item
 
-HEALTH_SHARE, LOAD_SHARE, HITTERS_SHARE = 0.5, 0.25, 0.25  # of the rate, by kind of report
-BURST_S = 30.0  # of its rate that a bucket holds
+HEALTH_SHARE, LOAD_SHARE, HITTERS_SHARE = 0.5, 0.25, 0.25  # shares of the rate by kind of report
+BURST_S = 30.0  # seconds of its rate that a bucket holds
 MIN_BURST_BYTES = 2.0 * wire.MAX_DATAGRAM  # else a large report would never fit
-URGENT_SHARE = 0.5  # of a full bucket, reserved for reports of trouble
+URGENT_SHARE = 0.5  # share of a full bucket reserved for reports of trouble
 FULL_MARGIN_BYTES = 1.0  # a bucket short of at most this counts as full
 FLEET_RATE = 1.43e6  # bytes/s that all proxies together send by default: 550 each of 2,600
 MIN_RATE = 550.0  # bytes/s of one proxy by default, in a fleet of any size
--- a/violetroute/sharing/rumors.py
+++ b/violetroute/sharing/rumors.py
@@ -98,7 +98,7 @@
     """
 
     def __init__(self) -> None:
-        self._queued: dict[str, tuple[Rumor, Order]] = {}  # by name
+        self._queued: dict[str, tuple[Rumor, Order]] = {}  # queued rumors by the member's name
         self._ordered = OrderedEntries[Order]()
         self._number = 0
 
@@ -147,7 +147,7 @@
     if rumor.state == "a":
         return rumor.incarnation > incarnation
     if rumor.life != life and rumor.incarnation <= incarnation:
-        return False  # of a previous process
+        return False  # the rumor is about a previous process
     if rumor.state == "s":
         return rumor.incarnation > incarnation or (
             rumor.incarnation == incarnation and state == "a"
--- a/violetroute/sharing/table.py
+++ b/violetroute/sharing/table.py
@@ -33,7 +33,7 @@
     listen: str = ""  # "ADDRESS:PORT" for datagrams; other proxies send there
     key_file: str = ""  # one line; during a rotation two lines: both verify, the first signs
     seeds: Annotated[tuple[str, ...], msgspec.Meta(max_length=64)] = ()  # permanent members
-    ways: dict[Text, str] = {}  # by member: overrides the announced address
+    ways: dict[Text, str] = {}  # addresses by member, which override the announced ones
     # Most proxies that ever run.  Budgets are divided by it: no proxy may have a smaller value.
     proxies: Annotated[int, msgspec.Meta(ge=1, le=4000)] = 1
     probe_s: Annotated[float, msgspec.Meta(ge=0.05, le=60.0)] = 1.0  # s between two probes
@@ -49,7 +49,8 @@
 
 def read_keys(path: str) -> Keys:
     """Read the key file; the first line signs.  OSError; ValueError for invalid lines."""
-    from .wire import MAX_KEY_BYTES, MIN_KEY_BYTES, Keys  # not imported while the service is off
+    # Imported here so that it is not loaded while the service is off.
+    from .wire import MAX_KEY_BYTES, MIN_KEY_BYTES, Keys
 
     with open(path, "rb") as file:
         data = file.read(4 * MAX_KEY_BYTES + 1)
--- a/violetroute/sharing/up_names.py
+++ b/violetroute/sharing/up_names.py
@@ -22,8 +22,8 @@
 
     def __init__(self) -> None:
         self._last_number = 0
-        self._numbers: list[int] = []  # of the members that are up, ascending
-        self._names: list[str] = []  # of the same, in the same order
+        self._numbers: list[int] = []  # numbers of the members that are up, ascending
+        self._names: list[str] = []  # names of the same members, in the same order
         self._sorted: list[str] = []
 
     @property
--- a/violetroute/sharing/wire.py
+++ b/violetroute/sharing/wire.py
@@ -29,10 +29,10 @@
 
 MAX_DATAGRAM = 1200  # bytes; below any path MTU, so not fragmented
 MAGIC = b"LBf\x01"
-SEAL_BYTES = 16  # of the MAC
+SEAL_BYTES = 16  # length of the MAC
 HEADER = len(MAGIC) + 1 + SEAL_BYTES  # bytes
 MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 64
-MAX_ITEMS = 64  # in one datagram
+MAX_ITEMS = 64  # items in one datagram
 MAX_SENDERS = 4096  # processes whose received numbers are remembered
 WINDOW = 64  # replay window: numbers up to the highest that are still accepted
 MAX_SENT_NUMBERS = 32  # own numbers per member with a known send time: those in flight
@@ -45,10 +45,10 @@
 Amount = Annotated[int, msgspec.Meta(ge=0, le=2**40)]
 Small = Annotated[float, msgspec.Meta(ge=0.0, le=1e6)]
 Hash = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
-SHORT_BYTES = 4  # of a truncated hash or digest
-MAX_BUCKETS = 128  # into which the member list is divided
-MAX_BUCKET_DIGESTS_BYTES = MAX_BUCKETS * SHORT_BYTES  # of the digests of all buckets
-MAX_HELD_BYTES = 512  # of the hashes of one bucket's members
+SHORT_BYTES = 4  # length of a truncated hash or digest
+MAX_BUCKETS = 128  # buckets into which the member list is divided
+MAX_BUCKET_DIGESTS_BYTES = MAX_BUCKETS * SHORT_BYTES  # length of all buckets' digests
+MAX_HELD_BYTES = 512  # length of one bucket's member hashes
 Buckets = Annotated[int, msgspec.Meta(ge=1, le=MAX_BUCKETS)]
 BucketIndex = Annotated[int, msgspec.Meta(ge=0, lt=MAX_BUCKETS)]
 Hashes = Annotated[bytes, msgspec.Meta(max_length=MAX_HELD_BYTES)]
@@ -146,7 +146,7 @@
 class BucketMembers(Item, frozen=True, tag="E"):
     """Members of one bucket.  `wanted`: hashes that the receiver has and the sender lacks."""
 
-    number: Number  # of the `BucketRequest`; 0 in the answer to `wanted`
+    number: Number  # number of the `BucketRequest`; 0 in the answer to `wanted`
     buckets: Buckets
     index: BucketIndex
     members: Annotated[list[MemberEntry], msgspec.Meta(max_length=256)]
@@ -344,8 +344,10 @@
 
     def __init__(self) -> None:
         self._number = 0
-        self._received: OrderedDict[tuple[str, str], _Received] = OrderedDict()  # by name, life
-        self._sent: dict[str, OrderedDict[int, float]] = {}  # by member: send time (s) by number
+        # Received numbers, by name and `life`.
+        self._received: OrderedDict[tuple[str, str], _Received] = OrderedDict()
+        # Send times (s) by number, for each member.
+        self._sent: dict[str, OrderedDict[int, float]] = {}
 
     def next(self, to: str, now: float) -> int:
         """Assign the number of a datagram that is sent to a member now."""
--- a/violetroute/transport/interfaces.py
+++ b/violetroute/transport/interfaces.py
@@ -49,7 +49,7 @@
     """One connection.  After its end all methods have no effect."""
 
     descriptor: int  # -1 once it is closed
-    closing: bool  # after `close`, `abort` or an error; nothing more is received
+    closing: bool  # set by `close`, `abort` or an error; nothing more is received
     unsent: int  # bytes that the kernel has not taken; kept after the end
 
     def write(self, data: Data) -> bool:
--- a/violetroute/transport/loop_lag.py
+++ b/violetroute/transport/loop_lag.py
@@ -82,7 +82,8 @@
             stolen = max(stolen, now - polled_at - max(0.0, timeout))
         self._cpu_at = now, cpu
         if stolen >= MIN_PAUSE:
-            self.paused_for = now - began_at  # all data arrived after the poll before
+            # Reads count from the previous poll, after which all data arrived.
+            self.paused_for = now - began_at
             if self.on_pause is not None:
                 self.on_pause(stolen)
 
--- a/violetroute/transport/sockets.py
+++ b/violetroute/transport/sockets.py
@@ -18,7 +18,7 @@
 from .loop_lag import Turns
 from .stream import SocketStream
 
-monotonic, wall = time.monotonic, time.time  # for code that runs before the event loop
+monotonic, wall = time.monotonic, time.time  # clocks for code that runs before the event loop
 ACCEPT_RETRY_ERRNOS = frozenset({errno.EAGAIN, errno.EINTR, errno.ECONNABORTED, errno.EPROTO})
 
 
--- a/violetroute/transport/stream.py
+++ b/violetroute/transport/stream.py
@@ -65,8 +65,9 @@
         self.unsent = 0
         self._parts: deque[Data] = deque()  # data that the kernel has not taken
         self._reading = self._connecting = False
-        self._ending = False  # half-close once all data has been taken
-        self._write_error: OSError | None = None  # of a write; received data is read first
+        self._ending = False  # whether to half-close once the kernel has taken all data
+        # Error of a write, reported after the received data is read.
+        self._write_error: OSError | None = None
         self._connect_timer: asyncio.TimerHandle | None = None  # only while connecting
         self._first = first
         self._user_timeout_ms = 0  # ms; the current TCP_USER_TIMEOUT
--- a/violetroute/transport/tls.py
+++ b/violetroute/transport/tls.py
@@ -79,7 +79,8 @@
 
 
 def _load_context(files: TlsFiles) -> ssl.SSLContext:
-    context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)  # verifies the certificate and the host name
+    # PROTOCOL_TLS_CLIENT verifies the certificate and the host name.
+    context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     path = files.ca
     try:
--- a/violetroute/upstream/connection.py
+++ b/violetroute/upstream/connection.py
@@ -37,15 +37,15 @@
         self._pool, self.node = pool, node
         self.opened_for = opened_for  # the attempt for which it was opened
         self.attempt: Attempt | None = None
-        self.stream: Stream | None = None  # from connect until the connection is lost
+        self.stream: Stream | None = None  # set from connect until the connection is lost
         self.up = False
         self.idle_since = 0.0
         # Loop time of the last answer; -inf: stray data can't follow an answer on a new connection.
         self.answered_at = -math.inf
-        self.idle_for = 0.0  # s before the current attempt
-        self.used = False  # has answered, and the next answer has not begun
-        self.retired = False  # its node was removed: no further attempt
-        self._asking = False  # the reply to ASKING is outstanding
+        self.idle_for = 0.0  # s without use before the current attempt
+        self.used = False  # whether it has answered and the next answer has not begun
+        self.retired = False  # set once its node was removed: it gets no further attempt
+        self._asking = False  # whether the reply to ASKING is outstanding
         self._decoder = resp.Decoder()
         self._reply = resp.Reply()
         self._reply_timer: asyncio.TimerHandle | None = None  # bounds a reply that has begun
@@ -66,7 +66,7 @@
             self.close()
             return
         if self.used:
-            self.used = False  # until this answer is complete
+            self.used = False  # set again when this answer is complete
             self._pool.record_reuse(self, broken=False)
         self._decoder.feed(_shared[:count])
         try:
--- a/violetroute/upstream/pool.py
+++ b/violetroute/upstream/pool.py
@@ -12,7 +12,7 @@
 from .attempt import Attempt, AttemptOwner
 from .connection import NodeConnection
 
-IDLE_TIME_SHARE = 0.6  # of the node's idle timeout, so that no request meets its close
+IDLE_TIME_SHARE = 0.6  # share of the node's idle timeout, so that no request meets its close
 AGE_BOUNDS = (0.01, 0.03, 0.1, 0.2, 0.5, 1.0, 2.0)  # s; upper bounds of the idle-time buckets
 AGE_LEARNING_RATE = 0.1  # weight of one reuse in its bucket's break share
 AGE_DECAY_TIME = 10.0  # s; a break share decays, so that its bucket is tried again
@@ -33,7 +33,8 @@
         self.address = address
         self.idle: list[NodeConnection] = []  # the most recently used last
         self.open: dict[NodeConnection, None] = {}  # a set in order of opening
-        self.waiting: dict[Attempt, NodeConnection] = {}  # and the connection opened for each
+        # Waiting attempts, each with the connection opened for it.
+        self.waiting: dict[Attempt, NodeConnection] = {}
 
 
 class Pool:
