--- a/violetroute/distribution/__main__.py
+++ b/violetroute/distribution/__main__.py
@@ -28,7 +28,7 @@
 
 
 def report(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Event loop exception handler: logs the error and keeps the process running."""
+    """Event loop exception handler: a stray error is logged and ends only its connection."""
     logs.event("control.fault", what=str(context.get("message")), error=context.get("exception"))
 
 
--- a/violetroute/distribution/in_force.py
+++ b/violetroute/distribution/in_force.py
@@ -74,7 +74,7 @@
     incarnation: str | None = None
     number: int = 0
     answered_at: float = -math.inf
-    known: bool = False  # a full report was applied and its sessions were not dropped since
+    in_sync: bool = False  # a full report was applied and its sessions were not dropped since
 
 
 class _History:
@@ -95,7 +95,7 @@
         index = bisect_left(self._entries, position, key=lambda entry: entry.position)
         return self._entries[index] if index < len(self._entries) else None
 
-    def knows(self, position: int) -> bool:
+    def has_time_of(self, position: int) -> bool:
         """Whether the time of `position` has not been dropped."""
         return position > self._dropped_position
 
@@ -159,7 +159,7 @@
             else []
         )
         for machine in self._machines.values():
-            if machine.known:
+            if machine.in_sync:
                 times.append(machine.answered_at + self._settings.drop_after_s)
             if machine.unknown_sessions_until > self._ticked_at:
                 times.append(machine.unknown_sessions_until)
@@ -167,7 +167,7 @@
 
     def in_force_at(self, position: int) -> float | None:
         """Time at which `position` came into force; None if not yet, or no longer known."""
-        if position > self._in_force or not self._in_force_times.knows(position):
+        if position > self._in_force or not self._in_force_times.has_time_of(position):
             return None
         entry = self._in_force_times.reached(position)
         return None if entry is None else entry.at
@@ -237,9 +237,9 @@
             return False  # a duplicate, or out of order
         if report.full:
             self._apply_full_report(now, machine, report)
-        elif machine.known and report.number == machine.number + 1:
-            self._roster.end(now, machine.name, report.ended)
-            self._roster.update(machine.name, report.sessions)
+        elif machine.in_sync and report.number == machine.number + 1:
+            self._roster.end_sessions(now, machine.name, report.ended)
+            self._roster.update_sessions(machine.name, report.sessions)
         else:
             return False
         machine.number = report.number
@@ -249,8 +249,8 @@
         running_s = report.running_ms / MS
         remaining_s = max(0.0, self._settings.drop_after_s - running_s)
         machine.unknown_sessions_until = min(machine.unknown_sessions_until, now + remaining_s)
-        machine.known = True
-        self._roster.replace(now, machine.name, report.sessions)
+        machine.in_sync = True
+        self._roster.replace_sessions(now, machine.name, report.sessions)
 
     def _replace_incarnation(self, machine: _Machine, incarnation: str) -> None:
         """Accounts for sessions of the earlier incarnation that are unknown here.
@@ -268,9 +268,9 @@
     def _drop_unanswered(self, now: float) -> None:
         """Drops the sessions of machines whose last answered report is too old."""
         for machine in self._machines.values():
-            if machine.known and now >= machine.answered_at + self._settings.drop_after_s:
-                machine.known = False
-                self._roster.replace(now, machine.name, ())
+            if machine.in_sync and now >= machine.answered_at + self._settings.drop_after_s:
+                machine.in_sync = False
+                self._roster.replace_sessions(now, machine.name, ())
 
     def _apply_time_rule(self, now: float) -> None:
         while (
--- a/violetroute/distribution/machine.py
+++ b/violetroute/distribution/machine.py
@@ -75,7 +75,7 @@
     # --- observable state ---
     @property
     def leading(self) -> bool:
-        """Whether this machine has an active term, including its preparation."""
+        """Whether this machine is in a term of its own; its preparation counts too."""
         return self._leadership is not None
 
     @property
--- a/violetroute/distribution/replica.py
+++ b/violetroute/distribution/replica.py
@@ -68,7 +68,7 @@
     """One machine's copy of the log and its promise to a leader."""
 
     __slots__ = (
-        "_begin",
+        "_base_bytes",
         "_committed_configuration",
         "_configuration",
         "_entries",
@@ -88,7 +88,7 @@
         self.leader = stored.leader
         self.recovering = stored.recovering
         self._snapshot = stored.snapshot
-        self._begin = 0  # total bytes up to the base, counted as `_Entry.end`
+        self._base_bytes = 0  # total bytes up to the base, counted as `_Entry.end`
         self._entries: list[_Entry] = []
         self._add_entries(stored.batches)
         self._committed_configuration = CommittedConfiguration(stored.snapshot.configuration)
@@ -172,7 +172,7 @@
     def _bytes_up_to(self, position: int) -> int:
         """Total bytes up to `position`, counted as `_Entry.end`; clamped to the end of the log."""
         kept = min(position - self.base.position, len(self._entries))
-        return self._entries[kept - 1].end if kept else self._begin
+        return self._entries[kept - 1].end if kept else self._base_bytes
 
     def fence_at(self, position: int) -> int | None:
         """Returns the fence of the batch at `position`; None if dropped or beyond the end."""
@@ -180,7 +180,7 @@
             return self.base.fence
         if not self.base.position < position <= self.last.position:
             return None
-        return self._at(position).fence
+        return self._entry_at(position).fence
 
     def contains(self, point: LogPoint) -> bool:
         """Whether the log holds this point.  False for dropped batches."""
@@ -204,14 +204,14 @@
         found: list[msgspec.Raw] = []
         size = 0
         for at in range(position + 1, min(end, position + BATCHES_PER_REPLY) + 1):
-            entry = self._at(at)
+            entry = self._entry_at(at)
             size += entry.size
             if found and size > max_bytes:
                 break
             found.append(entry.raw)
         return found
 
-    def _at(self, position: int) -> _Entry:
+    def _entry_at(self, position: int) -> _Entry:
         return self._entries[position - self.base.position - 1]
 
     def common_prefix_end(self, point: LogPoint) -> int | None:
@@ -253,7 +253,7 @@
         return (AppendBatches(added),)
 
     def _add_entries(self, batches: Iterable[Batch]) -> None:
-        end = self._entries[-1].end if self._entries else self._begin
+        end = self._entries[-1].end if self._entries else self._base_bytes
         for batch in batches:
             entry = _entry(batch, end)
             self._entries.append(entry)
@@ -280,7 +280,7 @@
             raise LogConflict(f"snapshot of {snapshot.base} is before the commit {self.commit}")
         changes = self.truncate_after(self.commit)
         self._entries.clear()
-        self._begin = 0
+        self._base_bytes = 0
         self._snapshot = snapshot
         self._committed_configuration = CommittedConfiguration(snapshot.configuration)
         self._configuration.add(snapshot.configuration)
@@ -297,7 +297,7 @@
         if position > self.last.position:
             raise LogConflict(f"commit {position} is beyond the end {self.last}")
         for at in range(self.commit + 1, position + 1):
-            self._committed_configuration.committed(self._at(at).configuration)
+            self._committed_configuration.committed(self._entry_at(at).configuration)
         self.commit = position
         return True
 
@@ -307,7 +307,7 @@
         `max_bytes` limits the total bytes of kept batches.
         """
         end = self._bytes_up_to(self.last.position)
-        begin = self._begin
+        begin = self._base_bytes
         drop = 0
         for entry in islice(self._entries, self.commit - self.base.position):
             if entry.written_ms >= oldest_ms and end - begin <= max_bytes:
@@ -318,7 +318,7 @@
             return ()
         self._snapshot = self._merge_into_snapshot(drop)
         del self._entries[:drop]
-        self._begin = begin
+        self._base_bytes = begin
         return (SetBase(self._snapshot),)
 
     def _merge_into_snapshot(self, drop: int) -> Snapshot:
--- a/violetroute/distribution/roster.py
+++ b/violetroute/distribution/roster.py
@@ -78,7 +78,7 @@
         chosen = nsmallest(limit, behind, key=self._positions.__getitem__)
         return [self._states[key] for key in chosen]
 
-    def update(self, machine: str, states: Iterable[SessionState]) -> None:
+    def update_sessions(self, machine: str, states: Iterable[SessionState]) -> None:
         """Adds or updates sessions of a machine.  States with a lower position are ignored."""
         at_machine = self._machines.setdefault(machine, {})
         positions = self._positions
@@ -97,7 +97,7 @@
             if state.refused or key in self._with_refusals:
                 self._update_refusals(key, state)
 
-    def end(self, now: float, machine: str, keys: Iterable[SessionKey]) -> None:
+    def end_sessions(self, now: float, machine: str, keys: Iterable[SessionKey]) -> None:
         """Removes ended sessions of a machine."""
         at_machine = self._machines.get(machine, {})
         for key in keys:
@@ -108,12 +108,12 @@
             if not self._holders[key]:
                 self._remove_session(now, key)
 
-    def replace(self, now: float, machine: str, states: tuple[SessionState, ...]) -> None:
+    def replace_sessions(self, now: float, machine: str, states: tuple[SessionState, ...]) -> None:
         """Replaces all sessions of a machine."""
         named = {(state.name, state.incarnation) for state in states}
         gone = [key for key in self._machines.get(machine, {}) if key not in named]
-        self.update(machine, states)
-        self.end(now, machine, gone)
+        self.update_sessions(machine, states)
+        self.end_sessions(now, machine, gone)
 
     def expire_missing(self, now: float) -> None:
         """Drops proxies that have been missing for `MISSING_RETENTION_S`."""
