--- a/violetroute/membership/merge.py
+++ b/violetroute/membership/merge.py
@@ -5,9 +5,9 @@
 list yet would flicker. There are two exceptions to the precedence:
 
 - A **drain or removal** applies at once, whichever source reports it (the guarantee on drains),
-  until that source withdraws it or the current source reports a later start of the node. Drawback: a
-  list that is emptied by hand takes nodes out of service while another source is current, so such
-  a source must be removed from `sources` first.
+  until that source withdraws it or the current source reports a later start of the node. Drawback:
+  a list that is emptied by hand takes nodes out of service while another source is current, so
+  such a source must be removed from `sources` first.
 - A current source that becomes unavailable stays current for `patience_s`: its last list is better
   than switching lists at each short outage. A source of higher rank that recovers waits `settle_s`,
   so that an unstable one doesn't make the fleet switch back and forth.
--- a/violetroute/transport/introspection_socket.py
+++ b/violetroute/transport/introspection_socket.py
@@ -18,7 +18,7 @@
 
 MAX_CLIENTS = 8
 MAX_LINE = 200  # bytes
-TIMEOUT = 2.0  # s to receive the command and to send the answer
+TIMEOUT = 2.0  # s for one request and its response
 
 
 class IntrospectionSocket:
