--- a/tests/bad_builds/cold_flooded.py
+++ b/tests/bad_builds/cold_flooded.py
@@ -1,4 +1,4 @@
-"""A node that has just started is taken for a warm one."""
+"""Injected bug: a node that has just started is treated as warm."""
 
 from snowstall.balance import Balancer
 
--- a/tests/bad_builds/descriptor_leak.py
+++ b/tests/bad_builds/descriptor_leak.py
@@ -1,4 +1,4 @@
-"""A connection to a cache node that ends keeps its descriptor."""
+"""Injected bug: a closed connection to a cache node keeps its file descriptor."""
 
 from violetroute.transport.stream import SocketStream
 
--- a/tests/bad_builds/drains_ignored.py
+++ b/tests/bad_builds/drains_ignored.py
@@ -1,4 +1,4 @@
-"""A node that drains is taken for one in service."""
+"""Injected bug: a draining node is treated as in service."""
 
 from snowstall import CacheState
 from violetroute.membership import entries
--- a/tests/bad_builds/ejection_unbounded.py
+++ b/tests/bad_builds/ejection_unbounded.py
@@ -1,4 +1,7 @@
-"""Every cache that is late or full once is sent away, for long, however many are away already."""
+"""Injected bug: a cache is ejected for long after one late or full outcome.
+
+There is no limit on how many are ejected at once.
+"""
 
 from snowstall import Result, balance, learning
 
--- a/tests/bad_builds/gate_twice_gain.py
+++ b/tests/bad_builds/gate_twice_gain.py
@@ -1,4 +1,4 @@
-"""The gate moves twice as fast as its news allow."""
+"""Injected bug: the admission limiter's gain is doubled and not reduced for late failures."""
 
 from snowstall import gate
 
--- a/tests/bad_builds/keyed_late.py
+++ b/tests/bad_builds/keyed_late.py
@@ -1,4 +1,4 @@
-"""A keyed command is repeated after its window as before it."""
+"""Injected bug: a keyed command is repeated even after its idempotency window."""
 
 from snowstall import attempts, balance
 
--- a/tests/bad_builds/no_shedding.py
+++ b/tests/bad_builds/no_shedding.py
@@ -1,4 +1,4 @@
-"""Nothing is turned away: neither by the gate nor by the proxy's own load."""
+"""Injected bug: no request is rejected, by the admission limiter or for event loop load."""
 
 from snowstall.balance import Balancer
 from snowstall.gate import AdmissionLimiter
--- a/tests/bad_builds/retry_storm.py
+++ b/tests/bad_builds/retry_storm.py
@@ -1,4 +1,4 @@
-"""Every failed attempt is tried again at once, without a budget, as often as time allows."""
+"""Injected bug: failed attempts are retried at once without a budget, up to 12 attempts."""
 
 from dataclasses import replace
 
--- a/tests/bad_builds/same_wait.py
+++ b/tests/bad_builds/same_wait.py
@@ -1,4 +1,4 @@
-"""All that are refused are told the same wait, and come back together."""
+"""Injected bug: all refused requests get the same wait, so their clients return together."""
 
 from snowstall.balance import Balancer
 
--- a/tests/limebridge/test_child_signals.py
+++ b/tests/limebridge/test_child_signals.py
@@ -1,4 +1,4 @@
-"""Signals to children: who ended by itself keeps its exit code, whoever is slow to hear of it."""
+"""Signals to children: the exit code of a child that has just exited is not lost."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 from limebridge.control.process import ControlProcess
 
 EXIT_CODE = 3
-PATIENCE_S = 20.0  # a bound on waiting, far above what any step needs
-ENDS = (sys.executable, "-c", f"raise SystemExit({EXIT_CODE})")
-STAYS = (sys.executable, "-c", "import time; print(flush=True); time.sleep(600)")
+MAX_WAIT_S = 20.0  # far above the duration of any step
+EXITS_AT_ONCE = (sys.executable, "-c", f"raise SystemExit({EXIT_CODE})")
+KEEPS_RUNNING = (sys.executable, "-c", "import time; print(flush=True); time.sleep(600)")
 
 
-async def started(*command: str) -> asyncio.subprocess.Process:
+async def start(*command: str) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(*command, stdout=asyncio.subprocess.PIPE)
 
 
-def wait_for_the_end(pid: int) -> None:
-    """In the loop's own thread, so that asyncio hears of it later."""
-    end = time.monotonic() + PATIENCE_S
+def wait_for_exit(pid: int) -> None:
+    """Block the loop's thread until the exit, so that asyncio has not noticed it yet."""
+    end = time.monotonic() + MAX_WAIT_S
     while not child_signals.has_ended(pid):
         assert time.monotonic() < end
         time.sleep(0.005)
 
 
-def holding(process: asyncio.subprocess.Process, kind: str) -> Child | ControlProcess:
-    """The process in the hands of one of the two that end children."""
+def wrapped(process: asyncio.subprocess.Process, kind: str) -> Child | ControlProcess:
+    """The process wrapped by one of the two classes that end children."""
     if kind == "daemon":
         child = Child(Path(), "p0")
         child._process = process
@@ -47,52 +47,52 @@
 
 
 @pytest.fixture
-def watcher_goes_on(monkeypatch: pytest.MonkeyPatch) -> Iterator[threading.Event]:
-    """asyncio's watcher takes no exit code until this is set, as one that gets no CPU."""
-    goes_on, waitpid = threading.Event(), os.waitpid
+def watcher_resumes(monkeypatch: pytest.MonkeyPatch) -> Iterator[threading.Event]:
+    """Keep asyncio's watcher from reaping exit codes until this is set, as without CPU time."""
+    resumed, waitpid = threading.Event(), os.waitpid
 
-    def late(pid: int, options: int) -> tuple[int, int]:
-        goes_on.wait()
+    def delayed_waitpid(pid: int, options: int) -> tuple[int, int]:
+        resumed.wait()
         return waitpid(pid, options)
 
-    monkeypatch.setattr(os, "waitpid", late)
-    yield goes_on
-    goes_on.set()
+    monkeypatch.setattr(os, "waitpid", delayed_waitpid)
+    yield resumed
+    resumed.set()
 
 
 @pytest.mark.parametrize("kind", ["daemon", "control"])
-@pytest.mark.parametrize("how", ["kill", "term"])
-def test_one_that_has_just_ended_keeps_its_exit_code(
-    kind: str, how: str, watcher_goes_on: threading.Event
+@pytest.mark.parametrize("method", ["kill", "term"])
+def test_ending_a_child_that_has_just_exited_keeps_its_exit_code(
+    kind: str, method: str, watcher_resumes: threading.Event
 ) -> None:
-    async def part() -> None:
-        process = await started(*ENDS)
-        wait_for_the_end(process.pid)
-        held = holding(process, kind)
-        ending = asyncio.create_task(getattr(held, how)())
-        await asyncio.sleep(0)  # its signal, if any, is sent
-        watcher_goes_on.set()
+    async def run() -> None:
+        process = await start(*EXITS_AT_ONCE)
+        wait_for_exit(process.pid)
+        owner = wrapped(process, kind)
+        ending = asyncio.create_task(getattr(owner, method)())
+        await asyncio.sleep(0)  # the signal, if any, is sent now
+        watcher_resumes.set()
         await ending
-        assert await held.wait() == EXIT_CODE
+        assert await owner.wait() == EXIT_CODE
 
-    asyncio.run(part())
+    asyncio.run(run())
 
 
 @pytest.mark.parametrize("kind", ["daemon", "control"])
-def test_one_that_stays_is_killed_at_once_and_once_more_is_nothing(kind: str) -> None:
-    async def part() -> None:
-        process = await started(*STAYS)
-        held = holding(process, kind)
+def test_a_running_child_is_killed_and_a_second_kill_has_no_effect(kind: str) -> None:
+    async def run() -> None:
+        process = await start(*KEEPS_RUNNING)
+        owner = wrapped(process, kind)
         for _ in range(2):
-            await held.kill()
-            assert await held.wait() == -signal.SIGKILL
+            await owner.kill()
+            assert await owner.wait() == -signal.SIGKILL
 
-    asyncio.run(part())
+    asyncio.run(run())
 
 
-def test_one_that_was_stopped_is_killed_and_no_signal_goes_to_one_that_is_gone() -> None:
-    async def part() -> None:
-        process = await started(*STAYS)
+def test_a_stopped_child_is_killed_and_no_signal_is_sent_to_an_exited_one() -> None:
+    async def run() -> None:
+        process = await start(*KEEPS_RUNNING)
         assert process.stdout is not None
         await process.stdout.readline()
         os.kill(process.pid, signal.SIGSTOP)
@@ -102,4 +102,4 @@
         assert child_signals.has_ended(process.pid)
         child_signals.send(process.pid, signal.SIGKILL)
 
-    asyncio.run(part())
+    asyncio.run(run())
--- a/tests/limebridge/test_demo.py
+++ b/tests/limebridge/test_demo.py
@@ -1,4 +1,4 @@
-"""`limebridge demo --json`, driven by a client that others wrote and by plain bytes."""
+"""`limebridge demo --json`, used by third-party clients and by raw commands."""
 
 from __future__ import annotations
 
@@ -44,11 +44,13 @@
             await process.wait()
 
 
-def test_a_client_that_others_wrote_is_served_and_the_end_is_clean() -> None:
-    async def part() -> None:
-        async with demo() as (process, told):
-            assert set(told) == {"proxy", "nodes", "discovery"} and len(told["nodes"]) == 3
-            host, _, port = told["proxy"].rpartition(":")
+def test_a_third_party_client_is_served_and_the_shutdown_is_clean() -> None:
+    async def run() -> None:
+        async with demo() as (process, addresses):
+            assert (
+                set(addresses) == {"proxy", "nodes", "discovery"} and len(addresses["nodes"]) == 3
+            )
+            host, _, port = addresses["proxy"].rpartition(":")
 
             def drive() -> list[Any]:
                 client = redis.Redis(host, int(port), protocol=2)
@@ -64,7 +66,7 @@
 
             assert await asyncio.to_thread(drive) == [True, b"template of k1", b"stored"]
             reader, writer = await asyncio.open_connection(host, int(port))
-            writer.write(get(5, key=b"k2", wait=500))  # plain bytes
+            writer.write(get(5, key=b"k2", wait=500))  # a raw command
             assert await read_answer(reader) == b"template of k2"
             process.send_signal(signal.SIGTERM)
             assert await soon(process.wait()) == 0
@@ -72,18 +74,18 @@
             with_proxy = await asyncio.gather(
                 asyncio.open_connection(host, int(port)), return_exceptions=True
             )
-            assert isinstance(with_proxy[0], ConnectionError), "the daemon ended with it"
+            assert isinstance(with_proxy[0], ConnectionError), "the daemon ends with the demo"
             writer.close()
 
-    asyncio.run(part())
+    asyncio.run(run())
 
 
-def test_the_proxy_follows_consul_as_a_client_that_others_wrote_changes_it() -> None:
-    async def part() -> None:
-        async with demo("--consul") as (process, told):
-            host, _, port = told["consul"].rpartition(":")
+def test_the_proxy_follows_consul_changes_made_by_a_third_party_client() -> None:
+    async def run() -> None:
+        async with demo("--consul") as (process, addresses):
+            host, _, port = addresses["consul"].rpartition(":")
             agent = consul.Consul(host, int(port))
-            proxy = redis.Redis(*told["proxy"].split(":"), protocol=2)  # type: ignore[arg-type]
+            proxy = redis.Redis(*addresses["proxy"].split(":"), protocol=2)  # type: ignore[arg-type]
             ids = [each["Service"]["ID"] for each in agent.health.service("cache")[1]]
             assert len(ids) == 3
             number = 0
@@ -101,7 +103,7 @@
 
             def drive() -> None:
                 assert served()
-                for id_ in ids:  # all drain: nobody is left who may be asked
+                for id_ in ids:  # all drain: no node is left to send to
                     agent.agent.service.maintenance(id_, True)
                 while served():
                     pass
@@ -113,29 +115,29 @@
             process.send_signal(signal.SIGTERM)
             assert await soon(process.wait()) == 0
 
-    asyncio.run(part())
+    asyncio.run(run())
 
 
-def test_arguments_that_make_no_sense_are_one_message_and_exit_2() -> None:
+def test_invalid_arguments_give_one_message_and_exit_status_2() -> None:
     result = CliRunner().invoke(app, ["demo", "--nodes", "0"])
     assert result.exit_code == 2 and "--nodes" in result.output
 
 
-def test_the_database_turns_away_what_cannot_wait() -> None:
-    async def part() -> None:
+def test_the_database_rejects_fetches_beyond_its_queue() -> None:
+    async def run() -> None:
         database = CustomerDatabase(concurrency=2, latency=0.001, queue_limit=3)
         answers = await asyncio.gather(*(database.fetch(b"%d" % n) for n in range(9)))
         assert sum(a is None for a in answers) == 4 and database.fetches == 5
         assert await database.fetch(b"k") == b"template of k" and not database.pending
 
-    asyncio.run(part())
+    asyncio.run(run())
 
 
 def test_two_proxies_share_the_slots_of_a_cluster() -> None:
-    async def part() -> None:
-        async with demo("--cluster") as (process, told):
-            assert len(told["proxies"]) == 2 and told["proxy"] == told["proxies"][0]
-            host, _, port = told["proxies"][1].rpartition(":")
+    async def run() -> None:
+        async with demo("--cluster") as (process, addresses):
+            assert len(addresses["proxies"]) == 2 and addresses["proxy"] == addresses["proxies"][0]
+            host, _, port = addresses["proxies"][1].rpartition(":")
 
             def drive() -> list[Any]:
                 client = redis.RedisCluster(host=host, port=int(port))
@@ -154,4 +156,4 @@
             process.send_signal(signal.SIGTERM)
             assert await soon(process.wait()) == 0
 
-    asyncio.run(part())
+    asyncio.run(run())
--- a/tests/limebridge/test_ports.py
+++ b/tests/limebridge/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports of processes that the kit starts: nobody else is given them before they listen there."""
+"""Ports for child processes: nobody else gets one before the process listens on it."""
 
 from __future__ import annotations
 
@@ -14,15 +14,17 @@
 from limebridge.ports import NoPortsLeftError, PortBlocks, free_ports, kernel_range
 
 
-def test_a_port_that_was_handed_out_is_given_to_no_outgoing_connection() -> None:
-    """The fault of CI's run of 2026-12-02: a daemon's port was taken before it listened there."""
+def test_allocated_ports_lie_outside_the_ephemeral_range() -> None:
+    """Guards against a CI failure of 2026-12-02: an ephemeral port was taken before the daemon
+    listened on it, as the kernel assigns such ports to outgoing connections.
+    """
     first_of_kernel, last_of_kernel = kernel_range()
-    handed_out = set(free_ports(20))
-    assert len(handed_out) == 20
-    assert not handed_out & set(range(first_of_kernel, last_of_kernel + 1))
+    allocated = set(free_ports(20))
+    assert len(allocated) == 20
+    assert not allocated & set(range(first_of_kernel, last_of_kernel + 1))
 
 
-def test_processes_side_by_side_have_ports_of_their_own() -> None:
+def test_concurrent_processes_get_different_ports() -> None:
     code = "from limebridge.ports import free_ports; print(*free_ports(50), flush=True); input()"
     children = [
         subprocess.Popen(
@@ -31,35 +33,35 @@
         for _ in range(4)
     ]
     try:
-        handed_out = set(free_ports(50))
+        allocated = set(free_ports(50))
         for child in children:
             assert child.stdout is not None
-            of_the_child = {int(port) for port in child.stdout.readline().split()}
-            assert len(of_the_child) == 50 and not of_the_child & handed_out
-            handed_out |= of_the_child
+            of_child = {int(port) for port in child.stdout.readline().split()}
+            assert len(of_child) == 50 and not of_child & allocated
+            allocated |= of_child
     finally:
         for child in children:
             child.communicate("\n", timeout=20.0)
 
 
-def test_a_forked_process_hands_out_no_port_of_its_parent() -> None:
-    of_the_parent = set(free_ports(20))
+def test_a_forked_process_allocates_no_port_of_its_parent() -> None:
+    of_parent = set(free_ports(20))
     reading, writing = os.pipe()
     child = os.fork()
-    if child == 0:  # only what cannot fail stands between fork and exit
+    if child == 0:  # nothing between fork and exit may fail
         os.write(writing, " ".join(map(str, ports._blocks.free_ports(20))).encode())
         os._exit(0)
     os.close(writing)
     with os.fdopen(reading) as answer:
-        of_the_child = {int(port) for port in answer.read().split()}
+        of_child = {int(port) for port in answer.read().split()}
     assert os.waitpid(child, 0)[1] == 0
-    assert len(of_the_child) == 20 and not of_the_child & of_the_parent
+    assert len(of_child) == 20 and not of_child & of_parent
 
 
-def test_a_port_is_handed_out_again_only_after_all_others_of_its_block(
+def test_a_port_is_reused_only_after_all_others_of_its_block(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The order alone: whether a port is in use is the machine's, and the tests' below."""
+    """Checks the order alone: whether a port is in use depends on the machine; see below."""
     monkeypatch.setattr(ports, "_is_free", lambda port: True)
     blocks = PortBlocks()
     try:
@@ -85,14 +87,14 @@
 """
 
 
-def test_a_block_whose_process_has_ended_leaves_out_what_its_children_still_use() -> None:
-    """Why the test above failed once beside another run: such a port came free between rounds."""
+def test_ports_still_used_by_children_of_an_exited_owner_are_skipped() -> None:
+    """The test above once failed beside another run: such a port became free between rounds."""
     owner = subprocess.Popen(
         [sys.executable, "-c", ORPHAN], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
     )
     assert owner.stdin is not None and owner.stdout is not None
     port = int(owner.stdout.readline())
-    assert owner.wait(20.0) == 0  # its claim is gone, and what it started listens
+    assert owner.wait(20.0) == 0  # its claim is released, and its child listens
     block = port - (port - ports.FIRST_PORT) % ports.BLOCK_SIZE
     blocks = PortBlocks(first=block, end=block + ports.BLOCK_SIZE)
     try:
@@ -102,9 +104,9 @@
         with pytest.raises(NoPortsLeftError):
             blocks.free_ports(usable)
         owner.stdin.close()
-        ends = time.monotonic() + 20.0
+        deadline = time.monotonic() + 20.0
         while not ports._is_free(port):
-            assert time.monotonic() < ends, "the child has ended with its standard input"
+            assert time.monotonic() < deadline, "the child exits when its standard input closes"
             time.sleep(0.01)
         assert set(blocks.free_ports(usable)) == {*first_round, port}
     finally:
@@ -113,7 +115,7 @@
 
 
 def leave_in_time_wait(port: int) -> None:
-    """Listen on the port, and close a connection there from the listener's side first."""
+    """Leave a connection in TIME_WAIT at the port: the listener closes it first."""
     with socket.socket() as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind(("127.0.0.1", port))
@@ -124,13 +126,13 @@
 
 
 @pytest.mark.parametrize("kind", [socket.SOCK_STREAM, socket.SOCK_DGRAM])
-def test_a_port_in_use_is_left_out_for_tcp_and_udp(kind: socket.SocketKind) -> None:
+def test_a_port_in_use_by_tcp_or_udp_is_skipped(kind: socket.SocketKind) -> None:
     blocks = PortBlocks()
     try:
         (port,) = blocks.free_ports(1)
         leave_in_time_wait(port)
         with socket.socket(type=kind) as user:
-            # As every listener does: connections of an earlier one may still be in TIME_WAIT.
+            # As listeners do, since connections of an earlier one may still be in TIME_WAIT.
             user.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, kind == socket.SOCK_STREAM)
             user.bind(("127.0.0.1", port))
             if kind == socket.SOCK_STREAM:
@@ -140,7 +142,7 @@
         blocks.close()
 
 
-def test_no_block_left_is_an_error() -> None:
+def test_running_out_of_blocks_raises_an_error() -> None:
     blocks = PortBlocks(first=kernel_range()[0] - 1)
     with pytest.raises(NoPortsLeftError, match="no block of"):
         blocks.free_ports(1)
--- a/tests/limebridge/test_quiet.py
+++ b/tests/limebridge/test_quiet.py
@@ -1,4 +1,4 @@
-"""Instances of HiGHS in one process do not disturb each other."""
+"""HiGHS instances in one process do not interfere with each other."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from tests.support.paths import ROOT
 
-# In a process of its own: the first run in a process decides for all later ones.
+# Runs in its own process, since the first run in a process sets the threads of all later ones.
 PROGRAM = """
 from limebridge.placement.solver import solve
 from limebridge.placement.fleet import parse_fleet
@@ -28,7 +28,7 @@
 """
 
 
-def test_a_plan_is_solved_after_another_program_has_run_in_the_process() -> None:
+def test_a_plan_is_solved_after_another_instance_has_run_in_the_process() -> None:
     done = subprocess.run(
         [sys.executable, "-c", PROGRAM], cwd=ROOT, capture_output=True, text=True, check=False
     )
