--- a/violetroute/distribution/leadership.py
+++ b/violetroute/distribution/leadership.py
@@ -79,7 +79,10 @@
     def next_at(self) -> float:
         """Time of the next `step`; infinite if none is due."""
         return min(
-            self._preparation.next_at, self._followers.next_at, self._next_batch_at, self._idle_at
+            self._preparation.next_at,
+            self._followers.next_at,
+            self._next_batch_at,
+            self._majority_lost_at,
         )
 
     @property
@@ -87,7 +90,7 @@
         return self._publications.next_at if self._followers.serving else inf
 
     @property
-    def _idle_at(self) -> float:
+    def _majority_lost_at(self) -> float:
         return self._majority_at(inf) + self._settings.release_lease_after_s
 
     def step(self, now: float) -> None:
