--- a/violetroute/ledger/files.py
+++ b/violetroute/ledger/files.py
@@ -53,7 +53,7 @@
 
 
 class Folder:
-    """A folder on a real disk."""
+    """`Files` on a real disk, where the methods are described."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
--- a/violetroute/membership/source.py
+++ b/violetroute/membership/source.py
@@ -24,9 +24,14 @@
     """The tables of the operator's settings that are read here."""
 
     @property
-    def membership(self) -> MembershipTable: ...
+    def membership(self) -> MembershipTable:
+        """The table `[membership]`: the sources and their precedence."""
+        ...
+
     @property
-    def consul(self) -> ConsulTable: ...
+    def consul(self) -> ConsulTable:
+        """The table `[consul]`: Consul as a source."""
+        ...
 
 
 class NodeNames:
--- a/violetroute/membership/staleness.py
+++ b/violetroute/membership/staleness.py
@@ -87,7 +87,7 @@
         Returns the drains of unknown nodes, which another source may list: no answer was usable
         yet. Exploration found that a cluster without a leader kept answering, with a drain in the
         answer, and the frozen list missed it; and the same in the very first answers.
-        Harm: a drain that has ended already is applied again until a usable answer arrives.
+        Drawback: a drain that has already ended is applied again until a usable answer arrives.
         """
         others = []
         for name, instance in instances.items():
--- a/violetroute/membership/table.py
+++ b/violetroute/membership/table.py
@@ -61,4 +61,5 @@
 
     @property
     def tls(self) -> TlsFiles:
+        """The TLS files for calls to the agents; without a CA file the calls are plain HTTP."""
         return TlsFiles(self.tls_ca_file, self.tls_cert_file, self.tls_key_file, self.tls_name)
--- a/violetroute/sharing/budget.py
+++ b/violetroute/sharing/budget.py
@@ -31,14 +31,16 @@
 MAX_REQUESTS_PER_TICK = 8  # loan requests sent in one tick
 ANSWER_TIMEOUT_S = 0.4  # timeout of a loan request
 MAX_REQUEST_INTERVAL_S = 1.0  # longest interval of request rounds while none yields a loan
-REOPEN_S = 5.0  # without a rejected request, until a budget is no longer logged as exhausted
+REOPEN_S = 5.0  # time without a rejection after which a budget no longer counts as exhausted
 MAX_SPARE_AGE_S = 5.0  # older reports of spare capacity are ignored
 
 
 class RandomSource(Protocol):
     """`random.Random`, or a test's replacement."""
 
-    def random(self) -> float: ...
+    def random(self) -> float:
+        """A number in [0, 1)."""
+        ...
 
 
 @dataclass(frozen=True, slots=True)
--- a/violetroute/sharing/factory.py
+++ b/violetroute/sharing/factory.py
@@ -61,4 +61,5 @@
 
 
 def introspection_listener(table: SharingTable, sharing: Sharing) -> IntrospectionSocket | None:
+    """The introspection socket of the service, not yet open; None if the table names no path."""
     return IntrospectionSocket(table.socket, partial(view, sharing)) if table.socket else None
--- a/violetroute/sharing/gossip.py
+++ b/violetroute/sharing/gossip.py
@@ -39,8 +39,13 @@
 class RandomSource(Protocol):
     """`random.Random`, or a test's replacement."""
 
-    def random(self) -> float: ...
-    def sample(self, of: Sequence[str], k: int) -> list[str]: ...
+    def random(self) -> float:
+        """A number in [0, 1)."""
+        ...
+
+    def sample(self, of: Sequence[str], k: int) -> list[str]:
+        """`k` different elements, in random order."""
+        ...
 
 
 @dataclass(slots=True)
--- a/violetroute/sharing/heavy_hitters.py
+++ b/violetroute/sharing/heavy_hitters.py
@@ -20,7 +20,7 @@
 
 SIZE = 32  # counters in a summary, and so in a datagram
 HALF_LIFE_S = 10.0  # half-life of a count
-STALE_S = 10.0  # without a report, until a member's counts are dropped
+STALE_S = 10.0  # time without a report after which a member's counts are dropped
 MAX_MEMBERS = 1024
 
 
--- a/violetroute/sharing/load_reports.py
+++ b/violetroute/sharing/load_reports.py
@@ -4,8 +4,8 @@
 latency and target, and how many were queued, by whether a cache likely had the key.  No member
 counts for more than MAX_RELATIVE_WEIGHT times the median one, and isolated members are left out.
 So if one report in ten is false, the mean badness moves by at most 0.1 * W / (0.9 + 0.1 * W) with
-W = MAX_RELATIVE_WEIGHT, which is 0.18.  That is less than the limit's rest at a quarter (the
-congestion at which it neither grows nor shrinks) and what is shed beyond.
+W = MAX_RELATIVE_WEIGHT, which is 0.18.  That is less than a quarter, the congestion at which the
+limit neither grows nor shrinks; it shrinks only beyond that.
 
 The result is a few outcomes equal to the mean of a round's reports.  The balancer takes them beside
 its own outcomes, and its limit stays one of its own requests.
@@ -20,7 +20,7 @@
 
 from .wire import LoadReport
 
-MAX_RELATIVE_WEIGHT = 2.0  # times the median member's count
+MAX_RELATIVE_WEIGHT = 2.0  # max weight of a member, as a multiple of the median member's count
 MIN_MEMBERS = 3  # members that must report in a round
 REPORTED_PER_OUTCOME = 4.0  # reported outcomes that yield one for the balancer
 MAX_OUTCOMES = 8  # outcomes passed on per round; more would outweigh the balancer's own
@@ -47,7 +47,7 @@
         ]
 
     def merge_report(self, now: float, member: str, report: LoadReport) -> None:
-        """Keep a peer's latest valid report in this round; sums that contradict are dropped."""
+        """Keep a peer's latest report of this round, unless its sums contradict each other."""
         if (
             report.bad <= report.count
             and report.queued <= report.count
--- a/violetroute/sharing/node_health.py
+++ b/violetroute/sharing/node_health.py
@@ -48,7 +48,7 @@
 RECOVERED_SHARE = 0.3  # an unhealthy node recovers at or below this share
 ISOLATED_SHARE = 0.75
 MIN_ISOLATED_NODES = 3  # reported nodes below which a member never counts as isolated
-MAX_RELATIVE_WEIGHT = 2.0  # times the median witness
+MAX_RELATIVE_WEIGHT = 2.0  # max weight of a witness, as a multiple of the median weight
 SUFFICIENT_OWN_OUTCOMES = 4.0
 MAX_NODES = 4096
 MAX_MEMBERS = 4096
@@ -77,7 +77,7 @@
 
     name: str
     zone: str
-    first: int = NO_ROW  # first of its rows in the table
+    first: int = NO_ROW  # the first of its rows in the table
     nodes: int = 0  # number of nodes that it reports
     troubled: int = 0  # number of nodes for which it reports trouble
 
--- a/violetroute/transport/datagrams.py
+++ b/violetroute/transport/datagrams.py
@@ -36,6 +36,7 @@
         loop.add_reader(sock.fileno(), self._ready)
 
     def send(self, data: bytes, address: Address) -> bool:
+        """Send at once; False if the kernel did not take it or the socket is closed."""
         if self._socket is None:
             return False
         try:
@@ -63,6 +64,7 @@
                     )
 
     def close(self) -> None:
+        """Stop receiving and free the port; further calls have no effect."""
         if self._socket is not None:
             with contextlib.suppress(OSError):
                 self._loop.remove_reader(self._socket.fileno())
--- a/violetroute/transport/sockets.py
+++ b/violetroute/transport/sockets.py
@@ -34,6 +34,7 @@
         self.address = Address(host, sock.getsockname()[1])
 
     def watch(self, on: bool) -> None:
+        """Start or stop calling `ready` for waiting connections; no effect after `close`."""
         if self._socket is None or on == self._watched:
             return
         self._watched = on
@@ -43,6 +44,10 @@
             self._net.loop.remove_reader(self._socket.fileno())
 
     def accept(self, handler: Handler) -> SocketStream | None:
+        """Accept one connection and read it; None if there is none or its client reset it.
+
+        Raises OSError if descriptors or memory run out.
+        """
         if self._socket is None:
             return None
         try:
--- a/violetroute/transport/writer.py
+++ b/violetroute/transport/writer.py
@@ -35,6 +35,8 @@
         self._thread.start()
 
     def submit(self, job: Job[T], callback: JobCallback[T]) -> None:
+        """Queue a job; `callback` gets its result or its exception in the event loop."""
+
         def work() -> None:
             result: T | None = None
             failure: BaseException | None = None
@@ -52,5 +54,6 @@
             job()
 
     def close(self, wait_s: float) -> None:
+        """Wait at most `wait_s` seconds for the queued jobs, then abandon them."""
         self._jobs.put(None)
         self._thread.join(wait_s)
