--- a/tests/limebridge/faults/distribution/test_distribution_hard_cases_real.py
+++ b/tests/limebridge/faults/distribution/test_distribution_hard_cases_real.py
@@ -14,7 +14,7 @@
 from limebridge.faults.distribution.plan import Fault, Plan
 from tests.support.distribution_next_build import SESSIONS, copy_of_this_build, replace_text
 from tests.support.rig import until
-from tests.violetroute.distribution.test_distribution_daemon import Stage
+from tests.violetroute.distribution.test_distribution_daemon import Deployment
 from violetroute.distribution.configuration_change import ConfigurationChange
 from violetroute.distribution.messages import Publish, Published, Record, Topic
 from violetroute.distribution.service import CountingReceiver, DistributionService
@@ -90,7 +90,7 @@
 
 def test_one_refusal_among_a_hundred_is_named_and_holds_nothing_up(tmp_path: Path) -> None:
     async def play() -> None:
-        async with Stage(tmp_path, machines=1, daemons=0) as stage:
+        async with Deployment(tmp_path, machines=1, daemons=0) as stage:
             net = SocketNetwork(asyncio.get_running_loop())
             keys = Keys([stage.controls.key_file.read_text().strip().encode()])
             table = DistributionTable(tuple(stage.controls.addresses), configuration=True)
@@ -115,7 +115,7 @@
     asyncio.run(play())
 
 
-async def configure(stage: Stage, body: bytes) -> int:
+async def configure(stage: Deployment, body: bytes) -> int:
     """The position, once it is committed."""
     publish = Publish("configuration", (Record(Topic.CONFIGURATION, "log", body),))
     reply: Published = await asking.publish(stage.machines, publish, 30.0)
--- a/tests/violetroute/distribution/test_distribution_builds.py
+++ b/tests/violetroute/distribution/test_distribution_builds.py
@@ -1,4 +1,4 @@
-"""Neighbouring builds understand each other: one field more, or fewer, in any message."""
+"""Adjacent builds understand each other if any message has one field more or fewer."""
 
 from __future__ import annotations
 
@@ -9,7 +9,12 @@
 import pytest
 
 from tests.support.rig import until
-from tests.violetroute.distribution.test_distribution_service import Scripted, following, ok, purges
+from tests.violetroute.distribution.test_distribution_service import (
+    ScriptedControl,
+    ok,
+    purges,
+    subscribed,
+)
 from violetroute.distribution import messages
 from violetroute.distribution.messages import (
     Batch,
@@ -79,7 +84,7 @@
 
 
 def next_build(message: Message) -> Message:
-    """The message as a build sends it that has one more field."""
+    """The message as sent by a later build, which has one more field."""
     kind = type(message)
     later = msgspec.defstruct(
         f"Next{kind.__name__}",
@@ -92,21 +97,21 @@
     return made
 
 
-def test_every_message_is_looked_at() -> None:
+def test_every_message_type_has_a_sample() -> None:
     kinds = {kind for kind in vars(messages).values() if isinstance(kind, type)}
     known = {kind for kind in kinds if issubclass(kind, Message) and kind is not Message}
     assert known == {type(sample) for sample in SAMPLES}
 
 
 @pytest.mark.parametrize("sample", SAMPLES, ids=lambda sample: type(sample).__name__)
-def test_a_field_that_a_later_build_adds_is_passed_over(sample: Message) -> None:
+def test_a_field_that_a_later_build_adds_is_ignored(sample: Message) -> None:
     body = encode(next_build(sample))
     assert len(body) > len(encode(sample))
     assert msgspec.msgpack.decode(body, type=type(sample)) == sample
 
 
 @pytest.mark.parametrize("sample", SAMPLES, ids=lambda sample: type(sample).__name__)
-def test_a_field_that_an_earlier_build_lacks_has_its_default(sample: Message) -> None:
+def test_a_field_that_an_earlier_build_lacks_gets_its_default(sample: Message) -> None:
     fields: list[Any] = msgspec.msgpack.decode(encode(sample))
     kind = type(sample)
     optional = len(msgspec.structs.fields(kind)) - sum(
@@ -121,18 +126,18 @@
             assert getattr(decoded, field.name) == field.default
 
 
-def test_a_proxy_follows_a_control_machine_of_the_next_build() -> None:
+def test_a_proxy_understands_a_control_machine_of_the_next_build() -> None:
     later_batch = next_build(purges(1, "a"))
     later_reply = msgspec.structs.replace(
         ok(commit=1), batches=(msgspec.Raw(encode(later_batch)),), commit=1
     )
 
-    async def play() -> None:
-        control = Scripted(encode(next_build(later_reply)), ok(purges(2, "b")))
-        async with following(control) as (service, receiver):
+    async def scenario() -> None:
+        control = ScriptedControl(encode(next_build(later_reply)), ok(purges(2, "b")))
+        async with subscribed(control) as (service, receiver):
             await until(lambda: len(control.polls) == 3)
             assert receiver.keys == ["a", "b"]
             assert service.subscriber.position == 2
             assert control.polls[-1].position == 2
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/violetroute/distribution/test_distribution_configuration.py
+++ b/tests/violetroute/distribution/test_distribution_configuration.py
@@ -20,8 +20,14 @@
 from limebridge.cli import app
 from limebridge.ports import free_ports
 from limebridge.standins.configuration import configuration
-from tests.violetroute.distribution.test_distribution_daemon import Stage, until
-from tests.violetroute.distribution.test_distribution_service import KEYS, LOG, Scripted, lines, ok
+from tests.violetroute.distribution.test_distribution_daemon import Deployment, until
+from tests.violetroute.distribution.test_distribution_service import (
+    KEYS,
+    LOG,
+    ScriptedControl,
+    logged,
+    ok,
+)
 from violetroute.config import ConfigError, LogTable, Operator
 from violetroute.config.operator import load_operator, parse_operator
 from violetroute.distribution.configuration import (
@@ -226,13 +232,13 @@
     replies: tuple[PollReply, ...],
     receiver: Receiver,
     polls: int,
-    look: Callable[[Scripted], None],
+    look: Callable[[ScriptedControl], None],
     takes: bool = True,
 ) -> None:
     """Plays the replies to one service, and looks once it has sent so many polls."""
 
-    async def play() -> None:
-        control = Scripted(*replies)
+    async def scenario() -> None:
+        control = ScriptedControl(*replies)
         table = DistributionTable(controls=(control.address,), configuration=takes)
         net = SocketNetwork(asyncio.get_running_loop())
         service = DistributionService(table, KEYS, "p0", "", net, receiver)
@@ -244,10 +250,10 @@
             control.server.close()
             await asyncio.sleep(0)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-async def reached(control: Scripted, polls: int) -> bool:
+async def reached(control: ScriptedControl, polls: int) -> bool:
     return len(control.polls) >= polls
 
 
@@ -263,14 +269,14 @@
     )
     receiver = HooksReceiver(EventHooks(), file.published)
 
-    def look(control: Scripted) -> None:
+    def look(control: ScriptedControl) -> None:
         assert not control.polls[1].refused
         ((position, reason),) = control.polls[2].refused
         assert position == 2 and control.polls[2].position == 2 and "[log] level" in reason
 
     with caplog.at_level(logging.INFO, "violetroute"):
         follow(replies, receiver, 3, look)
-    (line,) = lines(caplog, "distribution.configuration_refused")
+    (line,) = logged(caplog, "distribution.configuration_refused")
     assert line["position"] == 2 and "[log] level" in line["reason"]
     assert file.in_force.log.level == "debug"
     assert (receiver.purges, receiver.configurations) == (1, 2)
@@ -305,7 +311,7 @@
     monkeypatch.setattr(ours, "handlers", [logs])
     replies = (ok(batch(1, record("log", 'level = "debug"'))), ok(batch(2)))
 
-    def look(control: Scripted) -> None:
+    def look(control: ScriptedControl) -> None:
         ((position, told),) = control.polls[2].refused
         assert position == 1 and len(told) <= 300 and "\n" not in told
         assert control.polls[2].position == 2
@@ -348,7 +354,7 @@
         replies = (ok(batch(1, record("log", 'level = "debug"'))),)
         follow(replies, receiver, 2, lambda control: None, takes=False)
     assert receiver.configurations == 0
-    (line,) = lines(caplog, "distribution.skipped")
+    (line,) = logged(caplog, "distribution.skipped")
     assert line == {"topic": str(int(Topic.CONFIGURATION)), "count": 1}
     off = DistributionTable(controls=("127.0.0.1:1",), key_file="k")
     on = DistributionTable(controls=("127.0.0.1:1",), key_file="k", configuration=True)
@@ -356,7 +362,7 @@
 
 
 # --- real processes ---
-class ConfiguredStage(Stage):
+class ConfiguredStage(Deployment):
     """A control machine and two daemons that take configuration, each with its own lines."""
 
     def __init__(self, folder: Path) -> None:
@@ -414,49 +420,51 @@
 
 
 def test_daemons_take_a_change_on_and_one_that_refuses_is_shown(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with ConfiguredStage(tmp_path) as stage:
-            await until(lambda: has_sessions(stage, 2))
-            done = await stage.configure("log", 'format = "json"')
+    async def scenario() -> None:
+        async with ConfiguredStage(tmp_path) as deployment:
+            await until(lambda: has_sessions(deployment, 2))
+            done = await deployment.configure("log", 'format = "json"')
             assert done.exit_code == 0, done.output
             first = int(done.output)
             for number in range(2):
-                await stage.reloaded(number, f"position {first}")
+                await deployment.reloaded(number, f"position {first}")
 
-            done = await stage.configure("membership", 'sources = ["platform", "file"]')
+            done = await deployment.configure("membership", 'sources = ["platform", "file"]')
             position = int(done.output.split()[0])
             assert done.exit_code == 1 and "refused by p1: " in done.output
             assert "[membership] sources" in done.output and "p0" not in done.output
-            await stage.reloaded(0, f"position {position}")
-            assert not any(f"position {position}" in line for line in stage.logs[1])
-            ((name, at, reason),) = (await stage.status(0)).refused
+            await deployment.reloaded(0, f"position {position}")
+            assert not any(f"position {position}" in line for line in deployment.logs[1])
+            ((name, at, reason),) = (await deployment.status(0)).refused
             assert (name, at) == ("p1", position) and "[membership] sources" in reason
-            shown = await stage.command("status", "--json")
+            shown = await deployment.command("status", "--json")
             (refused,) = json.loads(shown.output)["refused"]
             assert refused["name"] == "p1" and refused["reason"] == reason
-            assert "refused by" in (await stage.command("status")).output
-
-            stage.tables[1]["log"] = {"level": "debug"}
-            await stage.hang_up(1)  # the file still cannot bear it; the published format stays
-            await stage.reloaded(1, f"position {first}")
-            assert not any(f"position {position}" in line for line in stage.logs[1])
-            stage.tables[1]["membership"] = stage.nodes
-            await stage.hang_up(1)
-            await stage.reloaded(1, f"position {position}")
-
-            await stage.restart(1)  # a snapshot brings all of it with the first poll
-            await stage.reloaded(1, f"position {position}")
-
-            done = await stage.command("configure", "log", "--remove", "--wait", "--seconds", "60")
+            assert "refused by" in (await deployment.command("status")).output
+
+            deployment.tables[1]["log"] = {"level": "debug"}
+            await deployment.hang_up(1)  # the file still cannot bear it; the published format stays
+            await deployment.reloaded(1, f"position {first}")
+            assert not any(f"position {position}" in line for line in deployment.logs[1])
+            deployment.tables[1]["membership"] = deployment.nodes
+            await deployment.hang_up(1)
+            await deployment.reloaded(1, f"position {position}")
+
+            await deployment.restart(1)  # a snapshot brings all of it with the first poll
+            await deployment.reloaded(1, f"position {position}")
+
+            done = await deployment.command(
+                "configure", "log", "--remove", "--wait", "--seconds", "60"
+            )
             assert done.exit_code == 0, done.output
             for number in range(2):
-                await stage.reloaded(number, f"position {int(done.output)}", "text")
+                await deployment.reloaded(number, f"position {int(done.output)}", "text")
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-async def has_sessions(stage: Stage, count: int) -> bool:
-    return (await stage.status(0)).sessions == count
+async def has_sessions(deployment: Deployment, count: int) -> bool:
+    return (await deployment.status(0)).sessions == count
 
 
 @pytest.mark.parametrize(
--- a/tests/violetroute/distribution/test_distribution_daemon.py
+++ b/tests/violetroute/distribution/test_distribution_daemon.py
@@ -27,7 +27,7 @@
 from limebridge.control import process as control_process
 from limebridge.control.asking import Machines, NoAnswerError
 from limebridge.control.process import ControlMachines, UnreadyError
-from limebridge.fleet.looking import ask as look_in
+from limebridge.fleet.looking import ask as query_socket
 from limebridge.ports import free_ports
 from limebridge.standins.configuration import configuration, environment
 from limebridge.standins.discovery import Discovery
@@ -58,11 +58,11 @@
 from violetroute.transport import Address, parse_address
 from violetroute.transport.sockets import SocketNetwork
 
-AT_THE_START = 1  # voids of a proxy: it does not know what it missed before
-PATIENCE = 60.0  # s; a bound on waiting, far above what any step needs
+INITIAL_INVALIDATIONS = 1  # voids of a proxy: it does not know what it missed before
+TIMEOUT_S = 60.0  # s; a bound on waiting, far above what any step needs
 
 
-class Stage:
+class Deployment:
     """Control machines, and daemons that follow them."""
 
     def __init__(self, folder: Path, machines: int = 3, daemons: int = 2) -> None:
@@ -79,7 +79,7 @@
             2.0,
         )
 
-    async def __aenter__(self) -> Stage:
+    async def __aenter__(self) -> Deployment:
         self.discovery = await Discovery().start()
         try:
             await self.controls.start()
@@ -114,12 +114,12 @@
         """The position, once it is committed."""
         records = tuple(Record(Topic.PURGE, key) for key in keys)
         publication = Publish(secrets.token_hex(8), records)
-        reply = await asking.publish(self.machines, publication, PATIENCE)
+        reply = await asking.publish(self.machines, publication, TIMEOUT_S)
         assert reply.status == PublishStatus.COMMITTED
         return reply.position
 
     async def in_force(self, position: int) -> StatusReply:
-        status = await asking.wait_in_force(self.machines, position, PATIENCE)
+        status = await asking.wait_in_force(self.machines, position, TIMEOUT_S)
         assert status is not None
         return status
 
@@ -149,7 +149,7 @@
 
     async def daemon(self, number: int) -> dict[str, Any]:
         return await asyncio.to_thread(
-            look_in, str(self.folder / f"p{number}.sock"), "distribution"
+            query_socket, str(self.folder / f"p{number}.sock"), "distribution"
         )
 
     async def all_fresh(self) -> bool:
@@ -167,91 +167,94 @@
 
 
 async def until(true: Callable[[], Awaitable[object]]) -> None:
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT_S):
         while not await true():
             await asyncio.sleep(0.05)
 
 
 def test_a_purge_is_in_force_at_every_daemon(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with Stage(tmp_path) as stage:
-            position = await stage.publish("one", "two")
-            await stage.in_force(position)
-            assert await stage.purged(2)
-            await until(lambda: sessions(stage, 2))
+    async def scenario() -> None:
+        async with Deployment(tmp_path) as deployment:
+            position = await deployment.publish("one", "two")
+            await deployment.in_force(position)
+            assert await deployment.purged(2)
+            await until(lambda: sessions(deployment, 2))
             for number in range(5):
-                position = await stage.publish(f"more {number}")
-            status = await stage.in_force(position)
-            assert await stage.purged(7)
+                position = await deployment.publish(f"more {number}")
+            status = await deployment.in_force(position)
+            assert await deployment.purged(7)
             assert status.replica == status.leader and status.in_force >= position
             assert status.stale == 0 and not status.refused and len(status.replicas) == 3
-            told = await stage.daemon(0)
-            assert told["position"] >= position and told["voids"] == AT_THE_START
+            told = await deployment.daemon(0)
+            assert told["position"] >= position and told["voids"] == INITIAL_INVALIDATIONS
             assert told["bytes_in"] > 0 and told["bytes_out"] > 0
-            assert not stage.said("daemon.fault") and not stage.said("control.fault")
+            assert not deployment.said("daemon.fault") and not deployment.said("control.fault")
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-async def sessions(stage: Stage, count: int) -> bool:
-    return (await stage.status(await stage.leader())).sessions == count
+async def sessions(deployment: Deployment, count: int) -> bool:
+    return (await deployment.status(await deployment.leader())).sessions == count
 
 
 def test_a_leader_that_is_killed_is_replaced_and_comes_back(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with Stage(tmp_path) as stage:
-            first = await stage.publish("before")
-            leader = await stage.leader()
-            await stage.controls.processes[leader].kill()
-            second = await stage.publish("after")
-            assert second > first and await stage.leader() != leader
-            await stage.in_force(second)
-            assert await stage.purged(2)
-            await stage.controls.processes[leader].start()
+    async def scenario() -> None:
+        async with Deployment(tmp_path) as deployment:
+            first = await deployment.publish("before")
+            leader = await deployment.leader()
+            await deployment.controls.processes[leader].kill()
+            second = await deployment.publish("after")
+            assert second > first and await deployment.leader() != leader
+            await deployment.in_force(second)
+            assert await deployment.purged(2)
+            await deployment.controls.processes[leader].start()
 
             async def caught_up() -> bool:
-                status = await stage.status(leader)
+                status = await deployment.status(leader)
                 return status.commit >= second and not status.recovering
 
             await until(caught_up)
-            last = await stage.publish("again")
-            await stage.in_force(last)
-            assert await stage.purged(3)
-            told = [await stage.daemon(number) for number in (0, 1)]
-            assert [each["voids"] for each in told] == [AT_THE_START, AT_THE_START]
+            last = await deployment.publish("again")
+            await deployment.in_force(last)
+            assert await deployment.purged(3)
+            told = [await deployment.daemon(number) for number in (0, 1)]
+            assert [each["voids"] for each in told] == [
+                INITIAL_INVALIDATIONS,
+                INITIAL_INVALIDATIONS,
+            ]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_leader_that_was_stopped_wakes_behind_a_newer_one(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with Stage(tmp_path, daemons=1) as stage:
-            first = await stage.publish("before")
-            leader = await stage.leader()
-            process = stage.controls.processes[leader]
+    async def scenario() -> None:
+        async with Deployment(tmp_path, daemons=1) as deployment:
+            first = await deployment.publish("before")
+            leader = await deployment.leader()
+            process = deployment.controls.processes[leader]
             os.kill(process.pid, signal.SIGSTOP)
-            second = await stage.publish("meanwhile")
+            second = await deployment.publish("meanwhile")
             assert second > first
             os.kill(process.pid, signal.SIGCONT)
             position = second
             for number in range(5):  # whoever is asked, the order is one
-                position = await stage.publish(f"after {number}")
-            await stage.in_force(position)
-            assert await stage.purged(7)
+                position = await deployment.publish(f"after {number}")
+            await deployment.in_force(position)
+            assert await deployment.purged(7)
 
-            async def follows() -> bool:
-                status = await stage.status(leader)
+            async def has_caught_up() -> bool:
+                status = await deployment.status(leader)
                 return status.commit >= position and process.running
 
-            await until(follows)
-            assert not stage.said("control.fault")
+            await until(has_caught_up)
+            assert not deployment.said("control.fault")
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_what_is_no_message_is_refused_and_harms_nothing(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with Stage(tmp_path, machines=1, daemons=0) as stage:
+    async def scenario() -> None:
+        async with Deployment(tmp_path, machines=1, daemons=0) as deployment:
             net = SocketNetwork(asyncio.get_running_loop())
             for path, body in (
                 ("/nothing", b""),
@@ -263,82 +266,83 @@
                 ("/report", bytes(100_000)),
             ):
                 told: asyncio.Future[str] = asyncio.get_running_loop().create_future()
-                client = HttpClient(net, stage.machines.addresses[0], stage.machines.keys)
+                client = HttpClient(net, deployment.machines.addresses[0], deployment.machines.keys)
                 client.request(path, body, 10.0, lambda _, why, told=told: told.set_result(why))
                 assert await told == "status 400", path
                 client.close()
-            await stage.publish("after")
+            await deployment.publish("after")
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_sigterm_hands_the_lease_back(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with Stage(tmp_path, daemons=0) as stage:
-            await stage.publish("before")
-            leader = await stage.leader()
-            assert await stage.controls.processes[leader].term() == 0
-            assert stage.said("fleet.handed_back") and stage.said("control.ended")
-            await stage.publish("after")
-            assert await stage.leader() != leader
+    async def scenario() -> None:
+        async with Deployment(tmp_path, daemons=0) as deployment:
+            await deployment.publish("before")
+            leader = await deployment.leader()
+            assert await deployment.controls.processes[leader].term() == 0
+            assert deployment.said("fleet.handed_back") and deployment.said("control.ended")
+            await deployment.publish("after")
+            assert await deployment.leader() != leader
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.long
 def test_without_a_majority_nothing_is_committed_and_daemons_know_that_they_are_stale(
     tmp_path: Path,
 ) -> None:
-    async def play() -> None:
-        async with Stage(tmp_path, daemons=1) as stage:
-            position = await stage.publish("before")
+    async def scenario() -> None:
+        async with Deployment(tmp_path, daemons=1) as deployment:
+            position = await deployment.publish("before")
 
-            async def fresh() -> bool:
-                told = await stage.daemon(0)
+            async def is_fresh() -> bool:
+                told = await deployment.daemon(0)
                 return bool(told["fresh"]) and told["position"] >= position
 
-            await until(fresh)
-            leader = await stage.leader()
+            await until(is_fresh)
+            leader = await deployment.leader()
             others = [number for number in range(3) if number != leader]
             for number in others:
-                await stage.controls.processes[number].kill()
+                await deployment.controls.processes[number].kill()
 
-            async def stale() -> bool:
+            async def is_stale() -> bool:
                 return (
-                    bool(stage.said("distribution.stale")) and not (await stage.daemon(0))["fresh"]
+                    bool(deployment.said("distribution.stale"))
+                    and not (await deployment.daemon(0))["fresh"]
                 )
 
-            await until(stale)
+            await until(is_stale)
             with pytest.raises(NoAnswerError):
                 await asking.publish(
-                    stage.machines, Publish("x", (Record(Topic.PURGE, "lost"),)), 0.5
+                    deployment.machines, Publish("x", (Record(Topic.PURGE, "lost"),)), 0.5
                 )
             for number in others:
-                await stage.controls.processes[number].start()
-            position = await stage.publish("after")
-            await stage.in_force(position)
-            await until(fresh)
-            assert (await stage.daemon(0))["position"] >= position
+                await deployment.controls.processes[number].start()
+            position = await deployment.publish("after")
+            await deployment.in_force(position)
+            await until(is_fresh)
+            assert (await deployment.daemon(0))["position"] >= position
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.long
 def test_a_lost_folder_is_refused_and_its_replacement_recovers(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with Stage(tmp_path, daemons=1) as stage:
-            await stage.publish("before")
-            leader = await stage.leader()
+    async def scenario() -> None:
+        async with Deployment(tmp_path, daemons=1) as deployment:
+            await deployment.publish("before")
+            leader = await deployment.leader()
             lost = next(number for number in range(3) if number != leader)
-            process = stage.controls.processes[lost]
+            process = deployment.controls.processes[lost]
             await process.kill()
-            shutil.rmtree(stage.controls.data_folder(lost))
+            shutil.rmtree(deployment.controls.data_folder(lost))
             for _ in range(2):  # a start makes nothing that a second one would take for a log
                 with pytest.raises(UnreadyError, match="limebridge control init"):
                     await process.start()
                 assert await process.wait() == 1
-            second = await stage.publish("meanwhile")
-            folder = str(stage.controls.data_folder(lost))
+            second = await deployment.publish("meanwhile")
+            folder = str(deployment.controls.data_folder(lost))
             arguments = ["control", "init", folder, "--name", f"c{lost}", "--log", "log"]
             made = await asyncio.to_thread(CliRunner().invoke, app, [*arguments, "--replace"])
             assert made.exit_code == 0, made.output
@@ -347,27 +351,27 @@
             await process.start()
 
             async def recovered() -> bool:
-                status = await stage.status(lost)
+                status = await deployment.status(lost)
                 return not status.recovering and status.commit >= second
 
             async def said_so() -> bool:  # the line may come after the status
-                return bool(stage.said("control.recovered"))
+                return bool(deployment.said("control.recovered"))
 
             await until(recovered)
             await until(said_so)
-            await stage.controls.processes[leader].kill()  # it counts for a majority again
-            last = await stage.publish("after")
-            await stage.in_force(last)
-            assert await stage.purged(3)
+            await deployment.controls.processes[leader].kill()  # it counts for a majority again
+            last = await deployment.publish("after")
+            await deployment.in_force(last)
+            assert await deployment.purged(3)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_disk_that_fails_ends_the_process_and_loses_nothing(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with Stage(tmp_path, machines=1, daemons=0) as stage:
-            process = stage.controls.processes[0]
-            position = await stage.publish("k" * 100)
+    async def scenario() -> None:
+        async with Deployment(tmp_path, machines=1, daemons=0) as deployment:
+            process = deployment.controls.processes[0]
+            position = await deployment.publish("k" * 100)
             limit = (4096, resource.RLIM_INFINITY)
             resource.prlimit(process.pid, resource.RLIMIT_FSIZE, limit)
 
@@ -375,7 +379,7 @@
                 nonlocal position
                 while process.running:
                     reply = await asking.publish(
-                        stage.machines,
+                        deployment.machines,
                         Publish(secrets.token_hex(8), (Record(Topic.PURGE, "k" * 900),)),
                         0.1,
                     )
@@ -383,23 +387,23 @@
                         position = reply.position
 
             with pytest.raises(NoAnswerError):
-                await asyncio.wait_for(fill(), PATIENCE)
-            assert await asyncio.wait_for(process.wait(), PATIENCE) == 1
-            assert stage.said("control.ends")
+                await asyncio.wait_for(fill(), TIMEOUT_S)
+            assert await asyncio.wait_for(process.wait(), TIMEOUT_S) == 1
+            assert deployment.said("control.ends")
             await process.start()
-            await stage.leader()
-            assert (await stage.status(0)).last.position >= position
-            await stage.publish("after")
+            await deployment.leader()
+            assert (await deployment.status(0)).last.position >= position
+            await deployment.publish("after")
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_the_command_line_publishes_and_looks(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with Stage(tmp_path, machines=1, daemons=0) as stage:
-            address = ["--machine", stage.controls.addresses[0]]
+    async def scenario() -> None:
+        async with Deployment(tmp_path, machines=1, daemons=0) as deployment:
+            address = ["--machine", deployment.controls.addresses[0]]
             dead = ["--machine", f"127.0.0.1:{free_ports(1)[0]}"]
-            key = ["--key-file", str(stage.controls.key_file)]
+            key = ["--key-file", str(deployment.controls.key_file)]
 
             async def limebridge(*arguments: str) -> Any:
                 return await asyncio.to_thread(CliRunner().invoke, app, ["control", *arguments])
@@ -428,104 +432,104 @@
                 assert refused.exit_code == code and words in refused.output, refused.output
                 assert refused.output.count("\n") == 1
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_other_controls_are_taken_on_with_sighup(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with Stage(tmp_path, machines=2, daemons=1) as stage:
-            position = await stage.publish("one")
+    async def scenario() -> None:
+        async with Deployment(tmp_path, machines=2, daemons=1) as deployment:
+            position = await deployment.publish("one")
 
             async def applied() -> bool:
-                return bool((await stage.daemon(0))["position"] >= position)
+                return bool((await deployment.daemon(0))["position"] >= position)
 
             await until(applied)
-            address = stage.controls.addresses[0]
-            stage.operator(0, controls=[address])
-            os.kill(stage.daemons[0].pid, signal.SIGHUP)
+            address = deployment.controls.addresses[0]
+            deployment.operator(0, controls=[address])
+            os.kill(deployment.daemons[0].pid, signal.SIGHUP)
 
-            async def asks_the_one() -> bool:
-                return (await stage.daemon(0))["asks"] in ("", address) and bool(
-                    stage.said("config.reloaded")
+            async def polls_only_the_one() -> bool:
+                return (await deployment.daemon(0))["asks"] in ("", address) and bool(
+                    deployment.said("config.reloaded")
                 )
 
-            await until(asks_the_one)
-            position = await stage.publish("two")
+            await until(polls_only_the_one)
+            position = await deployment.publish("two")
             await until(applied)
-            told = await stage.daemon(0)
-            assert (told["purges"], told["voids"]) == (2, AT_THE_START)
+            told = await deployment.daemon(0)
+            assert (told["purges"], told["voids"]) == (2, INITIAL_INVALIDATIONS)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_table_that_is_removed_holds_until_the_restart_and_each_reload_says_so(
     tmp_path: Path,
 ) -> None:
-    async def play() -> None:
-        async with Stage(tmp_path, machines=1, daemons=1) as stage:
+    async def scenario() -> None:
+        async with Deployment(tmp_path, machines=1, daemons=1) as deployment:
             for reloads in range(1, 4):
                 (tmp_path / "p0.toml").write_text("")
-                os.kill(stage.daemons[0].pid, signal.SIGHUP)
+                os.kill(deployment.daemons[0].pid, signal.SIGHUP)
 
-                async def taken(count: int = reloads) -> bool:
-                    return len(stage.said("config.reloaded")) == count
+                async def reloaded(count: int = reloads) -> bool:
+                    return len(deployment.said("config.reloaded")) == count
 
-                await until(taken)
-                (*_, needed) = stage.said("config.restart_needed")
-                assert len(stage.said("config.restart_needed")) == reloads
+                await until(reloaded)
+                (*_, needed) = deployment.said("config.restart_needed")
+                assert len(deployment.said("config.restart_needed")) == reloads
                 assert needed.endswith("keys=distribution")
-                position = await stage.publish(f"key {reloads}")
-                await stage.in_force(position)
-                assert await stage.purged(reloads)
-            assert not stage.said("daemon.fault")
-            stage.operator(0)  # the table is back: nothing waits for a restart any more
-            os.kill(stage.daemons[0].pid, signal.SIGHUP)
+                position = await deployment.publish(f"key {reloads}")
+                await deployment.in_force(position)
+                assert await deployment.purged(reloads)
+            assert not deployment.said("daemon.fault")
+            deployment.operator(0)  # the table is back: nothing waits for a restart any more
+            os.kill(deployment.daemons[0].pid, signal.SIGHUP)
 
-            async def back() -> bool:
-                return len(stage.said("config.reloaded")) == 4
+            async def reloaded_again() -> bool:
+                return len(deployment.said("config.reloaded")) == 4
 
-            await until(back)
-            assert len(stage.said("config.restart_needed")) == 3
+            await until(reloaded_again)
+            assert len(deployment.said("config.restart_needed")) == 3
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-async def hang_up(stage: Stage, table: dict[str, Any] | None) -> None:
+async def hang_up(deployment: Deployment, table: dict[str, Any] | None) -> None:
     """The only control machine's file is this, or is no TOML, and it gets SIGHUP."""
-    process = stage.controls.processes[0]
+    process = deployment.controls.processes[0]
     process.file.write_text("name = " if table is None else tomli_w.dumps(table))
     os.kill(process.pid, signal.SIGHUP)
 
 
 def test_sighup_changes_the_log_of_a_control_machine_and_does_not_end_it(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with Stage(tmp_path, machines=1, daemons=0) as stage:
-            table = stage.controls.table(0)
+    async def scenario() -> None:
+        async with Deployment(tmp_path, machines=1, daemons=0) as deployment:
+            table = deployment.controls.table(0)
 
             async def said(event: str, *words: str) -> None:
                 async def there() -> bool:
                     return any(
                         f"{event} " in line or f'"{event}"' in line
-                        for line in stage.lines
+                        for line in deployment.lines
                         if all(word in line for word in words)
                     )
 
                 await until(there)
 
-            await hang_up(stage, table | {"log": {"format": "json"}, "region": "south"})
+            await hang_up(deployment, table | {"log": {"format": "json"}, "region": "south"})
             await said("config.restart_needed", "keys=region")
             await said("control.reloaded", '"file":')
-            await hang_up(stage, None)
+            await hang_up(deployment, None)
             await said("config.unusable", "c0.toml")
-            await hang_up(stage, table | {"log": {"level": "loud"}})
+            await hang_up(deployment, table | {"log": {"level": "loud"}})
             await said("config.unusable", "[log] level")
-            await hang_up(stage, table)
+            await hang_up(deployment, table)
             await said("control.reloaded", " file=")
-            await stage.publish("after")
-            assert not stage.said("control.fault")
-            assert await stage.controls.processes[0].term() == 0
+            await deployment.publish("after")
+            assert not deployment.said("control.fault")
+            assert await deployment.controls.processes[0].term() == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_an_early_sighup_does_not_end_a_control_machine(tmp_path: Path) -> None:
@@ -545,14 +549,14 @@
         [sys.executable, "-c", program, str(path)],
         capture_output=True,
         text=True,
-        timeout=PATIENCE,
+        timeout=TIMEOUT_S,
     )
     assert done.returncode == 0 and "reloaded" in done.stdout, done.stderr
 
 
 # --- descriptors ---
 @contextmanager
-def soft_limit_of_children(descriptors: int) -> Iterator[None]:
+def descriptor_limit_of_children(descriptors: int) -> Iterator[None]:
     """Control processes that are started within may have so many descriptors."""
     before = control_process.COMMAND
     shell = ("/bin/sh", "-c", f'ulimit -S -n {descriptors}; exec "$@"', "sh")
@@ -563,7 +567,7 @@
         control_process.COMMAND = before
 
 
-async def crowd(address: Address, count: int) -> None:
+async def hold_connections(address: Address, count: int) -> None:
     """Holds so many connections that say nothing, and replaces those that the server ends."""
 
     async def hold() -> None:
@@ -582,81 +586,83 @@
 SEGMENT_FILLERS = 12  # publications of 800 KB: together more than a segment of the log
 
 
-def filler() -> Publish:
+def large_publication() -> Publish:
     """A publication of 800 KB of a topic that nobody knows."""
     body = bytes(16 * 1024)
     return Publish(secrets.token_hex(8), tuple(Record(200, "x", body) for _ in range(50)))
 
 
 def test_a_crowd_of_connections_stops_neither_the_lease_nor_the_log(tmp_path: Path) -> None:
-    async def play() -> None:
-        with soft_limit_of_children(200):
-            stage = Stage(tmp_path, machines=1, daemons=0)
-            await stage.__aenter__()
-        address, keys = stage.machines.addresses[0], stage.machines.keys
+    async def scenario() -> None:
+        with descriptor_limit_of_children(200):
+            deployment = Deployment(tmp_path, machines=1, daemons=0)
+            await deployment.__aenter__()
+        address, keys = deployment.machines.addresses[0], deployment.machines.keys
         client = HttpClient(SocketNetwork(asyncio.get_running_loop()), address, keys)
 
         async def published() -> Published:
             told: asyncio.Future[bytes | None] = asyncio.get_running_loop().create_future()
-            publication = filler()
+            publication = large_publication()
             client.request(
-                "/publish", encode(publication), PATIENCE, lambda b, _: told.set_result(b)
+                "/publish", encode(publication), TIMEOUT_S, lambda b, _: told.set_result(b)
             )
             reply: Published | None = decode_reply(publication, await told)
             assert reply is not None and reply.status == PublishStatus.COMMITTED
             return reply
 
         try:
-            await stage.publish("before")
+            await deployment.publish("before")
             first = await published()
-            crowding = asyncio.create_task(crowd(address, 300))
+            holding = asyncio.create_task(hold_connections(address, 300))
             await asyncio.sleep(4.0)  # longer than a term of the lease
             for _ in range(SEGMENT_FILLERS):
                 last = await published()
-            crowding.cancel()
-            assert last.fence == first.fence and stage.controls.processes[0].running
-            assert len(list(stage.controls.data_folder(0).glob("segment-*"))) > 1
+            holding.cancel()
+            assert last.fence == first.fence and deployment.controls.processes[0].running
+            assert len(list(deployment.controls.data_folder(0).glob("segment-*"))) > 1
             for event in ("fleet.store_failed", "fleet.lapsed", "control.term_ended"):
-                assert not stage.said(event), event
+                assert not deployment.said(event), event
             assert any(
-                "too many connections" in line for line in stage.said("distribution.refused")
+                "too many connections" in line for line in deployment.said("distribution.refused")
             )
         finally:
             client.close()
-            await stage.__aexit__()
+            await deployment.__aexit__()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_more_proxies_than_there_is_room_for_leave_room_for_others(tmp_path: Path) -> None:
-    async def play() -> None:
-        with soft_limit_of_children(200):
-            stage = Stage(tmp_path, machines=1, daemons=0)
-            await stage.__aenter__()
+    async def scenario() -> None:
+        with descriptor_limit_of_children(200):
+            deployment = Deployment(tmp_path, machines=1, daemons=0)
+            await deployment.__aenter__()
         net = SocketNetwork(asyncio.get_running_loop())
-        table = DistributionTable(controls=(stage.controls.addresses[0],))
+        table = DistributionTable(controls=(deployment.controls.addresses[0],))
         services = [
-            DistributionService(table, stage.machines.keys, f"p{n}", "", net, CountingReceiver())
+            DistributionService(
+                table, deployment.machines.keys, f"p{n}", "", net, CountingReceiver()
+            )
             for n in range(160)
         ]
         try:
 
             async def refused() -> bool:
                 return any(
-                    "too many proxies" in line for line in stage.said("distribution.refused")
+                    "too many proxies" in line for line in deployment.said("distribution.refused")
                 )
 
             await until(refused)
             for number in range(5):
-                await stage.publish(f"key {number}")
-            traffic = await asyncio.to_thread(look_in, str(tmp_path / "c0.sock"), "traffic")
+                await deployment.publish(f"key {number}")
+            traffic = await asyncio.to_thread(query_socket, str(tmp_path / "c0.sock"), "traffic")
             assert traffic["polls"] <= traffic["polls_max"] < traffic["connections_max"] < 200
         finally:
             for service in services:
                 service.close()
-            await stage.__aexit__()
+            await deployment.__aexit__()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_too_few_descriptors_are_one_line_and_exit_code_1(tmp_path: Path) -> None:
@@ -666,7 +672,7 @@
         ["/bin/sh", "-c", 'ulimit -S -n 100; exec "$@"', "sh", *control_process.COMMAND, str(path)],
         capture_output=True,
         text=True,
-        timeout=PATIENCE,
+        timeout=TIMEOUT_S,
     )
     assert done.returncode == 1 and not done.stdout
     assert done.stderr.count("\n") == 1 and "need at least 112" in done.stderr
@@ -714,7 +720,7 @@
 }
 
 
-class Accepted(Exception):
+class FileAccepted(Exception):
     """A file that should have been refused came as far as serving."""
 
 
@@ -723,7 +729,7 @@
     """For `main` in this process: none serves; what it changes of the process is put back."""
 
     async def serve(*_: object) -> int:
-        raise Accepted
+        raise FileAccepted
 
     monkeypatch.setattr(control_main, "serve", serve)
     monkeypatch.setattr(proxy_main, "serve", serve)
@@ -736,8 +742,8 @@
 def wrong_control_file(folder: Path, name: str) -> Path:
     """The control machine's file of this case."""
     table = control_table(folder)
-    spoil, _ = WRONG[name]
-    spoil(table)
+    corrupt, _ = WRONG[name]
+    corrupt(table)
     path = folder / "wrong.toml"
     path.write_text(tomli_w.dumps(table))
     return path
@@ -759,7 +765,7 @@
 def test_a_right_control_file_comes_as_far_as_serving(tmp_path: Path) -> None:
     path = tmp_path / "right.toml"
     path.write_text(tomli_w.dumps(control_table(tmp_path)))
-    with pytest.raises(Accepted):
+    with pytest.raises(FileAccepted):
         control_main.main([str(path)])
 
 
@@ -770,7 +776,7 @@
         [sys.executable, "-m", "violetroute.distribution", str(path)],
         capture_output=True,
         text=True,
-        timeout=PATIENCE,
+        timeout=TIMEOUT_S,
     )
     assert done.returncode == 2 and not done.stdout
     assert done.stderr.count("\n") == 1
@@ -778,9 +784,9 @@
 
 
 def test_an_address_that_is_taken_is_one_line_and_exit_code_1(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with Stage(tmp_path, machines=1, daemons=0) as stage:
-            table = stage.controls.table(0) | {"folder": str(tmp_path / "second")}
+    async def scenario() -> None:
+        async with Deployment(tmp_path, machines=1, daemons=0) as deployment:
+            table = deployment.controls.table(0) | {"folder": str(tmp_path / "second")}
             path = tmp_path / "second.toml"
             path.write_text(tomli_w.dumps(table))
             made = await asyncio.to_thread(
@@ -791,7 +797,7 @@
             assert made.exit_code == 0
             for folder, words in (
                 (table["folder"], "Address already in use"),
-                (str(stage.controls.data_folder(0)), "in use by another process"),
+                (str(deployment.controls.data_folder(0)), "in use by another process"),
             ):
                 path.write_text(tomli_w.dumps(table | {"folder": folder}))
                 process = await asyncio.create_subprocess_exec(
@@ -801,11 +807,11 @@
                     str(path),
                     stderr=asyncio.subprocess.PIPE,
                 )
-                _, said = await asyncio.wait_for(process.communicate(), PATIENCE)
+                _, said = await asyncio.wait_for(process.communicate(), TIMEOUT_S)
                 assert process.returncode == 1
                 assert words in said.decode() and said.count(b"\n") == 1
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def operators_file(folder: Path, table: dict[str, Any]) -> tuple[Path, Path]:
@@ -857,7 +863,7 @@
 ) -> None:
     operator, platform = operators_file(tmp_path, {})
     set_arguments(monkeypatch, operator, platform)
-    with pytest.raises(Accepted):
+    with pytest.raises(FileAccepted):
         proxy_main.main()
 
 
@@ -868,7 +874,7 @@
         capture_output=True,
         text=True,
         env=environment(platform),
-        timeout=PATIENCE,
+        timeout=TIMEOUT_S,
     )
     assert done.returncode == 2 and done.stderr.count("\n") == 1
     assert "[distribution]" in done.stderr and "did you mean controls?" in done.stderr
--- a/tests/violetroute/distribution/test_distribution_http.py
+++ b/tests/violetroute/distribution/test_distribution_http.py
@@ -1,4 +1,4 @@
-"""HTTP between proxies and control machines, on loopback sockets, with peers that misbehave."""
+"""HTTP between proxies and control machines on loopback sockets, also with misbehaving peers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Recorder:
-    """A handler that answers at once with the body reversed, or holds."""
+    """A handler that answers at once with the reversed body, or holds the request."""
 
     def __init__(self) -> None:
         self.requests: list[tuple[int, str, bytes]] = []
@@ -42,8 +42,8 @@
         self.abandoned_tickets.append(ticket)
 
 
-class OnResponse:
-    """What a client was told, each time."""
+class ResponseRecorder:
+    """Records the calls of a client's response callback."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[bytes | None, str]] = []
@@ -53,7 +53,7 @@
 
 
 @asynccontextmanager
-async def served(
+async def running_server(
     connections: int = 4096, keys: list[bytes] | None = None
 ) -> AsyncIterator[tuple[HttpServer, Recorder]]:
     net = SocketNetwork(asyncio.get_running_loop())
@@ -73,23 +73,23 @@
     return HttpClient(SocketNetwork(asyncio.get_running_loop()), address, Keys(list(keys) or [KEY]))
 
 
-async def asked(
+async def post(
     client: HttpClient, body: bytes = b"abc", timeout_s: float = 10.0, path: str = "/poll"
 ) -> tuple[bytes | None, str]:
-    told = OnResponse()
-    client.request(path, body, timeout_s, told)
-    assert not told.calls  # never from within the call
-    await until(lambda: told.calls)
+    recorded_responses = ResponseRecorder()
+    client.request(path, body, timeout_s, recorded_responses)
+    assert not recorded_responses.calls  # the callback is never called from within `request`
+    await until(lambda: recorded_responses.calls)
     await asyncio.sleep(0)
-    assert len(told.calls) == 1
-    return told.calls[0]
+    assert len(recorded_responses.calls) == 1
+    return recorded_responses.calls[0]
 
 
-async def connected(server: HttpServer) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+async def connect(server: HttpServer) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     return await soon(asyncio.open_connection(server.address.host, server.address.port))
 
 
-async def rest(reader: asyncio.StreamReader) -> bytes:
+async def read_to_end(reader: asyncio.StreamReader) -> bytes:
     """All that the server sends until it closes."""
     try:
         return await soon(reader.read())
@@ -97,13 +97,13 @@
         return b""
 
 
-def head(path: str, body: bytes, key: bytes = KEY, length: int | None = None) -> bytes:
+def request_head(path: str, body: bytes, key: bytes = KEY, length: int | None = None) -> bytes:
     mac = signing.sign_request(Keys([key]), path, body).header()
     size = len(body) if length is None else length
     return f"POST {path} HTTP/1.1\r\nHost:\r\nContent-Length: {size}\r\nMAC: {mac}\r\n\r\n".encode()
 
 
-def refusals(caplog: pytest.LogCaptureFixture) -> list[dict[str, Any]]:
+def logged_refusals(caplog: pytest.LogCaptureFixture) -> list[dict[str, Any]]:
     return [
         record.fields  # type: ignore[attr-defined]
         for record in caplog.records
@@ -111,90 +111,92 @@
     ]
 
 
-def run(play: Callable[[], Awaitable[None]]) -> None:
-    asyncio.run(play())  # type: ignore[arg-type]
+def run(scenario: Callable[[], Awaitable[None]]) -> None:
+    asyncio.run(scenario())  # type: ignore[arg-type]
 
 
-# --- what is promised ---
-def test_requests_share_a_kept_connection_and_bytes_are_counted() -> None:
-    async def play() -> None:
-        async with served() as (server, recorder):
+# --- guarantees ---
+def test_requests_share_a_persistent_connection_and_bytes_are_counted() -> None:
+    async def scenario() -> None:
+        async with running_server() as (server, recorder):
             client = client_of(server.address)
             for number in range(20):
                 body = b"%d" % number * 10
-                assert await asked(client, body) == (body[::-1], "")
+                assert await post(client, body) == (body[::-1], "")
             assert server.connections == 1
             assert [path for _, path, _ in recorder.requests] == ["/poll"] * 20
-            ours, theirs = client.traffic, server.traffic
-            assert (ours.bytes_in, ours.bytes_out) == (theirs.bytes_out, theirs.bytes_in)
-            assert ours.requests == theirs.requests == 20 and ours.bytes_out > 20 * 60
+            sent, received = client.traffic, server.traffic
+            assert (sent.bytes_in, sent.bytes_out) == (received.bytes_out, received.bytes_in)
+            assert sent.requests == received.requests == 20 and sent.bytes_out > 20 * 60
             client.close()
             await until(lambda: server.connections == 0)
 
-    run(play)
+    run(scenario)
 
 
-def test_heads_are_short() -> None:
-    """A proxy has 7 KB a second for all control; a poll has to cost little beside its body."""
+def test_headers_are_short() -> None:
+    """A proxy may use 7 KB/s for all control traffic: a poll must cost little beyond its body."""
 
-    async def play() -> None:
-        async with served() as (server, _):
+    async def scenario() -> None:
+        async with running_server() as (server, _):
             client = client_of(server.address)
-            await asked(client, b"x" * 60)
+            await post(client, b"x" * 60)
             assert client.traffic.bytes_out - 60 <= 100 and client.traffic.bytes_in - 60 <= 70
             client.close()
 
-    run(play)
+    run(scenario)
 
 
-def test_a_long_body_goes_both_ways_and_a_longer_one_does_not() -> None:
-    async def play() -> None:
-        async with served() as (server, _):
+def test_the_longest_body_passes_both_ways_and_a_longer_one_does_not() -> None:
+    async def scenario() -> None:
+        async with running_server() as (server, _):
             client = client_of(server.address)
             body = bytes(range(256)) * (MESSAGE_BYTES // 256)
-            assert await asked(client, body) == (body[::-1], "")
-            answer, _ = await asked(client, body + b"x")
+            assert await post(client, body) == (body[::-1], "")
+            answer, _ = await post(client, body + b"x")
             assert answer is None and server.long_body_bytes == 0
-            assert await asked(client, b"ab") == (b"ba", "")  # on a connection of its own
+            assert await post(client, b"ab") == (b"ba", "")  # on a new connection
             client.close()
 
-    run(play)
+    run(scenario)
 
 
 def test_held_requests_to_one_peer_use_connections_of_their_own() -> None:
-    async def play() -> None:
-        async with served() as (server, recorder):
+    async def scenario() -> None:
+        async with running_server() as (server, recorder):
             recorder.hold = True
             pool = HttpPool(SocketNetwork(asyncio.get_running_loop()), Keys([KEY]))
-            told = [OnResponse() for _ in range(http_client.CLIENTS_PER_ADDRESS)]
-            for number, each in enumerate(told):
+            recorded_responses = [
+                ResponseRecorder() for _ in range(http_client.CLIENTS_PER_ADDRESS)
+            ]
+            for number, each in enumerate(recorded_responses):
                 pool.request(server.address, "/fetch", b"%d" % number, 10.0, each)
             with pytest.raises(BusyError):
-                pool.request(server.address, "/fetch", b"", 10.0, OnResponse())
-            await until(lambda: len(recorder.requests) == len(told))
-            assert server.connections == len(told)
+                pool.request(server.address, "/fetch", b"", 10.0, ResponseRecorder())
+            await until(lambda: len(recorder.requests) == len(recorded_responses))
+            assert server.connections == len(recorded_responses)
             for ticket, _, body in reversed(recorder.requests):
                 server.answer(ticket, body)
-            await until(lambda: all(each.calls for each in told))
-            assert [each.calls for each in told] == [
-                [(b"%d" % number, "")] for number in range(len(told))
+            await until(lambda: all(each.calls for each in recorded_responses))
+            assert [each.calls for each in recorded_responses] == [
+                [(b"%d" % number, "")] for number in range(len(recorded_responses))
             ]
-            pool.request(server.address, "/fetch", b"again", 10.0, again := OnResponse())
-            await until(lambda: len(recorder.requests) == len(told) + 1)
-            assert server.connections == len(told)
+            pool.request(server.address, "/fetch", b"again", 10.0, again := ResponseRecorder())
+            await until(lambda: len(recorder.requests) == len(recorded_responses) + 1)
+            assert server.connections == len(recorded_responses)
             pool.close()
             await until(lambda: recorder.abandoned_tickets == [recorder.requests[-1][0]])
             assert not again.calls
 
-    run(play)
+    run(scenario)
 
 
 def test_many_connections_at_one_time() -> None:
-    async def play() -> None:
-        async with served() as (server, recorder):
+    async def scenario() -> None:
+        async with running_server() as (server, recorder):
             clients = [client_of(server.address) for _ in range(300)]
             answers = await asyncio.gather(
-                *(asked(client, b"%d" % number) for number, client in enumerate(clients))
+                *(post(client, b"%d" % number) for number, client in enumerate(clients))
             )
             assert answers == [((b"%d" % number)[::-1], "") for number in range(300)]
             assert server.connections == len(recorder.requests) == 300
@@ -202,15 +204,15 @@
                 client.close()
             await until(lambda: server.connections == 0)
 
-    run(play)
+    run(scenario)
 
 
-def test_a_held_request_whose_connection_closes_is_told_once() -> None:
-    async def play() -> None:
-        async with served() as (server, recorder):
+def test_a_held_request_is_abandoned_once_when_its_connection_closes() -> None:
+    async def scenario() -> None:
+        async with running_server() as (server, recorder):
             recorder.hold = True
             client = client_of(server.address)
-            client.request("/poll", b"x", 10.0, told := OnResponse())
+            client.request("/poll", b"x", 10.0, recorded_responses := ResponseRecorder())
             await until(lambda: recorder.requests)
             ticket = recorder.requests[0][0]
             client.close()
@@ -218,64 +220,64 @@
             server.answer(ticket, b"too late")
             server.refuse(ticket, 400)
             await until(lambda: server.connections == 0)
-            assert recorder.abandoned_tickets == [ticket] and not told.calls
+            assert recorder.abandoned_tickets == [ticket] and not recorded_responses.calls
 
-    run(play)
+    run(scenario)
 
 
-def test_a_server_that_closes_tells_nothing_and_the_client_connects_anew() -> None:
-    async def play() -> None:
-        async with served() as (server, recorder):
+def test_a_closed_server_abandons_no_ticket_and_the_client_reconnects() -> None:
+    async def scenario() -> None:
+        async with running_server() as (server, recorder):
             recorder.hold = True
             client = client_of(server.address)
-            client.request("/poll", b"x", 10.0, told := OnResponse())
+            client.request("/poll", b"x", 10.0, recorded_responses := ResponseRecorder())
             await until(lambda: recorder.requests)
             server.close()
-            await until(lambda: told.calls)
-            assert told.calls[0][0] is None and not recorder.abandoned_tickets
-            assert (await asked(client))[0] is None  # nobody listens
+            await until(lambda: recorded_responses.calls)
+            assert recorded_responses.calls[0][0] is None and not recorder.abandoned_tickets
+            assert (await post(client))[0] is None  # the port is closed
             again = Recorder()
             again.server = HttpServer(
                 SocketNetwork(asyncio.get_running_loop()), server.address, Keys([KEY]), again
             )
-            assert await asked(client) == (b"cba", "")
+            assert await post(client) == (b"cba", "")
             client.close()
             again.server.close()
 
-    run(play)
+    run(scenario)
 
 
-# --- who may ask ---
-def test_a_wrong_key_is_refused_closed_and_logged_once(caplog: pytest.LogCaptureFixture) -> None:
-    async def play() -> None:
-        async with served() as (server, recorder):
+# --- authentication ---
+def test_a_wrong_key_is_refused_and_logged_once(caplog: pytest.LogCaptureFixture) -> None:
+    async def scenario() -> None:
+        async with running_server() as (server, recorder):
             for _ in range(5):
                 client = client_of(server.address, OTHER_KEY)
-                assert await asked(client) == (None, "status 403")
+                assert await post(client) == (None, "status 403")
                 client.close()
             await until(lambda: server.connections == 0)
             assert not recorder.requests and server.traffic.failures == 5
 
     with caplog.at_level(logging.INFO, "violetroute"):
-        run(play)
-    assert refusals(caplog) == [{"reason": "missing or invalid signature", "count": 1}]
+        run(scenario)
+    assert logged_refusals(caplog) == [{"reason": "missing or invalid signature", "count": 1}]
 
 
-def test_during_a_change_of_keys_both_are_taken() -> None:
-    async def play() -> None:
-        async with served(keys=[OTHER_KEY, KEY]) as (server, _):
+def test_both_keys_are_accepted_during_a_key_rotation() -> None:
+    async def scenario() -> None:
+        async with running_server(keys=[OTHER_KEY, KEY]) as (server, _):
             for keys in ([KEY], [KEY, OTHER_KEY], [OTHER_KEY], [OTHER_KEY, KEY]):
                 client = client_of(server.address, *keys)
-                assert await asked(client) == (b"cba", "")
+                assert await post(client) == (b"cba", "")
                 client.close()
 
-    run(play)
+    run(scenario)
 
 
-def test_a_signature_is_for_this_path_and_this_body() -> None:
-    async def play() -> None:
-        async with served() as (server, recorder):
-            good = head("/poll", b"abc")
+def test_a_signature_covers_path_and_body() -> None:
+    async def scenario() -> None:
+        async with running_server() as (server, recorder):
+            good = request_head("/poll", b"abc")
             for wrong in (
                 good.replace(b"/poll", b"/fetch") + b"abc",
                 good + b"abd",
@@ -283,35 +285,35 @@
                 good.replace(b"MAC: ", b"MAC: A") + b"abc",
                 good.replace(b"POST", b"PUT") + b"abc",
             ):
-                reader, writer = await connected(server)
+                reader, writer = await connect(server)
                 writer.write(wrong)
-                answer = await rest(reader)
+                answer = await read_to_end(reader)
                 assert answer.startswith((b"HTTP/1.1 403", b"HTTP/1.1 400")), answer
                 writer.close()
             assert not recorder.requests
-            reader, writer = await connected(server)
+            reader, writer = await connect(server)
             writer.write(good + b"abc")
             await until(lambda: recorder.requests)
             writer.close()
 
-    run(play)
+    run(scenario)
 
 
 def test_a_request_without_a_signature_is_refused_before_its_body() -> None:
-    async def play() -> None:
-        async with served() as (server, _):
-            reader, writer = await connected(server)
+    async def scenario() -> None:
+        async with running_server() as (server, _):
+            reader, writer = await connect(server)
             writer.write(b"POST /poll HTTP/1.1\r\nHost:\r\nContent-Length: 1000\r\n\r\n")
-            assert (await rest(reader)).startswith(b"HTTP/1.1 403")
+            assert (await read_to_end(reader)).startswith(b"HTTP/1.1 403")
             writer.close()
 
-    run(play)
+    run(scenario)
 
 
-# --- peers that misbehave: clients ---
-def test_endless_heads_and_bodies_are_cut_off() -> None:
+# --- misbehaving clients ---
+def test_endless_headers_and_bodies_are_disconnected() -> None:
     async def flood(server: HttpServer, start: bytes, more: bytes) -> None:
-        reader, writer = await connected(server)
+        reader, writer = await connect(server)
         writer.write(start)
         sent = 0
         try:
@@ -322,50 +324,50 @@
                 await asyncio.sleep(0)
         except ConnectionError:
             pass
-        await rest(reader)
+        await read_to_end(reader)
         writer.close()
         assert sent < 4 * MESSAGE_BYTES
 
-    async def play() -> None:
-        async with served() as (server, recorder):
-            chunked = head("/poll", b"").replace(
+    async def scenario() -> None:
+        async with running_server() as (server, recorder):
+            chunked = request_head("/poll", b"").replace(
                 b"Content-Length: 0", b"Transfer-Encoding: chunked"
             )
             chunk = b"10000\r\n" + b"x" * 65536 + b"\r\n"
             await flood(server, chunked, chunk)
-            await flood(server, head("/poll", b"", length=10**12), b"x" * 65536)
+            await flood(server, request_head("/poll", b"", length=10**12), b"x" * 65536)
             await flood(server, b"POST /poll HTTP/1.1\r\n", b"X: " + b"y" * 8000 + b"\r\n")
             await flood(server, b"POST /" + b"y" * 5000, b"y" * 65536)
             await flood(server, b"", b"\x00\xff" * 4000)
             await until(lambda: server.connections == 0)
             assert server.long_body_bytes == 0 and not recorder.requests
 
-    run(play)
+    run(scenario)
 
 
-def test_long_bodies_that_are_not_whole_share_one_bound(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_incomplete_long_bodies_share_one_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http_server, "MAX_LONG_BODIES_BYTES", 300_000)
 
-    async def play() -> None:
-        async with served() as (server, _):
-            first = await connected(server)
-            first[1].write(head("/poll", b"", length=400_000) + b"x" * 200_000)
+    async def scenario() -> None:
+        async with running_server() as (server, _):
+            first = await connect(server)
+            first[1].write(request_head("/poll", b"", length=400_000) + b"x" * 200_000)
             await until(lambda: server.long_body_bytes > 150_000)
-            second = await connected(server)
-            second[1].write(head("/poll", b"", length=400_000) + b"x" * 200_000)
-            assert (await rest(second[0]))[:12] in (b"HTTP/1.1 503", b"")
+            second = await connect(server)
+            second[1].write(request_head("/poll", b"", length=400_000) + b"x" * 200_000)
+            assert (await read_to_end(second[0]))[:12] in (b"HTTP/1.1 503", b"")
             client = client_of(server.address)
-            assert await asked(client) == (b"cba", "")  # a short one has room all the same
+            assert await post(client) == (b"cba", "")  # a short body is still accepted
             client.close()
             for _, writer in (first, second):
                 writer.close()
             await until(lambda: server.connections == 0)
             assert server.long_body_bytes == 0
 
-    run(play)
+    run(scenario)
 
 
-def test_half_requests_and_idle_connections_end(
+def test_incomplete_requests_and_idle_connections_time_out(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     monkeypatch.setattr(http_server, "REQUEST_TIMEOUT_S", 0.3)
@@ -373,87 +375,87 @@
     monkeypatch.setattr(http_server, "SWEEP_INTERVAL_S", 0.05)
 
     async def dribble(writer: asyncio.StreamWriter, data: bytes) -> None:
-        """A byte at a time, as long as the server takes it."""
-        for place in range(len(data)):
+        """Write one byte at a time until the server closes the connection."""
+        for offset in range(len(data)):
             if writer.is_closing():
                 return
-            writer.write(data[place : place + 1])
+            writer.write(data[offset : offset + 1])
             await asyncio.sleep(0.02)
 
-    async def play() -> None:
-        async with served() as (server, recorder):
-            whole = head("/poll", b"x" * 1000) + b"x" * 1000
-            for start in (b"", whole[:20], whole[:-10]):
-                reader, writer = await connected(server)
+    async def scenario() -> None:
+        async with running_server() as (server, recorder):
+            complete_request = request_head("/poll", b"x" * 1000) + b"x" * 1000
+            for start in (b"", complete_request[:20], complete_request[:-10]):
+                reader, writer = await connect(server)
                 writer.write(start)
-                assert await rest(reader) == b""
+                assert await read_to_end(reader) == b""
                 writer.close()
-            reader, writer = await connected(server)
-            slow = asyncio.create_task(dribble(writer, whole))
-            assert await rest(reader) == b""
+            reader, writer = await connect(server)
+            slow = asyncio.create_task(dribble(writer, complete_request))
+            assert await read_to_end(reader) == b""
             slow.cancel()
             writer.close()
             assert not recorder.requests
             client = client_of(server.address)
-            assert await asked(client) == (b"cba", "")
-            await until(lambda: server.connections == 0)  # idle: closed without a word
-            await until(lambda: client._connection is None)  # the client has read the end too
-            assert await asked(client) == (b"cba", "")
+            assert await post(client) == (b"cba", "")
+            await until(lambda: server.connections == 0)  # idle: closed without an answer
+            await until(lambda: client._connection is None)  # the client has seen the close
+            assert await post(client) == (b"cba", "")
             client.close()
 
     with caplog.at_level(logging.INFO, "violetroute"):
-        run(play)
-    assert [line["reason"] for line in refusals(caplog)] == [
+        run(scenario)
+    assert [line["reason"] for line in logged_refusals(caplog)] == [
         "timeout of an incomplete request or an unread answer"
     ]
 
 
-def test_a_request_that_crosses_the_end_of_an_idle_connection_is_told_as_lost_once(
+def test_a_request_that_races_with_the_idle_timeout_fails_exactly_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The server closes for idleness, and the client asks before its loop has read the end.
+    # The server closes the idle connection; the client sends before its loop has read the close.
     monkeypatch.setattr(http_server, "IDLE_TIMEOUT_S", 0.1)
     monkeypatch.setattr(http_server, "SWEEP_INTERVAL_S", 0.02)
 
-    async def play() -> None:
-        async with served() as (server, recorder):
-            client, told = client_of(server.address), OnResponse()
-            assert await asked(client) == (b"cba", "")
+    async def scenario() -> None:
+        async with running_server() as (server, recorder):
+            client, recorded_responses = client_of(server.address), ResponseRecorder()
+            assert await post(client) == (b"cba", "")
             forget = server.forget
 
-            def ask_before_the_end_is_read(connection: Any) -> None:
+            def send_before_the_close_is_read(connection: Any) -> None:
                 forget(connection)
                 if server.connections == 0 and not client.busy and len(recorder.requests) == 1:
-                    client.request("/poll", b"xyz", 10.0, told)
+                    client.request("/poll", b"xyz", 10.0, recorded_responses)
 
-            monkeypatch.setattr(server, "forget", ask_before_the_end_is_read)
-            await until(lambda: told.calls)
-            (body, reason) = told.calls[0]
+            monkeypatch.setattr(server, "forget", send_before_the_close_is_read)
+            await until(lambda: recorded_responses.calls)
+            (body, reason) = recorded_responses.calls[0]
             assert body is None and reason
-            assert len(recorder.requests) == 1  # the server took nothing of it
-            assert await asked(client) == (b"cba", "")  # on a new connection, at once
-            assert len(told.calls) == 1 and client.traffic.failures == 1
+            assert len(recorder.requests) == 1  # the server has not received the second request
+            assert await post(client) == (b"cba", "")  # at once, on a new connection
+            assert len(recorded_responses.calls) == 1 and client.traffic.failures == 1
             client.close()
 
-    run(play)
+    run(scenario)
 
 
-def test_a_client_leaves_an_idle_connection_long_before_the_server_closes_it() -> None:
-    # Both count from the same answer: the server from writing it, the client from reading it, which
-    # is later by at most the request's own time as long as the client's loop is not late.
+def test_a_client_drops_an_idle_connection_long_before_the_server_closes_it() -> None:
+    # Both timeouts count from the same answer: the server's from writing it, the client's from
+    # reading it.  Unless the client's loop is late, that is later by at most the request's timeout.
     latest_answer_s = SubscriberSettings("p0", "", ()).timeout_s
     assert http_client.IDLE_TIMEOUT_S + latest_answer_s <= http_server.IDLE_TIMEOUT_S - 20.0
 
 
-def test_an_answer_that_nobody_takes_ends(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_unread_answer_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http_server, "ANSWER_TIMEOUT_S", 0.3)
     monkeypatch.setattr(http_server, "SWEEP_INTERVAL_S", 0.05)
 
-    async def play() -> None:
-        async with served() as (server, recorder):
+    async def scenario() -> None:
+        async with running_server() as (server, recorder):
             recorder.hold = True
-            _, writer = await connected(server)
-            writer.write(head("/poll", b"x") + b"x")
+            _, writer = await connect(server)
+            writer.write(request_head("/poll", b"x") + b"x")
             await until(lambda: recorder.requests)
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             server.answer(recorder.requests[0][0], b"y" * 64 * 1024 * 1024)
@@ -461,66 +463,66 @@
             await until(lambda: server.connections == 0)
             writer.close()
 
-    run(play)
+    run(scenario)
 
 
-def test_more_that_is_sent_while_a_request_is_held_ends_the_connection() -> None:
-    async def play() -> None:
-        async with served() as (server, recorder):
+def test_data_sent_while_a_request_is_held_closes_the_connection() -> None:
+    async def scenario() -> None:
+        async with running_server() as (server, recorder):
             recorder.hold = True
-            one = head("/poll", b"x") + b"x"
-            reader, writer = await connected(server)
+            one = request_head("/poll", b"x") + b"x"
+            reader, writer = await connect(server)
             writer.write(one)
             await until(lambda: recorder.requests)
             writer.write(one)
-            assert await rest(reader) == b""
+            assert await read_to_end(reader) == b""
             writer.close()
-            reader, writer = await connected(server)
-            writer.write(one + one)  # both in one piece
-            assert await rest(reader) == b""
+            reader, writer = await connect(server)
+            writer.write(one + one)  # both in one write
+            assert await read_to_end(reader) == b""
             writer.close()
             await until(lambda: len(recorder.abandoned_tickets) == 2)
             assert len(recorder.requests) == 2 and server.connections == 0
 
-    run(play)
+    run(scenario)
 
 
-def test_connections_beyond_the_bound_are_closed(caplog: pytest.LogCaptureFixture) -> None:
-    async def play() -> None:
-        async with served(connections=4) as (server, _):
+def test_connections_beyond_the_limit_are_closed(caplog: pytest.LogCaptureFixture) -> None:
+    async def scenario() -> None:
+        async with running_server(connections=4) as (server, _):
             inside = [client_of(server.address) for _ in range(4)]
             for client in inside:
-                assert await asked(client) == (b"cba", "")
+                assert await post(client) == (b"cba", "")
             assert server.connections == 4
             for _ in range(6):
-                reader, writer = await connected(server)
-                assert await rest(reader) == b""
+                reader, writer = await connect(server)
+                assert await read_to_end(reader) == b""
                 writer.close()
             for client in inside:
-                assert await asked(client) == (b"cba", "")  # on the connection that it has
+                assert await post(client) == (b"cba", "")  # on its existing connection
             assert sum(client.traffic.failures for client in inside) == 0
             inside[0].close()
             await until(lambda: server.connections == 3)
             another = client_of(server.address)
-            assert await asked(another) == (b"cba", "")
+            assert await post(another) == (b"cba", "")
             for client in (another, *inside):
                 client.close()
 
     with caplog.at_level(logging.INFO, "violetroute"):
-        run(play)
-    assert refusals(caplog) == [{"reason": "too many connections", "count": 1}]
+        run(scenario)
+    assert logged_refusals(caplog) == [{"reason": "too many connections", "count": 1}]
 
 
-# --- peers that misbehave: servers ---
+# --- misbehaving servers ---
 @asynccontextmanager
-async def playing(
-    play: Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]],
+async def scripted_server(
+    scenario: Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]],
 ) -> AsyncIterator[Address]:
-    """A server that does what `play` says with each connection."""
+    """A server that runs `scenario` for each connection."""
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            await play(reader, writer)
+            await scenario(reader, writer)
         except (ConnectionError, asyncio.IncompleteReadError):
             pass
         finally:
@@ -551,8 +553,8 @@
     )
 
 
-def test_an_answer_of_an_earlier_request_is_not_taken() -> None:
-    async def play() -> None:
+def test_a_replayed_answer_is_rejected() -> None:
+    async def scenario() -> None:
         recorded: list[bytes] = []
 
         async def replay(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -562,57 +564,57 @@
                     recorded.append(answer_to(mac, b"old"))
                 writer.write(recorded[0])
 
-        async with playing(replay) as address:
+        async with scripted_server(replay) as address:
             client = client_of(address)
-            assert await asked(client) == (b"old", "")
-            body, reason = await asked(client)
+            assert await post(client) == (b"old", "")
+            body, reason = await post(client)
             assert body is None and "no valid signature" in reason
             client.close()
 
-    run(play)
+    run(scenario)
 
 
-def bad_answers() -> dict[str, Callable[[str], bytes]]:
-    """What a server may send, by the request's MAC."""
+def invalid_answers() -> dict[str, Callable[[str], bytes]]:
+    """Invalid answers of a server; each function gets the request's MAC."""
     return {
         "nothing, and closes": lambda mac: b"",
         "no HTTP": lambda mac: b"-ERR what?\r\n\r\n",
         "an answer without a signature": lambda mac: b"HTTP/1.1 200 \r\nContent-Length: 0\r\n\r\n",
         "a wrong key": lambda mac: answer_to(mac, b"x", OTHER_KEY),
-        "a spoiled signature": lambda mac: answer_to(mac, b"x").replace(b"MAC: ", b"MAC: A", 1),
+        "a malformed signature": lambda mac: answer_to(mac, b"x").replace(b"MAC: ", b"MAC: A", 1),
         "another body": lambda mac: answer_to(mac, b"x")[:-1] + b"y",
         "half an answer": lambda mac: answer_to(mac, b"x" * 100)[:-1],
         "an error": lambda mac: b"HTTP/1.1 500 \r\nContent-Length: 0\r\n\r\n",
-        "an endless head": lambda mac: b"HTTP/1.1 200 \r\n" + b"X: yyyyyyyyyyyyy\r\n" * 100_000,
+        "an endless header": lambda mac: b"HTTP/1.1 200 \r\n" + b"X: yyyyyyyyyyyyy\r\n" * 100_000,
         "an endless body": lambda mac: b"HTTP/1.1 200 \r\n\r\n" + b"y" * (MESSAGE_BYTES + 100_000),
-        "more than was asked for": lambda mac: b"HTTP/1.1 100 \r\n\r\n" * 10,
+        "interim responses without end": lambda mac: b"HTTP/1.1 100 \r\n\r\n" * 10,
     }
 
 
-@pytest.mark.parametrize("name", bad_answers())
-def test_a_bad_answer_is_none_and_told_once(name: str) -> None:
-    async def play() -> None:
+@pytest.mark.parametrize("name", invalid_answers())
+def test_an_invalid_answer_is_reported_as_none_once(name: str) -> None:
+    async def scenario() -> None:
         answered = 0
 
         async def misbehave(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             nonlocal answered
             mac, _ = await request_from(reader)
             answered += 1
-            writer.write(bad_answers()[name](mac) if answered == 1 else answer_to(mac, b"good"))
+            writer.write(invalid_answers()[name](mac) if answered == 1 else answer_to(mac, b"good"))
             await writer.drain()
 
-        async with playing(misbehave) as address:
+        async with scripted_server(misbehave) as address:
             client = client_of(address)
-            body, reason = await asked(client)
+            body, reason = await post(client)
             assert body is None and reason
-            assert await asked(client) == (b"good", "")  # the next request is not harmed
+            assert await post(client) == (b"good", "")  # the next request succeeds
             client.close()
 
-    run(play)
+    run(scenario)
 
 
 def test_a_late_answer_is_not_taken_for_that_of_a_later_request() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         late = asyncio.Event()
         first: list[asyncio.StreamWriter] = []
 
@@ -624,37 +626,37 @@
             writer.write(answer_to(mac, body))
             await writer.drain()
 
-        async with playing(slow) as address:
+        async with scripted_server(slow) as address:
             client = client_of(address)
-            assert await asked(client, b"first", timeout_s=0.1) == (None, "no answer in time")
+            assert await post(client, b"first", timeout_s=0.1) == (None, "no answer in time")
             late.set()
-            assert await asked(client, b"second") == (b"second", "")
+            assert await post(client, b"second") == (b"second", "")
             client.close()
 
-    run(play)
+    run(scenario)
 
 
-def test_a_client_that_is_closed_or_busy_says_so() -> None:
-    async def play() -> None:
-        async with served() as (server, recorder):
+def test_a_closed_or_busy_client_raises_busy_error() -> None:
+    async def scenario() -> None:
+        async with running_server() as (server, recorder):
             recorder.hold = True
             client = client_of(server.address)
-            client.request("/poll", b"x", 10.0, OnResponse())
+            client.request("/poll", b"x", 10.0, ResponseRecorder())
             with pytest.raises(BusyError):
-                client.request("/poll", b"y", 10.0, OnResponse())
+                client.request("/poll", b"y", 10.0, ResponseRecorder())
             client.close()
             with pytest.raises(BusyError):
-                client.request("/poll", b"z", 10.0, OnResponse())
+                client.request("/poll", b"z", 10.0, ResponseRecorder())
 
-    run(play)
+    run(scenario)
 
 
-def test_a_connection_that_was_idle_for_long_is_not_used_again(
+def test_a_connection_idle_for_too_long_is_not_reused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(http_client, "IDLE_TIMEOUT_S", 0.0)
 
-    async def play() -> None:
+    async def scenario() -> None:
         connections = 0
 
         async def count(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -664,11 +666,11 @@
                 mac, body = await request_from(reader)
                 writer.write(answer_to(mac, body))
 
-        async with playing(count) as address:
+        async with scripted_server(count) as address:
             client = client_of(address)
             for _ in range(3):
-                assert await asked(client) == (b"abc", "")
+                assert await post(client) == (b"abc", "")
             assert connections == 3
             client.close()
 
-    run(play)
+    run(scenario)
--- a/tests/violetroute/distribution/test_distribution_service.py
+++ b/tests/violetroute/distribution/test_distribution_service.py
@@ -1,4 +1,4 @@
-"""The proxy's side alone, against a control machine that answers what a test says."""
+"""The distribution service of a proxy, against a control machine with scripted answers."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
 LOG = "log"
 
 
-class Scripted:
-    """A control machine that answers polls with the replies it is given, then holds them."""
+class ScriptedControl:
+    """A control machine that answers polls with given replies and holds polls without one."""
 
     def __init__(self, *replies: PollReply | bytes) -> None:
         self.replies = list(replies)
@@ -84,8 +84,8 @@
     return Batch(position, 1, 0, tuple(Record(Topic.PURGE, key) for key in keys))
 
 
-class Receiver(CountingReceiver):
-    """Keeps what it was handed; a key "bad" is a fault."""
+class RecordingReceiver(CountingReceiver):
+    """Records its calls; raises an error for the key "bad"."""
 
     __slots__ = ("keys", "reasons")
 
@@ -106,11 +106,11 @@
 
 
 @asynccontextmanager
-async def following(
-    *controls: Scripted, name: str = "p0"
-) -> AsyncIterator[tuple[DistributionService, Receiver]]:
+async def subscribed(
+    *controls: ScriptedControl, name: str = "p0"
+) -> AsyncIterator[tuple[DistributionService, RecordingReceiver]]:
     table = DistributionTable(controls=tuple(control.address for control in controls))
-    receiver = Receiver()
+    receiver = RecordingReceiver()
     net = SocketNetwork(asyncio.get_running_loop())
     service = DistributionService(table, KEYS, name, "north", net, receiver)
     try:
@@ -122,11 +122,11 @@
         await asyncio.sleep(0)
 
 
-def run(play: Callable[[], Awaitable[None]]) -> None:
-    asyncio.run(play())  # type: ignore[arg-type]
+def run(scenario: Callable[[], Awaitable[None]]) -> None:
+    asyncio.run(scenario())  # type: ignore[arg-type]
 
 
-def lines(caplog: pytest.LogCaptureFixture, event: str) -> list[dict[str, Any]]:
+def logged(caplog: pytest.LogCaptureFixture, event: str) -> list[dict[str, Any]]:
     return [
         record.fields  # type: ignore[attr-defined]
         for record in caplog.records
@@ -134,10 +134,10 @@
     ]
 
 
-def test_what_comes_is_applied_in_order_and_acknowledged_by_the_next_poll() -> None:
-    async def play() -> None:
-        control = Scripted(ok(purges(1, "a", "b"), purges(2), purges(3, "c")))
-        async with following(control) as (service, receiver):
+def test_batches_are_applied_in_order_and_acknowledged_by_the_next_poll() -> None:
+    async def scenario() -> None:
+        control = ScriptedControl(ok(purges(1, "a", "b"), purges(2), purges(3, "c")))
+        async with subscribed(control) as (service, receiver):
             await until(lambda: len(control.polls) == 2)
             assert receiver.keys == ["a", "b", "c"]
             first, second = control.polls
@@ -150,85 +150,85 @@
             await until(lambda: len(control.polls) == 3)
             assert control.server.connections == 1
 
-    run(play)
+    run(scenario)
 
 
-def test_a_topic_that_is_not_known_is_skipped_with_one_line(
+def test_an_unknown_topic_is_skipped_and_logged_once(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         def batch(position: int) -> Batch:
             odd = (Record(99, "x"), Record(99, "y"), Record(Topic.CONFIGURATION, "log", b"..."))
             return Batch(position, 1, 0, (*odd, Record(Topic.PURGE, f"k{position}")))
 
-        control = Scripted(ok(batch(1), batch(2)), ok(batch(3)))
-        async with following(control) as (service, receiver):
+        control = ScriptedControl(ok(batch(1), batch(2)), ok(batch(3)))
+        async with subscribed(control) as (service, receiver):
             await until(lambda: len(control.polls) == 3)
             assert receiver.keys == ["k1", "k2", "k3"] and service.subscriber.position == 3
             assert not control.polls[-1].refused
 
     with caplog.at_level(logging.INFO, "violetroute"):
-        run(play)
-    assert lines(caplog, "distribution.skipped") == [
+        run(scenario)
+    assert logged(caplog, "distribution.skipped") == [
         {"topic": "99", "count": 2},
         {"topic": str(int(Topic.CONFIGURATION)), "count": 1},
     ]
 
 
-def test_a_record_that_fails_is_told_as_refused_and_costs_no_other(
+def test_a_failing_record_is_reported_as_refused_and_the_others_are_applied(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    async def play() -> None:
-        control = Scripted(ok(purges(1, "a", "bad", "b"), purges(2, "c")))
-        async with following(control) as (_, receiver):
+    async def scenario() -> None:
+        control = ScriptedControl(ok(purges(1, "a", "bad", "b"), purges(2, "c")))
+        async with subscribed(control) as (_, receiver):
             await until(lambda: len(control.polls) == 2)
             assert receiver.keys == ["a", "b", "c"] and receiver.purges == 4
             assert control.polls[1].position == 2
             assert control.polls[1].refused == ((1, "RuntimeError: no such shard"),)
 
     with caplog.at_level(logging.INFO, "violetroute"):
-        run(play)
-    assert len(lines(caplog, "daemon.fault")) == 1
+        run(scenario)
+    assert len(logged(caplog, "daemon.fault")) == 1
 
 
-def test_a_snapshot_voids_everything_and_goes_on_from_its_base(
+def test_a_snapshot_invalidates_everything_and_continues_from_its_base(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         snapshot = Snapshot(LogPoint(2, 50))
-        control = Scripted(
+        control = ScriptedControl(
             PollReply(PollStatus.SNAPSHOT, LOG, 50, 0.0, (), snapshot),
             ok(Batch(51, 2, 0, (Record(Topic.PURGE, "k"),))),
         )
-        async with following(control) as (service, receiver):
+        async with subscribed(control) as (service, receiver):
             await until(lambda: len(control.polls) == 3)
             assert receiver.voids == 1 and receiver.keys == ["k"]
             assert control.polls[1].position == 50 and service.subscriber.position == 51
 
     with caplog.at_level(logging.INFO, "violetroute"):
-        run(play)
-    assert [line["position"] for line in lines(caplog, "distribution.snapshot")] == [50]
+        run(scenario)
+    assert [line["position"] for line in logged(caplog, "distribution.snapshot")] == [50]
 
 
-def test_answers_that_make_no_sense_are_left_alone_and_another_machine_is_asked(
+def test_invalid_answers_are_ignored_and_another_machine_is_polled(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         gap = ok(purges(1, "a"), purges(3, "c"))
-        controls = [Scripted(gap, b"\xc1", b"", ok(purges(2, "b"))) for _ in range(2)]
-        async with following(*controls) as (service, receiver):
+        controls = [ScriptedControl(gap, b"\xc1", b"", ok(purges(2, "b"))) for _ in range(2)]
+        async with subscribed(*controls) as (service, receiver):
             await until(lambda: sum(len(control.polls) for control in controls) >= 2)
             assert all(control.polls for control in controls)
             await until(lambda: service.subscriber.position == 2)
             assert receiver.keys == ["a", "b"]
 
     with caplog.at_level(logging.INFO, "violetroute"):
-        run(play)
-    assert {"expected": 2, "got": 3} in lines(caplog, "distribution.gap")
+        run(scenario)
+    assert {"expected": 2, "got": 3} in logged(caplog, "distribution.gap")
 
 
-class ClosesBehindItsAnswer(Scripted):
-    """Its connections are closed with the answer: the next poll crosses their end."""
+class ClosesAfterAnswer(ScriptedControl):
+    """Closes its connections together with the answer, so that the next poll races with it."""
 
     def _answer(self) -> None:
         super()._answer()
@@ -238,96 +238,96 @@
 
 
 @pytest.mark.parametrize("machines", [1, 2])
-def test_a_poll_that_crosses_the_end_of_a_connection_is_asked_again_at_once(
+def test_a_poll_that_races_with_the_close_of_a_connection_is_repeated_at_once(
     machines: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     events: list[str] = []
-    waits: list[float] = []  # s from a failure to the time of the next poll
+    waits: list[float] = []  # seconds from a failure to the next poll
 
     class Recording(HttpClient):
-        """Notes each request, each that failed, and when the service is done with the failure."""
+        """Records each request, each failure, and when the service has handled the failure."""
 
-        def request(self, path: str, body: bytes, timeout_s: float, told: Any) -> None:
-            def noting(answer: bytes | None, reason: str) -> None:
+        def request(self, path: str, body: bytes, timeout_s: float, on_response: Any) -> None:
+            def record_result(answer: bytes | None, reason: str) -> None:
                 if answer is not None:
-                    told(answer, reason)
+                    on_response(answer, reason)
                     return
                 events.append("failed")
-                told(answer, reason)
+                on_response(answer, reason)
                 events.append("handled")
                 waits.append(services[0]._wait_until - asyncio.get_running_loop().time())
 
-            events.append("asked")
-            super().request(path, body, timeout_s, noting)
+            events.append("requested")
+            super().request(path, body, timeout_s, record_result)
 
     services: list[DistributionService] = []
     replies: list[PollReply | bytes] = [ok(purges(1, "a"))]
     monkeypatch.setattr(service_module, "HttpClient", Recording)
 
-    async def play() -> None:
-        controls = [ClosesBehindItsAnswer() for _ in range(machines)]
+    async def scenario() -> None:
+        controls = [ClosesAfterAnswer() for _ in range(machines)]
         for each in controls:
-            each.replies = replies  # whoever is asked first answers, and no other
-        async with following(*controls) as (service, receiver):
+            each.replies = replies  # shared: only the machine that is polled first answers
+        async with subscribed(*controls) as (service, receiver):
             services.append(service)
-            await until(lambda: events.count("asked") >= 3)
+            await until(lambda: events.count("requested") >= 3)
             await until(lambda: sum(len(each.polls) for each in controls) == 2)
             positions = [poll.position for each in controls for poll in each.polls]
-            assert sorted(positions) == [0, 1]  # the last one acknowledges what was brought
+            assert sorted(positions) == [0, 1]  # the second poll acknowledges the batch
             assert receiver.keys == ["a"]
 
-    run(play)
-    if machines == 2:  # the other one is asked before the failure has been dealt with
-        assert events[:5] == ["asked", "asked", "failed", "asked", "handled"]
+    run(scenario)
+    if machines == 2:  # the other machine is polled before the failure has been handled
+        assert events[:5] == ["requested", "requested", "failed", "requested", "handled"]
     else:
-        assert events[:5] == ["asked", "asked", "failed", "handled", "asked"]
+        assert events[:5] == ["requested", "requested", "failed", "handled", "requested"]
         assert waits[0] <= SubscriberSettings("p0", "", ()).retry_first_s
 
 
-def test_a_machine_that_is_away_is_one_line_a_minute(caplog: pytest.LogCaptureFixture) -> None:
-    async def play() -> None:
-        away, there = Scripted(), Scripted()
-        away.server.close()
-        async with following(away) as (service, _):
+def test_an_unreachable_machine_is_logged_once_a_minute(caplog: pytest.LogCaptureFixture) -> None:
+    async def scenario() -> None:
+        unreachable, reachable = ScriptedControl(), ScriptedControl()
+        unreachable.server.close()
+        async with subscribed(unreachable) as (service, _):
             await until(lambda: service.traffic.failures >= 4)
             assert not service.subscriber.fresh(asyncio.get_running_loop().time())
-        there.server.close()
+        reachable.server.close()
 
     with caplog.at_level(logging.INFO, "violetroute"):
-        run(play)
-    (line,) = lines(caplog, "distribution.unreachable")
+        run(scenario)
+    (line,) = logged(caplog, "distribution.unreachable")
     assert line["count"] == 1 and "127.0.0.1" in line["address"]
 
 
-def test_a_proxy_that_is_told_nothing_knows_that_it_is_stale(
+def test_a_proxy_without_answers_becomes_stale(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    async def play() -> None:
-        control = Scripted(ok(purges(1, "a")))
+    async def scenario() -> None:
+        control = ScriptedControl(ok(purges(1, "a")))
         table = DistributionTable(controls=(control.address,), stale_after_s=0.5)
         net = SocketNetwork(asyncio.get_running_loop())
         service = DistributionService(table, KEYS, "p0", "", net, CountingReceiver())
-        await until(lambda: lines(caplog, "distribution.fresh"))
-        await until(lambda: lines(caplog, "distribution.stale"))
+        await until(lambda: logged(caplog, "distribution.fresh"))
+        await until(lambda: logged(caplog, "distribution.stale"))
         assert not service.status().fresh and service.status().purges == 1
-        for _ in range(4):  # the poll that is held was sent too long ago to make it fresh
+        for _ in range(4):  # the held poll was sent too long ago: its answer makes nothing fresh
             control.reply(ok(commit=1))
-        await until(lambda: len(lines(caplog, "distribution.fresh")) == 2)
+        await until(lambda: len(logged(caplog, "distribution.fresh")) == 2)
         service.close()
         control.server.close()
 
     with caplog.at_level(logging.INFO, "violetroute"):
-        run(play)
+        run(scenario)
 
 
-def test_a_fault_of_ours_does_not_end_the_polls(
+def test_an_internal_error_does_not_end_the_polls(
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("violetroute.distribution.service.ERROR_RETRY_S", 0.05)
 
-    async def play() -> None:
-        control = Scripted(ok(purges(1, "a")))
-        async with following(control) as (service, receiver):
+    async def scenario() -> None:
+        control = ScriptedControl(ok(purges(1, "a")))
+        async with subscribed(control) as (service, receiver):
             faults = iter([ValueError("planted")])
             real = service.subscriber.next
 
@@ -342,19 +342,19 @@
             assert receiver.keys == ["a"]
 
     with caplog.at_level(logging.INFO, "violetroute"):
-        run(play)
-    assert len(lines(caplog, "daemon.fault")) == 1
+        run(scenario)
+    assert len(logged(caplog, "daemon.fault")) == 1
 
 
 def test_a_receiver_may_close_the_service() -> None:
-    async def play() -> None:
-        control = Scripted(ok(purges(1, "a"), purges(2, "b")))
-        async with following(control) as (service, receiver):
-            monkey = receiver.purge
+    async def scenario() -> None:
+        control = ScriptedControl(ok(purges(1, "a"), purges(2, "b")))
+        async with subscribed(control) as (service, receiver):
+            original_purge = receiver.purge
 
-            class Closing(Receiver):
+            class Closing(RecordingReceiver):
                 def purge(self, key: str) -> None:
-                    monkey(key)
+                    original_purge(key)
                     service.close()
 
             service.receiver = Closing()
@@ -362,37 +362,37 @@
             await until(lambda: control.server.connections == 0)
             assert len(control.polls) == 1
 
-    run(play)
+    run(scenario)
 
 
 @pytest.mark.parametrize("name", ["", "p" * 200, "proxy \ud800"])
-def test_any_name_of_a_proxy_can_be_told(name: str) -> None:
-    async def play() -> None:
-        control = Scripted()
-        async with following(control, name=name):
+def test_any_proxy_name_can_be_sent(name: str) -> None:
+    async def scenario() -> None:
+        control = ScriptedControl()
+        async with subscribed(control, name=name):
             await until(lambda: control.polls)
 
-    run(play)
+    run(scenario)
 
 
-def test_parts_are_told_and_a_fault_of_one_costs_no_other() -> None:
-    hooks, told = EventHooks(), list[str]()
+def test_all_purge_hooks_are_called_even_if_one_fails() -> None:
+    hooks, received = EventHooks(), list[str]()
 
     def broken(text: str) -> None:
         raise ValueError(text)
 
-    hooks.on_purge += [broken, told.append]
-    hooks.on_purge_all += [told.append]
+    hooks.on_purge += [broken, received.append]
+    hooks.on_purge_all += [received.append]
     receiver = HooksReceiver(hooks)
     with pytest.raises(ValueError, match="key"):
         receiver.purge("key")
     receiver.invalidate_all("why")
-    assert told == ["key", "why"] and (receiver.purges, receiver.voids) == (1, 1)
+    assert received == ["key", "why"] and (receiver.purges, receiver.voids) == (1, 1)
 
 
 def test_many_services_share_one_loop() -> None:
-    async def play() -> None:
-        control = Scripted()
+    async def scenario() -> None:
+        control = ScriptedControl()
         net = SocketNetwork(asyncio.get_running_loop())
         table = DistributionTable(controls=(control.address,))
         services = [
@@ -409,10 +409,10 @@
         await until(lambda: control.server.connections == 0)
         control.server.close()
 
-    run(play)
+    run(scenario)
 
 
-def test_what_of_the_table_waits_for_the_next_start() -> None:
+def test_which_keys_of_the_table_need_a_restart() -> None:
     one = DistributionTable(controls=("127.0.0.1:1",), key_file="k")
     two = msgspec.structs.replace(one, controls=("127.0.0.1:1", "127.0.0.1:2"))
     assert not restart_is_needed(one, two)
--- a/tests/violetroute/distribution/test_distribution_session_end.py
+++ b/tests/violetroute/distribution/test_distribution_session_end.py
@@ -1,4 +1,4 @@
-"""A process that shuts down ends its session: it is stale for good, and nobody waits for it."""
+"""A process that shuts down ends its session: it stays stale, and nothing waits for it."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from tests.violetroute.distribution.test_distribution_freshness import PROXY_NAMES, random_plan
 from tests.violetroute.distribution.test_distribution_in_force import Term, state
 from tests.violetroute.distribution.test_distribution_service import (
-    Scripted,
-    following,
+    ScriptedControl,
     ok,
     purges,
     run,
+    subscribed,
 )
 from tests.violetroute.distribution.test_distribution_sessions import (
     NOT_READY,
@@ -44,42 +44,42 @@
 LAST = Poll("p", "i1", "r", "L", 3, ends_session=True)
 
 
-# --- the process ---
+# --- the subscriber ---
 def test_a_process_that_has_ended_its_session_is_never_fresh_again() -> None:
     sub = subscriber()
     give(sub, answer(1, raw(1)), 1.0)
     assert sub.fresh(1.1)
-    ask = sub.next(1.2)
-    assert isinstance(ask, SendPoll) and not ask.poll.ends_session
+    send = sub.next(1.2)
+    assert isinstance(send, SendPoll) and not send.poll.ends_session
     last = sub.end()
-    assert last == msgspec.structs.replace(ask.poll, ends_session=True)
+    assert last == msgspec.structs.replace(send.poll, ends_session=True)
     assert not sub.fresh(1.2) and sub.as_of is None
-    late = answer(2, raw(2), age_ms=0.0)  # to the poll that was out
-    assert sub.replied(1.3, 1.2, ask.address, late) == []
+    late = answer(2, raw(2), age_ms=0.0)  # to the poll that was in flight
+    assert sub.replied(1.3, 1.2, send.address, late) == []
     assert not sub.fresh(1.3) and sub.position == 1
     assert sub.next(1.4) == WaitUntil(math.inf) and sub.next_at == math.inf and sub.tick(9.0) == []
     assert sub.end() == last
 
 
-# --- its control machine ---
+# --- the control machine ---
 def end(machine: Machine, poll: Poll = LAST) -> list[PollAnswer]:
     machine.tickets += 1
     return machine.sessions.poll_received(1.0, machine.tickets, poll)
 
 
-def test_a_session_that_is_ended_is_dropped_at_once_and_reported_next() -> None:
+def test_an_ended_session_is_dropped_at_once_and_included_in_the_next_report() -> None:
     machine = started(3)
     assert machine.poll(0.5, 3) == []  # is held
     held, last = end(machine)
     assert (held.reply.status, last.reply.status) == (NOT_READY, NOT_READY)
-    assert last.reply.age_ms < 0 and held.reply.age_ms < 0  # nobody becomes fresh by these
+    assert last.reply.age_ms < 0 and held.reply.age_ms < 0  # no proxy becomes fresh by these
     assert len(machine.sessions) == 0 and machine.sessions.held == 0
     assert machine.sessions.next_at <= 1.0 + REPORT_S
     report = machine.report(1.0 + REPORT_S)
     assert report.ended == (("p", "i1"),) and not report.full and report.sessions == ()
 
 
-def test_its_end_is_reported_again_after_a_lost_report() -> None:
+def test_an_end_is_reported_again_after_a_lost_report() -> None:
     machine = started(3)
     end(machine)
     lost = machine.report(1.3)
@@ -87,17 +87,17 @@
     assert machine.report(1.6).ended == (("p", "i1"),)
 
 
-def test_an_end_while_the_report_that_names_the_session_is_on_its_way() -> None:
+def test_an_end_while_the_report_with_the_session_is_in_flight() -> None:
     machine = Machine(3)
     assert machine.poll(0.0, 3) == []
     report = machine.report(0.1)
     end(machine)
-    assert machine.sessions.replied(1.1, report, None) == []  # it may have been taken all the same
+    assert machine.sessions.replied(1.1, report, None) == []  # lost, but the leader may have got it
     again = machine.report(1.3)
     assert again.sessions == () and (again.full or again.ended == (("p", "i1"),))
 
 
-def test_copies_of_the_end_and_polls_that_were_sent_before_it_make_no_session() -> None:
+def test_duplicate_last_polls_and_delayed_earlier_polls_create_no_session() -> None:
     machine = started(3)
     end(machine)
     assert one(end(machine)).status == NOT_READY
@@ -107,7 +107,7 @@
     assert len(machine.sessions) == 0
 
 
-def test_an_end_that_comes_late_does_not_touch_the_next_process_of_that_name() -> None:
+def test_a_delayed_last_poll_does_not_end_the_session_of_the_next_process() -> None:
     machine = started(3)
     earlier = msgspec.structs.replace(LAST, incarnation="i0")
     assert one(end(machine, earlier)).status == NOT_READY
@@ -115,7 +115,7 @@
     assert machine.report(1.3).ended == ()
 
 
-def test_what_is_remembered_of_ended_processes_is_bounded() -> None:
+def test_the_number_of_remembered_ended_sessions_is_bounded() -> None:
     machine = Machine()
     for number in range(MAX_ENDED_SESSIONS + 9):
         end(machine, msgspec.structs.replace(LAST, name=f"p{number}"))
@@ -124,7 +124,7 @@
 
 
 # --- the leader ---
-def test_what_an_ended_process_lacks_is_in_force_with_the_next_report() -> None:
+def test_batches_an_ended_process_lacks_are_in_force_with_the_next_report() -> None:
     term = Term()
     term.committed(0.9, 5)
     term.report(1.0, "b")
@@ -156,70 +156,70 @@
 
 @settings(max_examples=40)
 @given(st.integers(0, 2**32))
-def test_no_schedule_with_ended_sessions_breaks_in_force(seed: int) -> None:
+def test_no_schedule_with_ended_sessions_reports_in_force_too_early(seed: int) -> None:
     World(random_plan(seed, KINDS)).run()
 
 
-def slowest_after(begin: float, faults: tuple[Fault, ...]) -> float:
-    """Seconds from commit to in force of what was committed after `begin`, at most."""
+def max_in_force_delay(start: float, faults: tuple[Fault, ...]) -> float:
+    """The longest time in seconds from commit to in force of batches committed after `start`."""
     world = World(Plan(seed=1, lasts=12.0, loss=0.0, faults=faults))
     world.run()
     leader = world.leaders[1]
     return max(
         seconds
         for position, seconds in enumerate(leader.in_force_s, 1)
-        if leader._committed_at[position] > begin
+        if leader._committed_at[position] > start
     )
 
 
-def test_processes_that_end_in_order_delay_nothing_and_killed_ones_do() -> None:
+def test_processes_that_end_their_sessions_delay_nothing_and_killed_ones_do() -> None:
     ends = tuple(Fault(4.0 + 0.3 * number, "end", f"p{number}", 0.1) for number in range(PROXIES))
     kills = tuple(replace(each, kind="restart", lasts=0.0) for each in ends)
-    assert slowest_after(4.0, ends) < 1.6
-    assert slowest_after(4.0, kills) > 2.5
+    assert max_in_force_delay(4.0, ends) < 1.6
+    assert max_in_force_delay(4.0, kills) > 2.5
 
 
 # --- the service ---
-def test_a_service_that_leaves_tells_the_machine_that_it_asks() -> None:
-    async def play() -> None:
-        control = Scripted(ok(purges(1, "a")))
-        async with following(control) as (service, receiver):
+def test_a_leaving_service_sends_its_last_poll_to_the_machine_it_polled() -> None:
+    async def scenario() -> None:
+        control = ScriptedControl(ok(purges(1, "a")))
+        async with subscribed(control) as (service, receiver):
             while len(control.polls) < 2:
                 await asyncio.sleep(0.005)
             leaving = service.leave()
             assert not service.subscriber.fresh(asyncio.get_running_loop().time())
-            told = asyncio.ensure_future(leaving)
+            responses = asyncio.ensure_future(leaving)
             while len(control.polls) < 3:
                 await asyncio.sleep(0.005)
             control.reply(PollReply(PollStatus.NOT_READY, "log", 1))
-            await told
+            await responses
             assert [poll.ends_session for poll in control.polls] == [False, False, True]
             assert control.polls[-1].position == 1 and receiver.keys == ["a"]
 
-    run(play)
+    run(scenario)
 
 
-def test_a_service_that_leaves_waits_for_no_machine_longer_than_the_bound() -> None:
-    async def play() -> None:
-        control = Scripted(ok())
-        async with following(control) as (service, _):
+def test_a_leaving_service_does_not_wait_longer_than_its_timeout() -> None:
+    async def scenario() -> None:
+        control = ScriptedControl(ok())
+        async with subscribed(control) as (service, _):
             while len(control.polls) < 2:
                 await asyncio.sleep(0.005)
             async with asyncio.timeout(10.0):
-                await service.leave()  # is not answered
+                await service.leave()  # the last poll is not answered
             async with asyncio.timeout(10.0):
-                await service.leave()  # nobody is told twice
+                await service.leave()  # no second poll is sent
             assert [poll.ends_session for poll in control.polls] == [False, False, True]
 
-    run(play)
+    run(scenario)
 
 
-def test_a_daemon_ends_its_session_once_it_has_drained(tmp_path: Path) -> None:
+def test_a_daemon_ends_its_session_after_draining(tmp_path: Path) -> None:
     key_file = tmp_path / "key"
     key_file.write_bytes(b"k" * 32)
 
-    async def play() -> None:
-        control = Scripted(ok())
+    async def scenario() -> None:
+        control = ScriptedControl(ok())
         lines: list[str] = []
         daemon = Child(tmp_path, "p0", on_log_line=lines.append)
         operator = tmp_path / "p0.toml"
@@ -241,11 +241,11 @@
             await discovery.stop()
             control.server.close()
 
-    run(play)
+    run(scenario)
 
 
-# --- two builds ---
-def test_the_poll_of_an_older_build_ends_nothing_and_it_passes_the_field_over() -> None:
+# --- adjacent builds ---
+def test_the_poll_of_an_older_build_ends_no_session_and_later_fields_are_ignored() -> None:
     fields = msgspec.msgpack.decode(encode(LAST))
     assert len(fields) == 7
     older = decode_request(path_of(LAST), encode(fields[:6]))
--- a/tests/violetroute/distribution/test_distribution_unauthenticated.py
+++ b/tests/violetroute/distribution/test_distribution_unauthenticated.py
@@ -1,4 +1,4 @@
-"""Connections that send no genuine request do not keep other machines out of a control machine."""
+"""Connections without an authenticated request do not lock other hosts out of a control machine."""
 
 from __future__ import annotations
 
@@ -10,128 +10,139 @@
 
 from tests.support.rig import soon, until
 from tests.violetroute.distribution.test_distribution_http import (
-    asked,
     client_of,
-    connected,
-    head,
-    refusals,
-    rest,
+    connect,
+    logged_refusals,
+    post,
+    read_to_end,
+    request_head,
     run,
-    served,
+    running_server,
 )
 from violetroute.distribution.http_server import PROGRESS_BYTES, HttpServer
 
-PLACES = 8
-STRANGERS = 40
+CONNECTION_LIMIT = 8
+UNAUTHENTICATED_CLIENTS = 40
 OTHER_KEY = b"o" * 32
 
 
-def openings() -> dict[str, bytes]:
-    """What a stranger sends before it falls silent."""
+def partial_requests() -> dict[str, bytes]:
+    """What an unauthenticated client sends before it stops sending."""
     return {
         "nothing": b"",
-        "half a head": head("/poll", b"abc")[:20],
-        "half a body": head("/poll", b"abc") + b"a",
-        "another's signature": head("/poll", b"abc", key=OTHER_KEY) + b"ab",
+        "part of a header": request_head("/poll", b"abc")[:20],
+        "part of a body": request_head("/poll", b"abc") + b"a",
+        "a signature by another key": request_head("/poll", b"abc", key=OTHER_KEY) + b"ab",
     }
 
 
-async def fill(server: HttpServer, opening: bytes) -> list[asyncio.StreamWriter]:
-    """All places are taken by connections that send this and nothing more."""
+async def fill(server: HttpServer, partial_request: bytes) -> list[asyncio.StreamWriter]:
+    """Open as many connections as the limit allows; each sends this and nothing more."""
     writers = []
-    for _ in range(PLACES):
-        _, writer = await connected(server)
-        writer.write(opening)
+    for _ in range(CONNECTION_LIMIT):
+        _, writer = await connect(server)
+        writer.write(partial_request)
         writers.append(writer)
-    await until(lambda: server.connections == PLACES)
-    await until(lambda: server.traffic.bytes_in == PLACES * len(opening))
+    await until(lambda: server.connections == CONNECTION_LIMIT)
+    await until(lambda: server.traffic.bytes_in == CONNECTION_LIMIT * len(partial_request))
     return writers
 
 
-@pytest.mark.parametrize("opening", openings())
-def test_silent_connections_make_way(opening: str, caplog: pytest.LogCaptureFixture) -> None:
-    async def play() -> None:
-        async with served(connections=PLACES) as (server, _):
-            writers = await fill(server, openings()[opening])
-            clients = [client_of(server.address) for _ in range(PLACES)]
+@pytest.mark.parametrize("partial_request", partial_requests())
+def test_silent_connections_are_evicted(
+    partial_request: str, caplog: pytest.LogCaptureFixture
+) -> None:
+    async def scenario() -> None:
+        async with running_server(connections=CONNECTION_LIMIT) as (server, _):
+            writers = await fill(server, partial_requests()[partial_request])
+            clients = [client_of(server.address) for _ in range(CONNECTION_LIMIT)]
             for client in clients:
-                assert await asked(client) == (b"cba", "")
-            assert server.connections == PLACES
+                assert await post(client) == (b"cba", "")
+            assert server.connections == CONNECTION_LIMIT
             for each in (*clients, *writers):
                 each.close()
 
     with caplog.at_level(logging.INFO, "violetroute"):
-        run(play)
-    assert refusals(caplog) == [{"reason": "too many connections", "count": 1}]
+        run(scenario)
+    assert logged_refusals(caplog) == [{"reason": "too many connections", "count": 1}]
 
 
-def test_the_oldest_silent_connection_goes_first_and_authenticated_ones_stay() -> None:
-    async def play() -> None:
-        async with served(connections=4) as (server, _):
+def test_the_oldest_silent_connection_is_evicted_first_and_authenticated_ones_stay() -> None:
+    async def scenario() -> None:
+        async with running_server(connections=4) as (server, _):
             first = client_of(server.address)
-            assert await asked(first) == (b"cba", "")
-            silent = [await connected(server) for _ in range(3)]
+            assert await post(first) == (b"cba", "")
+            silent = [await connect(server) for _ in range(3)]
             await until(lambda: server.connections == 4)
             for reader, writer in silent:
                 newest = client_of(server.address)
-                assert await asked(newest) == (b"cba", "")
-                assert await rest(reader) == b""  # this one, and not one that came later
+                assert await post(newest) == (b"cba", "")
+                assert await read_to_end(reader) == b""  # this one was evicted, no later one
                 writer.close()
-            reader, writer = await connected(server)  # now no place can be had
-            assert await rest(reader) == b""
+            reader, writer = await connect(server)  # all others are authenticated: rejected
+            assert await read_to_end(reader) == b""
             writer.close()
-            assert await asked(first) == (b"cba", "") and first.traffic.failures == 0
+            assert await post(first) == (b"cba", "") and first.traffic.failures == 0
             server.close()
 
-    run(play)
+    run(scenario)
 
 
-def test_who_sends_at_once_is_heard_while_others_connect_without_end() -> None:
-    async def play() -> None:
-        async with served(connections=PLACES) as (server, _):
+def test_a_client_that_sends_at_once_is_served_during_a_flood_of_connections() -> None:
+    async def scenario() -> None:
+        async with running_server(connections=CONNECTION_LIMIT) as (server, _):
 
             async def connect_again_and_again() -> None:
                 while True:
                     with contextlib.suppress(OSError):
-                        reader, writer = await connected(server)
+                        reader, writer = await connect(server)
                         await reader.read()
                         writer.close()
 
-            strangers = [asyncio.create_task(connect_again_and_again()) for _ in range(STRANGERS)]
-            await until(lambda: server.traffic.failures > 2 * STRANGERS)  # so many were evicted
+            unauthenticated_clients = [
+                asyncio.create_task(connect_again_and_again())
+                for _ in range(UNAUTHENTICATED_CLIENTS)
+            ]
+            await until(
+                lambda: server.traffic.failures > 2 * UNAUTHENTICATED_CLIENTS
+            )  # that many evictions
             for _ in range(10):
                 client = client_of(server.address)
-                assert await asked(client) == (b"cba", "")
+                assert await post(client) == (b"cba", "")
                 client.close()
-            for stranger in strangers:
+            for stranger in unauthenticated_clients:
                 stranger.cancel()
-            await soon(asyncio.gather(*strangers, return_exceptions=True))
+            await soon(asyncio.gather(*unauthenticated_clients, return_exceptions=True))
 
-    run(play)
+    run(scenario)
 
 
-def test_a_long_request_that_goes_on_arriving_is_not_evicted() -> None:
-    """Between two parts of it more strangers connect than there are places in all."""
+def test_a_long_request_that_keeps_arriving_is_not_evicted() -> None:
+    """Between two parts of the request, other clients open almost as many connections as allowed.
 
-    async def play() -> None:
-        async with served(connections=PLACES) as (server, recorder):
+    Over the whole request they open more than the limit, so the connection would be evicted if it
+    did not count as new again after each part.
+    """
+
+    async def scenario() -> None:
+        async with running_server(connections=CONNECTION_LIMIT) as (server, recorder):
             body = bytes(3 * PROGRESS_BYTES)
-            opening = head("/poll", body)
-            _, writer = await connected(server)
-            writer.write(opening)
-            strangers = []
+            partial_request = request_head("/poll", body)
+            _, writer = await connect(server)
+            writer.write(partial_request)
+            unauthenticated_clients = []
             for number in range(3):
                 writer.write(bytes(PROGRESS_BYTES))
-                arrived = len(opening) + (number + 1) * PROGRESS_BYTES
+                arrived = len(partial_request) + (number + 1) * PROGRESS_BYTES
                 await until(lambda: server.traffic.bytes_in == arrived)  # noqa: B023
                 if number == 2:
                     break
-                for _ in range(PLACES - 1):
-                    strangers.append(await connected(server))
-                evicted = number * (PLACES - 1)
+                for _ in range(CONNECTION_LIMIT - 1):
+                    unauthenticated_clients.append(await connect(server))
+                evicted = number * (CONNECTION_LIMIT - 1)
                 await until(lambda: server.traffic.failures == evicted)  # noqa: B023
             assert [path for _, path, _ in recorder.requests] == ["/poll"]
-            for each in (writer, *(writer for _, writer in strangers)):
+            for each in (writer, *(writer for _, writer in unauthenticated_clients)):
                 each.close()
 
-    run(play)
+    run(scenario)
--- a/tests/violetroute/distribution/test_distribution_unauthenticated_bodies.py
+++ b/tests/violetroute/distribution/test_distribution_unauthenticated_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of strangers: how many bytes a control machine keeps, and who gets through meanwhile."""
+"""Bodies of unauthenticated requests: how many bytes are buffered, and which requests succeed."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 from tests.support.rig import until
 from tests.violetroute.distribution.test_distribution_http import (
-    asked,
     client_of,
-    connected,
-    head,
-    refusals,
-    rest,
+    connect,
+    logged_refusals,
+    post,
+    read_to_end,
+    request_head,
     run,
-    served,
+    running_server,
 )
 from violetroute.distribution.http_server import SHORT_BODY_BYTES, TOO_MANY_LONG_BODIES, HttpServer
 from violetroute.distribution.messages import MESSAGE_BYTES
@@ -26,124 +26,138 @@
 )
 
 PUBLICATION = bytes(800_000)
-STRANGERS_BODY = 1_000_000
-STRANGERS = 40  # together more than twice the bound
+PARTIAL_BODY_BYTES = 1_000_000
+UNAUTHENTICATED_CLIENTS = 40  # their bodies together exceed twice the limit
 Opened = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
-async def half_body(server: HttpServer, size: int = STRANGERS_BODY) -> Opened:
-    """A stranger who sends so much of a request and falls silent; the server has read it all."""
-    opened = await connected(server)
-    opening = head("/publish", b"", length=MESSAGE_BYTES) + bytes(size)
-    arrived = server.traffic.bytes_in + len(opening)
-    opened[1].write(opening)
+async def send_partial_body(server: HttpServer, size: int = PARTIAL_BODY_BYTES) -> Opened:
+    """Send the header and `size` body bytes of a longer request; the server has read them all."""
+    opened = await connect(server)
+    partial_request = request_head("/publish", b"", length=MESSAGE_BYTES) + bytes(size)
+    arrived = server.traffic.bytes_in + len(partial_request)
+    opened[1].write(partial_request)
     await until(lambda: server.traffic.bytes_in >= arrived)
     return opened
 
 
-async def hang_up(server: HttpServer, strangers: list[Opened]) -> None:
-    for _, writer in strangers:
+async def close_all(server: HttpServer, unauthenticated_clients: list[Opened]) -> None:
+    for _, writer in unauthenticated_clients:
         writer.close()
     await until(lambda: server.connections == 0)
     assert server.unauthenticated.body_bytes == 0 == server.long_body_bytes
 
 
-def test_bodies_of_strangers_are_bounded_and_those_with_the_key_get_through(
+def test_unauthenticated_bodies_are_bounded_and_authenticated_requests_succeed(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """A control machine's polls go on; a publication of full length comes on a new connection."""
+    """An authenticated connection keeps working; a long publication succeeds on a new one."""
 
-    async def play() -> None:
-        async with served() as (server, recorder):
+    async def scenario() -> None:
+        async with running_server() as (server, recorder):
             machine = client_of(server.address)
-            assert await asked(machine) == (b"cba", "")
-            strangers = []
-            for _ in range(STRANGERS):
-                strangers.append(await half_body(server))
+            assert await post(machine) == (b"cba", "")
+            unauthenticated_clients = []
+            for _ in range(UNAUTHENTICATED_CLIENTS):
+                unauthenticated_clients.append(await send_partial_body(server))
                 assert server.unauthenticated.body_bytes <= MAX_UNAUTHENTICATED_BYTES
                 assert server.long_body_bytes <= MAX_UNAUTHENTICATED_BYTES
-                assert await asked(machine) == (b"cba", "")
-            assert server.unauthenticated.body_bytes > MAX_UNAUTHENTICATED_BYTES - STRANGERS_BODY
+                assert await post(machine) == (b"cba", "")
+            assert (
+                server.unauthenticated.body_bytes > MAX_UNAUTHENTICATED_BYTES - PARTIAL_BODY_BYTES
+            )
             publisher = client_of(server.address)
-            answer, why = await asked(publisher, PUBLICATION, path="/publish")
+            answer, why = await post(publisher, PUBLICATION, path="/publish")
             assert (answer, why) == (PUBLICATION, "")
-            assert await rest(strangers[0][0]) == b""  # the body that began first was ended
-            assert machine.traffic.failures == 0 and server.traffic.requests == STRANGERS + 2
+            assert (
+                await read_to_end(unauthenticated_clients[0][0]) == b""
+            )  # the body that began first was evicted
+            assert (
+                machine.traffic.failures == 0
+                and server.traffic.requests == UNAUTHENTICATED_CLIENTS + 2
+            )
             assert recorder.requests[-1][1:] == ("/publish", PUBLICATION)
             machine.close()
             publisher.close()
-            await hang_up(server, strangers)
+            await close_all(server, unauthenticated_clients)
 
     with caplog.at_level(logging.INFO, "violetroute"):
-        run(play)
-    assert {"reason": TOO_MANY_LONG_BODIES, "count": 1} in refusals(caplog)
+        run(scenario)
+    assert {"reason": TOO_MANY_LONG_BODIES, "count": 1} in logged_refusals(caplog)
 
 
-def test_short_bodies_of_strangers_count_as_well() -> None:
-    async def play() -> None:
-        async with served() as (server, _):
+def test_short_unauthenticated_bodies_count_too() -> None:
+    async def scenario() -> None:
+        async with running_server() as (server, _):
             size, bound = SHORT_BODY_BYTES - 1, 10 * SHORT_BODY_BYTES
             server.unauthenticated = UnauthenticatedConnections(max_body_bytes=bound)
-            strangers = []
+            unauthenticated_clients = []
             for _ in range(20):
-                strangers.append(await half_body(server, size))
+                unauthenticated_clients.append(await send_partial_body(server, size))
                 assert server.unauthenticated.body_bytes <= bound
             assert server.long_body_bytes == 0 and server.connections == bound // size
-            await hang_up(server, strangers)
+            await close_all(server, unauthenticated_clients)
 
-    run(play)
+    run(scenario)
 
 
-def test_a_slow_publication_outlasts_the_bodies_that_began_before_it() -> None:
-    """Between its parts strangers bring bodies; in all nearly the bound, on top of a full one."""
+def test_a_slow_publication_outlasts_bodies_that_began_before_it() -> None:
+    """The limit is reached before the publication begins.
 
-    async def play() -> None:
-        async with served() as (server, recorder):
-            strangers = [await half_body(server) for _ in range(STRANGERS // 2)]
-            _, writer = await connected(server)
-            data = head("/publish", PUBLICATION) + PUBLICATION
+    Between its parts, unauthenticated clients then send nearly as many bytes again as the limit.
+    """
+
+    async def scenario() -> None:
+        async with running_server() as (server, recorder):
+            unauthenticated_clients = [
+                await send_partial_body(server) for _ in range(UNAUTHENTICATED_CLIENTS // 2)
+            ]
+            _, writer = await connect(server)
+            data = request_head("/publish", PUBLICATION) + PUBLICATION
             part = len(data) // 14
             for start in range(0, len(data), part):
                 arrived = server.traffic.bytes_in + len(data[start : start + part])
                 writer.write(data[start : start + part])
                 await until(lambda: server.traffic.bytes_in >= arrived)  # noqa: B023
                 if start + part < len(data):
-                    strangers.append(await half_body(server))
+                    unauthenticated_clients.append(await send_partial_body(server))
                 assert server.unauthenticated.body_bytes <= MAX_UNAUTHENTICATED_BYTES
             assert [body for _, _, body in recorder.requests] == [PUBLICATION]
             writer.close()
-            await hang_up(server, strangers)
+            await close_all(server, unauthenticated_clients)
 
-    run(play)
+    run(scenario)
 
 
-def test_long_requests_of_authenticated_connections_are_not_ended_by_strangers() -> None:
-    async def play() -> None:
-        async with served() as (server, recorder):
-            _, writer = await connected(server)
-            writer.write(head("/poll", b"abc") + b"abc")
+def test_long_requests_on_authenticated_connections_are_not_evicted() -> None:
+    async def scenario() -> None:
+        async with running_server() as (server, recorder):
+            _, writer = await connect(server)
+            writer.write(request_head("/poll", b"abc") + b"abc")
             await until(lambda: len(recorder.requests) == 1)
             longest = bytes(MESSAGE_BYTES)
-            writer.write(head("/fetch", longest) + longest[:-1])
+            writer.write(request_head("/fetch", longest) + longest[:-1])
             await until(lambda: server.traffic.bytes_in > MESSAGE_BYTES)
             assert server.unauthenticated.body_bytes == 0
-            strangers = [await half_body(server) for _ in range(STRANGERS)]
+            unauthenticated_clients = [
+                await send_partial_body(server) for _ in range(UNAUTHENTICATED_CLIENTS)
+            ]
             writer.write(longest[-1:])
             await until(lambda: len(recorder.requests) == 2)
             assert recorder.requests[1][1:] == ("/fetch", longest)
             writer.close()
-            await hang_up(server, strangers)
+            await close_all(server, unauthenticated_clients)
 
-    run(play)
+    run(scenario)
 
 
-def test_the_bodies_that_began_first_go_until_the_rest_is_within_the_bound() -> None:
+def test_the_earliest_bodies_are_evicted_until_the_rest_is_within_the_limit() -> None:
     connections = UnauthenticatedConnections[str](max_body_bytes=100)
     for name in "abcd":
         connections.add(name)
     assert connections.add_to_body("b", 30) == [] == connections.add_to_body("a", 40)
     assert connections.add_to_body("c", 30) == [] == connections.add_to_body("gone", 1_000)
-    connections.renew("b")  # its place is as a new one's, its body began first all the same
+    connections.renew("b")  # its connection counts as new, but its body still began first
     assert connections.oldest() == "a"
     assert connections.add_to_body("d", 50) == ["b", "a"]
     assert connections.body_bytes == 80 and len(connections) == 2
