--- a/violetroute/listing.py
+++ b/violetroute/listing.py
@@ -30,10 +30,9 @@
 class ListChange:
     """The effect of one list."""
 
-    members: list[Member] = field(default_factory=list)  # for the balancer, now
-    joining: list[tuple[int, Entry]] = field(
-        default_factory=list
-    )  # ids; in service now or after the slices
+    members: list[Member] = field(default_factory=list)  # entries that the balancer applies at once
+    # Ids and entries of nodes that enter service, now or in a later slice.
+    joining: list[tuple[int, Entry]] = field(default_factory=list)
     removed: list[str] = field(default_factory=list)  # names of nodes out of service
 
 
@@ -53,8 +52,8 @@
     ) -> None:
         self._loop, self._places, self._pool = loop, places, pool
         self._clock, self._on_members = clock, on_members
-        self._applied: dict[str, Entry] = {}  # by name; without nodes that are gone
-        self._ids: dict[str, int] = {}  # by name, of the nodes in `_applied`
+        self._applied: dict[str, Entry] = {}  # applied entries by name, without nodes that are gone
+        self._ids: dict[str, int] = {}  # ids of the nodes in `_applied`, by name
         self._waiting: dict[str, Entry] = {}  # ready nodes that wait for a slice, by name
         self._next: asyncio.Handle | None = None
 
@@ -169,10 +168,10 @@
         )
 
 
-def notify_placement(list_change: ListChange, whole: bool, keeper: PlanManager) -> None:
+def notify_placement(list_change: ListChange, whole: bool, plan_manager: PlanManager) -> None:
     """Notify the placement plan of nodes that entered or left service.
 
     `whole`: set for the first list of the process.
     """
     nodes = ((number, ListedNode(e.instance, e.zone, e.kind)) for number, e in list_change.joining)
-    keeper.update_nodes(whole, nodes, list_change.removed)
+    plan_manager.update_nodes(whole, nodes, list_change.removed)
--- a/violetroute/requests.py
+++ b/violetroute/requests.py
@@ -11,7 +11,7 @@
 
 FAILED = b"-ERR failed\r\n"
 ANSWER_MARGIN_MS = 10.0  # reserved for sending the answer to the client
-MAX_MARGIN_SHARE = 0.05  # of the client's wait; bounds ANSWER_MARGIN_MS for short waits
+MAX_MARGIN_SHARE = 0.05  # share of the client's wait; bounds ANSWER_MARGIN_MS for short waits
 
 
 class OpenRequest:
@@ -30,9 +30,9 @@
     def state(self) -> str:
         """The state as text, for monitoring."""
         if self.answered:
-            return "answered, attempts out"
+            return "answered, attempts in flight"
         if self.in_flight:
-            return f"{self.in_flight} out, try {len(self.attempts)}"
+            return f"{self.in_flight} in flight, attempt {len(self.attempts)}"
         return "held"
 
     def may_begin(self, attempt: Attempt, now: float) -> bool:
