--- a/violetroute/membership/source.py
+++ b/violetroute/membership/source.py
@@ -24,9 +24,14 @@
     """The tables of the operator's settings that are read here."""
 
     @property
-    def membership(self) -> MembershipTable: ...
+    def membership(self) -> MembershipTable:
+        """The table `[membership]`: the sources and their precedence."""
+        ...
+
     @property
-    def consul(self) -> ConsulTable: ...
+    def consul(self) -> ConsulTable:
+        """The table `[consul]`: Consul as a source."""
+        ...
 
 
 class NodeNames:
@@ -39,7 +44,7 @@
     """
 
     def __init__(self) -> None:
-        self._entries_by_name: dict[str, Entry] = {}  # by reported name
+        self._entries_by_name: dict[str, Entry] = {}  # entries by reported name
         self._name_map: dict[str, str] = {}  # the source's name: the reported name
         self._new_source = False
 
