--- a/limebridge/rules/checker.py
+++ b/limebridge/rules/checker.py
@@ -101,7 +101,7 @@
     def request_sent(self, at: float, id_: str, cls: str, wait: float) -> None:
         """The client wrote the last byte of a request and waits `wait` seconds for the answer."""
         request = self._requests[id_] = _Request(cls, self._limits.effects[cls], at, at + wait)
-        request.trace.append(f"{at:.6f} asked ({cls}, waits {wait * 1000:.0f} ms)")
+        request.trace.append(f"{at:.6f} request sent ({cls}, waits {wait * 1000:.0f} ms)")
 
     def answered(self, at: float, id_: str, answer: str) -> None:
         """The client received a complete answer: served, refused or failed."""
@@ -124,14 +124,14 @@
     def expired(self, at: float, id_: str) -> None:
         """The client's deadline passed without an answer."""
         request = self._requests[id_]
-        request.trace.append(f"{at:.6f} out of time")
+        request.trace.append(f"{at:.6f} the client's deadline passed")
         if not self._excused(request) and request.gone_at is None:
             self._violation(1, at, "no final answer in time", id_)
 
     def client_gone(self, at: float, id_: str) -> None:
         """The client disconnected: no answer is required, and nothing more may be sent."""
         request = self._requests[id_]
-        request.trace.append(f"{at:.6f} its client has gone")
+        request.trace.append(f"{at:.6f} the client disconnected")
         request.gone_at = at
 
     def client_eof_received(self, at: float, id_: str) -> None:
@@ -145,9 +145,11 @@
     def connection_closed(self, at: float, id_: str) -> None:
         """The proxy closed the connection while this request was open on it."""
         request = self._requests[id_]
-        request.trace.append(f"{at:.6f} the connection was closed under it")
+        request.trace.append(f"{at:.6f} the proxy closed the connection")
         if request.accepted_by and not request.excused:
-            self._violation(1, at, "the connection was closed under a request sent on", id_)
+            self._violation(
+                1, at, "the connection was closed while an accepted request was open on it", id_
+            )
         request.gone_at = at
 
     def excuse(self, id_: str) -> None:
@@ -196,7 +198,7 @@
         if request is None:
             self._violation(1, at, f"{node} got a request that no client sent: {id_[:40]}")
             return
-        request.trace.append(f"{at:.6f} came to {node}, sent at {sent_at:.6f}")
+        request.trace.append(f"{at:.6f} arrived at {node}, sent at {sent_at:.6f}")
         if request.answered_at is not None and sent_at > request.answered_at:
             self._violation(1, at, f"sent to {node} after the final answer", id_)
         if request.eof_at is not None and sent_at > request.eof_at + CLIENT_GONE_LIMIT_S:
@@ -208,7 +210,7 @@
                 id_,
             )
         elif request.gone_at is not None and sent_at > self._noticeable_at(request.gone_at) + 0.01:
-            self._violation(1, at, f"sent to {node} after its client had gone", id_)
+            self._violation(1, at, f"sent to {node} after its client had disconnected", id_)
         reported_at = min(seen.unavailable.values(), default=None)
         if reported_at is not None and sent_at > max(
             reported_at + self._limits.grace, seen.repeated_at
@@ -217,7 +219,7 @@
                 3,
                 at,
                 f"sent to {node} {(sent_at - reported_at) * 1000:.1f} ms after the report "
-                "that it drains or is gone",
+                "of its drain or removal",
                 id_,
             )
         if request.effect == "side_effect" and request.accepted_by:
@@ -242,8 +244,8 @@
             self._violation(
                 4,
                 at,
-                f"{node} got {len(arrivals)} in {limits.window:g} s, {age:.1f} s after "
-                f"its start; {bound:.0f} is the bound",
+                f"{node} got {len(arrivals)} requests in {limits.window:g} s, {age:.1f} s after "
+                f"its start; the limit is {bound:.0f}",
             )
 
     def accepted(self, at: float, node: str, id_: str) -> None:
--- a/limebridge/standins/fleet.py
+++ b/limebridge/standins/fleet.py
@@ -139,11 +139,11 @@
     ) -> None:
         id_ = words[2].decode(errors="replace")
         self._observer.arrived(now, self.name, id_, sent)
-        draw = self._random.random()
+        random_value = self._random.random()
         if self.draining or self._busy >= self._slots + self._queue_limit:
             writer.write(b"-BUSY\r\n")
             return
-        if draw < self.error_share:
+        if random_value < self.error_share:
             writer.write(b"-ERR broken\r\n")
             return
         self._observer.accepted(now, self.name, id_)
@@ -157,7 +157,7 @@
         finally:
             if incarnation == self.incarnation:
                 self._busy -= 1
-        if incarnation != self.incarnation or draw > 1.0 - self.no_answer_share:
+        if incarnation != self.incarnation or random_value > 1.0 - self.no_answer_share:
             return
         if self.reset_after is not None:
             await asyncio.sleep(self.reset_after)
--- a/tests/limebridge/rules/test_judge.py
+++ b/tests/limebridge/rules/test_judge.py
@@ -164,8 +164,8 @@
     checker.accepted(10.1, "n0", "r1")
     checker.answered(10.3, "r1", "refused")
     assert [step.split(" ", 1)[1] for step in checker.violations[0].trace] == [
-        "asked (once, waits 600 ms)",
-        "came to n0, sent at 10.050000",
+        "request sent (once, waits 600 ms)",
+        "arrived at n0, sent at 10.050000",
         "accepted by n0",
         "refused",
     ]
