--- a/limebridge/child.py
+++ b/limebridge/child.py
@@ -117,9 +117,8 @@
         assert process.stderr is not None
         while chunk := await process.stderr.read(65536):
             for line in chunk.decode(errors="replace").splitlines():
-                if not self.last_line.startswith(
-                    "violetroute:"
-                ):  # the reason of its exit; keep that
+                # A line that begins so gives the reason of the exit; it is not replaced.
+                if not self.last_line.startswith("violetroute:"):
                     self.last_line = line.strip()[:300] or self.last_line
                 if self._on_log_line is not None:
                     self._on_log_line(line)
--- a/limebridge/standins/clients.py
+++ b/limebridge/standins/clients.py
@@ -89,6 +89,7 @@
         self._connection: _Connection | None = None
 
     async def connect(self) -> None:
+        """Open a connection.  Raises OSError."""
         _, self._connection = await self._generator.loop.create_connection(
             lambda: _Connection(self), "127.0.0.1", self._generator.port
         )
@@ -148,6 +149,7 @@
             self._generator.finished.append(request)
 
     def close(self) -> None:
+        """Abort the connection, if one is open."""
         if self._connection is not None and self._connection.transport is not None:
             self._connection.transport.abort()
 
@@ -179,11 +181,13 @@
         self.max_lag = 0.0  # s that sending has been behind its schedule, at most
 
     def start(self, work: Coroutine[None, None, None]) -> None:
+        """Run a coroutine as a task, which is kept from garbage collection."""
         task = self.loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def connect(self) -> None:
+        """Connect all clients.  Raises OSError."""
         for client in self.clients:
             await client.connect()
 
@@ -234,5 +238,6 @@
         return Counter(a.outcome for a in self.finished if since <= a.sent_at < until)
 
     def close(self) -> None:
+        """Abort the connections of all clients."""
         for client in self.clients:
             client.close()
--- a/limebridge/standins/disk.py
+++ b/limebridge/standins/disk.py
@@ -58,23 +58,29 @@
 
     # --- Files ---
     def lock(self) -> bool:
-        return True  # the simulation runs one process at a time
+        """Always succeeds: the simulation runs one process at a time."""
+        return True
 
     def names(self) -> list[str]:
+        """Names of all files, sorted."""
         return sorted(self._visible)
 
     def read(self, name: str) -> bytes:
+        """Content of a file as programs see it."""
         return self._visible[name]
 
     def append(self, name: str, data: bytes) -> None:
+        """Append without syncing."""
         self._count_write()
         self._visible[name] = self._visible.get(name, b"") + data
 
     def sync(self) -> None:
+        """Make all content durable."""
         self._count_write()
         self._durable = dict(self._visible)
 
     def put(self, name: str, data: bytes) -> None:
+        """Replace a file atomically, by writing, syncing and renaming a temporary one."""
         temporary = f"{name}.new"
         self._count_write()
         self._visible[temporary] = data
@@ -87,10 +93,12 @@
         self._durable.pop(temporary, None)
 
     def move(self, name: str, to: str) -> None:
+        """Rename a file without syncing."""
         self._count_write()
         self._visible[to] = self._visible.pop(name)
 
     def remove(self, name: str) -> None:
+        """Remove a file without syncing."""
         self._count_write()
         self._visible.pop(name, None)
 
--- a/limebridge/standins/large_list.py
+++ b/limebridge/standins/large_list.py
@@ -66,6 +66,7 @@
         return [self.node(number, lifecycle) for number in chosen]
 
     async def stop(self) -> None:
+        """Stop listening and abort all connections."""
         self.up = False
         for server in self._servers:
             server.close()
