--- a/tests/violetroute/distribution/test_distribution_log.py
+++ b/tests/violetroute/distribution/test_distribution_log.py
@@ -56,9 +56,9 @@
 
 
 def replica(*fences: int, promised: int = 9, commit: int = 0) -> Replica:
-    made = Replica(Stored("log-1", promised, "m0", batches=batches(*fences)))
-    made.commit_to(commit)
-    return made
+    log = Replica(Stored("log-1", promised, "m0", batches=batches(*fences)))
+    log.commit_to(commit)
+    return log
 
 
 def led() -> Cluster:
@@ -469,9 +469,9 @@
 def test_copy_of_a_machine_is_independent() -> None:
     cluster = led()
     machine = cluster.machine("m0")
-    made = machine.copy()
-    assert made.key(cluster.now) == machine.key(cluster.now)
-    made.requested(cluster.now, 10**6, Publish("k", (purge("k"),)))
-    made.tick(cluster.now + 0.2)
-    assert made.replica.last.position == 2
+    duplicate = machine.copy()
+    assert duplicate.key(cluster.now) == machine.key(cluster.now)
+    duplicate.requested(cluster.now, 10**6, Publish("k", (purge("k"),)))
+    duplicate.tick(cluster.now + 0.2)
+    assert duplicate.replica.last.position == 2
     assert machine.replica.last.position == 1
--- a/tests/violetroute/distribution/test_distribution_storage.py
+++ b/tests/violetroute/distribution/test_distribution_storage.py
@@ -42,7 +42,7 @@
     return SetBase(Snapshot(LogPoint(fence, position)))
 
 
-def made(path: Path, *writes: Sequence[Change], recovering: bool = False) -> Path:
+def make_folder(path: Path, *writes: Sequence[Change], recovering: bool = False) -> Path:
     """Creates a folder and performs these writes in order."""
     init_folder(path, "c0", "log1", recovering)
     storage = Storage(path, "c0")
@@ -52,7 +52,7 @@
     return path
 
 
-def opened(path: Path) -> Stored:
+def read_stored(path: Path) -> Stored:
     storage = Storage(path, "c0")
     try:
         return storage.take_stored()
@@ -72,24 +72,24 @@
 
 # --- start ---
 def test_new_folder_is_an_empty_log(tmp_path: Path) -> None:
-    assert opened(made(tmp_path / "new")) == Stored("log1")
-    lost = made(tmp_path / "lost", recovering=True)
-    assert opened(lost) == Stored("log1", recovering=True)
+    assert read_stored(make_folder(tmp_path / "new")) == Stored("log1")
+    lost = make_folder(tmp_path / "lost", recovering=True)
+    assert read_stored(lost) == Stored("log1", recovering=True)
 
 
 def test_writes_are_replayed_at_the_next_start(tmp_path: Path) -> None:
-    path = made(tmp_path / "c0", *WRITES)
+    path = make_folder(tmp_path / "c0", *WRITES)
     expected = Stored("log1", 7, "", Snapshot(LogPoint(4, 2)), (batch(3, 4), batch(4, 4)), False)
-    assert opened(path) == expected
+    assert read_stored(path) == expected
     storage = Storage(path, "c0")
     storage.write([AppendBatches((batch(5, 7),)), SetRecovering(True)])
     storage.close()
-    assert opened(path).batches == (batch(3, 4), batch(4, 4), batch(5, 7))
-    assert opened(path).recovering
+    assert read_stored(path).batches == (batch(3, 4), batch(4, 4), batch(5, 7))
+    assert read_stored(path).recovering
 
 
 def test_a_folder_without_an_identity_is_refused_and_names_the_command(tmp_path: Path) -> None:
-    path = made(tmp_path / "c0", *WRITES)
+    path = make_folder(tmp_path / "c0", *WRITES)
     (path / "identity").unlink()
     for missing in (path, tmp_path / "none"):
         missing.mkdir(exist_ok=True)
@@ -100,7 +100,7 @@
 
 def test_missing_segments_are_refused(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(storage_module, "SEGMENT_BYTES", 1)  # every write rotates the segment
-    path = made(tmp_path / "c0", *WRITES[:4])
+    path = make_folder(tmp_path / "c0", *WRITES[:4])
     names = sorted(each.name for each in path.glob("segment-*"))
     assert len(names) == 5
     for name in names[:-1]:
@@ -108,7 +108,7 @@
         shutil.copytree(path, copy)
         (copy / name).unlink()
         if name == FIRST:  # holds only the promise, which each header repeats
-            assert opened(copy) == opened(path)
+            assert read_stored(copy) == read_stored(path)
             continue
         with pytest.raises(StorageError):
             Storage(copy, "c0")
@@ -119,7 +119,7 @@
 
 
 def test_another_machines_folder_or_segment_is_refused(tmp_path: Path) -> None:
-    path = made(tmp_path / "c0", *WRITES)
+    path = make_folder(tmp_path / "c0", *WRITES)
     with pytest.raises(StorageError, match="to 'c0', not to 'c1'"):
         Storage(path, "c1")
     init_folder(tmp_path / "other", "c0", "another log", False)
@@ -129,7 +129,7 @@
 
 
 def test_folder_is_locked_by_one_process(tmp_path: Path) -> None:
-    path = made(tmp_path / "c0")
+    path = make_folder(tmp_path / "c0")
     storage = Storage(path, "c0")
     with pytest.raises(StorageError, match="in use by another process"):
         Storage(path, "c0")
@@ -140,18 +140,18 @@
 
 
 def test_init_refuses_an_existing_log(tmp_path: Path) -> None:
-    path = made(tmp_path / "c0", *WRITES)
-    before = opened(path)
+    path = make_folder(tmp_path / "c0", *WRITES)
+    before = read_stored(path)
     with pytest.raises(StorageError, match="a log already exists"):
         init_folder(path, "c0", "log2", False)
-    assert opened(path) == before
+    assert read_stored(path) == before
 
 
 def test_interrupted_init_can_be_repeated(tmp_path: Path) -> None:
-    path = made(tmp_path / "c0", *WRITES)
+    path = make_folder(tmp_path / "c0", *WRITES)
     (path / "identity").unlink()  # init writes it last
     init_folder(path, "c0", "log1", True)
-    assert opened(path) == Stored("log1", recovering=True)
+    assert read_stored(path) == Stored("log1", recovering=True)
 
 
 # --- crashes ---
@@ -159,18 +159,18 @@
     path = tmp_path / "c0"
     init_folder(path, "c0", "log1", False)
     segment = path / FIRST
-    ends, states = [segment.stat().st_size], [opened(path)]
+    ends, states = [segment.stat().st_size], [read_stored(path)]
     for changes in WRITES:
         storage = Storage(path, "c0")
         storage.write(changes)
         storage.close()
         ends.append(segment.stat().st_size)
-        states.append(opened(path))
+        states.append(read_stored(path))
     data = segment.read_bytes()
     for length in range(ends[0], len(data)):
         segment.write_bytes(data[:length])
         whole = max(number for number, end in enumerate(ends) if end <= length)
-        assert opened(path) == states[whole]
+        assert read_stored(path) == states[whole]
         assert segment.stat().st_size == ends[whole]  # the torn tail is truncated from the file
     for length in range(ends[0]):  # headers are written atomically: a partial one is damage
         segment.write_bytes(data[:length])
@@ -179,8 +179,8 @@
 
 
 def test_tail_with_unwritten_blocks_is_dropped(tmp_path: Path) -> None:
-    path = made(tmp_path / "c0", *WRITES[:2])
-    before, segment = opened(path), path / FIRST
+    path = make_folder(tmp_path / "c0", *WRITES[:2])
+    before, segment = read_stored(path), path / FIRST
     good = segment.read_bytes()
     frame = encode_frame(b"x" * 300)
     for tail in (
@@ -190,12 +190,12 @@
         b"\xff" * 50,
     ):
         segment.write_bytes(good + tail)
-        assert opened(path) == before
+        assert read_stored(path) == before
         assert segment.read_bytes() == good
 
 
 def test_damage_before_the_last_frame_is_refused(tmp_path: Path) -> None:
-    path = made(tmp_path / "c0", *WRITES)
+    path = make_folder(tmp_path / "c0", *WRITES)
     segment = path / FIRST
     data = segment.read_bytes()
     bodies = decode_frames(data).bodies
@@ -212,7 +212,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(storage_module, "SEGMENT_BYTES", 1)
-    path = made(tmp_path / "c0", *WRITES[:3])
+    path = make_folder(tmp_path / "c0", *WRITES[:3])
     second = path / "segment-0000000002"
     data = second.read_bytes()
     for wrong in (data[:-1], data[:-1] + bytes([data[-1] ^ 1]), data + b"\0"):
@@ -222,9 +222,9 @@
 
 
 def test_intact_but_inconsistent_frames_are_refused(tmp_path: Path) -> None:
-    path = made(tmp_path / "c0", *WRITES[:2])
+    path = make_folder(tmp_path / "c0", *WRITES[:2])
     with pytest.raises(Exception, match="position 9, expected 3"):
-        made(tmp_path / "c1", *WRITES[:2], [AppendBatches((batch(9),))])
+        make_folder(tmp_path / "c1", *WRITES[:2], [AppendBatches((batch(9),))])
     segment = path / FIRST
     segment.write_bytes(segment.read_bytes() + encode_frame(b"\x91\x92\xa1?\x01"))
     with pytest.raises(StorageError, match="cannot be read"):
@@ -259,7 +259,7 @@
                 storage = Storage(path, "c0")
                 assert storage.take_stored() == model.stored()
         storage.close()
-    assert opened(path) == model.stored()
+    assert read_stored(path) == model.stored()
 
 
 class Model:
@@ -317,7 +317,7 @@
         max_bytes = max(max_bytes, sum(each.stat().st_size for each in path.glob("segment-*")))
     storage.close()
     assert max_bytes < 70 * 180 + 3 * 2000
-    stored = opened(path)
+    stored = read_stored(path)
     assert [each.position for each in stored.batches] == list(range(331, 400))
 
 
@@ -346,7 +346,7 @@
 def test_queued_writes_share_one_sync_and_complete_in_order(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    path = made(tmp_path / "c0")
+    path = make_folder(tmp_path / "c0")
     storage = Storage(path, "c0")
     syncs: list[int] = []
     real = storage_module.os.fdatasync
@@ -363,13 +363,13 @@
     writer.jobs.pop()()
     assert persisted == list(range(1, 11)) and len(syncs) == 2 and not failed
     storage.close()
-    assert len(opened(path).batches) == 10
+    assert len(read_stored(path).batches) == 10
 
 
 def test_after_a_failed_write_nothing_is_reported(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    path = made(tmp_path / "c0")
+    path = make_folder(tmp_path / "c0")
     storage = Storage(path, "c0")
     writer, persisted, failed = HeldWriter(), list[int](), list[str]()
     persister = Persister(storage, writer, persisted.append, failed.append)
@@ -389,11 +389,11 @@
     with pytest.raises(OSError, match="an earlier write failed"):
         storage.write([SetPromise(9, "")])
     storage.close()
-    assert [each.position for each in opened(path).batches] in ([1], [1, 2])
+    assert [each.position for each in read_stored(path).batches] in ([1], [1, 2])
 
 
 def test_writer_thread_persists_in_order(tmp_path: Path) -> None:
-    path = made(tmp_path / "c0")
+    path = make_folder(tmp_path / "c0")
 
     async def run() -> None:
         storage = Storage(path, "c0")
@@ -409,4 +409,4 @@
         storage.close()
 
     asyncio.run(run())
-    assert len(opened(path).batches) == 100
+    assert len(read_stored(path).batches) == 100
--- a/violetroute/distribution/control_choice.py
+++ b/violetroute/distribution/control_choice.py
@@ -104,7 +104,7 @@
         if address != self._order[self._current]:
             self._trial_failed(now)
             return
-        if self._returned_at is not None:  # it failed again soon: try it less often
+        if self._returned_at is not None:  # it failed soon after failback: try it less often
             self._returned_at = None
             self._double_trial_delay()
         self._failures += 1
--- a/violetroute/distribution/in_force.py
+++ b/violetroute/distribution/in_force.py
@@ -14,8 +14,8 @@
 
 - `drop_after_s` after the upper bound on the `as_of` of earlier leaders (`leader_contact.py`), for
   sessions that only an earlier leader knew, and
-- the time of a full report of an incarnation that has been running for `drop_after_s`, since no
-  leader knows the sessions of the incarnation before it.
+- `drop_after_s` after the start of an incarnation that sent a full report, or that report if later.
+  No leader knows the sessions of the incarnation before it, but their proxies are stale by then.
 
 If the leader has not answered a machine for `drop_after_s`, it drops the sessions of the machine:
 the ages that the machine reports to its proxies are older than its last answered report.
