--- a/limebridge/control/asking.py
+++ b/limebridge/control/asking.py
@@ -1,4 +1,4 @@
-"""Asks control machines, one request after another, from a command."""
+"""Requests from the command line to control machines, one at a time."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 from violetroute.transport import Address
 from violetroute.transport.sockets import SocketNetwork
 
-ASK_AGAIN_S = 0.2  # after every machine was asked and none led
+RETRY_DELAY_S = 0.2  # after all machines were tried and none of them is the leader
 
 
 class NoAnswerError(Exception):
-    """One line."""
+    """No usable reply from any control machine; the message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Machines:
-    """Whom to ask, in turn, and by which keys; `timeout_s` for one answer."""
+    """Control machines to query in this order, the fleet's keys, and the timeout of one request."""
 
     addresses: Sequence[Address]
     keys: Keys
@@ -37,30 +37,37 @@
 
 
 async def ask(machines: Machines, address: Address, request: AnyRequest) -> Any:
-    """The reply of this machine.  NoAnswerError."""
+    """Sends a request to one machine and returns its decoded reply.
+
+    Raises NoAnswerError when no reply arrives within the timeout or it cannot be decoded.
+    """
     loop = asyncio.get_running_loop()
     answer: asyncio.Future[tuple[bytes | None, str]] = loop.create_future()
     client = HttpClient(SocketNetwork(loop), address, machines.keys)
 
-    def told(body: bytes | None, reason: str) -> None:
-        if not answer.done():  # done: who asked was cancelled, and the reply came in the same turn
+    def on_reply(body: bytes | None, reason: str) -> None:
+        # The future is done already when the caller was cancelled in the loop iteration in
+        # which the reply arrives.
+        if not answer.done():
             answer.set_result((body, reason))
 
     try:
-        client.request(path_of(request), encode(request), machines.timeout_s, told)
+        client.request(path_of(request), encode(request), machines.timeout_s, on_reply)
         body, reason = await answer
     finally:
         client.close()
     reply = decode_reply(request, body)
     if reply is None:
-        raise NoAnswerError(f"{address.host}:{address.port}: {reason or 'an unknown answer'}")
+        raise NoAnswerError(
+            f"{address.host}:{address.port}: {reason or 'the reply cannot be decoded'}"
+        )
     return reply
 
 
 async def leaders_status(machines: Machines, request: StatusRequest) -> StatusReply:
-    """The reply of the first machine that leads, or else of the first that answers.
+    """Returns the reply of the first machine that is the leader, or else the first reply.
 
-    NoAnswerError where none does: all reasons.
+    Raises NoAnswerError with the reasons of all machines when none replies.
     """
     first: StatusReply | None = None
     reasons = []
@@ -79,14 +86,15 @@
 
 
 async def publish(machines: Machines, publication: Publish, within_s: float) -> Published:
-    """Asks one machine after another until the leader answers.  NoAnswerError after `within_s`.
+    """Sends a publication to each machine in turn until the leader replies.
 
-    Each machine is asked under the same id.  Without an answer the publication may be in the log
-    or not; a later one under another id would then be a second one.
+    Raises NoAnswerError after `within_s`.  All attempts carry the same publication id: after an
+    attempt without a reply the publication may or may not be in the log, and a retry under
+    another id could append it twice.
     """
     loop = asyncio.get_running_loop()
     until = loop.time() + within_s
-    reason = "no machine was asked"
+    reason = "no machine was tried"
     while True:
         for address in machines.addresses:
             try:
@@ -99,11 +107,11 @@
             reason = f"{address.host}:{address.port}: {PublishStatus(reply.status).name}"
         if loop.time() >= until:
             raise NoAnswerError(reason)
-        await asyncio.sleep(ASK_AGAIN_S)
+        await asyncio.sleep(RETRY_DELAY_S)
 
 
 async def wait_in_force(machines: Machines, position: int, within_s: float) -> StatusReply | None:
-    """The leader's status once `position` is in force; None after `within_s`.  NoAnswerError."""
+    """Polls until `position` is in force; returns the leader's status, or None after `within_s`."""
     loop = asyncio.get_running_loop()
     until = loop.time() + within_s
     while True:
@@ -116,4 +124,4 @@
                 return status
         if loop.time() >= until:
             return None
-        await asyncio.sleep(ASK_AGAIN_S)
+        await asyncio.sleep(RETRY_DELAY_S)
--- a/limebridge/control/command.py
+++ b/limebridge/control/command.py
@@ -1,7 +1,7 @@
-"""`limebridge control`: make a folder, serve, look, publish.
+"""`limebridge control`: creates log folders, runs control machines, shows status, publishes.
 
-Exit codes: 0 done; 1 no answer, or refused; 2 wrong arguments or file; 3 not certain: the
-publication may be in the log or not, or (with --wait) it is committed and not yet in force.
+Exit codes: 0 success; 1 no reply, or refused; 2 invalid arguments or file; 3 uncertain: the
+publication may or may not be in the log, or (with --wait) it is committed but not yet in force.
 """
 
 from __future__ import annotations
@@ -55,13 +55,18 @@
 KeyFile = Annotated[
     Path, typer.Option("--key-file", metavar="FILE", help="The key file of the fleet.")
 ]
-Seconds = Annotated[float, typer.Option("--seconds", min=0.1, max=3600.0, help="For all of it.")]
-Json = Annotated[bool, typer.Option("--json", help="One JSON line.")]
+Seconds = Annotated[
+    float,
+    typer.Option(
+        "--seconds", min=0.1, max=3600.0, help="Time limit of each publication, and of each wait."
+    ),
+]
+Json = Annotated[bool, typer.Option("--json", help="Print one JSON line.")]
 
 
 @dataclass(frozen=True, slots=True)
 class _InForce:
-    """A publication's position, and the leader's status once it was in force."""
+    """A publication's position, and the leader's status when it came into force."""
 
     position: int
     status: StatusReply
@@ -69,35 +74,39 @@
 
 @app.command()
 def init(
-    folder: Annotated[Path, typer.Argument(help="Of the control machine's log.")],
+    folder: Annotated[Path, typer.Argument(help="Folder of the control machine's log.")],
     name: Annotated[str, typer.Option("--name", help="The control machine's name.")],
-    log: Annotated[str, typer.Option("--log", metavar="ID", help="Of the log that there is.")] = "",
-    new: Annotated[bool, typer.Option("--new", help="A new log; its identity is printed.")] = False,
+    log: Annotated[
+        str, typer.Option("--log", metavar="ID", help="Identity of the existing log.")
+    ] = "",
+    new: Annotated[bool, typer.Option("--new", help="Start a new log; prints its ID.")] = False,
     replace: Annotated[
         bool,
         typer.Option(
             "--replace",
-            help="The machine had this log and has lost it.  Needed then: without it the machine "
-            "would forget what it had promised, and acknowledged records could be lost.",
+            help="The machine had this log and has lost it.  Required in that case: otherwise the "
+            "machine forgets its earlier promises, and acknowledged records could be lost.",
         ),
     ] = False,
 ) -> None:
-    """Make the folder of a control machine: an empty log, or the replacement of a lost one."""
+    """Create the folder of a control machine: an empty log, or the replacement of a lost one."""
     if new == bool(log) or (new and replace):
-        _end("--log ID, with --replace or without, or --new is wanted", WRONG)
+        _exit("give either --log ID (with or without --replace) or --new", WRONG)
     if not (0 < len(name) <= NAME_CHARACTERS and len(log) <= NAME_CHARACTERS):
-        _end(f"--name and --log have 1 to {NAME_CHARACTERS} characters", WRONG)
+        _exit(f"--name and --log must have 1 to {NAME_CHARACTERS} characters", WRONG)
     identity = log or secrets.token_hex(LOG_ID_BYTES)
     try:
         init_folder(folder, name, identity, recovering=replace)
     except (StorageError, OSError) as error:
-        _end(str(error), REFUSED)
+        _exit(str(error), REFUSED)
     print(identity)
 
 
 @app.command()
-def serve(file: Annotated[Path, typer.Argument(help="The control machine's file.")]) -> None:
-    """Run a control machine until SIGTERM: the same as `python -m violetroute.distribution`."""
+def serve(
+    file: Annotated[Path, typer.Argument(help="The control machine's configuration file.")],
+) -> None:
+    """Run a control machine until SIGTERM, like `python -m violetroute.distribution`."""
     from violetroute.distribution.__main__ import main
 
     raise typer.Exit(main([str(file)]))
@@ -105,18 +114,19 @@
 
 @app.command()
 def status(machine: MachineOption, key_file: KeyFile, as_json: Json = False) -> None:
-    """What is committed and in force, who lags, since when.
+    """Show what is committed and in force, and which proxies lag and for how long.
 
-    The leader knows all of it: the machines are asked until one says that it leads; if none does,
-    the first answer is shown.
+    Only the leader has the complete status: the machines are queried in turn until one reports
+    that it is the leader; if none does, the first reply is shown.
     """
     machines = _machines(machine, key_file)
     try:
         reply = asyncio.run(leaders_status(machines, StatusRequest()))
     except NoAnswerError as error:
-        _end(str(error), REFUSED)
+        _exit(str(error), REFUSED)
     if as_json:
-        print(json.dumps(msgspec.to_builtins(status_object(reply))))  # all but ASCII is escaped
+        # json.dumps escapes all non-ASCII characters.
+        print(json.dumps(msgspec.to_builtins(status_object(reply))))
     else:
         _show(reply)
 
@@ -125,15 +135,15 @@
 def publish_file(
     machine: MachineOption,
     key_file: KeyFile,
-    file: Annotated[Path, typer.Argument(help="A file with one key a line.")],
-    wait: Annotated[bool, typer.Option("--wait", help="Until it is in force.")] = False,
+    file: Annotated[Path, typer.Argument(help="A file with one key per line.")],
+    wait: Annotated[bool, typer.Option("--wait", help="Wait until it is in force.")] = False,
     seconds: Seconds = 10.0,
 ) -> None:
-    """Purge the keys of a file, one a line, in publications of up to 2,048; prints positions."""
+    """Purge the keys of a file (one per line), up to 2,048 a publication; prints positions."""
     try:
         keys = [line for line in file.read_text().splitlines() if line]
     except (OSError, ValueError) as error:
-        _end(f"{file}: {error}", WRONG)
+        _exit(f"{file}: {error}", WRONG)
     machines = _machines(machine, key_file)
     for first in range(0, len(keys), RECORDS_PER_BATCH):
         _publish(machines, keys[first : first + RECORDS_PER_BATCH], wait, seconds)
@@ -141,15 +151,15 @@
 
 @app.command()
 def purge(
-    key: Annotated[list[str], typer.Argument(help="Keys whose objects are void.")],
+    key: Annotated[list[str], typer.Argument(help="Keys of the objects to invalidate.")],
     machine: MachineOption,
     key_file: KeyFile,
-    wait: Annotated[bool, typer.Option("--wait", help="Until it is in force.")] = False,
+    wait: Annotated[bool, typer.Option("--wait", help="Wait until it is in force.")] = False,
     seconds: Seconds = 10.0,
 ) -> None:
-    """Purge keys at every proxy; prints the position once it is committed."""
+    """Purge keys at every proxy; prints the log position once committed."""
     if len(key) > RECORDS_PER_BATCH:
-        _end(f"at most {RECORDS_PER_BATCH} keys; `publish` takes a file", WRONG)
+        _exit(f"at most {RECORDS_PER_BATCH} keys; `publish` takes a file", WRONG)
     _publish(_machines(machine, key_file), key, wait, seconds)
 
 
@@ -162,73 +172,76 @@
         Path | None, typer.Argument(help="The table's keys as TOML, without its header.")
     ] = None,
     remove: Annotated[
-        bool, typer.Option("--remove", help="Each proxy has the table of its own file again.")
+        bool, typer.Option("--remove", help="Each proxy returns to the table of its own file.")
     ] = False,
-    wait: Annotated[bool, typer.Option("--wait", help="Until it is in force.")] = False,
+    wait: Annotated[bool, typer.Option("--wait", help="Wait until it is in force.")] = False,
     seconds: Seconds = 10.0,
 ) -> None:
-    """Publish a table of the operator's file; prints the position once it is committed.
+    """Publish a table of the operator's file; prints the log position once committed.
 
-    With --wait each proxy that has refused it is named, and the exit code is 1 then.
+    With --wait, lists each proxy that refused it and exits with code 1 if there is one.
     """
     if remove == (file is not None):
-        _end("a file or --remove is wanted", WRONG)
+        _exit("give either a file or --remove", WRONG)
     try:
         check_name(table)
         body = b"" if file is None else _table_body(table, file)
     except TableRefusedError as error:
-        _end(str(error), WRONG)
+        _exit(str(error), WRONG)
     record = Record(Topic.CONFIGURATION, table, body)
     status = _publish_records(_machines(machine, key_file), (record,), wait, seconds)
     if status is not None:
-        _end_if_refused(status)
+        _exit_if_refused(status)
 
 
 def _table_body(table: str, file: Path) -> bytes:
     try:
         body = file.read_bytes()
     except OSError as error:
-        _end(f"{file}: {error.strerror}", WRONG)
+        _exit(f"{file}: {error.strerror}", WRONG)
     if not body:
-        _end(f"{file}: is empty; --remove takes a published table back", WRONG)
+        _exit(f"{file}: is empty; use --remove to withdraw a published table", WRONG)
     parse_table(table, body)
     return body
 
 
-def _end_if_refused(committed: _InForce) -> None:
+def _exit_if_refused(committed: _InForce) -> None:
     reasons = [
         f"{name}: {reason}"
         for name, position, reason in committed.status.refused
         if position == committed.position
     ]
     if reasons:
-        _end(f"position {committed.position} is refused by {'; '.join(reasons)}", REFUSED)
+        _exit(f"position {committed.position} is refused by {'; '.join(reasons)}", REFUSED)
 
 
 def _publish(machines: Machines, keys: list[str], wait: bool, seconds: float) -> None:
     if any(len(key) > MAX_KEY_CHARACTERS for key in keys):
-        _end(f"a key has at most {MAX_KEY_CHARACTERS} characters", WRONG)
+        _exit(f"a key has at most {MAX_KEY_CHARACTERS} characters", WRONG)
     _publish_records(machines, tuple(Record(Topic.PURGE, key) for key in keys), wait, seconds)
 
 
 def _publish_records(
     machines: Machines, records: tuple[Record, ...], wait: bool, seconds: float
 ) -> _InForce | None:
-    """Ends the command unless they are committed, and with `wait` in force."""
+    """Exits the command unless the records are committed and, with `wait`, in force.
+
+    Prints the position.  Returns None without `wait`.
+    """
     publication = Publish(secrets.token_hex(16), records)
     try:
         reply = asyncio.run(publish(machines, publication, seconds))
     except NoAnswerError as error:
-        _end(f"not certain whether it is in the log: {error}", UNCERTAIN)
+        _exit(f"the publication may or may not be in the log: {error}", UNCERTAIN)
     if reply.status != PublishStatus.COMMITTED:
         code = UNCERTAIN if reply.status == PublishStatus.UNKNOWN else REFUSED
-        _end(f"not committed: {_status_name(reply.status)}", code)
+        _exit(f"not committed: {_status_name(reply.status)}", code)
     print(reply.position, flush=True)
     if not wait:
         return None
     status = asyncio.run(wait_in_force(machines, reply.position, seconds))
     if status is None:
-        _end(f"position {reply.position} is committed, and not in force yet", UNCERTAIN)
+        _exit(f"position {reply.position} is committed but not yet in force", UNCERTAIN)
     return _InForce(reply.position, status)
 
 
@@ -243,15 +256,15 @@
     try:
         keys = read_keys(str(key_file))
     except (OSError, ValueError) as error:
-        _end(f"--key-file: {error}", WRONG)
+        _exit(f"--key-file: {error}", WRONG)
     try:
         return Machines([parse_address(address) for address in addresses], keys, 3.0)
     except ValueError as error:
-        _end(f"--machine: {error}", WRONG)
+        _exit(f"--machine: {error}", WRONG)
 
 
 def _show(reply: StatusReply) -> None:
-    console = Console(markup=False, emoji=False)  # names and reasons are shown as they are
+    console = Console(markup=False, emoji=False)  # no markup: names and reasons may have brackets
     role = "leads" if reply.leader == reply.replica else f"follows {reply.leader or 'nobody'}"
     note = ", replaces a lost disk and has not recovered yet" if reply.recovering else ""
     console.print(printable(f"{reply.replica} {role}, fence {reply.fence}, log {reply.log}{note}"))
@@ -289,18 +302,18 @@
 
 
 def _show_recovery(console: Console, reply: StatusReply) -> None:
-    """Whom the recovery of a lost disk waits for.
+    """Prints what the recovery from a lost disk waits for.
 
-    The reply has seconds since each other machine told its promise, negative where it has not.
+    The reply has the seconds since each other machine reported its promise; negative: not yet.
     """
-    told = [(name, since) for name, _, since in reply.replicas if name != reply.replica]
-    missing = [name for name, since in told if since < 0]
+    promises = [(name, since) for name, _, since in reply.replicas if name != reply.replica]
+    missing = [name for name, since in promises if since < 0]
     awaited = f"a promise of {', '.join(missing)}" if missing else "the leader's whole log"
     console.print(printable(f"recovery waits for {awaited}"))
     _print_table(
         console,
         ("replica", "promise told"),
-        [(name, "not yet" if since < 0 else f"{since:.1f} s ago") for name, since in told],
+        [(name, "not yet" if since < 0 else f"{since:.1f} s ago") for name, since in promises],
     )
 
 
@@ -312,6 +325,6 @@
         console.print(table)
 
 
-def _end(text: str, code: int) -> NoReturn:
+def _exit(text: str, code: int) -> NoReturn:
     typer.echo(f"limebridge: {printable(text)}", err=True)
     raise typer.Exit(code)
--- a/limebridge/control/process.py
+++ b/limebridge/control/process.py
@@ -1,4 +1,4 @@
-"""Control machines as child processes on loopback: for tests and runs at scale."""
+"""Control machines as child processes on loopback, for tests and scale runs."""
 
 from __future__ import annotations
 
@@ -16,35 +16,35 @@
 from limebridge import child_signals
 from violetroute.distribution.storage import init_folder
 
-READY_S = 30.0  # for a process to serve
-END_S = 10.0  # for one to hand its lease back and end
+READY_S = 30.0  # from its start until a process serves
+END_S = 10.0  # for a process to release its lease and exit
 ENDING_S = 0.3  # for one that may have ended by itself
 COMMAND = (sys.executable, "-m", "violetroute.distribution")
 
 
 class UnreadyError(Exception):
-    """A control process did not start; one line."""
+    """A control process did not start; the message is one line."""
 
 
 class ControlProcess:
-    """One machine's process, and one incarnation of it after another.
+    """The process of one control machine; it can be started again after it has ended.
 
-    Every line of its log goes to `told`; the last 50 are kept in `log`.  `build`: the folder whose
-    packages the next incarnation runs; None: those of this process.
+    Each line of its log is passed to `on_log_line`; the last 50 lines are kept in `log`.
+    `build`: the folder whose packages the next start runs; None: the packages of this process.
     """
 
-    def __init__(self, file: Path, told: Callable[[str], None] | None = None) -> None:
+    def __init__(self, file: Path, on_log_line: Callable[[str], None] | None = None) -> None:
         self.file = file
         self.address = ""
         self.build: Path | None = None
         self.log: list[str] = []
-        self._told = told
+        self._on_log_line = on_log_line
         self._process: asyncio.subprocess.Process | None = None
         self._reading: asyncio.Task[None] | None = None
 
     @property
     def pid(self) -> int:
-        """Of the process that was started last."""
+        """Process id of the process that was started last."""
         assert self._process is not None
         return self._process.pid
 
@@ -54,7 +54,10 @@
         return self._process is not None and self._process.returncode is None
 
     async def start(self) -> str:
-        """Until it serves; its address.  UnreadyError when it does not: then it is gone."""
+        """Starts the process, waits until it serves, and returns its address.
+
+        Raises UnreadyError when it does not serve within READY_S; the process has ended then.
+        """
         self._process = await asyncio.create_subprocess_exec(
             *COMMAND,
             str(self.file),
@@ -72,12 +75,12 @@
             line = b""
         if not line:
             await self._end(END_S)
-            raise UnreadyError(f"{self.file.stem}: {self.log[-1] if self.log else 'no word'}")
+            raise UnreadyError(f"{self.file.stem}: {self.log[-1] if self.log else 'no log output'}")
         self.address = str(json.loads(line)["control"])
         return self.address
 
     async def wait(self) -> int:
-        """Its exit code, once it has ended."""
+        """Waits until the process and the reading of its log have ended; returns the exit code."""
         assert self._process is not None
         code = await self._process.wait()
         if self._reading is not None:
@@ -85,21 +88,21 @@
         return code
 
     async def term(self) -> int:
-        """SIGTERM; its exit code, or that of a kill where it does not end in time."""
+        """Sends SIGTERM, and SIGKILL after END_S; returns the exit code."""
         if self._process is not None and self.running:
             child_signals.send(self._process.pid, signal.SIGTERM)
             await self._end(END_S)
         return await self.wait()
 
     async def kill(self) -> None:
-        """SIGKILL; it is gone when this returns."""
+        """Sends SIGKILL and waits until the process has ended."""
         if self._process is None:
             return
         child_signals.send(self._process.pid, signal.SIGKILL)
         await self.wait()
 
     async def _end(self, within_s: float) -> None:
-        """Killed unless it ends by itself in time."""
+        """Waits `within_s` for the process to exit by itself, then kills it."""
         assert self._process is not None
         try:
             async with asyncio.timeout(within_s):
@@ -112,15 +115,15 @@
         while line := await process.stderr.readline():
             text = line.decode(errors="replace").rstrip()
             self.log = [*self.log[-49:], text]
-            if self._told is not None:
-                self._told(text)
+            if self._on_log_line is not None:
+                self._on_log_line(text)
 
 
 @dataclass
 class ControlMachines:
     """The files and processes of all control machines of one log, under one folder.
 
-    `timings` and `fleet` are added to the tables of each file.
+    `timings` is the table of that name in each file; `fleet` overrides keys of its `fleet` table.
     """
 
     folder: Path
@@ -128,27 +131,27 @@
     regions: Sequence[str] = ()
     timings: dict[str, Any] = field(default_factory=dict)
     fleet: dict[str, Any] = field(default_factory=dict)
-    told: Callable[[str], None] | None = None
+    on_log_line: Callable[[str], None] | None = None
     log: str = "log"
 
     def __post_init__(self) -> None:
         self.key_file = self.folder / "key"
         self.processes = [
-            ControlProcess(self.folder / f"c{number}.toml", self.told)
+            ControlProcess(self.folder / f"c{number}.toml", self.on_log_line)
             for number in range(len(self.ports))
         ]
 
     @property
     def addresses(self) -> list[str]:
-        """Of all machines, whether they run or not."""
+        """Addresses of all machines, running or not."""
         return [f"127.0.0.1:{port}" for port in self.ports]
 
     def region(self, number: int) -> str:
-        """Of the machine of this number."""
+        """Region of the machine with this number; "" without regions."""
         return self.regions[number % len(self.regions)] if self.regions else ""
 
     def write(self) -> None:
-        """Key, files and empty logs."""
+        """Writes the key, each machine's configuration file, and empty logs."""
         self.folder.mkdir(parents=True, exist_ok=True)
         self.key_file.write_text("a key of sixteen bytes and more\n")
         for number, process in enumerate(self.processes):
@@ -156,11 +159,11 @@
             init_folder(self.data_folder(number), f"c{number}", self.log, recovering=False)
 
     def data_folder(self, number: int) -> Path:
-        """The log's."""
+        """Folder of this machine's log."""
         return self.folder / f"c{number}"
 
     def table(self, number: int) -> dict[str, Any]:
-        """The machine's file."""
+        """Contents of the machine's configuration file."""
         lease = {"store": "folder", "folder": str(self.folder / "lease"), "term_s": 3.0}
         return {
             "name": f"c{number}",
@@ -178,9 +181,9 @@
         }
 
     async def start(self) -> None:
-        """All of them.  UnreadyError."""
+        """Starts all machines.  Raises UnreadyError when one does not serve in time."""
         await asyncio.gather(*(process.start() for process in self.processes))
 
     async def stop(self) -> None:
-        """All are gone when this returns."""
+        """Kills all processes and waits until they have ended."""
         await asyncio.gather(*(process.kill() for process in self.processes))
--- a/limebridge/control/status_json.py
+++ b/limebridge/control/status_json.py
@@ -1,7 +1,7 @@
 """The object that `limebridge control status --json` prints.
 
-The messages between machines are arrays; who reads this wants names, and they stay the same when a
-message changes.
+Messages between machines are encoded as arrays.  This object has named fields, which stay the same
+when the messages change.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class LaggingProxy(msgspec.Struct, frozen=True):
-    """A proxy that has not applied everything that is committed, or is missing."""
+    """A proxy that has not applied all committed records, or that is stale."""
 
     name: str
     incarnation: str
@@ -23,7 +23,7 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """What a proxy refused to apply."""
+    """A record that a proxy refused to apply, and why."""
 
     name: str
     position: int
@@ -31,7 +31,7 @@
 
 
 class Replica(msgspec.Struct, frozen=True):
-    """A control machine as the leader knows it: what is on its disk, and seconds since it asked."""
+    """A control machine as the leader knows it: persisted position, seconds since its last poll."""
 
     name: str
     position: int
@@ -39,7 +39,7 @@
 
 
 class StatusObject(msgspec.Struct, frozen=True):
-    """One machine's view; that of the leader is complete."""
+    """The status as one machine reports it; only the leader's is complete."""
 
     replica: str
     leader: str
@@ -58,7 +58,7 @@
 
 
 def status_object(reply: StatusReply) -> StatusObject:
-    """The reply with names in place of positions."""
+    """Converts a status reply into the object with named fields."""
     return StatusObject(
         replica=reply.replica,
         leader=reply.leader,
--- a/limebridge/faults/distribution/rig.py
+++ b/limebridge/faults/distribution/rig.py
@@ -160,7 +160,7 @@
         )
         await self.links.start()
         self.machines = RelayedMachines(
-            self.folder, ports, told=self._told, fleet={"term_s": TERM_S, "look_s": 0.1}
+            self.folder, ports, on_log_line=self._told, fleet={"term_s": TERM_S, "look_s": 0.1}
         )
         self.machines.links = self.links
         self.machines.stale_after_s = plan.stale_after_s
--- a/tests/limebridge/control/test_control_asking.py
+++ b/tests/limebridge/control/test_control_asking.py
@@ -1,4 +1,4 @@
-"""Asking a control machine: an answer that nobody waits for any more is no fault."""
+"""Requests to control machines: late replies, and the choice of the leader's status."""
 
 from __future__ import annotations
 
@@ -13,60 +13,62 @@
 from violetroute.transport import Address
 
 
-def test_a_reply_in_the_turn_of_the_cancelling_is_no_fault(monkeypatch: pytest.MonkeyPatch) -> None:
-    told: list[Any] = []
+def test_a_reply_in_the_loop_iteration_of_a_cancellation_is_ignored(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    callbacks: list[Any] = []
 
     class Client:
         def __init__(self, *_: object) -> None:
             pass
 
-        def request(self, path: str, body: bytes, timeout_s: float, tell: Any) -> None:
-            told.append(tell)
+        def request(self, path: str, body: bytes, timeout_s: float, callback: Any) -> None:
+            callbacks.append(callback)
 
         def close(self) -> None:
             pass
 
-    async def play() -> None:
+    async def cancel_request() -> None:
         monkeypatch.setattr(asking, "HttpClient", Client)
         machines = asking.Machines([], Keys([b"k" * 32]), 1.0)
         task = asyncio.create_task(asking.ask(machines, Address("127.0.0.1", 1), StatusRequest()))
         await asyncio.sleep(0)
         task.cancel()
-        told[0](b"", "")  # before the cancelled task has run on
+        callbacks[0](b"", "")  # before the cancelled task runs again
         with pytest.raises(asyncio.CancelledError):
             await task
 
-    asyncio.run(play())
+    asyncio.run(cancel_request())
 
 
-def reply_of(replica: str, leader: str) -> StatusReply:
+def status_reply(replica: str, leader: str) -> StatusReply:
     return StatusReply(replica, leader, 1, "log", LogPoint(), 0, 0, 0, 0, 0)
 
 
 @pytest.mark.parametrize(
-    ("answers", "shown"),
+    ("replies", "expected"),
     [
-        ([reply_of("c0", "c1"), reply_of("c1", "c1")], "c1"),
-        ([None, reply_of("c1", "c0"), reply_of("c2", "")], "c1"),
-        ([reply_of("c0", "c0"), reply_of("c1", "c1")], "c0"),
-        ([None, None], "away; away"),
+        ([status_reply("c0", "c1"), status_reply("c1", "c1")], "c1"),
+        ([None, status_reply("c1", "c0"), status_reply("c2", "")], "c1"),
+        ([status_reply("c0", "c0"), status_reply("c1", "c1")], "c0"),
+        ([None, None], "unavailable; unavailable"),
     ],
-    ids=["the leader is second", "nobody leads", "the leader is first", "nobody answers"],
+    ids=["the leader is second", "no leader", "the leader is first", "no replies"],
 )
-def test_the_leaders_status_is_looked_for(
-    answers: list[StatusReply | None], shown: str, monkeypatch: pytest.MonkeyPatch
+def test_the_leaders_status_is_preferred_to_the_first_reply(
+    replies: list[StatusReply | None], expected: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def ask(_: object, address: Address, request: StatusRequest) -> StatusReply:
-        reply = answers[address.port]
+        reply = replies[address.port]
         if reply is None:
-            raise asking.NoAnswerError("away")
+            raise asking.NoAnswerError("unavailable")
         return reply
 
     monkeypatch.setattr(asking, "ask", ask)
-    addresses = [Address("127.0.0.1", port) for port in range(len(answers))]
+    addresses = [Address("127.0.0.1", port) for port in range(len(replies))]
     machines = asking.Machines(addresses, Keys([b"k" * 32]), 1.0)
     try:
         found = asyncio.run(asking.leaders_status(machines, StatusRequest())).replica
     except asking.NoAnswerError as error:
         found = str(error)
-    assert found == shown
+    assert found == expected
--- a/tests/limebridge/control/test_control_escapes.py
+++ b/tests/limebridge/control/test_control_escapes.py
@@ -1,4 +1,4 @@
-"""What the control and fleet commands print of names from the network cannot steer a terminal."""
+"""Names from the network cannot send control sequences to the operator's terminal."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from limebridge.terminal_text import printable
 from violetroute.distribution.messages import Lagging, LogPoint, StatusReply
 
-# Title, clear screen, CSI as one character, line break, right-to-left override.
-STEERING = "\x1b]0;x\x07\x1b[2J\x9b1A\r\n\u202e"
-SHOWN = r"\x1b]0;x\x07\x1b[2J\x9b1A\r\n\u202e"
+# Set title, clear screen, single-character CSI, line breaks, right-to-left override.
+CONTROL_SEQUENCES = "\x1b]0;x\x07\x1b[2J\x9b1A\r\n\u202e"
+ESCAPED = r"\x1b]0;x\x07\x1b[2J\x9b1A\r\n\u202e"
 
 
-def clean(output: str) -> bool:
-    """Whether nothing but text and the line breaks of our own is in it."""
+def is_printable(output: str) -> bool:
+    """Whether the output holds only printable characters and line feeds."""
     return all(line.isprintable() for line in output.split("\n"))
 
 
-def test_escapes() -> None:
-    assert printable(STEERING) == SHOWN
+def test_unprintable_characters_are_escaped() -> None:
+    assert printable(CONTROL_SEQUENCES) == ESCAPED
     assert printable("\ud800 [red] pröxy ü") == r"\ud800 [red] pröxy ü"
 
 
@@ -37,7 +37,7 @@
 
 @pytest.fixture
 def control(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> list[str]:
-    """Arguments of `control status`."""
+    """Arguments of `control status` with a key file; the terminal is wide."""
     monkeypatch.setenv("COLUMNS", "400")
     key = tmp_path / "key"
     key.write_text("k" * 32 + "\n")
@@ -45,10 +45,10 @@
 
 
 @pytest.mark.parametrize("recovering", [False, True])
-def test_control_status(
+def test_control_status_escapes_names(
     control: list[str], monkeypatch: pytest.MonkeyPatch, recovering: bool
 ) -> None:
-    name = f"n{STEERING}"
+    name = f"n{CONTROL_SEQUENCES}"
     reply = StatusReply(
         replica=name,
         leader=name,
@@ -62,7 +62,7 @@
         stale=0,
         lagging=(Lagging(name, name, name, 1, 0.0, stale=True),),
         refused=((name, 1, name),),
-        replicas=((name, 1, 0.0), (f"o{STEERING}", 1, -1.0)),
+        replicas=((name, 1, 0.0), (f"o{CONTROL_SEQUENCES}", 1, -1.0)),
         recovering=recovering,
     )
 
@@ -71,24 +71,24 @@
 
     monkeypatch.setattr(command, "leaders_status", answer)
     output = run(*control)
-    assert clean(output) and f"n{SHOWN}" in output
+    assert is_printable(output) and f"n{ESCAPED}" in output
     output = run(*control, "--json")
-    assert clean(output) and output.isascii() and json.loads(output)["replica"] == name
+    assert is_printable(output) and output.isascii() and json.loads(output)["replica"] == name
 
 
-def test_errors_of_control(control: list[str], monkeypatch: pytest.MonkeyPatch) -> None:
+def test_control_errors_are_escaped(control: list[str], monkeypatch: pytest.MonkeyPatch) -> None:
     async def answer(*_: object) -> StatusReply:
-        raise NoAnswerError(STEERING)
+        raise NoAnswerError(CONTROL_SEQUENCES)
 
     monkeypatch.setattr(command, "leaders_status", answer)
     output = run(*control)
-    assert clean(output) and SHOWN in output
+    assert is_printable(output) and ESCAPED in output
 
 
-def test_fleet_members(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    name = f"n[red]{STEERING}"
+def test_fleet_members_escapes_names(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    name = f"n[red]{CONTROL_SEQUENCES}"
     member = dict.fromkeys(("name", "state", "address", "zone", "life"), name)
-    told: dict[str, Any] = {
+    view: dict[str, Any] = {
         "name": name,
         "members": [member | {"since_s": 1, "heard_s": None}],
         "health": 0,
@@ -97,7 +97,7 @@
         "received": 0,
         "refused": 0,
     }
-    monkeypatch.setattr(looking, "_told", lambda *_: told)
+    monkeypatch.setattr(looking, "_told", lambda *_: view)
     monkeypatch.setenv("COLUMNS", "400")
     output = run("fleet", "members", "--operator", str(tmp_path / "operator.toml"))
-    assert clean(output) and output.count(f"n[red]{SHOWN}") == 6
+    assert is_printable(output) and output.count(f"n[red]{ESCAPED}") == 6
--- a/tests/limebridge/control/test_control_status.py
+++ b/tests/limebridge/control/test_control_status.py
@@ -1,4 +1,4 @@
-"""What `limebridge control status` shows of a reply."""
+"""Output of `limebridge control status`, as text and as JSON."""
 
 from __future__ import annotations
 
@@ -52,15 +52,15 @@
 
 @pytest.fixture
 def replies() -> list[StatusReply]:
-    """The one reply of the machine that `shown` asks; a test may put another in its place."""
+    """Holds the status reply that `show_status` receives; a test may replace it."""
     return [REPLY]
 
 
 @pytest.fixture
-def shown(
+def show_status(
     monkeypatch: pytest.MonkeyPatch, tmp_path: object, replies: list[StatusReply]
 ) -> Callable[..., Result]:
-    """Runs `control status` with a machine that answers the one of `replies`."""
+    """Returns a function that runs `control status` and receives `replies[0]`."""
 
     async def answer(machines: Machines, request: StatusRequest) -> StatusReply:
         return replies[0]
@@ -78,8 +78,8 @@
     return run
 
 
-def test_square_brackets_are_shown_as_they_are(shown: Callable[..., Result]) -> None:
-    done = shown()
+def test_square_brackets_are_not_markup(show_status: Callable[..., Result]) -> None:
+    done = show_status()
     assert done.exit_code == 0, done.output
     for text in (
         "c0[bold] leads, fence 3, log [red]log",
@@ -91,8 +91,8 @@
         assert text in done.output
 
 
-def test_the_json_object_has_names_for_everything(shown: Callable[..., Result]) -> None:
-    done = shown("--json")
+def test_the_json_object_names_every_field(show_status: Callable[..., Result]) -> None:
+    done = show_status("--json")
     assert done.exit_code == 0 and done.output.count("\n") == 1
     assert json.loads(done.output) == {
         "replica": "c0[bold]",
@@ -124,17 +124,17 @@
     }
 
 
-def lines_of(done: Result) -> list[list[str]]:
-    """The words of each line."""
+def words_by_line(done: Result) -> list[list[str]]:
+    """Checks the exit code and returns the words of each output line."""
     assert done.exit_code == 0, done.output
     return [line.split() for line in done.output.splitlines()]
 
 
-def test_a_recovering_machine_shows_whom_it_waits_for(
-    shown: Callable[..., Result], replies: list[StatusReply]
+def test_a_recovering_machine_shows_which_promises_are_missing(
+    show_status: Callable[..., Result], replies: list[StatusReply]
 ) -> None:
     replies[0] = RECOVERING
-    assert lines_of(shown())[2:] == [
+    assert words_by_line(show_status())[2:] == [
         ["recovery", "waits", "for", "a", "promise", "of", "c2[bold],", "c3"],
         ["replica", "promise", "told"],
         ["c0", "1.2", "s", "ago"],
@@ -143,34 +143,34 @@
     ]
 
 
-def test_a_recovering_machine_with_all_promises_waits_for_the_log(
-    shown: Callable[..., Result], replies: list[StatusReply]
+def test_a_recovering_machine_with_all_promises_waits_for_the_leaders_log(
+    show_status: Callable[..., Result], replies: list[StatusReply]
 ) -> None:
-    told = (("c1", 9, 0.0), ("c0", 0, 1.25))
-    replies[0] = msgspec.structs.replace(RECOVERING, replicas=told)
-    assert lines_of(shown())[2:] == [
+    promises = (("c1", 9, 0.0), ("c0", 0, 1.25))
+    replies[0] = msgspec.structs.replace(RECOVERING, replicas=promises)
+    assert words_by_line(show_status())[2:] == [
         ["recovery", "waits", "for", "the", "leader's", "whole", "log"],
         ["replica", "promise", "told"],
         ["c0", "1.2", "s", "ago"],
     ]
 
 
-def test_a_machine_that_follows_shows_its_own_log_alone(
-    shown: Callable[..., Result], replies: list[StatusReply]
+def test_a_follower_shows_only_its_own_log(
+    show_status: Callable[..., Result], replies: list[StatusReply]
 ) -> None:
     replies[0] = msgspec.structs.replace(RECOVERING, recovering=False, replicas=())
-    assert len(lines_of(shown())) == 2
+    assert len(words_by_line(show_status())) == 2
 
 
 def fields_of(record: type[msgspec.Struct]) -> set[str]:
-    """The record's keys, and those of the records within its tuples."""
+    """The JSON keys of a record and of the records nested in it."""
     names = set(record.__struct_fields__)
     inner = (LaggingProxy, Refusal, Replica) if record is StatusObject else ()
     return names.union(*(each.__struct_fields__ for each in inner))
 
 
 @pytest.mark.parametrize("record", [StatusObject, ServiceStatus, ControlStatus])
-def test_the_operators_page_has_every_key_that_is_shown(record: type[msgspec.Struct]) -> None:
+def test_the_operators_page_documents_every_json_key(record: type[msgspec.Struct]) -> None:
     page = ROOT / "docs" / "operators" / "distribution.md"
     rows = [line for line in page.read_text().splitlines() if line.startswith("| ")]
     named = set(re.findall(r"`([a-z_]+)`", "\n".join(rows)))
--- a/tests/violetroute/distribution/test_distribution_daemon.py
+++ b/tests/violetroute/distribution/test_distribution_daemon.py
@@ -68,7 +68,7 @@
     def __init__(self, folder: Path, machines: int = 3, daemons: int = 2) -> None:
         self.folder = folder
         self.lines: list[str] = []
-        self.controls = ControlMachines(folder, free_ports(machines), told=self.lines.append)
+        self.controls = ControlMachines(folder, free_ports(machines), on_log_line=self.lines.append)
         self.controls.write()
         self.daemons = [
             Child(folder, f"p{number}", on_log_line=self.lines.append) for number in range(daemons)
