--- a/tests/violetroute/distribution/test_distribution_configuration.py
+++ b/tests/violetroute/distribution/test_distribution_configuration.py
@@ -1,4 +1,4 @@
-"""Published configuration: merged, checked whole, refused or taken on, and shown."""
+"""Published configuration: merged, validated, applied or refused, and shown."""
 
 from __future__ import annotations
 
@@ -63,15 +63,15 @@
 
 
 class File:
-    """An operator's file, checked whole with published tables as the daemon does it."""
+    """An operator's file, merged with published tables and validated as the daemon does."""
 
     def __init__(self, **tables: Any) -> None:
         self.tables = tables
         self.in_force = Operator()
         self.checks = 0
-        self.published = PublishedConfiguration(self.take_on)
+        self.published = PublishedConfiguration(self.check_and_apply)
 
-    def take_on(self, tables: PublishedTables) -> str:
+    def check_and_apply(self, tables: PublishedTables) -> str:
         self.checks += 1
         try:
             self.in_force = parse_operator(tables.merged(self.tables), "file")
@@ -84,7 +84,7 @@
 
 
 # --- the merge ---
-def test_a_published_table_replaces_the_files_and_the_last_position_wins() -> None:
+def test_a_published_table_replaces_the_files_table_and_the_last_position_wins() -> None:
     file = File(log={"level": "error", "per_second": 1.0}, limits={"depth": 9})
     assert file.publish(1, record("log", 'level = "debug"')) == ()
     assert file.in_force.log.level == "debug" and file.in_force.log.per_second == 5.0
@@ -95,7 +95,7 @@
     assert file.checks == 2 and file.published.accepted.position == 2
 
 
-def test_keys_of_one_machine_stay_the_files_own() -> None:
+def test_local_keys_come_from_the_file() -> None:
     file = File(limits={"client_share": 0.6, "depth": 9}, membership={"file": "/list"})
     assert file.publish(1, record("limits", "mistakes = 2")) == ()
     assert file.publish(2, record("membership", 'sources = ["file"]')) == ()
@@ -104,14 +104,14 @@
     assert file.in_force.membership.file == "/list"
 
 
-def test_an_empty_body_takes_the_published_table_back() -> None:
+def test_an_empty_body_removes_the_published_table() -> None:
     file = File(log={"level": "error"})
     file.publish(1, record("log", 'level = "debug"'), record("limits", "depth = 3"))
     assert file.publish(2, record("log", "")) == ()
     assert (file.in_force.log.level, file.in_force.limits.depth) == ("error", 3)
 
 
-def test_removing_what_was_not_published_reads_nothing_anew() -> None:
+def test_removing_an_unpublished_table_does_not_read_the_file() -> None:
     file = File()
     assert file.publish(1, record("log", "")) == () and file.publish(2, complete=True) == ()
     assert file.checks == 0
@@ -139,20 +139,20 @@
 
 
 @pytest.mark.parametrize("name", REFUSED_TABLES)
-def test_what_cannot_be_published_is_refused_in_one_line(name: str) -> None:
+def test_an_invalid_table_is_refused_with_one_line(name: str) -> None:
     table, text, words = REFUSED_TABLES[name]
     with pytest.raises(TableRefusedError) as refused:
         parse_table(table, text.encode(errors="surrogateescape"))
     assert words in str(refused.value) and "\n" not in str(refused.value)
 
 
-def test_tables_that_can_be_published_and_their_own_keys_exist() -> None:
+def test_all_local_keys_exist() -> None:
     for table, keys in LOCAL_KEYS.items():
         assert keys <= set(type(getattr(Operator(), table)).__struct_fields__)
 
 
 # --- refusals ---
-def test_a_bad_record_is_refused_and_the_old_table_stays() -> None:
+def test_an_invalid_record_is_refused_and_the_old_table_stays() -> None:
     file = File()
     file.publish(1, record("log", 'level = "debug"'))
     (reason,) = file.publish(2, record("log", 'level = "loud"'), record("limits", "depth = 3"))
@@ -162,13 +162,13 @@
     assert "cannot be published" in reason and file.published.accepted.position == 2
 
 
-def test_a_reason_is_one_line_whatever_the_names_are() -> None:
+def test_a_reason_is_one_line_for_any_names() -> None:
     odd = record("a\nb" + "c" * 1000, "x = 1"), record("log", '"d\\ne" = 1')
     first, second = File().publish(1, *odd)
     assert "\n" not in first + second and len(first) < 200 and "unknown key" in second
 
 
-def test_records_of_one_batch_are_refused_together_by_the_whole_check() -> None:
+def test_records_of_one_batch_are_validated_together() -> None:
     file = File()
     bad, good = record("membership", 'sources = ["file"]'), record("limits", "depth = 3")
     (reason,) = file.publish(1, bad, good)
@@ -176,19 +176,19 @@
     assert file.in_force == Operator() and file.published.accepted == PublishedTables()
 
 
-def test_a_refused_table_hinders_no_other_and_is_tried_again() -> None:
+def test_a_refused_table_does_not_block_others_and_is_tried_again() -> None:
     file = File()
     file.publish(1, record("membership", 'sources = ["file"]'))
     assert file.publish(2, record("limits", "depth = 3")) == ()
     assert file.in_force.limits.depth == 3 and not file.in_force.membership.sources
-    assert file.published.reload() == ""  # the file alone cannot bear it yet
+    assert file.published.reload() == ""  # without `file`, the published table is still invalid
     assert not file.in_force.membership.sources
     file.tables["membership"] = {"file": "/list"}
     assert file.published.reload() == ""
     assert file.in_force.membership.sources == ("file",) and file.in_force.limits.depth == 3
 
 
-def test_sighup_keeps_published_tables_and_a_bad_file_changes_nothing() -> None:
+def test_sighup_keeps_published_tables_and_an_invalid_file_changes_nothing() -> None:
     file = File(limits={"depth": 9})
     file.publish(1, record("log", 'level = "debug"'))
     file.tables["limits"]["depth"] = 10
@@ -208,7 +208,7 @@
     assert file.publish(12, complete=True) == () and file.in_force == Operator()
 
 
-def test_a_refused_snapshot_changes_nothing_and_a_later_record_lets_it_in() -> None:
+def test_a_refused_snapshot_changes_nothing_until_a_later_record_makes_it_valid() -> None:
     file = File()
     file.publish(1, record("limits", "depth = 3"))
     bad, good = record("membership", 'sources = ["file"]'), record("log", 'level = "error"')
@@ -232,19 +232,19 @@
     replies: tuple[PollReply, ...],
     receiver: Receiver,
     polls: int,
-    look: Callable[[ScriptedControl], None],
-    takes: bool = True,
+    check: Callable[[ScriptedControl], None],
+    configuration: bool = True,
 ) -> None:
-    """Plays the replies to one service, and looks once it has sent so many polls."""
+    """Answer one service's polls with the replies, and call `check` after `polls` polls."""
 
     async def scenario() -> None:
         control = ScriptedControl(*replies)
-        table = DistributionTable(controls=(control.address,), configuration=takes)
+        table = DistributionTable(controls=(control.address,), configuration=configuration)
         net = SocketNetwork(asyncio.get_running_loop())
         service = DistributionService(table, KEYS, "p0", "", net, receiver)
         try:
-            await until(lambda: reached(control, polls))
-            look(control)
+            await until(lambda: poll_count_reached(control, polls))
+            check(control)
         finally:
             service.close()
             control.server.close()
@@ -253,7 +253,7 @@
     asyncio.run(scenario())
 
 
-async def reached(control: ScriptedControl, polls: int) -> bool:
+async def poll_count_reached(control: ScriptedControl, polls: int) -> bool:
     return len(control.polls) >= polls
 
 
@@ -261,7 +261,7 @@
     return Batch(position, 1, 0, records)
 
 
-def test_a_refusal_goes_with_the_next_poll(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_refusal_is_sent_with_the_next_poll(caplog: pytest.LogCaptureFixture) -> None:
     file = File()
     replies = (
         ok(batch(1, record("log", 'level = "debug"'))),
@@ -269,13 +269,13 @@
     )
     receiver = HooksReceiver(EventHooks(), file.published)
 
-    def look(control: ScriptedControl) -> None:
+    def check(control: ScriptedControl) -> None:
         assert not control.polls[1].refused
         ((position, reason),) = control.polls[2].refused
         assert position == 2 and control.polls[2].position == 2 and "[log] level" in reason
 
     with caplog.at_level(logging.INFO, "violetroute"):
-        follow(replies, receiver, 3, look)
+        follow(replies, receiver, 3, check)
     (line,) = logged(caplog, "distribution.configuration_refused")
     assert line["position"] == 2 and "[log] level" in line["reason"]
     assert file.in_force.log.level == "debug"
@@ -283,7 +283,7 @@
 
 
 class Refusing(CountingReceiver):
-    """Refuses configuration for this reason, or fails with it."""
+    """Refuses all configuration with `reason`, or raises an exception with it."""
 
     def __init__(self, reason: str, fails: bool) -> None:
         super().__init__()
@@ -301,22 +301,22 @@
     ["/file \udcff: [log] level", "\ud800" * 1000, "long " * 1000, "two\nlines", ""],
     ids=["a path", "surrogates", "long", "lines", "empty"],
 )
-def test_any_reason_can_be_told_and_the_polls_go_on(
+def test_any_reason_can_be_sent_and_polling_continues(
     reason: str, fails: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     written: list[bytes] = []
     logs = Logs(lambda line: not written.append(line), lambda: 0.0, lambda: 0.0, LogTable())
-    ours = logging.getLogger("violetroute")
-    monkeypatch.setattr(ours, "propagate", False)  # pytest cannot hand such a line on
-    monkeypatch.setattr(ours, "handlers", [logs])
+    daemon_logger = logging.getLogger("violetroute")
+    monkeypatch.setattr(daemon_logger, "propagate", False)  # pytest cannot forward such a line
+    monkeypatch.setattr(daemon_logger, "handlers", [logs])
     replies = (ok(batch(1, record("log", 'level = "debug"'))), ok(batch(2)))
 
-    def look(control: ScriptedControl) -> None:
+    def check(control: ScriptedControl) -> None:
         ((position, told),) = control.polls[2].refused
         assert position == 1 and len(told) <= 300 and "\n" not in told
         assert control.polls[2].position == 2
 
-    follow(replies, Refusing(reason, fails), 3, look)
+    follow(replies, Refusing(reason, fails), 3, check)
     event = b"daemon.fault" if fails else b"distribution.configuration_refused"
     assert sum(event in line for line in written) == 1
 
@@ -326,33 +326,33 @@
     return PollReply(PollStatus.SNAPSHOT, log, position, 0.0, (), Snapshot(base, records))
 
 
-def test_a_snapshot_brings_the_configuration_and_one_of_another_log_takes_it_back() -> None:
+def test_a_snapshot_sets_the_configuration_and_one_of_another_log_removes_it() -> None:
     file = File()
     seen: list[str] = []
     replies = (snapshot(LOG, 7, record("log", 'level = "debug"')), snapshot("other", 3))
 
-    class Watched(HooksReceiver):
+    class RecordingHooksReceiver(HooksReceiver):
         def configure(self, change: ConfigurationChange) -> tuple[str, ...]:
             reasons = super().configure(change)
             seen.append(f"{change.position} {change.complete} {file.in_force.log.level}")
             return reasons
 
-    follow(replies, Watched(EventHooks(), file.published), 3, lambda control: None)
+    follow(replies, RecordingHooksReceiver(EventHooks(), file.published), 3, lambda control: None)
     assert seen == ["7 True debug", "3 True info"]
 
 
-def test_without_a_proxy_configuration_is_counted() -> None:
+def test_the_counting_receiver_counts_configuration() -> None:
     receiver = CountingReceiver()
     replies = (ok(batch(1, record("log", "level = ")), batch(2, record("x", ""))),)
     follow(replies, receiver, 2, lambda control: None)
     assert receiver.configurations == 2 and receiver.purges == 0
 
 
-def test_it_is_off_unless_the_file_says_so(caplog: pytest.LogCaptureFixture) -> None:
+def test_published_configuration_is_off_by_default(caplog: pytest.LogCaptureFixture) -> None:
     receiver = CountingReceiver()
     with caplog.at_level(logging.INFO, "violetroute"):
         replies = (ok(batch(1, record("log", 'level = "debug"'))),)
-        follow(replies, receiver, 2, lambda control: None, takes=False)
+        follow(replies, receiver, 2, lambda control: None, configuration=False)
     assert receiver.configurations == 0
     (line,) = logged(caplog, "distribution.skipped")
     assert line == {"topic": str(int(Topic.CONFIGURATION)), "count": 1}
@@ -362,8 +362,8 @@
 
 
 # --- real processes ---
-class ConfiguredStage(Deployment):
-    """A control machine and two daemons that take configuration, each with its own lines."""
+class ConfiguredDeployment(Deployment):
+    """A control machine and two daemons that apply configuration, each with its own log lines."""
 
     def __init__(self, folder: Path) -> None:
         super().__init__(folder, machines=1, daemons=2)
@@ -395,7 +395,7 @@
         return await self.command("configure", table, str(path), *seconds)
 
     async def reloaded(self, number: int, origin: str, form: str = "json") -> None:
-        """Until this daemon has said that it took that on, in this form of the log."""
+        """Wait until this daemon has logged a reload with this origin, in this log format."""
 
         def says(line: str) -> bool:
             if "config.reloaded" not in line or line.startswith("{") != (form == "json"):
@@ -413,16 +413,16 @@
         raw = configuration(self.discovery.port, []) | {"name": f"p{number}"}
         await self.daemons[number].start(raw, free_ports(1)[0], self.operator(number))
 
-    async def hang_up(self, number: int) -> None:
+    async def send_sighup(self, number: int) -> None:
         self.logs[number].clear()
         self.operator(number)
         os.kill(self.daemons[number].pid, signal.SIGHUP)
 
 
-def test_daemons_take_a_change_on_and_one_that_refuses_is_shown(tmp_path: Path) -> None:
+def test_daemons_apply_a_change_and_a_refusal_is_shown(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with ConfiguredStage(tmp_path) as deployment:
-            await until(lambda: has_sessions(deployment, 2))
+        async with ConfiguredDeployment(tmp_path) as deployment:
+            await until(lambda: session_count_is(deployment, 2))
             done = await deployment.configure("log", 'format = "json"')
             assert done.exit_code == 0, done.output
             first = int(done.output)
@@ -443,14 +443,16 @@
             assert "refused by" in (await deployment.command("status")).output
 
             deployment.tables[1]["log"] = {"level": "debug"}
-            await deployment.hang_up(1)  # the file still cannot bear it; the published format stays
+            await deployment.send_sighup(
+                1
+            )  # still invalid with this file; the published format stays
             await deployment.reloaded(1, f"position {first}")
             assert not any(f"position {position}" in line for line in deployment.logs[1])
             deployment.tables[1]["membership"] = deployment.nodes
-            await deployment.hang_up(1)
+            await deployment.send_sighup(1)
             await deployment.reloaded(1, f"position {position}")
 
-            await deployment.restart(1)  # a snapshot brings all of it with the first poll
+            await deployment.restart(1)  # the first poll is answered with a snapshot of all tables
             await deployment.reloaded(1, f"position {position}")
 
             done = await deployment.command(
@@ -463,7 +465,7 @@
     asyncio.run(scenario())
 
 
-async def has_sessions(deployment: Deployment, count: int) -> bool:
+async def session_count_is(deployment: Deployment, count: int) -> bool:
     return (await deployment.status(0)).sessions == count
 
 
@@ -491,7 +493,7 @@
     assert done.exit_code == 2 and words in done.output and done.output.count("\n") == 1
 
 
-def test_the_same_control_machines_keep_the_choice_of_whom_to_ask() -> None:
+def test_configuring_the_same_control_machines_keeps_the_selected_one() -> None:
     controls = tuple(ControlEndpoint(f"127.0.0.1:{port}", "") for port in range(1, 40))
     subscriber = Subscriber(SubscriberSettings("p0", "", controls), "i", Random(1), 0.0)
     asked = subscriber.next(0.0)
--- a/tests/violetroute/distribution/test_distribution_daemon.py
+++ b/tests/violetroute/distribution/test_distribution_daemon.py
@@ -1,4 +1,4 @@
-"""Real control processes and real daemons: purges in force, machines that are killed or lost."""
+"""Real control processes and daemons: purges in force, and machines that are killed or lost."""
 
 from __future__ import annotations
 
@@ -58,12 +58,12 @@
 from violetroute.transport import Address, parse_address
 from violetroute.transport.sockets import SocketNetwork
 
-INITIAL_INVALIDATIONS = 1  # voids of a proxy: it does not know what it missed before
-TIMEOUT_S = 60.0  # s; a bound on waiting, far above what any step needs
+INITIAL_INVALIDATIONS = 1  # each proxy starts with one: it does not know what it missed before
+TIMEOUT_S = 60.0  # far above what any step needs
 
 
 class Deployment:
-    """Control machines, and daemons that follow them."""
+    """Control machines, and daemons that subscribe to them."""
 
     def __init__(self, folder: Path, machines: int = 3, daemons: int = 2) -> None:
         self.folder = folder
@@ -111,7 +111,7 @@
         return path
 
     async def publish(self, *keys: str) -> int:
-        """The position, once it is committed."""
+        """Publish purges of these keys.  Returns the position once it is committed."""
         records = tuple(Record(Topic.PURGE, key) for key in keys)
         publication = Publish(secrets.token_hex(8), records)
         reply = await asking.publish(self.machines, publication, TIMEOUT_S)
@@ -124,7 +124,7 @@
         return status
 
     async def leader(self) -> int:
-        """The number of the machine that leads, once one does."""
+        """Wait until a machine leads, and return its number."""
         found: list[int] = []
 
         async def leads() -> bool:
@@ -153,16 +153,16 @@
         )
 
     async def all_fresh(self) -> bool:
-        """Whether each daemon has its first answer: a snapshot, for which it voids all."""
-        told = [await self.daemon(number) for number in range(len(self.daemons))]
-        return all(each["fresh"] for each in told)
+        """Whether each daemon has applied its first answer, a snapshot."""
+        statuses = [await self.daemon(number) for number in range(len(self.daemons))]
+        return all(each["fresh"] for each in statuses)
 
     async def purged(self, count: int) -> bool:
         return [(await self.daemon(n))["purges"] for n in range(len(self.daemons))] == [
             count
         ] * len(self.daemons)
 
-    def said(self, event: str) -> list[str]:
+    def logged(self, event: str) -> list[str]:
         return [line for line in self.lines if f" {event} " in line]
 
 
@@ -185,10 +185,13 @@
             assert await deployment.purged(7)
             assert status.replica == status.leader and status.in_force >= position
             assert status.stale == 0 and not status.refused and len(status.replicas) == 3
-            told = await deployment.daemon(0)
-            assert told["position"] >= position and told["voids"] == INITIAL_INVALIDATIONS
-            assert told["bytes_in"] > 0 and told["bytes_out"] > 0
-            assert not deployment.said("daemon.fault") and not deployment.said("control.fault")
+            daemon_status = await deployment.daemon(0)
+            assert (
+                daemon_status["position"] >= position
+                and daemon_status["voids"] == INITIAL_INVALIDATIONS
+            )
+            assert daemon_status["bytes_in"] > 0 and daemon_status["bytes_out"] > 0
+            assert not deployment.logged("daemon.fault") and not deployment.logged("control.fault")
 
     asyncio.run(scenario())
 
@@ -197,7 +200,7 @@
     return (await deployment.status(await deployment.leader())).sessions == count
 
 
-def test_a_leader_that_is_killed_is_replaced_and_comes_back(tmp_path: Path) -> None:
+def test_a_killed_leader_is_replaced_and_catches_up_after_its_restart(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Deployment(tmp_path) as deployment:
             first = await deployment.publish("before")
@@ -217,8 +220,8 @@
             last = await deployment.publish("again")
             await deployment.in_force(last)
             assert await deployment.purged(3)
-            told = [await deployment.daemon(number) for number in (0, 1)]
-            assert [each["voids"] for each in told] == [
+            statuses = [await deployment.daemon(number) for number in (0, 1)]
+            assert [each["voids"] for each in statuses] == [
                 INITIAL_INVALIDATIONS,
                 INITIAL_INVALIDATIONS,
             ]
@@ -226,7 +229,7 @@
     asyncio.run(scenario())
 
 
-def test_a_leader_that_was_stopped_wakes_behind_a_newer_one(tmp_path: Path) -> None:
+def test_a_paused_leader_resumes_as_follower_of_a_newer_one(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Deployment(tmp_path, daemons=1) as deployment:
             first = await deployment.publish("before")
@@ -237,7 +240,7 @@
             assert second > first
             os.kill(process.pid, signal.SIGCONT)
             position = second
-            for number in range(5):  # whoever is asked, the order is one
+            for number in range(5):  # at any machine: the order stays the same
                 position = await deployment.publish(f"after {number}")
             await deployment.in_force(position)
             assert await deployment.purged(7)
@@ -247,12 +250,12 @@
                 return status.commit >= position and process.running
 
             await until(has_caught_up)
-            assert not deployment.said("control.fault")
+            assert not deployment.logged("control.fault")
 
     asyncio.run(scenario())
 
 
-def test_what_is_no_message_is_refused_and_harms_nothing(tmp_path: Path) -> None:
+def test_invalid_messages_are_rejected_without_effect(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Deployment(tmp_path, machines=1, daemons=0) as deployment:
             net = SocketNetwork(asyncio.get_running_loop())
@@ -265,23 +268,25 @@
                 ("/fetch", b"\xdd\xff\xff\xff\xff"),
                 ("/report", bytes(100_000)),
             ):
-                told: asyncio.Future[str] = asyncio.get_running_loop().create_future()
+                reason: asyncio.Future[str] = asyncio.get_running_loop().create_future()
                 client = HttpClient(net, deployment.machines.addresses[0], deployment.machines.keys)
-                client.request(path, body, 10.0, lambda _, why, told=told: told.set_result(why))
-                assert await told == "status 400", path
+                client.request(
+                    path, body, 10.0, lambda _, why, reason=reason: reason.set_result(why)
+                )
+                assert await reason == "status 400", path
                 client.close()
             await deployment.publish("after")
 
     asyncio.run(scenario())
 
 
-def test_sigterm_hands_the_lease_back(tmp_path: Path) -> None:
+def test_sigterm_releases_the_lease(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Deployment(tmp_path, daemons=0) as deployment:
             await deployment.publish("before")
             leader = await deployment.leader()
             assert await deployment.controls.processes[leader].term() == 0
-            assert deployment.said("fleet.handed_back") and deployment.said("control.ended")
+            assert deployment.logged("fleet.handed_back") and deployment.logged("control.ended")
             await deployment.publish("after")
             assert await deployment.leader() != leader
 
@@ -289,7 +294,7 @@
 
 
 @pytest.mark.long
-def test_without_a_majority_nothing_is_committed_and_daemons_know_that_they_are_stale(
+def test_without_a_majority_nothing_is_committed_and_daemons_become_stale(
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
@@ -297,8 +302,8 @@
             position = await deployment.publish("before")
 
             async def is_fresh() -> bool:
-                told = await deployment.daemon(0)
-                return bool(told["fresh"]) and told["position"] >= position
+                status = await deployment.daemon(0)
+                return bool(status["fresh"]) and status["position"] >= position
 
             await until(is_fresh)
             leader = await deployment.leader()
@@ -308,7 +313,7 @@
 
             async def is_stale() -> bool:
                 return (
-                    bool(deployment.said("distribution.stale"))
+                    bool(deployment.logged("distribution.stale"))
                     and not (await deployment.daemon(0))["fresh"]
                 )
 
@@ -328,7 +333,9 @@
 
 
 @pytest.mark.long
-def test_a_lost_folder_is_refused_and_its_replacement_recovers(tmp_path: Path) -> None:
+def test_a_lost_data_folder_prevents_the_start_and_a_replacement_recovers(
+    tmp_path: Path,
+) -> None:
     async def scenario() -> None:
         async with Deployment(tmp_path, daemons=1) as deployment:
             await deployment.publish("before")
@@ -337,7 +344,7 @@
             process = deployment.controls.processes[lost]
             await process.kill()
             shutil.rmtree(deployment.controls.data_folder(lost))
-            for _ in range(2):  # a start makes nothing that a second one would take for a log
+            for _ in range(2):  # a failed start must not create what the next one takes for a log
                 with pytest.raises(UnreadyError, match="limebridge control init"):
                     await process.start()
                 assert await process.wait() == 1
@@ -354,8 +361,8 @@
                 status = await deployment.status(lost)
                 return not status.recovering and status.commit >= second
 
-            async def said_so() -> bool:  # the line may come after the status
-                return bool(deployment.said("control.recovered"))
+            async def said_so() -> bool:  # the log line may come after the status
+                return bool(deployment.logged("control.recovered"))
 
             await until(recovered)
             await until(said_so)
@@ -367,7 +374,7 @@
     asyncio.run(scenario())
 
 
-def test_a_disk_that_fails_ends_the_process_and_loses_nothing(tmp_path: Path) -> None:
+def test_a_failing_disk_ends_the_process_and_loses_no_committed_record(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Deployment(tmp_path, machines=1, daemons=0) as deployment:
             process = deployment.controls.processes[0]
@@ -389,7 +396,7 @@
             with pytest.raises(NoAnswerError):
                 await asyncio.wait_for(fill(), TIMEOUT_S)
             assert await asyncio.wait_for(process.wait(), TIMEOUT_S) == 1
-            assert deployment.said("control.ends")
+            assert deployment.logged("control.ends")
             await process.start()
             await deployment.leader()
             assert (await deployment.status(0)).last.position >= position
@@ -398,7 +405,7 @@
     asyncio.run(scenario())
 
 
-def test_the_command_line_publishes_and_looks(tmp_path: Path) -> None:
+def test_the_command_line_publishes_and_shows_the_status(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Deployment(tmp_path, machines=1, daemons=0) as deployment:
             address = ["--machine", deployment.controls.addresses[0]]
@@ -435,7 +442,7 @@
     asyncio.run(scenario())
 
 
-def test_other_controls_are_taken_on_with_sighup(tmp_path: Path) -> None:
+def test_sighup_applies_other_control_machines(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Deployment(tmp_path, machines=2, daemons=1) as deployment:
             position = await deployment.publish("one")
@@ -450,19 +457,19 @@
 
             async def polls_only_the_one() -> bool:
                 return (await deployment.daemon(0))["asks"] in ("", address) and bool(
-                    deployment.said("config.reloaded")
+                    deployment.logged("config.reloaded")
                 )
 
             await until(polls_only_the_one)
             position = await deployment.publish("two")
             await until(applied)
-            told = await deployment.daemon(0)
-            assert (told["purges"], told["voids"]) == (2, INITIAL_INVALIDATIONS)
+            status = await deployment.daemon(0)
+            assert (status["purges"], status["voids"]) == (2, INITIAL_INVALIDATIONS)
 
     asyncio.run(scenario())
 
 
-def test_a_table_that_is_removed_holds_until_the_restart_and_each_reload_says_so(
+def test_a_removed_table_stays_in_effect_until_the_restart_and_each_reload_reports_it(
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
@@ -472,30 +479,30 @@
                 os.kill(deployment.daemons[0].pid, signal.SIGHUP)
 
                 async def reloaded(count: int = reloads) -> bool:
-                    return len(deployment.said("config.reloaded")) == count
+                    return len(deployment.logged("config.reloaded")) == count
 
                 await until(reloaded)
-                (*_, needed) = deployment.said("config.restart_needed")
-                assert len(deployment.said("config.restart_needed")) == reloads
+                (*_, needed) = deployment.logged("config.restart_needed")
+                assert len(deployment.logged("config.restart_needed")) == reloads
                 assert needed.endswith("keys=distribution")
                 position = await deployment.publish(f"key {reloads}")
                 await deployment.in_force(position)
                 assert await deployment.purged(reloads)
-            assert not deployment.said("daemon.fault")
-            deployment.operator(0)  # the table is back: nothing waits for a restart any more
+            assert not deployment.logged("daemon.fault")
+            deployment.operator(0)  # the table is restored: no restart is needed any more
             os.kill(deployment.daemons[0].pid, signal.SIGHUP)
 
             async def reloaded_again() -> bool:
-                return len(deployment.said("config.reloaded")) == 4
+                return len(deployment.logged("config.reloaded")) == 4
 
             await until(reloaded_again)
-            assert len(deployment.said("config.restart_needed")) == 3
+            assert len(deployment.logged("config.restart_needed")) == 3
 
     asyncio.run(scenario())
 
 
-async def hang_up(deployment: Deployment, table: dict[str, Any] | None) -> None:
-    """The only control machine's file is this, or is no TOML, and it gets SIGHUP."""
+async def reload_with_file(deployment: Deployment, table: dict[str, Any] | None) -> None:
+    """Replace the only control machine's file, with invalid TOML for None, and send SIGHUP."""
     process = deployment.controls.processes[0]
     process.file.write_text("name = " if table is None else tomli_w.dumps(table))
     os.kill(process.pid, signal.SIGHUP)
@@ -516,24 +523,26 @@
 
                 await until(there)
 
-            await hang_up(deployment, table | {"log": {"format": "json"}, "region": "south"})
+            await reload_with_file(
+                deployment, table | {"log": {"format": "json"}, "region": "south"}
+            )
             await said("config.restart_needed", "keys=region")
             await said("control.reloaded", '"file":')
-            await hang_up(deployment, None)
+            await reload_with_file(deployment, None)
             await said("config.unusable", "c0.toml")
-            await hang_up(deployment, table | {"log": {"level": "loud"}})
+            await reload_with_file(deployment, table | {"log": {"level": "loud"}})
             await said("config.unusable", "[log] level")
-            await hang_up(deployment, table)
+            await reload_with_file(deployment, table)
             await said("control.reloaded", " file=")
             await deployment.publish("after")
-            assert not deployment.said("control.fault")
+            assert not deployment.logged("control.fault")
             assert await deployment.controls.processes[0].term() == 0
 
     asyncio.run(scenario())
 
 
 def test_an_early_sighup_does_not_end_a_control_machine(tmp_path: Path) -> None:
-    """The signal comes as soon as the handler can stand, long before the loop does."""
+    """SIGHUP arrives while the file is loaded, long before the event loop runs."""
     table = control_table(tmp_path)
     path = tmp_path / "c0.toml"
     path.write_text(tomli_w.dumps(table))
@@ -557,7 +566,7 @@
 # --- descriptors ---
 @contextmanager
 def descriptor_limit_of_children(descriptors: int) -> Iterator[None]:
-    """Control processes that are started within may have so many descriptors."""
+    """Limit the file descriptors of control processes that are started within this context."""
     before = control_process.COMMAND
     shell = ("/bin/sh", "-c", f'ulimit -S -n {descriptors}; exec "$@"', "sh")
     control_process.COMMAND = (*shell, *before)
@@ -568,7 +577,7 @@
 
 
 async def hold_connections(address: Address, count: int) -> None:
-    """Holds so many connections that say nothing, and replaces those that the server ends."""
+    """Keep `count` silent connections open, and replace those that the server closes."""
 
     async def hold() -> None:
         while True:
@@ -587,12 +596,12 @@
 
 
 def large_publication() -> Publish:
-    """A publication of 800 KB of a topic that nobody knows."""
+    """A publication of 800 KB of records with an unknown topic."""
     body = bytes(16 * 1024)
     return Publish(secrets.token_hex(8), tuple(Record(200, "x", body) for _ in range(50)))
 
 
-def test_a_crowd_of_connections_stops_neither_the_lease_nor_the_log(tmp_path: Path) -> None:
+def test_a_flood_of_connections_stops_neither_the_lease_nor_the_log(tmp_path: Path) -> None:
     async def scenario() -> None:
         with descriptor_limit_of_children(200):
             deployment = Deployment(tmp_path, machines=1, daemons=0)
@@ -601,12 +610,12 @@
         client = HttpClient(SocketNetwork(asyncio.get_running_loop()), address, keys)
 
         async def published() -> Published:
-            told: asyncio.Future[bytes | None] = asyncio.get_running_loop().create_future()
+            result: asyncio.Future[bytes | None] = asyncio.get_running_loop().create_future()
             publication = large_publication()
             client.request(
-                "/publish", encode(publication), TIMEOUT_S, lambda b, _: told.set_result(b)
+                "/publish", encode(publication), TIMEOUT_S, lambda b, _: result.set_result(b)
             )
-            reply: Published | None = decode_reply(publication, await told)
+            reply: Published | None = decode_reply(publication, await result)
             assert reply is not None and reply.status == PublishStatus.COMMITTED
             return reply
 
@@ -621,9 +630,9 @@
             assert last.fence == first.fence and deployment.controls.processes[0].running
             assert len(list(deployment.controls.data_folder(0).glob("segment-*"))) > 1
             for event in ("fleet.store_failed", "fleet.lapsed", "control.term_ended"):
-                assert not deployment.said(event), event
+                assert not deployment.logged(event), event
             assert any(
-                "too many connections" in line for line in deployment.said("distribution.refused")
+                "too many connections" in line for line in deployment.logged("distribution.refused")
             )
         finally:
             client.close()
@@ -632,7 +641,7 @@
     asyncio.run(scenario())
 
 
-def test_more_proxies_than_there_is_room_for_leave_room_for_others(tmp_path: Path) -> None:
+def test_proxies_beyond_the_limit_leave_connections_for_publications(tmp_path: Path) -> None:
     async def scenario() -> None:
         with descriptor_limit_of_children(200):
             deployment = Deployment(tmp_path, machines=1, daemons=0)
@@ -649,7 +658,7 @@
 
             async def refused() -> bool:
                 return any(
-                    "too many proxies" in line for line in deployment.said("distribution.refused")
+                    "too many proxies" in line for line in deployment.logged("distribution.refused")
                 )
 
             await until(refused)
@@ -665,7 +674,7 @@
     asyncio.run(scenario())
 
 
-def test_too_few_descriptors_are_one_line_and_exit_code_1(tmp_path: Path) -> None:
+def test_too_few_descriptors_give_one_line_and_exit_code_1(tmp_path: Path) -> None:
     path = tmp_path / "c0.toml"
     path.write_text(tomli_w.dumps(control_table(tmp_path)))
     done = subprocess.run(
@@ -679,7 +688,7 @@
 
 
 @pytest.mark.parametrize("machines", [1, 3, 15])
-def test_connections_leave_descriptors_for_everything_else(machines: int) -> None:
+def test_connection_limits_leave_descriptors_for_everything_else(machines: int) -> None:
     peers = CLIENTS_PER_ADDRESS * (machines - 1)
     for descriptors in (1024, 4096, 2**20):
         bounds = connection_bounds(descriptors, machines)
@@ -700,7 +709,7 @@
     return machines.table(0)
 
 
-WRONG: dict[str, tuple[Callable[[dict[str, Any]], object], str]] = {
+INVALID_CONTROL_FILES: dict[str, tuple[Callable[[dict[str, Any]], object], str]] = {
     "no name": (lambda t: t.pop("name"), "name: missing"),
     "another name": (lambda t: t.update(name="c9"), "name: 'c9' is none of the names"),
     "an unknown key": (lambda t: t.update(folde=""), "did you mean folder?"),
@@ -721,12 +730,12 @@
 
 
 class FileAccepted(Exception):
-    """A file that should have been refused came as far as serving."""
+    """The file was accepted: `main` has reached `serve`."""
 
 
 @pytest.fixture
 def in_one_process(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    """For `main` in this process: none serves; what it changes of the process is put back."""
+    """Lets `main` run in this process: replaces `serve`, and restores what `main` changes."""
 
     async def serve(*_: object) -> int:
         raise FileAccepted
@@ -739,10 +748,10 @@
     logging.getLogger().handlers[:] = log_handlers
 
 
-def wrong_control_file(folder: Path, name: str) -> Path:
-    """The control machine's file of this case."""
+def write_invalid_control_file(folder: Path, name: str) -> Path:
+    """Write the control machine's file of this case."""
     table = control_table(folder)
-    corrupt, _ = WRONG[name]
+    corrupt, _ = INVALID_CONTROL_FILES[name]
     corrupt(table)
     path = folder / "wrong.toml"
     path.write_text(tomli_w.dumps(table))
@@ -750,28 +759,28 @@
 
 
 @pytest.mark.usefixtures("in_one_process")
-@pytest.mark.parametrize("name", WRONG)
-def test_a_wrong_control_file_is_one_line_and_exit_code_2(
+@pytest.mark.parametrize("name", INVALID_CONTROL_FILES)
+def test_an_invalid_control_file_gives_one_line_and_exit_code_2(
     tmp_path: Path, capfd: pytest.CaptureFixture[str], name: str
 ) -> None:
-    path = wrong_control_file(tmp_path, name)
+    path = write_invalid_control_file(tmp_path, name)
     code = control_main.main([str(path)])
     out, err = capfd.readouterr()
     assert code == 2 and not out
-    assert err.count("\n") == 1 and WRONG[name][1] in err and str(path) in err
+    assert err.count("\n") == 1 and INVALID_CONTROL_FILES[name][1] in err and str(path) in err
 
 
 @pytest.mark.usefixtures("in_one_process")
-def test_a_right_control_file_comes_as_far_as_serving(tmp_path: Path) -> None:
+def test_a_valid_control_file_is_accepted(tmp_path: Path) -> None:
     path = tmp_path / "right.toml"
     path.write_text(tomli_w.dumps(control_table(tmp_path)))
     with pytest.raises(FileAccepted):
         control_main.main([str(path)])
 
 
-def test_a_control_process_with_a_wrong_file_ends(tmp_path: Path) -> None:
+def test_a_control_process_with_an_invalid_file_exits(tmp_path: Path) -> None:
     name = "no name"
-    path = wrong_control_file(tmp_path, name)
+    path = write_invalid_control_file(tmp_path, name)
     done = subprocess.run(
         [sys.executable, "-m", "violetroute.distribution", str(path)],
         capture_output=True,
@@ -780,10 +789,10 @@
     )
     assert done.returncode == 2 and not done.stdout
     assert done.stderr.count("\n") == 1
-    assert WRONG[name][1] in done.stderr and str(path) in done.stderr
+    assert INVALID_CONTROL_FILES[name][1] in done.stderr and str(path) in done.stderr
 
 
-def test_an_address_that_is_taken_is_one_line_and_exit_code_1(tmp_path: Path) -> None:
+def test_an_address_in_use_gives_one_line_and_exit_code_1(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Deployment(tmp_path, machines=1, daemons=0) as deployment:
             table = deployment.controls.table(0) | {"folder": str(tmp_path / "second")}
@@ -815,7 +824,7 @@
 
 
 def operators_file(folder: Path, table: dict[str, Any]) -> tuple[Path, Path]:
-    """An operator's file with this `[distribution]`, and a platform's file."""
+    """Write an operator's file with this `[distribution]`, and a platform's file."""
     operator, platform = folder / "operator.toml", folder / "config.json"
     operator.write_text(tomli_w.dumps({"distribution": table}))
     platform.write_text(json.dumps(configuration(free_ports(1)[0], [])))
@@ -823,7 +832,7 @@
 
 
 def set_arguments(monkeypatch: pytest.MonkeyPatch, operator: Path, platform: Path) -> None:
-    """The daemon's command line and environment name these files."""
+    """Make the daemon's command line and environment name these files."""
     monkeypatch.setenv("PROXY_CONFIG", str(platform))
     monkeypatch.delenv("LIMEBRIDGE_OPERATOR", raising=False)
     monkeypatch.setattr(sys, "argv", ["violetroute", "--operator", str(operator)])
@@ -842,7 +851,7 @@
         ({"control": []}, "did you mean controls?"),
     ],
 )
-def test_a_wrong_operators_file_is_one_line_and_exit_code_2(
+def test_an_invalid_operators_file_gives_one_line_and_exit_code_2(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     capfd: pytest.CaptureFixture[str],
@@ -858,7 +867,7 @@
 
 
 @pytest.mark.usefixtures("in_one_process")
-def test_a_right_operators_file_comes_as_far_as_serving(
+def test_a_valid_operators_file_is_accepted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     operator, platform = operators_file(tmp_path, {})
@@ -867,7 +876,7 @@
         proxy_main.main()
 
 
-def test_a_daemon_with_a_wrong_operators_file_ends(tmp_path: Path) -> None:
+def test_a_daemon_with_an_invalid_operators_file_exits(tmp_path: Path) -> None:
     operator, platform = operators_file(tmp_path, {"control": []})
     done = subprocess.run(
         [sys.executable, "-m", "violetroute", "--operator", str(operator)],
@@ -880,7 +889,7 @@
     assert "[distribution]" in done.stderr and "did you mean controls?" in done.stderr
 
 
-def test_nothing_of_it_is_imported_where_it_is_off() -> None:
+def test_no_distribution_module_is_imported_while_it_is_off() -> None:
     program = (
         "import sys, violetroute.__main__; "
         "print(*sorted(m for m in sys.modules if m.startswith('violetroute.distribution')))"
--- a/tests/violetroute/distribution/test_distribution_session_end.py
+++ b/tests/violetroute/distribution/test_distribution_session_end.py
@@ -28,11 +28,11 @@
 from tests.violetroute.distribution.test_distribution_sessions import (
     NOT_READY,
     Machine,
-    named,
-    one,
-    started,
+    answered_machine,
+    reply_of,
+    reported_names,
 )
-from tests.violetroute.distribution.test_distribution_subscriber import give, raw, subscriber
+from tests.violetroute.distribution.test_distribution_subscriber import deliver, raw, subscriber
 from tests.violetroute.distribution.test_distribution_subscriber import ok as answer
 from violetroute.distribution.messages import Poll, PollReply, PollStatus
 from violetroute.distribution.routes import decode_request, encode, path_of
@@ -47,7 +47,7 @@
 # --- the subscriber ---
 def test_a_process_that_has_ended_its_session_is_never_fresh_again() -> None:
     sub = subscriber()
-    give(sub, answer(1, raw(1)), 1.0)
+    deliver(sub, answer(1, raw(1)), 1.0)
     assert sub.fresh(1.1)
     send = sub.next(1.2)
     assert isinstance(send, SendPoll) and not send.poll.ends_session
@@ -68,7 +68,7 @@
 
 
 def test_an_ended_session_is_dropped_at_once_and_included_in_the_next_report() -> None:
-    machine = started(3)
+    machine = answered_machine(3)
     assert machine.poll(0.5, 3) == []  # is held
     held, last = end(machine)
     assert (held.reply.status, last.reply.status) == (NOT_READY, NOT_READY)
@@ -80,7 +80,7 @@
 
 
 def test_an_end_is_reported_again_after_a_lost_report() -> None:
-    machine = started(3)
+    machine = answered_machine(3)
     end(machine)
     lost = machine.report(1.3)
     assert machine.sessions.replied(1.4, lost, None) == []
@@ -98,19 +98,19 @@
 
 
 def test_duplicate_last_polls_and_delayed_earlier_polls_create_no_session() -> None:
-    machine = started(3)
+    machine = answered_machine(3)
     end(machine)
-    assert one(end(machine)).status == NOT_READY
-    assert one(machine.poll(1.1, 2)).status == NOT_READY
+    assert reply_of(end(machine)).status == NOT_READY
+    assert reply_of(machine.poll(1.1, 2)).status == NOT_READY
     assert len(machine.sessions) == 0
-    assert one(end(machine, msgspec.structs.replace(LAST, name="unknown"))).status == NOT_READY
+    assert reply_of(end(machine, msgspec.structs.replace(LAST, name="unknown"))).status == NOT_READY
     assert len(machine.sessions) == 0
 
 
 def test_a_delayed_last_poll_does_not_end_the_session_of_the_next_process() -> None:
-    machine = started(3)
+    machine = answered_machine(3)
     earlier = msgspec.structs.replace(LAST, incarnation="i0")
-    assert one(end(machine, earlier)).status == NOT_READY
+    assert reply_of(end(machine, earlier)).status == NOT_READY
     assert len(machine.sessions) == 1
     assert machine.report(1.3).ended == ()
 
@@ -120,7 +120,7 @@
     for number in range(MAX_ENDED_SESSIONS + 9):
         end(machine, msgspec.structs.replace(LAST, name=f"p{number}"))
     assert len(machine.sessions._ended) == MAX_ENDED_SESSIONS
-    assert named(machine.report(1.3)) == []
+    assert reported_names(machine.report(1.3)) == []
 
 
 # --- the leader ---
