--- a/benchmarks/emulated_fleet.py
+++ b/benchmarks/emulated_fleet.py
@@ -37,7 +37,9 @@
         self.kernel = Kernel(1, start=1000.0)
         self.loop = VirtualLoop(self.kernel)
         self.random = random.Random(1)
-        self.kernel.weather = lambda owner, port: [] if self.random.random() < loss else [0.0005]
+        self.kernel.datagram_delays = lambda owner, port: (
+            [] if self.random.random() < loss else [0.0005]
+        )
         self.proxies = [Quiet() for _ in range(count)]
         self.told: list[tuple[float, str, str]] = []
         self.here: list[Sharing] = []
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -36,7 +36,7 @@
 
 from limebridge.ledger.kills import play as play_kills
 from limebridge.ledger.sketch import STRATA, STRATUM, Sketch, Strata, mix
-from limebridge.virtual.ledger import Trial, play
+from limebridge.virtual.ledger import Trial, run_trial
 from violetroute.ledger.accounts import Batch, Book
 from violetroute.ledger.counters import UsageCounters
 from violetroute.ledger.export import json_lines
@@ -281,7 +281,7 @@
 
 def _cut(place: int) -> tuple[int, int, int]:
     logging.disable(logging.CRITICAL)
-    found = play(Trial(place, minutes=9.0, kills=0, cut_at=place, troubles=False, steps=False))
+    found = run_trial(Trial(place, minutes=9.0, kills=0, cut_at=place, troubles=False, steps=False))
     return found.killed, found.doubled, found.missing
 
 
@@ -303,7 +303,7 @@
 def _trial(seed: int) -> tuple[int, int, int, int, int]:
     logging.disable(logging.CRITICAL)
     rng = random.Random(seed)
-    found = play(
+    found = run_trial(
         Trial(
             seed,
             minutes=12.0,
@@ -324,7 +324,7 @@
     taken = time.monotonic() - began
     kept = [each for each in found if not each[4]]
     logging.disable(logging.CRITICAL)
-    many = play(Trial(1, minutes=20.0, kills=500))
+    many = run_trial(Trial(1, minutes=20.0, kills=500))
     return {
         "seeds": len(found),
         "over": sum(each[0] for each in found),
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -27,7 +27,7 @@
 
 from limebridge.standins.consul import Catalogue, Consul
 from limebridge.virtual.plan import Fault, Plan
-from limebridge.virtual.runner import play
+from limebridge.virtual.runner import run_plan
 from limebridge.virtual.world import Outcome
 from snowstall import Balancer, Effect, ListKind, RequestClass, Settings, Timer
 from violetroute.membership import ConsulTable, Listing
@@ -128,8 +128,8 @@
         dies = (Fault(10.0, "node_dies", 1, 40.0),)
         away = tuple(Fault(5.0, "consul_stops", number, 60.0) for number in (0, 1))
         plan = Plan(seed, 70.0, 6, 8, 20.0, consul=True, faults=dies)
-        rows["with"].append(served(play(plan)))
-        rows["without"].append(served(play(msgspec.structs.replace(plan, faults=away + dies))))
+        rows["with"].append(served(run_plan(plan)))
+        rows["without"].append(served(run_plan(msgspec.structs.replace(plan, faults=away + dies))))
     means = {name: round(statistics.mean(each), 4) for name, each in rows.items()}
     return {"outage_s": 60, "served": means, "lost": round(means["with"] - means["without"], 4)}
 
@@ -142,7 +142,7 @@
         plan = Plan(
             seed, 90.0, 6, 8, 20.0, consul=True, faults=(Fault(10.0, "consul_flaps", 1, 60.0),)
         )
-        outcome = play(plan)
+        outcome = run_plan(plan)
         assert not outcome.broken, outcome.broken[0].message
         for line in outcome.trace:
             at, _, rest = line.partition(" ")
--- a/benchmarks/membership_return.py
+++ b/benchmarks/membership_return.py
@@ -38,7 +38,7 @@
         draw = random.Random(seed)
         self.received: dict[str, int] = {}  # bytes, by name and life
         self._salt = seed
-        self.kernel.weather = lambda owner, port: [] if draw.random() < loss else [DELAY]
+        self.kernel.datagram_delays = lambda owner, port: [] if draw.random() < loss else [DELAY]
 
     def add(self) -> Sharing:
         """Start one more member, whose bytes are counted."""
--- a/benchmarks/request_load.py
+++ b/benchmarks/request_load.py
@@ -172,7 +172,7 @@
         counter.start()
     while asked < requests:
         seed += 1
-        outcome = runner.play(plan.draw(seed))
+        outcome = runner.run_plan(plan.generate(seed))
         if outcome.broken:
             raise RuntimeError(f"seed {seed}: {outcome.broken}")
         digest.update(outcome.digest.encode())
--- a/limebridge/explore_commands.py
+++ b/limebridge/explore_commands.py
@@ -68,11 +68,11 @@
     history = coverage.History() if goes_on else None
     if history is not None:
         try:
-            first, met = history.take("consul" if consul else "plain", seeds)
+            first, met = history.reserve_seeds("consul" if consul else "plain", seeds)
         except (OSError, ValueError) as error:
             typer.echo(f"limebridge: {error}", err=True)
             raise typer.Exit(2) from None
-        pairs = coverage.rare(met, consul)
+        pairs = coverage.rarest_pairs(met, consul)
         keep = keep or Path("found")  # a plan that leans is more than its seed
     columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn())
     with Progress(*columns, console=Console(stderr=True), disable=as_json) as progress:
@@ -94,7 +94,7 @@
         else:
             line = ["limebridge replay", str(found.seed), *(["--consul"] if consul else [])]
         typer.echo(" ".join([*line, *(["--patch", str(patch)] if patch else [])]), err=True)
-        typer.echo(timeline.tell(runner.play(smaller)), err=True)
+        typer.echo(timeline.render_text(runner.run_plan(smaller)), err=True)
     if history is not None:
         history.add(summary.seeds, summary.met)
     told = {
@@ -137,7 +137,7 @@
 ) -> None:
     """Play one plan again and tell its story.  Exit status 1 when it breaks something."""
     try:
-        draw = plans.draw_consul if consul else plans.draw
+        draw = plans.generate_consul if consul else plans.generate
         plan = draw(int(what)) if what.isdecimal() else plans.read(Path(what))
     except (OSError, ValueError) as error:
         typer.echo(f"limebridge: {error}", err=True)
@@ -145,9 +145,9 @@
     prepare = _patched(patch)
     if prepare is not None:
         prepare()
-    outcome = runner.play(plan)
+    outcome = runner.run_plan(plan)
     if html is not None:
-        html.write_text(timeline.picture(outcome))
+        html.write_text(timeline.render_html(outcome))
     print(
         json.dumps(
             {
@@ -157,7 +157,7 @@
             }
         )
         if as_json
-        else timeline.tell(outcome)
+        else timeline.render_text(outcome)
     )
     raise typer.Exit(1 if outcome.broken else 0)
 
--- a/limebridge/faults/sharing/memory.py
+++ b/limebridge/faults/sharing/memory.py
@@ -146,7 +146,7 @@
         self.rates[-1] = LOADED * plan.per_s
         self.cut: Counter[Way] = Counter()  # how many faults cut it
         self.loss, self.storm = 0.0, 0.0
-        self.kernel.weather = self._weather
+        self.kernel.datagram_delays = self._weather
         self.twins: list[Process] = []
         self.violations: list[Violation] = []
 
--- a/limebridge/rehearsal/engine.py
+++ b/limebridge/rehearsal/engine.py
@@ -22,7 +22,7 @@
 from limebridge.virtual import Kernel, VirtualLoop
 from limebridge.virtual.costs import measured
 from limebridge.virtual.process import Process
-from limebridge.virtual.received import Ears
+from limebridge.virtual.received import SourceObserver
 from limebridge.virtual.session import quiet, run, sent_at
 from violetroute.config import parse
 
@@ -263,7 +263,7 @@
     # --- what real.py does otherwise ---
     def _world(self) -> None:
         self.wall = WALL  # Unix s at the clock's 0
-        self.kernel.extra = self._distance
+        self.kernel.extra_delay = self._distance
         if self.scenario.proxies.fleet:
             from .fleet import Talk  # an older build that is played has other names there
 
@@ -273,8 +273,8 @@
         """Judge by the bytes that each process was told."""
         self.kernel.link(self.discovery.port).latency = 0.001
         self._owners: dict[str, None] = {}
-        ears = Ears(self.kernel, self._owners, self._line, lambda *what: None)
-        ears.follow(self.discovery.port)
+        source_observer = SourceObserver(self.kernel, self._owners, self._line, lambda *what: None)
+        source_observer.follow(self.discovery.port)
 
     def _list(self, *entries: NodeEntry, reset: bool = False) -> None:
         self.discovery.publish(*entries, reset=reset)
@@ -291,7 +291,7 @@
             owner,
             measured().over(cores) if cores else None,
         )
-        process.joins = None if self._talk is None else self._talk.join
+        process.create_sharing = None if self._talk is None else self._talk.join
         return process, process.start(parse(raw, self.scenario.operator))
 
     async def _restart(self, process: Any, port: int) -> None:
--- a/limebridge/rehearsal/fleet.py
+++ b/limebridge/rehearsal/fleet.py
@@ -34,7 +34,7 @@
         deaf = round(scenario.proxies.deaf * len(names))
         self._deaf = {PORT + int(name[1:]) for name in names[:deaf]}
         self._liars = set(names[deaf : deaf + round(scenario.proxies.liars * len(names))])
-        kernel.weather = lambda owner, port: [] if port in self._deaf else [WAY]
+        kernel.datagram_delays = lambda owner, port: [] if port in self._deaf else [WAY]
         self.here: list[Sharing] = []
 
     def join(self, process: Any, net: SocketNetwork) -> Sharing:
--- a/limebridge/scale/virtual_members.py
+++ b/limebridge/scale/virtual_members.py
@@ -56,7 +56,7 @@
     def __init__(self, fleet_size: int, probe_s: float = SharingTable().probe_s) -> None:
         self._probe_s = probe_s
         self.kernel = Kernel(1, start=START)
-        self.kernel.weather = lambda owner, port: [DELAY]
+        self.kernel.datagram_delays = lambda owner, port: [DELAY]
         self.loop = VirtualLoop(self.kernel)
         self.fleet_size = fleet_size
         self.members: list[Sharing] = []
--- a/limebridge/virtual/client.py
+++ b/limebridge/virtual/client.py
@@ -26,10 +26,10 @@
 WAITS = {c["name"]: c["deadlineMs"] / 1000.0 for c in CLASSES}
 
 
-class Asked(Protocol):
+class RunContext(Protocol):
     """What a client asks of the run it is in."""
 
-    judge: RuleChecker
+    checker: RuleChecker
     keys: dict[str, bytes]
     port: int
 
@@ -46,7 +46,7 @@
 class Client:
     """One connection at a time; answers in order; asks again on a new one when it closes."""
 
-    def __init__(self, world: Asked, number: int) -> None:
+    def __init__(self, world: RunContext, number: int) -> None:
         self._world, self.number = world, number
         self._writer: asyncio.StreamWriter | None = None
         self.open: dict[str, asyncio.TimerHandle] = {}
@@ -67,7 +67,7 @@
             writer = self._writer
         writer.write(words)
         now, wait = world.kernel.now, WAITS[cls]
-        world.judge.request_sent(now, id_, cls, wait)
+        world.checker.request_sent(now, id_, cls, wait)
         world.note(f"asked {id_} {cls} by {self.number}")
         self.open[id_] = world.loop.call_at(now + wait, self._expire, id_)
 
@@ -84,7 +84,7 @@
                     else "served"
                 )
                 if not self.open:
-                    world.judge.unexpected_answer(world.kernel.now, repr(answer[:40]))
+                    world.checker.unexpected_answer(world.kernel.now, repr(answer[:40]))
                     break
                 id_ = next(iter(self.open))
                 self.open.pop(id_).cancel()
@@ -92,11 +92,11 @@
                     b"stored",
                     b"template of " + world.keys[id_],
                 ):
-                    world.judge.report_fault(
+                    world.checker.report_fault(
                         world.kernel.now, f"{id_} got another's answer: {answer!r}"
                     )
                 world.note(f"{kind} {id_}")
-                world.judge.answered(world.kernel.now, id_, kind)
+                world.checker.answered(world.kernel.now, id_, kind)
         except (asyncio.IncompleteReadError, ConnectionError, ValueError):
             pass
         writer.close()
@@ -104,16 +104,16 @@
             timer.cancel()
             if not self._leaving:
                 world.note(f"closed under {id_}")
-                world.judge.connection_closed(world.kernel.now, id_)
+                world.checker.connection_closed(world.kernel.now, id_)
         self.open.clear()
 
     def _expire(self, id_: str) -> None:
         world = self._world
         if next(iter(self.open), id_) != id_:  # it asked behind one that may take longer, and
-            world.judge.excuse(id_)  # answers come in order: only the first can be judged
+            world.checker.excuse(id_)  # answers come in order: only the first can be judged
         self.open.pop(id_, None)
         world.note(f"expired {id_}")
-        world.judge.expired(world.kernel.now, id_)
+        world.checker.expired(world.kernel.now, id_)
         self.leave()
 
     def leave(self) -> None:
@@ -122,7 +122,7 @@
         self._leaving = True
         for id_, timer in self.open.items():
             timer.cancel()
-            world.judge.client_gone(world.kernel.now, id_)
+            world.checker.client_gone(world.kernel.now, id_)
         if self._writer is not None:
             world.leaving[self._writer.get_extra_info("socket")._sock] = list(self.open)
             self._writer.transport.abort()
--- a/limebridge/virtual/consul.py
+++ b/limebridge/virtual/consul.py
@@ -48,18 +48,18 @@
     def __init__(self, plan: Plan) -> None:
         super().__init__(plan)
         self.agents: list[Consul] = []
-        self._told: set[str] = set()  # nodes of which Consul has told the process
-        self._says: tuple[str, bytes, str | None] | None = None  # its last answer
-        self._troubles: dict[Fault, dict[str, Any]] = {}  # of the agents, under way
-        self._calming = 0  # that are just over
+        self._reported_nodes: set[str] = set()  # nodes of which Consul has told the process
+        self._last_answer: tuple[str, bytes, str | None] | None = None  # its last answer
+        self._active_faults: dict[Fault, dict[str, Any]] = {}  # of the agents, under way
+        self._recovering = 0  # that are just over
 
-    async def _sources(self) -> Operator:
+    async def _start_sources(self) -> Operator:
         self.catalogue = Catalogue()
         for number in range(2):
             agent = await Consul(self.catalogue, self.plan.seed * 2 + number).start()
             link = self.kernel.link(agent.port)
             link.latency, link.jitter, link.cut = 0.000_5, self.plan.jitter, self.plan.cut
-            self.ears.follow(agent.port)
+            self.source_observer.follow(agent.port)
             self.agents.append(agent)
         for node in self.nodes:
             self._register(node)
@@ -75,12 +75,12 @@
         for agent in self.agents:
             await agent.stop()
 
-    def _unwatched(self) -> bool:
+    def _is_unwatched(self) -> bool:
         if self.plan.sources:  # whatever becomes of the one, the other is followed
-            return super()._unwatched()
-        if super()._unwatched() is False:
+            return super()._is_unwatched()
+        if super()._is_unwatched() is False:
             return False
-        if self._troubles or self._calming or any(agent.open for agent in self.agents):
+        if self._active_faults or self._recovering or any(agent.open for agent in self.agents):
             return False
         if any(agent.port not in self.kernel.listening for agent in self.agents):
             return False
@@ -93,12 +93,12 @@
             node.name,
             node.port,
             address="127.0.0.1",
-            meta={"zone": "a", "started_at_ms": repr(self._born(node))},
+            meta={"zone": "a", "started_at_ms": repr(self._start_time_ms(node))},
             checks={f"service:{node.name}": "passing"},
         )
 
-    def _tell(self, node: FleetNode, lifecycle: Lifecycle) -> None:
-        super()._tell(node, lifecycle)
+    def _publish(self, node: FleetNode, lifecycle: Lifecycle) -> None:
+        super()._publish(node, lifecycle)
         if lifecycle == "in_service":
             self._register(node)
         elif lifecycle == "terminating":
@@ -113,61 +113,61 @@
         self._register(node)
 
     # --- what the proxy hears ---
-    def _answer(
+    def _on_answer(
         self, owner: str, port: int, target: str, headers: dict[str, str], body: bytes
     ) -> None:
         """A whole answer has reached the process: what it tells counts."""
         leader = headers.get("x-consul-knownleader")
-        says = headers.get("x-consul-index", ""), body, leader
-        if says == self._says or not says[0]:
+        answer = headers.get("x-consul-index", ""), body, leader
+        if answer == self._last_answer or not answer[0]:
             return  # a wait that ran out, or noise: nothing is told
-        self._says = says
+        self._last_answer = answer
         elements = {each["Service"]["ID"]: each for each in json.loads(body)}
-        gone = self._told - elements.keys()
+        gone = self._reported_nodes - elements.keys()
         if leader == "false":
             # It is old: what it says of drains counts alone.
             gone, elements = set(), {name: each for name, each in elements.items() if _drains(each)}
         if not elements:
             return  # an emptied catalogue tells of no node
-        if len(gone) > self.table.floor * len(self._told) and "consistent" not in target:
+        if len(gone) > self.table.floor * len(self._reported_nodes) and "consistent" not in target:
             gone = set()  # not before the leader has said so
-        self._told = (self._told - gone) | elements.keys()
+        self._reported_nodes = (self._reported_nodes - gone) | elements.keys()
         now = self.kernel.now
         for name in gone:
-            self.judge.node_reported(now, name, False, "consul")
+            self.checker.node_reported(now, name, False, "consul")
         for name, each in elements.items():
             started = float(each["Service"]["Meta"]["started_at_ms"])
-            self.judge.node_reported(
-                now, name, not _drains(each), "consul", self._births.get(started)
+            self.checker.node_reported(
+                now, name, not _drains(each), "consul", self._started_at_by_ms.get(started)
             )
 
-    def _restarted(self, states: dict[str, bool]) -> None:
-        super()._restarted(states)
-        self._told.clear()
-        self._says = None
+    def _proxy_restarted(self, states: dict[str, bool]) -> None:
+        super()._proxy_restarted(states)
+        self._reported_nodes.clear()
+        self._last_answer = None
 
-    def _moved(self) -> None:
-        super()._moved()
-        self._told.clear()  # a new reader can't know what is missing in its first answer
-        self._says = None
+    def _sources_changed(self) -> None:
+        super()._sources_changed()
+        self._reported_nodes.clear()  # a new reader can't know what is missing in its first answer
+        self._last_answer = None
 
     # --- troubles of the catalogue ---
-    async def _agents(self, fault: Fault, **trouble: Any) -> None:
+    async def _with_agent_fault(self, fault: Fault, **trouble: Any) -> None:
         """Both agents have it: that is a trouble of the servers."""
-        self._troubles[fault] = trouble
-        self._apply()
+        self._active_faults[fault] = trouble
+        self._apply_agent_faults()
         await asyncio.sleep(fault.lasts)
-        del self._troubles[fault]
-        self._apply()
-        self._calming += 1
+        del self._active_faults[fault]
+        self._apply_agent_faults()
+        self._recovering += 1
         await asyncio.sleep(2.0)  # until it has been asked again
-        self._calming -= 1
+        self._recovering -= 1
 
-    def _apply(self) -> None:
+    def _apply_agent_faults(self) -> None:
         """What is under way now, the latest on top: troubles overlap and end in any order."""
         for agent in self.agents:
             vars(agent).update(copy.deepcopy(HEALTHY))
-            for trouble in self._troubles.values():
+            for trouble in self._active_faults.values():
                 vars(agent).update(copy.deepcopy(trouble))
 
     async def _consul_stops(self, fault: Fault, node: FleetNode) -> None:
@@ -180,26 +180,26 @@
             await agent.start(agent.port)
 
     async def _consul_black(self, fault: Fault, node: FleetNode) -> None:
-        await self._agents(fault, unresponsive=True)
+        await self._with_agent_fault(fault, unresponsive=True)
         for agent in self.agents:  # what hung goes on hanging: its connection ends
             for writer in list(agent.open):
                 writer.transport.abort()
 
     async def _consul_500(self, fault: Fault, node: FleetNode) -> None:
-        await self._agents(
+        await self._with_agent_fault(
             fault,
             status=500 if fault.amount < 0.5 else 429,
             retry_after="1" if fault.amount < 0.5 else "",
         )
 
     async def _consul_late(self, fault: Fault, node: FleetNode) -> None:
-        await self._agents(fault, delay=fault.amount)
+        await self._with_agent_fault(fault, delay=fault.amount)
 
     async def _consul_breaks_off(self, fault: Fault, node: FleetNode) -> None:
-        await self._agents(fault, truncate_after=200 if fault.amount < 0.5 else 900)
+        await self._with_agent_fault(fault, truncate_after=200 if fault.amount < 0.5 else 900)
 
     async def _consul_noise(self, fault: Fault, node: FleetNode) -> None:
-        await self._agents(
+        await self._with_agent_fault(
             fault,
             canned_answers=[
                 b"\x00\xff\r\n\r\n",
@@ -209,24 +209,24 @@
         )
 
     async def _consul_no_leader(self, fault: Fault, node: FleetNode) -> None:
-        await self._agents(fault, headers={"X-Consul-KnownLeader": "false"})
+        await self._with_agent_fault(fault, headers={"X-Consul-KnownLeader": "false"})
 
     async def _consul_lags(self, fault: Fault, node: FleetNode) -> None:
         """The agents hear nothing of the servers for a while and answer all the same."""
         frozen = FrozenAnswer(self.catalogue.index, self.catalogue.health_entries("cache"))
-        await self._agents(fault, frozen=frozen)
+        await self._with_agent_fault(fault, frozen=frozen)
 
     async def _consul_index(self, fault: Fault, node: FleetNode) -> None:
         self.catalogue.restore_snapshot()
 
     async def _consul_empty(self, fault: Fault, node: FleetNode) -> None:
-        await self._without(fault, list(self.catalogue.services))
+        await self._deregister_during(fault, list(self.catalogue.services))
 
     async def _consul_halved(self, fault: Fault, node: FleetNode) -> None:
         names = sorted(self.catalogue.services)
-        await self._without(fault, names[: len(names) * 3 // 4])
+        await self._deregister_during(fault, names[: len(names) * 3 // 4])
 
-    async def _without(self, fault: Fault, names: list[str]) -> None:
+    async def _deregister_during(self, fault: Fault, names: list[str]) -> None:
         kept = {name: self.catalogue.services[name] for name in names}
         self.catalogue.deregister(*names)
         await asyncio.sleep(fault.lasts)
@@ -262,11 +262,11 @@
         )
         table = PlacementTable(file="-", least_match=0.1, moved_per_s=0.3)
         operator = msgspec.structs.replace(self.config.operator, placement=table)
-        await self._reloads(
+        await self._reload_config(
             lambda: replace(self.config, operator=operator, plan=Shares(1, 0.0, shares))
         )
         await asyncio.sleep(0.5 + fault.lasts)
-        await self._reloads(lambda: self.config)
+        await self._reload_config(lambda: self.config)
 
     async def _discovery_moves(self, fault: Fault, node: FleetNode) -> None:
         """From Consul to the platform's list, and back."""
@@ -279,9 +279,9 @@
             ),
             reset=True,
         )
-        await self._reloads(lambda: both[1])
+        await self._reload_config(lambda: both[1])
         await asyncio.sleep(0.5 + fault.lasts)
-        await self._reloads(lambda: both[0])
+        await self._reload_config(lambda: both[0])
 
 
 def _shares(names: list[str], amount: float, random: Random) -> dict[str, float]:
--- a/limebridge/virtual/costs.py
+++ b/limebridge/virtual/costs.py
@@ -24,7 +24,7 @@
 from .kernel import Kernel
 from .loop import VirtualLoop
 
-SLEPT = 0.0005  # s after the end of the turn before from which the poll must have slept
+MIN_SLEEP = 0.0005  # s after the end of the turn before from which the poll must have slept
 
 
 @dataclass(frozen=True)
@@ -93,7 +93,7 @@
     def _begin(self) -> None:
         """The first work of a turn: what its poll would have shown."""
         now = self._kernel.now
-        slept = now - self.free_at > SLEPT
+        slept = now - self.free_at > MIN_SLEEP
         self.readable_at = now if slept else (self.turn_at + now) / 2.0
         self.turn_at = now
         self.turns += 1
@@ -202,9 +202,9 @@
         costs, charge = self._meter.costs, self._meter.charge
         cost = costs.command if name == "on_arrival" else costs.decision
 
-        def told(*args: Any) -> Any:
+        def charged_call(*args: Any) -> Any:
             charge(cost)
             return found(*args)
 
-        self.__dict__[name] = told
-        return told
+        self.__dict__[name] = charged_call
+        return charged_call
--- a/limebridge/virtual/coverage.py
+++ b/limebridge/virtual/coverage.py
@@ -29,29 +29,29 @@
 
 from .plan import CONSUL_WEIGHTS, PROCESS_WEIGHTS, WEIGHTS, Fault, Kind, Plan
 
-LIST = "list: "
+LIST_PREFIX = "list: "
 # What brings a state of the list about, and by when after it the rare fault comes, in s.
-BRINGS: Mapping[str, tuple[Kind, float, float]] = {
+STATE_TRIGGERS: Mapping[str, tuple[Kind, float, float]] = {
     "a drain just told": ("node_drains", 0.0, 0.5),
     "a drain kept": ("node_drains", 0.5, 1.5),
     "not heard since its start": ("proxy_killed", 0.02, 0.4),
     "silent": ("discovery_ends", 3.0, 4.0),
 }
-LEANS = 2  # pairs that a plan is led to at most
+MAX_PAIRS = 2  # pairs that a plan is led to at most
 
 
-class Cover(msgspec.Struct):
+class BuildCoverage(msgspec.Struct):
     """What one build has met."""
 
     seeds: int = 0
     met: dict[str, int] = {}
 
 
-class Kept(msgspec.Struct):
+class HistoryFile(msgspec.Struct):
     """The state file: the next seed by kind of world, and what each build has met."""
 
     next: dict[str, int] = {}
-    builds: dict[str, Cover] = {}
+    builds: dict[str, BuildCoverage] = {}
 
 
 def build() -> str:
@@ -64,26 +64,26 @@
     return found.hexdigest()[:16]
 
 
-def rare(met: Mapping[str, int], consul: bool, most: int = 24) -> list[tuple[Kind, str]]:
+def rarest_pairs(met: Mapping[str, int], consul: bool, most: int = 24) -> list[tuple[Kind, str]]:
     """The pairs of a fault and a state of the list that were met least, the rarest first."""
     kinds: list[Kind] = [*WEIGHTS, *PROCESS_WEIGHTS, *(CONSUL_WEIGHTS if consul else ())]
     counted: Counter[tuple[str, str]] = Counter()
     for key, times in met.items():
         kind, _, state = key.partition("/")
-        if state.startswith(LIST):
-            counted[kind, state.removeprefix(LIST).partition(",")[0]] += times
-    pairs: list[tuple[Kind, str]] = [(kind, state) for kind in kinds for state in BRINGS]
+        if state.startswith(LIST_PREFIX):
+            counted[kind, state.removeprefix(LIST_PREFIX).partition(",")[0]] += times
+    pairs: list[tuple[Kind, str]] = [(kind, state) for kind in kinds for state in STATE_TRIGGERS]
     return sorted(pairs, key=lambda pair: counted[pair])[:most]
 
 
-def lean(plan: Plan, pairs: Sequence[tuple[Kind, str]]) -> Plan:
+def add_rare_pairs(plan: Plan, pairs: Sequence[tuple[Kind, str]]) -> Plan:
     """The plan with some of these pairs brought about, drawn from a stream of its own."""
     if not pairs:
         return plan
     rng = random.Random(f"lean/{plan.seed}")
     faults = list(plan.faults)
-    for kind, state in rng.sample(list(pairs), min(LEANS, len(pairs))):
-        brings, least, most = BRINGS[state]
+    for kind, state in rng.sample(list(pairs), min(MAX_PAIRS, len(pairs))):
+        brings, least, most = STATE_TRIGGERS[state]
         first = next((fault for fault in faults if fault.kind == brings), None)
         if first is None:
             first = Fault(
@@ -117,15 +117,15 @@
         self.build = build()
 
     @contextlib.contextmanager
-    def _open(self) -> Iterator[Kept]:
+    def _open(self) -> Iterator[HistoryFile]:
         """ValueError when the file is none of ours."""
         self.path.parent.mkdir(parents=True, exist_ok=True)
         with open(self.path.with_suffix(".lock"), "w") as lock:
             fcntl.flock(lock, fcntl.LOCK_EX)
             try:
-                kept = msgspec.json.decode(self.path.read_bytes(), type=Kept)
+                kept = msgspec.json.decode(self.path.read_bytes(), type=HistoryFile)
             except FileNotFoundError:
-                kept = Kept()
+                kept = HistoryFile()
             except msgspec.DecodeError as error:
                 raise ValueError(f"{self.path}: {error}") from None
             yield kept
@@ -133,16 +133,16 @@
             aside.write_text(json.dumps(msgspec.to_builtins(kept), indent=1))
             aside.replace(self.path)
 
-    def take(self, world: str, seeds: int) -> tuple[int, dict[str, int]]:
+    def reserve_seeds(self, world: str, seeds: int) -> tuple[int, dict[str, int]]:
         """The first of so many seeds that nobody else plays, and what this build has met."""
         with self._open() as kept:
             first = kept.next.get(world, 0)
             kept.next[world] = first + seeds
-            return first, dict(kept.builds.get(self.build, Cover()).met)
+            return first, dict(kept.builds.get(self.build, BuildCoverage()).met)
 
     def add(self, seeds: int, met: Mapping[str, int]) -> None:
         """What a run of this build has met."""
         with self._open() as kept:
-            cover = kept.builds.setdefault(self.build, Cover())
+            cover = kept.builds.setdefault(self.build, BuildCoverage())
             cover.seeds += seeds
             cover.met = dict(Counter(cover.met) + Counter(met))
--- a/limebridge/virtual/datagrams.py
+++ b/limebridge/virtual/datagrams.py
@@ -9,7 +9,7 @@
 from .network import Network, error
 from .sockets import READ, WRITE
 
-QUEUE_MOST = 512  # datagrams that wait to be read; more are lost
+MAX_QUEUED = 512  # datagrams that wait to be read; more are lost
 
 
 class VirtualDatagrams:
@@ -44,22 +44,22 @@
         if self._closed:
             raise error(errno.EBADF)
         kernel = self._kernel
-        for late in kernel.weather(self.owner, address[1]):
-            kernel.at(kernel.now + late, lambda: self._arrives(bytes(data), address[1]))
+        for delay in kernel.datagram_delays(self.owner, address[1]):
+            kernel.at(kernel.now + delay, lambda: self._arrived(bytes(data), address[1]))
         return len(data)
 
-    def _arrives(self, data: bytes, port: int) -> None:
-        there = self._kernel.bound.get(port)
-        if there is None or len(there._queue) >= QUEUE_MOST:
+    def _arrived(self, data: bytes, port: int) -> None:
+        receiver = self._kernel.bound.get(port)
+        if receiver is None or len(receiver._queue) >= MAX_QUEUED:
             return
-        there._queue.append((data, self._name))
-        self._kernel.touch(there)
+        receiver._queue.append((data, self._name))
+        self._kernel.touch(receiver)
 
-    def recvfrom(self, most: int) -> tuple[bytes, tuple[str, int]]:
+    def recvfrom(self, max_bytes: int) -> tuple[bytes, tuple[str, int]]:
         if not self._queue:
             raise BlockingIOError(errno.EAGAIN, "nothing has come")
         data, origin = self._queue.popleft()
-        return data[:most], origin
+        return data[:max_bytes], origin
 
     def ready(self) -> int:
         return WRITE | (READ if self._queue else 0)
--- a/limebridge/virtual/explore.py
+++ b/limebridge/virtual/explore.py
@@ -15,19 +15,19 @@
 
 from limebridge.rules import Violation
 
-from .coverage import lean
+from .coverage import add_rare_pairs
 from .network import BUFFER
-from .plan import Fault, Kind, Plan, draw, draw_consul
-from .runner import play
+from .plan import Fault, Kind, Plan, generate, generate_consul
+from .runner import run_plan
 from .world import Outcome
 
 Pairs = Sequence[tuple[Kind, str]]
 
-TRIES = 120  # runs that shrinking one plan may take
+MAX_SHRINK_RUNS = 120  # runs that shrinking one plan may take
 
 
 @dataclass
-class Found:
+class SeedResult:
     """One seed's run, as it comes back from another process."""
 
     seed: int
@@ -45,11 +45,11 @@
     seeds: int = 0
     seconds: float = 0.0
     requests: int = 0
-    broken: list[Found] = field(default_factory=list)
+    broken: list[SeedResult] = field(default_factory=list)
     met: Counter[str] = field(default_factory=Counter)
     digests: dict[int, str] = field(default_factory=dict)
 
-    def add(self, found: Found) -> None:
+    def add(self, found: SeedResult) -> None:
         self.seeds += 1
         self.requests += found.requests
         self.met.update(found.met)
@@ -64,11 +64,13 @@
         return hashlib.sha256(whole.encode()).hexdigest()
 
 
-def one(seed: int, consul: bool = False, pairs: Pairs = ()) -> Found:
+def run_seed(seed: int, consul: bool = False, pairs: Pairs = ()) -> SeedResult:
     """Play one seed; `pairs` as `lean` has them."""
-    plan = lean(draw_consul(seed) if consul else draw(seed), pairs)
-    outcome = play(plan)
-    return Found(seed, outcome.plan, outcome.broken, outcome.requests, outcome.digest, outcome.met)
+    plan = add_rare_pairs(generate_consul(seed) if consul else generate(seed), pairs)
+    outcome = run_plan(plan)
+    return SeedResult(
+        seed, outcome.plan, outcome.broken, outcome.requests, outcome.digest, outcome.met
+    )
 
 
 def explore(
@@ -88,7 +90,7 @@
     jobs = jobs or len(os.sched_getaffinity(0))
     context = multiprocessing.get_context("spawn")
     with context.Pool(jobs, initializer=prepare) as pool:
-        run = functools.partial(one, consul=consul, pairs=pairs)
+        run = functools.partial(run_seed, consul=consul, pairs=pairs)
         for found in pool.imap_unordered(run, range(first, first + count), chunksize=4):
             summary.add(found)
             summary.seconds = time.monotonic() - began
@@ -97,24 +99,27 @@
                 break
 
 
-def same(outcome: Outcome, rule: int) -> bool:
+def violates_rule(outcome: Outcome, rule: int) -> bool:
     """Whether a run breaks the rule that is looked for."""
     return any(found.rule == rule for found in outcome.broken)
 
 
 def shrink(
-    plan: Plan, rule: int, tries: int = TRIES, run: Callable[[Plan], Outcome] = play
+    plan: Plan,
+    rule: int,
+    max_runs: int = MAX_SHRINK_RUNS,
+    run: Callable[[Plan], Outcome] = run_plan,
 ) -> Plan:
     """A smaller plan that still breaks this rule: fewer faults, shorter, simpler, less load.
 
     Greedy, and bounded in its runs; what it returns has been seen to fail.
     """
-    left = tries
+    left = max_runs
 
     def fails(candidate: Plan) -> bool:
         nonlocal left
         left -= 1
-        return left >= 0 and same(run(candidate), rule)
+        return left >= 0 and violates_rule(run(candidate), rule)
 
     shorter = msgspec.structs.replace(plan)
     changed = True
--- a/limebridge/virtual/troubles.py
+++ b/limebridge/virtual/fault_actions.py
@@ -20,10 +20,10 @@
 from .kernel import Kernel
 from .plan import Fault, Plan
 from .process import OWNER, Process
-from .received import Ears
+from .received import SourceObserver
 from .session import during, refused, stalled
 
-RUDE = (
+MALFORMED_INPUTS = (
     b"\x00\xff noise",
     b"*4\r\n$7\r\nOBJ.G",
     b"*999999\r\n",
@@ -32,13 +32,13 @@
 )
 
 
-class Troubles:
+class FaultActions:
     """Played on what the world has built."""
 
     plan: Plan
     kernel: Kernel
-    judge: RuleChecker
-    ears: Ears
+    checker: RuleChecker
+    source_observer: SourceObserver
     nodes: list[FleetNode]
     clients: list[Client]
     discovery: Discovery
@@ -47,23 +47,23 @@
     port: int
     draining: dict[str, None]  # nodes of which discovery has said so
     note: Callable[[str], None]
-    _old: list[Discovery]
+    _replaced_discoveries: list[Discovery]
     _listed: dict[str, None]
     _starts: int
     _started_at: float
     _ending: bool
-    _wall_off: float
+    _wall_offset: float
 
     def _entry(self, node: FleetNode, lifecycle: Lifecycle = "in_service") -> NodeEntry:
         raise NotImplementedError
 
-    def _nothing(self, left: dict[str, int]) -> None:
+    def _report_leftovers(self, left: dict[str, int]) -> None:
         raise NotImplementedError
 
     def _replaced(self, old: NodeEntry, node: FleetNode) -> None:
         self.discovery.publish(old, self._entry(node))
 
-    def _tell(self, node: FleetNode, lifecycle: Lifecycle) -> None:
+    def _publish(self, node: FleetNode, lifecycle: Lifecycle) -> None:
         if lifecycle == "in_service":
             self.draining.pop(node.name, None)
         else:
@@ -71,13 +71,13 @@
         self.note(f"told: {node.name} {lifecycle}")
         self.discovery.publish(self._entry(node, lifecycle))
 
-    def _moved(self) -> None:
+    def _sources_changed(self) -> None:
         """The process follows other sources from here on."""
-        self.judge.sources_replaced()
+        self.checker.sources_replaced()
 
-    def _restarted(self, states: dict[str, bool]) -> None:
+    def _proxy_restarted(self, states: dict[str, bool]) -> None:
         self._listed = dict.fromkeys(name for name in states)
-        self.judge.proxy_restarted(self.kernel.now, states)
+        self.checker.proxy_restarted(self.kernel.now, states)
 
     # --- nodes ---
     async def _node_slow(self, fault: Fault, node: FleetNode) -> None:
@@ -112,15 +112,15 @@
         if node.port not in self.kernel.listening:
             node.start_cold()
             await node.start(node.port)
-            self._tell(node, "in_service")
+            self._publish(node, "in_service")
 
     async def _node_drains(self, fault: Fault, node: FleetNode) -> None:
-        self._tell(node, "terminating")
+        self._publish(node, "terminating")
         await asyncio.sleep(0.5 + fault.lasts)
         node.draining = True
         await asyncio.sleep(fault.lasts)
         await node.crash()
-        self._tell(node, "terminated")
+        self._publish(node, "terminated")
         await asyncio.sleep(fault.lasts)
         await self._start_again(node)
 
@@ -137,38 +137,38 @@
             self.draining.pop(node.name, None)  # what was said of it before it was there
             self._replaced(old, node)
 
-    async def _path(self, fault: Fault, port: int, to: bool, back: bool) -> None:
+    async def _block_path(self, fault: Fault, port: int, to: bool, back: bool) -> None:
         self.kernel.block(port, to, back)
         await asyncio.sleep(fault.lasts)
         self.kernel.heal(port)
 
     async def _path_cut(self, fault: Fault, node: FleetNode) -> None:
-        await self._path(fault, node.port, True, True)
+        await self._block_path(fault, node.port, True, True)
 
     async def _path_cut_to(self, fault: Fault, node: FleetNode) -> None:
-        await self._path(fault, node.port, True, False)
+        await self._block_path(fault, node.port, True, False)
 
     async def _path_cut_back(self, fault: Fault, node: FleetNode) -> None:
-        await self._path(fault, node.port, False, True)
+        await self._block_path(fault, node.port, False, True)
 
     async def _discovery_cut(self, fault: Fault, node: FleetNode) -> None:
-        await self._path(fault, self.discovery.port, True, True)
+        await self._block_path(fault, self.discovery.port, True, True)
 
     async def _discovery_ends(self, fault: Fault, node: FleetNode) -> None:
         await refused(fault.lasts, self.discovery)
 
     async def _discovery_lies(self, fault: Fault, node: FleetNode) -> None:
         """Says that a healthy node is gone, and takes it back."""
-        self._tell(node, "terminated")
+        self._publish(node, "terminated")
         await asyncio.sleep(fault.lasts)
         if node.port in self.kernel.listening:
-            self._tell(node, "in_service")
+            self._publish(node, "in_service")
 
     async def _discovery_moves(self, fault: Fault, node: FleetNode) -> None:
         """Another discovery from now on; the old one still runs and praises every node."""
         old, self.discovery = self.discovery, await Discovery().start()
-        self._old.append(old)
-        self.ears.follow(self.discovery.port)
+        self._replaced_discoveries.append(old)
+        self.source_observer.follow(self.discovery.port)
         link = self.kernel.link(self.discovery.port)
         link.latency, link.jitter, link.cut = 0.000_5, self.plan.jitter, self.plan.cut
         entries = [
@@ -179,7 +179,7 @@
         self.config = replace(
             self.config, discovery=Address(self.config.discovery.host, self.discovery.port)
         )
-        await self._reloads(lambda: self.config)
+        await self._reload_config(lambda: self.config)
         for _ in range(3):
             await asyncio.sleep(0.1 + fault.lasts / 3)
             old.publish(*(self._entry(one) for one in self.nodes))
@@ -193,7 +193,7 @@
         for _ in range(1 + int(10 * fault.amount)):
             try:
                 _, writer = await asyncio.open_connection("127.0.0.1", self.port)
-                writer.write(random.choice(RUDE))
+                writer.write(random.choice(MALFORMED_INPUTS))
                 await asyncio.sleep(fault.lasts / 5)
                 writer.transport.abort()
             except OSError:
@@ -201,9 +201,9 @@
 
     async def _reload(self, fault: Fault, node: FleetNode) -> None:
         depth = 64 if fault.amount < 0.5 else 128
-        await self._reloads(lambda: replace_limits(self.config, depth))
+        await self._reload_config(lambda: replace_limits(self.config, depth))
 
-    async def _reloads(self, read: Callable[[], Config]) -> None:
+    async def _reload_config(self, read: Callable[[], Config]) -> None:
         """SIGHUP: not for a process that drains or is away, later for one that gets no CPU.
 
         The file is read when the signal is taken: whatever was written to it by then holds.
@@ -216,7 +216,7 @@
             self.process.listener.limits = config.limits
             proxy.reload(config)
             if proxy.list_source is not before:
-                self._moved()
+                self._sources_changed()
 
     # --- the process itself ---
     async def _proxy_term(self, fault: Fault, node: FleetNode) -> None:
@@ -225,8 +225,8 @@
             and self.kernel.now >= self.process.paused_until
             and await self.process.term()
         ):
-            self._nothing(self.process.gone())
-            await self._again(fault)
+            self._report_leftovers(self.process.leftovers_after_exit())
+            await self._restart_process(fault)
 
     async def _proxy_killed(self, fault: Fault, node: FleetNode) -> None:
         if self.process.state == "down":
@@ -234,12 +234,12 @@
         self.process.kill()
         for client in self.clients:  # what it had taken may be lost, by the platform's word
             for id_ in client.open:
-                self.judge.excuse(id_)
+                self.checker.excuse(id_)
         if self.kernel.held(OWNER):
-            self.judge.report_fault(self.kernel.now, "a killed process has descriptors")
-        await self._again(fault)
+            self.checker.report_fault(self.kernel.now, "a killed process has descriptors")
+        await self._restart_process(fault)
 
-    async def _again(self, fault: Fault) -> None:
+    async def _restart_process(self, fault: Fault) -> None:
         """A new process with the list that the last one had, which may be old as to drains."""
         await asyncio.sleep(fault.lasts)
         if self._ending:
@@ -257,7 +257,7 @@
             }
         )
         self.note(f"the proxy starts again, with {'its last' if fresh else 'an old'} list")
-        self._restarted(states)
+        self._proxy_restarted(states)
         self.process.start(
             replace(self.config, known=known, seed=self.config.seed + self._starts), self.port
         )
@@ -265,10 +265,10 @@
     async def _proxy_paused(self, fault: Fault, node: FleetNode) -> None:
         if self.process.state == "up" and self.kernel.now >= self.process.paused_until:
             self.process.pause(fault.lasts)
-            self.judge.proxy_paused(self.kernel.now, self.process.paused_until)
+            self.checker.proxy_paused(self.kernel.now, self.process.paused_until)
 
     async def _wall_steps(self, fault: Fault, node: FleetNode) -> None:
-        self._wall_off += fault.amount
+        self._wall_offset += fault.amount
 
 
 def replace_limits(config: Config, depth: int) -> Config:
--- a/limebridge/virtual/ledger.py
+++ b/limebridge/virtual/ledger.py
@@ -191,7 +191,7 @@
         assert key[0] == period
         self.out.served[key] += 1
 
-    async def play(self) -> Outcome:
+    async def run_trial(self) -> Outcome:
         trial, rng = self.trial, self.rng
         await self.billing.start()
         if trial.troubles:
@@ -297,11 +297,11 @@
     )
 
 
-def play(trial: Trial) -> Outcome:
+def run_trial(trial: Trial) -> Outcome:
     """One trial."""
     run = _Run(trial)
     try:
-        return run.loop.run_until_complete(run.play())
+        return run.loop.run_until_complete(run.run_trial())
     finally:
         for task in asyncio.all_tasks(run.loop):
             task.cancel()
--- a/limebridge/virtual/loop.py
+++ b/limebridge/virtual/loop.py
@@ -15,7 +15,8 @@
 from .kernel import Kernel
 from .sockets import VirtualSocket
 
-TURNS_AT_ONCE = 20_000  # turns of the loop at one instant; more is a loop that never ends
+# More iterations without progress of the clock are reported as a livelock.
+MAX_TURNS_AT_ONE_INSTANT = 20_000
 
 
 class Livelock(Exception):
@@ -32,8 +33,8 @@
     def __init__(self, kernel: Kernel, shuffle: random.Random | None = None) -> None:
         self._kernel, self._shuffle = kernel, shuffle
         self._keys: dict[int, selectors.SelectorKey] = {}
-        self._still = 0
-        self.before: Callable[[], None] | None = None  # told before each poll
+        self._turns_at_instant = 0
+        self.before_poll: Callable[[], None] | None = None  # told before each poll
         self.turns = 0
         self.first: set[int] = set()  # descriptors to be handed out before the others
 
@@ -69,8 +70,8 @@
         self.turns += 1
         if kernel.charged:
             kernel.settle()
-        if self.before is not None:
-            self.before()
+        if self.before_poll is not None:
+            self.before_poll()
         until = None if timeout is None else kernel.now + max(0.0, timeout)
         start = kernel.now
         while True:
@@ -79,17 +80,17 @@
             if ready or kernel.woken or (until is not None and until <= kernel.now):
                 kernel.woken = False
                 break
-            coming = kernel.next_at
-            if coming is None and until is None:
+            next_packet_at = kernel.next_at
+            if next_packet_at is None and until is None:
                 raise Deadlock(f"nothing is due at {kernel.now:.6f}")
-            if coming is None or (until is not None and until < coming):
+            if next_packet_at is None or (until is not None and until < next_packet_at):
                 assert until is not None
                 kernel.now = until
             else:
-                kernel.now = coming
-        self._still = 0 if kernel.now > start else self._still + 1
-        if self._still > TURNS_AT_ONCE:
-            raise Livelock(f"{TURNS_AT_ONCE} turns at {kernel.now:.6f}")
+                kernel.now = next_packet_at
+        self._turns_at_instant = 0 if kernel.now > start else self._turns_at_instant + 1
+        if self._turns_at_instant > MAX_TURNS_AT_ONE_INSTANT:
+            raise Livelock(f"{MAX_TURNS_AT_ONE_INSTANT} turns at {kernel.now:.6f}")
         if self._shuffle is not None and len(ready) > 1:
             self._shuffle.shuffle(ready)  # a real poll may report them in any order
         if self.first and len(ready) > 1:
--- a/limebridge/virtual/net.py
+++ b/limebridge/virtual/net.py
@@ -28,4 +28,4 @@
 
 def _hung_up(sock: Any) -> bool:
     """POLLRDHUP, POLLHUP or POLLERR."""
-    return bool(sock._end_came or sock._reset or sock._error)
+    return bool(sock._fin_received or sock._reset or sock._error)
--- a/limebridge/virtual/network.py
+++ b/limebridge/virtual/network.py
@@ -53,16 +53,16 @@
         self.woken = False  # a packet's arrival gave the loop itself something to do
         self.charged: list[Any] = []  # those that have worked in this turn
         # s one way beyond its link's, of a connection of this owner to this port.
-        self.extra: Callable[[str, int], float] = lambda owner, port: 0.0
+        self.extra_delay: Callable[[str, int], float] = lambda owner, port: 0.0
         # By port, sockets for datagrams; and for one to a port, when its copies come, in s: none
         # is a loss, two are a copy, and their differences are their order.
         self.bound: dict[int, Any] = {}
-        self.weather: Callable[[str, int], list[float]] = lambda owner, port: [LATENCY]
+        self.datagram_delays: Callable[[str, int], list[float]] = lambda owner, port: [LATENCY]
         # Told of bytes that a socket has received, and of those that it was given to send.
-        self.received: Callable[[Any, bytes], None] = lambda sock, data: None
-        self.given: Callable[[Any, bytes], None] = lambda sock, data: None
+        self.on_received: Callable[[Any, bytes], None] = lambda sock, data: None
+        self.on_sent: Callable[[Any, bytes], None] = lambda sock, data: None
         # Told of a socket that its peer's end, or a reset, has come to.
-        self.ended: Callable[[Any], None] = lambda sock: None
+        self.on_end: Callable[[Any], None] = lambda sock: None
 
     # --- time ---
     def at(self, when: float, what: Callable[[], None]) -> None:
--- a/limebridge/virtual/plan.py
+++ b/limebridge/virtual/plan.py
@@ -88,14 +88,16 @@
     "plan_changes": 4,
 }
 PROCESS_WEIGHTS: dict[Kind, int] = {"proxy_term": 3, "proxy_killed": 3, "proxy_paused": 4}
-PROCESS = (0, 0, 1, 1, 2, 3)  # how many of these come on top
+PROCESS_FAULT_COUNTS = (0, 0, 1, 1, 2, 3)  # how many of these come on top
 Sources = tuple[Literal["consul", "platform"], ...]
 SOURCES: tuple[Sources, ...] = ((), (), ("consul", "platform"), ("platform", "consul"))
-OVERLAP = 0.6  # of the faults begin within another one: timing is what is looked for
-HOLDS = ("node_stalls", "node_slow", "path_cut_back", "node_swallows")  # commands hang at a node
-AIMED = 0.25  # of the faults after one of these break its connections
-AIM = (0.55, 1.0)  # s after its beginning: round the end of the window in which keys are known
-CLOSE = (0.0, 0.002, 0.02, 0.05, 0.3, 1.0)  # s after another one's beginning
+OVERLAP_FRACTION = 0.6  # of the faults begin within another one: timing is what is looked for
+# Faults during which commands wait at a node without an answer.
+HOLDING_KINDS = ("node_stalls", "node_slow", "path_cut_back", "node_swallows")
+FOLLOW_UP_FRACTION = 0.25  # of the faults after one of these break its connections
+# s after the start of such a fault: around the end of the nodes' idempotency window (0.8 s).
+FOLLOW_UP_DELAY = (0.55, 1.0)
+OVERLAP_DELAYS = (0.0, 0.002, 0.02, 0.05, 0.3, 1.0)  # s after another one's beginning
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
@@ -125,16 +127,16 @@
     sources: Sources = ()  # both at once, by precedence
 
 
-def draw_consul(seed: int, seconds: float = 20.0) -> Plan:
+def generate_consul(seed: int, seconds: float = 20.0) -> Plan:
     """The plan of a seed before Consul: the same faults, and the catalogue's on top."""
-    plan, rng = draw(seed, seconds), random.Random(f"consul/{seed}")
+    plan, rng = generate(seed, seconds), random.Random(f"consul/{seed}")
     faults = list(plan.faults)
     kinds, weights = list(CONSUL_WEIGHTS), list(CONSUL_WEIGHTS.values())
     for _ in range(rng.randint(1, 5)):
         other = rng.choice(faults)
         at = (
-            other.at + rng.choice(CLOSE) * rng.uniform(0.5, 1.5)
-            if rng.random() < OVERLAP
+            other.at + rng.choice(OVERLAP_DELAYS) * rng.uniform(0.5, 1.5)
+            if rng.random() < OVERLAP_FRACTION
             else rng.uniform(0.5, seconds - 4.0)
         )
         faults.append(
@@ -152,31 +154,31 @@
     return msgspec.structs.replace(plan, consul=True, faults=tuple(faults), sources=sources)
 
 
-def draw(seed: int, seconds: float = 20.0) -> Plan:
+def generate(seed: int, seconds: float = 20.0) -> Plan:
     """The plan of a seed: each purpose has a stream of its own."""
     rng = random.Random(f"plan/{seed}")
     nodes = rng.randint(5, 7)
     faults: list[Fault] = []
     kinds, weights = list(WEIGHTS), list(WEIGHTS.values())
     for _ in range(rng.randint(2, 9)):
-        if faults and rng.random() < OVERLAP:
+        if faults and rng.random() < OVERLAP_FRACTION:
             other = rng.choice(faults)
-            at = other.at + rng.choice(CLOSE) * rng.uniform(0.5, 1.5)
+            at = other.at + rng.choice(OVERLAP_DELAYS) * rng.uniform(0.5, 1.5)
             node = other.node if rng.random() < 0.5 else rng.randrange(nodes)
         else:
             at, node = rng.uniform(0.5, seconds - 4.0), rng.randrange(nodes)
         kind = rng.choices(kinds, weights)[0]
-        held = [fault for fault in faults if fault.kind in HOLDS]
-        if held and rng.random() < AIMED:
+        held = [fault for fault in faults if fault.kind in HOLDING_KINDS]
+        if held and rng.random() < FOLLOW_UP_FRACTION:
             other = rng.choice(held)
-            at, node = other.at + rng.uniform(*AIM), other.node
+            at, node = other.at + rng.uniform(*FOLLOW_UP_DELAY), other.node
             kind = rng.choice(("node_closes_idle", "node_resets"))
         lasts = rng.choice((0.05, 0.3, 1.0, 3.0)) * rng.uniform(0.7, 1.3)
         amount = {"node_slow": rng.choice((3.0, 10.0)), "wall_steps": rng.uniform(-60, 60)}.get(
             kind, rng.choice((0.2, 0.6, 1.0))
         )
         faults.append(Fault(round(at, 4), kind, node, round(lasts, 4), round(amount, 3)))
-    faults += _of_the_process(seed, seconds, faults)
+    faults += _process_faults(seed, seconds, faults)
     clients, rate = rng.randint(6, 12), rng.choices((20.0, 22.0, 30.0, 60.0), (6, 6, 4, 1))[0]
     return Plan(
         seed,
@@ -192,14 +194,14 @@
     )
 
 
-def _of_the_process(seed: int, seconds: float, others: list[Fault]) -> list[Fault]:
+def _process_faults(seed: int, seconds: float, others: list[Fault]) -> list[Fault]:
     """Restarts and pauses, most of them close to another fault."""
     rng, found = random.Random(f"process/{seed}"), []
     kinds, weights = list(PROCESS_WEIGHTS), list(PROCESS_WEIGHTS.values())
-    for _ in range(rng.choice(PROCESS)):
+    for _ in range(rng.choice(PROCESS_FAULT_COUNTS)):
         at = (
-            rng.choice(others).at + rng.choice(CLOSE) * rng.uniform(0.5, 1.5)
-            if rng.random() < OVERLAP
+            rng.choice(others).at + rng.choice(OVERLAP_DELAYS) * rng.uniform(0.5, 1.5)
+            if rng.random() < OVERLAP_FRACTION
             else rng.uniform(0.5, seconds - 4.0)
         )
         lasts = rng.choice((0.02, 0.15, 0.4, 1.0)) * rng.uniform(0.7, 1.3)
--- a/limebridge/virtual/process.py
+++ b/limebridge/virtual/process.py
@@ -37,8 +37,8 @@
     def __init__(self, loop: VirtualLoop, meter: Meter | None = None) -> None:
         super().__init__()
         self._loop, self._meter = loop, meter
-        self._told: Callable[[float], None] | None = None
-        self._lost, self._turn = 0.0, -1
+        self._callback: Callable[[float], None] | None = None
+        self._paused_for, self._paused_turn = 0.0, -1
 
     @property
     def count(self) -> int:
@@ -52,10 +52,10 @@
 
     @property
     def paused_for(self) -> float:
-        return self._lost if self._turn == self.count else 0.0
+        return self._paused_for if self._paused_turn == self.count else 0.0
 
-    def call_on_pause(self, told: Callable[[float], None]) -> None:
-        self._told = told
+    def call_on_pause(self, callback: Callable[[float], None]) -> None:
+        self._callback = callback
 
     def prefer(self, descriptor: int, on: bool) -> None:
         (self._loop.poll.first.add if on else self._loop.poll.first.discard)(descriptor)
@@ -63,9 +63,9 @@
     def resumed(self, seconds: float) -> None:
         """As TurnSelector has it: told from PAUSE_SEEN on, and reckoned from the poll before."""
         if seconds >= MIN_DETECTABLE_PAUSE_S:
-            self._lost, self._turn = seconds, self.count
-            if self._told is not None:
-                self._told(seconds)
+            self._paused_for, self._paused_turn = seconds, self.count
+            if self._callback is not None:
+                self._callback(seconds)
 
 
 class Process:
@@ -87,7 +87,7 @@
         self._draining: asyncio.Task[None] | None = None
         self.meter = None if costs is None else Meter(kernel, loop, owner, costs)
         # What a new life joins, given this process and its net; closed with it.
-        self.joins: Callable[[Process, SocketNetwork], Sharing] | None = None
+        self.create_sharing: Callable[[Process, SocketNetwork], Sharing] | None = None
         self.sharing: Sharing | None = None
 
     def start(self, config: Config, port: int = 0) -> int:
@@ -106,7 +106,7 @@
         listen = Address(config.listen.host, port or config.listen.port)
         self.state = "up"
         self._longest = config.longest_deadline + DRAIN_SLACK
-        self.sharing = None if self.joins is None else self.joins(self, net)
+        self.sharing = None if self.create_sharing is None else self.create_sharing(self, net)
         return self.listener.start(listen).port
 
     async def term(self) -> bool:
@@ -126,17 +126,19 @@
         await asyncio.sleep(0.01)
         self.state = "down"
 
-    def gone(self) -> dict[str, int]:
+    def leftovers_after_exit(self) -> dict[str, int]:
         """After its exit: what it has left but for timers, which end with it."""
-        left = self.left()
-        left.pop("timers")
-        left["requests"] = sum("answered" not in state for state in self.proxy.request_states())
-        self._silence()
-        return left
+        leftovers = self.leftovers()
+        leftovers.pop("timers")
+        leftovers["requests"] = sum(
+            "answered" not in state for state in self.proxy.request_states()
+        )
+        self._cancel_callbacks()
+        return leftovers
 
-    def _silence(self) -> None:
+    def _cancel_callbacks(self) -> None:
         for handle in [*self._loop._ready, *self._loop._scheduled]:  # type: ignore[attr-defined]
-            if is_ours(handle):
+            if is_daemon_callback(handle):
                 handle.cancel()
 
     def kill(self) -> None:
@@ -144,7 +146,7 @@
         self._unmetered()
         if self._draining is not None:
             self._draining.cancel()
-        self._silence()
+        self._cancel_callbacks()
         for sock in [sock for sock in self._kernel.sockets.values() if sock.owner == self.owner]:
             number = sock.fileno()
             self._loop.remove_reader(number)
@@ -160,7 +162,7 @@
         now = self._kernel.now
         until = self.paused_until = now + seconds
         for timer in self._loop._scheduled:  # type: ignore[attr-defined]
-            if is_ours(timer) and timer._when < until:
+            if is_daemon_callback(timer) and timer._when < until:
                 timer._when = until
         heapq.heapify(self._loop._scheduled)  # type: ignore[attr-defined]
         self._kernel.paused[self.owner] = until
@@ -177,7 +179,7 @@
             self._kernel.touch_all(self.owner)
             self._turns.resumed(seconds)
 
-    def left(self) -> dict[str, int]:
+    def leftovers(self) -> dict[str, int]:
         """What an exited process must not have left: counts by name, all 0."""
         return {
             "requests": self.proxy.open_requests,
@@ -185,13 +187,13 @@
             "connections": self.listener.connections,
             "bytes of the budget": self.listener.budget.used,
             "timers": sum(
-                isinstance(handle, asyncio.TimerHandle) and is_ours(handle)
+                isinstance(handle, asyncio.TimerHandle) and is_daemon_callback(handle)
                 for handle in self._loop._scheduled  # type: ignore[attr-defined]
             ),
         }
 
 
-def is_ours(handle: asyncio.Handle) -> bool:
+def is_daemon_callback(handle: asyncio.Handle) -> bool:
     """Whether this is a callback of the daemon's own."""
     callback = handle._callback  # type: ignore[attr-defined]
     module = getattr(callback, "__module__", "") or ""
--- a/limebridge/virtual/received.py
+++ b/limebridge/virtual/received.py
@@ -23,7 +23,7 @@
 BURST = 0.01  # s from a watch's first line to the last of what it says at its start
 
 
-class Ears:
+class SourceObserver:
     """Follows the connections that processes make to certain ports.
 
     `owners` is whom the kernel has the sockets for, and what is told first. `line` is told the
@@ -41,9 +41,9 @@
     ) -> None:
         self._kernel, self._owners, self._line, self._answer = kernel, owners, line, answer
         self._ports: set[int] = set()
-        self.heard_at = kernel.now  # the last bytes of any source, in s
-        self._heard: dict[VirtualSocket, _Connection] = {}
-        kernel.given, kernel.received = self._given, self._received
+        self.last_received_at = kernel.now  # the last bytes of any source, in s
+        self._connections: dict[VirtualSocket, _Connection] = {}
+        kernel.on_sent, kernel.on_received = self._given, self._received
 
     def follow(self, port: int) -> None:
         """Follow connections to this port, at which a source listens."""
@@ -52,20 +52,20 @@
     def _given(self, sock: VirtualSocket, data: bytes) -> None:
         port = self._port(sock)
         if port is not None:
-            if sock not in self._heard:
-                self._heard[sock] = _Connection(self._kernel)
-            self._heard[sock].asked += data
+            if sock not in self._connections:
+                self._connections[sock] = _Connection(self._kernel)
+            self._connections[sock].requests += data
 
     def _received(self, sock: VirtualSocket, data: bytes) -> None:
-        port, connection = self._port(sock), self._heard.get(sock)
+        port, connection = self._port(sock), self._connections.get(sock)
         if port is None or connection is None:
             return
-        self.heard_at = self._kernel.now
-        for said in connection.hear(data):
-            if isinstance(said, _Line):
-                self._line(sock.owner, port, said.value, said.burst)
+        self.last_received_at = self._kernel.now
+        for messages in connection.receive(data):
+            if isinstance(messages, _Line):
+                self._line(sock.owner, port, messages.value, messages.burst)
             else:
-                self._answer(sock.owner, port, said.target, said.headers, said.body)
+                self._answer(sock.owner, port, messages.target, messages.headers, messages.body)
 
     def _port(self, sock: VirtualSocket) -> int | None:
         if sock._peer_name is None or sock.owner not in self._owners:
@@ -78,7 +78,7 @@
         self.value, self.burst = value, burst
 
 
-class _Whole:
+class _Answer:
     def __init__(self, target: str, headers: dict[str, str], body: bytes) -> None:
         self.target, self.headers, self.body = target, headers, body
 
@@ -88,32 +88,32 @@
 
     def __init__(self, kernel: Kernel) -> None:
         self._kernel = kernel
-        self.asked = bytearray()  # what was sent and has no answer yet
+        self.requests = bytearray()  # what was sent and has no answer yet
         self._http: h11.Connection | None = None
         self._target, self._status = "", 0
         self._headers: dict[str, str] = {}
         self._body = bytearray()
         self._began: float | None = None  # s, of the first line
-        self._deaf = False  # what comes is no HTTP
+        self._not_http = False  # what comes is no HTTP
 
-    def hear(self, data: bytes) -> list[_Line | _Whole]:
-        said: list[_Line | _Whole] = []
+    def receive(self, data: bytes) -> list[_Line | _Answer]:
+        messages: list[_Line | _Answer] = []
         try:
-            while data and not self._deaf:
-                if self._http is None and not self._begin():
+            while data and not self._not_http:
+                if self._http is None and not self._begin_answer():
                     break  # nobody has asked: it is no answer
                 assert self._http is not None
                 self._http.receive_data(data)
-                data = self._follow(said)
+                data = self._read_events(messages)
         except (h11.RemoteProtocolError, ValueError):
-            self._deaf = True
-        return said
+            self._not_http = True
+        return messages
 
-    def _begin(self) -> bool:
-        head, found, rest = bytes(self.asked).partition(b"\r\n\r\n")
+    def _begin_answer(self) -> bool:
+        head, found, rest = bytes(self.requests).partition(b"\r\n\r\n")
         if not found:
             return False
-        self.asked = bytearray(rest)
+        self.requests = bytearray(rest)
         self._target = head.split(b" ", 2)[1].decode("ascii")
         self._http = h11.Connection(h11.CLIENT)
         self._http.send(h11.Request(method="GET", target=self._target, headers=[("Host", "x")]))
@@ -121,7 +121,7 @@
         self._body.clear()
         return True
 
-    def _follow(self, said: list[_Line | _Whole]) -> bytes:
+    def _read_events(self, messages: list[_Line | _Answer]) -> bytes:
         """What is behind the end of an answer."""
         assert self._http is not None
         while True:
@@ -132,23 +132,23 @@
                 case h11.Data(data=data):
                     self._body += data
                     if "follow=1" in self._target and self._status == 200:
-                        self._cut(said)
+                        self._take_lines(messages)
                 case h11.EndOfMessage():
                     if self._status == 200 and "follow=1" not in self._target:
-                        said.append(_Whole(self._target, self._headers, bytes(self._body)))
-                    behind = bytes(self._http.trailing_data[0])
+                        messages.append(_Answer(self._target, self._headers, bytes(self._body)))
+                    trailing = bytes(self._http.trailing_data[0])
                     self._http = None
-                    return behind
+                    return trailing
                 case h11.NEED_DATA | h11.PAUSED | h11.ConnectionClosed():
                     return b""
                 case _:
                     pass
 
-    def _cut(self, said: list[_Line | _Whole]) -> None:
+    def _take_lines(self, messages: list[_Line | _Answer]) -> None:
         *lines, rest = bytes(self._body).split(b"\n")
         self._body[:] = rest
         for line in lines:
             if line.strip():
                 now = self._kernel.now
                 self._began = now if self._began is None else self._began
-                said.append(_Line(json.loads(line), now - self._began <= BURST))
+                messages.append(_Line(json.loads(line), now - self._began <= BURST))
--- a/limebridge/virtual/runner.py
+++ b/limebridge/virtual/runner.py
@@ -7,6 +7,6 @@
 from .world import Outcome, World
 
 
-def play(plan: Plan) -> Outcome:
+def run_plan(plan: Plan) -> Outcome:
     """Run a plan once; the same outcome each time and everywhere."""
     return (ConsulWorld if plan.consul else World)(plan).run()
--- a/limebridge/virtual/sockets.py
+++ b/limebridge/virtual/sockets.py
@@ -15,9 +15,9 @@
 
 READ, WRITE = 1, 2  # as the selectors module has them
 SEGMENT = 16 * 1024  # bytes of one arrival at most
-SYN_AGAIN = 1.0  # s until a connect is tried again: the backlog was full, the path blocked
-HEALED = 0.2  # s after a path has healed until what was held comes: the sender's timer
-PROBES_LATE = 0.47  # s by which TCP_USER_TIMEOUT was seen to be late where the window is closed
+SYN_RETRY = 1.0  # s until a connect is tried again: the backlog was full, the path blocked
+RTO = 0.2  # s after a path has healed until what was held comes: the sender's timer
+ZERO_WINDOW_DELAY = 0.47  # s by which Linux is late with TCP_USER_TIMEOUT at a closed window
 
 
 class VirtualSocket:
@@ -33,24 +33,24 @@
         self._queue: deque[VirtualSocket] | None = None  # of a listening one
         self._backlog = 0
         self._link: Link | None = None
-        self._extra = 0.0
-        self._towards = False  # sends in the direction `to` of its link
+        self._extra_s = 0.0
+        self._is_client = False  # sends in the direction `to` of its link
         self.peer: VirtualSocket | None = None
         self._state = "new"  # connecting, open, failed
         self._error = 0  # told once, by getsockopt or the next call
-        self._sending, self._flying = bytearray(), 0
+        self._sending, self._in_flight = bytearray(), 0
         self._sent = 0  # bytes ever, taken from the program
         self._received = bytearray()
-        self._stamps = SendTimes()  # of what the peer has sent
+        self._peer_send_times = SendTimes()  # of what the peer has sent
         self._last_arrival = 0.0  # at the peer, of what we sent
-        self._end_asked = self._end_sent = False  # our FIN
-        self._end_came = False  # the peer's FIN
+        self._fin_requested = self._fin_sent = False  # our FIN
+        self._fin_received = False  # the peer's FIN
         self._reset = False
         self._closed = False
         self._abortive = False  # SO_LINGER with no time
-        self._abandoned = False  # closed so: what had not crossed is gone
+        self._aborted = False  # closed so: what had not crossed is gone
         self._meter: SocketMeter = kernel.meters.get(owner, UNMETERED)
-        self._within = 0.0  # s for which sent data may be unacknowledged; TCP_USER_TIMEOUT
+        self._user_timeout = 0.0  # s for which sent data may be unacknowledged; TCP_USER_TIMEOUT
 
     # --- names, options ---
     def fileno(self) -> int:
@@ -75,12 +75,12 @@
             on, seconds = struct.unpack("ii", bytes(value)[:8])
             self._abortive = on != 0 and seconds == 0
         elif level == socket.IPPROTO_TCP and option == socket.TCP_USER_TIMEOUT:
-            self._within = value / 1000.0
+            self._user_timeout = value / 1000.0
 
     def getsockopt(self, level: int, option: int) -> int:
         if option == socket.SO_ERROR:
-            told, self._error = self._error, 0
-            return told
+            pending_error, self._error = self._error, 0
+            return pending_error
         return self._kernel.buffer if option == socket.SO_RCVBUF else 0
 
     # --- opening ---
@@ -103,46 +103,46 @@
         kernel = self._kernel
         self._name, self._peer_name = ("127.0.0.1", kernel.port()), address
         self._meter.connects()
-        self._link, self._towards = kernel.link(address[1]), True
-        self._extra = kernel.extra(self.owner, address[1])
+        self._link, self._is_client = kernel.link(address[1]), True
+        self._extra_s = kernel.extra_delay(self.owner, address[1])
         self._state = "connecting"
-        self._syn()
+        self._send_syn()
         return errno.EINPROGRESS
 
-    def _syn(self) -> None:
+    def _send_syn(self) -> None:
         """Ask; what nobody answers is asked again, as the kernel does."""
         if self._closed or self._state != "connecting":
             return
         assert self._link is not None
         link, kernel = self._link, self._kernel
         if not link.blocked_to:
-            kernel.at(kernel.now + self._delay(), self._syn_came)
-        kernel.at(kernel.now + SYN_AGAIN, self._syn)
+            kernel.at(kernel.now + self._delay(), self._syn_arrived)
+        kernel.at(kernel.now + SYN_RETRY, self._send_syn)
 
-    def _syn_came(self) -> None:
+    def _syn_arrived(self) -> None:
         assert self._link is not None and self._peer_name is not None
         kernel, link = self._kernel, self._link
         if self._closed or self._state != "connecting" or link.blocked_back:
             return
-        door = kernel.listening.get(self._peer_name[1])
-        if door is None or door._queue is None:
+        listener = kernel.listening.get(self._peer_name[1])
+        if listener is None or listener._queue is None:
             kernel.at(kernel.now + self._delay(), self._refused)
-        elif len(door._queue) <= door._backlog:  # Linux holds one more than it was asked for
-            far = VirtualSocket(kernel, door.owner)
-            far._name, far._peer_name = self._peer_name, self._name
-            far._link, far.peer, far._state, far._extra = link, self, "open", self._extra
-            door._queue.append(far)
-            kernel.touch(door)
+        elif len(listener._queue) <= listener._backlog:  # Linux queues one more than the backlog
+            peer = VirtualSocket(kernel, listener.owner)
+            peer._name, peer._peer_name = self._peer_name, self._name
+            peer._link, peer.peer, peer._state, peer._extra_s = link, self, "open", self._extra_s
+            listener._queue.append(peer)
+            kernel.touch(listener)
             self._state = "opening"
-            self.peer = far
-            kernel.at(kernel.now + self._delay(), self._syn_answered)
+            self.peer = peer
+            kernel.at(kernel.now + self._delay(), self._syn_ack_arrived)
 
     def _refused(self) -> None:
         if self._state == "connecting":
             self._state, self._error = "failed", errno.ECONNREFUSED
             self._kernel.touch(self)
 
-    def _syn_answered(self) -> None:
+    def _syn_ack_arrived(self) -> None:
         if not self._closed and self._state == "opening":
             self._state = "open"
             self._transmit()
@@ -162,33 +162,33 @@
 
     # --- receiving ---
     def recv(self, size: int, flags: int = 0) -> bytes:
-        self._may_receive()
+        self._check_receivable()
         data = bytes(self._received[:size])
         if data and not flags & socket.MSG_PEEK:
-            self._taken(len(data))
+            self._consume(len(data))
         return data
 
     def recv_into(self, buffer: Any, size: int = 0) -> int:
-        self._may_receive()
+        self._check_receivable()
         view = memoryview(buffer)
         count = min(len(view), len(self._received))
         self._meter.reads(count)
         view[:count] = self._received[:count]
         if count:
-            self._taken(count)
+            self._consume(count)
         return count
 
-    def _may_receive(self) -> None:
-        self._open_only()
+    def _check_receivable(self) -> None:
+        self._check_open()
         if self._received:
             return
         if self._error:
-            told, self._error = self._error, 0
-            raise error(told)
-        if not self._end_came and not self._reset:
+            pending_error, self._error = self._error, 0
+            raise error(pending_error)
+        if not self._fin_received and not self._reset:
             raise error(errno.EAGAIN if self._state == "open" else errno.ENOTCONN)
 
-    def _taken(self, count: int) -> None:
+    def _consume(self, count: int) -> None:
         """The window opens; the sender hears of it a way later."""
         was_full = len(self._received) >= self._kernel.buffer // 2
         del self._received[:count]
@@ -201,11 +201,11 @@
         return self.sendmsg([data])
 
     def sendmsg(self, parts: Iterable[Any]) -> int:
-        self._open_only()
+        self._check_open()
         if self._error:
-            told, self._error = self._error, 0
-            raise error(told)
-        if self._end_asked or self._reset:
+            pending_error, self._error = self._error, 0
+            raise error(pending_error)
+        if self._fin_requested or self._reset:
             raise error(errno.EPIPE)
         if self._state != "open":
             raise error(
@@ -213,14 +213,14 @@
             )
         taken = 0
         if self.peer is not None:
-            self.peer._stamps.note(self._sent, self._kernel.now + self._meter.spent)
+            self.peer._peer_send_times.note(self._sent, self._kernel.now + self._meter.spent)
         for part in parts:
-            room = self._kernel.buffer - len(self._sending) - self._flying
+            room = self._kernel.buffer - len(self._sending) - self._in_flight
             if room <= 0:
                 break
             piece = memoryview(part)[:room]
             self._sending += piece
-            self._kernel.given(self, bytes(piece))
+            self._kernel.on_sent(self, bytes(piece))
             taken += len(piece)
             if len(piece) < len(part):
                 break
@@ -229,17 +229,19 @@
         self._sent += taken
         self._meter.writes(taken)
         self._transmit()
-        if self._within and self._link is not None and (self._sending or self._blocked):
-            whole, late = self._sent, PROBES_LATE if self._sending else 0.0
-            self._kernel.at(self._kernel.now + self._within + late, lambda: self._overdue(whole))
+        if self._user_timeout and self._link is not None and (self._sending or self._blocked):
+            sent, late = self._sent, ZERO_WINDOW_DELAY if self._sending else 0.0
+            self._kernel.at(
+                self._kernel.now + self._user_timeout + late, lambda: self._timed_out(sent)
+            )
         return taken
 
-    def _overdue(self, sent: int) -> None:
+    def _timed_out(self, sent: int) -> None:
         """TCP_USER_TIMEOUT is over for what had been sent by then."""
         if not self._closed and not self._reset and self._sent - self.undelivered() < sent:
             self._sending.clear()
             self._send_reset()
-            self._abandoned = True
+            self._aborted = True
             self._error = errno.ETIMEDOUT
             self._kernel.touch(self)
 
@@ -250,7 +252,7 @@
             return
         assert self._link is not None
         while self._sending:
-            window = self._kernel.buffer - len(peer._received) - self._flying
+            window = self._kernel.buffer - len(peer._received) - self._in_flight
             size = min(len(self._sending), window, SEGMENT)
             if size <= 0:
                 break
@@ -258,73 +260,73 @@
                 size = kernel.random(f"cut/{self._link.port}").randint(1, size)
             data = bytes(self._sending[:size])
             del self._sending[:size]
-            self._flying += size
-            self._pass(lambda data=data: self._arrives(data))  # type: ignore[misc]
-        if self._end_asked and not self._sending and not self._end_sent:
-            self._end_sent = True
-            self._pass(self._end_arrives)
+            self._in_flight += size
+            self._send_packet(lambda data=data: self._data_arrived(data))  # type: ignore[misc]
+        if self._fin_requested and not self._sending and not self._fin_sent:
+            self._fin_sent = True
+            self._send_packet(self._fin_arrived)
 
     @property
     def _blocked(self) -> bool:
         """Nothing crosses its link in the direction in which it sends."""
         assert self._link is not None
-        return self._link.blocked_to if self._towards else self._link.blocked_back
+        return self._link.blocked_to if self._is_client else self._link.blocked_back
 
     def _delay(self) -> float:
         assert self._link is not None
         link = self._link
         if not link.jitter:
-            return link.latency + self._extra
-        way = "to" if self._towards else "back"
-        drawn = self._kernel.random(f"{way}/{link.port}").random()
-        return link.latency + self._extra + link.jitter * drawn
+            return link.latency + self._extra_s
+        direction = "to" if self._is_client else "back"
+        fraction = self._kernel.random(f"{direction}/{link.port}").random()
+        return link.latency + self._extra_s + link.jitter * fraction
 
-    def _pass(self, arrives: Callable[[], None], held: float = 0.0) -> None:
+    def _send_packet(self, arrives: Callable[[], None], held: float = 0.0) -> None:
         """Cross the path in order; a blocked one holds until it has healed."""
         assert self._link is not None
         link = self._link
         if self._blocked:
             # What a sender has thrown away it does not send again; nor is a reset.
-            link.held.append(lambda: None if self._abandoned else self._pass(arrives, HEALED))
+            link.held.append(lambda: None if self._aborted else self._send_packet(arrives, RTO))
             return
         when = self._kernel.now + held + self._delay() + self._meter.spent
         self._last_arrival = max(self._last_arrival, when)
         self._kernel.at(self._last_arrival, arrives)
 
-    def _arrives(self, data: bytes) -> None:
+    def _data_arrived(self, data: bytes) -> None:
         peer = self.peer
-        self._flying -= len(data)
+        self._in_flight -= len(data)
         if peer is None:
             return
         if peer._closed:  # nobody will read it
             peer._send_reset()
             return
         peer._received += data
-        self._kernel.received(peer, data)
+        self._kernel.on_received(peer, data)
         self._kernel.touch(peer)
         self._kernel.touch(self)  # there may be room again
         if self._sending:
             self._transmit()
 
-    def _end_arrives(self) -> None:
+    def _fin_arrived(self) -> None:
         if self.peer is not None and not self.peer._closed:
-            self.peer._end_came = True
+            self.peer._fin_received = True
             self._kernel.touch(self.peer)
-            self._kernel.ended(self.peer)
+            self._kernel.on_end(self.peer)
 
     def _send_reset(self) -> None:
         if self.peer is not None and not self._reset:
             self._reset = True
-            self._pass(self._reset_arrives)
+            self._send_packet(self._reset_arrived)
 
-    def _reset_arrives(self) -> None:
+    def _reset_arrived(self) -> None:
         peer = self.peer
         if peer is None or peer._reset:
             return
         peer._reset = True
-        self._kernel.ended(peer)
+        self._kernel.on_end(peer)
         # Told after what had come before has been read; Linux names it by the state it met.
-        peer._error = errno.EPIPE if peer._end_came else errno.ECONNRESET
+        peer._error = errno.EPIPE if peer._fin_received else errno.ECONNRESET
         peer._sending.clear()
         if peer._state in ("connecting", "opening"):
             peer._state = "failed"
@@ -332,11 +334,11 @@
 
     # --- the end ---
     def shutdown(self, how: int) -> None:
-        self._open_only()
+        self._check_open()
         if self._state != "open" or self._reset:
             raise error(errno.ENOTCONN)
         if how in (socket.SHUT_WR, socket.SHUT_RDWR):
-            self._end_asked = True
+            self._fin_requested = True
             self._transmit()
 
     def close(self) -> None:
@@ -357,9 +359,9 @@
             if self._received or self._abortive:  # as RFC 2525, 2.17 has it
                 self._sending.clear()
                 self._send_reset()
-                self._abandoned = True
+                self._aborted = True
             else:
-                self._end_asked = True
+                self._fin_requested = True
                 self._transmit()
 
     def abort(self) -> None:
@@ -367,7 +369,7 @@
         self._abortive = True
         self.close()
 
-    def _open_only(self) -> None:
+    def _check_open(self) -> None:
         if self._closed:
             raise error(errno.EBADF)
 
@@ -376,10 +378,10 @@
 
     def sent_at(self, offset: int) -> float:
         """When the byte that came as the `offset`th was handed to the kernel over there."""
-        return self._stamps.at(offset)
+        return self._peer_send_times.at(offset)
 
     def undelivered(self) -> int:  # bytes that have not arrived over there; SIOCOUTQ
-        return len(self._sending) + self._flying
+        return len(self._sending) + self._in_flight
 
     # --- for the poll ---
     def ready(self) -> int:
@@ -390,10 +392,11 @@
             return READ | WRITE
         if self._state != "open":
             return 0
-        mask = READ if self._received or self._end_came else 0
+        mask = READ if self._received or self._fin_received else 0
         if (
-            not self._end_asked
-            and self._kernel.buffer - len(self._sending) - self._flying >= self._kernel.buffer // 3
+            not self._fin_requested
+            and self._kernel.buffer - len(self._sending) - self._in_flight
+            >= self._kernel.buffer // 3
         ):
             mask |= WRITE
         return mask
--- a/limebridge/virtual/timeline.py
+++ b/limebridge/virtual/timeline.py
@@ -12,7 +12,7 @@
 WIDTH, ROW, LEFT = 1000.0, 26.0, 70.0  # px of the picture
 
 
-def tell(outcome: Outcome) -> str:
+def render_text(outcome: Outcome) -> str:
     """The faults, each break with its request's story, and what led there."""
     lines = [
         f"seed {outcome.plan.seed}: {outcome.requests} requests in "
@@ -38,7 +38,7 @@
     return "\n".join(lines)
 
 
-def picture(outcome: Outcome) -> str:
+def render_html(outcome: Outcome) -> str:
     """One HTML page: time to the right, a row a node, commands and faults on it."""
     span = max(outcome.virtual_seconds, 1.0)
     nodes = sorted({_node(line) for line in outcome.trace} - {""})
@@ -76,7 +76,7 @@
     parts.append("</svg>")
     return (
         "<!doctype html><meta charset=utf-8><title>seed "
-        f"{outcome.plan.seed}</title>{''.join(parts)}<pre>{escape(tell(outcome))}</pre>\n"
+        f"{outcome.plan.seed}</title>{''.join(parts)}<pre>{escape(render_text(outcome))}</pre>\n"
     )
 
 
--- a/tests/limebridge/virtual/test_explore.py
+++ b/tests/limebridge/virtual/test_explore.py
@@ -14,20 +14,20 @@
 
 from limebridge.cli import app
 from limebridge.rules import Violation
-from limebridge.virtual.coverage import BRINGS, History, lean, rare
+from limebridge.virtual.coverage import STATE_TRIGGERS, History, add_rare_pairs, rarest_pairs
 from limebridge.virtual.explore import explore, shrink
 from limebridge.virtual.plan import (
     PROCESS_WEIGHTS,
     WEIGHTS,
     Fault,
     Plan,
-    draw,
-    draw_consul,
     dump,
+    generate,
+    generate_consul,
     read,
 )
-from limebridge.virtual.runner import play
-from limebridge.virtual.timeline import picture, tell
+from limebridge.virtual.runner import run_plan
+from limebridge.virtual.timeline import render_html, render_text
 from limebridge.virtual.world import Outcome
 from tests.support.paths import ROOT, TESTS
 
@@ -54,7 +54,7 @@
     code, told = replay(str(path), "--patch", str(patch))
     assert code == 1 and told["broken"]
     assert len(read(path).faults) <= 4
-    assert play(read(path)).broken == []
+    assert run_plan(read(path)).broken == []
 
 
 def test_every_planted_bug_that_was_found_has_its_plan() -> None:
@@ -63,11 +63,11 @@
 
 
 def test_a_seed_is_the_same_in_any_process() -> None:
-    here = play(draw(3))
+    here = run_plan(generate(3))
     for hashes in ("0", "1", "random"):
         code, told = replay("3", hashes=hashes)
         assert (code, told["digest"]) == (0, here.digest)
-    assert play(draw(4)).digest != here.digest
+    assert run_plan(generate(4)).digest != here.digest
 
 
 @pytest.mark.long
@@ -80,8 +80,8 @@
 
 def test_a_plan_survives_its_file_and_a_bad_one_is_refused(tmp_path: Path) -> None:
     path = tmp_path / "plan.json"
-    path.write_text(dump(draw(9)))
-    assert read(path) == draw(9)
+    path.write_text(dump(generate(9)))
+    assert read(path) == generate(9)
     path.write_text('{"seed": 1, "faults": [{"at": 1, "kind": "nothing"}]}')
     result = CliRunner().invoke(app, ["replay", str(path)])
     assert result.exit_code == 2 and "kind" in result.output
@@ -101,20 +101,20 @@
             outcome.broken.append(Violation(2, 0.0, "planted"))
         return outcome
 
-    smaller = shrink(msgspec.structs.replace(draw(1), faults=(*faults, guilty)), 2, run=run)
+    smaller = shrink(msgspec.structs.replace(generate(1), faults=(*faults, guilty)), 2, run=run)
     assert smaller.faults == (guilty,) and smaller.seconds < 8.0 and runs <= 120
 
 
 def test_the_story_and_the_picture_hold_the_faults() -> None:
-    outcome = play(draw(5))
-    for text in (tell(outcome), picture(outcome)):
+    outcome = run_plan(generate(5))
+    for text in (render_text(outcome), render_html(outcome)):
         assert all(fault.kind in text for fault in outcome.plan.faults)
-    assert "no rule broken" in tell(outcome) and "<circle" in picture(outcome)
+    assert "no rule broken" in render_text(outcome) and "<circle" in render_html(outcome)
 
 
 @pytest.mark.long
 def test_the_line_that_is_printed_plays_what_was_found(tmp_path: Path) -> None:
-    here = play(draw_consul(11))
+    here = run_plan(generate_consul(11))
     code, told = replay("11", "--consul")
     assert (code, told["digest"]) == (0, here.digest)
     patch = str(TESTS / "planted" / "other_source_drain.py")
@@ -148,18 +148,18 @@
     one, other = History(path), History(path)
     other.build = "another"
     assert [
-        one.take("plain", 10)[0],
-        other.take("plain", 5)[0],
-        one.take("consul", 1)[0],
-        one.take("plain", 1)[0],
+        one.reserve_seeds("plain", 10)[0],
+        other.reserve_seeds("plain", 5)[0],
+        one.reserve_seeds("consul", 1)[0],
+        one.reserve_seeds("plain", 1)[0],
     ] == [0, 10, 0, 15]
     one.add(10, {"reload/list: silent": 2})
     one.add(1, {"reload/list: silent": 1})
-    assert one.take("plain", 1)[1] == {"reload/list: silent": 3}
-    assert other.take("plain", 1) == (17, {})
+    assert one.reserve_seeds("plain", 1)[1] == {"reload/list: silent": 3}
+    assert other.reserve_seeds("plain", 1) == (17, {})
     path.write_text("{")
     with pytest.raises(ValueError, match="explored"):
-        one.take("plain", 1)
+        one.reserve_seeds("plain", 1)
 
 
 def test_next_goes_on_and_refuses_a_file_that_is_none_of_its_own(
@@ -177,23 +177,25 @@
     met = {
         f"{kind}/list: {state}, by platform": 9
         for kind in [*WEIGHTS, *PROCESS_WEIGHTS]
-        for state in BRINGS
+        for state in STATE_TRIGGERS
         if (kind, state) != ("path_cut", "a drain just told")
     }
-    assert rare(met, consul=False)[0] == ("path_cut", "a drain just told")
-    pairs = rare(met, consul=False, most=1)
-    leant = lean(draw(5), pairs)
-    assert leant == lean(draw(5), pairs) and set(draw(5).faults) < set(leant.faults)
+    assert rarest_pairs(met, consul=False)[0] == ("path_cut", "a drain just told")
+    pairs = rarest_pairs(met, consul=False, most=1)
+    leant = add_rare_pairs(generate(5), pairs)
+    assert leant == add_rare_pairs(generate(5), pairs) and set(generate(5).faults) < set(
+        leant.faults
+    )
     drains = [fault.at for fault in leant.faults if fault.kind == "node_drains"]
-    cuts = set(leant.faults) - set(draw(5).faults)
+    cuts = set(leant.faults) - set(generate(5).faults)
     assert any(
         fault.kind == "path_cut" and any(0 <= fault.at - at <= 0.5 for at in drains)
         for fault in cuts
     )
-    assert play(leant).met["path_cut/list: a drain just told, by platform"]
+    assert run_plan(leant).met["path_cut/list: a drain just told, by platform"]
 
 
 def test_a_reload_held_up_by_a_pause_takes_the_file_as_it_is_then() -> None:
     """Seed 8201801: two SIGHUPs in one pause, and the earlier one's old file came last."""
-    outcome = play(draw(8_201_801))
+    outcome = run_plan(generate(8_201_801))
     assert not outcome.broken and any(f.kind == "reload" for f in outcome.plan.faults)
--- a/tests/violetroute/test_crossings_process.py
+++ b/tests/violetroute/test_crossings_process.py
@@ -128,6 +128,6 @@
         stopped = asyncio.ensure_future(here.process.term())
         for _, each in idle:
             each.close()
-        assert await stopped and here.process.left()["descriptors"] == 0
+        assert await stopped and here.process.leftovers()["descriptors"] == 0
 
     scene(scenario, nodes=2, sockets=64)
