--- a/limebridge/virtual/__init__.py
+++ b/limebridge/virtual/__init__.py
@@ -1,7 +1,7 @@
-"""A world in memory: clock, event loop and network in which the daemon's own code runs.
+"""Deterministic simulation: clock, event loop and network in memory run the daemon's code.
 
-`kernel` plays the sockets, `loop` the event loop; asyncio's selector loop, its transports and
-tasks, the daemon and the stand-ins run on them unchanged.
+`kernel` simulates sockets and `loop` the event loop.  asyncio's transports and tasks, the daemon
+and the stand-ins run on them unchanged.
 """
 
 from .kernel import Kernel
--- a/limebridge/virtual/client.py
+++ b/limebridge/virtual/client.py
@@ -1,4 +1,4 @@
-"""A client of an explored run: all that it sees is judged."""
+"""Client of an explored run; it reports all results to the rule checker."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class RunContext(Protocol):
-    """What a client asks of the run it is in."""
+    """What a client needs from its run."""
 
     checker: RuleChecker
     keys: dict[str, bytes]
@@ -44,7 +44,10 @@
 
 
 class Client:
-    """One connection at a time; answers in order; asks again on a new one when it closes."""
+    """Client with one connection at a time; it reconnects after a close.
+
+    Responses are matched to requests in order.
+    """
 
     def __init__(self, world: RunContext, number: int) -> None:
         self._world, self.number = world, number
@@ -54,7 +57,7 @@
         self._leaving = False
 
     async def ask(self, id_: str, words: bytes, cls: str) -> None:
-        """Write one question; on a connection of its own time where there is none."""
+        """Send one request, on a new connection if there is none."""
         world = self._world
         async with self._opening:
             if self._writer is None or self._writer.transport.is_closing():
@@ -62,7 +65,7 @@
                 try:
                     reader, self._writer = await asyncio.open_connection("127.0.0.1", world.port)
                 except OSError:
-                    return  # the proxy is away: nothing was taken
+                    return  # the proxy is unavailable: nothing was sent
                 world.start(self._read(reader, self._writer))
             writer = self._writer
         writer.write(words)
@@ -109,15 +112,17 @@
 
     def _expire(self, id_: str) -> None:
         world = self._world
-        if next(iter(self.open), id_) != id_:  # it asked behind one that may take longer, and
-            world.checker.excuse(id_)  # answers come in order: only the first can be judged
+        # Responses come in order, so only the first open request can be checked: a later one may
+        # wait for an earlier one with a longer deadline.
+        if next(iter(self.open), id_) != id_:
+            world.checker.excuse(id_)
         self.open.pop(id_, None)
         world.note(f"expired {id_}")
         world.checker.expired(world.kernel.now, id_)
         self.leave()
 
     def leave(self) -> None:
-        """Go away with whatever is open."""
+        """Reset the connection with its open requests."""
         world = self._world
         self._leaving = True
         for id_, timer in self.open.items():
@@ -128,6 +133,7 @@
             self._writer.transport.abort()
 
     def close(self) -> None:
+        """Close the connection at the end of the run."""
         self._leaving = True
         if self._writer is not None:
             self._writer.close()
--- a/limebridge/virtual/coverage.py
+++ b/limebridge/virtual/coverage.py
@@ -1,12 +1,11 @@
-"""Which fault met which state, which pairs have been met least, and which seeds nobody has played.
+"""Coverage of the explorer: which fault occurred in which state, and which seeds were run.
 
-A pair is a kind of fault and what it met: the state of an open request, or of the list
-("list: ").  Plans lean towards rare pairs of the list: a fault that brings the state about (a
-drain, a restart, a watch that ends), and the rare one a moment later.  A plan that leans is more
-than its seed, so what breaks is always written as a file.
+A pair is a kind of fault and a state in which it occurred: of an open request, or of the node list
+("list: ").  `add_rare_pairs` extends a plan for rare pairs of the list: a fault that brings about
+the state (a drain, a restart, the end of a watch) and the rare fault shortly after.  The seed alone
+does not reproduce an extended plan, so a failing one is always written to a file.
 
-`History` keeps, by build, what was played: the next run begins where any run ended, so each plays
-seeds that nobody has seen here.
+`History` stores the next unused seed and the coverage by build, so no two runs here share seeds.
 """
 
 from __future__ import annotations
@@ -30,32 +29,32 @@
 from .plan import CONSUL_WEIGHTS, PROCESS_WEIGHTS, WEIGHTS, Fault, Kind, Plan
 
 LIST_PREFIX = "list: "
-# What brings a state of the list about, and by when after it the rare fault comes, in s.
+# List state -> the fault that brings it about, and when after it the rare fault occurs, in s.
 STATE_TRIGGERS: Mapping[str, tuple[Kind, float, float]] = {
     "a drain just told": ("node_drains", 0.0, 0.5),
     "a drain kept": ("node_drains", 0.5, 1.5),
     "not heard since its start": ("proxy_killed", 0.02, 0.4),
     "silent": ("discovery_ends", 3.0, 4.0),
 }
-MAX_PAIRS = 2  # pairs that a plan is led to at most
+MAX_PAIRS = 2  # added to one plan
 
 
 class BuildCoverage(msgspec.Struct):
-    """What one build has met."""
+    """Coverage of one build: seeds run, and "fault kind/state" -> occurrences."""
 
     seeds: int = 0
     met: dict[str, int] = {}
 
 
 class HistoryFile(msgspec.Struct):
-    """The state file: the next seed by kind of world, and what each build has met."""
+    """Contents of the state file: next seed by kind of simulation, and coverage by build."""
 
     next: dict[str, int] = {}
     builds: dict[str, BuildCoverage] = {}
 
 
 def build() -> str:
-    """A name for the code that is explored: a hash over its sources."""
+    """Identifier of the code under test: a hash of its sources."""
     found = hashlib.sha256()
     for package in (snowstall, violetroute, limebridge):
         root = Path(package.__path__[0])
@@ -65,7 +64,7 @@
 
 
 def rarest_pairs(met: Mapping[str, int], consul: bool, most: int = 24) -> list[tuple[Kind, str]]:
-    """The pairs of a fault and a state of the list that were met least, the rarest first."""
+    """The pairs of a fault and a list state with the fewest occurrences, rarest first."""
     kinds: list[Kind] = [*WEIGHTS, *PROCESS_WEIGHTS, *(CONSUL_WEIGHTS if consul else ())]
     counted: Counter[tuple[str, str]] = Counter()
     for key, times in met.items():
@@ -77,7 +76,7 @@
 
 
 def add_rare_pairs(plan: Plan, pairs: Sequence[tuple[Kind, str]]) -> Plan:
-    """The plan with some of these pairs brought about, drawn from a stream of its own."""
+    """The plan with faults added for some of these pairs, from a separate random stream."""
     if not pairs:
         return plan
     rng = random.Random(f"lean/{plan.seed}")
@@ -109,7 +108,7 @@
 
 
 class History:
-    """What was played, in one small file; several runs at once share it under a lock."""
+    """State file of used seeds and coverage; concurrent runs share it under a lock."""
 
     def __init__(self, path: Path | None = None) -> None:
         home = os.environ.get("XDG_STATE_HOME") or os.path.expanduser("~/.local/state")
@@ -118,7 +117,7 @@
 
     @contextlib.contextmanager
     def _open(self) -> Iterator[HistoryFile]:
-        """ValueError when the file is none of ours."""
+        """Read, and on normal exit rewrite, the file.  Raises ValueError if it is malformed."""
         self.path.parent.mkdir(parents=True, exist_ok=True)
         with open(self.path.with_suffix(".lock"), "w") as lock:
             fcntl.flock(lock, fcntl.LOCK_EX)
@@ -134,14 +133,14 @@
             aside.replace(self.path)
 
     def reserve_seeds(self, world: str, seeds: int) -> tuple[int, dict[str, int]]:
-        """The first of so many seeds that nobody else plays, and what this build has met."""
+        """Reserve `seeds` unused seeds; return the first one and this build's coverage."""
         with self._open() as kept:
             first = kept.next.get(world, 0)
             kept.next[world] = first + seeds
             return first, dict(kept.builds.get(self.build, BuildCoverage()).met)
 
     def add(self, seeds: int, met: Mapping[str, int]) -> None:
-        """What a run of this build has met."""
+        """Add the coverage of one run to this build's."""
         with self._open() as kept:
             cover = kept.builds.setdefault(self.build, BuildCoverage())
             cover.seeds += seeds
--- a/limebridge/virtual/datagrams.py
+++ b/limebridge/virtual/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams in memory: lost, late, twice and out of order, as the world's weather has it."""
+"""UDP in memory; `Network.datagram_delays` drops, delays, duplicates and reorders datagrams."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from .network import Network, error
 from .sockets import READ, WRITE
 
-MAX_QUEUED = 512  # datagrams that wait to be read; more are lost
+MAX_QUEUED = 512  # unread datagrams per socket; more are dropped
 
 
 class VirtualDatagrams:
-    """The methods of a UDP socket that the seam uses."""
+    """UDP socket with the methods that the transport interface uses."""
 
     family, type, proto = socket.AF_INET, socket.SOCK_DGRAM, socket.IPPROTO_UDP
 
@@ -57,7 +57,7 @@
 
     def recvfrom(self, max_bytes: int) -> tuple[bytes, tuple[str, int]]:
         if not self._queue:
-            raise BlockingIOError(errno.EAGAIN, "nothing has come")
+            raise BlockingIOError(errno.EAGAIN, "no datagram is queued")
         data, origin = self._queue.popleft()
         return data[:max_bytes], origin
 
@@ -71,5 +71,5 @@
             self._kernel.give_back(self)
 
     def abort(self) -> None:
-        """Its process was killed."""
+        """Close the socket of a killed process."""
         self.close()
--- a/limebridge/virtual/explore.py
+++ b/limebridge/virtual/explore.py
@@ -1,4 +1,4 @@
-"""Many seeds on all cores; a failure is shrunk to a smallest plan and ends as one line."""
+"""Runs the plans of many seeds in parallel and shrinks a failing plan to a small one."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 Pairs = Sequence[tuple[Kind, str]]
 
-MAX_SHRINK_RUNS = 120  # runs that shrinking one plan may take
+MAX_SHRINK_RUNS = 120  # per plan
 
 
 @dataclass
 class SeedResult:
-    """One seed's run, as it comes back from another process."""
+    """The result of one seed's run, returned by a worker process."""
 
     seed: int
     plan: Plan
@@ -40,7 +40,7 @@
 
 @dataclass
 class Summary:
-    """What an exploration has seen."""
+    """Results accumulated over an exploration."""
 
     seeds: int = 0
     seconds: float = 0.0
@@ -59,13 +59,13 @@
 
     @property
     def digest(self) -> str:
-        """Over all traces, in the order of their seeds, whichever process ran first."""
+        """SHA-256 over the digests in seed order, independent of which worker finished first."""
         whole = "".join(self.digests[seed] for seed in sorted(self.digests))
         return hashlib.sha256(whole.encode()).hexdigest()
 
 
 def run_seed(seed: int, consul: bool = False, pairs: Pairs = ()) -> SeedResult:
-    """Play one seed; `pairs` as `lean` has them."""
+    """Run the plan of one seed, extended by `add_rare_pairs` with `pairs`."""
     plan = add_rare_pairs(generate_consul(seed) if consul else generate(seed), pairs)
     outcome = run_plan(plan)
     return SeedResult(
@@ -82,9 +82,10 @@
     consul: bool = False,
     pairs: Pairs = (),
 ) -> Iterator[Summary]:
-    """The summary after each seed; ends early when `budget` seconds have passed, if above 0.
+    """Run `count` seeds from `first` and yield the summary after each one.
 
-    `prepare` runs once in each process, before the first seed.
+    Stops early after `budget` seconds (0: no limit).  `jobs` is the number of worker processes
+    (0: one per core); each calls `prepare` once before its first seed.
     """
     summary, began = Summary(), time.monotonic()
     jobs = jobs or len(os.sched_getaffinity(0))
@@ -100,7 +101,7 @@
 
 
 def violates_rule(outcome: Outcome, rule: int) -> bool:
-    """Whether a run breaks the rule that is looked for."""
+    """Whether the run violates this rule."""
     return any(found.rule == rule for found in outcome.broken)
 
 
@@ -110,9 +111,10 @@
     max_runs: int = MAX_SHRINK_RUNS,
     run: Callable[[Plan], Outcome] = run_plan,
 ) -> Plan:
-    """A smaller plan that still breaks this rule: fewer faults, shorter, simpler, less load.
+    """A smaller plan that still violates this rule: fewer faults, shorter, simpler, less load.
 
-    Greedy, and bounded in its runs; what it returns has been seen to fail.
+    The search is greedy and limited to `max_runs` runs.  Each reduction is kept only if a run of
+    it violated the rule.
     """
     left = max_runs
 
--- a/limebridge/virtual/fault_actions.py
+++ b/limebridge/virtual/fault_actions.py
@@ -1,4 +1,4 @@
-"""What goes wrong in an explored run: one method a kind of fault."""
+"""Faults of an explored run: method `_KIND` injects the fault of that kind."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class FaultActions:
-    """Played on what the world has built."""
+    """Fault injection into the simulation that `World` builds."""
 
     plan: Plan
     kernel: Kernel
@@ -45,7 +45,7 @@
     process: Process
     config: Config
     port: int
-    draining: dict[str, None]  # nodes of which discovery has said so
+    draining: dict[str, None]  # nodes reported as draining
     note: Callable[[str], None]
     _replaced_discoveries: list[Discovery]
     _listed: dict[str, None]
@@ -72,7 +72,7 @@
         self.discovery.publish(self._entry(node, lifecycle))
 
     def _sources_changed(self) -> None:
-        """The process follows other sources from here on."""
+        """Tell the checker that the process now follows other list sources."""
         self.checker.sources_replaced()
 
     def _proxy_restarted(self, states: dict[str, bool]) -> None:
@@ -125,16 +125,16 @@
         await self._start_again(node)
 
     async def _node_replaced(self, fault: Fault, node: FleetNode) -> None:
-        """Another id, cold, at the same address; the list says so late."""
+        """A cold node with another id takes over the address; the list is updated late."""
         await node.crash()
         await asyncio.sleep(fault.lasts)
         if node.port not in self.kernel.listening:
-            # Only now: what is told meanwhile is told of the one that was there.
+            # Renamed only now, since updates sent in the meantime concern the old node.
             old = self._entry(node, "terminated")
             node.name = f"{node.name}'"
             node.start_cold()
             await node.start(node.port)
-            self.draining.pop(node.name, None)  # what was said of it before it was there
+            self.draining.pop(node.name, None)  # an earlier drain concerned an older node
             self._replaced(old, node)
 
     async def _block_path(self, fault: Fault, port: int, to: bool, back: bool) -> None:
@@ -158,14 +158,14 @@
         await refused(fault.lasts, self.discovery)
 
     async def _discovery_lies(self, fault: Fault, node: FleetNode) -> None:
-        """Says that a healthy node is gone, and takes it back."""
+        """Discovery reports a healthy node as terminated, later as in service again."""
         self._publish(node, "terminated")
         await asyncio.sleep(fault.lasts)
         if node.port in self.kernel.listening:
             self._publish(node, "in_service")
 
     async def _discovery_moves(self, fault: Fault, node: FleetNode) -> None:
-        """Another discovery from now on; the old one still runs and praises every node."""
+        """Move to a new discovery; the old one still runs and reports every node in service."""
         old, self.discovery = self.discovery, await Discovery().start()
         self._replaced_discoveries.append(old)
         self.source_observer.follow(self.discovery.port)
@@ -204,9 +204,9 @@
         await self._reload_config(lambda: replace_limits(self.config, depth))
 
     async def _reload_config(self, read: Callable[[], Config]) -> None:
-        """SIGHUP: not for a process that drains or is away, later for one that gets no CPU.
+        """Deliver SIGHUP: ignored unless the process is up, delayed while the process is paused.
 
-        The file is read when the signal is taken: whatever was written to it by then holds.
+        `read` is called when the signal is handled, so the latest configuration is applied.
         """
         while self.kernel.now < self.process.paused_until:
             await asyncio.sleep(self.process.paused_until - self.kernel.now)
@@ -232,15 +232,16 @@
         if self.process.state == "down":
             return
         self.process.kill()
-        for client in self.clients:  # what it had taken may be lost, by the platform's word
+        # The platform allows that a killed process loses the requests that it had accepted.
+        for client in self.clients:
             for id_ in client.open:
                 self.checker.excuse(id_)
         if self.kernel.held(OWNER):
-            self.checker.report_fault(self.kernel.now, "a killed process has descriptors")
+            self.checker.report_fault(self.kernel.now, "a killed process still holds descriptors")
         await self._restart_process(fault)
 
     async def _restart_process(self, fault: Fault) -> None:
-        """A new process with the list that the last one had, which may be old as to drains."""
+        """Restart the proxy with its last node list, or one that lacks the current drains."""
         await asyncio.sleep(fault.lasts)
         if self._ending:
             return
@@ -272,6 +273,6 @@
 
 
 def replace_limits(config: Config, depth: int) -> Config:
-    """The configuration with another depth: what an operator's reload may bring."""
+    """The configuration with another limit `depth`, as an operator's reload may change it."""
     limits = msgspec.structs.replace(config.operator.limits, depth=depth)
     return replace(config, operator=msgspec.structs.replace(config.operator, limits=limits))
--- a/limebridge/virtual/kernel.py
+++ b/limebridge/virtual/kernel.py
@@ -1,17 +1,17 @@
-"""TCP sockets that exist only in memory, with the manners of the kernel's.
+"""TCP and UDP sockets in memory that behave like those of the Linux kernel.
 
-What is played: connects that are refused, come late or never do; a backlog that fills; latency and
-jitter a link; send and receive buffers with back-pressure; segments cut anywhere; FIN, half-close
-and RST, with what came before it still to be read; a peer that vanishes; one direction of a path
-that is blocked and heals; descriptors as a limited resource, given out lowest first; MSG_PEEK.
-Not played: lost segments as such (a blocked path delays, as retransmission does), Nagle, keepalive,
-urgent data, SO_RCVLOWAT, limits of a datagram's size, time in system calls or in
-the program: a turn of the loop takes no time.
+Simulated: connects that are refused, delayed or unanswered; a full backlog; latency and jitter per
+link; send and receive buffers with back-pressure; segments split at any byte; FIN, half-close and
+RST, after which buffered data can still be read; a peer that disappears; one direction of a path
+that is blocked and recovers; a limited number of descriptors, lowest first; MSG_PEEK.
+Not simulated: loss of single segments (a blocked path delays, as retransmission does), Nagle,
+keepalive, urgent data, SO_RCVLOWAT, size limits of datagrams, and time in system calls or in the
+program: an iteration of the loop takes no time unless its process has a meter (`costs`).
 
-`tests/limebridge/virtual/test_conformance.py` runs one script here and on real loopback sockets
-and compares.
+`tests/limebridge/virtual/test_conformance.py` runs the same scenario here and on real loopback
+sockets and compares the results.
 
-Sources: tcp(7), socket(7), connect(2), and what Linux was seen to do where they are silent.
+Sources: tcp(7), socket(7), connect(2), and observed Linux behaviour where they say nothing.
 """
 
 from __future__ import annotations
@@ -28,22 +28,22 @@
 
 
 class Kernel(Network):
-    """All sockets and packets, and the clock that moves when nothing is left to do now."""
+    """The network with constructors for its TCP and UDP sockets."""
 
     def socket(self, owner: str = "") -> VirtualSocket:
-        """OSError EMFILE when the owner has no descriptor left."""
+        """Create a TCP socket.  Raises OSError EMFILE if the owner has no descriptor left."""
         sock = VirtualSocket(self, owner)
         self.take(owner, sock)
         return sock
 
     def datagrams(self, owner: str = "") -> VirtualDatagrams:
-        """OSError EMFILE when the owner has no descriptor left."""
+        """Create a UDP socket.  Raises OSError EMFILE if the owner has no descriptor left."""
         sock = VirtualDatagrams(self, owner)
         self.take(owner, sock)
         return sock
 
     def maker(self, owner: str) -> Callable[[int, int], Any]:
-        """For SocketNetwork."""
+        """The socket constructor that SocketNetwork takes, for sockets of this owner."""
         return lambda family, kind: (
             self.datagrams(owner) if kind & ~FLAGS == SOCK_DGRAM else self.socket(owner)
         )
--- a/limebridge/virtual/loop.py
+++ b/limebridge/virtual/loop.py
@@ -1,7 +1,7 @@
-"""asyncio's own selector loop over virtual sockets and a clock that jumps to the next thing.
+"""asyncio's selector loop on simulated sockets, with a clock that jumps to the next event.
 
-Tasks, futures, timers, protocols, streams and transports are CPython's; replaced are only the
-selector, the clock, signals and the places where asyncio makes sockets by itself.
+Tasks, futures, timers, protocols, streams and transports are CPython's.  Only the selector, the
+clock, signals and asyncio's own creation of sockets are replaced.
 """
 
 from __future__ import annotations
@@ -20,23 +20,23 @@
 
 
 class Livelock(Exception):
-    """The program goes on at one instant without end."""
+    """The program runs without end while the clock stands still."""
 
 
 class Deadlock(Exception):
-    """Nothing is due and nothing will come, and the program waits."""
+    """The program waits although no timer and no packet is pending."""
 
 
 class VirtualSelector(selectors.BaseSelector):
-    """Polls virtual sockets; where a real one would sleep, the clock moves."""
+    """Polls simulated sockets; instead of sleeping it advances the clock."""
 
     def __init__(self, kernel: Kernel, shuffle: random.Random | None = None) -> None:
         self._kernel, self._shuffle = kernel, shuffle
         self._keys: dict[int, selectors.SelectorKey] = {}
         self._turns_at_instant = 0
-        self.before_poll: Callable[[], None] | None = None  # told before each poll
+        self.before_poll: Callable[[], None] | None = None  # called before each poll
         self.turns = 0
-        self.first: set[int] = set()  # descriptors to be handed out before the others
+        self.first: set[int] = set()  # descriptors reported before the others
 
     def register(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
         number = fileobj if isinstance(fileobj, int) else fileobj.fileno()
@@ -92,7 +92,7 @@
         if self._turns_at_instant > MAX_TURNS_AT_ONE_INSTANT:
             raise Livelock(f"{MAX_TURNS_AT_ONE_INSTANT} turns at {kernel.now:.6f}")
         if self._shuffle is not None and len(ready) > 1:
-            self._shuffle.shuffle(ready)  # a real poll may report them in any order
+            self._shuffle.shuffle(ready)  # a real poll reports in any order
         if self.first and len(ready) > 1:
             ready.sort(key=lambda item: item[0].fd not in self.first)
         return ready
@@ -103,7 +103,7 @@
         for number in list(hot):
             key, sock = self._keys.get(number), sockets.get(number)
             if sock is not None and sock.owner in self._kernel.paused:
-                continue  # it stays hot until its process goes on
+                continue  # checked again when its process resumes
             mask = sock.ready() & key.events if key is not None and sock is not None else 0
             if mask and key is not None:
                 found.append((key, mask))
@@ -113,7 +113,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Give it to run_until_complete; everything on it is of one world and one time."""
+    """Event loop of one simulation; all of its processes share it and its clock."""
 
     def __init__(self, kernel: Kernel, shuffle: random.Random | None = None) -> None:
         self.kernel = kernel
@@ -125,7 +125,7 @@
     def time(self) -> float:
         return self.kernel.now
 
-    # Nobody wakes this loop from another thread.
+    # No self-pipe, since no other thread wakes this loop.
     def _make_self_pipe(self) -> None:
         self._ssock = self._csock = None
 
@@ -138,7 +138,7 @@
     def run_in_executor(  # type: ignore[override]
         self, executor: Any, func: Any, *args: Any
     ) -> Any:
-        raise RuntimeError("a virtual world has no threads")
+        raise RuntimeError("a simulation has no threads")
 
     # --- signals ---
     def add_signal_handler(  # type: ignore[override]
@@ -150,11 +150,11 @@
         return self._signals.pop(sig, None) is not None
 
     def deliver_signal(self, sig: int) -> None:
-        """As the kernel would, in the loop's next turn."""
+        """Call the signal's handler in the loop's next iteration."""
         if sig in self._signals:
             self.call_soon(self._signals[sig])
 
-    # --- where asyncio would make a socket ---
+    # --- replaced creation of sockets ---
     def _virtual(self) -> Any:
         return self.kernel.socket()
 
@@ -172,7 +172,7 @@
         )
 
     async def sock_connect(self, sock: Any, address: Any) -> None:
-        """One try to a literal address; the caller bounds its time."""
+        """Connect to a literal address without a timeout.  Raises OSError."""
         if sock.connect_ex(address) == 0:
             return
         done = self.create_future()
--- a/limebridge/virtual/network.py
+++ b/limebridge/virtual/network.py
@@ -1,4 +1,4 @@
-"""Paths, packets, descriptors and the clock of a network in memory; `sockets` are its ends."""
+"""Paths, packets, descriptors and the clock of the simulated network."""
 
 from __future__ import annotations
 
@@ -10,8 +10,9 @@
 from heapq import heappop, heappush
 from typing import Any
 
-BUFFER = 64 * 1024  # bytes each way; Linux has more and lets it grow, so less is kept here
-FIRST_PORT = 40_000  # of those that are given out
+# Bytes per direction.  Linux has larger, growing buffers; the smaller size fills sooner.
+BUFFER = 64 * 1024
+FIRST_PORT = 40_000  # ephemeral ports are assigned upwards from here
 LATENCY = 0.000_05  # s one way
 
 
@@ -21,15 +22,15 @@
 
     port: int
     latency: float = LATENCY
-    jitter: float = 0.0  # s, drawn evenly for each arrival
+    jitter: float = 0.0  # s, maximum; uniform for each packet
     blocked_to: bool = False
     blocked_back: bool = False
-    cut: bool = False  # segments are cut at places that the seed gives
+    cut: bool = False  # segments are split at random places given by the seed
     held: list[Callable[[], None]] = field(default_factory=list)
 
 
 class Network:
-    """All sockets and packets, and the clock that moves when nothing is left to do now."""
+    """All sockets and packets, and the clock, which the event loop advances."""
 
     def __init__(self, seed: int = 0, start: float = 1000.0, buffer: int = BUFFER) -> None:
         self.buffer = buffer
@@ -43,30 +44,33 @@
         self._randoms: dict[str, random.Random] = {}
         self._limits: dict[str, int] = {}
         self._held: dict[str, int] = {}  # descriptors by owner
-        self._given_back: list[int] = []  # a heap of those below the highest ever given out
+        self._given_back: list[int] = []  # heap of free descriptors
         self._highest = 2
         self._next_port = FIRST_PORT
-        self.hot: dict[int, None] = {}  # descriptors that may be ready, in the order they became so
+        self.hot: dict[
+            int, None
+        ] = {}  # descriptors to check for readiness, in order of their changes
         self.packets = 0
-        self.paused: dict[str, float] = {}  # owners that get no CPU, and until when
-        self.meters: dict[str, Any] = {}  # of owners whose own time is played, see costs.py
-        self.woken = False  # a packet's arrival gave the loop itself something to do
-        self.charged: list[Any] = []  # those that have worked in this turn
-        # s one way beyond its link's, of a connection of this owner to this port.
+        self.paused: dict[str, float] = {}  # owner without CPU -> end of the pause
+        self.meters: dict[str, Any] = {}  # by owner, if its CPU time is simulated; see costs.py
+        self.woken = False  # a packet's arrival scheduled a callback on the loop
+        self.charged: list[Any] = []  # meters charged in this iteration of the loop
+        # Additional one-way latency in s of a connection from an owner to a port.
         self.extra_delay: Callable[[str, int], float] = lambda owner, port: 0.0
-        # By port, sockets for datagrams; and for one to a port, when its copies come, in s: none
-        # is a loss, two are a copy, and their differences are their order.
+        # UDP sockets by port.
+        # Delays in s of the copies of a datagram from an owner to a port: an empty list drops it,
+        # two entries duplicate it, and unequal delays reorder datagrams.
         self.bound: dict[int, Any] = {}
         self.datagram_delays: Callable[[str, int], list[float]] = lambda owner, port: [LATENCY]
-        # Told of bytes that a socket has received, and of those that it was given to send.
+        # Called with the bytes that a socket received, and those that a program sent on it.
         self.on_received: Callable[[Any, bytes], None] = lambda sock, data: None
         self.on_sent: Callable[[Any, bytes], None] = lambda sock, data: None
-        # Told of a socket that its peer's end, or a reset, has come to.
+        # Called when a FIN or RST reaches a socket.
         self.on_end: Callable[[Any], None] = lambda sock: None
 
     # --- time ---
     def at(self, when: float, what: Callable[[], None]) -> None:
-        """Do `what` at this time; what is told first of one time is done first."""
+        """Call `what` at this time; calls for the same time run in the order of scheduling."""
         self._number += 1
         heappush(self._packets, (when, self._number, what))
 
@@ -75,19 +79,19 @@
         return self._packets[0][0] if self._packets else None
 
     def deliver(self) -> None:
-        """Do what is due."""
+        """Run all calls that are due."""
         while self._packets and self._packets[0][0] <= self.now:
             self.packets += 1
             heappop(self._packets)[2]()
 
     def settle(self) -> None:
-        """A turn of the loop is over: who has worked in it is busy for as long as that takes."""
+        """End an iteration of the loop: charged processes are busy for the time they used."""
         charged, self.charged = self.charged, []
         for meter in charged:
             meter.settle()
 
     def random(self, purpose: str) -> random.Random:
-        """A stream of its own for each purpose, so that one does not shift another."""
+        """A separate random stream per purpose, so that one does not affect another."""
         found = self._randoms.get(purpose)
         if found is None:
             found = self._randoms[purpose] = random.Random(f"{self._seed}/{purpose}")
@@ -95,15 +99,15 @@
 
     # --- sockets ---
     def limit(self, owner: str, descriptors: int) -> None:
-        """How many descriptors this process may hold."""
+        """Set the maximum number of descriptors of this process."""
         self._limits[owner] = descriptors
 
     def held(self, owner: str) -> int:
-        """How many it holds."""
+        """Number of descriptors that this process holds."""
         return self._held.get(owner, 0)
 
     def take(self, owner: str, sock: Any) -> None:
-        """Give it the lowest free descriptor.  OSError EMFILE when the owner has none left."""
+        """Assign the lowest free descriptor.  Raises OSError EMFILE at the owner's limit."""
         if owner in self._limits and self.held(owner) >= self._limits[owner]:
             raise error(errno.EMFILE)
         if self._given_back:
@@ -115,7 +119,7 @@
         self._held[owner] = self._held.get(owner, 0) + 1
 
     def give_back(self, sock: Any) -> None:
-        """Its descriptor is free: the lowest free one is given out next."""
+        """Release the socket's descriptor for reuse."""
         if sock.number in self.sockets and self.sockets[sock.number] is sock:
             del self.sockets[sock.number]
             self._held[sock.owner] -= 1
@@ -126,16 +130,16 @@
         return self._next_port
 
     def link(self, port: int) -> Link:
-        """The path to what listens there; it may be changed at any time."""
+        """The path to this port, created on first use; its settings may change at any time."""
         return self.links.setdefault(port, Link(port))
 
     def block(self, port: int, to: bool = True, back: bool = True) -> None:
-        """Nothing crosses this way any more, and nobody is told."""
+        """Block the path in these directions; neither end is notified."""
         link = self.link(port)
         link.blocked_to, link.blocked_back = link.blocked_to or to, link.blocked_back or back
 
     def heal(self, port: int) -> None:
-        """What was held crosses now, in its order."""
+        """Unblock the path and send the held packets in order."""
         link = self.link(port)
         link.blocked_to = link.blocked_back = False
         held, link.held = link.held, []
@@ -143,17 +147,17 @@
             send()
 
     def touch(self, sock: Any) -> None:
-        """Its state has changed: look at it in the next poll."""
+        """Check the socket's readiness in the next poll, since its state has changed."""
         if sock.number >= 0:
             self.hot[sock.number] = None
 
     def touch_all(self, owner: str) -> None:
-        """All of this process's sockets."""
+        """Check all sockets of this process in the next poll."""
         for sock in self.sockets.values():
             if sock.owner == owner:
                 self.touch(sock)
 
 
 def error(number: int) -> OSError:
-    """As the kernel would word it."""
+    """OSError with the kernel's text for this errno."""
     return OSError(number, os.strerror(number))
--- a/limebridge/virtual/plan.py
+++ b/limebridge/virtual/plan.py
@@ -1,4 +1,4 @@
-"""A run as data: what the world is like and which faults come when.  JSON, readable, editable."""
+"""A run as data: the parameters of the simulation and its schedule of faults, stored as JSON."""
 
 from __future__ import annotations
 
@@ -88,47 +88,50 @@
     "plan_changes": 4,
 }
 PROCESS_WEIGHTS: dict[Kind, int] = {"proxy_term": 3, "proxy_killed": 3, "proxy_paused": 4}
-PROCESS_FAULT_COUNTS = (0, 0, 1, 1, 2, 3)  # how many of these come on top
+# Number of process faults added to a plan; one entry is chosen at random.
+PROCESS_FAULT_COUNTS = (0, 0, 1, 1, 2, 3)
 Sources = tuple[Literal["consul", "platform"], ...]
 SOURCES: tuple[Sources, ...] = ((), (), ("consul", "platform"), ("platform", "consul"))
-OVERLAP_FRACTION = 0.6  # of the faults begin within another one: timing is what is looked for
+# Fraction of faults that start near another fault, since the explorer looks for timing bugs.
+OVERLAP_FRACTION = 0.6
 # Faults during which commands wait at a node without an answer.
 HOLDING_KINDS = ("node_stalls", "node_slow", "path_cut_back", "node_swallows")
-FOLLOW_UP_FRACTION = 0.25  # of the faults after one of these break its connections
+# Fraction of faults after a holding fault that break the connections of its node.
+FOLLOW_UP_FRACTION = 0.25
 # s after the start of such a fault: around the end of the nodes' idempotency window (0.8 s).
 FOLLOW_UP_DELAY = (0.55, 1.0)
-OVERLAP_DELAYS = (0.0, 0.002, 0.02, 0.05, 0.3, 1.0)  # s after another one's beginning
+OVERLAP_DELAYS = (0.0, 0.002, 0.02, 0.05, 0.3, 1.0)  # s after the other fault's start
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """One thing that goes wrong."""
+    """One scheduled fault."""
 
-    at: float  # s from the start
+    at: float  # s from the start of the run
     kind: Kind
-    node: int = 0  # which node, for those that concern one
+    node: int = 0  # index of the affected node, for kinds that affect one
     lasts: float = 0.0  # s
-    amount: float = 0.0  # a factor, a share or seconds, by kind
+    amount: float = 0.0  # factor, fraction or seconds, depending on the kind
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A whole run."""
+    """A complete run: load, network and faults."""
 
     seed: int
     seconds: float = 20.0
     nodes: int = 5
     clients: int = 8
     rate: float = 18.0  # requests a second
-    jitter: float = 0.0  # s, of every path
-    cut: bool = False  # segments are cut anywhere
-    shuffle: bool = True  # what is ready together is handled in an order drawn from the seed
+    jitter: float = 0.0  # s, maximum per packet on every path
+    cut: bool = False  # TCP segments are split at random places
+    shuffle: bool = True  # simultaneous events are handled in a random order given by the seed
     faults: tuple[Fault, ...] = ()
-    buffer: int = 64 * 1024  # bytes that a socket keeps each way; small ones cut commands
-    consul: bool = False  # the list comes from Consul's catalogue
-    sources: Sources = ()  # both at once, by precedence
+    buffer: int = 64 * 1024  # bytes per socket and direction; small buffers split commands
+    consul: bool = False  # the node list comes from Consul's catalogue
+    sources: Sources = ()  # both list sources at once, in order of precedence
 
 
 def generate_consul(seed: int, seconds: float = 20.0) -> Plan:
-    """The plan of a seed before Consul: the same faults, and the catalogue's on top."""
+    """The plan of a seed with Consul as list source: `generate`'s faults plus Consul faults."""
     plan, rng = generate(seed, seconds), random.Random(f"consul/{seed}")
     faults = list(plan.faults)
     kinds, weights = list(CONSUL_WEIGHTS), list(CONSUL_WEIGHTS.values())
@@ -149,13 +152,13 @@
             )
         )
     faults.sort(key=lambda fault: fault.at)
-    # A stream of its own: what is drawn before stays as it was.
+    # A separate random stream, so that the values generated above stay the same.
     sources = random.Random(f"sources/{seed}").choice(SOURCES)
     return msgspec.structs.replace(plan, consul=True, faults=tuple(faults), sources=sources)
 
 
 def generate(seed: int, seconds: float = 20.0) -> Plan:
-    """The plan of a seed: each purpose has a stream of its own."""
+    """The plan of a seed; process faults come from a separate random stream."""
     rng = random.Random(f"plan/{seed}")
     nodes = rng.randint(5, 7)
     faults: list[Fault] = []
@@ -195,7 +198,7 @@
 
 
 def _process_faults(seed: int, seconds: float, others: list[Fault]) -> list[Fault]:
-    """Restarts and pauses, most of them close to another fault."""
+    """Restarts, kills and pauses of the proxy, most of them near another fault."""
     rng, found = random.Random(f"process/{seed}"), []
     kinds, weights = list(PROCESS_WEIGHTS), list(PROCESS_WEIGHTS.values())
     for _ in range(rng.choice(PROCESS_FAULT_COUNTS)):
@@ -218,11 +221,12 @@
 
 
 def dump(plan: Plan) -> str:
+    """The plan as indented JSON."""
     return msgspec.json.format(msgspec.json.encode(plan)).decode() + "\n"
 
 
 def read(path: Path) -> Plan:
-    """ValueError where it is no plan."""
+    """Read a stored plan.  Raises ValueError if the file does not hold one."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Plan)
     except msgspec.DecodeError as error:
--- a/limebridge/virtual/process.py
+++ b/limebridge/virtual/process.py
@@ -1,8 +1,8 @@
-"""The daemon as a process of the virtual world: started, drained by SIGTERM, killed, stopped.
+"""The daemon as a simulated process: started, drained by SIGTERM, killed or paused.
 
-All of the world runs on one loop.  What belongs to the daemon is told by where its code is
-(`violetroute`) and by who made its sockets, so that it can be taken out of the loop at any instant,
-as a kill does, or held back, as the kernel holds back a process that gets no CPU.
+The whole simulation runs on one event loop.  The daemon's callbacks are recognised by their module
+(`violetroute`) and its sockets by their owner.  So a kill can remove them from the loop at any
+instant, and a pause can delay them like a process that gets no CPU.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 from .loop import VirtualLoop
 from .net import network
 
-if TYPE_CHECKING:  # an older build that is played has it under another name
+if TYPE_CHECKING:  # older builds under test have no such module
     from violetroute.sharing.service import Sharing
 
 OWNER = "proxy"
-DRAIN_SLACK = 0.05  # s, as the program's start-up has it
+DRAIN_SLACK = 0.05  # s, as in the daemon's start-up
 
 
 class VirtualTurns(Turns):
-    """What a pause looks like to the daemon: told before the events that stood meanwhile."""
+    """Reports pauses to the daemon before it handles the events that arrived meanwhile."""
 
     def __init__(self, loop: VirtualLoop, meter: Meter | None = None) -> None:
         super().__init__()
@@ -61,7 +61,7 @@
         (self._loop.poll.first.add if on else self._loop.poll.first.discard)(descriptor)
 
     def resumed(self, seconds: float) -> None:
-        """As TurnSelector has it: told from PAUSE_SEEN on, and reckoned from the poll before."""
+        """Report a pause of MIN_DETECTABLE_PAUSE_S or more, as TurnSelector does."""
         if seconds >= MIN_DETECTABLE_PAUSE_S:
             self._paused_for, self._paused_turn = seconds, self.count
             if self._callback is not None:
@@ -69,7 +69,7 @@
 
 
 class Process:
-    """One daemon after another under one name, on one port."""
+    """Successive runs of the daemon under one owner name and port."""
 
     def __init__(
         self,
@@ -86,12 +86,12 @@
         self.paused_until = 0.0
         self._draining: asyncio.Task[None] | None = None
         self.meter = None if costs is None else Meter(kernel, loop, owner, costs)
-        # What a new life joins, given this process and its net; closed with it.
+        # Creates the sharing service of each new run from this process and its network.
         self.create_sharing: Callable[[Process, SocketNetwork], Sharing] | None = None
         self.sharing: Sharing | None = None
 
     def start(self, config: Config, port: int = 0) -> int:
-        """As the program's start-up puts it together; returns the port."""
+        """Start the daemon as its start-up code does; return the listening port."""
         self._turns = VirtualTurns(self._loop, self.meter)
         loop: Any = self._loop if self.meter is None else ProcessLoop(self._loop, self.meter)
         net = network(self._kernel, self.owner, loop, self._clock, self._turns)
@@ -110,7 +110,7 @@
         return self.listener.start(listen).port
 
     async def term(self) -> bool:
-        """SIGTERM, until it has exited; whether it has, and was not killed on the way."""
+        """Send SIGTERM and wait for the exit; False if the process was killed meanwhile."""
         self.state = "draining"
         self._draining = self._loop.create_task(self._drain())
         await asyncio.wait([self._draining])
@@ -127,7 +127,7 @@
         self.state = "down"
 
     def leftovers_after_exit(self) -> dict[str, int]:
-        """After its exit: what it has left but for timers, which end with it."""
+        """Resources still held after the exit, without timers, which end with the process."""
         leftovers = self.leftovers()
         leftovers.pop("timers")
         leftovers["requests"] = sum(
@@ -142,7 +142,7 @@
                 handle.cancel()
 
     def kill(self) -> None:
-        """SIGKILL: nothing of it runs any more, and the kernel resets its connections."""
+        """Send SIGKILL: all callbacks are cancelled and the kernel resets the connections."""
         self._unmetered()
         if self._draining is not None:
             self._draining.cancel()
@@ -157,7 +157,7 @@
         self._kernel.paused.pop(self.owner, None)
 
     def pause(self, seconds: float) -> None:
-        """No CPU for so long: no timer, no event; the kernel goes on for it."""
+        """Run no timer or event of the process for so many seconds; its sockets still receive."""
         self._unmetered()
         now = self._kernel.now
         until = self.paused_until = now + seconds
@@ -169,7 +169,7 @@
         self._kernel.at(until, lambda: self._resume(until, seconds))
 
     def _unmetered(self) -> None:
-        """What waits for a metered process is its meter's, which neither of these knows yet."""
+        """Reject a metered process: its callbacks wait in the meter, unknown to kill and pause."""
         if self.meter is not None:
             raise NotImplementedError("a metered process can't be killed or paused")
 
@@ -180,7 +180,7 @@
             self._turns.resumed(seconds)
 
     def leftovers(self) -> dict[str, int]:
-        """What an exited process must not have left: counts by name, all 0."""
+        """Resources still held, by name; all must be 0 after the exit."""
         return {
             "requests": self.proxy.open_requests,
             "descriptors": self._kernel.held(self.owner),
@@ -194,7 +194,7 @@
 
 
 def is_daemon_callback(handle: asyncio.Handle) -> bool:
-    """Whether this is a callback of the daemon's own."""
+    """Whether this is a pending callback of the daemon's code."""
     callback = handle._callback  # type: ignore[attr-defined]
     module = getattr(callback, "__module__", "") or ""
     return not handle.cancelled() and module.startswith("violetroute")
--- a/limebridge/virtual/sockets.py
+++ b/limebridge/virtual/sockets.py
@@ -1,4 +1,4 @@
-"""One end of a connection in memory, with the manners of the kernel's (`kernel` has the list)."""
+"""Simulated TCP sockets; the module `kernel` lists which kernel behaviour is simulated."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from .network import Link, Network, error
 from .send_times import SendTimes
 
-READ, WRITE = 1, 2  # as the selectors module has them
-SEGMENT = 16 * 1024  # bytes of one arrival at most
-SYN_RETRY = 1.0  # s until a connect is tried again: the backlog was full, the path blocked
-RTO = 0.2  # s after a path has healed until what was held comes: the sender's timer
+READ, WRITE = 1, 2  # as in the selectors module
+SEGMENT = 16 * 1024  # maximum bytes per segment
+SYN_RETRY = 1.0  # s until an unanswered SYN is sent again (backlog full or path blocked)
+RTO = 0.2  # s from a path's recovery to the retransmission of held packets
 ZERO_WINDOW_DELAY = 0.47  # s by which Linux is late with TCP_USER_TIMEOUT at a closed window
 
 
 class VirtualSocket:
-    """One end; has the methods of socket.socket that asyncio and the seam use."""
+    """One end of a connection, with the socket.socket methods used by asyncio and the daemon."""
 
     family, type, proto = socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP
 
@@ -30,27 +30,27 @@
         self.number = -1
         self._name = ("127.0.0.1", 0)
         self._peer_name: tuple[str, int] | None = None
-        self._queue: deque[VirtualSocket] | None = None  # of a listening one
+        self._queue: deque[VirtualSocket] | None = None  # accept queue of a listening socket
         self._backlog = 0
         self._link: Link | None = None
         self._extra_s = 0.0
-        self._is_client = False  # sends in the direction `to` of its link
+        self._is_client = False  # connected actively: sends in direction `to` of the link
         self.peer: VirtualSocket | None = None
         self._state = "new"  # connecting, open, failed
-        self._error = 0  # told once, by getsockopt or the next call
+        self._error = 0  # reported once, by getsockopt or the next call
         self._sending, self._in_flight = bytearray(), 0
-        self._sent = 0  # bytes ever, taken from the program
+        self._sent = 0  # total bytes accepted from the program
         self._received = bytearray()
-        self._peer_send_times = SendTimes()  # of what the peer has sent
-        self._last_arrival = 0.0  # at the peer, of what we sent
+        self._peer_send_times = SendTimes()  # send times of the received bytes
+        self._last_arrival = 0.0  # time of the latest arrival at the peer
         self._fin_requested = self._fin_sent = False  # our FIN
         self._fin_received = False  # the peer's FIN
         self._reset = False
         self._closed = False
-        self._abortive = False  # SO_LINGER with no time
-        self._aborted = False  # closed so: what had not crossed is gone
+        self._abortive = False  # SO_LINGER with timeout 0: close sends RST
+        self._aborted = False  # reset locally: undelivered data is discarded
         self._meter: SocketMeter = kernel.meters.get(owner, UNMETERED)
-        self._user_timeout = 0.0  # s for which sent data may be unacknowledged; TCP_USER_TIMEOUT
+        self._timeout = 0.0  # TCP_USER_TIMEOUT in s; 0: none
 
     # --- names, options ---
     def fileno(self) -> int:
@@ -75,7 +75,7 @@
             on, seconds = struct.unpack("ii", bytes(value)[:8])
             self._abortive = on != 0 and seconds == 0
         elif level == socket.IPPROTO_TCP and option == socket.TCP_USER_TIMEOUT:
-            self._user_timeout = value / 1000.0
+            self._timeout = value / 1000.0
 
     def getsockopt(self, level: int, option: int) -> int:
         if option == socket.SO_ERROR:
@@ -110,7 +110,7 @@
         return errno.EINPROGRESS
 
     def _send_syn(self) -> None:
-        """Ask; what nobody answers is asked again, as the kernel does."""
+        """Send a SYN, and again every SYN_RETRY s while there is no response."""
         if self._closed or self._state != "connecting":
             return
         assert self._link is not None
@@ -153,7 +153,7 @@
             raise error(errno.EINVAL)
         if not self._queue:
             raise error(errno.EAGAIN)
-        self._kernel.take(self.owner, self._queue[0])  # may be EMFILE: who waits goes on waiting
+        self._kernel.take(self.owner, self._queue[0])  # on EMFILE the connection stays queued
         sock = self._queue.popleft()
         self._meter.connects()
         self._kernel.touch(sock)
@@ -189,7 +189,7 @@
             raise error(errno.EAGAIN if self._state == "open" else errno.ENOTCONN)
 
     def _consume(self, count: int) -> None:
-        """The window opens; the sender hears of it a way later."""
+        """Remove read bytes; if the window was full, the sender resumes after the path delay."""
         was_full = len(self._received) >= self._kernel.buffer // 2
         del self._received[:count]
         peer = self.peer
@@ -229,15 +229,13 @@
         self._sent += taken
         self._meter.writes(taken)
         self._transmit()
-        if self._user_timeout and self._link is not None and (self._sending or self._blocked):
+        if self._timeout and self._link is not None and (self._sending or self._blocked):
             sent, late = self._sent, ZERO_WINDOW_DELAY if self._sending else 0.0
-            self._kernel.at(
-                self._kernel.now + self._user_timeout + late, lambda: self._timed_out(sent)
-            )
+            self._kernel.at(self._kernel.now + self._timeout + late, lambda: self._timed_out(sent))
         return taken
 
     def _timed_out(self, sent: int) -> None:
-        """TCP_USER_TIMEOUT is over for what had been sent by then."""
+        """Fail with ETIMEDOUT if the first `sent` bytes are still not delivered."""
         if not self._closed and not self._reset and self._sent - self.undelivered() < sent:
             self._sending.clear()
             self._send_reset()
@@ -246,7 +244,7 @@
             self._kernel.touch(self)
 
     def _transmit(self) -> None:
-        """Put on its way what the peer's window lets through."""
+        """Send as many segments as the peer's receive window allows, then a requested FIN."""
         peer, kernel = self.peer, self._kernel
         if peer is None or self._state != "open" or self._reset:
             return
@@ -268,7 +266,7 @@
 
     @property
     def _blocked(self) -> bool:
-        """Nothing crosses its link in the direction in which it sends."""
+        """Whether the path is blocked in this socket's sending direction."""
         assert self._link is not None
         return self._link.blocked_to if self._is_client else self._link.blocked_back
 
@@ -282,11 +280,11 @@
         return link.latency + self._extra_s + link.jitter * fraction
 
     def _send_packet(self, arrives: Callable[[], None], held: float = 0.0) -> None:
-        """Cross the path in order; a blocked one holds until it has healed."""
+        """Deliver over the path in order; a blocked path holds the packet until it recovers."""
         assert self._link is not None
         link = self._link
         if self._blocked:
-            # What a sender has thrown away it does not send again; nor is a reset.
+            # After a local reset neither the discarded data nor the reset is retransmitted.
             link.held.append(lambda: None if self._aborted else self._send_packet(arrives, RTO))
             return
         when = self._kernel.now + held + self._delay() + self._meter.spent
@@ -298,13 +296,13 @@
         self._in_flight -= len(data)
         if peer is None:
             return
-        if peer._closed:  # nobody will read it
+        if peer._closed:  # as the kernel answers data for a closed socket
             peer._send_reset()
             return
         peer._received += data
         self._kernel.on_received(peer, data)
         self._kernel.touch(peer)
-        self._kernel.touch(self)  # there may be room again
+        self._kernel.touch(self)  # its send buffer may have space again
         if self._sending:
             self._transmit()
 
@@ -325,7 +323,7 @@
             return
         peer._reset = True
         self._kernel.on_end(peer)
-        # Told after what had come before has been read; Linux names it by the state it met.
+        # Reported after buffered data has been read; Linux gives EPIPE if a FIN came first.
         peer._error = errno.EPIPE if peer._fin_received else errno.ECONNRESET
         peer._sending.clear()
         if peer._state in ("connecting", "opening"):
@@ -356,7 +354,7 @@
                 waiting._send_reset()
             self._queue = None
         elif self.peer is not None:
-            if self._received or self._abortive:  # as RFC 2525, 2.17 has it
+            if self._received or self._abortive:  # RST, see RFC 2525, 2.17
                 self._sending.clear()
                 self._send_reset()
                 self._aborted = True
@@ -365,7 +363,7 @@
                 self._transmit()
 
     def abort(self) -> None:
-        """Close as the kernel does for a process that has died: what has not crossed is gone."""
+        """Close as the kernel does for a killed process: undelivered data is discarded."""
         self._abortive = True
         self.close()
 
@@ -377,15 +375,14 @@
         raise NotImplementedError("a virtual socket has no descriptor to give away")
 
     def sent_at(self, offset: int) -> float:
-        """When the byte that came as the `offset`th was handed to the kernel over there."""
+        """Time at which the peer handed the received byte `offset` to its kernel."""
         return self._peer_send_times.at(offset)
 
-    def undelivered(self) -> int:  # bytes that have not arrived over there; SIOCOUTQ
+    def undelivered(self) -> int:  # bytes not yet at the peer, as SIOCOUTQ
         return len(self._sending) + self._in_flight
 
-    # --- for the poll ---
     def ready(self) -> int:
-        """READ and WRITE as epoll would report them, errors and hang-ups as both."""
+        """READ and WRITE as epoll reports them; errors and resets give both."""
         if self._queue is not None:
             return READ if self._queue else 0
         if self._error or self._reset or self._state == "failed":
--- a/limebridge/virtual/timeline.py
+++ b/limebridge/virtual/timeline.py
@@ -1,4 +1,4 @@
-"""A run told so that one can read it: a timeline, and a picture of who had what in flight."""
+"""Reports of a run: a text timeline, and an HTML page with an SVG chart."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from .plan import Fault
 from .world import Outcome
 
-LINES = 60  # of the trace before a break
-WIDTH, ROW, LEFT = 1000.0, 26.0, 70.0  # px of the picture
+LINES = 60  # trace lines before a violation
+WIDTH, ROW, LEFT = 1000.0, 26.0, 70.0  # px of the chart
 
 
 def render_text(outcome: Outcome) -> str:
-    """The faults, each break with its request's story, and what led there."""
+    """Faults, up to five violations with their request's trace, and the trace before the first."""
     lines = [
         f"seed {outcome.plan.seed}: {outcome.requests} requests in "
         f"{outcome.virtual_seconds:.1f} s, {outcome.answers}",
@@ -39,7 +39,7 @@
 
 
 def render_html(outcome: Outcome) -> str:
-    """One HTML page: time to the right, a row a node, commands and faults on it."""
+    """HTML page with a chart of commands and faults per node over time, and the text report."""
     span = max(outcome.virtual_seconds, 1.0)
     nodes = sorted({_node(line) for line in outcome.trace} - {""})
     rows = {name: ROW * (place + 1) for place, name in enumerate(nodes)}
@@ -81,7 +81,7 @@
 
 
 def _node(line: str) -> str:
-    """The node at which a line of the trace says that a command came, if it does."""
+    """The node in a trace line about a command's arrival; empty for other lines."""
     words = line.split()
     return words[3].rstrip(",").rstrip("'") if len(words) > 3 and words[2] == "at" else ""
 
--- a/limebridge/virtual/world.py
+++ b/limebridge/virtual/world.py
@@ -1,4 +1,7 @@
-"""One run of a plan: the daemon's own code among stand-ins, in memory, judged as it goes."""
+"""Simulation of one plan: the daemon's code runs in memory against stand-ins.
+
+The rule checker observes nodes, clients and list updates during the run.
+"""
 
 from __future__ import annotations
 
@@ -30,32 +33,34 @@
 from .session import quiet, run, sent_at
 
 CAPS = SETTINGS["caps"] | {"connectTimeoutMs": 120.0, "secondCopies": True}
-WINDOW = 0.8  # s for which nodes know a key: less than a request may take
-MAX_DESCRIPTORS = 96  # of the proxy
-SETTLE_TIME = 3.0  # s after the last question, in which everything has to end
+# s for which nodes remember an idempotency key; shorter than the deadline of a request.
+WINDOW = 0.8
+MAX_DESCRIPTORS = 96  # of the proxy process
+SETTLE_TIME = 3.0  # s from the last request to the end; all requests must have ended by then
 # s without a watch of a reachable discovery service before a fault is reported.
 MAX_UNWATCHED = 6.0
-SOURCE_TIMEOUT = 2.5  # s without a byte of any source; an empty line comes every 2 s
-DRAIN_GRACE = 0.5  # s from the telling of a drain; rule three's grace
-CHECK_EVERY_POLLS = 32  # polls between two looks at the program's own bounds
+# s without data after which list sources count as silent; discovery sends a line every 2 s.
+SOURCE_TIMEOUT = 2.5
+DRAIN_GRACE = 0.5  # s from the report of a drain, as in rule 3
+CHECK_EVERY_POLLS = 32  # polls of the loop between two checks of the daemon's limits
 
 
 @dataclass
 class Outcome:
-    """What came of a run."""
+    """Result of a run."""
 
     plan: Plan
     broken: list[Violation]
     requests: int
     answers: dict[str, int]
-    digest: str  # over all that was seen, the same for a plan on any machine
+    digest: str  # SHA-256 of the trace; a plan has the same one on every machine
     virtual_seconds: float
     trace: list[str]
-    met: Counter[str] = field(default_factory=Counter)  # fault and state of a request it met
+    met: Counter[str] = field(default_factory=Counter)  # "fault kind/state" -> occurrences
 
 
 class DefectHandler(logging.Handler):
-    """What the daemon says of its own defects."""
+    """Reports error log records of the daemon as faults of the run."""
 
     def __init__(self, world: World) -> None:
         super().__init__(logging.ERROR)
@@ -72,7 +77,7 @@
 
 
 class World(FaultActions):
-    """Everything of one run."""
+    """The simulation of one run: clock, network, stand-ins, clients and the daemon."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
@@ -82,15 +87,15 @@
         self.trace: list[str] = []
         self.keys: dict[str, bytes] = {}
         self.met: Counter[str] = Counter()
-        self.draining: dict[str, None] = {}  # nodes of which discovery has said so
+        self.draining: dict[str, None] = {}  # nodes reported as draining
         # Node start times: published Unix ms -> virtual time in s.
         self._started_at_by_ms: dict[float, float] = {}
-        self._listed: dict[str, None] = {}  # by the watch that the process follows
+        self._listed: dict[str, None] = {}  # nodes on the watch that the process follows
         self.source_observer = SourceObserver(
             self.kernel, {OWNER}, self._on_list_line, self._on_answer
         )
-        self.kernel.on_end = self._fin_received
-        self.leaving: dict[Any, list[str]] = {}  # by the socket of a client that has left
+        self.kernel.on_end = self._on_end
+        self.leaving: dict[Any, list[str]] = {}  # socket of a departed client -> open requests
         self._replaced_discoveries: list[Discovery] = []
         self._tasks: dict[asyncio.Task[None], None] = {}
         self._wall_offset = 1.7e9
@@ -98,16 +103,16 @@
         self._requests_sent = 0
         self.port = 0
         self._polls = self._starts = 0
-        self._started_at = self.kernel.now  # the process
+        self._started_at = self.kernel.now  # start time of the process
         self._ending = False
         self._watched_at = self.kernel.now
 
-    def _fin_received(self, sock: Any) -> None:
-        """A peer's end has come to this socket's machine."""
+    def _on_end(self, sock: Any) -> None:
+        """Tell the checker which requests lost their client: its FIN or RST reached this socket."""
         for id_ in self.leaving.pop(sock.peer, ()):
             self.checker.client_eof_received(self.kernel.now, id_)
 
-    # --- what nodes see ---
+    # --- observer of the nodes ---
     def arrived(self, at: float, node: str, id_: str, sent_at: float) -> None:
         self.note(f"{id_} at {node}, sent {sent_at:.6f}")
         self.checker.arrived(at, node, id_, sent_at)
@@ -155,7 +160,7 @@
     def _on_loop_error(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
         if isinstance(error, ConnectionError | asyncio.IncompleteReadError):
-            return  # a stand-in's stream that nobody waits for
+            return  # a closed stand-in connection without a reader
         self.checker.report_fault(self.kernel.now, f"{context.get('message')}: {error!r}")
 
     async def _run_plan(self) -> None:
@@ -229,11 +234,11 @@
         loop.poll.before_poll = self._check_bounds
 
     async def _start_sources(self) -> Operator:
-        """Starts what else tells of nodes; the operator's file that goes with it."""
+        """Start further list sources; return the operator settings that use them."""
         return Operator()
 
     def _is_unwatched(self) -> bool:
-        """Whether nobody follows the list though it could be had."""
+        """Whether no watch of discovery is open although discovery is reachable."""
         link = self.kernel.link(self.discovery.port)
         return not (
             self.discovery.open
@@ -247,7 +252,7 @@
         return node.entry(node.name, lifecycle, startedAtMs=born)
 
     def _start_time_ms(self, node: FleetNode) -> float:
-        """Its start as sources tell of it: Unix ms by the wall clock of now."""
+        """The node's start time as published: Unix ms on the current wall clock, 0 if warm."""
         if node.cold_since is None:
             return 0.0
         said = (node.cold_since + self._wall_offset) * 1000.0
@@ -255,7 +260,7 @@
         return said
 
     def _check_bounds(self) -> None:
-        """The program's own bounds, at every so many polls."""
+        """Check the daemon's limits on every 32nd poll: memory, open requests, watch, deadlines."""
         self._polls += 1
         if self._polls % CHECK_EVERY_POLLS:
             return
@@ -272,15 +277,17 @@
             self._watched_at = now
         elif now - self._watched_at > MAX_UNWATCHED:
             self.checker.report_fault(
-                now, f"nobody watches discovery for {MAX_UNWATCHED:g} s, which is there"
+                now, f"no watch for {MAX_UNWATCHED:g} s although discovery is reachable"
             )
             self._watched_at = now
         overdue = proxy.oldest_deadline
         if overdue is not None and now > overdue + 0.05:
-            self.checker.report_fault(now, f"a request is open {now - overdue:.3f} s past its time")
+            self.checker.report_fault(
+                now, f"a request is open {now - overdue:.3f} s past its deadline"
+            )
 
     async def _finish(self) -> None:
-        """Everybody leaves; nothing may be left of it."""
+        """End the run: stop clients, daemon and stand-ins, and report leaked resources."""
         for client in self.clients:
             client.close()
         for port in list(self.kernel.links):
@@ -304,10 +311,10 @@
                 self.checker.report_fault(self.kernel.now, f"{count} {what} are left at the end")
 
     async def _end_sources(self) -> None:
-        """What `_sources` has started."""
+        """Stop the sources that `_start_sources` started."""
 
     def _on_list_line(self, owner: str, port: int, value: ListChange, burst: bool) -> None:
-        """A line of a watch has reached the process."""
+        """Pass a line of a watch that the process has received to the checker."""
         before, listed = self._listed, {} if value["reset"] else dict(self._listed)
         for entry in value["instances"]:
             name, ready = entry["instanceId"], entry["lifecycle"] == "in_service"
@@ -331,7 +338,7 @@
     def _on_answer(
         self, owner: str, port: int, target: str, headers: dict[str, str], body: bytes
     ) -> None:
-        """Only Consul answers without a watch."""
+        """Handle a complete HTTP response; only Consul sends these."""
 
     # --- faults ---
     def _inject(self, number: int, fault: Fault) -> None:
