--- a/violetroute/membership/staleness.py
+++ b/violetroute/membership/staleness.py
@@ -9,7 +9,7 @@
   before each return. When more than the fraction `floor` is critical at once, the checks are more
   likely at fault than the nodes, and health is ignored for all (Envoy's panic threshold).
 - If more than the fraction `floor` **disappears** in one answer, a consistent read from the leader
-  has to confirm it. An empty answer is never accepted: it says nothing reliable of single nodes.
+  has to confirm it. An empty answer is never accepted: it is no evidence about single nodes.
 """
 
 from __future__ import annotations
@@ -87,7 +87,7 @@
         Returns the drains of unknown nodes, which another source may list: no answer was usable
         yet. Exploration found that a cluster without a leader kept answering, with a drain in the
         answer, and the frozen list missed it; and the same in the very first answers.
-        Harm: a drain that has ended already is applied again until a usable answer arrives.
+        Drawback: a drain that has already ended is applied again until a usable answer arrives.
         """
         others = []
         for name, instance in instances.items():
