--- a/limebridge/virtual/plan.py
+++ b/limebridge/virtual/plan.py
@@ -1,4 +1,4 @@
-"""A run as data: what the world is like and which faults come when.  JSON, readable, editable."""
+"""A run as data: the parameters of the simulation and its schedule of faults, stored as JSON."""
 
 from __future__ import annotations
 
@@ -88,53 +88,58 @@
     "plan_changes": 4,
 }
 PROCESS_WEIGHTS: dict[Kind, int] = {"proxy_term": 3, "proxy_killed": 3, "proxy_paused": 4}
-PROCESS = (0, 0, 1, 1, 2, 3)  # how many of these come on top
+# Number of process faults added to a plan; one entry is chosen at random.
+PROCESS_FAULT_COUNTS = (0, 0, 1, 1, 2, 3)
 Sources = tuple[Literal["consul", "platform"], ...]
 SOURCES: tuple[Sources, ...] = ((), (), ("consul", "platform"), ("platform", "consul"))
-OVERLAP = 0.6  # of the faults begin within another one: timing is what is looked for
-HOLDS = ("node_stalls", "node_slow", "path_cut_back", "node_swallows")  # commands hang at a node
-AIMED = 0.25  # of the faults after one of these break its connections
-AIM = (0.55, 1.0)  # s after its beginning: round the end of the window in which keys are known
-CLOSE = (0.0, 0.002, 0.02, 0.05, 0.3, 1.0)  # s after another one's beginning
+# Fraction of faults that start near another fault, since the explorer looks for timing bugs.
+OVERLAP_FRACTION = 0.6
+# Faults during which commands wait at a node without an answer.
+HOLDING_KINDS = ("node_stalls", "node_slow", "path_cut_back", "node_swallows")
+# Fraction of faults after a holding fault that break the connections of its node.
+FOLLOW_UP_FRACTION = 0.25
+# s after the start of such a fault: around the end of the nodes' idempotency window (0.8 s).
+FOLLOW_UP_DELAY = (0.55, 1.0)
+OVERLAP_DELAYS = (0.0, 0.002, 0.02, 0.05, 0.3, 1.0)  # s after the other fault's start
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """One thing that goes wrong."""
+    """One scheduled fault."""
 
-    at: float  # s from the start
+    at: float  # s from the start of the run
     kind: Kind
-    node: int = 0  # which node, for those that concern one
+    node: int = 0  # index of the affected node, for kinds that affect one
     lasts: float = 0.0  # s
-    amount: float = 0.0  # a factor, a share or seconds, by kind
+    amount: float = 0.0  # factor, fraction or seconds, depending on the kind
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A whole run."""
+    """A complete run: load, network and faults."""
 
     seed: int
     seconds: float = 20.0
     nodes: int = 5
     clients: int = 8
     rate: float = 18.0  # requests a second
-    jitter: float = 0.0  # s, of every path
-    cut: bool = False  # segments are cut anywhere
-    shuffle: bool = True  # what is ready together is handled in an order drawn from the seed
+    jitter: float = 0.0  # s, maximum per packet on every path
+    cut: bool = False  # TCP segments are split at random places
+    shuffle: bool = True  # simultaneous events are handled in a random order given by the seed
     faults: tuple[Fault, ...] = ()
-    buffer: int = 64 * 1024  # bytes that a socket keeps each way; small ones cut commands
-    consul: bool = False  # the list comes from Consul's catalogue
-    sources: Sources = ()  # both at once, by precedence
+    buffer: int = 64 * 1024  # bytes per socket and direction; small buffers split commands
+    consul: bool = False  # the node list comes from Consul's catalogue
+    sources: Sources = ()  # both list sources at once, in order of precedence
 
 
-def draw_consul(seed: int, seconds: float = 20.0) -> Plan:
-    """The plan of a seed before Consul: the same faults, and the catalogue's on top."""
-    plan, rng = draw(seed, seconds), random.Random(f"consul/{seed}")
+def generate_consul(seed: int, seconds: float = 20.0) -> Plan:
+    """The plan of a seed with Consul as list source: `generate`'s faults plus Consul faults."""
+    plan, rng = generate(seed, seconds), random.Random(f"consul/{seed}")
     faults = list(plan.faults)
     kinds, weights = list(CONSUL_WEIGHTS), list(CONSUL_WEIGHTS.values())
     for _ in range(rng.randint(1, 5)):
         other = rng.choice(faults)
         at = (
-            other.at + rng.choice(CLOSE) * rng.uniform(0.5, 1.5)
-            if rng.random() < OVERLAP
+            other.at + rng.choice(OVERLAP_DELAYS) * rng.uniform(0.5, 1.5)
+            if rng.random() < OVERLAP_FRACTION
             else rng.uniform(0.5, seconds - 4.0)
         )
         faults.append(
@@ -147,36 +152,36 @@
             )
         )
     faults.sort(key=lambda fault: fault.at)
-    # A stream of its own: what is drawn before stays as it was.
+    # A separate random stream, so that the values generated above stay the same.
     sources = random.Random(f"sources/{seed}").choice(SOURCES)
     return msgspec.structs.replace(plan, consul=True, faults=tuple(faults), sources=sources)
 
 
-def draw(seed: int, seconds: float = 20.0) -> Plan:
-    """The plan of a seed: each purpose has a stream of its own."""
+def generate(seed: int, seconds: float = 20.0) -> Plan:
+    """The plan of a seed; process faults come from a separate random stream."""
     rng = random.Random(f"plan/{seed}")
     nodes = rng.randint(5, 7)
     faults: list[Fault] = []
     kinds, weights = list(WEIGHTS), list(WEIGHTS.values())
     for _ in range(rng.randint(2, 9)):
-        if faults and rng.random() < OVERLAP:
+        if faults and rng.random() < OVERLAP_FRACTION:
             other = rng.choice(faults)
-            at = other.at + rng.choice(CLOSE) * rng.uniform(0.5, 1.5)
+            at = other.at + rng.choice(OVERLAP_DELAYS) * rng.uniform(0.5, 1.5)
             node = other.node if rng.random() < 0.5 else rng.randrange(nodes)
         else:
             at, node = rng.uniform(0.5, seconds - 4.0), rng.randrange(nodes)
         kind = rng.choices(kinds, weights)[0]
-        held = [fault for fault in faults if fault.kind in HOLDS]
-        if held and rng.random() < AIMED:
+        held = [fault for fault in faults if fault.kind in HOLDING_KINDS]
+        if held and rng.random() < FOLLOW_UP_FRACTION:
             other = rng.choice(held)
-            at, node = other.at + rng.uniform(*AIM), other.node
+            at, node = other.at + rng.uniform(*FOLLOW_UP_DELAY), other.node
             kind = rng.choice(("node_closes_idle", "node_resets"))
         lasts = rng.choice((0.05, 0.3, 1.0, 3.0)) * rng.uniform(0.7, 1.3)
         amount = {"node_slow": rng.choice((3.0, 10.0)), "wall_steps": rng.uniform(-60, 60)}.get(
             kind, rng.choice((0.2, 0.6, 1.0))
         )
         faults.append(Fault(round(at, 4), kind, node, round(lasts, 4), round(amount, 3)))
-    faults += _of_the_process(seed, seconds, faults)
+    faults += _process_faults(seed, seconds, faults)
     clients, rate = rng.randint(6, 12), rng.choices((20.0, 22.0, 30.0, 60.0), (6, 6, 4, 1))[0]
     return Plan(
         seed,
@@ -192,14 +197,14 @@
     )
 
 
-def _of_the_process(seed: int, seconds: float, others: list[Fault]) -> list[Fault]:
-    """Restarts and pauses, most of them close to another fault."""
+def _process_faults(seed: int, seconds: float, others: list[Fault]) -> list[Fault]:
+    """Restarts, kills and pauses of the proxy, most of them near another fault."""
     rng, found = random.Random(f"process/{seed}"), []
     kinds, weights = list(PROCESS_WEIGHTS), list(PROCESS_WEIGHTS.values())
-    for _ in range(rng.choice(PROCESS)):
+    for _ in range(rng.choice(PROCESS_FAULT_COUNTS)):
         at = (
-            rng.choice(others).at + rng.choice(CLOSE) * rng.uniform(0.5, 1.5)
-            if rng.random() < OVERLAP
+            rng.choice(others).at + rng.choice(OVERLAP_DELAYS) * rng.uniform(0.5, 1.5)
+            if rng.random() < OVERLAP_FRACTION
             else rng.uniform(0.5, seconds - 4.0)
         )
         lasts = rng.choice((0.02, 0.15, 0.4, 1.0)) * rng.uniform(0.7, 1.3)
@@ -216,11 +221,12 @@
 
 
 def dump(plan: Plan) -> str:
+    """The plan as indented JSON."""
     return msgspec.json.format(msgspec.json.encode(plan)).decode() + "\n"
 
 
 def read(path: Path) -> Plan:
-    """ValueError where it is no plan."""
+    """Read a stored plan.  Raises ValueError if the file does not hold one."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Plan)
     except msgspec.DecodeError as error:
