--- a/limebridge/virtual/client.py
+++ b/limebridge/virtual/client.py
@@ -1,4 +1,4 @@
-"""A client of an explored run: all that it sees is judged."""
+"""Client of an explored run; it reports all results to the rule checker."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 WAITS = {c["name"]: c["deadlineMs"] / 1000.0 for c in CLASSES}
 
 
-class Asked(Protocol):
-    """What a client asks of the run it is in."""
+class RunContext(Protocol):
+    """What a client needs from its run."""
 
-    judge: RuleChecker
+    checker: RuleChecker
     keys: dict[str, bytes]
     port: int
 
@@ -44,9 +44,12 @@
 
 
 class Client:
-    """One connection at a time; answers in order; asks again on a new one when it closes."""
+    """Client with one connection at a time; it reconnects after a close.
 
-    def __init__(self, world: Asked, number: int) -> None:
+    Responses are matched to requests in order.
+    """
+
+    def __init__(self, world: RunContext, number: int) -> None:
         self._world, self.number = world, number
         self._writer: asyncio.StreamWriter | None = None
         self.open: dict[str, asyncio.TimerHandle] = {}
@@ -54,7 +57,7 @@
         self._leaving = False
 
     async def ask(self, id_: str, words: bytes, cls: str) -> None:
-        """Write one question; on a connection of its own time where there is none."""
+        """Send one request, on a new connection if there is none."""
         world = self._world
         async with self._opening:
             if self._writer is None or self._writer.transport.is_closing():
@@ -62,12 +65,12 @@
                 try:
                     reader, self._writer = await asyncio.open_connection("127.0.0.1", world.port)
                 except OSError:
-                    return  # the proxy is away: nothing was taken
+                    return  # the proxy is unavailable: nothing was sent
                 world.start(self._read(reader, self._writer))
             writer = self._writer
         writer.write(words)
         now, wait = world.kernel.now, WAITS[cls]
-        world.judge.request_sent(now, id_, cls, wait)
+        world.checker.request_sent(now, id_, cls, wait)
         world.note(f"asked {id_} {cls} by {self.number}")
         self.open[id_] = world.loop.call_at(now + wait, self._expire, id_)
 
@@ -84,7 +87,7 @@
                     else "served"
                 )
                 if not self.open:
-                    world.judge.unexpected_answer(world.kernel.now, repr(answer[:40]))
+                    world.checker.unexpected_answer(world.kernel.now, repr(answer[:40]))
                     break
                 id_ = next(iter(self.open))
                 self.open.pop(id_).cancel()
@@ -92,11 +95,11 @@
                     b"stored",
                     b"template of " + world.keys[id_],
                 ):
-                    world.judge.report_fault(
+                    world.checker.report_fault(
                         world.kernel.now, f"{id_} got another's answer: {answer!r}"
                     )
                 world.note(f"{kind} {id_}")
-                world.judge.answered(world.kernel.now, id_, kind)
+                world.checker.answered(world.kernel.now, id_, kind)
         except (asyncio.IncompleteReadError, ConnectionError, ValueError):
             pass
         writer.close()
@@ -104,30 +107,33 @@
             timer.cancel()
             if not self._leaving:
                 world.note(f"closed under {id_}")
-                world.judge.connection_closed(world.kernel.now, id_)
+                world.checker.connection_closed(world.kernel.now, id_)
         self.open.clear()
 
     def _expire(self, id_: str) -> None:
         world = self._world
-        if next(iter(self.open), id_) != id_:  # it asked behind one that may take longer, and
-            world.judge.excuse(id_)  # answers come in order: only the first can be judged
+        # Responses come in order, so only the first open request can be checked: a later one may
+        # wait for an earlier one with a longer deadline.
+        if next(iter(self.open), id_) != id_:
+            world.checker.excuse(id_)
         self.open.pop(id_, None)
         world.note(f"expired {id_}")
-        world.judge.expired(world.kernel.now, id_)
+        world.checker.expired(world.kernel.now, id_)
         self.leave()
 
     def leave(self) -> None:
-        """Go away with whatever is open."""
+        """Reset the connection with its open requests."""
         world = self._world
         self._leaving = True
         for id_, timer in self.open.items():
             timer.cancel()
-            world.judge.client_gone(world.kernel.now, id_)
+            world.checker.client_gone(world.kernel.now, id_)
         if self._writer is not None:
             world.leaving[self._writer.get_extra_info("socket")._sock] = list(self.open)
             self._writer.transport.abort()
 
     def close(self) -> None:
+        """Close the connection at the end of the run."""
         self._leaving = True
         if self._writer is not None:
             self._writer.close()
