--- a/limebridge/fleet/__init__.py
+++ b/limebridge/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Looking at the fleet's works from outside."""
+"""`limebridge fleet`: read-only views of a fleet's works, members and budgets."""
--- a/limebridge/fleet/command.py
+++ b/limebridge/fleet/command.py
@@ -1,4 +1,4 @@
-"""`limebridge fleet`: who owns which work, and what a work's log says."""
+"""`limebridge fleet`: owners of works, and the valid entries of a work's log."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 from violetroute.fleet.table import FleetTable
 
 from . import looking
-from .reading import Unread, entries, owned
+from .reading import UnreadableStoreError, entries, owned
 
 app = typer.Typer(no_args_is_help=True, help="Works on behalf of the fleet; who is there.")
-for asks in (looking.members, looking.beliefs, looking.budgets):
-    app.command()(asks)
+for view_command in (looking.members, looking.beliefs, looking.budgets):
+    app.command()(view_command)
 OperatorFile = Annotated[
     Path,
     typer.Option(
-        "--operator", metavar="FILE", help="The operator's file, of any proxy of the fleet."
+        "--operator", metavar="FILE", help="The operator's file of any proxy in the fleet."
     ),
 ]
-Json = Annotated[bool, typer.Option("--json", help="One JSON line a row.")]
+Json = Annotated[bool, typer.Option("--json", help="Print one JSON line per row.")]
 
 
 def _table(path: Path) -> FleetTable:
@@ -46,10 +46,10 @@
 
 @app.command()
 def owners(operator: OperatorFile, as_json: Json = False) -> None:
-    """Work, owner, fence, since when, and what is left of the term."""
+    """List each work with its owner, fence, state, start and remaining lease time."""
     try:
         rows = owned(_table(operator))
-    except (Unread, OSError) as error:
+    except (UnreadableStoreError, OSError) as error:
         typer.echo(f"limebridge: {printable(error)}", err=True)
         raise typer.Exit(1) from None
     if as_json:
@@ -76,10 +76,10 @@
 
 @app.command()
 def log(work: str, operator: OperatorFile, as_json: Json = False) -> None:
-    """The entries of a work's log that count: bills, beats, what was handed over."""
+    """Print the valid entries of a work's log: bills, heartbeats, transfers."""
     try:
         found, read = entries(_table(operator), work)
-    except (Unread, OSError) as error:
+    except (UnreadableStoreError, OSError) as error:
         typer.echo(f"limebridge: {printable(error)}", err=True)
         raise typer.Exit(1) from None
     for position, record in found:
@@ -99,6 +99,6 @@
             print(printable(f"{position:8}  {record.fence:5}  {record.name:12}  {body[:200]}"))
     if not as_json:
         print(
-            f"{read.entries} entries, {read.ignored} positions that count for nobody, last fence "
+            f"{read.entries} entries, {read.ignored} ignored positions, last fence "
             f"{read.guard.fence}"
         )
--- a/limebridge/fleet/looking.py
+++ b/limebridge/fleet/looking.py
@@ -1,4 +1,4 @@
-"""`limebridge fleet members | beliefs | budgets`: asks a proxy on this machine what it knows."""
+"""`limebridge fleet members | beliefs | budgets`: queries a proxy on this machine."""
 
 from __future__ import annotations
 
@@ -15,44 +15,46 @@
 from violetroute.config import ConfigError
 from violetroute.config.operator import load_operator
 
-PATIENCE = 3.0  # s
-MOST = 16 * 1024 * 1024  # bytes of an answer
+TIMEOUT_S = 3.0
+MAX_REPLY_BYTES = 16 * 1024 * 1024
 OperatorFile = Annotated[
     Path,
-    typer.Option(
-        "--operator", metavar="FILE", help="The operator's file of the proxy that is asked."
-    ),
+    typer.Option("--operator", metavar="FILE", help="The operator's file of the proxy to query."),
 ]
-Json = Annotated[bool, typer.Option("--json", help="What it said, as it said it.")]
+Json = Annotated[bool, typer.Option("--json", help="Print the proxy's JSON reply.")]
 
 
-def ask(path: str, what: str) -> dict[str, Any]:
-    """OSError where nobody answers, ValueError for what is no answer."""
+def ask(path: str, query: str) -> dict[str, Any]:
+    """Sends a query to a proxy's introspection socket and returns the decoded JSON reply.
+
+    Raises OSError when no proxy replies within TIMEOUT_S, ValueError for a reply that is too large,
+    malformed or an error.
+    """
     with socket.socket(socket.AF_UNIX) as sock:
-        sock.settimeout(PATIENCE)
+        sock.settimeout(TIMEOUT_S)
         sock.connect(path)
-        sock.sendall(what.encode() + b"\n")
+        sock.sendall(query.encode() + b"\n")
         data = bytearray()
         while chunk := sock.recv(65536):
             data += chunk
-            if len(data) > MOST:
-                raise ValueError("the answer is too large")
-    told = json.loads(data)
-    if not isinstance(told, dict) or "error" in told:
-        raise ValueError(f"it says: {told}")
-    return told
+            if len(data) > MAX_REPLY_BYTES:
+                raise ValueError("the reply is too large")
+    reply = json.loads(data)
+    if not isinstance(reply, dict) or "error" in reply:
+        raise ValueError(f"unexpected reply: {reply}")
+    return reply
 
 
-def _told(operator: Path, what: str) -> dict[str, Any]:
+def _query(operator: Path, query: str) -> dict[str, Any]:
     try:
         table = load_operator(str(operator)).sharing
         if not table.socket:
-            raise ConfigError(f"{operator}: [sharing] socket: names none")
+            raise ConfigError(f"{operator}: [sharing] socket: not set")
     except ConfigError as error:
         typer.echo(f"limebridge: {printable(error)}", err=True)
         raise typer.Exit(2) from None
     try:
-        return ask(table.socket, what)
+        return ask(table.socket, query)
     except (OSError, ValueError) as error:
         typer.echo(f"limebridge: {table.socket}: {printable(error)}", err=True)
         raise typer.Exit(1) from None
@@ -66,23 +68,23 @@
 
 
 def members(operator: OperatorFile, as_json: Json = False) -> None:
-    """The other proxies as this one sees them, and since when."""
-    told = _told(operator, "members")
+    """List the other proxies as this one sees them, and since when."""
+    reply = _query(operator, "members")
     if as_json:
-        print(json.dumps(told))
+        print(json.dumps(reply))
         return
     _show(
         [
             [
-                m["name"],
-                m["state"],
-                m["address"],
-                m["zone"],
-                f"{m['since_s']} s",
-                None if m["heard_s"] is None else f"{m['heard_s']} s ago",
-                m["life"],
+                member["name"],
+                member["state"],
+                member["address"],
+                member["zone"],
+                f"{member['since_s']} s",
+                None if member["heard_s"] is None else f"{member['heard_s']} s ago",
+                member["life"],
             ]
-            for m in told["members"]
+            for member in reply["members"]
         ],
         "proxy",
         "state",
@@ -93,28 +95,28 @@
         "life",
     )
     print(
-        f"{printable(told['name'])}: own health {told['health']} (0 is well)"
-        f"{', stands aside for another of its name' if told['twin'] else ''}; "
-        f"{told['sent']} sent, {told['received']} taken, {told['refused']} refused"
+        f"{printable(reply['name'])}: own health {reply['health']} (0: healthy)"
+        f"{', suspended since another proxy has its name' if reply['twin'] else ''}; "
+        f"{reply['sent']} sent, {reply['received']} accepted, {reply['refused']} refused"
     )
 
 
 def beliefs(operator: OperatorFile, as_json: Json = False) -> None:
-    """What others met at the cache nodes, and which of them are left alone for it."""
-    told = _told(operator, "beliefs")
+    """Show the failures at cache nodes that other proxies report, and which nodes are avoided."""
+    reply = _query(operator, "beliefs")
     if as_json:
-        print(json.dumps(told))
+        print(json.dumps(reply))
         return
     _show(
         [
             [
-                n["node"],
-                n["witnesses"],
-                n["trouble"],
-                n["own_trouble"],
-                "left alone" if n["avoided"] else "",
+                node["node"],
+                node["witnesses"],
+                node["trouble"],
+                node["own_trouble"],
+                "left alone" if node["avoided"] else "",
             ]
-            for n in told["nodes"]
+            for node in reply["nodes"]
         ],
         "node",
         "witnesses",
@@ -125,27 +127,29 @@
 
 
 def budgets(operator: OperatorFile, as_json: Json = False) -> None:
-    """What this proxy may spend of each budget, what it has borrowed and lent."""
-    told = _told(operator, "budgets")
+    """Show what this proxy may spend of each budget, and what it has borrowed and lent."""
+    reply = _query(operator, "budgets")
     if as_json:
-        print(json.dumps(told))
+        print(json.dumps(reply))
         return
     _show(
         [
             [
-                b["name"],
-                b["may_spend"],
-                b["home"],
-                b["asked_per_s"],
-                b["let_in"],
-                b["turned_away"],
-                " ".join(f"{who}:{amount:g}({left:g} s)" for who, amount, left in b["borrowed"]),
+                budget["name"],
+                budget["may_spend"],
+                budget["home"],
+                budget["asked_per_s"],
+                budget["let_in"],
+                budget["turned_away"],
+                " ".join(
+                    f"{who}:{amount:g}({left:g} s)" for who, amount, left in budget["borrowed"]
+                ),
                 " ".join(
                     f"{who.partition('/')[0]}:{amount:g}({left:g} s)"
-                    for who, amount, left in b["lent"]
+                    for who, amount, left in budget["lent"]
                 ),
             ]
-            for b in told["budgets"]
+            for budget in reply["budgets"]
         ],
         "budget",
         "may spend/s",
--- a/limebridge/fleet/reading.py
+++ b/limebridge/fleet/reading.py
@@ -1,4 +1,4 @@
-"""Leases and logs as they stand in the store; nothing in it is changed, and its proxies may run."""
+"""Reads leases and logs from the store without changing it; the proxies may be running."""
 
 from __future__ import annotations
 
@@ -16,39 +16,43 @@
 from violetroute.fleet.table import FleetTable
 from violetroute.transport.sockets import SocketNetwork, wall
 
-NOBODY = IncarnationId("limebridge fleet", "looks-only")
+READER = IncarnationId("limebridge fleet", "looks-only")
 
 
-class Unread(Exception):
-    """The store can't be read; one line."""
+class UnreadableStoreError(Exception):
+    """The store can't be read; the message is one line."""
 
 
 @dataclass(frozen=True)
 class Owned:
-    """One work."""
+    """A work and its lease."""
 
     work: str
     owner: str
     fence: int
-    state: str  # owned, free, its process has ended, or why it can't be read
+    state: str  # "owned", "free", "its process has ended", or why it can't be read
     since: float = 0.0  # Unix s
-    left_s: float | None = None  # of the term, as far as the store tells
+    # Remaining lease time.  None if no process owns the work, or if the store is Consul.
+    left_s: float | None = None
 
 
 def view(table: FleetTable) -> StoreView:
-    """Unread where there is none."""
+    """Reads all leases.  Raises UnreadableStoreError when the store does not exist or reply."""
     if table.store == "folder":
         if not Path(table.folder).is_dir():
-            raise Unread(f"{table.folder}: no such folder")
-        return FolderStore(Path(table.folder), NOBODY, wall).read_view()
-    found: StoreView = _asked(table, lambda store, told: store.poll(told))
+            raise UnreadableStoreError(f"{table.folder}: no such folder")
+        return FolderStore(Path(table.folder), READER, wall).read_view()
+    found: StoreView = _call_consul(table, lambda store, callback: store.poll(callback))
     return found
 
 
 def owned(table: FleetTable) -> list[Owned]:
-    """All works that the store has a record of."""
+    """All works with a lease record in the store, sorted by name.
+
+    A folder's remaining lease time is counted from the newest modification of the lease files.
+    """
     seen = view(table)
-    rows = [Owned(work, "", 0, why) for work, why in seen.unreadable.items()]
+    rows = [Owned(work, "", 0, reason) for work, reason in seen.unreadable.items()]
     for work, lease in seen.leases.items():
         state = (
             "free"
@@ -69,7 +73,7 @@
 
 
 def entries(table: FleetTable, work: str) -> tuple[list[tuple[int, Record]], FencedLog]:
-    """The entries of a work's log that count, and the log as read."""
+    """The valid entries of a work's log with their positions, and the log after reading them."""
     found: list[tuple[int, Record]] = []
     log = FencedLog(work, lambda position, record: found.append((position, record)))
 
@@ -78,26 +82,26 @@
         return Done(log.next_position)
 
     if table.store == "folder":
-        FolderStore(Path(table.folder), NOBODY, wall).run(steps())
+        FolderStore(Path(table.folder), READER, wall).run(steps())
     else:
-        _asked(table, lambda store, told: store.run(steps(), told))
+        _call_consul(table, lambda store, callback: store.run(steps(), callback))
     return found, log
 
 
-def _asked(table: FleetTable, ask: Callable[[ConsulStore, Any], None]) -> Any:
-    """What one call at a Consul comes to."""
+def _call_consul(table: FleetTable, operation: Callable[[ConsulStore, Any], None]) -> Any:
+    """Runs one operation on a Consul store and returns its result."""
 
-    async def asked() -> Any:
+    async def call() -> Any:
         loop = asyncio.get_running_loop()
-        store = ConsulStore(table, SocketNetwork(loop), NOBODY)
+        store = ConsulStore(table, SocketNetwork(loop), READER)
         done: asyncio.Future[tuple[Any, str]] = loop.create_future()
-        ask(store, lambda answer, why: done.set_result((answer, why)))
+        operation(store, lambda answer, reason: done.set_result((answer, reason)))
         try:
-            answer, why = await done
+            answer, reason = await done
         finally:
             store.close()
         if answer is None:
-            raise Unread(why)
+            raise UnreadableStoreError(reason)
         return answer
 
-    return asyncio.run(asked())
+    return asyncio.run(call())
--- a/tests/limebridge/control/test_control_escapes.py
+++ b/tests/limebridge/control/test_control_escapes.py
@@ -97,7 +97,7 @@
         "received": 0,
         "refused": 0,
     }
-    monkeypatch.setattr(looking, "_told", lambda *_: view)
+    monkeypatch.setattr(looking, "_query", lambda *_: view)
     monkeypatch.setenv("COLUMNS", "400")
     output = run("fleet", "members", "--operator", str(tmp_path / "operator.toml"))
     assert is_printable(output) and output.count(f"n[red]{ESCAPED}") == 6
