--- a/tests/violetroute/distribution/test_distribution_configuration.py
+++ b/tests/violetroute/distribution/test_distribution_configuration.py
@@ -312,8 +312,8 @@
     replies = (ok(batch(1, record("log", 'level = "debug"'))), ok(batch(2)))
 
     def check(control: ScriptedControl) -> None:
-        ((position, told),) = control.polls[2].refused
-        assert position == 1 and len(told) <= 300 and "\n" not in told
+        ((position, sent_reason),) = control.polls[2].refused
+        assert position == 1 and len(sent_reason) <= 300 and "\n" not in sent_reason
         assert control.polls[2].position == 2
 
     follow(replies, Refusing(reason, fails), 3, check)
@@ -397,15 +397,15 @@
     async def reloaded(self, number: int, origin: str, form: str = "json") -> None:
         """Wait until this daemon has logged a reload with this origin, in this log format."""
 
-        def says(line: str) -> bool:
+        def matches(line: str) -> bool:
             if "config.reloaded" not in line or line.startswith("{") != (form == "json"):
                 return False
             return origin in (json.loads(line)["origin"] if form == "json" else line)
 
-        async def said() -> bool:
-            return any(says(line) for line in self.logs[number])
+        async def is_logged() -> bool:
+            return any(matches(line) for line in self.logs[number])
 
-        await until(said)
+        await until(is_logged)
 
     async def restart(self, number: int) -> None:
         await self.daemons[number].kill()
@@ -443,9 +443,8 @@
             assert "refused by" in (await deployment.command("status")).output
 
             deployment.tables[1]["log"] = {"level": "debug"}
-            await deployment.send_sighup(
-                1
-            )  # still invalid with this file; the published format stays
+            # The table is still invalid with this file; the published log format stays.
+            await deployment.send_sighup(1)
             await deployment.reloaded(1, f"position {first}")
             assert not any(f"position {position}" in line for line in deployment.logs[1])
             deployment.tables[1]["membership"] = deployment.nodes
@@ -496,7 +495,7 @@
 def test_configuring_the_same_control_machines_keeps_the_selected_one() -> None:
     controls = tuple(ControlEndpoint(f"127.0.0.1:{port}", "") for port in range(1, 40))
     subscriber = Subscriber(SubscriberSettings("p0", "", controls), "i", Random(1), 0.0)
-    asked = subscriber.next(0.0)
+    first_poll = subscriber.next(0.0)
     for _ in range(20):
         subscriber.configure(controls)
-        assert subscriber.next(0.0) == asked
+        assert subscriber.next(0.0) == first_poll
--- a/tests/violetroute/distribution/test_distribution_daemon.py
+++ b/tests/violetroute/distribution/test_distribution_daemon.py
@@ -513,7 +513,7 @@
         async with Deployment(tmp_path, machines=1, daemons=0) as deployment:
             table = deployment.controls.table(0)
 
-            async def said(event: str, *words: str) -> None:
+            async def wait_for_log(event: str, *words: str) -> None:
                 async def there() -> bool:
                     return any(
                         f"{event} " in line or f'"{event}"' in line
@@ -526,14 +526,14 @@
             await reload_with_file(
                 deployment, table | {"log": {"format": "json"}, "region": "south"}
             )
-            await said("config.restart_needed", "keys=region")
-            await said("control.reloaded", '"file":')
+            await wait_for_log("config.restart_needed", "keys=region")
+            await wait_for_log("control.reloaded", '"file":')
             await reload_with_file(deployment, None)
-            await said("config.unusable", "c0.toml")
+            await wait_for_log("config.unusable", "c0.toml")
             await reload_with_file(deployment, table | {"log": {"level": "loud"}})
-            await said("config.unusable", "[log] level")
+            await wait_for_log("config.unusable", "[log] level")
             await reload_with_file(deployment, table)
-            await said("control.reloaded", " file=")
+            await wait_for_log("control.reloaded", " file=")
             await deployment.publish("after")
             assert not deployment.logged("control.fault")
             assert await deployment.controls.processes[0].term() == 0
@@ -816,9 +816,9 @@
                     str(path),
                     stderr=asyncio.subprocess.PIPE,
                 )
-                _, said = await asyncio.wait_for(process.communicate(), TIMEOUT_S)
+                _, stderr = await asyncio.wait_for(process.communicate(), TIMEOUT_S)
                 assert process.returncode == 1
-                assert words in said.decode() and said.count(b"\n") == 1
+                assert words in stderr.decode() and stderr.count(b"\n") == 1
 
     asyncio.run(scenario())
 
--- a/tests/violetroute/distribution/test_distribution_unauthenticated.py
+++ b/tests/violetroute/distribution/test_distribution_unauthenticated.py
@@ -103,15 +103,14 @@
                 asyncio.create_task(connect_again_and_again())
                 for _ in range(UNAUTHENTICATED_CLIENTS)
             ]
-            await until(
-                lambda: server.traffic.failures > 2 * UNAUTHENTICATED_CLIENTS
-            )  # that many evictions
+            # Each failure is an eviction.
+            await until(lambda: server.traffic.failures > 2 * UNAUTHENTICATED_CLIENTS)
             for _ in range(10):
                 client = client_of(server.address)
                 assert await post(client) == (b"cba", "")
                 client.close()
-            for stranger in unauthenticated_clients:
-                stranger.cancel()
+            for task in unauthenticated_clients:
+                task.cancel()
             await soon(asyncio.gather(*unauthenticated_clients, return_exceptions=True))
 
     run(scenario)
--- a/tests/violetroute/distribution/test_distribution_unauthenticated_bodies.py
+++ b/tests/violetroute/distribution/test_distribution_unauthenticated_bodies.py
@@ -69,9 +69,8 @@
             publisher = client_of(server.address)
             answer, why = await post(publisher, PUBLICATION, path="/publish")
             assert (answer, why) == (PUBLICATION, "")
-            assert (
-                await read_to_end(unauthenticated_clients[0][0]) == b""
-            )  # the body that began first was evicted
+            # The connection whose body began first was evicted.
+            assert await read_to_end(unauthenticated_clients[0][0]) == b""
             assert (
                 machine.traffic.failures == 0
                 and server.traffic.requests == UNAUTHENTICATED_CLIENTS + 2
