--- a/tests/snowstall/test_large_fleet.py
+++ b/tests/snowstall/test_large_fleet.py
@@ -109,7 +109,7 @@
     sizes = {member.id: rng.choice((0.0, 0.5, 1.0, 1.5, 4.0)) for member in listed}
     made = balancer(listed)
     actions = made.on_sizes(1.0, dict.fromkeys(sizes, 2.0))
-    actions += made.on_sizes(2.0, sizes)  # while the first sizes are being applied
+    actions += made.on_sizes(2.0, sizes)  # the first sizes are still being applied
     steps = 0
     while actions:
         assert all(isinstance(a, Timer) and a.label == RESIZING for a in actions)
--- a/tests/snowstall/test_overload.py
+++ b/tests/snowstall/test_overload.py
@@ -108,7 +108,8 @@
     driver.outcome(other, Result.OK, 150.0)
     driver.now += 1.0
     used = [driver.send()[1] for _ in range(60)]
-    assert used.count(cache) >= 5  # one in six of them
+    # Of 60 requests, a cache without a fault would get about one in six.
+    assert used.count(cache) >= 5
 
 
 def make_one_unresponsive(driver: Driver) -> int:
@@ -171,7 +172,7 @@
         driver.outcome(number, Result.LATE, 400.0)
     assert driver.balancer.origin_limiter.limit < math.inf
     ejected_count = len(driver.balancer.ejected)
-    assert ejected_count <= 5  # never all, however they fail
+    assert ejected_count <= 5  # some caches are never ejected, however they fail
 
 
 def test_a_pause_of_this_process_stalls_no_cache() -> None:
@@ -259,7 +260,8 @@
         driver.outcome(number, Result.OK, 20.0)
         for request_id in open_requests:
             driver.outcome(request_id, Result.LATE, 400.0)
-    assert 3 <= len(driver.balancer.ejected) <= 4  # of six; the last two are never ejected
+    # There are six caches, and the last two are never ejected.
+    assert 3 <= len(driver.balancer.ejected) <= 4
 
 
 # --- the limit ---
@@ -306,7 +308,7 @@
     # Two failures in the first tenth of a second limited a proxy to 13 requests a second for long.
     limiter, now = make_limiter(), 0.0
     while limiter.limit == math.inf:
-        now += 3.0  # 333 a second
+        now += 3.0  # 333 requests a second
         is_admitted(limiter, int(now), now)
         if now > 90.0:
             limiter.record_outcome(1.0, now, True, 90.0, 300.0, True)
@@ -352,7 +354,7 @@
     counts = {"optout": [0, 0], "first": [0, 0], "again": [0, 0]}
     now = 10_000.0
     for number in range(4000):
-        now += 5.0  # 200 a second
+        now += 5.0  # 200 requests a second
         kind = rng.choices(["optout", "first", "again"], [1, 2, 5])[0]
         cls = OPTOUT if kind == "optout" else LOOKUP
         if kind == "again":
--- a/tests/snowstall/test_ramp.py
+++ b/tests/snowstall/test_ramp.py
@@ -34,7 +34,8 @@
 
 NODES, RATE, LOAD = 12, 300.0, 0.6  # requests a second in total; share of the warm nodes' capacity
 OVERLOAD_FACTOR, WINDOW_MS = 3.0, 3_000.0  # overloadFactor, fallMs
-STARTS_AT, ENDS_AT, HOT_FROM = 10_000.0, 22_000.0, 9_500.0  # ms
+# Ms: nodes start, the run ends, the key turns hot.
+STARTS_AT, ENDS_AT, HOT_FROM = 10_000.0, 22_000.0, 9_500.0
 WARM, COLD = 20_000.0, 0.2
 CAPACITY = RATE / LOAD / NODES  # a second, of a warm node
 CLASS = RequestClass("read", 300, 600, Effect.PURE)
--- a/tests/snowstall/test_rules.py
+++ b/tests/snowstall/test_rules.py
@@ -425,7 +425,7 @@
         assert isinstance(first, Timer)
         waits.append(first.delay / 1000.0)
     assert LINE_TIMEOUT + max(waits) + ANSWER_TIME_S <= 6.0
-    assert max(waits) > 0.9  # and a fleet doesn't call all at once
+    assert max(waits) > 0.9  # the waits are spread, so that a fleet doesn't call all at once
 
 
 # The requirement of 2026-12-02 (an earlier test wanted the second wait in a row above 8 s): after a
--- a/tests/violetroute/clients/test_crossings.py
+++ b/tests/violetroute/clients/test_crossings.py
@@ -147,7 +147,8 @@
                     await read_answer(reader)
                     writer.close()
                 await until(lambda: not rig.listener.connections)
-                await until(lambda: held() == before)  # also those of accepts without a client
+                # Connection objects of accepts without a client are freed too.
+                await until(lambda: held() == before)
             finally:
                 gc.enable()
 
@@ -282,7 +283,7 @@
         stopped = asyncio.ensure_future(here.process.term())
         await here.until(lambda: connection.draining)
         writer.write(get(1000))  # races with the close: its client retries elsewhere
-        answers = [await read_answer(reader) for _ in range(170)]  # some are refused
+        answers = [await read_answer(reader) for _ in range(170)]  # some requests are refused
         served = [b"id%d" % n for n in range(170) if answers[n] == b"value of id%d" % n]
         assert all(answer.startswith((b"value", b"-BUSY")) for answer in answers)
         assert await reader.read() == b""
--- a/tests/violetroute/cluster/test_redirects.py
+++ b/tests/violetroute/cluster/test_redirects.py
@@ -303,7 +303,7 @@
         asking = asyncio.create_task(load())
         for _ in range(200):
             slot, seen = key_slot(rng.choice(keys)), done
-            if rng.random() < 0.3:  # in migration for a while
+            if rng.random() < 0.3:  # the slot migrates for a while
                 cluster.importing[slot] = rng.choice(
                     [node for node in cluster.nodes if node is not cluster.owner(slot)]
                 )
--- a/tests/violetroute/ledger/test_ledger.py
+++ b/tests/violetroute/ledger/test_ledger.py
@@ -327,9 +327,9 @@
         (name, "c", n) for n, name in enumerate(HOSTILE_NAMES)
     ]
     batch = Batch(7, "period", START, [*lines, (None, "c", 9)], "../p/1.ab/7")
-    told = [json.loads(line) for line in export.json_lines(batch).splitlines()]
-    assert [line["tenant"] for line in told[1:]] == [*HOSTILE_NAMES, None]
-    assert told[0]["units"] == sum(line["units"] for line in told[1:]) == batch.units
+    exported = [json.loads(line) for line in export.json_lines(batch).splitlines()]
+    assert [line["tenant"] for line in exported[1:]] == [*HOSTILE_NAMES, None]
+    assert exported[0]["units"] == sum(line["units"] for line in exported[1:]) == batch.units
     rows = list(csv.reader(io.StringIO(export.csv_lines(batch).decode())))[1:]
     assert all(row[3][0] not in "=+-@\t\r" for row in rows) and rows[-1][3] == "(others)"
     assert [row[3].removeprefix("'") for row in rows[:-1]][:3] == HOSTILE_NAMES[:3]
--- a/tests/violetroute/ledger/test_ledger_daemon.py
+++ b/tests/violetroute/ledger/test_ledger_daemon.py
@@ -208,7 +208,7 @@
         issued.private_key_pem.write_to_path(files["tls_key_file"])
         issued.cert_chain_pems[0].write_to_path(files["tls_cert_file"])
 
-    key(trustme.CA())  # by a CA that the endpoint does not trust
+    key(trustme.CA())  # signed by a CA that the endpoint does not trust
 
     async def part(rig: Rig, ledger: Ledger, billing: BillingEndpoint, clock: Clock) -> None:
         await ask(rig, 0, 2)
--- a/tests/violetroute/membership/test_consul.py
+++ b/tests/violetroute/membership/test_consul.py
@@ -199,7 +199,7 @@
     first = belief.entries(0.0)["c0"].started_at
     ready = returns = 0
     here = True
-    for step in range(200):  # of 300 ms each, over a minute
+    for step in range(200):  # 200 steps of 300 ms, over a minute in all
         now = 0.3 * step
         sick = step % 2 == 1
         belief.apply(now, 1e9 + now, some(4) | (some(1, Health.CRITICAL) if sick else {}))
@@ -233,11 +233,11 @@
     moved = {"c1": replace(some(2)["c1"], address=Address("10.0.0.7", 1))}
     belief.apply(2.0, 3e9, some(5) | moved)
     assert belief.entries(2.0)["c1"].started_at == 3e9
-    told = {"c2": replace(some(3)["c2"], started_at=4e9)}
-    belief.apply(3.0, 5e9, some(5) | moved | told)
+    later_start = {"c2": replace(some(3)["c2"], started_at=4e9)}
+    belief.apply(3.0, 5e9, some(5) | moved | later_start)
     assert belief.entries(3.0)["c2"].started_at == 4e9
-    belief.apply(4.0, 5e9, some(5) | moved | told | some(1, Health.CRITICAL))
-    belief.apply(4.0 + TABLE.cold_after_s, 6e9, some(5) | moved | told)
+    belief.apply(4.0, 5e9, some(5) | moved | later_start | some(1, Health.CRITICAL))
+    belief.apply(4.0 + TABLE.cold_after_s, 6e9, some(5) | moved | later_start)
     assert belief.entries(10.0)["c0"].started_at == 6e9
     assert belief.entries(10.0)["c3"].started_at == 0.0
 
@@ -325,8 +325,10 @@
     names_map = NodeNames()
     names_map.translate(Listing(1, True, (entry("s-1", 1), entry("s-2", 2))))
     names_map.expect_new_source()
-    told = names_map.translate(Listing(1, True, (entry("c1", 1), entry("c2", 2), entry("c3", 3))))
-    assert names(told) == ["s-1", "s-2", "c3"]
+    translated = names_map.translate(
+        Listing(1, True, (entry("c1", 1), entry("c2", 2), entry("c3", 3)))
+    )
+    assert names(translated) == ["s-1", "s-2", "c3"]
     assert names(names_map.translate(Listing(2, False, (entry("c1", 1, DRAINING),)))) == ["s-1"]
     assert names(names_map.translate(Listing(3, False, (entry("c1", 1, GONE),)))) == ["s-1"]
     # A node that returns has its name again; a new name at a known address is a new node.
@@ -335,8 +337,8 @@
         "c9",
     ]
     names_map.expect_new_source()
-    told = names_map.translate(Listing(9, True, (entry("s-2", 2), entry("s-9", 3))))
-    assert names(told) == ["s-2", "c3"]
+    translated = names_map.translate(Listing(9, True, (entry("s-2", 2), entry("s-9", 3))))
+    assert names(translated) == ["s-2", "c3"]
 
 
 def test_a_drain_before_a_new_sources_first_list_applies_to_the_node_at_its_address() -> None:
@@ -460,7 +462,7 @@
             # The platform's names stay: the initial list had the nodes under them.
             await until(lambda: started[0].requests or agents > 1)
             await setting.uses("s-0", "s-1", "s-2", "s-3")
-            await until(lambda: any("index" in asked for a in started for asked in a.requests))
+            await until(lambda: any("index" in request for a in started for request in a.requests))
             await part(setting)
             assert not rig.discovery.requests  # the platform's list is not requested too
         for agent in started:
@@ -488,7 +490,7 @@
 
 def test_a_drain_among_many_changes_and_after_a_truncated_answer() -> None:
     async def part(setting: Setting) -> None:
-        setting.agent.truncate_after = 700  # in the middle of the body
+        setting.agent.truncate_after = 700  # truncated in the middle of the body
         for number in range(30):
             setting.catalogue.register(f"x{number}", 1 + number, service="other")
         setting.catalogue.check("c3", "warning")
@@ -534,8 +536,8 @@
             for name, value in TROUBLES[trouble].items():
                 setattr(agent, name, list(value) if isinstance(value, list) else value)
         failed = asyncio.Event()
-        told = setting.rig.proxy.list_failed
-        setting.rig.proxy.list_failed = lambda silent=False: (failed.set(), told(silent))  # type: ignore
+        list_failed = setting.rig.proxy.list_failed
+        setting.rig.proxy.list_failed = lambda silent=False: (failed.set(), list_failed(silent))  # type: ignore
         setting.catalogue.check("c3", "critical")  # not received, or not accepted
         await soon(failed.wait())
         assert setting.used() == {"s-0", "s-1", "s-2", "s-3"}
@@ -574,7 +576,7 @@
 def test_an_index_that_goes_backwards_is_reset() -> None:
     async def part(setting: Setting) -> None:
         setting.catalogue.restore_snapshot()
-        await until(lambda: any("index=1&" in asked for asked in setting.agent.requests))
+        await until(lambda: any("index=1&" in request for request in setting.agent.requests))
         setting.catalogue.set_maintenance("c0", True)
         await setting.uses("s-1", "s-2", "s-3")
 
@@ -586,7 +588,9 @@
         catalogue = setting.catalogue
         kept = dict(catalogue.services)
         catalogue.deregister(*kept)
-        await until(lambda: any(asked.endswith("consistent") for asked in setting.agent.requests))
+        await until(
+            lambda: any(request.endswith("consistent") for request in setting.agent.requests)
+        )
         await setting.asks_again()
         assert len(setting.used()) == 4
         catalogue.services.update(kept)
@@ -598,7 +602,9 @@
         catalogue.services.update(kept)
         count = len(setting.agent.requests)
         await until(
-            lambda: any(asked.endswith("consistent") for asked in setting.agent.requests[count:])
+            lambda: any(
+                request.endswith("consistent") for request in setting.agent.requests[count:]
+            )
         )
         assert len(setting.used()) == 4
         setting.agent.frozen = None
@@ -642,8 +648,8 @@
         setting.catalogue.raise_index()
         count = len(agent.requests)
         refused = asyncio.Event()
-        told = setting.rig.proxy.list_failed
-        setting.rig.proxy.list_failed = lambda silent=False: (refused.set(), told(silent))  # type: ignore
+        list_failed = setting.rig.proxy.list_failed
+        setting.rig.proxy.list_failed = lambda silent=False: (refused.set(), list_failed(silent))  # type: ignore
         await soon(refused.wait())
         began = loop.time()
         agent.status = 200
@@ -693,10 +699,10 @@
                 if each["Service"]["ID"] != "c0"
             ]
         ).encode()
-        told: list[CacheState] = []
+        reported_states: list[CacheState] = []
         changed = setting.rig.proxy.list_changed
         setting.rig.proxy.list_changed = lambda listing: (  # type: ignore
-            told.extend(e.state for e in listing.entries),
+            reported_states.extend(e.state for e in listing.entries),
             changed(listing),
         )
         setting.agent.canned_answers = [framed(good) + framed(forged)]
@@ -704,7 +710,7 @@
         await setting.asks_again()
         setting.catalogue.set_maintenance("c3", True)
         await setting.uses("s-0", "s-1", "s-2")
-        assert set(told) == {DRAINING}  # no node was gone in between
+        assert set(reported_states) == {DRAINING}  # no node was gone in between
 
     follow(part)
 
@@ -774,7 +780,7 @@
                 ),
             )
             rig.proxy.reload(to_consul)
-            await until(lambda: any("index" in asked for asked in agent.requests))
+            await until(lambda: any("index" in request for request in agent.requests))
             await until(lambda: not rig.discovery.open)
             assert setting.used() == {"s-0", "s-1", "s-2"}
             catalogue.set_maintenance("c0", True)
@@ -817,16 +823,16 @@
     async def part(setting: Setting) -> None:
         setting.catalogue.set_maintenance("c1", True)
         await setting.uses("s-0", "s-2", "s-3")
-        told: list[str] = []
+        reported: list[str] = []
         proxy = setting.rig.proxy
         taken = proxy.list_changed
         proxy.list_changed = lambda listing: (  # type: ignore[method-assign]
-            told.extend(e.instance for e in listing.entries),
+            reported.extend(e.instance for e in listing.entries),
             taken(listing),
         )[1]
         await setting.asks_again()  # expired waits
-        assert told == []
+        assert reported == []
         setting.catalogue.raise_index()
-        await until(lambda: told == ["s-1"])
+        await until(lambda: reported == ["s-1"])
 
     follow(part)
--- a/tests/violetroute/membership/test_consul_morning.py
+++ b/tests/violetroute/membership/test_consul_morning.py
@@ -65,12 +65,12 @@
             else:
                 self.events.append((ask.ended_at, "answered", (id_, ask.outcome)))
 
-    def judged(self) -> RuleChecker:
-        judge = RuleChecker(RuleLimits({"lookup": "pure"}))
+    def check_rules(self) -> RuleChecker:
+        checker = RuleChecker(RuleLimits({"lookup": "pure"}))
         for at, what, rest in sorted(self.events, key=lambda e: (e[0], ORDER[e[1]])):
-            getattr(judge, what)(at, *rest)
-        judge.finish(max(at for at, _, _ in self.events) + 1.0)
-        return judge
+            getattr(checker, what)(at, *rest)
+        checker.finish(max(at for at, _, _ in self.events) + 1.0)
+        return checker
 
 
 @pytest.mark.parametrize("stall_s", [0.0, 0.7])
@@ -101,12 +101,12 @@
             await node.start()
             catalogue.register(node.name, node.port, address="127.0.0.1")
 
-        def told(target: str, body: bytes) -> None:
+        def record_drain(target: str, body: bytes) -> None:
             if catalogue.services["c1"].checks:  # the answer has its drain
                 seen.events.append((loop.time(), "node_reported", ("c1", False)))
 
         for agent in agents:
-            agent.on_answered = told
+            agent.on_answered = record_drain
         operator = Operator(
             consul=ConsulTable(
                 agents=tuple(f"127.0.0.1:{agent.port}" for agent in agents),
@@ -167,8 +167,8 @@
         for node in nodes:
             await node.crash()
         seen.clients(crowd)
-        judge = seen.judged()
-        assert judge.violations == []
+        checker = seen.check_rules()
+        assert checker.violations == []
         assert seen.sent_late == []
         # The answer time is known for nearly all requests.
         assert len(seen.times.answered) >= 0.95 * crowd.sent
@@ -230,7 +230,7 @@
             crowd.close()
         seen.clients(crowd)
         assert len(seen.sent_late) == 1 and seen.sent_late[0][2] >= after_s
-        broken = [each.message for each in seen.judged().violations]
+        broken = [each.message for each in seen.check_rules().violations]
         if after_s >= 0.1:  # the client has read the answer by then
             assert broken == ["sent to c0 after the final answer"]
 
--- a/tests/violetroute/membership/test_crossings_lists.py
+++ b/tests/violetroute/membership/test_crossings_lists.py
@@ -15,7 +15,8 @@
 from violetroute.membership.list_reader import LINE_LIMIT, ObjectSplitter, WatchError
 from violetroute.membership.native import CONNECT_TIMEOUT, LINE_TIMEOUT
 
-TOLD = 6.0  # s after which a change counts as notified, once discovery has it and is reachable
+# s after which a change counts as notified, once discovery has it and is reachable.
+NOTIFIED_WITHIN = 6.0
 GRACE = 0.5  # s that a drain may take after that
 Trouble = Callable[[Scene], Awaitable[None]]
 
@@ -45,11 +46,11 @@
 
 async def away(here: Scene) -> None:
     """Connections are refused: there is no process."""
-    port, asked = here.discovery.port, here.discovery.requests
+    port, requests = here.discovery.port, here.discovery.requests
     await here.discovery.stop()
     await asyncio.sleep(9.0)
     here.discovery._server = await asyncio.start_server(here.discovery._serve, "127.0.0.1", port)
-    here.discovery.requests = asked
+    here.discovery.requests = requests
 
 
 async def paused(here: Scene) -> None:
@@ -77,16 +78,18 @@
             await read_answer(reader)
         await trouble(here)
         here.discovery.publish(here.nodes[0].entry("s-0", "terminating"))
-        told = here.loop.time() + TOLD
+        notified_at = here.loop.time() + NOTIFIED_WITHIN
         number = 100
-        while here.loop.time() < told + 3.0:
+        while here.loop.time() < notified_at + 3.0:
             number += 1
             writer.write(get(number))
             await read_answer(reader)
             await asyncio.sleep(0.01)
         drained = here.nodes[0].port
-        broken = [at - told for at, port, _ in here.begun if port == drained and at > told]
-        assert broken == [] and here.begun[-1][0] > told + 2.0
+        broken = [
+            at - notified_at for at, port, _ in here.begun if port == drained and at > notified_at
+        ]
+        assert broken == [] and here.begun[-1][0] > notified_at + 2.0
 
     scene(
         part,
@@ -112,15 +115,15 @@
         )
         await asyncio.sleep(0.05 * seed)
         here.discovery.publish(here.nodes[0].entry("s-0", "terminating"))
-        told, drained = here.loop.time() + TOLD, here.nodes[0].port
+        notified_at, drained = here.loop.time() + NOTIFIED_WITHIN, here.nodes[0].port
         reader, writer = await here.client()
         number = 0
-        while here.loop.time() < told + 1.0:
+        while here.loop.time() < notified_at + 1.0:
             number += 1
             writer.write(get(number))
             await read_answer(reader)
             await asyncio.sleep(0.01)
-        assert all(at <= told for at, port, _ in here.begun if port == drained)
+        assert all(at <= notified_at for at, port, _ in here.begun if port == drained)
 
     scene(part, nodes=2, seed=seed, membershipMode=mode, balancers=700)
 
@@ -132,12 +135,12 @@
         reader, writer = await here.client()
         here.discovery.publish(*here.entries(), reset=True)
         here.discovery.publish(here.nodes[0].entry("s-0", "terminating"))
-        told, drained = here.loop.time(), here.nodes[0].port
+        notified_at, drained = here.loop.time(), here.nodes[0].port
         for number in range(200):
             writer.write(get(number))
             await read_answer(reader)
             await asyncio.sleep(0.01)
-        assert all(at <= told + GRACE for at, port, _ in here.begun if port == drained)
+        assert all(at <= notified_at + GRACE for at, port, _ in here.begun if port == drained)
         for each in list(
             here.discovery.open
         ):  # a change counts once discovery has it, with or without a watch
@@ -191,8 +194,8 @@
     async def part(here: Scene) -> None:
         await here.until(lambda: here.discovery.open)
         writer = next(iter(here.discovery.open))
-        begun, asked = here.loop.time(), len(here.discovery.requests)
-        while len(here.discovery.requests) == asked:
+        begun, request_count = here.loop.time(), len(here.discovery.requests)
+        while len(here.discovery.requests) == request_count:
             assert here.loop.time() < begun + 2.0 + LINE_TIMEOUT + 1.6
             writer.write(b"1\r\n{\r\n")
             await asyncio.sleep(0.2)
--- a/tests/violetroute/membership/test_list_reader.py
+++ b/tests/violetroute/membership/test_list_reader.py
@@ -31,8 +31,8 @@
 
 
 def line(*instances: object, reset: bool = True, generation: object = 4) -> bytes:
-    told = {"generation": generation, "reset": reset, "instances": list(instances)}
-    return json.dumps(told).encode()
+    message = {"generation": generation, "reset": reset, "instances": list(instances)}
+    return json.dumps(message).encode()
 
 
 BAD = [
--- a/tests/violetroute/membership/test_merge_whole.py
+++ b/tests/violetroute/membership/test_merge_whole.py
@@ -50,7 +50,7 @@
     merge: ListMerger = field(default_factory=lambda: ListMerger(SOURCES, TABLE, 0.0))
     now: float = 0.0
     wall: float = 1000.0  # Unix ms; increases with each event, so that starts are ordered
-    started: float = 0.0  # of the node, as reported last
+    started: float = 0.0  # start time of the node, as reported last
     restarted: bool = False
     # By source: when it reported a drain or removal that is in force (the model's own record).
     removed_at: dict[str, float] = field(default_factory=dict)
--- a/tests/violetroute/membership/test_sources.py
+++ b/tests/violetroute/membership/test_sources.py
@@ -144,7 +144,7 @@
     made.apply(2.0, WALL, "a", some(4))
     assert states(made)["n1"] is DRAINING  # the current source's list does not end it
     made.source_failed(3.0, "b")
-    assert states(made)["n1"] is DRAINING  # nor the failure of its source
+    assert states(made)["n1"] is DRAINING  # a failure of the source does not withdraw the drain
     made.apply(4.0, WALL, "b", Listing(3, False, (entry(name, READY, port=1001),)))
     assert states(made)["n1"] is READY
 
@@ -238,7 +238,7 @@
     for number in range(MAX_REMOVALS + 5):
         made.apply(1.0, WALL, "b", Listing(2, False, (entry(f"n{number}", GONE),)))
     assert len(made._sources["b"].removals) == MAX_REMOVALS
-    assert names(made) == {"n0", "n1", "n2", "n3"}  # their removals were the oldest
+    assert names(made) == {"n0", "n1", "n2", "n3"}  # the removals of these nodes were the oldest
 
 
 Step = st.tuples(
@@ -253,21 +253,21 @@
 def test_in_any_sequence_drains_hold_and_the_current_source_has_reported(
     steps: list[Any],
 ) -> None:
-    made, now, heard = ListMerger(("a", "b", "c"), TABLE, 0.0), 0.0, set()
+    made, now, reporting = ListMerger(("a", "b", "c"), TABLE, 0.0), 0.0, set()
     drains: dict[str, set[str]] = {"a": set(), "b": set(), "c": set()}
-    for source, what, told, is_whole in steps:
+    for source, what, node_states, is_whole in steps:
         now += 1.7
         if what == "list":
-            entries = {f"n{number}": entry(f"n{number}", state) for number, state in told}
+            entries = {f"n{number}": entry(f"n{number}", state) for number, state in node_states}
             made.apply(now, WALL, source, Listing(1, is_whole, tuple(entries.values())))
-            heard.add(source)
+            reporting.add(source)
             drains[source] -= {name for name, each in entries.items() if each.state is READY}
             drains[source] |= {name for name, each in entries.items() if each.state is not READY}
         elif what == "lost":
             made.source_failed(now, source)
         else:
             made.tick(now)
-        assert made.current_source is None or made.current_source in heard
+        assert made.current_source is None or made.current_source in reporting
         due = made.next_change_at(now)
         assert due is None or due > now
         ready_entries = {name for name, state in states(made).items() if state is READY}
@@ -386,20 +386,20 @@
                     name for name in ("s-0", "s-1", "s-2") if stable_hash(name.encode()) in known
                 }
 
-            def speaks() -> str | None:
+            def current_source() -> str | None:
                 return rig.proxy._watch._watch._notified_source  # type: ignore[attr-defined]
 
             asking = asyncio.create_task(load())
             rig.proxy.reload(replace(rig.config, operator=operator))
-            await until(lambda: speaks() == "consul")
+            await until(lambda: current_source() == "consul")
             write(0)  # the lowest source reports a drain
             await until(lambda: used() == {"s-1", "s-2"})
             await agent.stop()
-            await until(lambda: speaks() == "platform")
+            await until(lambda: current_source() == "platform")
             rig.discovery.unavailable = True
             for writer in list(rig.discovery.open):
                 writer.transport.abort()
-            await until(lambda: speaks() == "file")
+            await until(lambda: current_source() == "file")
             write(1)
             await until(lambda: used() == {"s-0", "s-2"})
             path.write_text("{")  # half written: the last list stays, and the file is read again
@@ -407,7 +407,7 @@
             write()
             await until(lambda: used() == {"s-0", "s-1", "s-2"})
             await agent.start(agent.port)
-            await until(lambda: speaks() == "consul")
+            await until(lambda: current_source() == "consul")
             catalogue.set_maintenance("c2", True)
             await until(lambda: used() == {"s-0", "s-1"})
             seen = len(answers)
@@ -486,7 +486,7 @@
 HERE, THERE = Address("10.0.0.1", 1), Address("10.0.0.1", 2)
 
 
-def told(change: Any) -> list[tuple[int, CacheState]]:
+def reported(change: Any) -> list[tuple[int, CacheState]]:
     return [(member.id, member.state) for member in change.members]
 
 
@@ -494,9 +494,9 @@
     places = NodeAddresses()
     assert places.apply(Member(1, started_at=5.0), HERE).placed
     early = places.apply(Member(2, started_at=4.0), HERE)
-    assert told(early) == [(2, GONE)] and not early.placed
+    assert reported(early) == [(2, GONE)] and not early.placed
     late = places.apply(Member(3, started_at=6.0), HERE)
-    assert told(late) == [(3, READY), (1, GONE)] and late.placed and 1 in late.removed
+    assert reported(late) == [(3, READY), (1, GONE)] and late.placed and 1 in late.removed
     assert places.apply(Member(1, started_at=5.0), THERE).placed
 
 
@@ -506,9 +506,9 @@
     drains = places.apply(Member(1, DRAINING, started_at=5.0), HERE)
     assert not drains.placed and 1 in drains.removed
     stale = places.apply(Member(2, started_at=started), HERE)
-    assert told(stale) == [(2, GONE)] and not stale.placed
+    assert reported(stale) == [(2, GONE)] and not stale.placed
     again = places.apply(Member(3, started_at=6.0), HERE)
-    assert told(again) == [(3, READY), (1, GONE)] and again.placed
+    assert reported(again) == [(3, READY), (1, GONE)] and again.placed
 
 
 def test_an_inferred_start_time_does_not_override_a_drain() -> None:
@@ -516,8 +516,8 @@
     places.apply(Member(1, started_at=5.0), HERE)
     assert places.apply(Member(2, started_at=9.0), HERE, inferred=True).placed
     drains = places.apply(Member(1, DRAINING, started_at=5.0), HERE)
-    assert told(drains) == [(1, DRAINING), (2, GONE)]
-    assert told(places.apply(Member(2, started_at=9.0), HERE, inferred=True)) == [(2, GONE)]
+    assert reported(drains) == [(1, DRAINING), (2, GONE)]
+    assert reported(places.apply(Member(2, started_at=9.0), HERE, inferred=True)) == [(2, GONE)]
     assert places.apply(Member(2, started_at=9.0), HERE).placed
 
 
@@ -526,9 +526,9 @@
     places.apply(Member(1), HERE)
     moved = places.apply(Member(1), THERE)
     assert moved.removed == [1] and moved.placed
-    assert told(places.apply(Member(2), HERE)) == [(2, READY)]
+    assert reported(places.apply(Member(2), HERE)) == [(2, READY)]
     assert places.apply(Member(1, GONE), None).removed == [1]
-    assert told(places.apply(Member(3), THERE)) == [(3, READY)]
+    assert reported(places.apply(Member(3), THERE)) == [(3, READY)]
     assert places.retain([3]) == [2] and places.retain([3]) == []
 
 
--- a/tests/violetroute/placement/test_placement.py
+++ b/tests/violetroute/placement/test_placement.py
@@ -155,7 +155,8 @@
     managed.passes(5 * STEP_INTERVAL)
     assert managed.reported[-2:] == [{1: 1.1, 2: 0.9}, {}]
     managed.manager.set_plan(plan(n1=0.6, n2=0.4), PlacementTable(moved_per_s=0.05))
-    assert managed.reported[-1] == {1: 1.0, 2: 1.0}  # from even shares to the next plan
+    # The transition goes from even shares to the next plan.
+    assert managed.reported[-1] == {1: 1.0, 2: 1.0}
     managed.passes(5 * STEP_INTERVAL)
     assert managed.reported[-1] == {1: 1.2, 2: 0.8}
 
@@ -164,9 +165,9 @@
     managed.manager.set_plan(Plan(1, 0.0, {"n1": 0.5, "x": 0.5}), PlacementTable())
     managed.update_nodes("n1", "n2", "n3")
     assert managed.reported == [] and managed.events == ["placement.taken", "placement.refused"]
-    managed.update_nodes("n1", "n2")  # one of two is enough
+    managed.update_nodes("n1", "n2")  # covering one of two nodes is enough
     managed.passes(STEP_INTERVAL * 60)
-    assert managed.events[2:] == ["placement.fits"]  # its one node has an even share already
+    assert managed.events[2:] == ["placement.fits"]  # the plan's one node already has an even share
     assert managed.reported[-1] == {1: 1.0}
 
 
--- a/tests/violetroute/sharing/test_sharing.py
+++ b/tests/violetroute/sharing/test_sharing.py
@@ -211,8 +211,8 @@
         one.record_spare(2.0, "m7", 4_000)
         for n in range(100):
             one.spend(2.0 + after + n / 100.0)
-        asks = [a for a in one.tick(3.0 + after, members) if isinstance(a, RequestLoan)]
-        assert (asks[0].to == "m7") is first
+        loan_requests = [a for a in one.tick(3.0 + after, members) if isinstance(a, RequestLoan)]
+        assert (loan_requests[0].to == "m7") is first
 
 
 amounts = st.integers(0, 12_000)
--- a/tests/violetroute/sharing/test_sharing_anti_entropy.py
+++ b/tests/violetroute/sharing/test_sharing_anti_entropy.py
@@ -20,8 +20,8 @@
 )
 
 FLEET = 300
-JOIN_S = 15.0  # until a new member of FLEET members knows all, with loss
-RETURN_S = 20.0  # from the last restart of a whole fleet until all know all
+JOIN_S = 15.0  # time until a new member of FLEET members knows all, with loss
+RETURN_S = 20.0  # time from the last restart of a whole fleet until all know all
 
 
 # --- convergence and cost ---
@@ -91,8 +91,8 @@
     net.settled(FLEET)
     net.start("new")
     net.run(JOIN_S)
-    asked = {to for sender, to, item in net.items if isinstance(item, BucketRequest)}
-    assert len(asked - {"new"}) > 5
+    requested_from = {to for sender, to, item in net.items if isinstance(item, BucketRequest)}
+    assert len(requested_from - {"new"}) > 5
     early = [to for _, to, item in net.items if isinstance(item, BucketRequest) and to == "new"]
     assert not early
 
--- a/tests/violetroute/sharing/test_sharing_anti_entropy_bytes.py
+++ b/tests/violetroute/sharing/test_sharing_anti_entropy_bytes.py
@@ -49,15 +49,15 @@
 
 def test_a_new_member_requests_no_more_than_its_rate() -> None:
     one, got, seconds = member("p0"), 0, 20
-    asked = compared(one, 0.0, count=4000, buckets=128)
+    requests = compared(one, 0.0, count=4000, buckets=128)
     for step in range(seconds * 100):
-        now, waiting, asked = step / 100.0, asked, []
+        now, waiting, requests = step / 100.0, requests, []
         for request in waiting:
             names = [f"{request.number} {number:030}" for number in range(25)]
             answer = BucketMembers(request.number, 128, request.index, entries(*names))
             got += len(encode_item(answer))
-            asked += of_kind(hears(one, now, answer), BucketRequest)  # type: ignore[arg-type]
-        asked += of_kind(one.tick(now), BucketRequest)  # type: ignore[arg-type]
+            requests += of_kind(hears(one, now, answer), BucketRequest)  # type: ignore[arg-type]
+        requests += of_kind(one.tick(now), BucketRequest)  # type: ignore[arg-type]
         most = REQUESTED_BYTES_S * (now + BURST_S) + WINDOW * (ANSWER_BYTES + DATAGRAM_BYTES)
         assert got <= most
     assert got > REQUESTED_BYTES_S * seconds / 2
--- a/tests/violetroute/sharing/test_sharing_anti_entropy_messages.py
+++ b/tests/violetroute/sharing/test_sharing_anti_entropy_messages.py
@@ -78,12 +78,12 @@
     one = member(*(f"p{number}" for number in range(600)))  # 64 buckets
     assert not hears(one, 1.0, BucketRequest(1, 4, 0))
     assert hears(one, 1.0, BucketRequest(1, 8, 0))
-    for buckets, asks in ((4, False), (8, True)):
+    for buckets, requests_buckets in ((4, False), (8, True)):
         one._anti_entropy.compare_at = 1.0
         (compare,) = of_kind(one.tick(1.0), Compare)
         assert isinstance(compare, Compare)
         digests = Digests(compare.number, 601, 99, pack_short(range(1, buckets + 1)))
-        assert bool(hears(one, 1.0, digests)) == asks
+        assert bool(hears(one, 1.0, digests)) == requests_buckets
 
 
 def test_a_duplicate_or_unrelated_bucket_answer_triggers_no_request() -> None:
@@ -135,13 +135,13 @@
 
 
 def test_the_next_comparison_is_soon_after_differences_and_regular_after_equal_lists() -> None:
-    for news in (True, False):
+    for has_new_members in (True, False):
         one, now = member("p0"), 1.0
         for _ in range(6):  # no differences: the interval has doubled
             (request,) = compared(one, now)
             hears(one, now, BucketMembers(request.number, 1, 0, []))
             now = one._anti_entropy.compare_at
-        if news:
+        if has_new_members:
             (request,) = compared(one, now)
             hears(one, now, BucketMembers(request.number, 1, 0, entries("p1")))
             assert one._anti_entropy.compare_at - now <= 1.5 * COMPARE_SOON_S
@@ -166,9 +166,9 @@
 
 def test_open_bucket_requests_are_limited_by_the_window() -> None:
     one = member("p0", *(f"q{number}" for number in range(200)))
-    asked = compared(one, 1.0, count=250, buckets=16)
-    assert len(asked) == WINDOW
-    first = asked[0]
+    requests = compared(one, 1.0, count=250, buckets=16)
+    assert len(requests) == WINDOW
+    first = requests[0]
     more = hears(one, 1.0, BucketMembers(first.number, 16, first.index, []))
     assert len(of_kind(more, BucketRequest)) == 1
 
@@ -198,15 +198,15 @@
 
 def test_bucket_requests_have_a_random_order_and_bounded_size() -> None:
     one = member("p0", *(f"q{number}" for number in range(200)))
-    asked = compared(one, 1.0, count=250, buckets=64)
-    assert [request.index for request in asked] != [0, 1, 2, 3]
+    requests = compared(one, 1.0, count=250, buckets=64)
+    assert [request.index for request in requests] != [0, 1, 2, 3]
     one = member("p0", *(f"q{number}" for number in range(254)))
     assert (
         max(len(one._list.digests.members(2, index)) for index in (0, 1)) * SHORT_BYTES
         > MAX_HELD_BYTES
     )
-    asked = compared(one, 1.0, count=256, buckets=2)
-    assert max(len(request.held) for request in asked) == MAX_HELD_BYTES
+    requests = compared(one, 1.0, count=256, buckets=2)
+    assert max(len(request.held) for request in requests) == MAX_HELD_BYTES
 
 
 def test_digests_of_an_unknown_sender_lead_to_requests_to_a_member() -> None:
@@ -290,12 +290,12 @@
 
 def test_legacy_pages_are_requested_only_from_unresponsive_peers_beside_comparisons() -> None:
     one = member("p0")
-    asked, now = list[tuple[float, int]](), 0.0
+    requests, now = list[tuple[float, int]](), 0.0
     while now < 200.0:
         now += 0.1
-        asked += [(now, len(out.items)) for out in one.tick(now)]
-    assert [items for _, items in asked[: LEGACY_AFTER + 1]] == [1] * LEGACY_AFTER + [2]
-    waits = [later[0] - earlier[0] for earlier, later in pairwise(asked)]
+        requests += [(now, len(out.items)) for out in one.tick(now)]
+    assert [items for _, items in requests[: LEGACY_AFTER + 1]] == [1] * LEGACY_AFTER + [2]
+    waits = [later[0] - earlier[0] for earlier, later in pairwise(requests)]
     assert max(waits) <= ANSWER_TIMEOUT_S + 1.5 * COMPARE_INTERVAL_S + 0.2
     one._anti_entropy._page_at = 0.0
     one._anti_entropy.compare_at = now
--- a/tests/violetroute/sharing/test_sharing_cost.py
+++ b/tests/violetroute/sharing/test_sharing_cost.py
@@ -102,8 +102,8 @@
     assert costs[1] <= costs[0] * 1.5  # duplicate samples are drawn again
     members = fleet(HELPERS + 1)
     for _ in range(50):
-        asked = [out.to for out in members._request_helpers(Probe("p2", "l", 1, 0.0, 1.0))[1:]]
-        assert sorted(asked) == ["p0", "p1", "p3"]
+        helpers = [out.to for out in members._request_helpers(Probe("p2", "l", 1, 0.0, 1.0))[1:]]
+        assert sorted(helpers) == ["p0", "p1", "p3"]
 
 
 places = st.sampled_from(["", "s1", "s2", "other"])
@@ -112,10 +112,10 @@
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 4), st.integers(0, 3), st.sampled_from("asdl"), places)))
 def test_unknown_seeds_match_a_scan_of_all_members(
-    heard: list[tuple[int, int, str, str]],
+    rumors: list[tuple[int, int, str, str]],
 ) -> None:
     members = Members("me", "l", 1, "s3", "", 1.0, ("s1", "s2", "s3"), random.Random(1), 0.0)
-    for step, (name, incarnation, state, place) in enumerate(heard):
+    for step, (name, incarnation, state, place) in enumerate(rumors):
         rumor = Rumor(f"p{name}", "l", incarnation, state, place, "", "x")
         members.receive(step * 9.0, "x", "l", 1, rumor)
         members.tick(step * 9.0 + 0.1)
@@ -144,7 +144,7 @@
         for count in (SMALL, MAX_WAITING):
             rumors = waiting(count)
             costs.append(operations(lambda rumors=rumors, work=work: work(rumors)))  # type: ignore[misc]
-        assert costs[1] <= costs[0] * 1.5 + 100  # and one that evicts another
+        assert costs[1] <= costs[0] * 1.5 + 100  # 100: the cost of evicting another rumor
 
 
 class PlainRumors:
--- a/tests/violetroute/sharing/test_sharing_late.py
+++ b/tests/violetroute/sharing/test_sharing_late.py
@@ -15,7 +15,7 @@
 from violetroute.sharing.probe import LATE_SHARE, POSTPONE_SHARE, TICK_S, is_late, suspicion_time
 from violetroute.sharing.wire import Ack, Nack, Ping, PingRequest, Rumor
 
-PERIOD = 1.0  # s
+PERIOD = 1.0  # s; length of a probe period
 STOPPED_S = 5.0
 TICK = 0.1
 
--- a/tests/violetroute/sharing/test_sharing_node_cost.py
+++ b/tests/violetroute/sharing/test_sharing_node_cost.py
@@ -77,7 +77,7 @@
 weights = st.sampled_from([0.0, 0.125, 1.0, 2.0, 3.0, 5.0])
 steps = st.lists(
     st.one_of(
-        st.tuples(st.just("heard"), st.integers(0, 5), st.integers(0, NODES), weights, weights),
+        st.tuples(st.just("report"), st.integers(0, 5), st.integers(0, NODES), weights, weights),
         st.tuples(st.just("all"), st.integers(0, 5), weights, weights),
         st.tuples(st.just("met"), st.integers(0, NODES), st.booleans()),
         st.tuples(st.just("time"), st.sampled_from([0, 1, 1, 2, 4, 9])),
@@ -93,7 +93,7 @@
 def apply(health: Any, step: tuple[Any, ...], now: float) -> Any:
     """Apply a step to one of the two implementations."""
     match step:
-        case ("heard", member, node, good, bad):
+        case ("report", member, node, good, bad):
             zone = "a" if member < 4 else "b"
             health.merge_report(now, f"m{member}", zone, HealthReport(node, 1, good, bad), 0.0)
         case ("all", member, good, bad):
--- a/tests/violetroute/sharing/test_sharing_node_memory.py
+++ b/tests/violetroute/sharing/test_sharing_node_memory.py
@@ -21,7 +21,8 @@
 from violetroute.sharing.row_lists import NO_ROW, RowLists
 from violetroute.sharing.wire import HealthReport
 
-PROXY_BYTES = 64_000_000  # for control, at target size
+# Bytes of a proxy's memory for control data, in a fleet of the target size.
+PROXY_BYTES = 64_000_000
 SHARE = 1 / 20
 MAX_REPORT_BYTES = PROXY_BYTES * SHARE / MAX_OUTCOME_ROWS
 NODES = 1_200
--- a/tests/violetroute/sharing/test_sharing_talk.py
+++ b/tests/violetroute/sharing/test_sharing_talk.py
@@ -62,7 +62,7 @@
 
 
 class GossipProxy:
-    """GossipProxy proxy; `deliver` delivers a datagram from p1 or another sender."""
+    """A gossip service on a fake network; `deliver` brings a datagram of p1 or another sender."""
 
     def __init__(self, **more: Any) -> None:
         self.kernel = Kernel(1, start=1000.0)
--- a/tests/violetroute/sharing/test_sharing_up_names_cost.py
+++ b/tests/violetroute/sharing/test_sharing_up_names_cost.py
@@ -10,7 +10,8 @@
 from violetroute.sharing.up_names import UpNames
 
 SIZES = (100, 2600)
-MAX_COMPARISONS = 40  # for a change and a page: 2 binary searches of at most 12 steps each
+# Comparisons for a change and a page: 2 binary searches of at most 12 steps each.
+MAX_COMPARISONS = 40
 
 
 class CountedName(str):
--- a/tests/violetroute/test_crossings_process.py
+++ b/tests/violetroute/test_crossings_process.py
@@ -14,7 +14,7 @@
 from limebridge.standins.configuration import SETTINGS, configuration
 from tests.support.rig import CacheNode, Discovery, until
 from tests.support.scene import Scene, get, read_answer, scene
-from tests.violetroute.membership.test_crossings_lists import TOLD, away
+from tests.violetroute.membership.test_crossings_lists import NOTIFIED_WITHIN, away
 from tests.violetroute.test_program import Program, launch
 from violetroute import __main__ as program
 from violetroute.config import LogTable, parse
@@ -121,7 +121,7 @@
         await trouble
         back = here.loop.time()
         await here.until(lambda: here.discovery.open)
-        assert here.loop.time() - back <= TOLD
+        assert here.loop.time() - back <= NOTIFIED_WITHIN
         reader, writer = await here.client()
         writer.write(get(1))
         assert await read_answer(reader) == b"value of id1"
--- a/tests/violetroute/test_logs.py
+++ b/tests/violetroute/test_logs.py
@@ -191,8 +191,10 @@
     assert used | own == {name: set(event.fields) for name, event in EVENTS.items()}
     page = (ROOT / "docs" / "operators" / "logs.md").read_text()
     rows = re.findall(r"^\| `([a-z_]+\.[a-z_]+)` \| (\w+) \| ([^|]*) \|", page, re.MULTILINE)
-    told = {name: (level, set(re.findall(r"`(\w+)`", fields))) for name, level, fields in rows}
-    assert told == {
+    documented = {
+        name: (level, set(re.findall(r"`(\w+)`", fields))) for name, level, fields in rows
+    }
+    assert documented == {
         name: (logging.getLevelName(event.level).lower(), set(event.fields))
         for name, event in EVENTS.items()
     }
--- a/tests/violetroute/test_own_load.py
+++ b/tests/violetroute/test_own_load.py
@@ -54,18 +54,18 @@
     made: Balancer,
     now: float,
     name: str = "lookup",
-    stood: float = LOOP_DELAY_TARGET_MS,
+    unread: float = LOOP_DELAY_TARGET_MS,
     left: float = 500.0,
     spent: float = TURN_BUDGET_MS,
     taken: int = 0,
 ) -> float | None:
-    return made.on_arrival(now, name, stood, left, spent, taken)
+    return made.on_arrival(now, name, unread, left, spent, taken)
 
 
 def test_a_burst_or_a_pause_is_no_overload() -> None:
     made = balancer()
     for now in range(0, 1000, 10):  # 300 ms unread at times, but not throughout
-        assert arrives(made, now, stood=300.0 if now % 40 else 1.0) is None
+        assert arrives(made, now, unread=300.0 if now % 40 else 1.0) is None
 
 
 def test_a_lasting_overload_rejects_low_value_requests_and_ends_at_once() -> None:
@@ -80,12 +80,12 @@
     assert arrives(made, now, spent=0.0, taken=MAX_PER_CONNECTION) is not None, (
         "it is the others' turn"
     )
-    assert arrives(made, now, stood=LOOP_DELAY_TARGET_MS / 2) is None, "the overload is over"
+    assert arrives(made, now, unread=LOOP_DELAY_TARGET_MS / 2) is None, "the overload is over"
     assert arrives(made, now + 1.0) is None
 
 
 def test_an_expired_command_is_rejected_in_any_state() -> None:
-    assert arrives(balancer(), 0.0, "optout", stood=700.0, left=-1.0, spent=0.0) is not None
+    assert arrives(balancer(), 0.0, "optout", unread=700.0, left=-1.0, spent=0.0) is not None
 
 
 def test_a_process_pause_does_not_count_against_any_cache() -> None:
@@ -171,9 +171,9 @@
 class Late(Turns):
     """Reports a fixed time for which commands were readable and unread."""
 
-    def __init__(self, stood: float = 0.0) -> None:
+    def __init__(self, unread: float = 0.0) -> None:
         super().__init__()
-        self.seconds = stood
+        self.seconds = unread
 
     def readable_for(self, now: float) -> float:
         return self.seconds
@@ -228,7 +228,7 @@
 
             async with asyncio.timeout(20.0):
                 while not (await burst(MAX_PER_CONNECTION + 1))[-1].startswith(b"-BUSY"):
-                    pass  # until the overload has lasted for its interval
+                    pass  # repeated until the overload has lasted for its interval
             answers = await burst(128)
             assert [a.startswith(b"value of") for a in answers] == [True] * MAX_PER_CONNECTION + [
                 False
@@ -312,7 +312,7 @@
     async def scenario() -> None:
         async with Rig(CacheNode(), turns=Late(9.0)) as rig:
             connection = ClientConnection(rig.listener)
-            rig.listener._slots_used += 1  # as for an accepted connection
+            rig.listener._slots_used += 1  # takes a slot, as accepting a connection does
             stream = Unread(connection)
             connection.accepted(stream)  # type: ignore[arg-type]
             for number in range(10 * rig.config.limits.depth):
--- a/tests/violetroute/test_program.py
+++ b/tests/violetroute/test_program.py
@@ -183,7 +183,7 @@
             one.process.terminate()
             await one.logged("drains")
             late = await soon(asyncio.open_connection("127.0.0.1", one.port))
-            late[1].write(get(500))  # new ones go on coming for a moment
+            late[1].write(get(500))  # new clients go on connecting for a short time
             await until(lambda: len(node.commands) == 33)
             one.process.send_signal(signal.SIGHUP)  # both have no effect during the drain
             one.process.terminate()
--- a/tests/violetroute/transport/test_tls.py
+++ b/tests/violetroute/transport/test_tls.py
@@ -102,15 +102,15 @@
     authority = trustme.CA()
 
     async def part(stream: TlsStream, owner: Owner) -> None:
-        stream.write(b"early ")  # before the handshake
+        stream.write(b"early ")  # written before the handshake
         await until(lambda: owner.data == b"early ")
         sent = bytes(range(256)) * 4096
         stream.write_all([sent[:1000], sent[1000:]])
         await until(lambda: len(owner.data) > 200_000)
         stream.pause()
-        stood = len(owner.data)
+        received = len(owner.data)
         await asyncio.sleep(0)
-        assert len(owner.data) == stood
+        assert len(owner.data) == received
         stream.resume()
         await until(lambda: len(owner.data) == 6 + len(sent))
         assert owner.data[6:] == sent and stream.no_pending_input()
@@ -234,7 +234,7 @@
     mine.private_key_and_cert_chain_pem.write_to_path(str(tmp_path / "mine.pem"))
 
     async def part(rig: Rig, agent: Consul, catalogue: Catalogue) -> None:
-        await until(lambda: any("index" in asked for asked in agent.requests))
+        await until(lambda: any("index" in request for request in agent.requests))
         catalogue.set_maintenance("c0", True)
         await until(lambda: not rig.proxy.nodes)
 
@@ -252,12 +252,12 @@
     old, new = trustme.CA(), trustme.CA()
 
     async def part(rig: Rig, agent: Consul, catalogue: Catalogue) -> None:
-        await until(lambda: any("index" in asked for asked in agent.requests))
+        await until(lambda: any("index" in request for request in agent.requests))
         await agent.stop()
-        asked = len(agent.requests)
+        request_count = len(agent.requests)
         await agent.start(agent.port, server(new))
         ca_file(new, tmp_path)  # without a signal
-        await until(lambda: len(agent.requests) > asked)
+        await until(lambda: len(agent.requests) > request_count)
         catalogue.set_maintenance("c0", True)
         await until(lambda: not rig.proxy.nodes)
 
--- a/tests/violetroute/transport/test_transport.py
+++ b/tests/violetroute/transport/test_transport.py
@@ -138,7 +138,7 @@
         remote.sendall(b"answer")
         remote.close()
         peer.stream.resume()
-        while peer.stream.write(b"x"):  # until the reset is detected
+        while peer.stream.write(b"x"):  # writes until the reset is detected
             pass
         assert "lost" not in peer.callbacks and peer.stream.unsent
         await until(lambda: "lost" in peer.callbacks)
@@ -442,7 +442,8 @@
         peer.stream.close()
         assert peer.stream.closing and "lost" not in peer.callbacks
         remote.sendall(b"too late")
-        with contextlib.suppress(ConnectionResetError):  # since input was unread at the close
+        # Reset, since input was unread at the close.
+        with contextlib.suppress(ConnectionResetError):
             await count_received(remote)
         await until(lambda: "lost" in peer.callbacks)
         assert peer.callbacks == ["opened", "lost"] and not peer.data
--- a/tests/violetroute/upstream/test_nodes.py
+++ b/tests/violetroute/upstream/test_nodes.py
@@ -228,10 +228,12 @@
     async def scenario(rig: Rig, node: CacheNode) -> None:
         for nonsense in (b'{"instances": 5}', b"[" * 50_000):
             await rig.watched()
-            asked = len(rig.discovery.requests)
+            request_count = len(rig.discovery.requests)
             for writer in list(rig.discovery.open):
                 rig.discovery.send(writer, nonsense)
-            await until(lambda asked=asked: len(rig.discovery.requests) > asked)
+            await until(
+                lambda request_count=request_count: len(rig.discovery.requests) > request_count
+            )
         await rig.watched()
         rig.discovery.publish(
             {"instanceId": "odd", "lifecycle": "in_service", "hostPort": "x"},
@@ -279,11 +281,11 @@
 
         for node in nodes:
             node.behaviour = swallows_some
-        asked = []
+        pending = []
         for i in range(240):
-            asked.append(asyncio.ensure_future(rig.ask(get(i, b"k%d" % i, wait=400))))
+            pending.append(asyncio.ensure_future(rig.ask(get(i, b"k%d" % i, wait=400))))
             await asyncio.sleep(0.008)
-        answers = [answer for task in asked for answer in await task]
+        answers = [answer for task in pending for answer in await task]
         reached = {words[2] for node in nodes for words in node.commands}
         assert len(reached) >= 230, "nearly all requests reach a node"
         assert answers.count(b"v") >= 165, "of 180 that were answered"
@@ -302,8 +304,8 @@
         await asyncio.gather(*(rig.ask(get(i, wait=400)) for i in range(15)))
         patient, hurried = [], []
         for i in range(100, 220):
-            wait, asked = (100, hurried) if i % 3 else (400, patient)
-            asked.append(asyncio.ensure_future(rig.ask(get(i, b"k%d" % i, wait=wait))))
+            wait, pending = (100, hurried) if i % 3 else (400, patient)
+            pending.append(asyncio.ensure_future(rig.ask(get(i, b"k%d" % i, wait=wait))))
             await asyncio.sleep(0.008)
         answers = [answer for task in patient for answer in await task]
         assert answers.count(b"v") >= 38, "of 40"
@@ -352,8 +354,8 @@
             node.behaviour = errs
         for i in range(40):
             await rig.ask(get(i, b"key %d" % i))
-        asked = [words[2] for node in nodes for words in node.commands]
-        assert len(asked) == len(set(asked)), "one attempt each"
+        sent_ids = [words[2] for node in nodes for words in node.commands]
+        assert len(sent_ids) == len(set(sent_ids)), "one attempt each"
 
     run_scenario(scenario, count=4)
 
@@ -395,12 +397,12 @@
         await rig.watched()
         rig.discovery.publish(other.entry("stuck"), reset=True)
         await until(lambda: len(rig.proxy.nodes) == 1 and rig.proxy.generation >= 100)
-        asked = asyncio.create_task(rig.ask(put(1, value=value)))
+        pending = asyncio.create_task(rig.ask(put(1, value=value)))
         await soon(came.wait())
         rig.discovery.publish(node.entry("s-0"))
         await until(lambda: len(rig.proxy.nodes) == 2)
         rig.discovery.publish(other.entry("stuck", "terminating"))
-        assert await asked == [b"value of id1"]
+        assert await pending == [b"value of id1"]
         reads_on.set()
         await soon(done.wait())
         server.close()
@@ -433,7 +435,7 @@
 
     async def run() -> None:
         async with Rig(CacheNode(holds), CacheNode(holds)) as rig:
-            asked = asyncio.create_task(rig.ask(get(1)))
+            pending = asyncio.create_task(rig.ask(get(1)))
             await until(lambda: rig.proxy.request_states() == ["1 in flight, attempt 1"])
             (request,) = rig.proxy._open.values()
             first = request.attempts[0]
@@ -443,7 +445,7 @@
                 rig.proxy.attempt_ended(first, Result.RESET)
             assert rig.proxy.request_states() == ["1 in flight, attempt 2"]
             held.set()
-            assert await asked == [b"id1"] and not rig.proxy.open_requests
+            assert await pending == [b"id1"] and not rig.proxy.open_requests
 
     stall_free_loop.run(run())
 
--- a/violetroute/clients/listener.py
+++ b/violetroute/clients/listener.py
@@ -65,7 +65,7 @@
             self._serving,
             self._lingering,
         )
-        self._paused: dict[ClientConnection, None] = {}  # connections that are not read
+        self._paused: dict[ClientConnection, None] = {}  # connections that are not being read
         self._departure_timer: asyncio.TimerHandle | None = None  # set while `_paused` is checked
         self._all_closed = asyncio.Event()
         self._sweep_timer: asyncio.TimerHandle | None = None
--- a/violetroute/ledger/service.py
+++ b/violetroute/ledger/service.py
@@ -33,7 +33,7 @@
 from .outbox import write_batch, write_closed_until
 from .periods import Periods
 from .post import post
-from .store import Recovery, Store, log_recovery, open_or_set_aside
+from .store import Recovery, Store, log_recovery, open_or_rename
 from .table import LedgerTable
 
 RETRY_INTERVAL = 1.0  # s between retries on a failed disk or a locked folder
@@ -94,7 +94,7 @@
         def job() -> Recovery | None:
             if not files.lock():
                 return None
-            found = open_or_set_aside(store, files, book)
+            found = open_or_rename(store, files, book)
             for record in book.begin_records(name, nonce, wall):
                 book.apply(record)
             store.rewrite(book.checkpoint())
--- a/violetroute/ledger/store.py
+++ b/violetroute/ledger/store.py
@@ -179,7 +179,7 @@
     return found
 
 
-def open_or_set_aside(store: Store, files: Files, book: Book) -> Recovery:
+def open_or_rename(store: Store, files: Files, book: Book) -> Recovery:
     """Load the log into an empty book.  Files of another proxy's ledger are renamed and kept."""
     try:
         return store.open(book)
--- a/violetroute/logs.py
+++ b/violetroute/logs.py
@@ -1,7 +1,7 @@
 """Structured logging: events with stable names and fields, one line each.
 
 Values are in fields rather than in the message, so that a log can be searched and counted.  All
-events are in EVENTS; `docs/operators/logs.md` tells operators what to do about each, and a test
+events are in EVENTS; `docs/operators/logs.md` describes how operators react to each, and a test
 checks that the page names all of them.
 
 Events go through the standard library's logging, which libraries and asyncio use too.  structlog
--- a/violetroute/proxy.py
+++ b/violetroute/proxy.py
@@ -132,7 +132,7 @@
         if cls is None:
             raise CommandError("unknown class")
         if cls.effect is Effect.KEYED and not command.keyed:
-            raise CommandError("no idempotency key")  # nodes could not drop repeats
+            raise CommandError("no idempotency key")  # without a key, nodes can't drop repeats
         if command.id in self._open_by_client_id:
             raise CommandError("id of an open request")  # ambiguous for nodes
         now = self.clock()
@@ -258,7 +258,7 @@
             on_list_change(members)
 
     def apply_peer_reports(self, bad: list[int], outcomes: list[LoadSample]) -> None:
-        """Pass on what peers report: unhealthy nodes and request outcomes."""
+        """Report to the balancer the unhealthy nodes and request outcomes of peers."""
         self._dispatch(None, self._balancer.on_peer_reports, bad, outcomes)
 
     def _dispatch_sizes(self, sizes: Mapping[int, float]) -> None:
--- a/violetroute/sharing/loans.py
+++ b/violetroute/sharing/loans.py
@@ -260,8 +260,8 @@
 
         While an older loan of that lender is spent here, a return would end it at the lender.
         """
-        open_ask = self._requests.get(lender, (0, 0.0))[0]
-        return 0 if lender in self._borrowed or 0 < open_ask <= number else number
+        open_number = self._requests.get(lender, (0, 0.0))[0]
+        return 0 if lender in self._borrowed or 0 < open_number <= number else number
 
     def drop_overdue(self, now: float, wait: float) -> list[str]:
         """Drop requests unanswered for `wait` s (returns their lenders), and expired loans."""
--- a/violetroute/sharing/service.py
+++ b/violetroute/sharing/service.py
@@ -82,7 +82,7 @@
         self._random = random.Random(f"{name}/{self.life}")
         now = self.loop.time()
         address = parse_address(table.listen)
-        self._address_overrides = {who: parse_address(at) for who, at in table.ways.items()}
+        self._address_overrides = {member: parse_address(at) for member, at in table.ways.items()}
         self._socket = net.bind_datagram_socket(address, self, wire.MAX_DATAGRAM)
         place = f"{address.host}:{self._socket.address.port}"
         self.members = Members(
--- a/violetroute/transport/loop_lag.py
+++ b/violetroute/transport/loop_lag.py
@@ -36,8 +36,10 @@
         super().__init__()
         self._clock, self._cpu = clock, cpu
         self._cpu_at = clock(), cpu()  # time and CPU time of the last reading
-        self.on_pause: Callable[[float], None] | None = None  # called before the turn's events
-        self.on_long_turn: Callable[[float], None] | None = None  # likewise, for the turn before
+        # Called after a pause, before the turn's events.
+        self.on_pause: Callable[[float], None] | None = None
+        # Called after a long turn, before the next turn's events.
+        self.on_long_turn: Callable[[float], None] | None = None
         self._rotation = 0
         self.first: set[int] = set()  # descriptors whose events come first
         # In seconds: the start of this turn, and the estimated time its sockets became readable.
--- a/violetroute/transport/sockets.py
+++ b/violetroute/transport/sockets.py
@@ -92,7 +92,8 @@
         self.turns = turns or Turns()
         self._make, self._clock = make or socket.socket, clock
         self.undelivered = undelivered or _undelivered
-        self.hung_up: Callable[[socket.socket], bool] = _hung_up  # replaceable, as `make` is
+        # Replaceable by tests, as `make` is.
+        self.hung_up: Callable[[socket.socket], bool] = _hung_up
 
     def wall(self) -> float:
         return self._clock()
