--- a/limebridge/virtual/consul.py
+++ b/limebridge/virtual/consul.py
@@ -1,6 +1,6 @@
-"""The world with Consul's catalogue as the source of the list, and the catalogue's own troubles.
+"""Simulation with Consul's catalogue as source of the node list, and the faults of Consul.
 
-The platform's discovery goes on beside it, so that a plan can move from one to the other.
+The platform's discovery runs as well, so that a plan can switch between the two.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from .plan import Fault, Plan
 from .world import World
 
-FLAP = 0.3  # s between two states of a node that flaps
+FLAP = 0.3  # s between two state changes of a flapping node
 HEALTHY: dict[str, Any] = {
     "unresponsive": False,
     "status": 200,
@@ -43,15 +43,15 @@
 
 
 class ConsulWorld(World):
-    """Two agents before one catalogue."""
+    """`World` with two Consul agents that serve one catalogue."""
 
     def __init__(self, plan: Plan) -> None:
         super().__init__(plan)
         self.agents: list[Consul] = []
-        self._reported_nodes: set[str] = set()  # nodes of which Consul has told the process
-        self._last_answer: tuple[str, bytes, str | None] | None = None  # its last answer
-        self._active_faults: dict[Fault, dict[str, Any]] = {}  # of the agents, under way
-        self._recovering = 0  # that are just over
+        self._reported_nodes: set[str] = set()  # nodes in the accepted Consul responses
+        self._last_answer: tuple[str, bytes, str | None] | None = None  # index, body, known leader
+        self._active_faults: dict[Fault, dict[str, Any]] = {}  # agent attributes by fault
+        self._recovering = 0  # faults that ended in the last 2 s
 
     async def _start_sources(self) -> Operator:
         self.catalogue = Catalogue()
@@ -76,7 +76,7 @@
             await agent.stop()
 
     def _is_unwatched(self) -> bool:
-        if self.plan.sources:  # whatever becomes of the one, the other is followed
+        if self.plan.sources:  # with both, discovery is followed whatever happens to Consul
             return super()._is_unwatched()
         if super()._is_unwatched() is False:
             return False
@@ -87,7 +87,7 @@
         links = [self.kernel.link(agent.port) for agent in self.agents]
         return not any(link.blocked_to or link.blocked_back for link in links)
 
-    # --- what the catalogue hears ---
+    # --- updates of the catalogue ---
     def _register(self, node: FleetNode) -> None:
         self.catalogue.register(
             node.name,
@@ -112,25 +112,25 @@
         self.catalogue.services.pop(old["instanceId"], None)
         self._register(node)
 
-    # --- what the proxy hears ---
+    # --- responses received by the proxy ---
     def _on_answer(
         self, owner: str, port: int, target: str, headers: dict[str, str], body: bytes
     ) -> None:
-        """A whole answer has reached the process: what it tells counts."""
+        """Pass a complete Consul response that the process received to the checker."""
         leader = headers.get("x-consul-knownleader")
         answer = headers.get("x-consul-index", ""), body, leader
         if answer == self._last_answer or not answer[0]:
-            return  # a wait that ran out, or noise: nothing is told
+            return  # an expired blocking query or an invalid response: no new data
         self._last_answer = answer
         elements = {each["Service"]["ID"]: each for each in json.loads(body)}
         gone = self._reported_nodes - elements.keys()
         if leader == "false":
-            # It is old: what it says of drains counts alone.
+            # Without a leader the response may be stale: only its drains are used.
             gone, elements = set(), {name: each for name, each in elements.items() if _drains(each)}
         if not elements:
-            return  # an emptied catalogue tells of no node
+            return  # an empty catalogue is ignored
         if len(gone) > self.table.floor * len(self._reported_nodes) and "consistent" not in target:
-            gone = set()  # not before the leader has said so
+            gone = set()  # a large removal needs confirmation by a consistent read
         self._reported_nodes = (self._reported_nodes - gone) | elements.keys()
         now = self.kernel.now
         for name in gone:
@@ -148,23 +148,23 @@
 
     def _sources_changed(self) -> None:
         super()._sources_changed()
-        self._reported_nodes.clear()  # a new reader can't know what is missing in its first answer
+        self._reported_nodes.clear()  # a new reader has no earlier response to compare with
         self._last_answer = None
 
-    # --- troubles of the catalogue ---
+    # --- faults of Consul ---
     async def _with_agent_fault(self, fault: Fault, **trouble: Any) -> None:
-        """Both agents have it: that is a trouble of the servers."""
+        """Apply the fault to both agents, as a fault of the Consul servers would."""
         self._active_faults[fault] = trouble
         self._apply_agent_faults()
         await asyncio.sleep(fault.lasts)
         del self._active_faults[fault]
         self._apply_agent_faults()
         self._recovering += 1
-        await asyncio.sleep(2.0)  # until it has been asked again
+        await asyncio.sleep(2.0)  # until the proxy has polled again
         self._recovering -= 1
 
     def _apply_agent_faults(self) -> None:
-        """What is under way now, the latest on top: troubles overlap and end in any order."""
+        """Set the agents to the active faults; later faults override earlier ones."""
         for agent in self.agents:
             vars(agent).update(copy.deepcopy(HEALTHY))
             for trouble in self._active_faults.values():
@@ -181,7 +181,8 @@
 
     async def _consul_black(self, fault: Fault, node: FleetNode) -> None:
         await self._with_agent_fault(fault, unresponsive=True)
-        for agent in self.agents:  # what hung goes on hanging: its connection ends
+        # Hanging queries are never answered, so their connections are closed.
+        for agent in self.agents:
             for writer in list(agent.open):
                 writer.transport.abort()
 
@@ -212,7 +213,7 @@
         await self._with_agent_fault(fault, headers={"X-Consul-KnownLeader": "false"})
 
     async def _consul_lags(self, fault: Fault, node: FleetNode) -> None:
-        """The agents hear nothing of the servers for a while and answer all the same."""
+        """The agents return stale responses, as if cut off from the servers."""
         frozen = FrozenAnswer(self.catalogue.index, self.catalogue.health_entries("cache"))
         await self._with_agent_fault(fault, frozen=frozen)
 
@@ -256,7 +257,7 @@
         self.catalogue.raise_index()
 
     async def _plan_changes(self, fault: Fault, node: FleetNode) -> None:
-        """A plan made for nobody in particular, taken on and taken back under load."""
+        """Apply a placement plan with arbitrary shares under load, later remove it."""
         shares = _shares(
             [one.name for one in self.nodes], fault.amount, self.kernel.random(f"plan/{fault.at}")
         )
@@ -269,7 +270,7 @@
         await self._reload_config(lambda: self.config)
 
     async def _discovery_moves(self, fault: Fault, node: FleetNode) -> None:
-        """From Consul to the platform's list, and back."""
+        """Switch from Consul to the platform's list and back."""
         both = self.config, replace(self.config, operator=Operator())
         self.discovery.changes.clear()
         self.discovery.publish(
@@ -285,7 +286,7 @@
 
 
 def _shares(names: list[str], amount: float, random: Random) -> dict[str, float]:
-    """Any shares that add up to 1; the smaller `amount` is, the more nodes have none."""
+    """Random shares with sum 1; a smaller `amount` gives more nodes a share of 0."""
     raw = {
         name: random.uniform(0.05, 1.0) if random.random() < 0.2 + amount else 0.0 for name in names
     }
@@ -299,5 +300,5 @@
 
 
 def replace_agents(agents: list[Consul]) -> ConsulTable:
-    """The table of this world with these agents."""
+    """The Consul settings of this simulation with these agents."""
     return msgspec.structs.replace(TABLE, agents=tuple(f"127.0.0.1:{a.port}" for a in agents))
--- a/limebridge/virtual/costs.py
+++ b/limebridge/virtual/costs.py
@@ -1,13 +1,13 @@
-"""What the program's own time costs, and a process of the virtual world that has to take it.
+"""CPU costs of the daemon, and simulated processes that take this time.
 
-A turn of a real loop polls, then works through what was ready; meanwhile events wait in the kernel.
-Here a process is charged, by a few named terms, for what its turn did.  When the turn is over it is
-busy for so long: its sockets are not reported, its timers and callbacks wait, and what it sends
-leaves as late as the work before it took.  The kernel goes on for everybody.
+An iteration of a real loop polls, then handles the ready events; later events wait in the kernel.
+Here a process is charged a few named costs for the work of an iteration.  Afterwards it is busy for
+that time: its sockets are not reported and its timers and callbacks wait.  Data that it sends is
+delayed by the work before the send.  The simulated kernel continues meanwhile.
 
-Terms are seconds on one core of the machine that `benchmarks/calibrate.py` ran on, kept with its
-date in `costs.json`; a process with a share of a core takes them over its share.  Not modelled: how
-a scheduler slices that share, caches that are cold after a sleep, garbage collection.
+Costs are seconds on one core of the machine that ran `benchmarks/calibrate.py`, stored with the
+date in `costs.json`; they are divided by a process's fraction of a core.  Not modelled: the
+scheduler's time slices, cold CPU caches after a sleep, garbage collection.
 """
 
 from __future__ import annotations
@@ -24,28 +24,29 @@
 from .kernel import Kernel
 from .loop import VirtualLoop
 
-MIN_SLEEP = 0.0005  # s after the end of the turn before from which the poll must have slept
+# s since the previous iteration from which the poll is taken to have slept.
+MIN_SLEEP = 0.0005
 
 
 @dataclass(frozen=True)
 class Costs:
-    """Seconds each."""
+    """CPU costs in s per operation."""
 
-    wake: float  # a turn of the loop
+    wake: float  # an iteration of the loop
     read: float  # a read from a socket
     write: float
     byte: float  # read or written
-    command: float  # parsed and looked at for the own load
-    decision: float  # an event told to the module, and what the proxy does round it
-    connect: float  # a connection made or accepted, to its end
+    command: float  # parsing, and the check of the event loop load
+    decision: float  # an event of the balancer, and the proxy's handling of it
+    connect: float  # a connection made or accepted, including its close
 
     def over(self, cores: float) -> Costs:
-        """On this share of a core."""
+        """The costs on this fraction of a core."""
         return Costs(**{f.name: getattr(self, f.name) / cores for f in fields(self)})
 
 
 def measured() -> Costs:
-    """Of the machine and the day that `costs.json` names."""
+    """The costs stored in `costs.json`."""
     return msgspec.json.decode(
         files(__package__).joinpath("costs.json").read_bytes(), type=_Stored
     ).seconds
@@ -57,15 +58,15 @@
 
 
 class Meter:
-    """One process's CPU: told by the kernel's sockets and by what is wrapped, see `Metered`."""
+    """CPU time of one process, charged by its sockets, its loop and `Metered`."""
 
     def __init__(self, kernel: Kernel, loop: VirtualLoop, owner: str, costs: Costs) -> None:
         self._kernel, self._loop, self._owner, self.costs = kernel, loop, owner, costs
-        self.used = 0.0  # s of CPU ever
-        self.spent = 0.0  # s of this turn
+        self.used = 0.0  # s of CPU in total
+        self.spent = 0.0  # s of CPU in this iteration
         self.free_at = self.turn_at = self.readable_at = kernel.now
         self.turns = 0
-        self._waiting: deque[Handle] = deque()  # to be called in the next turn, in order
+        self._waiting: deque[Handle] = deque()  # called in order in the next iteration
         kernel.meters[owner] = self
 
     @property
@@ -73,6 +74,7 @@
         return self._owner in self._kernel.paused
 
     def charge(self, seconds: float) -> None:
+        """Add CPU time; the first charge of an iteration also adds the cost of the wake-up."""
         if not self.spent:
             self._begin()
         self.spent += seconds
@@ -83,15 +85,15 @@
         self.charge(self.costs.connect)
 
     def reads(self, count: int) -> None:
-        """So many bytes were read from a socket, in one call."""
+        """One call read `count` bytes from a socket."""
         self.charge(self.costs.read + count * self.costs.byte)
 
     def writes(self, count: int) -> None:
-        """So many bytes were written to a socket, in one call."""
+        """One call wrote `count` bytes to a socket."""
         self.charge(self.costs.write + count * self.costs.byte)
 
     def _begin(self) -> None:
-        """The first work of a turn: what its poll would have shown."""
+        """Start an iteration: set the times that its poll would have reported."""
         now = self._kernel.now
         slept = now - self.free_at > MIN_SLEEP
         self.readable_at = now if slept else (self.turn_at + now) / 2.0
@@ -102,8 +104,8 @@
         self.used += self.costs.wake
 
     def settle(self) -> None:
-        """The turn is over: busy until it would have been."""
-        # What is not of its loop (a drain's own sleep) may have worked while it was busy.
+        """End the iteration: the process is busy for the time that it was charged."""
+        # Work outside its `ProcessLoop` (the sleep in a drain) may run while it is busy.
         until = self.free_at = max(self._kernel.now, self.free_at) + self.spent
         self.spent = 0.0
         self._kernel.paused[self._owner] = until
@@ -115,10 +117,10 @@
         self._kernel.paused.pop(self._owner, None)
         if self._waiting:
             self._loop.call_soon(self._run)
-            self._kernel.woken = True  # the poll must end for it, as for a socket
+            self._kernel.woken = True  # ends the poll, as a ready socket would
 
     def soon(self, handle: Handle) -> None:
-        """In the next turn, behind what waits."""
+        """Queue the handle for the next iteration."""
         self._waiting.append(handle)
         if len(self._waiting) == 1 and not self.busy and not self.spent:
             self._loop.call_soon(self._run)
@@ -127,12 +129,14 @@
         if self.busy or not self._waiting:
             return
         self.charge(0.0)
-        for _ in range(len(self._waiting)):  # what they add comes in the turn after
+        for _ in range(
+            len(self._waiting)
+        ):  # handles added meanwhile run in the following iteration
             self._waiting.popleft().call()
 
 
 class Handle:
-    """What asyncio's handles are to the daemon."""
+    """Stand-in for asyncio.Handle and asyncio.TimerHandle."""
 
     __slots__ = ("_args", "_callback", "_cancelled", "_when", "timer")
 
@@ -160,7 +164,7 @@
 
 
 class ProcessLoop:
-    """The loop as one metered process sees it: its clock runs on while it works."""
+    """The loop as seen by a metered process: its clock includes the time already charged."""
 
     def __init__(self, loop: VirtualLoop, meter: Meter) -> None:
         self._loop, self._meter = loop, meter
@@ -190,7 +194,7 @@
 
 
 class Metered:
-    """The module, each event of which is charged: what is told of arrivals as a command."""
+    """Wraps the balancer and charges each `on_` call: a command for arrivals, else a decision."""
 
     def __init__(self, module: Any, meter: Meter) -> None:
         self._module, self._meter = module, meter
--- a/limebridge/virtual/ledger.py
+++ b/limebridge/virtual/ledger.py
@@ -1,8 +1,8 @@
-"""A ledger's weeks in memory: the daemon's own part on the virtual clock, a disk and an endpoint.
+"""Simulation of the usage ledger on the virtual clock with a stand-in disk and billing endpoint.
 
-Units are served at random; the process is killed, the power is cut at any write, the disk fails or
-hangs, the endpoint misbehaves, the clock steps; at the end all is quiet, what is due is exported,
-and what was billed is held against what was served.
+Units are served at random while the process is killed, the power fails at any write, the disk fails
+or hangs, the endpoint fails and the clock steps.  At the end all faults stop, due batches are
+exported, and the billed units are compared with the served ones.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from .net import network
 
 NAME = "p1"
-WRITE = 0.004  # s that a write takes
+WRITE = 0.004  # s per write
 TROUBLES = (
     "lost before",
     "lost after",
@@ -58,32 +58,32 @@
 
 @dataclass
 class Trial:
-    """What happens; `cut_at` is a write at which the power fails, 0 for none."""
+    """Parameters of one trial; the power fails at write number `cut_at` (0: never)."""
 
     seed: int
     minutes: float = 20.0
-    rate: float = 4.0  # units a second
+    rate: float = 4.0  # units per second
     kills: int = 5
     cuts: int = 0
     cut_at: int = 0
-    restored: bool = False  # at a kill the disk of some minutes ago comes back, once
+    restored: bool = False  # once, an older copy of the disk is restored at a kill
     troubles: bool = True
     steps: bool = True  # of the wall clock
 
 
 @dataclass
 class Outcome:
-    """By period, tenant and class, but for the counters."""
+    """Result of a trial; served, billed and held units by period, tenant and class."""
 
     served: Counter[tuple[int, str | None, str]] = field(default_factory=Counter)
     billed: Counter[tuple[int, str | None, str]] = field(default_factory=Counter)
     held: Counter[tuple[int, str | None, str]] = field(default_factory=Counter)
-    at_risk: int = 0  # units that were not on the disk when their process or the power went
+    at_risk: int = 0  # units not on the disk when the process was killed or the power failed
     killed: int = 0
     writes: int = 0
     posts: int = 0
     gaps: int = 0
-    names: list[str] = field(default_factory=list)  # of files at the end
+    names: list[str] = field(default_factory=list)  # files on the disk at the end
 
     @property
     def missing(self) -> int:
@@ -95,7 +95,7 @@
 
 
 class TrialWriter:
-    """Does a job at once, as far as the disk goes, and tells of it when a write would be over."""
+    """Runs a job at once and reports its result after the duration of a write."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, fails: Callable[[], None], slow: Callable[[], float]
@@ -155,11 +155,11 @@
             self.writer,
             nonce=f"{self.trial.seed:x}-{self.starts}",
         )
-        if self.writer.dead:  # the power failed as it opened its files
+        if self.writer.dead:  # the power failed while it opened its files
             self.stops()
 
     def stops(self, ended: bool = False) -> None:
-        """It does nothing any more; what it had counted and not written is at risk."""
+        """Stop the ledger without a shutdown; counts not yet written are lost."""
         ledger, self.ledger = self.ledger, None
         if ledger is None:
             return
@@ -220,7 +220,7 @@
         return await self.finish()
 
     async def finish(self) -> Outcome:
-        """All is well again, and time enough passes."""
+        """End all faults, wait until everything is exported, and collect the results."""
         self.billing.fault = lambda: ""
         self.disk.failing_writes, self.slow = 0, WRITE
         await asyncio.sleep(3.0)
@@ -250,7 +250,7 @@
         await self.billing.stop()
         return out
 
-    # --- what happens ---
+    # --- faults ---
     def kill(self) -> None:
         if self.ledger is not None:
             self._risk()
@@ -258,7 +258,7 @@
             self.loop.call_later(self.rng.uniform(0.01, 3.0), self.start)
 
     def _risk(self) -> None:
-        """What is counted and not on the disk: the tally, and the book while writes fail."""
+        """Count the units that are not on the disk: the counters, and the book if writes failed."""
         ledger = self.ledger
         assert ledger is not None
         self.out.at_risk += sum(ledger._counters.units.values())
@@ -284,7 +284,7 @@
         self.old = dict(self.disk._visible)
 
     def restore(self) -> None:
-        """Yesterday's disk comes back."""
+        """Kill the process and restore the older copy of the disk."""
         self.kill()
         self.disk._visible, self.disk._durable = dict(self.old), dict(self.old)
 
@@ -298,7 +298,7 @@
 
 
 def run_trial(trial: Trial) -> Outcome:
-    """One trial."""
+    """Run one trial."""
     run = _Run(trial)
     try:
         return run.loop.run_until_complete(run.run_trial())
--- a/limebridge/virtual/meter.py
+++ b/limebridge/virtual/meter.py
@@ -1,4 +1,4 @@
-"""What a socket tells of the CPU time that its use takes; `costs` has the meter of a process."""
+"""Interface by which sockets charge CPU time; `costs.Meter` implements it."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 
 class SocketMeter(Protocol):
-    """Of the process that owns the socket."""
+    """Meter of the process that owns the socket."""
 
-    spent: float  # s that the process has worked in this turn: what it sends leaves so late
+    spent: float  # s of CPU in this iteration, by which sent data is delayed
 
     def connects(self) -> None:
         """A connection was made or accepted."""
 
     def reads(self, count: int) -> None:
-        """So many bytes were read, in one call."""
+        """One call read `count` bytes."""
 
     def writes(self, count: int) -> None:
-        """So many bytes were written, in one call."""
+        """One call wrote `count` bytes."""
 
 
 class Unmetered:
-    """Of a process whose own time is not played: all that it does takes none."""
+    """Meter of a process whose CPU time is not simulated."""
 
     spent = 0.0
 
--- a/limebridge/virtual/net.py
+++ b/limebridge/virtual/net.py
@@ -1,4 +1,4 @@
-"""A process's own network, in memory: the daemon's seam over the kernel of this package."""
+"""The daemon's transport interface on the simulated kernel."""
 
 from __future__ import annotations
 
@@ -14,7 +14,10 @@
 def network(
     kernel: Kernel, owner: str, loop: Any, clock: Callable[[], float], turns: Turns | None = None
 ) -> SocketNetwork:
-    """What an older build does not ask of its sockets it does not miss: it is played here too."""
+    """The network of process `owner`.
+
+    `hung_up` is set as an attribute, so that older builds that don't use it can run as well.
+    """
     net = SocketNetwork(
         loop,
         turns,
@@ -27,5 +30,5 @@
 
 
 def _hung_up(sock: Any) -> bool:
-    """POLLRDHUP, POLLHUP or POLLERR."""
+    """Whether poll would report POLLRDHUP, POLLHUP or POLLERR."""
     return bool(sock._fin_received or sock._reset or sock._error)
--- a/limebridge/virtual/received.py
+++ b/limebridge/virtual/received.py
@@ -1,11 +1,10 @@
-"""What the daemon's process was told of nodes: the bytes that its own sockets received.
-
-Until they had been read off the wire here, the world reckoned what the proxy must have heard from
-what the stand-ins meant to say, and blamed it for what never reached it: an answer to a connection
-that was closed, a watch that was refused, a list that took back what was said a moment before.  So
-both sides of each connection to a source are followed byte by byte with a reader of its own (h11,
-which is not told of the daemon's use of it), and a telling counts from the instant at which the
-process's kernel had its last byte.
+"""Observes the list updates that a process received, from the bytes on its sockets.
+
+Earlier the updates were derived from what the stand-ins sent.  The proxy was then blamed for
+updates that never reached it: a response on a closed connection, a refused watch, a list that was
+replaced at once by the next.  So both directions of each connection to a source are parsed here
+with a separate h11 parser.  An update counts from the time at which the process's kernel has
+received its last byte.
 """
 
 from __future__ import annotations
@@ -20,16 +19,16 @@
 from .kernel import Kernel
 from .sockets import VirtualSocket
 
-BURST = 0.01  # s from a watch's first line to the last of what it says at its start
+BURST = 0.01  # s from a watch's first line to the last line of its initial state
 
 
 class SourceObserver:
-    """Follows the connections that processes make to certain ports.
+    """Follows the connections of the processes `owners` to the ports of list sources.
 
-    `owners` is whom the kernel has the sockets for, and what is told first. `line` is told the
-    port and the JSON object of each line of a watch, and whether it is of its first burst, in which
-    a watch says once more what was said before; `answer` the port, target, header fields (small
-    letters) and body of each whole answer that is no watch, with status 200.
+    Both callbacks receive the owner and the port first.  `line` is called for each line of a watch
+    with its JSON object and whether it belongs to the initial burst, which repeats the current
+    state.  `answer` is called for each other complete response with status 200, with its target,
+    header fields (lower case) and body.
     """
 
     def __init__(
@@ -41,7 +40,7 @@
     ) -> None:
         self._kernel, self._owners, self._line, self._answer = kernel, owners, line, answer
         self._ports: set[int] = set()
-        self.last_received_at = kernel.now  # the last bytes of any source, in s
+        self.last_received_at = kernel.now  # time of the last bytes from any source, in s
         self._connections: dict[VirtualSocket, _Connection] = {}
         kernel.on_sent, kernel.on_received = self._given, self._received
 
@@ -84,24 +83,24 @@
 
 
 class _Connection:
-    """One connection's asks and answers."""
+    """Parses the requests and responses of one connection."""
 
     def __init__(self, kernel: Kernel) -> None:
         self._kernel = kernel
-        self.requests = bytearray()  # what was sent and has no answer yet
+        self.requests = bytearray()  # bytes of requests without a response
         self._http: h11.Connection | None = None
         self._target, self._status = "", 0
         self._headers: dict[str, str] = {}
         self._body = bytearray()
-        self._began: float | None = None  # s, of the first line
-        self._not_http = False  # what comes is no HTTP
+        self._began: float | None = None  # time of the first line, in s
+        self._not_http = False  # the received data is not HTTP
 
     def receive(self, data: bytes) -> list[_Line | _Answer]:
         messages: list[_Line | _Answer] = []
         try:
             while data and not self._not_http:
                 if self._http is None and not self._begin_answer():
-                    break  # nobody has asked: it is no answer
+                    break  # no request is open, so this is no response
                 assert self._http is not None
                 self._http.receive_data(data)
                 data = self._read_events(messages)
@@ -122,7 +121,7 @@
         return True
 
     def _read_events(self, messages: list[_Line | _Answer]) -> bytes:
-        """What is behind the end of an answer."""
+        """Handle the parser's events; return the bytes after the end of a response."""
         assert self._http is not None
         while True:
             match self._http.next_event():
--- a/limebridge/virtual/runner.py
+++ b/limebridge/virtual/runner.py
@@ -1,4 +1,4 @@
-"""Plays a plan in the world that it asks for: with the platform's discovery, or with Consul."""
+"""Runs a plan in its simulation: with the platform's discovery only, or also with Consul."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def run_plan(plan: Plan) -> Outcome:
-    """Run a plan once; the same outcome each time and everywhere."""
+    """Run a plan once; its outcome is deterministic."""
     return (ConsulWorld if plan.consul else World)(plan).run()
--- a/limebridge/virtual/send_times.py
+++ b/limebridge/virtual/send_times.py
@@ -1,22 +1,22 @@
-"""When bytes of a stream were handed to the kernel that sends them."""
+"""Times at which a program handed the bytes of a stream to its kernel."""
 
 from __future__ import annotations
 
 
 class SendTimes:
-    """Of one direction.  Offsets that are asked for never fall: what is behind them is dropped."""
+    """Send times of one direction.  Queried offsets must not decrease: older ones are dropped."""
 
     __slots__ = ("_sends",)
 
     def __init__(self) -> None:
-        self._sends: list[tuple[int, float]] = []  # where a send began, and when it was made
+        self._sends: list[tuple[int, float]] = []  # offset of the first byte, time of the send
 
     def note(self, offset: int, at: float) -> None:
-        """A send whose first byte is the `offset`th was made at this time."""
+        """Record a send at time `at` whose first byte has this offset."""
         self._sends.append((offset, at))
 
     def at(self, offset: int) -> float:
-        """When the `offset`th byte was sent."""
+        """Time at which the byte at `offset` was sent."""
         sends = self._sends
         while len(sends) > 1 and sends[1][0] <= offset:
             del sends[0]
--- a/limebridge/virtual/session.py
+++ b/limebridge/virtual/session.py
@@ -1,4 +1,4 @@
-"""What every run in memory has: its end, quiet, and troubles that last for a while."""
+"""Helpers of all simulated runs: log capture, shutdown, and temporary faults."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 @contextlib.contextmanager
 def quiet(level: int, *handlers: logging.Handler) -> Iterator[None]:
-    """The daemon's log to these handlers alone; no collection of garbage within a run.
+    """Send the daemon's log to these handlers only, and disable garbage collection.
 
-    The collector's moments depend on all that was allocated before, so it would tell runs apart.
+    The times of collections depend on earlier allocations and would make runs non-deterministic.
     """
     ours, collects = logging.getLogger("violetroute"), gc.isenabled()
     before = ours.level, ours.propagate
--- a/tests/planted/after_grace.py
+++ b/tests/planted/after_grace.py
@@ -1,4 +1,4 @@
-"""A node that drains gets something new in the last ms after the grace."""
+"""Injected bug: a draining node gets new requests in the last ms after the grace period."""
 
 from violetroute.proxy import Proxy
 
--- a/tests/planted/answer_twice.py
+++ b/tests/planted/answer_twice.py
@@ -1,4 +1,4 @@
-"""An answer is sent twice, when two attempts were out."""
+"""Injected bug: a response is sent twice if the request had more than one attempt."""
 
 from violetroute.clients.answers import Answer
 
--- a/tests/planted/budget_leak.py
+++ b/tests/planted/budget_leak.py
@@ -1,4 +1,4 @@
-"""Written after the explorer: an answer that its client never takes keeps its room."""
+"""Injected bug: a response that its client never reads keeps its memory budget."""
 
 from violetroute.clients.answers import Answer
 
--- a/tests/planted/clients_before_news.py
+++ b/tests/planted/clients_before_news.py
@@ -1,4 +1,4 @@
-"""Found by exploration, taken back: after a pause clients are read before what discovery says."""
+"""Reverts a fix: after a pause clients are read before pending updates from discovery."""
 
 from violetroute.membership.native import DiscoveryCall
 from violetroute.transport.sockets import SocketNetwork
--- a/tests/planted/cold_burst.py
+++ b/tests/planted/cold_burst.py
@@ -1,4 +1,4 @@
-"""A cold node is taken for a warm one, and the youngest is asked first."""
+"""Injected bug: a cold node is treated as warm, and the last started node gets requests first."""
 
 from snowstall import Balancer
 
--- a/tests/planted/connect_leak.py
+++ b/tests/planted/connect_leak.py
@@ -1,4 +1,4 @@
-"""A connect that is called off keeps its descriptor."""
+"""Injected bug: a cancelled connect keeps its descriptor."""
 
 from violetroute.upstream.pool import Pool
 
--- a/tests/planted/early_drain.py
+++ b/tests/planted/early_drain.py
@@ -1,4 +1,4 @@
-"""Found by exploration, taken back: a drain in the first answers, which have no leader, is lost."""
+"""Reverts a fix: a drain in the first Consul responses, which have no leader, is ignored."""
 
 from violetroute.membership.staleness import CatalogueState
 
--- a/tests/planted/forgotten_on_reload.py
+++ b/tests/planted/forgotten_on_reload.py
@@ -1,4 +1,4 @@
-"""A reload forgets the requests that are open."""
+"""Injected bug: a reload forgets the open requests."""
 
 from violetroute.proxy import Proxy
 
--- a/tests/planted/handed_out_twice.py
+++ b/tests/planted/handed_out_twice.py
@@ -1,4 +1,4 @@
-"""An idle connection is handed out twice: it stays in the list of idle ones."""
+"""Injected bug: an idle connection stays in the idle list when it is used, and is used twice."""
 
 from violetroute.upstream.connection import NodeConnection
 from violetroute.upstream.pool import Pool
--- a/tests/planted/held_in_a_pause.py
+++ b/tests/planted/held_in_a_pause.py
@@ -1,4 +1,4 @@
-"""Found by exploration, taken back: after a pause the deadline of a held request comes first."""
+"""Reverts a fix: after a pause a held request's timer does not run before its deadline."""
 
 from violetroute.proxy import Proxy
 
--- a/tests/planted/kernel_keeps.py
+++ b/tests/planted/kernel_keeps.py
@@ -1,4 +1,7 @@
-"""What the explorer found first: a command that was given up is delivered when the path heals."""
+"""Injected bug: an abandoned command is delivered when the network path recovers.
+
+The connection is aborted without discarding the data that waits in the kernel.
+"""
 
 from violetroute.transport.stream import SocketStream
 
--- a/tests/planted/keyed_late.py
+++ b/tests/planted/keyed_late.py
@@ -1,4 +1,4 @@
-"""A keyed request is repeated up to 100 ms late, and nobody asks whether it arrived in time."""
+"""Injected bug: a keyed request is repeated up to 100 ms late, without a check of its delivery."""
 
 from snowstall import attempts
 from violetroute.proxy import Proxy
--- a/tests/planted/late_byte.py
+++ b/tests/planted/late_byte.py
@@ -1,4 +1,4 @@
-"""A late byte is read by the next request: nobody looks behind an answer."""
+"""Injected bug: input after the end of a response is not checked; the next request reads it."""
 
 from violetroute.upstream.connection import NodeConnection
 
--- a/tests/planted/late_in_a_pause.py
+++ b/tests/planted/late_in_a_pause.py
@@ -1,4 +1,4 @@
-"""Found by exploration, taken back: no clock but the daemon's own calls a command off."""
+"""Reverts a fix: the kernel no longer limits the delivery of a command (TCP_USER_TIMEOUT)."""
 
 from violetroute.transport.stream import SocketStream
 
--- a/tests/planted/leaderless_drain.py
+++ b/tests/planted/leaderless_drain.py
@@ -1,4 +1,4 @@
-"""Found by exploration, taken back: a drain in an answer without a leader is not kept."""
+"""Reverts a fix: drains in a Consul response without a leader are ignored."""
 
 from violetroute.membership.consul import ConsulWatch
 
--- a/tests/planted/left_unseen.py
+++ b/tests/planted/left_unseen.py
@@ -1,4 +1,4 @@
-"""Found by exploration, taken back: whether a client has left is not asked of the kernel."""
+"""Reverts a fix: the kernel is not queried whether a client has closed its connection."""
 
 from violetroute.clients.connection import ClientConnection
 
--- a/tests/planted/lost_wake_up.py
+++ b/tests/planted/lost_wake_up.py
@@ -1,4 +1,4 @@
-"""Who waits for a connection is not woken when one is free or stands."""
+"""Injected bug: attempts that wait for a connection are not woken when one becomes free."""
 
 from violetroute.proxy import Proxy
 from violetroute.upstream.pool import Pool
--- a/tests/planted/old_watch.py
+++ b/tests/planted/old_watch.py
@@ -1,4 +1,4 @@
-"""Discovery's old watch is believed after a move."""
+"""Injected bug: after a move to another discovery the old watch is not stopped."""
 
 from violetroute.membership.source import Membership
 
--- a/tests/planted/other_source_drain.py
+++ b/tests/planted/other_source_drain.py
@@ -1,4 +1,4 @@
-"""A drain that the source which does not speak tells of is not kept."""
+"""Injected bug: a drain from the source that is not the current one is ignored."""
 
 from violetroute.membership import merge
 
--- a/tests/planted/pause_forgotten.py
+++ b/tests/planted/pause_forgotten.py
@@ -1,4 +1,4 @@
-"""Found by exploration, taken back: what stood unread in a pause is taken for new."""
+"""Reverts a fix: data that waited unread during a pause is treated as new."""
 
 from violetroute.clients.read_delay import ReadDelay
 
--- a/tests/planted/refused_after_reset.py
+++ b/tests/planted/refused_after_reset.py
@@ -1,4 +1,4 @@
-"""A reset counts as never sent, so an unsafe request is refused or tried again after it."""
+"""Injected bug: a reset counts as never sent, so an unsafe request is refused or retried."""
 
 from snowstall import Result
 from violetroute.upstream.connection import NodeConnection
--- a/tests/planted/reused_after_give_up.py
+++ b/tests/planted/reused_after_give_up.py
@@ -1,4 +1,4 @@
-"""An attempt's connection is used again after the attempt was given up."""
+"""Injected bug: the connection of an abandoned attempt is used again."""
 
 from violetroute.upstream.connection import NodeConnection
 
--- a/tests/planted/silent_drain_at_start.py
+++ b/tests/planted/silent_drain_at_start.py
@@ -1,4 +1,4 @@
-"""Found by exploration, taken back: before a source speaks, a drain that one tells of is not kept."""
+"""Reverts a fix: drains are ignored until there is a current list source."""
 
 from violetroute.membership.merge import ListMerger
 
--- a/tests/planted/spoilt_as_unsent.py
+++ b/tests/planted/spoilt_as_unsent.py
@@ -1,4 +1,4 @@
-"""Written after the explorer: an answer that can't be read counts as never sent."""
+"""Injected bug: a malformed response counts as a request that was never sent."""
 
 from snowstall import Result
 from violetroute.proxy import Proxy
--- a/tests/planted/stale_address.py
+++ b/tests/planted/stale_address.py
@@ -1,4 +1,4 @@
-"""Found by exploration, taken back: a node that drains no longer has its address."""
+"""Reverts a fix: a draining node loses its address."""
 
 from snowstall import CacheState
 from violetroute.membership.addresses import NodeAddresses
--- a/tests/planted/undelivered_ignored.py
+++ b/tests/planted/undelivered_ignored.py
@@ -1,6 +1,6 @@
-"""What the explorer found second: a repeat held by a cut path arrives outside its window.
+"""Injected bug: a repeat held by a blocked path arrives after its idempotency window.
 
-Both clocks are taken out: the daemon's own, and the kernel's behind it.
+Both limits on delivery are removed: the daemon's check and the kernel's TCP_USER_TIMEOUT.
 """
 
 from violetroute.proxy import Proxy
--- a/tests/planted/watch_end_untold.py
+++ b/tests/planted/watch_end_untold.py
@@ -1,4 +1,4 @@
-"""Written after the explorer: the end of discovery's watch is not told."""
+"""Injected bug: the end of the discovery watch is not reported."""
 
 from violetroute.membership.native import DiscoveryCall
 
--- a/tests/planted/window_forgotten.py
+++ b/tests/planted/window_forgotten.py
@@ -1,4 +1,4 @@
-"""Found by exploration, taken back: a read that leaves nothing passes for the last of a pause."""
+"""Reverts a fix: a read that empties the buffer is taken for the last data of a pause."""
 
 from violetroute.clients import read_delay
 
--- a/tests/planted_in_soaks/drain_cuts.py
+++ b/tests/planted_in_soaks/drain_cuts.py
@@ -1,4 +1,4 @@
-"""A drain that closes connections at once, whatever was read on them."""
+"""Injected bug: a drain closes all connections at once, even with requests read from them."""
 
 from violetroute.clients.listener import Listener
 
--- a/tests/planted_in_soaks/drain_ignored.py
+++ b/tests/planted_in_soaks/drain_ignored.py
@@ -1,4 +1,4 @@
-"""Written after incident 65d06d: what leaves service waits behind what joins, for a second."""
+"""Injected bug of incident 65d06d: leaving nodes wait a second behind joining ones."""
 
 from violetroute.listing import ListApplier
 
--- a/tests/planted_in_soaks/long_turn.py
+++ b/tests/planted_in_soaks/long_turn.py
@@ -1,4 +1,4 @@
-"""Incident 65d06d: the turn that takes a change of many nodes lasts for seconds."""
+"""Injected bug of incident 65d06d: an update of many nodes blocks the loop for seconds."""
 
 import time
 
