--- a/limebridge/virtual/explore.py
+++ b/limebridge/virtual/explore.py
@@ -1,4 +1,4 @@
-"""Many seeds on all cores; a failure is shrunk to a smallest plan and ends as one line."""
+"""Runs the plans of many seeds in parallel and shrinks a failing plan to a small one."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 from limebridge.rules import Violation
 
-from .coverage import lean
+from .coverage import add_rare_pairs
 from .network import BUFFER
-from .plan import Fault, Kind, Plan, draw, draw_consul
-from .runner import play
+from .plan import Fault, Kind, Plan, generate, generate_consul
+from .runner import run_plan
 from .world import Outcome
 
 Pairs = Sequence[tuple[Kind, str]]
 
-TRIES = 120  # runs that shrinking one plan may take
+MAX_SHRINK_RUNS = 120  # per plan
 
 
 @dataclass
-class Found:
-    """One seed's run, as it comes back from another process."""
+class SeedResult:
+    """The result of one seed's run, returned by a worker process."""
 
     seed: int
     plan: Plan
@@ -40,16 +40,16 @@
 
 @dataclass
 class Summary:
-    """What an exploration has seen."""
+    """Results accumulated over an exploration."""
 
     seeds: int = 0
     seconds: float = 0.0
     requests: int = 0
-    broken: list[Found] = field(default_factory=list)
+    broken: list[SeedResult] = field(default_factory=list)
     met: Counter[str] = field(default_factory=Counter)
     digests: dict[int, str] = field(default_factory=dict)
 
-    def add(self, found: Found) -> None:
+    def add(self, found: SeedResult) -> None:
         self.seeds += 1
         self.requests += found.requests
         self.met.update(found.met)
@@ -59,16 +59,18 @@
 
     @property
     def digest(self) -> str:
-        """Over all traces, in the order of their seeds, whichever process ran first."""
+        """SHA-256 over the digests in seed order, independent of which worker finished first."""
         whole = "".join(self.digests[seed] for seed in sorted(self.digests))
         return hashlib.sha256(whole.encode()).hexdigest()
 
 
-def one(seed: int, consul: bool = False, pairs: Pairs = ()) -> Found:
-    """Play one seed; `pairs` as `lean` has them."""
-    plan = lean(draw_consul(seed) if consul else draw(seed), pairs)
-    outcome = play(plan)
-    return Found(seed, outcome.plan, outcome.broken, outcome.requests, outcome.digest, outcome.met)
+def run_seed(seed: int, consul: bool = False, pairs: Pairs = ()) -> SeedResult:
+    """Run the plan of one seed, extended by `add_rare_pairs` with `pairs`."""
+    plan = add_rare_pairs(generate_consul(seed) if consul else generate(seed), pairs)
+    outcome = run_plan(plan)
+    return SeedResult(
+        seed, outcome.plan, outcome.broken, outcome.requests, outcome.digest, outcome.met
+    )
 
 
 def explore(
@@ -80,15 +82,16 @@
     consul: bool = False,
     pairs: Pairs = (),
 ) -> Iterator[Summary]:
-    """The summary after each seed; ends early when `budget` seconds have passed, if above 0.
+    """Run `count` seeds from `first` and yield the summary after each one.
 
-    `prepare` runs once in each process, before the first seed.
+    Stops early after `budget` seconds (0: no limit).  `jobs` is the number of worker processes
+    (0: one per core); each calls `prepare` once before its first seed.
     """
     summary, began = Summary(), time.monotonic()
     jobs = jobs or len(os.sched_getaffinity(0))
     context = multiprocessing.get_context("spawn")
     with context.Pool(jobs, initializer=prepare) as pool:
-        run = functools.partial(one, consul=consul, pairs=pairs)
+        run = functools.partial(run_seed, consul=consul, pairs=pairs)
         for found in pool.imap_unordered(run, range(first, first + count), chunksize=4):
             summary.add(found)
             summary.seconds = time.monotonic() - began
@@ -97,24 +100,28 @@
                 break
 
 
-def same(outcome: Outcome, rule: int) -> bool:
-    """Whether a run breaks the rule that is looked for."""
+def violates_rule(outcome: Outcome, rule: int) -> bool:
+    """Whether the run violates this rule."""
     return any(found.rule == rule for found in outcome.broken)
 
 
 def shrink(
-    plan: Plan, rule: int, tries: int = TRIES, run: Callable[[Plan], Outcome] = play
+    plan: Plan,
+    rule: int,
+    max_runs: int = MAX_SHRINK_RUNS,
+    run: Callable[[Plan], Outcome] = run_plan,
 ) -> Plan:
-    """A smaller plan that still breaks this rule: fewer faults, shorter, simpler, less load.
+    """A smaller plan that still violates this rule: fewer faults, shorter, simpler, less load.
 
-    Greedy, and bounded in its runs; what it returns has been seen to fail.
+    The search is greedy and limited to `max_runs` runs.  Each reduction is kept only if a run of
+    it violated the rule.
     """
-    left = tries
+    left = max_runs
 
     def fails(candidate: Plan) -> bool:
         nonlocal left
         left -= 1
-        return left >= 0 and same(run(candidate), rule)
+        return left >= 0 and violates_rule(run(candidate), rule)
 
     shorter = msgspec.structs.replace(plan)
     changed = True
