--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -34,7 +34,7 @@
 import zstandard
 from cost import measure
 
-from limebridge.ledger.kills import play as play_kills
+from limebridge.ledger.kills import run_kills
 from limebridge.ledger.sketch import STRATA, STRATUM, Sketch, Strata, mix
 from limebridge.virtual.ledger import Trial, run_trial
 from violetroute.ledger.accounts import Batch, Book
@@ -350,7 +350,7 @@
 
 async def kills() -> dict[str, object]:
     with tempfile.TemporaryDirectory() as folder:
-        report = await play_kills(Path(folder), kills=30, seconds=45.0)
+        report = await run_kills(Path(folder), kills=30, seconds=45.0)
     assert report.before is not None and report.after is not None
     return {
         "kills": report.kills,
--- a/limebridge/ledger/__init__.py
+++ b/limebridge/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""What an operator does with ledgers: show, verify, reconcile, correct."""
+"""`limebridge ledger`: shows, verifies, reconciles and corrects ledgers."""
--- a/limebridge/ledger/command.py
+++ b/limebridge/ledger/command.py
@@ -25,9 +25,12 @@
 app = typer.Typer(no_args_is_help=True, help="Ledgers: what was served, by tenant and class.")
 
 LedgerFolder = Annotated[
-    Path, typer.Argument(metavar="FOLDER", help="One proxy's, within [ledger] folder.")
+    Path,
+    typer.Argument(
+        metavar="FOLDER", help="The ledger of one proxy: its folder within [ledger] folder."
+    ),
 ]
-AsJson = Annotated[bool, typer.Option("--json", help="One JSON object.")]
+AsJson = Annotated[bool, typer.Option("--json", help="Print one JSON object.")]
 Zone = Annotated[str, typer.Option(help="As in [ledger].")]
 Minutes = Annotated[int, typer.Option("--period-min", min=5, max=60, help="As in [ledger].")]
 
@@ -38,7 +41,7 @@
 
 
 def _console() -> Console:
-    """Tenants' names come from clients: what looks like markup in them is none."""
+    """A console without markup: tenants' names come from clients and may look like markup."""
     return Console(markup=False, highlight=False)
 
 
@@ -58,16 +61,16 @@
     folder: LedgerFolder,
     as_json: AsJson = False,
     report: Annotated[
-        Path | None, typer.Option("--html", metavar="FILE", help="Write a report.")
+        Path | None, typer.Option("--html", metavar="FILE", help="Also write an HTML report.")
     ] = None,
 ) -> None:
-    """Totals by tenant and day, billed or not."""
+    """Show totals by tenant, class and day, billed or not."""
     reading = _reading(folder)
     units = reading.by_day()
     book = reading.book
     if report is not None:
         report.write_text(html(units, reading.name, verify_reading(reading, folder)))
-    told = {
+    summary = {
         "ledger": reading.name,
         "incarnation": book.incarnation,
         "units": sum(units.values()),
@@ -83,7 +86,7 @@
                 units.items(), key=lambda item: (item[0][0], item[0][1] or "", item[0][2])
             )
         ]
-        print(json.dumps(told | {"totals": rows}, ensure_ascii=False))
+        print(json.dumps(summary | {"totals": rows}, ensure_ascii=False))
         return
     table = Table("day", "tenant", "class", "units")
     for (day, tenant, cls), count in sorted(
@@ -92,7 +95,7 @@
         table.add_row(day, _name(tenant), cls, str(count))
     _console().print(table)
     print(
-        ", ".join(f"{key} {value}" for key, value in told.items() if key != "gaps"),
+        ", ".join(f"{key} {value}" for key, value in summary.items() if key != "gaps"),
         f"gaps {len(book.gaps)}",
         sep=", ",
     )
@@ -100,7 +103,7 @@
 
 @app.command()
 def verify(folder: LedgerFolder, as_json: AsJson = False) -> None:
-    """What does not add up, and where the ledger is incomplete.  Exit status 1 if anything is."""
+    """List inconsistencies and times when the ledger is incomplete; exit status 1 if any."""
     wrong = verify_reading(_reading(folder), folder)
     print(json.dumps({"wrong": wrong}) if as_json else "\n".join(wrong) or "all adds up")
     raise typer.Exit(1 if wrong else 0)
@@ -110,12 +113,15 @@
 def export_command(
     folder: LedgerFolder,
     dry: Annotated[
-        bool, typer.Option("--dry-run", help="Print what the proxy would send; it alone sends.")
+        bool,
+        typer.Option(
+            "--dry-run", help="Print what the proxy would send; only the proxy itself sends."
+        ),
     ] = False,
 ) -> None:
-    """What is to be exported, as JSON lines."""
+    """Print the batches that are to be exported, as JSON lines."""
     if not dry:
-        _stop("exports are the proxy's own; --dry-run shows them")
+        _stop("only the proxy exports its batches; --dry-run shows them")
     typer.echo(dry_run(_reading(folder)).decode(), nl=False)
 
 
@@ -135,21 +141,22 @@
     exported: Annotated[
         list[Path],
         typer.Argument(
-            metavar="EXPORTS...", help="What proxies exported: files or folders of JSON lines."
+            metavar="EXPORTS...", help="Exports of proxies: files or folders of JSON lines."
         ),
     ],
     served: Annotated[
-        list[Path], typer.Option("--served", metavar="FILE", help="Nodes' records: JSON lines.")
+        list[Path],
+        typer.Option("--served", metavar="FILE", help="Records of cache nodes: JSON lines."),
     ],
     zone: Zone = "UTC",
     minutes: Minutes = 15,
     write: Annotated[
         Path | None,
-        typer.Option(metavar="DIR", help="Write a file of corrections a proxy, to be signed."),
+        typer.Option(metavar="DIR", help="Write one file of corrections per proxy, to be signed."),
     ] = None,
     as_json: AsJson = False,
 ) -> None:
-    """Which proxy is short or long, of which tenant, class and period.
+    """Show which proxies billed too little or too much, by tenant, class and period.
 
     Exit status 1 when something differs.
     """
@@ -161,11 +168,11 @@
     wrong = list(ours.wrong)
     for path in served:
         try:
-            units, bad = read_served(path.read_text().splitlines(), periods, str(path))
+            units, malformed = read_served(path.read_text().splitlines(), periods, str(path))
         except (OSError, ValueError) as error:
             _stop(error)
         theirs += units
-        wrong += bad
+        wrong += malformed
     found = reconcile_lines(ours.units, theirs, periods)
     if write is not None:
         write.mkdir(parents=True, exist_ok=True)
@@ -210,19 +217,19 @@
 def sign(
     folder: LedgerFolder,
     file: Annotated[Path, typer.Argument(metavar="CORRECTIONS.json")],
-    by: Annotated[str, typer.Option(help="Who signs.")],
+    by: Annotated[str, typer.Option(help="Name of the person who signs.")],
 ) -> None:
-    """Hand corrections to a proxy: it exports them within seconds, each once."""
+    """Sign corrections for a proxy, which exports each of them once, within seconds."""
     try:
-        told = json.loads(file.read_bytes())
+        document = json.loads(file.read_bytes())
         lines = [
             (int(period), tenant if tenant is None else str(tenant), str(cls), int(units))
-            for period, tenant, cls, units in told["lines"]
+            for period, tenant, cls, units in document["lines"]
         ]
     except (OSError, ValueError, KeyError, TypeError) as error:
-        _stop(f"{file}: no corrections: {error}")
+        _stop(f"{file}: not a file of corrections: {error}")
     if not by.strip() or not by.isprintable():
-        _stop("--by: nobody")
+        _stop("--by: must be a printable name")
     body = json.dumps({"by": by.strip(), "lines": lines}, ensure_ascii=False).encode()
     name = f"{SIGNED_PREFIX}{hashlib.sha256(body).hexdigest()[:16]}.json"
     if not folder.is_dir():
@@ -233,13 +240,16 @@
 
 @app.command()
 def sketch(
-    ids: Annotated[list[Path], typer.Argument(metavar="IDS...", help="ids- files.")],
+    ids: Annotated[list[Path], typer.Argument(metavar="IDS...", help="Files ids-* of a ledger.")],
     out: Annotated[Path, typer.Option("-o", "--out", metavar="FILE")],
     differ: Annotated[
-        int, typer.Option(min=1, max=10_000_000, help="Differences to make room for.")
+        int,
+        typer.Option(
+            min=1, max=10_000_000, help="Number of differing ids that the sketch has room for."
+        ),
     ] = 1000,
 ) -> None:
-    """A sketch of ids, to be held against another side's with `differ`."""
+    """Write a sketch of ids, to be compared with another side's by `differ`."""
     import numpy as np
 
     from .sketch import Sketch, read_ids
@@ -255,7 +265,7 @@
 
 @app.command("differ")
 def differ_command(ours: Path, theirs: Path, as_json: AsJson = False) -> None:
-    """Which ids only one of two sketches has.  Exit status 1 if any; 3 if they are too small."""
+    """List ids that are in only one of two sketches; exit status 1 if any, 3 if too small."""
     from .sketch import Sketch
 
     try:
@@ -263,7 +273,7 @@
     except (OSError, ValueError) as error:
         _stop(error)
     if isinstance(found, int):
-        _stop(f"too many differ; sketch both again with --differ {found}", 3)
+        _stop(f"too many ids differ; sketch both sides again with --differ {found}", 3)
     only = [[f"{value:016x}" for value in sorted(side)] for side in found]
     if as_json:
         print(json.dumps({"ours": only[0], "theirs": only[1]}))
--- a/limebridge/ledger/kills.py
+++ b/limebridge/ledger/kills.py
@@ -1,10 +1,10 @@
-"""Real proxies with ledgers, killed and restarted at random, on a clock that runs fast.
+"""Kills real proxies with ledgers at random, restarts them and reconciles what they billed.
 
-Two daemons as processes of their own, stand-in nodes that write down what they served, a billing
-endpoint with troubles, clients; at the end what was billed is reconciled with what nodes served,
-the corrections are signed, and what is billed then is told.  The wall clock of the daemons (the
-seam's, by which periods are cut) runs SPEED times as fast as the world, so that twenty minutes pass
-in seconds.
+Two daemon processes serve clients, with stand-in nodes that record what they serve and a billing
+endpoint with injected faults.  At the end the billed units are reconciled with the nodes' records,
+corrections are signed, and the result is reconciled again.  The daemons' wall clock (of the
+transport interface), which delimits periods, runs SPEED times as fast as real time: twenty minutes
+pass in seconds.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
 
 from .reconcile import Found, Line, corrections, read_served, reconcile
 
-SPEED = 240.0  # times
-START = 1_700_000_100.0  # Unix s at which the fast clock begins
-PATIENCE = 60.0  # s for anything that has to come
+SPEED = 240.0  # seconds of the daemons' wall clock per real second
+START = 1_700_000_100.0  # Unix s; the daemons' wall clock when the run begins
+TIMEOUT_S = 60.0  # for all exports to complete
 PROXIES = ("p1", "p2")
 CHILD = """
 import time
@@ -43,23 +43,23 @@
 from violetroute.__main__ import main
 raise SystemExit(main())
 """
-TROUBLES = ("lost before", "lost after", "500 after", "cut after", "503")
+BILLING_FAULTS = ("lost before", "lost after", "500 after", "cut after", "503")
 
 
 @dataclass
 class Report:
-    """What came of it."""
+    """Results of a run."""
 
-    served: Counter[Line] = field(default_factory=Counter)  # by nodes' records
-    before: Found | None = None  # what reconciling found before the corrections
-    after: Found | None = None
+    served: Counter[Line] = field(default_factory=Counter)  # units by the nodes' records
+    before: Found | None = None  # reconciliation before the corrections
+    after: Found | None = None  # reconciliation after the corrections
     kills: int = 0
     posts: int = 0
-    doubled: int = 0  # billed beyond what was served, before any correction
+    doubled: int = 0  # units billed but not served, before the corrections
 
 
-class _Field:
-    """All of it."""
+class _TestBed:
+    """Proxies, nodes, discovery, billing endpoint and clients of one run."""
 
     def __init__(self, folder: Path, seed: int) -> None:
         self.folder, self.rng = folder, random.Random(seed)
@@ -68,15 +68,17 @@
         self.ports: dict[str, int] = {}
         self.running: dict[str, asyncio.subprocess.Process] = {}
         self.billing, self.discovery = BillingEndpoint(), Discovery()
-        self.ends = False
-        self.asked = 0
+        self.stopping = False
+        self.requests = 0
 
     def wall(self) -> float:
         return START + (time.monotonic() - self.began) * SPEED
 
     async def open(self) -> None:
         await self.billing.start()
-        self.billing.fault = lambda: self.rng.choice(TROUBLES) if self.rng.random() < 0.4 else ""
+        self.billing.fault = lambda: (
+            self.rng.choice(BILLING_FAULTS) if self.rng.random() < 0.4 else ""
+        )
         await self.discovery.start()
         self.nodes = [await CacheNode(self.served.serve).start() for _ in range(2)]
         for name in PROXIES:
@@ -103,23 +105,28 @@
         )
 
     async def client(self, name: str, number: int) -> None:
-        """Asks on and on; a question whose proxy dies is the client's to ask anew."""
+        """Sends requests until the load stops.
+
+        A request that fails since its proxy was killed is not repeated; the client reconnects.
+        """
         rng = random.Random(f"{name}/{number}")
-        while not self.ends:
+        while not self.stopping:
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.ports[name])
-                while not self.ends:
-                    self.asked += 1
-                    listed = b"c=%b,t=%b,d=3000" % (
+                while not self.stopping:
+                    self.requests += 1
+                    attributes = b"c=%b,t=%b,d=3000" % (
                         rng.choice((b"lookup", b"optout")),
                         rng.choice((b"acme", b"zeta", b"city")),
                     )
-                    if b"optout" in listed:
-                        listed += b",k=k%d" % self.asked
-                    id_ = f"{name}-{self.asked}".encode()
-                    name_ = b"OBJ.GET" if b"lookup" in listed else b"OBJ.SET"
-                    value = (b"v",) if b"optout" in listed else ()
-                    writer.write(command(name_, b"k%d" % rng.randrange(50), id_, listed, *value))
+                    if b"optout" in attributes:
+                        attributes += b",k=k%d" % self.requests
+                    id_ = f"{name}-{self.requests}".encode()
+                    name_ = b"OBJ.GET" if b"lookup" in attributes else b"OBJ.SET"
+                    value = (b"v",) if b"optout" in attributes else ()
+                    writer.write(
+                        command(name_, b"k%d" % rng.randrange(50), id_, attributes, *value)
+                    )
                     async with asyncio.timeout(5.0):
                         await read_answer(reader)
                     await asyncio.sleep(rng.expovariate(60.0))
@@ -127,7 +134,7 @@
             except (OSError, asyncio.IncompleteReadError, TimeoutError):
                 await asyncio.sleep(0.05)
 
-    async def kill(self, name: str) -> None:
+    async def kill_and_restart(self, name: str) -> None:
         process = self.running[name]
         process.send_signal(signal.SIGKILL)
         await process.wait()
@@ -136,12 +143,12 @@
     def billed(self) -> Counter[Line]:
         return Counter(self.billing.billed)
 
-    async def settled(self, served: Counter[Line]) -> Found:
-        """What differs once all that is due has been exported."""
-        periods, until = Periods("UTC", 5), time.monotonic() + PATIENCE
+    async def reconcile_when_idle(self, served: Counter[Line]) -> Found:
+        """Waits until everything due has been exported, then reconciles."""
+        periods, until = Periods("UTC", 5), time.monotonic() + TIMEOUT_S
         last, since = -1, time.monotonic()
         while time.monotonic() < until:
-            # Quiet for two periods and their grace: nothing more can fall due.
+            # No post for two periods and a second, which covers grace_s: no batch is due any more.
             if self.billing.posts != last:
                 last, since = self.billing.posts, time.monotonic()
             if time.monotonic() - since > 2.0 * 300.0 / SPEED + 1.0:
@@ -149,12 +156,13 @@
             await asyncio.sleep(0.1)
         return reconcile(self.billed(), served, periods)
 
-    async def equal(self, served: Counter[Line]) -> Found:
-        """What differs once nothing does, or PATIENCE is over: signed corrections are exported.
+    async def reconcile_until_equal(self, served: Counter[Line]) -> Found:
+        """Reconciles until nothing differs or TIMEOUT_S has passed.
 
-        Quiet alone is no end of that: on a busy machine a proxy may look at its folder late.
+        Used after signing corrections.  Waiting for a time without posts is not enough, since on a
+        busy machine a proxy may check its folder late.
         """
-        periods, until = Periods("UTC", 5), time.monotonic() + PATIENCE
+        periods, until = Periods("UTC", 5), time.monotonic() + TIMEOUT_S
         while (
             found := reconcile(self.billed(), served, periods)
         ).differences and time.monotonic() < until:
@@ -162,7 +170,7 @@
         return found
 
     async def close(self) -> None:
-        self.ends = True
+        self.stopping = True
         for process in self.running.values():
             if process.returncode is None:
                 process.send_signal(signal.SIGTERM)
@@ -174,41 +182,42 @@
         await self.billing.stop()
 
 
-async def play(folder: Path, kills: int, seconds: float, seed: int = 1) -> Report:
-    """`seconds` of load with so many kills, then the month's end."""
-    field_, report = _Field(folder, seed), Report()
-    await field_.open()
+async def run_kills(folder: Path, kills: int, seconds: float, seed: int = 1) -> Report:
+    """Runs about `seconds` of load with `kills` kills, then reconciles and signs corrections.
+
+    The proxies are given time to export before and after the corrections.
+    """
+    bed, report = _TestBed(folder, seed), Report()
+    await bed.open()
     clients: list[asyncio.Task[None]] = []
     try:
         for name in PROXIES:
-            await field_.start(name)
+            await bed.start(name)
         clients = [
-            asyncio.create_task(field_.client(name, number))
-            for name in PROXIES
-            for number in range(3)
+            asyncio.create_task(bed.client(name, number)) for name in PROXIES for number in range(3)
         ]
         for _ in range(kills):
-            await asyncio.sleep(seconds / max(1, kills) * field_.rng.uniform(0.5, 1.5))
-            await field_.kill(field_.rng.choice(PROXIES))
+            await asyncio.sleep(seconds / max(1, kills) * bed.rng.uniform(0.5, 1.5))
+            await bed.kill_and_restart(bed.rng.choice(PROXIES))
             report.kills += 1
         await asyncio.sleep(seconds / max(1, kills))
-        field_.ends = True
+        bed.stopping = True
         await asyncio.gather(*clients)
-        field_.billing.fault = lambda: ""
+        bed.billing.fault = lambda: ""
         periods = Periods("UTC", 5)
-        report.served, _ = read_served(field_.served.rows, periods, "nodes")
-        report.before = await field_.settled(report.served)
+        report.served, _ = read_served(bed.served.rows, periods, "nodes")
+        report.before = await bed.reconcile_when_idle(report.served)
         report.doubled = report.before.long
         for name in PROXIES:
             if any(d.proxy == name for d in report.before.differences):
                 Folder(folder / "ledgers" / name).put(
                     f"{SIGNED_PREFIX}0.json", corrections(report.before, name, "the operator")
                 )
-        report.after = await field_.equal(report.served)
-        report.posts = field_.billing.posts
+        report.after = await bed.reconcile_until_equal(report.served)
+        report.posts = bed.billing.posts
     finally:
-        field_.ends = True
+        bed.stopping = True
         for task in clients:
             task.cancel()
-        await field_.close()
+        await bed.close()
     return report
--- a/limebridge/ledger/reading.py
+++ b/limebridge/ledger/reading.py
@@ -1,4 +1,4 @@
-"""A ledger's folder read from outside; nothing in it is changed, and its proxy may run."""
+"""Reads the folder of a ledger without changing it; its proxy may be running."""
 
 from __future__ import annotations
 
@@ -17,19 +17,20 @@
 
 @dataclass
 class Reading:
-    """What a folder says."""
+    """Contents of a ledger's folder."""
 
     book: Book
     exported: Exported  # confirmed batches, from the archive
     file: str = ""
-    notes: list[str] = field(default_factory=list)  # what does not add up
+    notes: list[str] = field(default_factory=list)  # inconsistencies found while reading
 
     @property
     def name(self) -> str:
+        """Name of the ledger."""
         return self.book.name
 
     def by_day(self) -> Counter[tuple[str, str | None, str]]:
-        """Units by day (UTC), tenant and class, billed or not."""
+        """Units by UTC day, tenant (None: others) and class, billed or not."""
         from datetime import UTC, datetime
 
         found: Counter[tuple[str, str | None, str]] = Counter()
@@ -49,7 +50,10 @@
 
 
 def read(folder: Path, periods: Periods) -> Reading:
-    """ValueError where there is no ledger, or one that can't be read."""
+    """Reads the newest log with a valid checkpoint, spilled batches and the archive.
+
+    Raises ValueError when the folder has no ledger or no readable log.
+    """
     logs = sorted(
         (path for path in folder.glob("log-*") if path.name[4:].isdecimal()),
         key=lambda path: int(path.name[4:]),
@@ -68,16 +72,16 @@
             if found.error:
                 reading.notes.append(
                     f"{path.name}: {found.error}, {len(data) - found.valid_bytes} bytes "
-                    "behind it are not believed"
+                    "after it are ignored"
                 )
             break
         reading.notes.append(f"{path.name}: {found.error or 'no checkpoint'}")
     else:
-        raise ValueError(f"{folder}: no log that can be read")
+        raise ValueError(f"{folder}: no readable log")
     for batch in reading.book.batches.values():
         if batch.spilled_units is not None:
-            spilt = decode((folder / f"batch-{batch.seq}").read_bytes()).records
-            reading.book.apply(["back", batch.seq, spilt[0][1] if spilt else []])
+            spilled = decode((folder / f"batch-{batch.seq}").read_bytes()).records
+            reading.book.apply(["back", batch.seq, spilled[0][1] if spilled else []])
     for path in sorted(folder.glob("closed-*")):
         for frame in read_archive_frames(path.read_bytes()):
             reading.exported.add(frame.decode("utf-8", "replace"), path.name)
@@ -85,7 +89,7 @@
 
 
 def verify(reading: Reading, folder: Path) -> list[str]:
-    """What does not add up: archive against book, ids against units, gaps."""
+    """Lists inconsistencies of the archive and the ids with the book, held batches and gaps."""
     book, wrong = reading.book, list(reading.notes) + list(reading.exported.wrong)
     archived_units: Counter[int] = Counter()
     for (_, period, _, _), units in reading.exported.units.items():
@@ -112,7 +116,7 @@
 
 
 def dry_run(reading: Reading) -> bytes:
-    """What would be exported next, byte for byte."""
+    """The exact bytes of all batches that are still to be exported."""
     return b"".join(
         json_lines(batch) for batch in reading.book.batches.values() if batch.state != "held"
     )
--- a/limebridge/ledger/reconcile.py
+++ b/limebridge/ledger/reconcile.py
@@ -1,10 +1,10 @@
-"""What proxies exported against what nodes served.  Pure.
+"""Reconciles the units that proxies exported with those that nodes served.  Pure.
 
-Both sides are units by proxy, period, tenant and class.  Where a node wrote down a request just
-before a period's end and the proxy gave its answer just after, the two sides differ by a unit in
-each of two neighbouring periods, which is nobody's fault: such pairs are settled first, and told
-apart.  What is left is a proxy that is short (nodes served more than it billed: a kill, a power
-cut, a gap) or long (it billed more: its nodes' record is incomplete, or a fault of ours).
+Both sides are units by proxy, period, tenant and class.  When a node recorded a request just before
+the end of a period and the proxy sent its answer just after, the sides differ by one unit in each
+of two adjacent periods.  That is no error: such pairs are cancelled first and counted separately.
+Any remaining difference means that a proxy is short (nodes served more than it billed: a kill, a
+power loss, a gap) or long (it billed more: the nodes' records are incomplete, or it has a bug).
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 
 @dataclass
 class Exported:
-    """What proxies exported."""
+    """Units and batches that proxies exported, read from their files."""
 
     units: Counter[Line] = field(default_factory=Counter)
-    batches: dict[str, str] = field(default_factory=dict)  # key: its first line
-    twice: int = 0  # files with a batch that another file had: counted once
-    wrong: list[str] = field(default_factory=list)  # what could not be read, or does not add up
+    batches: dict[str, str] = field(default_factory=dict)  # first line of each batch, by its key
+    twice: int = 0  # repeated batches; each batch is counted once
+    wrong: list[str] = field(default_factory=list)  # malformed or inconsistent lines
 
     def add(self, text: str, source: str) -> None:
-        """One batch's JSON lines, or several after one another."""
+        """Adds the JSON lines of one or more batches.  `source`: file name for messages."""
         batch: dict[str, object] | None = None
-        told = 0
+        counted = 0
         for number, row in enumerate(text.splitlines(), 1):
             try:
                 value = json.loads(row)
                 if "batch" in value:
-                    self._check(batch, told, source)
-                    batch, told = value, 0
+                    self._check(batch, counted, source)
+                    batch, counted = value, 0
                     key = str(value["batch"])
                     if key in self.batches:
                         self.twice += 1
@@ -53,27 +53,29 @@
                     continue
                 proxy = str(batch["batch"]).partition("/")[0]
                 units = int(value["units"])
-                told += units
+                counted += units
                 self.units[
                     proxy, int(str(batch["period"])), value["tenant"], str(value["class"])
                 ] += units
             except (ValueError, KeyError, TypeError) as error:
                 self.wrong.append(f"{source}:{number}: {error}")
-        self._check(batch, told, source)
+        self._check(batch, counted, source)
 
-    def _check(self, batch: Mapping[str, object] | None, told: int, source: str) -> None:
-        if batch is not None and "again" not in batch and batch.get("units") != told:
+    def _check(self, batch: Mapping[str, object] | None, counted: int, source: str) -> None:
+        if batch is not None and "again" not in batch and batch.get("units") != counted:
             self.wrong.append(
-                f"{source}: {batch.get('batch')} says {batch.get('units')} units and has {told}"
+                f"{source}: {batch.get('batch')} declares {batch.get('units')} units, has {counted}"
             )
 
 
 def read_served(
     rows: Iterable[str], periods: Periods, source: str
 ) -> tuple[Counter[Line], list[str]]:
-    """Nodes' records: {"proxy", "tenant", "class", and "at" (Unix s) or "period", "units" or 1}.
+    """Reads nodes' records; returns units by line, and a message for each malformed row.
 
-    One request that two nodes served (a second copy) has one "id", and counts once.
+    A row is a JSON object with "proxy", "tenant", "class", "at" (Unix s) or "period", and
+    optionally "units" (default 1) and "id".  Rows with the same "id" count once: two nodes may
+    serve copies of one request.
     """
     found: Counter[Line] = Counter()
     wrong: list[str] = []
@@ -99,7 +101,7 @@
 
 @dataclass(frozen=True)
 class Difference:
-    """`units` above 0: the proxy is short of them; below: it has too many."""
+    """Units of one line that were exported and served."""
 
     proxy: str
     period: int
@@ -110,27 +112,30 @@
 
     @property
     def units(self) -> int:
+        """Positive: units missing from the exports; negative: units exported too many."""
         return self.served - self.exported
 
 
 @dataclass
 class Found:
-    """What reconciling has found."""
+    """Result of a reconciliation."""
 
     differences: list[Difference]
-    moved: int  # units that stand in the neighbouring period, which settles them
+    moved: int  # units that cancel out with the adjacent period
 
     @property
     def short(self) -> int:
+        """Units that were served and not exported."""
         return sum(d.units for d in self.differences if d.units > 0)
 
     @property
     def long(self) -> int:
+        """Units that were exported and not served."""
         return -sum(d.units for d in self.differences if d.units < 0)
 
 
 def reconcile(exported: Mapping[Line, int], served: Mapping[Line, int], periods: Periods) -> Found:
-    """By proxy, period, tenant and class."""
+    """Compares both sides; differences are sorted by proxy, period, tenant and class."""
     left: dict[tuple[str, str | None, str], dict[int, int]] = defaultdict(dict)
     for line in {**exported, **served}:
         proxy, period, tenant, cls = line
@@ -144,10 +149,10 @@
             after = periods.end(period)
             here, there = of[period], of.get(after, 0)
             if here * there < 0:
-                settled = min(abs(here), abs(there)) * (1 if here > 0 else -1)
-                of[period] -= settled
-                of[after] += settled
-                moved += abs(settled)
+                cancelled = min(abs(here), abs(there)) * (1 if here > 0 else -1)
+                of[period] -= cancelled
+                of[after] += cancelled
+                moved += abs(cancelled)
         for period, units in of.items():
             if units:
                 line = proxy, period, tenant, cls
@@ -159,7 +164,7 @@
 
 
 def corrections(found: Found, proxy: str, by: str) -> bytes:
-    """The file that an operator signs for one proxy."""
+    """Contents of the corrections file that an operator signs for one proxy."""
     return json.dumps(
         {
             "by": by,
--- a/limebridge/ledger/report.py
+++ b/limebridge/ledger/report.py
@@ -1,4 +1,4 @@
-"""Totals by tenant and day as one HTML file that needs nothing else."""
+"""Totals by tenant and day as one self-contained HTML file."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 import jinja2
 
-OTHERS = "(others, without a place by name)"
+OTHERS = "(others, counted together)"
 
 
 def html(units: Mapping[tuple[str, str | None, str], int], title: str, notes: Sequence[str]) -> str:
-    """`units` by day, tenant and class."""
+    """Returns the report.  `units`: by day, tenant (None: others) and class; `notes`: warnings."""
     days: Counter[str] = Counter()
     for (day, _, _), count in units.items():
         days[day] += count
--- a/limebridge/ledger/sketch.py
+++ b/limebridge/ledger/sketch.py
@@ -1,15 +1,16 @@
-"""Which ids two sides do not share, told by a sketch of the size of the difference.  Pure.
+"""Finds the ids that only one of two sides has, from sketches sized by the difference.  Pure.
 
 An invertible Bloom lookup table (Goodrich and Mitzenmacher 2011) with a strata estimate (Eppstein,
-Goodrich, Uyeda, Varghese, "What's the difference?", 2011): a node sends some kilobytes in place of
-a million ids, and what differs is read out of the two tables' difference. Cells hold a count, the
-exclusive-or of ids and of their checks; each id stands in HASHES cells, one in each part of the
-table. An id whose cell nobody else shares is read and taken out of its other cells, and so on; a
-table that is too small ends with cells that cannot be read, and that is told, not guessed.
-
-Weighed: rateless tables (Yang, Gilad, Alizadeh 2024) need no estimate, but a line to the other side
-that stays open; these files go by post. `benchmarks/ledger.py` measures both sides of the choice
-against whole sets and against sums by bucket.
+Goodrich, Uyeda, Varghese, "What's the difference?", 2011): a node sends a few kilobytes instead of
+a million ids, and the differing ids are decoded from the difference of the two tables.  A cell
+holds a count, the XOR of ids and the XOR of their check hashes.  Each id is in HASHES cells, one in
+each part of the table.  An id that is alone in a cell is decoded and removed from its other cells;
+this repeats.  Undecodable cells remain if the table is too small; the result is then an error, not
+a guess.
+
+Rateless tables (Yang, Gilad, Alizadeh 2024) are not used: they need no estimate, but an open
+connection to the other side, while sketches are exchanged as files.  `benchmarks/ledger.py`
+compares sketches with whole sets and with sums by bucket.
 """
 
 from __future__ import annotations
@@ -20,15 +21,15 @@
 import numpy.typing as npt
 
 Ids = npt.NDArray[np.uint64]
-HASHES = 4  # cells of an id; with 4 a table can be read up to 0.77 ids a cell, as it grows
-SPARE = 1.6  # cells for each id that is expected to differ
-LEAST = 64  # cells of a table: small ones fail by chance
-STRATA, STRATUM = 24, 48  # tables of the estimate, and their cells
+HASHES = 4  # cells per id; with 4, large tables can be decoded up to 0.77 ids per cell
+SPARE = 1.6  # cells per id that is expected to differ
+MIN_CELLS = 64  # of a table; small tables fail by chance
+STRATA, STRATUM = 24, 48  # number of tables of the estimate, and cells per table
 MAGIC = b"lbsketch1"
 
 
 def mix(values: Ids, salt: int) -> Ids:
-    """splitmix64's last steps, by which equal ids hash alike everywhere."""
+    """Hashes ids with the finalizer of splitmix64: the same result on every machine."""
     with np.errstate(over="ignore"):
         found = values + np.uint64((0x9E3779B97F4A7C15 * (salt + 1)) & 0xFFFFFFFFFFFFFFFF)
         found = (found ^ (found >> np.uint64(30))) * np.uint64(0xBF58476D1CE4E5B9)
@@ -37,7 +38,7 @@
 
 
 class Table:
-    """`cells` is rounded up to a multiple of HASHES."""
+    """An invertible Bloom lookup table; `cells` is rounded up to a multiple of HASHES."""
 
     def __init__(self, cells: int) -> None:
         self.part = -(-max(cells, HASHES) // HASHES)
@@ -48,15 +49,16 @@
 
     @property
     def cells(self) -> int:
+        """Number of cells, after rounding."""
         return len(self.count)
 
     def places(self, ids: Ids, number: int) -> npt.NDArray[np.int64]:
-        """Where ids stand in one part."""
+        """Cell index of each id in one part of the table."""
         hashed = mix(ids, number) % np.uint64(self.part)
         return hashed.astype(np.int64) + number * self.part
 
     def add(self, ids: Ids) -> None:
-        """Each id once: a set."""
+        """Adds ids, which must be distinct."""
         checks = mix(ids, HASHES)
         for number in range(HASHES):
             places = self.places(ids, number)
@@ -65,7 +67,7 @@
             np.bitwise_xor.at(self.checks, places, checks)
 
     def less(self, other: Table) -> Table:
-        """The table of what differs.  ValueError when they are of different sizes."""
+        """Subtracts a table.  Raises ValueError when the sizes differ."""
         if other.cells != self.cells:
             raise ValueError(f"tables of {self.cells} and {other.cells} cells")
         found = Table(self.cells)
@@ -74,13 +76,16 @@
         return found
 
     def read(self) -> tuple[list[int], list[int]] | None:
-        """The ids that only the first side has, and only the second; None if it can't be read."""
+        """Decodes a difference: the ids of only the first side and of only the second, or None.
+
+        None means that the table is too small or that its contents are noise.
+        """
         count, ids, checks = self.count.copy(), self.ids.copy(), self.checks.copy()
         ours: list[int] = []
         theirs: list[int] = []
         ready = np.flatnonzero(np.abs(count) == 1)
         while len(ready):
-            # Two cells of one id may be ready together: each id once.
+            # Two cells of one id may be ready at the same time; the id is decoded once.
             alone = ready[(mix(ids[ready], HASHES) == checks[ready]) & (np.abs(count[ready]) == 1)]
             if not len(alone):
                 break
@@ -89,7 +94,7 @@
             ours += [int(value) for value in values[signs > 0]]
             theirs += [int(value) for value in values[signs < 0]]
             if len(ours) + len(theirs) > self.cells:
-                return None  # it goes round in circles: noise
+                return None  # noise: decoding may not terminate
             touched = []
             for number in range(HASHES):
                 places = self.places(values, number)
@@ -105,7 +110,7 @@
 
 
 class Strata:
-    """How many ids differ, within a factor of about two; small differences exactly."""
+    """Estimates how many ids differ: exactly if few, else within a factor of about two."""
 
     def __init__(self, ids: Ids | None = None) -> None:
         self.tables = [Table(STRATUM) for _ in range(STRATA)]
@@ -119,6 +124,7 @@
                     self.tables[number].add(part)
 
     def differ(self, other: Strata) -> int:
+        """Estimates the number of ids that only one of the two sides has."""
         found = 0
         for number in range(STRATA - 1, -1, -1):
             read = self.tables[number].less(other.tables[number]).read()
@@ -130,19 +136,21 @@
 
 @dataclass
 class Sketch:
-    """What one side sends: an estimate, and a table made for so many differences."""
+    """What one side sends: strata for the estimate, and a table sized for expected differences."""
 
     strata: Strata
     table: Table
 
     @classmethod
     def of(cls, ids: Ids, differ: int) -> Sketch:
+        """Builds the sketch of a set of ids, with room for `differ` differences."""
         unique = np.unique(ids)
-        table = Table(max(LEAST, int(differ * SPARE)))
+        table = Table(max(MIN_CELLS, int(differ * SPARE)))
         table.add(unique)
         return cls(Strata(unique), table)
 
     def dump(self) -> bytes:
+        """Encodes the sketch for `load`."""
         tables = [self.table, *self.strata.tables]
         head = np.array([table.cells for table in tables], "<u4").tobytes()
         parts = [MAGIC, len(tables).to_bytes(4, "little"), head]
@@ -156,36 +164,39 @@
 
     @classmethod
     def load(cls, data: bytes) -> Sketch:
-        """ValueError where it is no sketch."""
+        """Decodes a sketch.  Raises ValueError when `data` is not a complete sketch."""
         if not data.startswith(MAGIC):
-            raise ValueError("no sketch")
+            raise ValueError("not a sketch")
         try:
             place = len(MAGIC)
             number = int.from_bytes(data[place : place + 4], "little")
             if number != STRATA + 1:
-                raise ValueError("a sketch of another shape")
+                raise ValueError("a sketch of an unsupported shape")
             sizes = np.frombuffer(data, "<u4", number, place + 4)
             place += 4 + 4 * number
             tables = []
             for size in sizes:
                 table = Table(int(size))
                 if table.cells != size:
-                    raise ValueError("a sketch of another shape")
+                    raise ValueError("a sketch of an unsupported shape")
                 table.count = np.frombuffer(data, "<i4", size, place).astype(np.int64)
                 table.ids = np.frombuffer(data, "<u8", size, place + 4 * size).astype(np.uint64)
                 table.checks = np.frombuffer(data, "<u8", size, place + 12 * size).astype(np.uint64)
                 place += 20 * int(size)
                 tables.append(table)
         except (ValueError, MemoryError) as error:
-            raise ValueError(f"a sketch that broke off: {error}") from None
+            raise ValueError(f"a malformed or truncated sketch: {error}") from None
         if place != len(data):
-            raise ValueError("bytes behind a sketch")
+            raise ValueError("extra bytes after the sketch")
         strata = Strata()
         strata.tables = tables[1:]
         return cls(strata, tables[0])
 
     def against(self, other: Sketch) -> tuple[list[int], list[int]] | int:
-        """What only we have and only they have; or how many cells would be needed to tell."""
+        """The ids that only this side has and only the other has.
+
+        If they can't be decoded, the `differ` with which to build both sketches again.
+        """
         if self.table.cells == other.table.cells:
             read = self.table.less(other.table).read()
             if read is not None:
@@ -194,5 +205,5 @@
 
 
 def read_ids(data: bytes) -> Ids:
-    """Of an `ids-` file; a hash that was torn at its end is left out."""
+    """Reads an `ids-` file; a partial hash at its end is ignored."""
     return np.frombuffer(data[: len(data) // 8 * 8], "<u8").astype(np.uint64)
--- a/tests/violetroute/ledger/test_ledger_daemon.py
+++ b/tests/violetroute/ledger/test_ledger_daemon.py
@@ -13,7 +13,7 @@
 import pytest
 import trustme
 
-from limebridge.ledger.kills import play
+from limebridge.ledger.kills import run_kills
 from limebridge.standins.billing import BillingEndpoint
 from tests.support.rig import CacheNode, Rig, get, serves, until
 from violetroute.ledger import LedgerTable
@@ -245,7 +245,7 @@
 
 
 def test_killed_proxies_bill_all_units_after_reconciling_with_the_nodes(tmp_path: Path) -> None:
-    report = asyncio.run(play(tmp_path, kills=4, seconds=6.0))
+    report = asyncio.run(run_kills(tmp_path, kills=4, seconds=6.0))
     assert report.kills == 4 and sum(report.served.values()) > 300
     assert report.before is not None and report.after is not None
     assert report.doubled == 0
