--- a/violetroute/distribution/poll_contents.py
+++ b/violetroute/distribution/poll_contents.py
@@ -92,7 +92,7 @@
     def commit_advanced(self, now: float, as_of: float | None) -> None:
         """Record when the log's commit advanced.
 
-        `as_of`: what was committed by this time was known to this machine before.
+        `as_of`: this machine knew before that everything committed by this time is in its log.
         """
         if as_of is None or now - as_of > self._settings.stale_after_s:
             self._old_position = self._log.commit
@@ -101,11 +101,11 @@
             self._commits.append(_Commit(now, self._log.commit))
 
     def lacks_old_batches(self, now: float, poll: Poll) -> bool:
-        """Whether the proxy lacks batches that may be committed since `stale_after_s` or longer."""
+        """Whether it lacks batches that may have been committed `stale_after_s` ago or earlier."""
         return 0 <= self._position(poll) < self._old_position_at(now)
 
     def answer(self, poll: Poll, max_bytes: int | None) -> Content:
-        """The content for this poll; `max_bytes` limits the bytes of its batches, None does not."""
+        """The content for this poll.  `max_bytes` limits the bytes of its batches; None: no pacing."""
         if self._log.commit != self._contents_commit:
             self._contents.clear()
             self._contents_commit = self._log.commit
--- a/violetroute/distribution/unauthenticated.py
+++ b/violetroute/distribution/unauthenticated.py
@@ -23,7 +23,7 @@
 
     def __init__(self, max_body_bytes: int = MAX_UNAUTHENTICATED_BYTES) -> None:
         self.body_bytes = 0
-        self._body_bytes_most = max_body_bytes
+        self._max_body_bytes = max_body_bytes
         self._connections: dict[Connection, None] = {}  # the oldest first
         self._bodies: dict[Connection, int] = {}  # body bytes; in the order in which bodies began
 
@@ -59,7 +59,7 @@
         self.body_bytes += count
         self._bodies[connection] = self._bodies.get(connection, 0) + count
         ended = []
-        while self.body_bytes > self._body_bytes_most:
+        while self.body_bytes > self._max_body_bytes:
             first = next(iter(self._bodies))
             self.remove(first)
             ended.append(first)
