--- a/violetroute/distribution/http_client.py
+++ b/violetroute/distribution/http_client.py
@@ -30,7 +30,7 @@
 CLIENTS_PER_ADDRESS = 8  # maximum in a pool
 OK = 200
 
-OnResponse = Callable[[bytes | None, str], None]  # the answer's body, or why there is none
+OnResponse = Callable[[bytes | None, str], None]  # the body, or None and the reason
 
 
 class BusyError(Exception):
--- a/violetroute/distribution/poll_contents.py
+++ b/violetroute/distribution/poll_contents.py
@@ -105,7 +105,7 @@
         return 0 <= self._position(poll) < self._old_position_at(now)
 
     def answer(self, poll: Poll, max_bytes: int | None) -> Content:
-        """The content for this poll.  `max_bytes` limits the bytes of its batches; None: no pacing."""
+        """The content for this poll; its batches have about `max_bytes`.  None: not paced."""
         if self._log.commit != self._contents_commit:
             self._contents.clear()
             self._contents_commit = self._log.commit
