--- a/violetroute/clients/connection.py
+++ b/violetroute/clients/connection.py
@@ -172,7 +172,7 @@
         handler, answer = self._listener.handler, None
         delay = self._read_delay.delay(self._loop.time())
         if delay > LATE_AFTER and self.client_left():
-            self.ended()  # found by exploration: read in the second turn after a pause
+            self.ended()  # found by exploration: it was read in the second turn after a pause
             return
         try:
             command = resp.parse_command(args, head)
--- a/violetroute/config/operator.py
+++ b/violetroute/config/operator.py
@@ -70,7 +70,8 @@
     idle_s: Seconds = 2.0  # idle time after which clients expect a close
     reader_s: Seconds = 15.0  # timeout for a client that reads none of its answers
     reply_s: Seconds = 0.15  # timeout from the first byte of a node's reply to its last
-    idle_per_node: Annotated[int, msgspec.Meta(ge=0, le=10_000)] = 32  # idle connections kept
+    # Idle connections kept to each cache node.
+    idle_per_node: Annotated[int, msgspec.Meta(ge=0, le=10_000)] = 32
 
 
 class Operator(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
--- a/violetroute/sharing/budget.py
+++ b/violetroute/sharing/budget.py
@@ -80,7 +80,7 @@
         self._filled_at = now
         self._demand, self._demand_at = 0.0, now  # requests, decayed over DEMAND_WINDOW_S
         self._spare_reports: dict[str, tuple[int, float]] = {}
-        # Amount and time (s) of the last loan request, by the borrower's life.
+        # Amount and time (s) of the last loan request, by the borrower's `life`.
         self._recent_requests: dict[str, tuple[int, float]] = {}
         self._next_request_at, self._request_interval = now, ANSWER_TIMEOUT_S / 4.0
         self.admitted = self.rejected = 0
--- a/violetroute/sharing/loans.py
+++ b/violetroute/sharing/loans.py
@@ -77,7 +77,7 @@
 class StandingLoan(NamedTuple):
     """An active loan, for display."""
 
-    member: str  # the lender, or the borrower's life
+    member: str  # name of the lender, or name and `life` of the borrower
     amount: int
     left_s: float  # s until it expires
 
@@ -290,7 +290,7 @@
         ]
 
     def lent_loans(self, now: float) -> list[StandingLoan]:
-        """Lent loans that have not expired, by the borrower's life."""
+        """Lent loans that have not expired, by the borrower's process (`life`)."""
         standing = {
             borrower: [loan for loan in loans if now < loan.until]
             for borrower, loans in self._lent.items()
--- a/violetroute/sharing/seeds.py
+++ b/violetroute/sharing/seeds.py
@@ -17,7 +17,7 @@
             self._members[place] += 1
 
     def left(self, place: str) -> None:
-        """Uncount a member that is gone or has moved from this address."""
+        """Remove a member that is gone or has moved from the count of this address."""
         if place in self._members:
             self._members[place] -= 1
 
--- a/violetroute/sharing/service.py
+++ b/violetroute/sharing/service.py
@@ -171,7 +171,7 @@
         budgets = self._budgets_by_request.get(place)
         if budgets is None:
             if len(self._budgets_by_request) >= 10_000:
-                self._budgets_by_request.clear()  # clients invent tenant names
+                self._budgets_by_request.clear()  # a bound, since clients may invent tenants
             budgets = self._budgets_by_request[place] = [
                 self.budgets[each.name]
                 for each in self.table.budget
