--- a/tests/limebridge/ledger/test_ledger_tools.py
+++ b/tests/limebridge/ledger/test_ledger_tools.py
@@ -1,4 +1,4 @@
-"""Ledgers read from outside: reconciling, sketches, what an operator types."""
+"""`limebridge ledger`: reconciliation, sketches of ids, and the commands themselves."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 PERIODS = Periods("UTC", 5)
 
 
-def ids(count: int, salt: int = 0) -> np.ndarray:
+def random_ids(count: int, salt: int = 0) -> np.ndarray:
     return np.random.default_rng(salt).integers(0, 2**64, count, np.uint64)
 
 
@@ -34,10 +34,10 @@
     st.sets(st.integers(0, 2**64 - 1), max_size=60), st.sets(st.integers(0, 2**64 - 1), max_size=60)
 )
 @settings(max_examples=60)
-def test_a_sketch_tells_just_what_differs_or_that_it_is_too_small(
+def test_a_sketch_finds_exactly_the_differences_or_is_too_small(
     ours: set[int], theirs: set[int]
 ) -> None:
-    common = ids(500)
+    common = random_ids(500)
     sides = [
         Sketch.of(np.concatenate([common, np.array(sorted(side), np.uint64)]), 130)
         for side in (ours, theirs)
@@ -51,8 +51,8 @@
         assert found > 0
 
 
-def test_a_table_that_is_too_small_says_so_and_the_estimate_makes_the_next_one_fit() -> None:
-    one, other = ids(20_000), ids(20_000)[3000:]
+def test_a_sketch_that_is_too_small_gives_a_sufficient_size() -> None:
+    one, other = random_ids(20_000), random_ids(20_000)[3000:]
     small = Sketch.of(one, 100).against(Sketch.of(other, 100))
     assert isinstance(small, int) and small >= 3000
     found = Sketch.of(one, small).against(Sketch.of(other, small))
@@ -61,13 +61,13 @@
 
 @pytest.mark.parametrize("differ", [0, 1, 100, 5000])
 def test_the_estimate_is_within_a_factor_of_three(differ: int) -> None:
-    base = ids(30_000)
+    base = random_ids(30_000)
     found = Strata(base).differ(Strata(base[differ:]))
     assert differ / 3 <= found <= differ * 3
 
 
-def test_noise_is_no_sketch_and_a_broken_one_is_refused() -> None:
-    data = Sketch.of(ids(10), 10).dump()
+def test_malformed_sketches_are_rejected() -> None:
+    data = Sketch.of(random_ids(10), 10).dump()
     for wrong in (b"", b"noise", data[:-1], data + b"x", data[:9] + b"\xff" * 40):
         with pytest.raises(ValueError, match="sketch"):
             Sketch.load(wrong)
@@ -79,8 +79,8 @@
     assert len(read_ids(b"12345678123")) == 1
 
 
-# --- reconciling ---
-def test_short_long_and_at_the_edge_are_told_apart() -> None:
+# --- reconciliation ---
+def test_short_long_and_moved_units_are_distinguished() -> None:
     exported: Counter[Line] = Counter(
         {("p1", START, "a", "c"): 5, ("p1", START + 300, "a", "c"): 4, ("p2", START, "b", "c"): 9}
     )
@@ -101,15 +101,15 @@
     ]
 
 
-def test_a_batch_that_two_files_have_counts_once_and_one_that_differs_is_told() -> None:
-    made = Book(PERIODS, 60.0)
-    for record in made.begin_records("p1", "n", START) + made.usage_records(
+def test_a_repeated_batch_counts_once_and_a_different_copy_is_reported() -> None:
+    book = Book(PERIODS, 60.0)
+    for record in book.begin_records("p1", "n", START) + book.usage_records(
         START, {(START, "a", "c"): 3}
     ):
-        made.apply(record)
-    for record in made.batch_records(START + 500):
-        made.apply(record)
-    text = json_lines(made.batches[1]).decode()
+        book.apply(record)
+    for record in book.batch_records(START + 500):
+        book.apply(record)
+    text = json_lines(book.batches[1]).decode()
     found = Exported()
     for source in ("one", "two"):
         found.add(text, source)
@@ -119,39 +119,39 @@
     assert len(found.wrong) == 3
 
 
-# --- an operator at the keyboard ---
-def ledger(folder: Path) -> Path:
-    """A ledger with two tenants, one confirmed batch and one period that is open."""
+# --- commands ---
+def make_ledger(folder: Path) -> Path:
+    """Writes a ledger with two tenants, a confirmed batch and an open period."""
     folder = folder / "p1"
     files = Folder(folder)
     assert files.lock()
-    store, made = Store(files, "p1"), Book(Periods("UTC", 15), 60.0)
-    records = made.begin_records("p1", "n", START)
+    store, book = Store(files, "p1"), Book(Periods("UTC", 15), 60.0)
+    records = book.begin_records("p1", "n", START)
     for record in records:
-        made.apply(record)
-    store.rewrite(made.checkpoint())
+        book.apply(record)
+    store.rewrite(book.checkpoint())
     period = Periods("UTC", 15).of(START)
-    log = made.usage_records(
+    log = book.usage_records(
         START, {(period, "acme", "lookup"): 3, (period, "[b]=x\n", "lookup"): 1}
     )
     for record in log:
-        made.apply(record)
+        book.apply(record)
     for step in (
-        lambda: made.batch_records(START + 2000),
-        lambda: made.sent_records(1),
-        lambda: made.confirmed_records(1),
-        lambda: made.usage_records(START, {(period + 900, "acme", "optout"): 2}),
+        lambda: book.batch_records(START + 2000),
+        lambda: book.sent_records(1),
+        lambda: book.confirmed_records(1),
+        lambda: book.usage_records(START, {(period + 900, "acme", "optout"): 2}),
     ):
-        batch = made.batches.get(1)
+        batch = book.batches.get(1)
         closed = [(batch.period, json_lines(batch))] if batch is not None else []
         records = step()
         for record in records:
-            made.apply(record)
+            book.apply(record)
         log += records
         store.commit(
             records if records[0] != log[0] else [], {}, closed if records[0][0] == "done" else []
         )
-    store.rewrite(made.checkpoint())
+    store.rewrite(book.checkpoint())
     files.close()
     return folder
 
@@ -162,10 +162,10 @@
 
 
 def test_show_verify_and_dry_run(tmp_path: Path) -> None:
-    folder = ledger(tmp_path)
+    folder = make_ledger(tmp_path)
     code, text = run("show", str(folder), "--json")
-    told = json.loads(text)
-    assert code == 0 and (told["units"], told["confirmed"], told["to_export"]) == (6, 1, 0)
+    summary = json.loads(text)
+    assert code == 0 and (summary["units"], summary["confirmed"], summary["to_export"]) == (6, 1, 0)
     code, text = run("show", str(folder), "--html", str(tmp_path / "r.html"))
     assert code == 0 and "[b]=x?" in text
     assert "<b>6</b> units of 2 tenants" in (tmp_path / "r.html").read_text()
@@ -183,17 +183,17 @@
         assert run(*arguments)[0] == 2
 
 
-def test_reconcile_writes_corrections_that_are_signed(tmp_path: Path) -> None:
-    folder = ledger(tmp_path)
-    made = Book(Periods("UTC", 15), 60.0)
-    for record in made.begin_records("p1", "n", START) + made.usage_records(
+def test_reconcile_writes_corrections_that_can_be_signed(tmp_path: Path) -> None:
+    folder = make_ledger(tmp_path)
+    book = Book(Periods("UTC", 15), 60.0)
+    for record in book.begin_records("p1", "n", START) + book.usage_records(
         START, {(START, "acme", "lookup"): 3}
     ):
-        made.apply(record)
-    for record in made.batch_records(START + 2000):
-        made.apply(record)
+        book.apply(record)
+    for record in book.batch_records(START + 2000):
+        book.apply(record)
     (tmp_path / "out").mkdir()
-    (tmp_path / "out" / "b.jsonl").write_bytes(json_lines(made.batches[1]))
+    (tmp_path / "out" / "b.jsonl").write_bytes(json_lines(book.batches[1]))
     served = tmp_path / "served.jsonl"
     served.write_text(
         "".join(
@@ -213,8 +213,8 @@
     )
     arguments = ("reconcile", str(tmp_path / "out"), "--served", str(served))
     code, text = run(*arguments, "--write", str(tmp_path / "c"), "--json")
-    told = json.loads(text)
-    assert code == 1 and (told["short"], told["long"], told["wrong"]) == (1, 0, [])
+    result = json.loads(text)
+    assert code == 1 and (result["short"], result["long"], result["wrong"]) == (1, 0, [])
     file = tmp_path / "c" / "corrections-0.json"
     assert run("sign", str(folder), str(file), "--by", "marta")[0] == 0
     (signed,) = folder.glob("signed-*.json")
@@ -229,8 +229,8 @@
     assert "KeyError" in run(*arguments)[1]
 
 
-def test_sketches_at_the_keyboard(tmp_path: Path) -> None:
-    for name, data in (("a", ids(2000)), ("b", ids(2000)[5:])):
+def test_sketch_and_differ_commands(tmp_path: Path) -> None:
+    for name, data in (("a", random_ids(2000)), ("b", random_ids(2000)[5:])):
         (tmp_path / f"ids-{name}").write_bytes(data.astype("<u8").tobytes())
         assert (
             run(
@@ -246,7 +246,7 @@
     code, text = run("differ", str(tmp_path / "a"), str(tmp_path / "b"), "--json")
     assert code == 1 and len(json.loads(text)["ours"]) == 5
     assert run("differ", str(tmp_path / "a"), str(tmp_path / "a"))[0] == 0
-    (tmp_path / "ids-c").write_bytes(ids(2000, 1).astype("<u8").tobytes())
+    (tmp_path / "ids-c").write_bytes(random_ids(2000, 1).astype("<u8").tobytes())
     run("sketch", str(tmp_path / "ids-c"), "-o", str(tmp_path / "c"), "--differ", "20")
     assert run("differ", str(tmp_path / "a"), str(tmp_path / "c"))[0] == 3
     assert run("differ", str(tmp_path / "a"), str(tmp_path / "ids-a"))[0] == 2
