--- a/limebridge/control/command.py
+++ b/limebridge/control/command.py
@@ -39,7 +39,7 @@
 from violetroute.sharing.table import read_keys
 from violetroute.transport import parse_address
 
-from .asking import Machines, NoAnswerError, leaders_status, publish, wait_in_force
+from .control_client import Machines, NoAnswerError, leaders_status, publish, wait_in_force
 from .status_json import status_object
 
 app = typer.Typer(no_args_is_help=True, help="Control machines: purges and configuration.")
--- a/limebridge/control/asking.py
+++ b/limebridge/control/control_client.py
@@ -36,7 +36,7 @@
     timeout_s: float
 
 
-async def ask(machines: Machines, address: Address, request: AnyRequest) -> Any:
+async def send_request(machines: Machines, address: Address, request: AnyRequest) -> Any:
     """Sends a request to one machine and returns its decoded reply.
 
     Raises NoAnswerError when no reply arrives within the timeout or it cannot be decoded.
@@ -73,7 +73,7 @@
     reasons = []
     for address in machines.addresses:
         try:
-            reply: StatusReply = await ask(machines, address, request)
+            reply: StatusReply = await send_request(machines, address, request)
         except NoAnswerError as error:
             reasons.append(str(error))
             continue
@@ -98,7 +98,7 @@
     while True:
         for address in machines.addresses:
             try:
-                reply: Published = await ask(machines, address, publication)
+                reply: Published = await send_request(machines, address, publication)
             except NoAnswerError as error:
                 reason = str(error)
                 continue
@@ -117,7 +117,7 @@
     while True:
         for address in machines.addresses:
             try:
-                status: StatusReply = await ask(machines, address, StatusRequest(0))
+                status: StatusReply = await send_request(machines, address, StatusRequest(0))
             except NoAnswerError:
                 continue
             if status.leader == status.replica and status.in_force >= position:
--- a/limebridge/faults/distribution/real_publisher.py
+++ b/limebridge/faults/distribution/real_publisher.py
@@ -6,7 +6,7 @@
 import random
 from collections.abc import Callable
 
-from limebridge.control.asking import Machines, NoAnswerError, ask
+from limebridge.control.control_client import Machines, NoAnswerError, send_request
 from violetroute.distribution.messages import Publish, Published, PublishStatus, Record, Topic
 
 from .judge import Judge
@@ -50,7 +50,7 @@
         addresses = self._machines.addresses
         for address in self._rng.sample(addresses, len(addresses)):
             try:
-                reply: Published = await ask(self._machines, address, publish)
+                reply: Published = await send_request(self._machines, address, publish)
             except NoAnswerError:
                 return 0
             if reply.status == PublishStatus.COMMITTED:
--- a/limebridge/faults/distribution/rig.py
+++ b/limebridge/faults/distribution/rig.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from limebridge.child import DaemonStartError
-from limebridge.control.asking import Machines, NoAnswerError, ask
+from limebridge.control.control_client import Machines, NoAnswerError, send_request
 from limebridge.control.process import ControlMachines, UnreadyError
 from limebridge.faults.interruption import finish, run
 from limebridge.faults.violation import Violation
@@ -245,7 +245,7 @@
         """What a control machine says of itself; None where it does not answer in time."""
         address = self.asked.addresses[number]
         try:
-            reply: StatusReply = await ask(self.asked, address, StatusRequest(0))
+            reply: StatusReply = await send_request(self.asked, address, StatusRequest(0))
         except NoAnswerError:
             return None
         return reply
--- a/limebridge/fleet/command.py
+++ b/limebridge/fleet/command.py
@@ -17,11 +17,11 @@
 from violetroute.config.operator import load_operator
 from violetroute.fleet.table import FleetTable
 
-from . import looking
+from . import introspection
 from .reading import UnreadableStoreError, entries, owned
 
 app = typer.Typer(no_args_is_help=True, help="Works on behalf of the fleet; who is there.")
-for view_command in (looking.members, looking.beliefs, looking.budgets):
+for view_command in (introspection.members, introspection.beliefs, introspection.budgets):
     app.command()(view_command)
 OperatorFile = Annotated[
     Path,
--- a/limebridge/fleet/looking.py
+++ b/limebridge/fleet/introspection.py
@@ -24,7 +24,7 @@
 Json = Annotated[bool, typer.Option("--json", help="Print the proxy's JSON reply.")]
 
 
-def ask(path: str, query: str) -> dict[str, Any]:
+def query_proxy(path: str, query: str) -> dict[str, Any]:
     """Sends a query to a proxy's introspection socket and returns the decoded JSON reply.
 
     Raises OSError when no proxy replies within TIMEOUT_S, ValueError for a reply that is too large,
@@ -54,7 +54,7 @@
         typer.echo(f"limebridge: {printable(error)}", err=True)
         raise typer.Exit(2) from None
     try:
-        return ask(table.socket, query)
+        return query_proxy(table.socket, query)
     except (OSError, ValueError) as error:
         typer.echo(f"limebridge: {table.socket}: {printable(error)}", err=True)
         raise typer.Exit(1) from None
--- a/limebridge/ledger/command.py
+++ b/limebridge/ledger/command.py
@@ -165,7 +165,7 @@
     except ValueError as error:
         _stop(error)
     ours, theirs = _exported(exported), Counter[Any]()
-    wrong = list(ours.wrong)
+    wrong = list(ours.problems)
     for path in served:
         try:
             units, malformed = read_served(path.read_text().splitlines(), periods, str(path))
--- a/limebridge/ledger/kills.py
+++ b/limebridge/ledger/kills.py
@@ -30,7 +30,7 @@
 from violetroute.ledger.periods import Periods
 from violetroute.ledger.store import SIGNED_PREFIX
 
-from .reconcile import Found, Line, corrections, read_served, reconcile
+from .reconcile import Line, Reconciliation, corrections, read_served, reconcile
 
 SPEED = 240.0  # seconds of the daemons' wall clock per real second
 START = 1_700_000_100.0  # Unix s; the daemons' wall clock when the run begins
@@ -51,8 +51,8 @@
     """Results of a run."""
 
     served: Counter[Line] = field(default_factory=Counter)  # units by the nodes' records
-    before: Found | None = None  # reconciliation before the corrections
-    after: Found | None = None  # reconciliation after the corrections
+    before: Reconciliation | None = None  # reconciliation before the corrections
+    after: Reconciliation | None = None  # reconciliation after the corrections
     kills: int = 0
     posts: int = 0
     doubled: int = 0  # units billed but not served, before the corrections
@@ -143,7 +143,7 @@
     def billed(self) -> Counter[Line]:
         return Counter(self.billing.billed)
 
-    async def reconcile_when_idle(self, served: Counter[Line]) -> Found:
+    async def reconcile_when_idle(self, served: Counter[Line]) -> Reconciliation:
         """Waits until everything due has been exported, then reconciles."""
         periods, until = Periods("UTC", 5), time.monotonic() + TIMEOUT_S
         last, since = -1, time.monotonic()
@@ -156,7 +156,7 @@
             await asyncio.sleep(0.1)
         return reconcile(self.billed(), served, periods)
 
-    async def reconcile_until_equal(self, served: Counter[Line]) -> Found:
+    async def reconcile_until_equal(self, served: Counter[Line]) -> Reconciliation:
         """Reconciles until nothing differs or TIMEOUT_S has passed.
 
         Used after signing corrections.  Waiting for a time without posts is not enough, since on a
--- a/limebridge/ledger/reading.py
+++ b/limebridge/ledger/reading.py
@@ -90,7 +90,7 @@
 
 def verify(reading: Reading, folder: Path) -> list[str]:
     """Lists inconsistencies of the archive and the ids with the book, held batches and gaps."""
-    book, wrong = reading.book, list(reading.notes) + list(reading.exported.wrong)
+    book, wrong = reading.book, list(reading.notes) + list(reading.exported.problems)
     archived_units: Counter[int] = Counter()
     for (_, period, _, _), units in reading.exported.units.items():
         archived_units[period] += units
--- a/limebridge/ledger/reconcile.py
+++ b/limebridge/ledger/reconcile.py
@@ -25,8 +25,8 @@
 
     units: Counter[Line] = field(default_factory=Counter)
     batches: dict[str, str] = field(default_factory=dict)  # first line of each batch, by its key
-    twice: int = 0  # repeated batches; each batch is counted once
-    wrong: list[str] = field(default_factory=list)  # malformed or inconsistent lines
+    duplicates: int = 0  # repeated batches; each batch is counted once
+    problems: list[str] = field(default_factory=list)  # malformed or inconsistent lines
 
     def add(self, text: str, source: str) -> None:
         """Adds the JSON lines of one or more batches.  `source`: file name for messages."""
@@ -40,9 +40,9 @@
                     batch, counted = value, 0
                     key = str(value["batch"])
                     if key in self.batches:
-                        self.twice += 1
+                        self.duplicates += 1
                         if self.batches[key] != row:
-                            self.wrong.append(f"{source}: {key} differs from another file's")
+                            self.problems.append(f"{source}: {key} differs from another file's")
                         batch = {"again": True}
                     else:
                         self.batches[key] = row
@@ -58,12 +58,12 @@
                     proxy, int(str(batch["period"])), value["tenant"], str(value["class"])
                 ] += units
             except (ValueError, KeyError, TypeError) as error:
-                self.wrong.append(f"{source}:{number}: {error}")
+                self.problems.append(f"{source}:{number}: {error}")
         self._check(batch, counted, source)
 
     def _check(self, batch: Mapping[str, object] | None, counted: int, source: str) -> None:
         if batch is not None and "again" not in batch and batch.get("units") != counted:
-            self.wrong.append(
+            self.problems.append(
                 f"{source}: {batch.get('batch')} declares {batch.get('units')} units, has {counted}"
             )
 
@@ -117,7 +117,7 @@
 
 
 @dataclass
-class Found:
+class Reconciliation:
     """Result of a reconciliation."""
 
     differences: list[Difference]
@@ -134,7 +134,9 @@
         return -sum(d.units for d in self.differences if d.units < 0)
 
 
-def reconcile(exported: Mapping[Line, int], served: Mapping[Line, int], periods: Periods) -> Found:
+def reconcile(
+    exported: Mapping[Line, int], served: Mapping[Line, int], periods: Periods
+) -> Reconciliation:
     """Compares both sides; differences are sorted by proxy, period, tenant and class."""
     left: dict[tuple[str, str | None, str], dict[int, int]] = defaultdict(dict)
     for line in {**exported, **served}:
@@ -160,10 +162,10 @@
                     Difference(*line, exported.get(line, 0), exported.get(line, 0) + units)
                 )
     found.sort(key=lambda d: (d.proxy, d.period, d.tenant is None, d.tenant or "", d.cls))
-    return Found(found, moved)
+    return Reconciliation(found, moved)
 
 
-def corrections(found: Found, proxy: str, by: str) -> bytes:
+def corrections(found: Reconciliation, proxy: str, by: str) -> bytes:
     """Contents of the corrections file that an operator signs for one proxy."""
     return json.dumps(
         {
--- a/tests/limebridge/control/test_control_asking.py
+++ b/tests/limebridge/control/test_control_asking.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from limebridge.control import asking
+from limebridge.control import control_client
 from violetroute.distribution.messages import LogPoint, StatusReply, StatusRequest
 from violetroute.sharing.wire import Keys
 from violetroute.transport import Address
@@ -29,9 +29,11 @@
             pass
 
     async def cancel_request() -> None:
-        monkeypatch.setattr(asking, "HttpClient", Client)
-        machines = asking.Machines([], Keys([b"k" * 32]), 1.0)
-        task = asyncio.create_task(asking.ask(machines, Address("127.0.0.1", 1), StatusRequest()))
+        monkeypatch.setattr(control_client, "HttpClient", Client)
+        machines = control_client.Machines([], Keys([b"k" * 32]), 1.0)
+        task = asyncio.create_task(
+            control_client.send_request(machines, Address("127.0.0.1", 1), StatusRequest())
+        )
         await asyncio.sleep(0)
         task.cancel()
         callbacks[0](b"", "")  # before the cancelled task runs again
@@ -58,17 +60,17 @@
 def test_the_leaders_status_is_preferred_to_the_first_reply(
     replies: list[StatusReply | None], expected: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def ask(_: object, address: Address, request: StatusRequest) -> StatusReply:
+    async def send_request(_: object, address: Address, request: StatusRequest) -> StatusReply:
         reply = replies[address.port]
         if reply is None:
-            raise asking.NoAnswerError("unavailable")
+            raise control_client.NoAnswerError("unavailable")
         return reply
 
-    monkeypatch.setattr(asking, "ask", ask)
+    monkeypatch.setattr(control_client, "send_request", send_request)
     addresses = [Address("127.0.0.1", port) for port in range(len(replies))]
-    machines = asking.Machines(addresses, Keys([b"k" * 32]), 1.0)
+    machines = control_client.Machines(addresses, Keys([b"k" * 32]), 1.0)
     try:
-        found = asyncio.run(asking.leaders_status(machines, StatusRequest())).replica
-    except asking.NoAnswerError as error:
+        found = asyncio.run(control_client.leaders_status(machines, StatusRequest())).replica
+    except control_client.NoAnswerError as error:
         found = str(error)
     assert found == expected
--- a/tests/limebridge/control/test_control_escapes.py
+++ b/tests/limebridge/control/test_control_escapes.py
@@ -11,8 +11,8 @@
 
 from limebridge.cli import app
 from limebridge.control import command
-from limebridge.control.asking import NoAnswerError
-from limebridge.fleet import looking
+from limebridge.control.control_client import NoAnswerError
+from limebridge.fleet import introspection
 from limebridge.terminal_text import printable
 from violetroute.distribution.messages import Lagging, LogPoint, StatusReply
 
@@ -97,7 +97,7 @@
         "received": 0,
         "refused": 0,
     }
-    monkeypatch.setattr(looking, "_query", lambda *_: view)
+    monkeypatch.setattr(introspection, "_query", lambda *_: view)
     monkeypatch.setenv("COLUMNS", "400")
     output = run("fleet", "members", "--operator", str(tmp_path / "operator.toml"))
     assert is_printable(output) and output.count(f"n[red]{ESCAPED}") == 6
--- a/tests/limebridge/control/test_control_status.py
+++ b/tests/limebridge/control/test_control_status.py
@@ -12,7 +12,7 @@
 
 from limebridge.cli import app
 from limebridge.control import command
-from limebridge.control.asking import Machines
+from limebridge.control.control_client import Machines
 from limebridge.control.status_json import LaggingProxy, Refusal, Replica, StatusObject
 from tests.support.paths import ROOT
 from violetroute.distribution.messages import Lagging, LogPoint, StatusReply, StatusRequest
--- a/tests/limebridge/faults/distribution/test_distribution_hard_cases_real.py
+++ b/tests/limebridge/faults/distribution/test_distribution_hard_cases_real.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from limebridge.control import asking
+from limebridge.control import control_client
 from limebridge.faults.distribution import rig
 from limebridge.faults.distribution.judge import Rule
 from limebridge.faults.distribution.mixed_builds import Builds
@@ -118,5 +118,5 @@
 async def configure(stage: Deployment, body: bytes) -> int:
     """The position, once it is committed."""
     publish = Publish("configuration", (Record(Topic.CONFIGURATION, "log", body),))
-    reply: Published = await asking.publish(stage.machines, publish, 30.0)
+    reply: Published = await control_client.publish(stage.machines, publish, 30.0)
     return reply.position
--- a/tests/limebridge/ledger/test_ledger_tools.py
+++ b/tests/limebridge/ledger/test_ledger_tools.py
@@ -113,10 +113,12 @@
     found = Exported()
     for source in ("one", "two"):
         found.add(text, source)
-    assert found.units == {("p1", START, "a", "c"): 3} and found.twice == 1 and not found.wrong
+    assert (
+        found.units == {("p1", START, "a", "c"): 3} and found.duplicates == 1 and not found.problems
+    )
     found.add(text.replace('"units":3', '"units":4', 1), "three")
     found.add('{"tenant": "a"}\nnoise', "four")
-    assert len(found.wrong) == 3
+    assert len(found.problems) == 3
 
 
 # --- commands ---
--- a/tests/violetroute/distribution/test_distribution_daemon.py
+++ b/tests/violetroute/distribution/test_distribution_daemon.py
@@ -23,11 +23,11 @@
 
 from limebridge.child import Child
 from limebridge.cli import app
-from limebridge.control import asking
+from limebridge.control import control_client
 from limebridge.control import process as control_process
-from limebridge.control.asking import Machines, NoAnswerError
+from limebridge.control.control_client import Machines, NoAnswerError
 from limebridge.control.process import ControlMachines, UnreadyError
-from limebridge.fleet.looking import ask as query_socket
+from limebridge.fleet.introspection import query_proxy
 from limebridge.ports import free_ports
 from limebridge.standins.configuration import configuration, environment
 from limebridge.standins.discovery import Discovery
@@ -114,12 +114,12 @@
         """Publish purges of these keys.  Returns the position once it is committed."""
         records = tuple(Record(Topic.PURGE, key) for key in keys)
         publication = Publish(secrets.token_hex(8), records)
-        reply = await asking.publish(self.machines, publication, TIMEOUT_S)
+        reply = await control_client.publish(self.machines, publication, TIMEOUT_S)
         assert reply.status == PublishStatus.COMMITTED
         return reply.position
 
     async def in_force(self, position: int) -> StatusReply:
-        status = await asking.wait_in_force(self.machines, position, TIMEOUT_S)
+        status = await control_client.wait_in_force(self.machines, position, TIMEOUT_S)
         assert status is not None
         return status
 
@@ -130,7 +130,9 @@
         async def leads() -> bool:
             for number, address in enumerate(self.machines.addresses):
                 try:
-                    status = await asking.ask(self.machines, address, StatusRequest(0))
+                    status = await control_client.send_request(
+                        self.machines, address, StatusRequest(0)
+                    )
                 except NoAnswerError:
                     continue
                 if status.leader == status.replica:
@@ -142,14 +144,14 @@
         return found[0]
 
     async def status(self, number: int) -> StatusReply:
-        reply: StatusReply = await asking.ask(
+        reply: StatusReply = await control_client.send_request(
             self.machines, self.machines.addresses[number], StatusRequest()
         )
         return reply
 
     async def daemon(self, number: int) -> dict[str, Any]:
         return await asyncio.to_thread(
-            query_socket, str(self.folder / f"p{number}.sock"), "distribution"
+            query_proxy, str(self.folder / f"p{number}.sock"), "distribution"
         )
 
     async def all_fresh(self) -> bool:
@@ -319,7 +321,7 @@
 
             await until(is_stale)
             with pytest.raises(NoAnswerError):
-                await asking.publish(
+                await control_client.publish(
                     deployment.machines, Publish("x", (Record(Topic.PURGE, "lost"),)), 0.5
                 )
             for number in others:
@@ -385,7 +387,7 @@
             async def fill() -> None:
                 nonlocal position
                 while process.running:
-                    reply = await asking.publish(
+                    reply = await control_client.publish(
                         deployment.machines,
                         Publish(secrets.token_hex(8), (Record(Topic.PURGE, "k" * 900),)),
                         0.1,
@@ -664,7 +666,7 @@
             await until(refused)
             for number in range(5):
                 await deployment.publish(f"key {number}")
-            traffic = await asyncio.to_thread(query_socket, str(tmp_path / "c0.sock"), "traffic")
+            traffic = await asyncio.to_thread(query_proxy, str(tmp_path / "c0.sock"), "traffic")
             assert traffic["polls"] <= traffic["polls_max"] < traffic["connections_max"] < 200
         finally:
             for service in services:
--- a/tests/violetroute/sharing/test_sharing_daemon.py
+++ b/tests/violetroute/sharing/test_sharing_daemon.py
@@ -15,7 +15,7 @@
 
 from limebridge.child import Child
 from limebridge.cli import app
-from limebridge.fleet.looking import ask
+from limebridge.fleet.introspection import query_proxy
 from limebridge.ports import free_ports
 from limebridge.standins.configuration import configuration
 from limebridge.standins.discovery import Discovery
@@ -76,7 +76,7 @@
         await self.discovery.stop()
 
     async def inspect(self, number: int, what: str) -> dict[str, Any]:
-        return await asyncio.to_thread(ask, str(self.folder / f"{number}.sock"), what)
+        return await asyncio.to_thread(query_proxy, str(self.folder / f"{number}.sock"), what)
 
     async def until(self, what: Callable[[], Any]) -> None:
         async with asyncio.timeout(15.0):
