--- a/tests/limebridge/rehearsal/test_rehearsal.py
+++ b/tests/limebridge/rehearsal/test_rehearsal.py
@@ -497,7 +497,7 @@
 def test_a_daemon_that_never_listens_is_given_up(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(children, "READY", 1.0)
+    monkeypatch.setattr(children, "START_TIMEOUT_S", 1.0)
     with pytest.raises(DaemonStartError, match="is not ready"):
         engines.play_real(
             made(tmp_path, REAL), run=f"sh -c 'echo $$ > {tmp_path}/pid; exec sleep 60'"
