--- a/limebridge/virtual/runner.py
+++ b/limebridge/virtual/runner.py
@@ -1,4 +1,4 @@
-"""Plays a plan in the world that it asks for: with the platform's discovery, or with Consul."""
+"""Runs a plan in its simulation: with the platform's discovery only, or also with Consul."""
 
 from __future__ import annotations
 
@@ -7,6 +7,6 @@
 from .world import Outcome, World
 
 
-def play(plan: Plan) -> Outcome:
-    """Run a plan once; the same outcome each time and everywhere."""
+def run_plan(plan: Plan) -> Outcome:
+    """Run a plan once; its outcome is deterministic."""
     return (ConsulWorld if plan.consul else World)(plan).run()
--- a/violetroute/sharing/loans.py
+++ b/violetroute/sharing/loans.py
@@ -77,7 +77,7 @@
 class StandingLoan(NamedTuple):
     """An active loan, for display."""
 
-    member: str  # the lender, or the borrower's life
+    member: str  # name of the lender, or name and `life` of the borrower
     amount: int
     left_s: float  # s until it expires
 
@@ -260,8 +260,8 @@
 
         While an older loan of that lender is spent here, a return would end it at the lender.
         """
-        open_ask = self._requests.get(lender, (0, 0.0))[0]
-        return 0 if lender in self._borrowed or 0 < open_ask <= number else number
+        open_number = self._requests.get(lender, (0, 0.0))[0]
+        return 0 if lender in self._borrowed or 0 < open_number <= number else number
 
     def drop_overdue(self, now: float, wait: float) -> list[str]:
         """Drop requests unanswered for `wait` s (returns their lenders), and expired loans."""
@@ -290,7 +290,7 @@
         ]
 
     def lent_loans(self, now: float) -> list[StandingLoan]:
-        """Lent loans that have not expired, by the borrower's life."""
+        """Lent loans that have not expired, by the borrower's process (`life`)."""
         standing = {
             borrower: [loan for loan in loans if now < loan.until]
             for borrower, loans in self._lent.items()
