--- a/limebridge/control/command.py
+++ b/limebridge/control/command.py
@@ -232,7 +232,7 @@
     try:
         reply = asyncio.run(publish(machines, publication, seconds))
     except NoAnswerError as error:
-        _exit(f"the publication may or may not be in the log: {error}", UNCERTAIN)
+        _exit(f"not certain whether the publication is in the log: {error}", UNCERTAIN)
     if reply.status != PublishStatus.COMMITTED:
         code = UNCERTAIN if reply.status == PublishStatus.UNKNOWN else REFUSED
         _exit(f"not committed: {_status_name(reply.status)}", code)
