--- a/tests/limebridge/virtual/test_conformance.py
+++ b/tests/limebridge/virtual/test_conformance.py
@@ -1,7 +1,8 @@
-"""One script on real loopback sockets and on the virtual kernel: each side sees the same.
+"""The same script gives the same events on real loopback sockets and on the simulated kernel.
 
-This is what makes a simulated morning worth believing.  A script plays two ends through the
-seam and notes what each was told, without times and without how bytes were cut.
+Results of simulations depend on this.  A script drives both ends of a connection through the
+transport interface and records the events of each, without times and without how the bytes were
+split.
 """
 
 from __future__ import annotations
@@ -21,377 +22,380 @@
 from violetroute.transport.sockets import SocketNetwork
 
 LOOPBACK = "127.0.0.1"
-BIG = bytes(range(256)) * 32 * 1024  # 8 MiB: more than any buffer takes
+BIG = bytes(range(256)) * 32 * 1024  # 8 MiB: more than any socket buffer holds
 
 
-class End:
-    """Notes what it is told; runs of bytes count once."""
+class Endpoint:
+    """Records the events of one end; consecutive receptions count once."""
 
     def __init__(self) -> None:
         self._buffer = memoryview(bytearray(65536))
-        self.saw: list[str] = []
+        self.events: list[str] = []
         self.data = bytearray()
         self.stream: Stream | None = None
         self.changed = asyncio.Event()
 
-    def _tell(self, what: str) -> None:
-        if not (self.saw and self.saw[-1] == what == "received"):
-            self.saw.append(what)
+    def _record(self, what: str) -> None:
+        if not (self.events and self.events[-1] == what == "received"):
+            self.events.append(what)
         self.changed.set()
 
     def opened(self) -> None:
-        self._tell("opened")
+        self._record("opened")
 
     def buffer(self) -> memoryview:
         return self._buffer
 
     def received(self, count: int) -> None:
         self.data += self._buffer[:count]
-        self._tell("received")
+        self._record("received")
 
     def ended(self) -> None:
-        self._tell("ended")
+        self._record("ended")
 
     def drained(self) -> None:
-        self._tell("drained")
+        self._record("drained")
 
     def lost(self, error: OSError | None) -> None:
-        self._tell(
+        self._record(
             "lost"
             if error is None or error.errno is None
             else f"lost {errno.errorcode[error.errno]}"
         )
 
-    async def until(self, true: Callable[[], object]) -> None:
+    async def wait_until(self, true: Callable[[], object]) -> None:
         async with asyncio.timeout(20.0):
             while not true():
                 self.changed.clear()
                 await self.changed.wait()
 
     def has(self, what: str) -> bool:
-        return any(word.startswith(what) for word in self.saw)
+        return any(word.startswith(what) for word in self.events)
 
 
-class World:
-    """A network, and a way to make two connected ends."""
+class Endpoints:
+    """A network with a listening socket, which creates pairs of connected ends."""
 
     def __init__(self, net: SocketNetwork, name: str) -> None:
         self.net, self.name = net, name
         self.waiting = asyncio.Event()
 
     def listen(self, backlog: int = 16) -> None:
-        self.door = self.net.listen(Address(LOOPBACK, 0), backlog, self._ready)
-        self.door.watch(True)
+        self.listener = self.net.listen(Address(LOOPBACK, 0), backlog, self._ready)
+        self.listener.watch(True)
 
     def _ready(self) -> None:
         self.waiting.set()
-        self.door.watch(False)
+        self.listener.watch(False)
 
-    async def pair(self) -> tuple[End, End]:
-        near, far = End(), End()
+    async def pair(self) -> tuple[Endpoint, Endpoint]:
+        client, server = Endpoint(), Endpoint()
         self.waiting.clear()
-        self.door.watch(True)
-        near.stream = self.net.connect(self.door.address, near, 5.0)
+        self.listener.watch(True)
+        client.stream = self.net.connect(self.listener.address, client, 5.0)
         async with asyncio.timeout(20.0):
             await self.waiting.wait()
-        far.stream = self.door.accept(far)
-        await near.until(lambda: near.has("opened"))
-        return near, far
+        server.stream = self.listener.accept(server)
+        await client.wait_until(lambda: client.has("opened"))
+        return client, server
 
 
-Script = Callable[[World], Awaitable[object]]
+Script = Callable[[Endpoints], Awaitable[object]]
 
 
-def stream(end: End) -> Stream:
+def stream(end: Endpoint) -> Stream:
     assert end.stream is not None
     return end.stream
 
 
-def linger(end: End) -> None:
-    """Make its close a reset."""
+def linger(end: Endpoint) -> None:
+    """Set SO_LINGER to 0, so that a close sends a reset."""
     end.stream._socket.setsockopt(  # type: ignore[union-attr]
         socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
     )
 
 
-async def hello_and_close(world: World) -> object:
-    near, far = await world.pair()
-    assert stream(near).write(b"hello")
-    await far.until(lambda: far.data == b"hello")
-    stream(far).write(b"yes")
-    stream(far).close()
-    await near.until(lambda: near.has("ended"))
-    stream(near).abort()
-    await near.until(lambda: near.has("lost"))
-    await far.until(lambda: far.has("lost"))
-    return near.saw, far.saw, bytes(near.data), bytes(far.data)
-
-
-async def back_pressure(world: World) -> object:
-    near, far = await world.pair()
-    stream(far).pause()
-    taken = stream(near).write(BIG)
-    held = stream(near).unsent > 0
-    stream(far).resume()
-    await far.until(lambda: len(far.data) == len(BIG))
-    await near.until(lambda: near.has("drained"))
-    stream(near).abort()
-    await far.until(lambda: far.has("ended"))
-    stream(far).abort()
-    await near.until(lambda: near.has("lost"))
-    return taken, held, near.saw, far.data == BIG
-
-
-async def half_close(world: World) -> object:
-    near, far = await world.pair()
-    stream(near).write(BIG)
-    stream(near).end()
-    await far.until(lambda: far.has("ended"))
-    whole = far.data == BIG
-    stream(far).write(b"late")
-    await near.until(lambda: near.data == b"late")
-    stream(far).close()
-    await near.until(lambda: near.has("ended"))
-    stream(near).close()
-    await near.until(lambda: near.has("lost"))
-    return whole, near.saw, far.saw
-
-
-async def reset_with_unread(world: World) -> object:
-    """A close with input unread is a reset; what was sent before it still arrives."""
-    near, far = await world.pair()
-    stream(far).pause()
-    stream(near).write(b"never read")
-    stream(far).write(b"answer")
-    await near.until(lambda: near.data == b"answer")
+async def exchange_and_close(endpoints: Endpoints) -> object:
+    client, server = await endpoints.pair()
+    assert stream(client).write(b"hello")
+    await server.wait_until(lambda: server.data == b"hello")
+    stream(server).write(b"yes")
+    stream(server).close()
+    await client.wait_until(lambda: client.has("ended"))
+    stream(client).abort()
+    await client.wait_until(lambda: client.has("lost"))
+    await server.wait_until(lambda: server.has("lost"))
+    return client.events, server.events, bytes(client.data), bytes(server.data)
+
+
+async def back_pressure(endpoints: Endpoints) -> object:
+    client, server = await endpoints.pair()
+    stream(server).pause()
+    taken = stream(client).write(BIG)
+    held = stream(client).unsent > 0
+    stream(server).resume()
+    await server.wait_until(lambda: len(server.data) == len(BIG))
+    await client.wait_until(lambda: client.has("drained"))
+    stream(client).abort()
+    await server.wait_until(lambda: server.has("ended"))
+    stream(server).abort()
+    await client.wait_until(lambda: client.has("lost"))
+    return taken, held, client.events, server.data == BIG
+
+
+async def half_close(endpoints: Endpoints) -> object:
+    client, server = await endpoints.pair()
+    stream(client).write(BIG)
+    stream(client).end()
+    await server.wait_until(lambda: server.has("ended"))
+    whole = server.data == BIG
+    stream(server).write(b"late")
+    await client.wait_until(lambda: client.data == b"late")
+    stream(server).close()
+    await client.wait_until(lambda: client.has("ended"))
+    stream(client).close()
+    await client.wait_until(lambda: client.has("lost"))
+    return whole, client.events, server.events
+
+
+async def reset_with_unread(endpoints: Endpoints) -> object:
+    """A close with unread input sends a reset; data sent before it still arrives."""
+    client, server = await endpoints.pair()
+    stream(server).pause()
+    stream(client).write(b"never read")
+    stream(server).write(b"answer")
+    await client.wait_until(lambda: client.data == b"answer")
     await asyncio.sleep(0.05)
-    stream(far).abort()
-    await near.until(lambda: near.has("lost"))
-    return near.saw, stream(near).write(b"x")
+    stream(server).abort()
+    await client.wait_until(lambda: client.has("lost"))
+    return client.events, stream(client).write(b"x")
 
 
-async def reset_by_linger(world: World) -> object:
-    near, far = await world.pair()
-    linger(far)
-    stream(far).abort()
-    await near.until(lambda: near.has("lost"))
-    return near.saw
+async def reset_by_linger(endpoints: Endpoints) -> object:
+    client, server = await endpoints.pair()
+    linger(server)
+    stream(server).abort()
+    await client.wait_until(lambda: client.has("lost"))
+    return client.events
 
 
-async def data_then_reset(world: World) -> object:
-    near, far = await world.pair()
-    stream(near).pause()
-    stream(far).write(b"before the reset")
+async def data_then_reset(endpoints: Endpoints) -> object:
+    client, server = await endpoints.pair()
+    stream(client).pause()
+    stream(server).write(b"before the reset")
     await asyncio.sleep(0.05)
-    linger(far)
-    stream(far).abort()
+    linger(server)
+    stream(server).abort()
     await asyncio.sleep(0.05)
-    stream(near).resume()
-    await near.until(lambda: near.has("lost"))
-    return bytes(near.data), near.saw
+    stream(client).resume()
+    await client.wait_until(lambda: client.has("lost"))
+    return bytes(client.data), client.events
 
 
-async def reset_right_behind_data(world: World) -> object:
-    """Thrown away is what has not crossed; on a path that is open it has."""
-    near, far = await world.pair()
-    stream(far).write(b"just before")
-    stream(far).abort(discard=True)
-    await near.until(lambda: near.has("lost"))
-    return bytes(near.data), near.saw
+async def reset_right_after_data(endpoints: Endpoints) -> object:
+    """A reset discards only undelivered data; on an open path the data was delivered before."""
+    client, server = await endpoints.pair()
+    stream(server).write(b"just before")
+    stream(server).abort(discard=True)
+    await client.wait_until(lambda: client.has("lost"))
+    return bytes(client.data), client.events
 
 
-async def write_after_the_peer_closed(world: World) -> object:
-    near, far = await world.pair()
-    stream(near).pause()
-    stream(far).abort()
+async def write_after_the_peer_closed(endpoints: Endpoints) -> object:
+    client, server = await endpoints.pair()
+    stream(client).pause()
+    stream(server).abort()
     await asyncio.sleep(0.05)
-    first = stream(near).write(b"taken, though nobody is there")
+    first = stream(client).write(b"accepted, although the peer has closed")
     await asyncio.sleep(0.05)
-    second = stream(near).write(b"not taken: the reset has come")
-    await near.until(lambda: near.has("lost"))
-    return first, second, near.saw
-
-
-async def refused(world: World) -> object:
-    world.door.close()
-    near = End()
-    near.stream = world.net.connect(world.door.address, near, 5.0)
-    at_once = list(near.saw)
-    await near.until(lambda: near.saw)
-    return at_once, near.saw
-
-
-async def full_backlog(world: World) -> object:
-    """Nobody accepts: one more than the backlog stands, the next has no answer."""
-    world.door.close()
-    world.listen(1)
-    world.door.watch(False)
-    ends = [End() for _ in range(4)]
+    second = stream(client).write(b"not accepted: the reset was received")
+    await client.wait_until(lambda: client.has("lost"))
+    return first, second, client.events
+
+
+async def refused(endpoints: Endpoints) -> object:
+    endpoints.listener.close()
+    client = Endpoint()
+    client.stream = endpoints.net.connect(endpoints.listener.address, client, 5.0)
+    at_once = list(client.events)
+    await client.wait_until(lambda: client.events)
+    return at_once, client.events
+
+
+async def full_backlog(endpoints: Endpoints) -> object:
+    """Without accept, Linux opens one connection more than the backlog; others get no response."""
+    endpoints.listener.close()
+    endpoints.listen(1)
+    endpoints.listener.watch(False)
+    ends = [Endpoint() for _ in range(4)]
     for end in ends:
-        end.stream = world.net.connect(world.door.address, end, 0.3)
+        end.stream = endpoints.net.connect(endpoints.listener.address, end, 0.3)
         await asyncio.sleep(0.02)
     for end in ends:
-        await end.until(lambda end=end: end.saw)  # type: ignore[misc]
-    saw = [list(end.saw) for end in ends]
+        await end.wait_until(lambda end=end: end.events)  # type: ignore[misc]
+    events = [list(end.events) for end in ends]
     for end in ends:
         stream(end).abort()
-    return saw
+    return events
 
 
-async def closed_in_the_backlog(world: World) -> object:
-    near = End()
-    near.stream = world.net.connect(world.door.address, near, 5.0)
-    await near.until(lambda: near.has("opened"))
-    world.door.close()
-    await near.until(lambda: near.has("lost") or near.has("ended"))
-    return near.saw
+async def closed_in_the_backlog(endpoints: Endpoints) -> object:
+    client = Endpoint()
+    client.stream = endpoints.net.connect(endpoints.listener.address, client, 5.0)
+    await client.wait_until(lambda: client.has("opened"))
+    endpoints.listener.close()
+    await client.wait_until(lambda: client.has("lost") or client.has("ended"))
+    return client.events
 
 
-async def peeks(world: World) -> object:
-    near, far = await world.pair()
-    quiet = [stream(near).no_pending_input()]
-    stream(near).pause()
-    stream(far).write(b"x")
+async def peeks_for_pending_input(endpoints: Endpoints) -> object:
+    client, server = await endpoints.pair()
+    quiet = [stream(client).no_pending_input()]
+    stream(client).pause()
+    stream(server).write(b"x")
     await asyncio.sleep(0.05)
-    quiet.append(stream(near).no_pending_input())
-    stream(near).resume()
-    await near.until(lambda: near.data)
-    quiet.append(stream(near).no_pending_input())
-    stream(near).pause()
-    stream(far).close()
+    quiet.append(stream(client).no_pending_input())
+    stream(client).resume()
+    await client.wait_until(lambda: client.data)
+    quiet.append(stream(client).no_pending_input())
+    stream(client).pause()
+    stream(server).close()
     await asyncio.sleep(0.05)
-    quiet.append(stream(near).no_pending_input())
-    stream(near).abort()
+    quiet.append(stream(client).no_pending_input())
+    stream(client).abort()
     return quiet
 
 
-async def tells_what_arrived(world: World) -> object:
-    near, far = await world.pair()
-    stream(near).write(b"small")
+async def reports_delivery(endpoints: Endpoints) -> object:
+    client, server = await endpoints.pair()
+    stream(client).write(b"small")
     await asyncio.sleep(0.1)
-    seen = [stream(near).delivered()]
-    stream(far).pause()
-    stream(near).write(BIG)
+    seen = [stream(client).delivered()]
+    stream(server).pause()
+    stream(client).write(BIG)
     await asyncio.sleep(0.1)
-    seen.append(stream(near).delivered())
-    stream(far).resume()
-    await far.until(lambda: len(far.data) == len(BIG) + 5)
+    seen.append(stream(client).delivered())
+    stream(server).resume()
+    await server.wait_until(lambda: len(server.data) == len(BIG) + 5)
     await asyncio.sleep(0.1)
-    seen.append(stream(near).delivered())
-    stream(near).abort()
-    return [*seen, stream(near).delivered()]
-
-
-async def ends_what_is_not_delivered(world: World) -> object:
-    """The kernel's own clock ends it; what the peer has got by then it keeps."""
-    near, far = await world.pair()
-    stream(near).deliver_within(0.25)
-    stream(near).write(b"in time")
-    await far.until(lambda: far.data == b"in time")
-    await asyncio.sleep(0.5)  # delivered: it may stand for longer than that
-    told = list(near.saw)
-    stream(far).pause()
-    stream(near).write(BIG)
-    await near.until(lambda: near.has("lost"))
-    return told, near.saw
-
-
-async def called_off(world: World) -> object:
-    near = End()
-    stream_ = world.net.connect(world.door.address, near, 5.0)
+    seen.append(stream(client).delivered())
+    stream(client).abort()
+    return [*seen, stream(client).delivered()]
+
+
+async def undelivered_data_times_out(endpoints: Endpoints) -> object:
+    """TCP_USER_TIMEOUT ends the connection; delivered data stays with the peer."""
+    client, server = await endpoints.pair()
+    stream(client).deliver_within(0.25)
+    stream(client).write(b"in time")
+    await server.wait_until(lambda: server.data == b"in time")
+    await asyncio.sleep(0.5)  # delivered data does not start the timeout
+    events_before = list(client.events)
+    stream(server).pause()
+    stream(client).write(BIG)
+    await client.wait_until(lambda: client.has("lost"))
+    return events_before, client.events
+
+
+async def cancelled_connect(endpoints: Endpoints) -> object:
+    client = Endpoint()
+    stream_ = endpoints.net.connect(endpoints.listener.address, client, 5.0)
     stream_.abort()
-    await near.until(lambda: near.saw)
+    await client.wait_until(lambda: client.events)
     await asyncio.sleep(0.05)
-    return near.saw
+    return client.events
 
 
-async def lowest_descriptor_first(world: World) -> object:
-    near, far = await world.pair()
-    number = stream(near).descriptor
-    stream(near).abort()
-    other = End()
-    other.stream = world.net.connect(world.door.address, other, 5.0)
+async def lowest_descriptor_first(endpoints: Endpoints) -> object:
+    client, server = await endpoints.pair()
+    number = stream(client).descriptor
+    stream(client).abort()
+    other = Endpoint()
+    other.stream = endpoints.net.connect(endpoints.listener.address, other, 5.0)
     same = stream(other).descriptor == number
     stream(other).abort()
-    stream(far).abort()
+    stream(server).abort()
     return same
 
 
-async def end_while_the_peer_writes(world: World) -> object:
-    """Both half-close; both get all."""
-    near, far = await world.pair()
-    for one in (near, far):
+async def end_while_the_peer_writes(endpoints: Endpoints) -> object:
+    """Both ends send all data and half-close; both receive everything."""
+    client, server = await endpoints.pair()
+    for one in (client, server):
         stream(one).write(BIG)
         stream(one).end()
-    for one in (near, far):
-        await one.until(lambda one=one: one.has("ended"))  # type: ignore[misc]
-    whole = near.data == far.data == BIG
-    for one in (near, far):
+    for one in (client, server):
+        await one.wait_until(lambda one=one: one.has("ended"))  # type: ignore[misc]
+    whole = client.data == server.data == BIG
+    for one in (client, server):
         stream(one).close()
-        await one.until(lambda one=one: one.has("lost"))  # type: ignore[misc]
-    return whole, sorted(set(near.saw)), sorted(set(far.saw))
+        await one.wait_until(lambda one=one: one.has("lost"))  # type: ignore[misc]
+    return whole, sorted(set(client.events)), sorted(set(server.events))
 
 
-async def ended_behind_what_is_not_read(world: World) -> object:
-    """What no event tells while reading is paused, and what a quiet look does not tell apart."""
+async def peer_ended_behind_unread_input(endpoints: Endpoints) -> object:
+    """`peer_ended` detects the peer's FIN or reset while reading is paused and input is unread.
+
+    No event reports it then, and `no_pending_input` does not distinguish it from unread input.
+    """
     seen = []
     for end in ("nothing", "half-close", "close", "reset"):
-        near, far = await world.pair()
-        stream(far).pause()
-        stream(near).write(b"asked and not read")
-        while stream(far).no_pending_input():
+        client, server = await endpoints.pair()
+        stream(server).pause()
+        stream(client).write(b"asked and not read")
+        while stream(server).no_pending_input():
             await asyncio.sleep(0.001)
-        seen.append(stream(far).peer_ended())
+        seen.append(stream(server).peer_ended())
         if end == "half-close":
-            stream(near).end()
+            stream(client).end()
         elif end == "close":
-            stream(near).close()
+            stream(client).close()
         elif end == "reset":
-            linger(near)
-            stream(near).abort()
+            linger(client)
+            stream(client).abort()
         async with asyncio.timeout(20.0):
-            while end != "nothing" and not stream(far).peer_ended():
+            while end != "nothing" and not stream(server).peer_ended():
                 await asyncio.sleep(0.001)
-        seen.append(stream(far).peer_ended())
-        stream(far).abort()
-        seen.append(stream(far).peer_ended())  # ours: nobody is asked any more
+        seen.append(stream(server).peer_ended())
+        stream(server).abort()
+        seen.append(stream(server).peer_ended())  # closed at this end: no kernel query
     return seen
 
 
 SCRIPTS = (
-    ended_behind_what_is_not_read,
-    ends_what_is_not_delivered,
-    hello_and_close,
+    peer_ended_behind_unread_input,
+    undelivered_data_times_out,
+    exchange_and_close,
     back_pressure,
     half_close,
     reset_with_unread,
     reset_by_linger,
     data_then_reset,
-    reset_right_behind_data,
+    reset_right_after_data,
     write_after_the_peer_closed,
     refused,
     full_backlog,
     closed_in_the_backlog,
-    peeks,
-    tells_what_arrived,
-    called_off,
+    peeks_for_pending_input,
+    reports_delivery,
+    cancelled_connect,
     lowest_descriptor_first,
     end_while_the_peer_writes,
 )
 
 
-def in_the_world(
+def run_script(
     net: Callable[[asyncio.AbstractEventLoop], SocketNetwork],
     loop: asyncio.AbstractEventLoop,
     script: Script,
 ) -> object:
     async def run() -> object:
-        world = World(net(loop), script.__name__)
-        world.listen()
+        endpoints = Endpoints(net(loop), script.__name__)
+        endpoints.listen()
         try:
-            return await script(world)
+            return await script(endpoints)
         finally:
-            world.door.close()
+            endpoints.listener.close()
             await asyncio.sleep(0)
 
     try:
@@ -400,9 +404,9 @@
         loop.close()
 
 
-def virtual(script: Script, cut: bool = False, seed: int = 1) -> object:
+def run_simulated(script: Script, cut: bool = False, seed: int = 1) -> object:
     kernel = Kernel(seed)
-    if cut:  # paths that cut segments anywhere and let them come unevenly
+    if cut:  # paths that split segments anywhere and add jitter
         plain = kernel.link
 
         def link(port: int) -> object:
@@ -411,7 +415,7 @@
             return found
 
         kernel.link = link  # type: ignore[assignment, method-assign]
-    return in_the_world(
+    return run_script(
         lambda loop: network(kernel, "p", loop, lambda: kernel.now),
         VirtualLoop(kernel, kernel.random("order")),
         script,
@@ -419,35 +423,35 @@
 
 
 @pytest.mark.parametrize("script", SCRIPTS, ids=lambda script: script.__name__)
-def test_both_networks_show_the_same(script: Script) -> None:
-    real = in_the_world(SocketNetwork, asyncio.SelectorEventLoop(), script)
-    assert virtual(script) == real
-    assert virtual(script, cut=True, seed=2) == real
+def test_real_and_simulated_networks_give_the_same_events(script: Script) -> None:
+    real = run_script(SocketNetwork, asyncio.SelectorEventLoop(), script)
+    assert run_simulated(script) == real
+    assert run_simulated(script, cut=True, seed=2) == real
 
 
-def test_no_descriptor_is_told_alike() -> None:
-    async def script(world: World) -> object:
-        near = End()
-        world.net.connect(world.door.address, near, 5.0)
-        at_once = list(near.saw)
-        await near.until(lambda: near.saw)
-        return at_once, near.saw
+def test_missing_descriptor_is_reported_alike() -> None:
+    async def script(endpoints: Endpoints) -> object:
+        client = Endpoint()
+        endpoints.net.connect(endpoints.listener.address, client, 5.0)
+        at_once = list(client.events)
+        await client.wait_until(lambda: client.events)
+        return at_once, client.events
 
     kernel = Kernel()
-    kernel.limit("p", 1)  # the door's
-    seen = in_the_world(
+    kernel.limit("p", 1)  # used by the listening socket
+    seen = run_script(
         lambda loop: SocketNetwork(loop, make=kernel.maker("p")), VirtualLoop(kernel), script
     )
     loop = asyncio.SelectorEventLoop()
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
 
-    async def limited(world: World) -> object:
+    async def limited(endpoints: Endpoints) -> object:
         with socket.socket() as probe:
             free = probe.fileno()
         resource.setrlimit(resource.RLIMIT_NOFILE, (free, hard))
         try:
-            return await script(world)
+            return await script(endpoints)
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
-    assert seen == in_the_world(SocketNetwork, loop, limited) == ([], ["lost EMFILE"])
+    assert seen == run_script(SocketNetwork, loop, limited) == ([], ["lost EMFILE"])
--- a/tests/limebridge/virtual/test_explore.py
+++ b/tests/limebridge/virtual/test_explore.py
@@ -1,4 +1,4 @@
-"""Kept plans are clean on this build; planted bugs are found; a plan is the same everywhere."""
+"""Stored plans find their injected bugs and nothing on this build; runs are deterministic."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from limebridge.virtual.world import Outcome
 from tests.support.paths import ROOT, TESTS
 
-NOT_FOUND = {"keyed_late", "undelivered_ignored"}  # by what was tried; docs/ROADMAP.md
+NOT_FOUND = {"keyed_late", "undelivered_ignored"}  # no plan finds these so far; see docs/ROADMAP.md
 PLANS = sorted((TESTS / "plans").glob("*.json"))
 
 
@@ -49,36 +49,36 @@
 
 
 @pytest.mark.parametrize("path", PLANS, ids=lambda path: path.stem)
-def test_a_plan_that_found_a_bug_finds_it_again_and_nothing_on_this_build(path: Path) -> None:
+def test_stored_plan_finds_its_injected_bug_and_nothing_on_this_build(path: Path) -> None:
     patch = TESTS / "planted" / f"{path.stem}.py"
-    code, told = replay(str(path), "--patch", str(patch))
-    assert code == 1 and told["broken"]
+    code, report = replay(str(path), "--patch", str(patch))
+    assert code == 1 and report["broken"]
     assert len(read(path).faults) <= 4
     assert run_plan(read(path)).broken == []
 
 
-def test_every_planted_bug_that_was_found_has_its_plan() -> None:
+def test_every_injected_bug_that_was_found_has_a_plan() -> None:
     planted = {path.stem for path in (TESTS / "planted").glob("*.py")}
     assert {path.stem for path in PLANS} == planted - NOT_FOUND
 
 
-def test_a_seed_is_the_same_in_any_process() -> None:
+def test_seed_gives_the_same_digest_in_any_process() -> None:
     here = run_plan(generate(3))
     for hashes in ("0", "1", "random"):
-        code, told = replay("3", hashes=hashes)
-        assert (code, told["digest"]) == (0, here.digest)
+        code, report = replay("3", hashes=hashes)
+        assert (code, report["digest"]) == (0, here.digest)
     assert run_plan(generate(4)).digest != here.digest
 
 
 @pytest.mark.long
-def test_exploring_covers_seeds_whichever_process_plays_them() -> None:
+def test_exploration_result_does_not_depend_on_the_number_of_workers() -> None:
     *_, two = explore(0, 8, jobs=2)
     *_, three = explore(0, 8, jobs=3)
     assert two.digest == three.digest and two.seeds == 8
     assert two.requests >= 8 * 300 and not two.broken and two.met
 
 
-def test_a_plan_survives_its_file_and_a_bad_one_is_refused(tmp_path: Path) -> None:
+def test_plan_round_trips_through_its_file_and_a_bad_one_is_rejected(tmp_path: Path) -> None:
     path = tmp_path / "plan.json"
     path.write_text(dump(generate(9)))
     assert read(path) == generate(9)
@@ -88,9 +88,9 @@
     assert CliRunner().invoke(app, ["explore", "--seeds", "0"]).exit_code == 2
 
 
-def test_shrinking_keeps_what_matters() -> None:
+def test_shrinking_keeps_the_fault_that_causes_the_violation() -> None:
     faults = tuple(Fault(at, "node_slow", lasts=1.0) for at in range(1, 6))
-    guilty = Fault(4.5, "path_cut", lasts=0.05)
+    cause = Fault(4.5, "path_cut", lasts=0.05)
     runs = 0
 
     def run(plan: Plan) -> Outcome:
@@ -101,11 +101,11 @@
             outcome.broken.append(Violation(2, 0.0, "planted"))
         return outcome
 
-    smaller = shrink(msgspec.structs.replace(generate(1), faults=(*faults, guilty)), 2, run=run)
-    assert smaller.faults == (guilty,) and smaller.seconds < 8.0 and runs <= 120
+    smaller = shrink(msgspec.structs.replace(generate(1), faults=(*faults, cause)), 2, run=run)
+    assert smaller.faults == (cause,) and smaller.seconds < 8.0 and runs <= 120
 
 
-def test_the_story_and_the_picture_hold_the_faults() -> None:
+def test_text_and_html_reports_contain_the_faults() -> None:
     outcome = run_plan(generate(5))
     for text in (render_text(outcome), render_html(outcome)):
         assert all(fault.kind in text for fault in outcome.plan.faults)
@@ -113,12 +113,12 @@
 
 
 @pytest.mark.long
-def test_the_line_that_is_printed_plays_what_was_found(tmp_path: Path) -> None:
+def test_printed_replay_command_reproduces_the_violation(tmp_path: Path) -> None:
     here = run_plan(generate_consul(11))
-    code, told = replay("11", "--consul")
-    assert (code, told["digest"]) == (0, here.digest)
+    code, report = replay("11", "--consul")
+    assert (code, report["digest"]) == (0, here.digest)
     patch = str(TESTS / "planted" / "other_source_drain.py")
-    found = subprocess.run(  # in a process of its own: a patch is for good
+    found = subprocess.run(  # in a separate process, since a patch is never removed
         [
             sys.executable,
             "-m",
@@ -143,7 +143,7 @@
     assert replay(*line.split()[2:])[0] == 1
 
 
-def test_seeds_are_played_once_and_what_was_met_is_kept_by_build(tmp_path: Path) -> None:
+def test_seeds_are_used_once_and_coverage_is_stored_by_build(tmp_path: Path) -> None:
     path = tmp_path / "state" / "explored.json"
     one, other = History(path), History(path)
     other.build = "another"
@@ -162,7 +162,7 @@
         one.reserve_seeds("plain", 1)
 
 
-def test_next_goes_on_and_refuses_a_file_that_is_none_of_its_own(
+def test_next_continues_after_earlier_runs_and_rejects_a_foreign_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("XDG_STATE_HOME", str(tmp_path))
@@ -173,7 +173,7 @@
     assert CliRunner().invoke(app, run).exit_code == 2
 
 
-def test_plans_lean_towards_pairs_that_were_met_least() -> None:
+def test_plans_are_extended_for_the_rarest_pairs() -> None:
     met = {
         f"{kind}/list: {state}, by platform": 9
         for kind in [*WEIGHTS, *PROCESS_WEIGHTS]
@@ -182,20 +182,20 @@
     }
     assert rarest_pairs(met, consul=False)[0] == ("path_cut", "a drain just told")
     pairs = rarest_pairs(met, consul=False, most=1)
-    leant = add_rare_pairs(generate(5), pairs)
-    assert leant == add_rare_pairs(generate(5), pairs) and set(generate(5).faults) < set(
-        leant.faults
+    extended = add_rare_pairs(generate(5), pairs)
+    assert extended == add_rare_pairs(generate(5), pairs) and set(generate(5).faults) < set(
+        extended.faults
     )
-    drains = [fault.at for fault in leant.faults if fault.kind == "node_drains"]
-    cuts = set(leant.faults) - set(generate(5).faults)
+    drains = [fault.at for fault in extended.faults if fault.kind == "node_drains"]
+    cuts = set(extended.faults) - set(generate(5).faults)
     assert any(
         fault.kind == "path_cut" and any(0 <= fault.at - at <= 0.5 for at in drains)
         for fault in cuts
     )
-    assert run_plan(leant).met["path_cut/list: a drain just told, by platform"]
+    assert run_plan(extended).met["path_cut/list: a drain just told, by platform"]
 
 
-def test_a_reload_held_up_by_a_pause_takes_the_file_as_it_is_then() -> None:
-    """Seed 8201801: two SIGHUPs in one pause, and the earlier one's old file came last."""
+def test_reload_delayed_by_a_pause_reads_the_latest_configuration() -> None:
+    """Seed 8201801: two SIGHUPs in one pause; the older configuration was applied last."""
     outcome = run_plan(generate(8_201_801))
     assert not outcome.broken and any(f.kind == "reload" for f in outcome.plan.faults)
--- a/tests/limebridge/virtual/test_virtual.py
+++ b/tests/limebridge/virtual/test_virtual.py
@@ -1,4 +1,4 @@
-"""The virtual world: its clock, its bounds, and that the daemon's own code runs in it."""
+"""The simulation: its clock and limits, and the daemon's code running in it."""
 
 from __future__ import annotations
 
@@ -22,77 +22,77 @@
 from violetroute.transport.sockets import SocketNetwork
 
 
-def test_hours_pass_at_once() -> None:
+def test_sleeps_of_hours_advance_the_clock_at_once() -> None:
     kernel = Kernel()
     loop = VirtualLoop(kernel)
 
-    async def part() -> float:
+    async def work() -> float:
         async with asyncio.TaskGroup() as group:
             group.create_task(asyncio.sleep(7200))
             group.create_task(asyncio.sleep(3600))
         return loop.time()
 
-    assert loop.run_until_complete(part()) == pytest.approx(8200.0)
+    assert loop.run_until_complete(work()) == pytest.approx(8200.0)
     loop.close()
 
 
-def test_a_loop_without_end_at_one_instant_is_reported() -> None:
+def test_endless_loop_at_one_instant_raises_livelock() -> None:
     loop = VirtualLoop(Kernel())
 
-    async def part() -> None:
+    async def work() -> None:
         while True:
             await asyncio.sleep(0)
 
     with pytest.raises(Livelock):
-        loop.run_until_complete(part())
+        loop.run_until_complete(work())
 
 
-def test_waiting_for_nothing_is_reported() -> None:
+def test_waiting_without_a_pending_event_raises_deadlock() -> None:
     loop = VirtualLoop(Kernel())
     with pytest.raises(Deadlock):
         loop.run_until_complete(asyncio.Event().wait())
 
 
-def test_threads_are_refused() -> None:
+def test_threads_raise_an_error() -> None:
     loop = VirtualLoop(Kernel())
     with pytest.raises(RuntimeError, match="threads"):
         loop.run_until_complete(asyncio.to_thread(print))
     loop.close()
 
 
-def test_a_watch_that_falls_silent_says_so_and_one_that_ends_does_not() -> None:
+def test_watch_reports_a_timeout_but_not_for_a_closed_connection() -> None:
     kernel = Kernel()
     loop = VirtualLoop(kernel)
-    told: list[bool] = []
+    failures: list[bool] = []
 
-    class Ear:
+    class Observer:
         def list_changed(self, listing: Listing) -> None:
             pass
 
         def list_failed(self, silent: bool = False) -> None:
-            told.append(silent)
+            failures.append(silent)
 
-    async def part() -> None:
+    async def work() -> None:
         discovery = await Discovery().start()
         net = SocketNetwork(loop, make=kernel.maker("p"))
-        watch = DiscoveryWatch(Ear(), Address("127.0.0.1", discovery.port), net)
+        watch = DiscoveryWatch(Observer(), Address("127.0.0.1", discovery.port), net)
         watch.start(0)
         await asyncio.sleep(1.0)
         for writer in list(discovery.open):
             writer.transport.abort()
         await asyncio.sleep(1.0)
-        assert told == [False]
+        assert failures == [False]
         watch.start(0)
         await asyncio.sleep(1.0)
         kernel.block(discovery.port)
         began = loop.time()
-        while len(told) < 2:
+        while len(failures) < 2:
             await asyncio.sleep(0.01)
-        assert told == [False, True] and loop.time() - began <= 3.1
+        assert failures == [False, True] and loop.time() - began <= 3.1
         watch.stop()
         await discovery.stop()
 
-    loop.run_until_complete(part())
+    loop.run_until_complete(work())
     loop.close()
 
 
@@ -100,7 +100,7 @@
     kernel = Kernel()
     loop = VirtualLoop(kernel)
 
-    async def part() -> list[bytes]:
+    async def work() -> list[bytes]:
         discovery = await Discovery().start()
         nodes = [await CacheNode().start() for _ in range(3)]
         raw = configuration(discovery.port, [n.entry(f"n{i}") for i, n in enumerate(nodes)])
@@ -128,10 +128,10 @@
         await discovery.stop()
         return answers
 
-    assert loop.run_until_complete(part()) == [b"value of id%d" % n for n in range(20)]
+    assert loop.run_until_complete(work()) == [b"value of id%d" % n for n in range(20)]
     loop.close()
 
 
-def test_the_kit_and_the_daemon_agree_which_pause_a_process_sees() -> None:
-    """The virtual process has the judge's constant, so that it plays older builds as well."""
+def test_rule_checker_and_daemon_use_the_same_minimum_pause() -> None:
+    """The simulated process uses the rule checker's constant, as older builds lack the daemon's."""
     assert MIN_DETECTABLE_PAUSE_S == MIN_PAUSE
