--- a/limebridge/virtual/client.py
+++ b/limebridge/virtual/client.py
@@ -56,7 +56,7 @@
         self._opening = asyncio.Lock()
         self._leaving = False
 
-    async def ask(self, id_: str, words: bytes, cls: str) -> None:
+    async def send_request(self, id_: str, request: bytes, class_name: str) -> None:
         """Send one request, on a new connection if there is none."""
         world = self._world
         async with self._opening:
@@ -68,10 +68,10 @@
                     return  # the proxy is unavailable: nothing was sent
                 world.start(self._read(reader, self._writer))
             writer = self._writer
-        writer.write(words)
-        now, wait = world.kernel.now, WAITS[cls]
-        world.checker.request_sent(now, id_, cls, wait)
-        world.note(f"asked {id_} {cls} by {self.number}")
+        writer.write(request)
+        now, wait = world.kernel.now, WAITS[class_name]
+        world.checker.request_sent(now, id_, class_name, wait)
+        world.note(f"asked {id_} {class_name} by {self.number}")
         self.open[id_] = world.loop.call_at(now + wait, self._expire, id_)
 
     async def _read(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/limebridge/virtual/consul.py
+++ b/limebridge/virtual/consul.py
@@ -152,9 +152,9 @@
         self._last_answer = None
 
     # --- faults of Consul ---
-    async def _with_agent_fault(self, fault: Fault, **trouble: Any) -> None:
+    async def _with_agent_fault(self, fault: Fault, **attributes: Any) -> None:
         """Apply the fault to both agents, as a fault of the Consul servers would."""
-        self._active_faults[fault] = trouble
+        self._active_faults[fault] = attributes
         self._apply_agent_faults()
         await asyncio.sleep(fault.lasts)
         del self._active_faults[fault]
@@ -167,8 +167,8 @@
         """Set the agents to the active faults; later faults override earlier ones."""
         for agent in self.agents:
             vars(agent).update(copy.deepcopy(HEALTHY))
-            for trouble in self._active_faults.values():
-                vars(agent).update(copy.deepcopy(trouble))
+            for attributes in self._active_faults.values():
+                vars(agent).update(copy.deepcopy(attributes))
 
     async def _consul_stops(self, fault: Fault, node: FleetNode) -> None:
         agent = self.agents[fault.node % 2]
--- a/limebridge/virtual/costs.py
+++ b/limebridge/virtual/costs.py
@@ -80,15 +80,15 @@
         self.spent += seconds
         self.used += seconds
 
-    def connects(self) -> None:
+    def charge_connect(self) -> None:
         """A connection was made or accepted."""
         self.charge(self.costs.connect)
 
-    def reads(self, count: int) -> None:
+    def charge_read(self, count: int) -> None:
         """One call read `count` bytes from a socket."""
         self.charge(self.costs.read + count * self.costs.byte)
 
-    def writes(self, count: int) -> None:
+    def charge_write(self, count: int) -> None:
         """One call wrote `count` bytes to a socket."""
         self.charge(self.costs.write + count * self.costs.byte)
 
--- a/limebridge/virtual/datagrams.py
+++ b/limebridge/virtual/datagrams.py
@@ -68,7 +68,7 @@
         if not self._closed:
             self._closed = True
             self._kernel.bound.pop(self._name[1], None)
-            self._kernel.give_back(self)
+            self._kernel.release_descriptor(self)
 
     def abort(self) -> None:
         """Close the socket of a killed process."""
--- a/limebridge/virtual/kernel.py
+++ b/limebridge/virtual/kernel.py
@@ -33,13 +33,13 @@
     def socket(self, owner: str = "") -> VirtualSocket:
         """Create a TCP socket.  Raises OSError EMFILE if the owner has no descriptor left."""
         sock = VirtualSocket(self, owner)
-        self.take(owner, sock)
+        self.assign_descriptor(owner, sock)
         return sock
 
     def datagrams(self, owner: str = "") -> VirtualDatagrams:
         """Create a UDP socket.  Raises OSError EMFILE if the owner has no descriptor left."""
         sock = VirtualDatagrams(self, owner)
-        self.take(owner, sock)
+        self.assign_descriptor(owner, sock)
         return sock
 
     def maker(self, owner: str) -> Callable[[int, int], Any]:
--- a/limebridge/virtual/ledger.py
+++ b/limebridge/virtual/ledger.py
@@ -30,7 +30,7 @@
 
 NAME = "p1"
 WRITE = 0.004  # s per write
-TROUBLES = (
+ENDPOINT_FAULTS = (
     "lost before",
     "lost after",
     "500 after",
@@ -103,7 +103,7 @@
         self._loop, self._fails, self._slow = loop, fails, slow
         self.dead = False
 
-    def submit(self, job: Job[Any], told: JobCallback[Any]) -> None:
+    def submit(self, job: Job[Any], callback: JobCallback[Any]) -> None:
         if self.dead:
             return
         result: Any = None
@@ -115,11 +115,13 @@
             return
         except Exception as error:
             failure = error
-        self._loop.call_later(self._slow(), self._tell, told, result, failure)
+        self._loop.call_later(self._slow(), self._report, callback, result, failure)
 
-    def _tell(self, told: JobCallback[Any], result: Any, failure: BaseException | None) -> None:
+    def _report(
+        self, callback: JobCallback[Any], result: Any, failure: BaseException | None
+    ) -> None:
         if not self.dead:
-            told(result, failure)
+            callback(result, failure)
 
     def close(self, wait_s: float) -> None:
         self.dead = True
@@ -195,14 +197,14 @@
         trial, rng = self.trial, self.rng
         await self.billing.start()
         if trial.troubles:
-            self.billing.fault = lambda: rng.choice(TROUBLES) if rng.random() < 0.4 else ""
+            self.billing.fault = lambda: rng.choice(ENDPOINT_FAULTS) if rng.random() < 0.4 else ""
         self.start()
         end = self.kernel.now + trial.minutes * 60.0
         events: list[tuple[float, Callable[[], None]]] = []
         for _ in range(trial.kills):
             events.append((rng.uniform(1.0, trial.minutes * 60.0), self.kill))
         for _ in range(trial.cuts):
-            events.append((rng.uniform(1.0, trial.minutes * 60.0), self.cut_soon))
+            events.append((rng.uniform(1.0, trial.minutes * 60.0), self.fail_power_soon))
         if trial.steps:
             for _ in range(3):
                 events.append((rng.uniform(1.0, trial.minutes * 60.0), self.step))
@@ -212,8 +214,8 @@
         if trial.restored:
             at = rng.uniform(0.4, 0.6) * trial.minutes * 60.0
             events += [(at, self.copy), (at + rng.uniform(30.0, 400.0), self.restore)]
-        for at, what in events:
-            self.loop.call_at(self.kernel.now + at, what)
+        for at, action in events:
+            self.loop.call_at(self.kernel.now + at, action)
         while self.kernel.now < end:
             await asyncio.sleep(rng.expovariate(trial.rate))
             self.serve()
@@ -267,7 +269,7 @@
             Store(self.disk, NAME).open(kept)
             self.out.at_risk += _units(ledger._book) - _units(kept)
 
-    def cut_soon(self) -> None:
+    def fail_power_soon(self) -> None:
         self.disk.fail_at_write = self.disk.writes + self.rng.randint(1, 6)
 
     def step(self) -> None:
--- a/limebridge/virtual/loop.py
+++ b/limebridge/virtual/loop.py
@@ -43,7 +43,7 @@
         if number in self._keys:
             raise KeyError(f"{number} is registered")
         key = self._keys[number] = selectors.SelectorKey(fileobj, number, events, data)
-        self._kernel.hot[number] = None
+        self._kernel.to_check[number] = None
         return key
 
     def unregister(self, fileobj: Any) -> selectors.SelectorKey:
@@ -53,7 +53,7 @@
     def modify(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
         number = fileobj if isinstance(fileobj, int) else fileobj.fileno()
         key = self._keys[number] = selectors.SelectorKey(fileobj, number, events, data)
-        self._kernel.hot[number] = None
+        self._kernel.to_check[number] = None
         return key
 
     def get_key(self, fileobj: Any) -> selectors.SelectorKey:
@@ -99,8 +99,8 @@
 
     def _ready(self) -> list[tuple[selectors.SelectorKey, int]]:
         found = []
-        hot, sockets = self._kernel.hot, self._kernel.sockets
-        for number in list(hot):
+        to_check, sockets = self._kernel.to_check, self._kernel.sockets
+        for number in list(to_check):
             key, sock = self._keys.get(number), sockets.get(number)
             if sock is not None and sock.owner in self._kernel.paused:
                 continue  # checked again when its process resumes
@@ -108,7 +108,7 @@
             if mask and key is not None:
                 found.append((key, mask))
             else:
-                del hot[number]
+                del to_check[number]
         return found
 
 
--- a/limebridge/virtual/meter.py
+++ b/limebridge/virtual/meter.py
@@ -10,13 +10,13 @@
 
     spent: float  # s of CPU in this iteration, by which sent data is delayed
 
-    def connects(self) -> None:
+    def charge_connect(self) -> None:
         """A connection was made or accepted."""
 
-    def reads(self, count: int) -> None:
+    def charge_read(self, count: int) -> None:
         """One call read `count` bytes."""
 
-    def writes(self, count: int) -> None:
+    def charge_write(self, count: int) -> None:
         """One call wrote `count` bytes."""
 
 
@@ -25,13 +25,13 @@
 
     spent = 0.0
 
-    def connects(self) -> None:
+    def charge_connect(self) -> None:
         pass
 
-    def reads(self, count: int) -> None:
+    def charge_read(self, count: int) -> None:
         pass
 
-    def writes(self, count: int) -> None:
+    def charge_write(self, count: int) -> None:
         pass
 
 
--- a/limebridge/virtual/network.py
+++ b/limebridge/virtual/network.py
@@ -44,10 +44,10 @@
         self._randoms: dict[str, random.Random] = {}
         self._limits: dict[str, int] = {}
         self._held: dict[str, int] = {}  # descriptors by owner
-        self._given_back: list[int] = []  # heap of free descriptors
+        self._free_descriptors: list[int] = []  # heap of free descriptors
         self._highest = 2
         self._next_port = FIRST_PORT
-        self.hot: dict[
+        self.to_check: dict[
             int, None
         ] = {}  # descriptors to check for readiness, in order of their changes
         self.packets = 0
@@ -106,24 +106,24 @@
         """Number of descriptors that this process holds."""
         return self._held.get(owner, 0)
 
-    def take(self, owner: str, sock: Any) -> None:
+    def assign_descriptor(self, owner: str, sock: Any) -> None:
         """Assign the lowest free descriptor.  Raises OSError EMFILE at the owner's limit."""
         if owner in self._limits and self.held(owner) >= self._limits[owner]:
             raise error(errno.EMFILE)
-        if self._given_back:
-            sock.number = heappop(self._given_back)
+        if self._free_descriptors:
+            sock.number = heappop(self._free_descriptors)
         else:
             self._highest += 1
             sock.number = self._highest
         self.sockets[sock.number] = sock
         self._held[owner] = self._held.get(owner, 0) + 1
 
-    def give_back(self, sock: Any) -> None:
+    def release_descriptor(self, sock: Any) -> None:
         """Release the socket's descriptor for reuse."""
         if sock.number in self.sockets and self.sockets[sock.number] is sock:
             del self.sockets[sock.number]
             self._held[sock.owner] -= 1
-            heappush(self._given_back, sock.number)
+            heappush(self._free_descriptors, sock.number)
 
     def port(self) -> int:
         self._next_port += 1
@@ -149,7 +149,7 @@
     def touch(self, sock: Any) -> None:
         """Check the socket's readiness in the next poll, since its state has changed."""
         if sock.number >= 0:
-            self.hot[sock.number] = None
+            self.to_check[sock.number] = None
 
     def touch_all(self, owner: str) -> None:
         """Check all sockets of this process in the next poll."""
--- a/limebridge/virtual/plan.py
+++ b/limebridge/virtual/plan.py
@@ -199,7 +199,7 @@
 
 def _process_faults(seed: int, seconds: float, others: list[Fault]) -> list[Fault]:
     """Restarts, kills and pauses of the proxy, most of them near another fault."""
-    rng, found = random.Random(f"process/{seed}"), []
+    rng, faults = random.Random(f"process/{seed}"), []
     kinds, weights = list(PROCESS_WEIGHTS), list(PROCESS_WEIGHTS.values())
     for _ in range(rng.choice(PROCESS_FAULT_COUNTS)):
         at = (
@@ -208,7 +208,7 @@
             else rng.uniform(0.5, seconds - 4.0)
         )
         lasts = rng.choice((0.02, 0.15, 0.4, 1.0)) * rng.uniform(0.7, 1.3)
-        found.append(
+        faults.append(
             Fault(
                 round(at, 4),
                 rng.choices(kinds, weights)[0],
@@ -217,7 +217,7 @@
                 rng.choice((0.2, 0.8)),
             )
         )
-    return found
+    return faults
 
 
 def dump(plan: Plan) -> str:
--- a/limebridge/virtual/sockets.py
+++ b/limebridge/virtual/sockets.py
@@ -102,7 +102,7 @@
     def connect_ex(self, address: tuple[str, int]) -> int:
         kernel = self._kernel
         self._name, self._peer_name = ("127.0.0.1", kernel.port()), address
-        self._meter.connects()
+        self._meter.charge_connect()
         self._link, self._is_client = kernel.link(address[1]), True
         self._extra_s = kernel.extra_delay(self.owner, address[1])
         self._state = "connecting"
@@ -153,9 +153,10 @@
             raise error(errno.EINVAL)
         if not self._queue:
             raise error(errno.EAGAIN)
-        self._kernel.take(self.owner, self._queue[0])  # on EMFILE the connection stays queued
+        # May raise EMFILE: the connection stays queued.
+        self._kernel.assign_descriptor(self.owner, self._queue[0])
         sock = self._queue.popleft()
-        self._meter.connects()
+        self._meter.charge_connect()
         self._kernel.touch(sock)
         assert sock._peer_name is not None
         return sock, sock._peer_name
@@ -172,7 +173,7 @@
         self._check_receivable()
         view = memoryview(buffer)
         count = min(len(view), len(self._received))
-        self._meter.reads(count)
+        self._meter.charge_read(count)
         view[:count] = self._received[:count]
         if count:
             self._consume(count)
@@ -227,7 +228,7 @@
         if not taken and any(len(part) for part in parts):
             raise error(errno.EAGAIN)
         self._sent += taken
-        self._meter.writes(taken)
+        self._meter.charge_write(taken)
         self._transmit()
         if self._timeout and self._link is not None and (self._sending or self._blocked):
             sent, late = self._sent, ZERO_WINDOW_DELAY if self._sending else 0.0
@@ -344,8 +345,8 @@
             return
         self._closed = True
         kernel = self._kernel
-        kernel.give_back(self)
-        kernel.hot.pop(self.number, None)
+        kernel.release_descriptor(self)
+        kernel.to_check.pop(self.number, None)
         self.number = -1
         if self._queue is not None:
             kernel.listening.pop(self._name[1], None)
--- a/limebridge/virtual/world.py
+++ b/limebridge/virtual/world.py
@@ -34,7 +34,7 @@
 
 CAPS = SETTINGS["caps"] | {"connectTimeoutMs": 120.0, "secondCopies": True}
 # s for which nodes remember an idempotency key; shorter than the deadline of a request.
-WINDOW = 0.8
+IDEMPOTENCY_WINDOW = 0.8
 MAX_DESCRIPTORS = 96  # of the proxy process
 SETTLE_TIME = 3.0  # s from the last request to the end; all requests must have ended by then
 # s without a watch of a reachable discovery service before a fault is reported.
@@ -192,14 +192,14 @@
                     listed,
                     b"v" * random.choice((10, 10, 3000, 60_000)),
                 )
-            self.start(client.ask(id_, words, cls))
+            self.start(client.send_request(id_, words, cls))
         await asyncio.sleep(SETTLE_TIME)
         await self._finish()
 
     async def _build(self) -> None:
         plan, loop = self.plan, self.loop
         self.database = CustomerDatabase(latency=0.03, seed=plan.seed)
-        effects = IdempotencyKeys(WINDOW)
+        effects = IdempotencyKeys(IDEMPOTENCY_WINDOW)
         self.discovery = await Discovery().start()
         self.source_observer.follow(self.discovery.port)
         self.nodes = []
