--- a/tests/violetroute/distribution/test_distribution_daemon.py
+++ b/tests/violetroute/distribution/test_distribution_daemon.py
@@ -434,8 +434,12 @@
                 (2, "--key-file", ["status", *address, "--key-file", str(tmp_path / "none")]),
                 (2, "--machine", ["status", "--machine", "here", *key]),
                 (2, "at most", ["purge", "x" * 1025, *address, *key]),
-                (2, "wanted", ["init", str(tmp_path / "new"), "--name", "c9"]),
-                (3, "not certain", ["purge", "x", *dead, *key, "--seconds", "0.1"]),
+                (2, "give either --log ID", ["init", str(tmp_path / "new"), "--name", "c9"]),
+                (
+                    3,
+                    "may or may not be in the log",
+                    ["purge", "x", *dead, *key, "--seconds", "0.1"],
+                ),
             ):
                 refused = await limebridge(*arguments)
                 assert refused.exit_code == code and words in refused.output, refused.output
