--- a/tests/violetroute/distribution/test_distribution_daemon.py
+++ b/tests/violetroute/distribution/test_distribution_daemon.py
@@ -23,11 +23,11 @@
 
 from limebridge.child import Child
 from limebridge.cli import app
-from limebridge.control import asking
+from limebridge.control import control_client
 from limebridge.control import process as control_process
-from limebridge.control.asking import Machines, NoAnswerError
+from limebridge.control.control_client import Machines, NoAnswerError
 from limebridge.control.process import ControlMachines, UnreadyError
-from limebridge.fleet.looking import ask as query_socket
+from limebridge.fleet.introspection import query_proxy
 from limebridge.ports import free_ports
 from limebridge.standins.configuration import configuration, environment
 from limebridge.standins.discovery import Discovery
@@ -114,12 +114,12 @@
         """Publish purges of these keys.  Returns the position once it is committed."""
         records = tuple(Record(Topic.PURGE, key) for key in keys)
         publication = Publish(secrets.token_hex(8), records)
-        reply = await asking.publish(self.machines, publication, TIMEOUT_S)
+        reply = await control_client.publish(self.machines, publication, TIMEOUT_S)
         assert reply.status == PublishStatus.COMMITTED
         return reply.position
 
     async def in_force(self, position: int) -> StatusReply:
-        status = await asking.wait_in_force(self.machines, position, TIMEOUT_S)
+        status = await control_client.wait_in_force(self.machines, position, TIMEOUT_S)
         assert status is not None
         return status
 
@@ -130,7 +130,9 @@
         async def leads() -> bool:
             for number, address in enumerate(self.machines.addresses):
                 try:
-                    status = await asking.ask(self.machines, address, StatusRequest(0))
+                    status = await control_client.send_request(
+                        self.machines, address, StatusRequest(0)
+                    )
                 except NoAnswerError:
                     continue
                 if status.leader == status.replica:
@@ -142,14 +144,14 @@
         return found[0]
 
     async def status(self, number: int) -> StatusReply:
-        reply: StatusReply = await asking.ask(
+        reply: StatusReply = await control_client.send_request(
             self.machines, self.machines.addresses[number], StatusRequest()
         )
         return reply
 
     async def daemon(self, number: int) -> dict[str, Any]:
         return await asyncio.to_thread(
-            query_socket, str(self.folder / f"p{number}.sock"), "distribution"
+            query_proxy, str(self.folder / f"p{number}.sock"), "distribution"
         )
 
     async def all_fresh(self) -> bool:
@@ -319,7 +321,7 @@
 
             await until(is_stale)
             with pytest.raises(NoAnswerError):
-                await asking.publish(
+                await control_client.publish(
                     deployment.machines, Publish("x", (Record(Topic.PURGE, "lost"),)), 0.5
                 )
             for number in others:
@@ -385,7 +387,7 @@
             async def fill() -> None:
                 nonlocal position
                 while process.running:
-                    reply = await asking.publish(
+                    reply = await control_client.publish(
                         deployment.machines,
                         Publish(secrets.token_hex(8), (Record(Topic.PURGE, "k" * 900),)),
                         0.1,
@@ -432,8 +434,12 @@
                 (2, "--key-file", ["status", *address, "--key-file", str(tmp_path / "none")]),
                 (2, "--machine", ["status", "--machine", "here", *key]),
                 (2, "at most", ["purge", "x" * 1025, *address, *key]),
-                (2, "wanted", ["init", str(tmp_path / "new"), "--name", "c9"]),
-                (3, "not certain", ["purge", "x", *dead, *key, "--seconds", "0.1"]),
+                (2, "give either --log ID", ["init", str(tmp_path / "new"), "--name", "c9"]),
+                (
+                    3,
+                    "may or may not be in the log",
+                    ["purge", "x", *dead, *key, "--seconds", "0.1"],
+                ),
             ):
                 refused = await limebridge(*arguments)
                 assert refused.exit_code == code and words in refused.output, refused.output
@@ -513,7 +519,7 @@
         async with Deployment(tmp_path, machines=1, daemons=0) as deployment:
             table = deployment.controls.table(0)
 
-            async def said(event: str, *words: str) -> None:
+            async def wait_for_log(event: str, *words: str) -> None:
                 async def there() -> bool:
                     return any(
                         f"{event} " in line or f'"{event}"' in line
@@ -526,14 +532,14 @@
             await reload_with_file(
                 deployment, table | {"log": {"format": "json"}, "region": "south"}
             )
-            await said("config.restart_needed", "keys=region")
-            await said("control.reloaded", '"file":')
+            await wait_for_log("config.restart_needed", "keys=region")
+            await wait_for_log("control.reloaded", '"file":')
             await reload_with_file(deployment, None)
-            await said("config.unusable", "c0.toml")
+            await wait_for_log("config.unusable", "c0.toml")
             await reload_with_file(deployment, table | {"log": {"level": "loud"}})
-            await said("config.unusable", "[log] level")
+            await wait_for_log("config.unusable", "[log] level")
             await reload_with_file(deployment, table)
-            await said("control.reloaded", " file=")
+            await wait_for_log("control.reloaded", " file=")
             await deployment.publish("after")
             assert not deployment.logged("control.fault")
             assert await deployment.controls.processes[0].term() == 0
@@ -664,7 +670,7 @@
             await until(refused)
             for number in range(5):
                 await deployment.publish(f"key {number}")
-            traffic = await asyncio.to_thread(query_socket, str(tmp_path / "c0.sock"), "traffic")
+            traffic = await asyncio.to_thread(query_proxy, str(tmp_path / "c0.sock"), "traffic")
             assert traffic["polls"] <= traffic["polls_max"] < traffic["connections_max"] < 200
         finally:
             for service in services:
@@ -816,9 +822,9 @@
                     str(path),
                     stderr=asyncio.subprocess.PIPE,
                 )
-                _, said = await asyncio.wait_for(process.communicate(), TIMEOUT_S)
+                _, stderr = await asyncio.wait_for(process.communicate(), TIMEOUT_S)
                 assert process.returncode == 1
-                assert words in said.decode() and said.count(b"\n") == 1
+                assert words in stderr.decode() and stderr.count(b"\n") == 1
 
     asyncio.run(scenario())
 
