--- a/limebridge/fleet/command.py
+++ b/limebridge/fleet/command.py
@@ -76,7 +76,7 @@
 
 @app.command()
 def log(work: str, operator: OperatorFile, as_json: Json = False) -> None:
-    """Print the valid entries of a work's log: bills, heartbeats, transfers."""
+    """Print the valid entries of a work's log: bills, beat counts, completed deliveries."""
     try:
         found, read = entries(_table(operator), work)
     except (UnreadableStoreError, OSError) as error:
