--- a/limebridge/control/process.py
+++ b/limebridge/control/process.py
@@ -18,7 +18,7 @@
 
 READY_S = 30.0  # from its start until a process serves
 END_S = 10.0  # for a process to release its lease and exit
-ENDING_S = 0.3  # for one that may have ended by itself
+ENDING_S = 0.3  # seconds for a process that may be exiting already to end by itself
 COMMAND = (sys.executable, "-m", "violetroute.distribution")
 
 
--- a/violetroute/fleet/job.py
+++ b/violetroute/fleet/job.py
@@ -378,5 +378,5 @@
             self.count = body["beat"]
 
     def decide(self) -> Any:
-        """The next count."""
+        """The body of the next entry, which contains the count plus one."""
         return {"beat": self.count + 1}
