--- a/violetroute/fleet/table.py
+++ b/violetroute/fleet/table.py
@@ -36,9 +36,7 @@
     beat_s: Annotated[float, msgspec.Meta(ge=0.01, le=86_400.0)] = 5.0
     endpoint: str = ""  # "ADDRESS:PORT" that each entry is posted to; "": none
     path: str = "/v1/effects"
-    wait_s: Seconds = (
-        900.0  # time that a bill waits for missing ledgers after the end of its period
-    )
+    wait_s: Seconds = 900.0  # time that a bill waits for missing ledgers after its period ends
     expect_s: Seconds = 86_400.0  # a ledger that closed nothing for so long is not awaited
 
     @property
