--- a/limebridge/faults/soak_clients.py
+++ b/limebridge/faults/soak_clients.py
@@ -40,6 +40,14 @@
             due = max(due, self.before.answered_at)
         return self.answered_at - due
 
+    @property
+    def preceding_answer_at(self) -> float:
+        """When the last answer before its own came; 0.0 if no request before it was answered."""
+        preceding = self.before
+        while preceding is not None and not preceding.answered_at:
+            preceding = preceding.before
+        return 0.0 if preceding is None else preceding.answered_at
+
 
 class SoakClient:
     """One connection after another; answers come in the order of its questions."""
@@ -176,9 +184,9 @@
     ) -> None:
         closed_at = question.closed_at - self._began if question.closed_at else ended_at
         stood = closed_at - at
-        if question.before is not None and question.before.answered_at:
-            # Behind another one: the connection may end with that one's answer, this one unread.
-            stood = min(stood, closed_at + self._began - question.before.answered_at)
+        if question.preceding_answer_at:
+            # The connection may end with the last answer, and what was sent behind it is unread.
+            stood = min(stood, closed_at + self._began - question.preceding_answer_at)
         name = question.id.decode()
         if self._arrivals.get(question.id):
             self._broken(result, at, f"{name} came to a node and got no answer")
