--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -31,7 +31,7 @@
 from emulated_fleet import KEYS, Emulated, Quiet
 
 from limebridge.faults.budgets import Bounds, World
-from limebridge.faults.sharing import judge, rig
+from limebridge.faults.sharing import checker, rig
 from limebridge.faults.sharing.plan import Fault, Plan
 from limebridge.faults.state_space import check
 from limebridge.virtual.kernel import Kernel
@@ -51,26 +51,26 @@
 def use(daemons: int, seconds: float) -> dict[str, Any]:
     """Of the budget that is spent with load on one of so many real daemons."""
     plan = Plan(1, seconds, daemons, 120.0, 3.0)
-    outcome = rig.play(plan)
+    outcome = rig.run_plan(plan)
     return {
         "daemons": daemons,
-        "spent": round(outcome.again, 3),
+        "spent": round(outcome.final_share, 3),
         "fixed_parts": round(1.0 / daemons, 3),
-        "broken": outcome.broken,
+        "broken": outcome.violations,
     }
 
 
 def split(daemons: int) -> dict[str, Any]:
     """A fifth is cut off for 6 s, the loaded one with the others."""
     plan = Plan(1, 14.0, daemons, 120.0, 1.0, [Fault(4.0, "split", max(0, daemons // 5 - 1), 6.0)])
-    outcome = rig.play(plan)
-    seen = outcome.seen
-    at = seen.began + 4.0
+    outcome = rig.run_plan(plan)
+    observed = outcome.observed
+    at = observed.started_at + 4.0
     return {
-        "before": round(judge.share(plan, seen, at - 2.0, at), 3),
-        "split": round(judge.share(plan, seen, at + 1.0, at + 6.0), 3),
-        "five_seconds_after": round(judge.share(plan, seen, at + 6.0, at + 11.0), 3),
-        "broken": outcome.broken,
+        "before": round(checker.budget_share(plan, observed, at - 2.0, at), 3),
+        "split": round(checker.budget_share(plan, observed, at + 1.0, at + 6.0), 3),
+        "five_seconds_after": round(checker.budget_share(plan, observed, at + 6.0, at + 11.0), 3),
+        "broken": outcome.violations,
     }
 
 
--- a/limebridge/faults/sharing/__init__.py
+++ b/limebridge/faults/sharing/__init__.py
@@ -1,1 +1,4 @@
-"""Budgets of several proxies under faults: plans, a judge, a world, a rig of processes."""
+"""Fault injection for budgets that several proxies share: plans, a checker, two ways to run a plan.
+
+A plan runs in memory (`memory`, deterministic) or on real daemons behind UDP relays (`rig`).
+"""
--- a/limebridge/faults/sharing/command.py
+++ b/limebridge/faults/sharing/command.py
@@ -1,4 +1,4 @@
-"""`limebridge faults sharing`: budgets of several proxies under faults."""
+"""`limebridge faults sharing`: commands that run budgets shared by several proxies under faults."""
 
 from __future__ import annotations
 
@@ -29,11 +29,13 @@
 from limebridge.faults.state_space import check
 from violetroute.config import ConfigError
 
-from . import judge, many, memory, rig
+from . import checker, memory, pool_run, rig
 from . import plan as plans
 from .summary import SharingTotals, summary_of_run
 
-app = typer.Typer(no_args_is_help=True, help="Budgets that proxies share, under faults.")
+app = typer.Typer(
+    no_args_is_help=True, help="Check budgets shared by several proxies, under faults."
+)
 
 
 @app.command()
@@ -45,11 +47,11 @@
     patch: PatchFile = None,
     as_json: Json = False,
 ) -> None:
-    """Play plans drawn from seeds on real processes.  Exit status 1 when something broke."""
-    began = time.monotonic()
-    chosen = [plans.draw(seed) for seed in range(first, first + seeds)]
-    play = partial(many.play_plan, patch=patch_path(patch))
-    played = play_all(play_each(play, chosen, jobs), seeds, as_json)
+    """Run plans generated from seeds on real processes.  Exit status 1 after a violation."""
+    started = time.monotonic()
+    selected = [plans.generate(seed) for seed in range(first, first + seeds)]
+    run_one = partial(pool_run.run_in_worker, patch=patch_path(patch))
+    played = play_all(play_each(run_one, selected, jobs), seeds, as_json)
     broken = sorted((each for each in played if each.broken), key=lambda each: each.plan.seed)
     for each in broken[:SHOWN]:
         typer.echo(
@@ -57,7 +59,7 @@
             f"{plans.dump(each.plan)}{each.story}",
             err=True,
         )
-    print_summary(summary_of_run(played, broken, time.monotonic() - began), as_json)
+    print_summary(summary_of_run(played, broken, time.monotonic() - started), as_json)
     raise typer.Exit(1 if broken else 0)
 
 
@@ -70,48 +72,52 @@
     patch: PatchFile = None,
     as_json: Json = False,
 ) -> None:
-    """Play plans in memory, exact from their seeds.  Exit status 1 when something broke."""
-    began, totals = time.monotonic(), SharingTotals()
+    """Run plans in memory, deterministic by seed.  Exit status 1 after a violation."""
+    started, totals = time.monotonic(), SharingTotals()
     prepare = planted(patch)
     explore_seeds(memory.explore(first, seeds, jobs, prepare), seeds, as_json, totals.add)
     if prepare is not None:
         prepare()
     print_shrunk(totals.broken, memory.shrink, plans.dump)
-    print_summary(totals.summary(first, time.monotonic() - began), as_json)
+    print_summary(totals.summary(first, time.monotonic() - started), as_json)
     raise typer.Exit(1 if totals.broken else 0)
 
 
 @app.command()
 @interruptible
 def replay(
-    what: Annotated[str, typer.Argument(metavar="FILE_OR_SEED")],
-    in_memory: Annotated[bool, typer.Option("--virtual", help="In memory: exact.")] = False,
+    file_or_seed: Annotated[str, typer.Argument(metavar="FILE_OR_SEED")],
+    in_memory: Annotated[bool, typer.Option("--virtual", help="In memory: deterministic.")] = False,
     patch: PatchFile = None,
 ) -> None:
-    """Play one plan again and tell its story.  Exit status 1 when it breaks something."""
+    """Run one plan and print its trace.  Exit status 1 after a violation."""
     try:
-        plan = plans.draw(int(what)) if what.isdecimal() else plans.read(Path(what))
+        plan = (
+            plans.generate(int(file_or_seed))
+            if file_or_seed.isdecimal()
+            else plans.read(Path(file_or_seed))
+        )
     except ConfigError as error:
         typer.echo(f"limebridge: {error}", err=True)
         raise typer.Exit(2) from None
     if in_memory:
         if patch is not None:
             Patch(patch_path(patch))()
-        outcome = memory.play(plan, tells=True)
+        outcome = memory.run_plan(plan, with_trace=True)
         print(outcome.story)
         raise typer.Exit(1 if outcome.broken else 0)
-    played = rig.play(plan, patch_path(patch))
-    print(judge.tell(played.seen, played.broken))
-    raise typer.Exit(1 if played.broken else 0)
+    played = rig.run_plan(plan, patch_path(patch))
+    print(checker.format_trace(played.observed, played.violations))
+    raise typer.Exit(1 if played.violations else 0)
 
 
 @app.command()
 @interruptible
 def whole(
-    states: Annotated[int, typer.Option(min=1000, help="How many at most.")] = 1_000_000,
+    states: Annotated[int, typer.Option(min=1000, help="Maximal number of states.")] = 1_000_000,
     names: Annotated[int, typer.Option(min=2, max=3)] = 2,
 ) -> None:
-    """Check budgets in every order of what may happen, on the pure core."""
-    began = time.monotonic()
-    found = check(World(Bounds(names=names)), states)
-    raise typer.Exit(found.report(time.monotonic() - began))
+    """Check the loans of the pure core in every order of events within bounds."""
+    started = time.monotonic()
+    result = check(World(Bounds(names=names)), states)
+    raise typer.Exit(result.report(time.monotonic() - started))
--- a/limebridge/faults/sharing/daemon.py
+++ b/limebridge/faults/sharing/daemon.py
@@ -1,4 +1,4 @@
-"""One daemon of the rig of budgets: its operator's file, its start and its end."""
+"""One daemon of the rig: writes its operator's file, starts and terminates its processes."""
 
 from __future__ import annotations
 
@@ -19,42 +19,42 @@
 from violetroute.config.operator import LogTable, Operator
 from violetroute.sharing.table import BudgetTable, SharingTable
 
-from . import judge
-from .plan import Plan, Way
+from . import checker
+from .plan import Link, Plan
 
 LOG = LogTable(format="json", per_second=1000.0)
 
 
 class RigServices(Protocol):
-    """What a daemon needs of the rig that it belongs to."""
+    """What a daemon uses of the rig that it belongs to."""
 
     plan: Plan
     folder: Path  # of the rig's files
-    key: Path  # file of the key that the daemons share
+    key_file: Path  # the key that the daemons share
     command: tuple[str, ...]  # that starts a daemon
-    relays: dict[Way, Datagrams]
+    relays: dict[Link, Datagrams]
     discovery: Discovery
-    known: list[NodeEntry]  # the nodes that a configuration names
+    node_entries: list[NodeEntry]  # the nodes in the configuration
 
-    def complain(self, rule: str, text: str) -> None:
+    def add_violation(self, rule: str, text: str) -> None:
         """Record a violation."""
 
     def note(self, text: str) -> None:
-        """Record what happens, for the story."""
+        """Add an event to the trace, at the current time."""
 
 
 class Daemon:
-    """A daemon: its incarnations, one after another."""
+    """A proxy of the rig under one name; its process may be restarted."""
 
     def __init__(self, rig: RigServices, number: int, port: int) -> None:
         self.rig, self.number, self.name, self.port = rig, number, f"p{number}", port
         self.child: Child | None = None
-        self.children: list[Child] = []  # all that were ever started
-        self.busy = asyncio.Lock()  # one change of its process at a time
-        self.died = False  # a client of it may have lost an answer with it
+        self.children: list[Child] = []  # all processes that were ever started
+        self.restart_lock = asyncio.Lock()  # held during a restart or a SIGSTOP
+        self.was_terminated = False  # clients may have lost answers with the process
 
-    def operator(self, port: int, tag: str) -> Path:
-        """Write the operator's file of the process `tag`, which listens on `port`; its path."""
+    def write_operator_file(self, port: int, tag: str) -> Path:
+        """Write the operator's file of the process `tag`, which gossips on `port`; its path."""
         rig = self.rig
         ways = {
             f"p{other}": f"127.0.0.1:{relay.port}"
@@ -63,14 +63,14 @@
         }
         sharing = SharingTable(
             listen=f"127.0.0.1:{port}",
-            key_file=str(rig.key),
+            key_file=str(rig.key_file),
             probe_s=0.2,
             seeds=tuple(ways[name] for name in ("p0", "p1") if name in ways),
             ways=ways,
             proxies=rig.plan.daemons,
             loan_s=rig.plan.loan_s,
-            drift=judge.DRIFT,
-            burst_s=judge.BURST_S,
+            drift=checker.DRIFT,
+            burst_s=checker.BURST_S,
             socket=str(rig.folder / f"{tag}.sock"),
             budget=(BudgetTable(name="all", per_s=rig.plan.per_s),),
         )
@@ -79,35 +79,42 @@
         return path
 
     async def start(self, tag: str = "", port: int = 0) -> Child:
-        """Start it, or a second process of its name as `tag`.  Raises DaemonStartError."""
+        """Start a process; with `tag`, a duplicate that has the same proxy name.
+
+        `port`: its port for gossip, by default the daemon's.  Raises DaemonStartError.
+        """
         rig, tag = self.rig, tag or self.name
 
-        def told(line: str) -> None:
+        def on_log_line(line: str) -> None:
             if '"event":"sharing.' in line:
                 rig.note(f"  {tag} {line[line.index('event') + 8 :][:120]}")
 
-        child = Child(rig.folder, tag, rig.command, on_log_line=told)
+        child = Child(rig.folder, tag, rig.command, on_log_line=on_log_line)
         self.children.append(child)
-        raw = configuration(rig.discovery.port, rig.known) | {"name": self.name}
-        await child.start(raw, free_ports(1)[0], self.operator(port or self.port, tag))
+        raw = configuration(rig.discovery.port, rig.node_entries) | {"name": self.name}
+        await child.start(raw, free_ports(1)[0], self.write_operator_file(port or self.port, tag))
         if tag == self.name:
             self.child = child
         return child
 
     @property
     def up(self) -> bool:
+        """Whether the process is listening, by the last action on it."""
         return self.child is not None and self.child.state is ChildState.UP
 
-    async def ends(self, hard: bool) -> None:
-        """End it with SIGKILL or with SIGTERM, unless it is down."""
+    async def terminate(self, hard: bool) -> None:
+        """Send SIGKILL if `hard`, else SIGTERM, and wait for the exit; no-op if it is down.
+
+        A process that does not drain in time after SIGTERM is a violation.
+        """
         child = self.child
         if child is None or child.state is not ChildState.UP:
             return
-        self.died = True
+        self.was_terminated = True
         with contextlib.suppress(ProcessLookupError):
             os.kill(child.pid, signal.SIGCONT)
         if hard:
             child.state = ChildState.DOWN
             await child.kill()
         elif not await child.term():
-            self.rig.complain("ends", f"{self.name} did not drain: {child.last_line}")
+            self.rig.add_violation("ends", f"{self.name} did not drain: {child.last_line}")
--- a/limebridge/faults/sharing/memory.py
+++ b/limebridge/faults/sharing/memory.py
@@ -1,8 +1,8 @@
-"""Several proxies' sharing in one virtual world: a plan of faults, exact from its seed.
+"""Simulates several proxies that share a budget under a plan of faults, deterministic by seed.
 
-What runs is the daemon's own part (`violetroute/sharing`), from the datagram up.  Each process has
-a clock of its own rate within the stated drift; datagrams are lost, late, twice and out of order as
-the plan's faults have it, on every way by itself.
+The simulation runs the gossip service of the daemon (`violetroute/sharing`) on a virtual network.
+Each process has its own clock, whose rate is wrong by at most the configured drift.  Datagrams are
+lost, delayed, duplicated and reordered by the faults of the plan, independently on each link.
 """
 
 from __future__ import annotations
@@ -32,24 +32,28 @@
 from violetroute.transport.loop_lag import Turns
 from violetroute.transport.sockets import SocketNetwork
 
-from . import judge
-from .judge import Admission, Note, Seen
-from .plan import Fault, Plan, Way, cut_ways, draw, without
+from . import checker
+from .checker import Admission, Note, Observed
+from .plan import Fault, Link, Plan, cut_links, generate, without
 
 KEYS = Keys([b"a key of a world in memory"])
-PORT = 7000  # of the first
-HEAL = 10.0  # s, fifty probes, until all is found well again: suspicions, a loan, another
-LOADED = 2.0  # times the budget that the loaded proxy is asked for
-IDLE = 0.5  # requests a second of each other
-KNOWN = 1.5  # s until a proxy knows a demand of half as much again as its part
-REDRAWN = 0.2  # s after which a client's wait is drawn anew
-LOOK = 0.02  # s between two looks at what all may spend
-LATENCY = 0.0005  # s one way
-ENOUGH = 0.85  # of the budget that is spent again in the end, clocks and steps being what they are
-
-
-class Proxy:
-    """What the part asks of the proxy."""
+FIRST_PORT = 7000  # of the process with number 0
+# Run time after healing, in addition to three loan times: 50 probe intervals, in which all members
+# are found alive after suspicions, and a loan and the next one take effect.
+HEAL_S = 10.0
+LOAD_FACTOR = 2.0  # load of the loaded proxy, in budgets
+IDLE_RATE = 0.5  # requests a second at each other proxy
+DEMAND_RISE_S = 1.5  # s until a proxy's demand average shows a load of 1.5 times its home part
+MAX_WAIT_S = 0.2  # a client's wait that is longer is drawn anew after this time
+CHECK_INTERVAL_S = 0.02  # s between two checks of the authority of all processes
+LATENCY_S = 0.0005  # one way
+# Share of the budget that must be spent at the end.  Below 1 because of clock drift and because
+# the simulation proceeds in steps.
+MIN_FINAL_SHARE = 0.85
+
+
+class StubHost:
+    """The proxy as the gossip service uses it, without nodes; ignores what other proxies report."""
 
     def __init__(self) -> None:
         self.places, self.load_samples = NodeAddresses(), deque[LoadSample]()
@@ -59,182 +63,208 @@
 
 
 class Process:
-    """The incarnations of one name, one after another."""
+    """A proxy under one name: its current incarnation, if it runs, and its clock."""
 
     def __init__(self, world: World, number: int, port: int) -> None:
         self.world, self.number, self.name, self.port = world, number, f"p{number}", port
         self.rate = world.rng.uniform(1.0 - DRIFT, 1.0 + DRIFT)
         self.sharing: Sharing | None = None
-        self.owner = ""
-        self.busy = False
-        self.needs = math.inf  # since when it is asked for more than its part
+        self.incarnation = ""  # name and number of the start, also the owner of its sockets
+        self.restarting = False
+        self.overloaded_since = math.inf  # time (s) since which its load is 1.5 times its home part
 
     def start(self) -> None:
+        """Start a new incarnation and the client that sends it requests."""
         world = self.world
-        world.started += 1
+        world.start_count += 1
         self.clock = ProcessClock(world.loop, self.rate)
-        self.owner = f"{self.name}/{world.started}"
-        world.numbers[self.owner] = self.number
+        self.incarnation = f"{self.name}/{world.start_count}"
+        world.process_numbers[self.incarnation] = self.number
         net = SocketNetwork(
             self.clock,  # type: ignore[arg-type]
             Turns(),
-            make=world.kernel.maker(self.owner),
+            make=world.kernel.maker(self.incarnation),
             clock=lambda: START + world.kernel.now,
         )
         table = SharingTable(
             listen=f"127.0.0.1:{self.port}",
-            seeds=(f"127.0.0.1:{PORT}", f"127.0.0.1:{PORT + 1}"),
+            seeds=(f"127.0.0.1:{FIRST_PORT}", f"127.0.0.1:{FIRST_PORT + 1}"),
             proxies=world.plan.daemons,
             probe_s=0.2,
             loan_s=world.plan.loan_s,
             drift=DRIFT,
-            burst_s=judge.BURST_S,
+            burst_s=checker.BURST_S,
             budget=(BudgetTable("all", world.plan.per_s),),
         )
         self.sharing = Sharing(
-            table, KEYS, self.name, "a", 1000.0, net, Proxy(), life=f"life{world.started}"
+            table, KEYS, self.name, "a", 1000.0, net, StubHost(), life=f"life{world.start_count}"
         )
-        self._ask(self.owner, False)
+        self._send_request(self.incarnation, False)
+
+    def _send_request(self, incarnation: str, due: bool) -> None:
+        """Send a client's request if `due`, and schedule the next call.
 
-    def _ask(self, owner: str, asks: bool) -> None:
-        """A client's next request; its time is the world's, not this process's."""
+        The client runs by the clock of the world, not by that of this process.
+        """
         sharing, world = self.sharing, self.world
-        if sharing is None or owner != self.owner:
+        if sharing is None or incarnation != self.incarnation:
             return
         now = world.kernel.now
-        if asks and now >= self.clock.until and sharing.admits("", "lookup") is None:
-            world.seen.spent.append(Admission(now, self.owner))
-        # Without memory: one that would come late is drawn anew, by the rate that is then.
-        wait = world.asks.expovariate(world.rates[self.number])
-        world.kernel.at(now + min(wait, REDRAWN), lambda: self._ask(owner, wait < REDRAWN))
+        if due and now >= self.clock.until and sharing.admits("", "lookup") is None:
+            world.observed.admissions.append(Admission(now, self.incarnation))
+        # The exponential distribution has no memory, so a long wait may be drawn anew later, by the
+        # rate at that time.
+        wait = world.request_rng.expovariate(world.rates[self.number])
+        world.kernel.at(
+            now + min(wait, MAX_WAIT_S),
+            lambda: self._send_request(incarnation, wait < MAX_WAIT_S),
+        )
 
     def kill(self) -> None:
+        """Stop at once, as after SIGKILL; no-op if it does not run."""
         if self.sharing is None:
             return
         self.sharing, self.clock.dead = None, True
         kernel = self.world.kernel
-        for sock in [sock for sock in kernel.sockets.values() if sock.owner == self.owner]:
+        for sock in [sock for sock in kernel.sockets.values() if sock.owner == self.incarnation]:
             self.world.loop.remove_reader(sock.fileno())
             sock.close()
-        kernel.paused.pop(self.owner, None)
+        kernel.paused.pop(self.incarnation, None)
 
     def term(self) -> None:
+        """Announce the departure to the other members, then stop; no-op if it does not run."""
         if self.sharing is not None:
             self.sharing.leave()
             self.sharing.close()
             self.kill()
 
     def stop(self, seconds: float) -> None:
+        """Do nothing for `seconds`, as after SIGSTOP; its clock goes on."""
         if self.sharing is not None:
-            self.clock.stop(self.world.kernel, self.owner, seconds)
+            self.clock.stop(self.world.kernel, self.incarnation, seconds)
 
 
 class World:
-    """One plan."""
+    """The simulated network, processes and clients of one plan."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
         self.kernel = Kernel(plan.seed, start=1000.0)
         self.loop = VirtualLoop(self.kernel)
         self.rng = random.Random(f"world/{plan.seed}")
-        self.asks = random.Random(f"asks/{plan.seed}")  # its own: a fault must not shift the load
-        self.way = random.Random(f"way/{plan.seed}")
-        self.seen = Seen()
-        self.started = 0
-        self.numbers: dict[str, int] = {}  # of processes, by owner
-        self.rates = [IDLE] * plan.daemons
-        self.rates[-1] = LOADED * plan.per_s
-        self.cut: Counter[Way] = Counter()  # how many faults cut it
+        # A generator of its own, so that faults do not change the load.
+        self.request_rng = random.Random(f"asks/{plan.seed}")
+        self.network_rng = random.Random(f"way/{plan.seed}")
+        self.observed = Observed()
+        self.start_count = 0
+        self.process_numbers: dict[str, int] = {}  # by incarnation
+        self.rates = [IDLE_RATE] * plan.daemons
+        self.rates[-1] = LOAD_FACTOR * plan.per_s
+        self.cut_counts: Counter[Link] = Counter()  # active faults that cut a link
         self.loss, self.storm = 0.0, 0.0
-        self.kernel.datagram_delays = self._weather
-        self.twins: list[Process] = []
+        self.kernel.datagram_delays = self._datagram_delays
+        self.duplicates: list[Process] = []
         self.violations: list[Violation] = []
 
-    def _weather(self, owner: str, port: int) -> list[float]:
-        way = self.numbers[owner], (port - PORT) % 100
-        if self.cut[way] or self.way.random() < self.loss:
+    def _datagram_delays(self, incarnation: str, port: int) -> list[float]:
+        """Delays in s of a datagram's copies; empty if it is lost."""
+        link = self.process_numbers[incarnation], (port - FIRST_PORT) % 100
+        if self.cut_counts[link] or self.network_rng.random() < self.loss:
             return []
-        late = LATENCY * (1.0 + self.way.random())
+        latency = LATENCY_S * (1.0 + self.network_rng.random())
         if not self.storm:
-            return [late]
-        copies = [late + self.storm * self.way.random() ** 3]
-        if self.way.random() < 0.3:  # some come long after, when much has changed
-            copies.append(late + 3.0 * self.storm * self.way.random())
-        return copies
-
-    async def play(self) -> None:
+            return [latency]
+        delays = [latency + self.storm * self.network_rng.random() ** 3]
+        if self.network_rng.random() < 0.3:  # a duplicate, which may come after much has changed
+            delays.append(latency + 3.0 * self.storm * self.network_rng.random())
+        return delays
+
+    async def run(self) -> None:
+        """Start the processes, apply the faults, heal them and run on until `end`."""
         plan = self.plan
-        self.processes = [Process(self, number, PORT + number) for number in range(plan.daemons)]
-        self.seen.began = self.kernel.now
+        self.processes = [
+            Process(self, number, FIRST_PORT + number) for number in range(plan.daemons)
+        ]
+        self.observed.started_at = self.kernel.now
         for process in self.processes:
             process.start()
         tasks = []
-        watch = asyncio.create_task(self._watch())
+        checks = asyncio.create_task(self._check_authority())
         for fault in plan.fault:
-            await asyncio.sleep(max(0.0, self.seen.began + fault.at - self.kernel.now))
-            self.seen.notes.append(
+            await asyncio.sleep(max(0.0, self.observed.started_at + fault.at - self.kernel.now))
+            self.observed.notes.append(
                 Note(
                     self.kernel.now, f"{fault.kind} p{fault.who % plan.daemons} for {fault.seconds}"
                 )
             )
-            tasks.append(asyncio.create_task(self._fault(fault)))
-        await asyncio.sleep(max(0.0, self.seen.began + plan.seconds - self.kernel.now))
+            tasks.append(asyncio.create_task(self._apply_fault(fault)))
+        await asyncio.sleep(max(0.0, self.observed.started_at + plan.seconds - self.kernel.now))
         await asyncio.gather(*tasks)
-        for twin in self.twins:
-            twin.term()
+        for duplicate in self.duplicates:
+            duplicate.term()
         for process in self.processes:
             if process.sharing is None:
                 process.start()
-        self.seen.healed_at = self.kernel.now
-        await asyncio.sleep(HEAL + 3.0 * plan.loan_s)
+        self.observed.healed_at = self.kernel.now
+        await asyncio.sleep(HEAL_S + 3.0 * plan.loan_s)
         self.end = self.kernel.now
-        watch.cancel()
+        checks.cancel()
 
-    async def _watch(self) -> None:
-        """Sum what all processes may spend, each by its own clock, every LOOK seconds."""
-        twins = sum(fault.kind == "twin" for fault in self.plan.fault)
-        most = self.plan.per_s * 1000.0 * (1.0 + twins / self.plan.daemons)
+    async def _check_authority(self) -> None:
+        """Check the sum of all authorities, each by its own clock, every CHECK_INTERVAL_S.
+
+        Each duplicate process of a name may spend that name's home part once more.
+        """
+        duplicates = sum(fault.kind == "twin" for fault in self.plan.fault)
+        limit = self.plan.per_s * 1000.0 * (1.0 + duplicates / self.plan.daemons)
         while not self.violations:
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             for process in self.processes:
-                self._floor(process)
-            may = sum(
+                self._check_home_part(process)
+            authority = sum(
                 process.sharing.budgets["all"].loans.authority(process.clock.time())
-                for process in (*self.processes, *self.twins)
+                for process in (*self.processes, *self.duplicates)
                 if process.sharing is not None
             )
-            if may > most:
-                at = self.kernel.now - self.seen.began
-                text = f"{may / 1000.0:.3f} a second of {most / 1000.0:.3f} at {at:.3f}"
+            if authority > limit:
+                at = self.kernel.now - self.observed.started_at
+                text = (
+                    f"all may spend {authority / 1000.0:.3f} requests/s, "
+                    f"limit {limit / 1000.0:.3f}, at {at:.3f}"
+                )
                 self.violations.append(Violation("authority", text))
 
-    def _floor(self, process: Process) -> None:
-        """Who has been asked for more than its part for long has all of that, whoever borrows."""
+    def _check_home_part(self, process: Process) -> None:
+        """Check that a proxy has its whole home part back after a long overload.
+
+        Whoever borrowed from it, the loans must have expired by then without a renewal.
+        """
         sharing, now = process.sharing, self.kernel.now
         if sharing is None or now < process.clock.until or sharing.members.duplicate is not None:
-            process.needs = math.inf
+            process.overloaded_since = math.inf
             return
         loans, clock = sharing.budgets["all"].loans, process.clock.time()
         if (
             1000.0 * self.rates[process.number] < 1.5 * loans.home
             or clock < loans.home_available_at
         ):
-            process.needs = math.inf
+            process.overloaded_since = math.inf
             return
-        process.needs = min(process.needs, now)
+        process.overloaded_since = min(process.overloaded_since, now)
         if (
-            now - process.needs > KNOWN + 1.2 * self.plan.loan_s
+            now - process.overloaded_since > DEMAND_RISE_S + 1.2 * self.plan.loan_s
             and loans.own_authority(clock) < loans.home
         ):
             self.violations.append(
                 Violation(
                     "floor",
-                    f"{process.owner} has {loans.own_authority(clock) / 1000.0:.3f} of "
-                    f"its {loans.home / 1000.0:.3f} at {now - self.seen.began:.3f}",
+                    f"{process.incarnation} has {loans.own_authority(clock) / 1000.0:.3f} "
+                    f"requests/s of its home part {loans.home / 1000.0:.3f} "
+                    f"at {now - self.observed.started_at:.3f}",
                 )
             )
 
-    async def _fault(self, fault: Fault) -> None:
+    async def _apply_fault(self, fault: Fault) -> None:
         who = fault.who % self.plan.daemons
         match fault.kind:
             case "kill" | "term":
@@ -244,9 +274,9 @@
             case "stop":
                 self.processes[who].stop(fault.seconds)
             case "twin":
-                twin = Process(self, who, PORT + 100 * (1 + len(self.twins)) + who)
-                twin.start()
-                self.twins.append(twin)
+                duplicate = Process(self, who, FIRST_PORT + 100 * (1 + len(self.duplicates)) + who)
+                duplicate.start()
+                self.duplicates.append(duplicate)
             case "cut" | "deaf" | "mute" | "split":
                 await self._cut(fault)
             case "loss":
@@ -261,82 +291,89 @@
                 before, self.rates = self.rates, [self.plan.per_s] * self.plan.daemons
                 await asyncio.sleep(fault.seconds)
                 self.rates = before
-            case "moves":  # the load goes to other proxies, which nothing announces
+            case "moves":  # the load moves to other proxies, without notice
                 self.rates = self.rates[1:] + self.rates[:1]
 
     async def _cut(self, fault: Fault) -> None:
-        """Datagrams of some ways are lost for a while."""
-        ways = cut_ways(fault, self.plan.daemons)
-        self.cut.update(ways)
+        """Drop all datagrams on some links for a while."""
+        links = cut_links(fault, self.plan.daemons)
+        self.cut_counts.update(links)
         await asyncio.sleep(fault.seconds)
-        self.cut.subtract(ways)
+        self.cut_counts.subtract(links)
 
     async def _restart(self, processes: Sequence[Process], hard: bool, seconds: float) -> None:
-        """End processes, all at once, and start them after a while."""
+        """Kill or terminate processes at the same time, and start them after `seconds`."""
         for process in processes:
-            if not process.busy:
-                process.busy = True
+            if not process.restarting:
+                process.restarting = True
                 process.kill() if hard else process.term()
         await asyncio.sleep(seconds)
         for process in processes:
             if process.sharing is None:
                 process.start()
-            process.busy = False
+            process.restarting = False
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """What is kept of a run.  `again`: of the budget, spent in the last seconds."""
+    """The result of a run."""
 
     plan: Plan
     broken: tuple[Violation, ...]
-    spent: int
-    most: int  # in a second
-    again: float
-    digest: str
-    story: str = ""
+    admitted: int  # requests
+    peak: int  # most requests admitted in any window of one second
+    final_share: float  # share of the budget spent in the last two seconds
+    digest: str  # of the admissions
+    story: str = ""  # the trace, if it was requested or there is a violation
 
 
-def play(plan: Plan, tells: bool = False) -> Outcome:
-    """One plan; the same outcome each time and everywhere."""
+def run_plan(plan: Plan, with_trace: bool = False) -> Outcome:
+    """Run one plan; a plan has the same outcome each time and on every machine."""
     world = World(plan)
     try:
         with quiet(logging.CRITICAL, logging.NullHandler()):
-            world.loop.run_until_complete(world.play())
+            world.loop.run_until_complete(world.run())
     finally:
-        for process in (*getattr(world, "processes", []), *world.twins):
+        for process in (*getattr(world, "processes", []), *world.duplicates):
             process.kill()
         world.loop.close()
-    seen = world.seen
-    violations = world.violations + judge.broken(plan, seen, real=False)
-    again = judge.share(plan, seen, world.end - 2.0, world.end)
-    if again < ENOUGH:
-        violations.append(Violation("goes on", f"{again:.3f} of the budget is spent in the end"))
-    admitted = [(round(admission.at, 6), admission.proxy) for admission in seen.spent]
-    digest = blake2b(repr(admitted).encode(), digest_size=8)
+    observed = world.observed
+    violations = world.violations + checker.find_violations(plan, observed, real=False)
+    final_share = checker.budget_share(plan, observed, world.end - 2.0, world.end)
+    if final_share < MIN_FINAL_SHARE:
+        violations.append(
+            Violation("goes on", f"only {final_share:.3f} of the budget is spent at the end")
+        )
+    admissions = [(round(admission.at, 6), admission.proxy) for admission in observed.admissions]
+    digest = blake2b(repr(admissions).encode(), digest_size=8)
     return Outcome(
         plan,
         tuple(violations),
-        len(seen.spent),
-        max((window.admitted for window in judge.windows(seen.spent)), default=0),
-        again,
+        len(observed.admissions),
+        max(
+            (window.admitted for window in checker.sliding_windows(observed.admissions)), default=0
+        ),
+        final_share,
         digest.hexdigest(),
-        judge.tell(seen, violations) if tells or violations else "",
+        checker.format_trace(observed, violations) if with_trace or violations else "",
     )
 
 
 def explore(
     first: int, seeds: int, jobs: int, prepare: Callable[[], None] | None = None
 ) -> Iterator[list[Outcome]]:
-    """Outcomes by chunks, in the seeds' order."""
-    return many.explore(played, first, seeds, jobs, prepare)
+    """Run `seeds` plans in `jobs` processes; outcomes in chunks, in the order of the seeds.
+
+    `prepare`: called first in each process.
+    """
+    return many.explore(run_seed, first, seeds, jobs, prepare)
 
 
 def shrink(found: Outcome) -> Outcome:
-    """The fewest faults with which the same property breaks, and its story."""
-    return play(many.shrink(found, play, without).plan, tells=True)
+    """Leave out faults while the same rule is still violated; the outcome with its trace."""
+    return run_plan(many.shrink(found, run_plan, without).plan, with_trace=True)
 
 
-def played(seed: int, **changes: object) -> Outcome:
-    """The plan of a seed, perhaps with other figures."""
-    return play(msgspec.structs.replace(draw(seed), **changes))
+def run_seed(seed: int, **changes: object) -> Outcome:
+    """Run the plan of a seed; `changes` replace fields of the plan."""
+    return run_plan(msgspec.structs.replace(generate(seed), **changes))
--- a/limebridge/faults/sharing/plan.py
+++ b/limebridge/faults/sharing/plan.py
@@ -1,4 +1,4 @@
-"""A plan of faults between proxies that share budgets: drawn from a seed, TOML, read back."""
+"""A plan of faults for proxies that share a budget: generated from a seed, stored as TOML."""
 
 from __future__ import annotations
 
@@ -10,27 +10,29 @@
 
 from limebridge.faults.plan import AT_MOST, Seconds, draw_faults, dump, read_as, without
 
-__all__ = ["Fault", "Kind", "Plan", "Way", "cut_ways", "draw", "dump", "read", "without"]
+__all__ = ["Fault", "Kind", "Link", "Plan", "cut_links", "dump", "generate", "read", "without"]
 
 Kind = Literal[
-    # to a process
+    # of a process: SIGKILL, SIGTERM, SIGSTOP, a duplicate of its name; SIGKILL of all
     "kill",
     "term",
     "stop",
     "twin",
     "all",
-    # to ways: of one with all others, one way or both; between two parts; of all
+    # of links: those of one process, both directions ("cut"), to it ("deaf") or from it ("mute");
+    # those between two groups ("split"); loss, or duplicates and reordering ("storm"), on all
     "cut",
     "deaf",
     "mute",
     "split",
     "loss",
     "storm",
-    # to what is asked
+    # of the load: high at all proxies ("crowd"), or moved to other proxies
     "crowd",
     "moves",
 ]
-KINDS: tuple[Kind, ...] = (
+# Chosen from with equal probability: a kind that is listed twice is twice as frequent.
+WEIGHTED_KINDS: tuple[Kind, ...] = (
     "kill",
     "kill",
     "term",
@@ -50,11 +52,15 @@
 )
 
 
-Way = tuple[int, int]  # the numbers of a sender and a receiver
+Link = tuple[int, int]  # the numbers of a sender and a receiver
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`at` s after all are up; "split" parts the first `who` + 1 from the rest."""
+    """One fault: `at` s after all daemons are up, for `seconds`.
+
+    `who`: number of the daemon, modulo the number of daemons.  A "split" separates the daemons up
+    to that number from the others.
+    """
 
     at: Seconds
     kind: Kind
@@ -63,7 +69,10 @@
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One run.  One proxy is asked for more than all may let in, the others for little."""
+    """One run: `seconds` with faults, with a budget of `per_s` requests a second.
+
+    One proxy gets more requests than the whole fleet may admit, the others get few.
+    """
 
     seed: int = 0
     seconds: Seconds = 6.0
@@ -73,8 +82,8 @@
     fault: list[Fault] = []
 
 
-def draw(seed: int) -> Plan:
-    """The plan of a seed."""
+def generate(seed: int) -> Plan:
+    """The plan of a seed, always the same."""
     rng = random.Random(f"sharing/{seed}")
     daemons, seconds = rng.randint(5, 8), rng.uniform(4.0, 7.0)
     faults = draw_faults(
@@ -83,7 +92,7 @@
         count=rng.randint(2, 6),
         since=0.3,
         until=seconds,
-        kinds=KINDS,
+        kinds=WEIGHTED_KINDS,
         targets=daemons,
         lasts=(0.2, 0.6, 1.2, 2.5),
     )
@@ -97,8 +106,8 @@
     )
 
 
-def cut_ways(fault: Fault, daemons: int) -> list[Way]:
-    """The ways that a "cut", "deaf", "mute" or "split" cuts."""
+def cut_links(fault: Fault, daemons: int) -> list[Link]:
+    """The links that a "cut", "deaf", "mute" or "split" blocks."""
     who = fault.who % daemons
     if fault.kind == "split":
         return [
@@ -108,14 +117,14 @@
             if (sender <= who) != (receiver <= who)
         ]
     others = [number for number in range(daemons) if number != who]
-    ways: list[Way] = []
+    links: list[Link] = []
     if fault.kind != "mute":
-        ways += [(number, who) for number in others]
+        links += [(number, who) for number in others]
     if fault.kind != "deaf":
-        ways += [(who, number) for number in others]
-    return ways
+        links += [(who, number) for number in others]
+    return links
 
 
 def read(path: Path) -> Plan:
-    """ConfigError, one line with the key, for anything else than a plan."""
+    """Read a plan from a TOML file.  Raises ConfigError, one line that names the key."""
     return read_as(path, Plan)
--- a/limebridge/faults/sharing/rig.py
+++ b/limebridge/faults/sharing/rig.py
@@ -1,8 +1,9 @@
-"""Several installed daemons that share a budget, with a relay on each way between two of them.
+"""Runs a plan on installed daemons that share a budget, with a UDP relay on each link.
 
-Clients ask one proxy for more than all may let in and the others for little; a cache node counts
-what comes.  Faults are those of the plan: signals to processes, and ways that are cut, lose, copy,
-delay and reorder datagrams.  Afterwards all is healed, and the budget has to be spent again.
+Clients send one proxy more requests than the whole fleet may admit, and few to the others; a cache
+node counts the requests that arrive.  The faults of the plan are signals to processes, and links
+that are cut or lose, duplicate, delay and reorder datagrams.  Then all faults are healed, and the
+fleet must spend the budget again.
 """
 
 from __future__ import annotations
@@ -27,92 +28,99 @@
 from limebridge.standins.nodes import CacheNode
 from limebridge.standins.wire import reply
 
-from . import judge
+from . import checker
+from .checker import Admission, Note, Observed
 from .client import Client
 from .daemon import Daemon
-from .judge import Admission, Note, Seen
-from .plan import Fault, Plan, Way, cut_ways
+from .plan import Fault, Link, Plan, cut_links
 
-LOADED = 1.6  # times the budget that the loaded proxy is asked for
-IDLE = 1.0  # requests a second of each other
-HEAL = 4.0  # s after the faults, and three loans
-ENOUGH = 0.7  # of the budget that is spent in the last two seconds, on a machine as busy as it is
-STEP = 0.02  # s between looks whether the rig itself is late
+LOAD_FACTOR = 1.6  # load of the loaded proxy, in budgets
+IDLE_RATE = 1.0  # requests a second at each other proxy
+HEAL_S = 4.0  # run time after healing, in addition to three loan times
+# Share of the budget that must be spent in the last two seconds.  Below 1, since other programs use
+# the machine as well.
+MIN_FINAL_SHARE = 0.7
+LAG_INTERVAL_S = 0.02  # interval of the timer that measures the rig's own lag
 
 
 @dataclass
 class Outcome:
-    """What came of a plan."""
+    """The result of a plan."""
 
     plan: Plan
-    seen: Seen
-    broken: list[Violation] = field(default_factory=list)
-    again: float = 0.0
-    asked: int = 0
-    refused: int = 0
+    observed: Observed
+    violations: list[Violation] = field(default_factory=list)
+    final_share: float = 0.0  # share of the budget spent in the last two seconds
+    sent: int = 0  # requests
+    refused: int = 0  # requests
 
 
 class Rig:
-    """`patch`: a file whose plant() every daemon runs first."""
+    """The daemons, relays, clients and stand-ins of one run.
+
+    `patch`: path of a file whose plant() every daemon calls first, "" for none.
+    """
 
     def __init__(self, plan: Plan, folder: FilePath, patch: str = "") -> None:
         self.plan, self.folder = plan, folder
         self.command = daemon_command(patch)
-        self.seen, self.broken = Seen(), list[Violation]()
-        self.rates = [IDLE] * plan.daemons
-        self.rates[-1] = LOADED * plan.per_s
-        self.ids: Counter[bytes] = Counter()
+        self.observed, self.violations = Observed(), list[Violation]()
+        self.rates = [IDLE_RATE] * plan.daemons
+        self.rates[-1] = LOAD_FACTOR * plan.per_s
+        self.set_counts: Counter[bytes] = Counter()  # arrivals of each OBJ.SET at the node, by ID
         self.refused = 0
-        self.ends = False
-        self.faults: list[asyncio.Task[None]] = []
+        self.ending = False  # clients stop sending
+        self.fault_tasks: list[asyncio.Task[None]] = []
         self.daemons: list[Daemon] = []
         self.clients: list[Client] = []
-        self.twins: list[Child] = []
-        self.cut: Counter[Way] = Counter()  # how many faults cut it
+        self.duplicates: list[Child] = []
+        self.cut_counts: Counter[Link] = Counter()  # active faults that cut a link
         self.rng = random.Random(f"rig/{plan.seed}")
 
     @property
     def now(self) -> float:
+        """Current time in s of the event loop."""
         return asyncio.get_running_loop().time()
 
-    def complain(self, rule: str, text: str) -> None:
+    def add_violation(self, rule: str, text: str) -> None:
         """Record a violation."""
-        self.broken.append(Violation(rule, text))
+        self.violations.append(Violation(rule, text))
 
     def note(self, text: str) -> None:
-        """Record what happens, for the story."""
-        self.seen.notes.append(Note(self.now, text))
+        """Add an event to the trace, at the current time."""
+        self.observed.notes.append(Note(self.now, text))
 
-    async def play(self) -> Outcome:
-        await self._open()
+    async def run(self) -> Outcome:
+        """Start everything, apply the faults, heal them, wait, end everything and check."""
+        await self._start_stand_ins()
         tasks: list[asyncio.Task[None]] = []
         try:
             await self._start_daemons()
             tasks += [asyncio.create_task(client.run()) for client in self.clients]
-            tasks.append(asyncio.create_task(self._lateness()))
-            await self._schedule()
+            tasks.append(asyncio.create_task(self._measure_lag()))
+            await self._apply_faults()
             await self._heal()
-            await asyncio.sleep(HEAL + 3.0 * self.plan.loan_s)
+            await asyncio.sleep(HEAL_S + 3.0 * self.plan.loan_s)
             end = self.now
-            self.ends = True
+            self.ending = True
             await asyncio.gather(*tasks)
-            await asyncio.gather(*(daemon.ends(hard=False) for daemon in self.daemons))
+            await asyncio.gather(*(daemon.terminate(hard=False) for daemon in self.daemons))
         except DaemonStartError as error:
-            self.complain("starts", str(error))
+            self.add_violation("starts", str(error))
             end = self.now
         finally:
             await finish(self._end_all(tasks))
-        return self._judge(end)
+        return self._check(end)
 
-    async def _open(self) -> None:
-        """Start the relays and stand-ins that the daemons need."""
+    async def _start_stand_ins(self) -> None:
+        """Start the relays, the discovery and the cache node that the daemons need."""
         plan = self.plan
-        self.key = self.folder / "key"
-        self.key.write_text(f"a key of the rig {plan.seed}\n")
+        self.key_file = self.folder / "key"
+        self.key_file.write_text(f"a key of the rig {plan.seed}\n")
         ports = free_ports(2 * plan.daemons)
         self.daemons = [Daemon(self, number, ports[number]) for number in range(plan.daemons)]
         self.clients = [Client(self, daemon) for daemon in self.daemons]
-        self.spare = ports[plan.daemons :]
+        self.spare_ports = ports[plan.daemons :]
         self.relays = {
             (here, there): await Datagrams(ports[there], f"{plan.seed}/{here}/{there}").start()
             for here in range(plan.daemons)
@@ -120,80 +128,88 @@
             if here != there
         }
         self.discovery = await Discovery().start()
-        self.node = await CacheNode(self._serves).start()
-        self.known = [self.node.entry("s-0")]
+        self.node = await CacheNode(self._serve).start()
+        self.node_entries = [self.node.entry("s-0")]
 
     async def _start_daemons(self) -> None:
-        self.seen.began = self.now
-        # All of them come to an end before one's failure is told: none may start afterwards.
-        for failed in await asyncio.gather(
+        self.observed.started_at = self.now
+        # Raise a failure only after all starts have finished: none may start a process afterwards.
+        for result in await asyncio.gather(
             *(daemon.start() for daemon in self.daemons), return_exceptions=True
         ):
-            if isinstance(failed, BaseException):
-                raise failed
-        self.seen.began = self.now
+            if isinstance(result, BaseException):
+                raise result
+        self.observed.started_at = self.now
 
     async def _end_all(self, tasks: list[asyncio.Task[None]]) -> None:
-        """No fault goes on, so that none starts a daemon; all daemons and stand-ins end."""
-        self.ends = True
-        for task in (*tasks, *self.faults):
+        """End all daemons and stand-ins.
+
+        The faults are cancelled first, since one of them may start a daemon.
+        """
+        self.ending = True
+        for task in (*tasks, *self.fault_tasks):
             task.cancel()
-        await asyncio.gather(*tasks, *self.faults, return_exceptions=True)
-        for child in (*self.twins, *(c for d in self.daemons for c in d.children)):
+        await asyncio.gather(*tasks, *self.fault_tasks, return_exceptions=True)
+        for child in (*self.duplicates, *(c for d in self.daemons for c in d.children)):
             await child.kill()
         for relay in self.relays.values():
             relay.stop()
         await self.discovery.stop()
         await self.node.stop()
 
-    def _judge(self, end: float) -> Outcome:
-        plan, seen = self.plan, self.seen
-        self.broken += judge.broken(plan, seen, real=True)
-        again = judge.share(plan, seen, end - 2.0, end)
-        if again < ENOUGH:
-            self.complain("goes on", f"{again:.3f} of the budget is spent in the end")
-        twice = [id_ for id_, times in self.ids.items() if times > 1]
-        if twice:
-            self.complain("no effect twice", f"{twice[0].decode()} came {self.ids[twice[0]]} times")
+    def _check(self, end: float) -> Outcome:
+        plan, observed = self.plan, self.observed
+        self.violations += checker.find_violations(plan, observed, real=True)
+        final_share = checker.budget_share(plan, observed, end - 2.0, end)
+        if final_share < MIN_FINAL_SHARE:
+            self.add_violation(
+                "goes on", f"only {final_share:.3f} of the budget is spent at the end"
+            )
+        repeated = [id_ for id_, times in self.set_counts.items() if times > 1]
+        if repeated:
+            self.add_violation(
+                "no effect twice",
+                f"{repeated[0].decode()} arrived {self.set_counts[repeated[0]]} times",
+            )
         for daemon, client in zip(self.daemons, self.clients, strict=True):
             if client.answered != client.sent:
-                self.complain(
+                self.add_violation(
                     "no request lost",
-                    f"{daemon.name}: {client.sent} asked, {client.answered} answered",
+                    f"{daemon.name}: {client.sent} requests, {client.answered} answers",
                 )
         return Outcome(
             plan,
-            seen,
-            self.broken,
-            again,
+            observed,
+            self.violations,
+            final_share,
             sum(client.sent for client in self.clients),
             self.refused,
         )
 
-    async def _serves(self, words: list[bytes], writer: asyncio.StreamWriter) -> None:
+    async def _serve(self, words: list[bytes], writer: asyncio.StreamWriter) -> None:
         id_ = words[2]
         if words[0] == b"OBJ.SET":
-            self.ids[id_] += 1
-        self.seen.spent.append(Admission(self.now, id_.partition(b"-")[0].decode()))
+            self.set_counts[id_] += 1
+        self.observed.admissions.append(Admission(self.now, id_.partition(b"-")[0].decode()))
         writer.write(reply(b"value"))
 
-    async def _lateness(self) -> None:
-        while not self.ends:
-            due = self.now + STEP
-            await asyncio.sleep(STEP)
-            self.seen.late = max(self.seen.late, self.now - due)
+    async def _measure_lag(self) -> None:
+        while not self.ending:
+            due = self.now + LAG_INTERVAL_S
+            await asyncio.sleep(LAG_INTERVAL_S)
+            self.observed.max_lag_s = max(self.observed.max_lag_s, self.now - due)
 
     # --- faults ---
-    async def _schedule(self) -> None:
-        tasks = self.faults
+    async def _apply_faults(self) -> None:
+        tasks = self.fault_tasks
         for fault in self.plan.fault:
-            await asyncio.sleep(max(0.0, self.seen.began + fault.at - self.now))
+            await asyncio.sleep(max(0.0, self.observed.started_at + fault.at - self.now))
             self.note(f"{fault.kind} p{fault.who % self.plan.daemons} for {fault.seconds}")
-            tasks.append(asyncio.create_task(self._fault(fault)))
-        await asyncio.sleep(max(0.0, self.seen.began + self.plan.seconds - self.now))
+            tasks.append(asyncio.create_task(self._apply_fault(fault)))
+        await asyncio.sleep(max(0.0, self.observed.started_at + self.plan.seconds - self.now))
         await asyncio.gather(*tasks)
 
-    async def _fault(self, fault: Fault) -> None:
+    async def _apply_fault(self, fault: Fault) -> None:
         daemon = self.daemons[fault.who % self.plan.daemons]
         match fault.kind:
             case "kill" | "term":
@@ -201,11 +217,11 @@
             case "all":
                 await asyncio.gather(*(self._restart(each, True, 0.1) for each in self.daemons))
             case "stop":
-                async with daemon.busy:
+                async with daemon.restart_lock:
                     await self._stop(daemon, fault.seconds)
             case "twin":
-                port = self.spare.pop()
-                self.twins.append(await daemon.start(f"{daemon.name}-twin{port}", port))
+                port = self.spare_ports.pop()
+                self.duplicates.append(await daemon.start(f"{daemon.name}-twin{port}", port))
             case "cut" | "deaf" | "mute" | "split":
                 await self._cut(fault)
             case "loss":
@@ -220,31 +236,31 @@
                 self.rates = self.rates[1:] + self.rates[:1]
 
     async def _cut(self, fault: Fault) -> None:
-        """Cut ways for a while; one that two faults cut is cut until both are over."""
-        ways = cut_ways(fault, self.plan.daemons)
-        self.cut.update(ways)
+        """Cut links for a while; a link that two faults cut stays cut until both are over."""
+        links = cut_links(fault, self.plan.daemons)
+        self.cut_counts.update(links)
         self._set_paths()
         await asyncio.sleep(fault.seconds)
-        self.cut.subtract(ways)
+        self.cut_counts.subtract(links)
         self._set_paths()
 
     async def _disturb(self, path: Path, seconds: float) -> None:
-        """Lose, delay or copy datagrams on all ways for a while."""
+        """Lose, delay, duplicate or reorder datagrams on all links for a while."""
         for relay in self.relays.values():
             relay.there = relay.back = path
         await asyncio.sleep(seconds)
         self._set_paths()
 
     def _set_paths(self) -> None:
-        """All ways are sound but those that are cut."""
-        for way, relay in self.relays.items():
-            relay.there = relay.back = Path(cut=self.cut[way] > 0)
+        """Reset the relays of all links to no fault, except for links that are cut."""
+        for link, relay in self.relays.items():
+            relay.there = relay.back = Path(cut=self.cut_counts[link] > 0)
 
     async def _restart(self, daemon: Daemon, hard: bool, seconds: float) -> None:
-        if daemon.busy.locked():
+        if daemon.restart_lock.locked():
             return
-        async with daemon.busy:
-            await daemon.ends(hard)
+        async with daemon.restart_lock:
+            await daemon.terminate(hard)
             await asyncio.sleep(seconds)
             await daemon.start()
 
@@ -257,19 +273,21 @@
             os.kill(daemon.child.pid, signal.SIGCONT)
 
     async def _heal(self) -> None:
-        self.cut.clear()
+        self.cut_counts.clear()
         self._set_paths()
-        for twin in self.twins:
-            if not await twin.term():
-                self.complain("ends", f"a twin did not drain: {twin.last_line}")
+        for duplicate in self.duplicates:
+            if not await duplicate.term():
+                self.add_violation(
+                    "ends", f"a duplicate process did not drain: {duplicate.last_line}"
+                )
         for daemon in self.daemons:
             if daemon.child is None or daemon.child.ended:
                 last = daemon.child.last_line if daemon.child else ""
-                self.complain("ends", f"{daemon.name} crashed: {last}")
-        self.seen.healed_at = self.now
+                self.add_violation("ends", f"{daemon.name} crashed: {last}")
+        self.observed.healed_at = self.now
 
 
-def play(plan: Plan, patch: str = "") -> Outcome:
-    """One plan, in a folder of its own that is gone afterwards."""
+def run_plan(plan: Plan, patch: str = "") -> Outcome:
+    """Run one plan, with files in a temporary folder that is removed afterwards."""
     with tempfile.TemporaryDirectory(prefix="sharing-") as folder:
-        return run(Rig(plan, FilePath(folder), patch).play())
+        return run(Rig(plan, FilePath(folder), patch).run())
--- a/limebridge/faults/sharing/summary.py
+++ b/limebridge/faults/sharing/summary.py
@@ -1,4 +1,4 @@
-"""What the commands of `limebridge faults sharing` say of many plans: the objects of --json."""
+"""Summaries of many plans, which the commands of `limebridge faults sharing` print with --json."""
 
 from __future__ import annotations
 
@@ -9,44 +9,44 @@
 from limebridge.faults.exploring import ExploreTotals
 from limebridge.faults.summary import FirstViolation, first_violations
 
-from .many import PlayedPlan
 from .memory import Outcome
+from .pool_run import PlayedPlan
 
 
 class Spread(msgspec.Struct):
-    """The least and the middle one of some values."""
+    """The minimum and the median of some values."""
 
     least: float
     middle: float
 
 
 class RunSummary(msgspec.Struct):
-    """Plans on real processes."""
+    """Summary of plans on real processes."""
 
     plans: int
     seconds: float
     plans_a_minute: float
-    asked: int
-    let_in: int
-    spent_in_the_end: Spread  # shares of the budget
-    rig_late_s: float  # by which the rig's own steps were late, at most
+    asked: int  # requests sent
+    let_in: int  # requests admitted
+    spent_in_the_end: Spread  # shares of the budget, after healing
+    rig_late_s: float  # longest delay of the rig's own timer
     broken: list[FirstViolation]
 
 
 class ExploreSummary(msgspec.Struct):
-    """Plans in memory; `digest` is of all requests that were let in."""
+    """Summary of plans in memory; `digest` covers the digests of all outcomes."""
 
     first: int
     seeds: int
     seconds: float
-    let_in: int
-    spent_in_the_end: Spread
+    let_in: int  # requests admitted
+    spent_in_the_end: Spread  # shares of the budget, after healing
     broken: list[FirstViolation]
     digest: str
 
 
 def spread(values: Sequence[float]) -> Spread:
-    """Of at least one value."""
+    """Minimum and median, rounded to 3 digits; `values` must not be empty."""
     ordered = sorted(values)
     return Spread(round(ordered[0], 3), round(ordered[len(ordered) // 2], 3))
 
@@ -54,40 +54,41 @@
 def summary_of_run(
     played: Sequence[PlayedPlan], broken: Sequence[PlayedPlan], seconds: float
 ) -> RunSummary:
-    """What came of the plans that were played within so many seconds."""
+    """Summarize `played` plans, which took `seconds` in all; `broken`: those with violations."""
     return RunSummary(
         plans=len(played),
         seconds=round(seconds, 1),
         plans_a_minute=round(60.0 * len(played) / seconds, 1),
-        asked=sum(each.asked for each in played),
-        let_in=sum(each.spent for each in played),
-        spent_in_the_end=spread([each.again for each in played]),
-        rig_late_s=round(max(each.late for each in played), 3),
+        asked=sum(each.sent for each in played),
+        let_in=sum(each.admitted for each in played),
+        spent_in_the_end=spread([each.final_share for each in played]),
+        rig_late_s=round(max(each.max_lag_s for each in played), 3),
         broken=first_violations(broken),
     )
 
 
 class SharingTotals(ExploreTotals[Outcome]):
-    """What is added up of the outcomes of `faults sharing explore`."""
+    """Totals over the outcomes of `faults sharing explore`."""
 
     def __init__(self) -> None:
         super().__init__()
         self.admitted = 0
-        self.shares: list[float] = []  # of the budget, spent in the end
+        self.final_shares: list[float] = []
 
     def add(self, outcome: Outcome) -> None:
+        """Add an outcome; they must be added in the order of their seeds."""
         super().add(outcome)
-        self.admitted += outcome.spent
-        self.shares.append(outcome.again)
+        self.admitted += outcome.admitted
+        self.final_shares.append(outcome.final_share)
 
     def summary(self, first: int, seconds: float) -> ExploreSummary:
-        """`first`: the first seed."""
+        """`first`: the first seed; `seconds`: the time that the exploration took."""
         return ExploreSummary(
             first=first,
             seeds=self.seeds,
             seconds=round(seconds, 1),
             let_in=self.admitted,
-            spent_in_the_end=spread(self.shares),
+            spent_in_the_end=spread(self.final_shares),
             broken=first_violations(self.broken),
             digest=self.digest,
         )
--- a/tests/limebridge/faults/test_sharing_whole.py
+++ b/tests/limebridge/faults/test_sharing_whole.py
@@ -1,4 +1,8 @@
-"""Budgets checked whole within bounds; each planted fault is found there with a short story."""
+"""Exhaustive check of the loans of a budget, within bounds, and of bugs injected into them.
+
+The model checker must find no violation in the real code, and each injected bug by a trace of at
+most nine events.
+"""
 
 from __future__ import annotations
 
@@ -10,52 +14,58 @@
 from limebridge.faults.state_space import check
 from violetroute.sharing.loans import BorrowedLoan, Loans, LoanTerms
 
-# Small enough for the suite; benchmarks/sharing.py follows millions.
+# Small enough for the test suite; benchmarks/sharing.py explores millions of states.
 SMALL = Bounds(times=3, asks=2, backs=1, copies=1, crashes=1)
 
 
-def test_no_order_of_what_may_happen_spends_more_than_the_budget() -> None:
-    found = check(World(SMALL), most=30_000)
-    assert found.stories == {}
-    assert found.states > 10_000 and found.healed > 100
+def test_no_order_of_events_spends_more_than_the_budget() -> None:
+    result = check(World(SMALL), most=30_000)
+    assert result.stories == {}
+    assert result.states > 10_000 and result.healed > 100
 
 
-def from_the_receipt(patch: pytest.MonkeyPatch) -> None:
-    """A loan begins when its answer comes."""
-    granted = Loans.accept_grant
+def time_counted_from_the_answer(patch: pytest.MonkeyPatch) -> None:
+    """The borrower counts a loan's time from the answer, not from its request."""
+    original = Loans.accept_grant
 
-    def late(self: Loans, now: float, lender: str, number: int, amount: int) -> bool:
+    def accept_grant(self: Loans, now: float, lender: str, number: int, amount: int) -> bool:
         if lender in self._requests:
             self._requests[lender] = self._requests[lender][0], now
-        return granted(self, now, lender, number, amount)
+        return original(self, now, lender, number, amount)
 
-    patch.setattr(Loans, "accept_grant", late)
+    patch.setattr(Loans, "accept_grant", accept_grant)
 
 
-def returned_twice(patch: pytest.MonkeyPatch) -> None:
-    """A return ends whatever stands, also what was lent after it."""
+def return_ends_later_loans(patch: pytest.MonkeyPatch) -> None:
+    """A return ends all loans to its borrower, also those that were granted after it."""
     patch.setattr(
         Loans, "accept_return", lambda self, now, borrower, number: self._lent.pop(borrower, None)
     )
 
 
-def whole_at_once(patch: pytest.MonkeyPatch) -> None:
-    """A new incarnation has all of its home part."""
-    made = Loans.__init__
+def whole_home_part_at_start(patch: pytest.MonkeyPatch) -> None:
+    """A new incarnation may spend its whole home part at once.
 
-    def full(self: Loans, home: int, terms: LoanTerms, now: float) -> None:
-        made(self, home, terms, now - terms.loan_s)
+    Loans that a previous incarnation granted may still be active then.
+    """
+    original = Loans.__init__
 
-    patch.setattr(Loans, "__init__", full)
+    def init(self: Loans, home: int, terms: LoanTerms, now: float) -> None:
+        original(self, home, terms, now - terms.loan_s)
+
+    patch.setattr(Loans, "__init__", init)
 
 
 def no_drift(patch: pytest.MonkeyPatch) -> None:
-    """Two clocks are taken to run alike."""
+    """The borrower's time is not shortened by the possible difference of two clocks."""
     patch.setattr(LoanTerms, "borrower_s", property(lambda self: self.loan_s))
 
 
-def last_loan_alone(patch: pytest.MonkeyPatch) -> None:
-    """A smaller renewal frees the rest at once, though its answer may never come."""
+def only_last_loan_deducted(patch: pytest.MonkeyPatch) -> None:
+    """A smaller renewal frees the difference at once.
+
+    The borrower spends the greater loan on if the answer to the renewal is lost.
+    """
     patch.setattr(
         Loans,
         "lent_total",
@@ -65,25 +75,30 @@
     )
 
 
-def any_answer(patch: pytest.MonkeyPatch) -> None:
-    """An answer to an ask that was given up counts for the one that is open."""
+def any_answer_accepted(patch: pytest.MonkeyPatch) -> None:
+    """An answer is accepted for the open request, though it answers an abandoned one."""
 
     def accept_grant(self: Loans, now: float, lender: str, number: int, amount: int) -> bool:
-        asked = self._requests.pop(lender, None)
-        if asked is not None and amount:
-            self._borrowed[lender] = BorrowedLoan(number, amount, asked[1] + self._terms.borrower_s)
-        return asked is not None
+        request = self._requests.pop(lender, None)
+        if request is not None and amount:
+            self._borrowed[lender] = BorrowedLoan(
+                number, amount, request[1] + self._terms.borrower_s
+            )
+        return request is not None
 
     patch.setattr(Loans, "accept_grant", accept_grant)
 
 
-def late_answer_returned(patch: pytest.MonkeyPatch) -> None:
-    """What came too late is given back, though an older loan of that lender stands."""
+def late_grant_returned(patch: pytest.MonkeyPatch) -> None:
+    """A late grant is returned although an older loan of that lender is still spent.
+
+    The return ends both loans at the lender.
+    """
     patch.setattr(Loans, "number_to_refuse", lambda self, lender, number: number)
 
 
-def kept_after_the_return(patch: pytest.MonkeyPatch) -> None:
-    """A borrower gives back and goes on."""
+def spent_after_the_return(patch: pytest.MonkeyPatch) -> None:
+    """A borrower returns a loan but does not stop spending it."""
     patch.setattr(
         Loans,
         "give_back",
@@ -94,28 +109,28 @@
     )
 
 
-PLANTS = [
-    from_the_receipt,
-    returned_twice,
-    whole_at_once,
+INJECTED_BUGS = [
+    time_counted_from_the_answer,
+    return_ends_later_loans,
+    whole_home_part_at_start,
     no_drift,
-    last_loan_alone,
-    any_answer,
-    late_answer_returned,
-    kept_after_the_return,
+    only_last_loan_deducted,
+    any_answer_accepted,
+    late_grant_returned,
+    spent_after_the_return,
 ]
 
 
-@pytest.mark.parametrize("plant", PLANTS)
-def test_a_planted_fault_is_found_with_its_shortest_story(
-    plant: Any, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("inject", INJECTED_BUGS)
+def test_an_injected_bug_is_found_by_a_short_trace(
+    inject: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    plant(monkeypatch)
-    crashes = int(plant is whole_at_once)
-    found = check(
+    inject(monkeypatch)
+    crashes = int(inject is whole_home_part_at_start)
+    result = check(
         World(Bounds(times=3, asks=2, backs=1, copies=1, crashes=crashes)),
         most=120_000,
         stop_at_first=True,
     )
-    assert "the sum" in found.stories, found
-    assert len(found.stories["the sum"]) <= 9
+    assert "the sum" in result.stories, result
+    assert len(result.stories["the sum"]) <= 9
--- a/tests/planted_sharing/lender_goes_on.py
+++ b/tests/planted_sharing/lender_spends_lent.py
@@ -1,4 +1,4 @@
-"""A lender spends what it has lent."""
+"""A lender still spends what it has lent."""
 
 from violetroute.sharing.loans import Loans
 
--- a/tests/planted_sharing/no_way_back.py
+++ b/tests/planted_sharing/no_reconnect.py
@@ -1,4 +1,4 @@
-"""Who was thought dead is never asked again."""
+"""A member that was declared dead is never contacted again."""
 
 from violetroute.sharing.members import Members
 
--- a/tests/planted_sharing/renewed_for_ever.py
+++ b/tests/planted_sharing/renewed_without_limit.py
@@ -1,4 +1,4 @@
-"""A loan is lent anew whenever it is asked for, whatever its lender needs by then."""
+"""A lender grants each renewal, even if it needs its home part itself by then."""
 
 from violetroute.sharing.loans import Loans
 
--- a/tests/violetroute/sharing/test_sharing.py
+++ b/tests/violetroute/sharing/test_sharing.py
@@ -13,8 +13,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from limebridge.faults.sharing import judge, memory, plan, rig
-from limebridge.faults.sharing.judge import Admission, Seen
+from limebridge.faults.sharing import checker, memory, plan, rig
+from limebridge.faults.sharing.checker import Admission, Observed
 from limebridge.faults.sharing.plan import Fault, Plan
 from tests.support import bounded
 from tests.support.paths import ROOT
@@ -47,11 +47,11 @@
 # --- fault plans, in memory and on real processes ---
 @pytest.mark.long
 def test_in_memory_runs_are_deterministic_and_keep_all_properties() -> None:
-    first = [memory.played(seed) for seed in range(40)]
+    first = [memory.run_seed(seed) for seed in range(40)]
     assert [each.broken for each in first] == [()] * 40
-    assert memory.played(3).digest == first[3].digest
+    assert memory.run_seed(3).digest == first[3].digest
     # All load is on one proxy, which still spends the whole budget.
-    assert sorted(each.again for each in first)[20] > 0.9
+    assert sorted(each.final_share for each in first)[20] > 0.9
 
 
 REAL = Plan(
@@ -70,19 +70,19 @@
 
 
 def test_real_daemons_spend_nearly_the_whole_budget_and_no_more() -> None:
-    outcome = rig.play(REAL)
-    assert outcome.broken == [], judge.tell(outcome.seen, outcome.broken)
+    outcome = rig.run_plan(REAL)
+    assert outcome.violations == [], checker.format_trace(outcome.observed, outcome.violations)
     assert outcome.refused > 50
 
 
 # Injected bugs and the property that each violates in memory.  An exhaustive search finds the same
 # bugs in tests/limebridge/faults/test_sharing_whole.py and reports the shortest trace.
 PLANTED = {
-    "whole_at_once": "authority",
-    "from_the_receipt": "authority",
-    "lender_goes_on": "the sum",
-    "renewed_for_ever": "floor",
-    "no_way_back": "goes on",
+    "whole_home_part_at_start": "authority",
+    "time_counted_from_the_answer": "authority",
+    "lender_spends_lent": "the sum",
+    "renewed_without_limit": "floor",
+    "no_reconnect": "goes on",
 }
 
 
@@ -116,8 +116,8 @@
 def test_a_plan_round_trips_and_an_invalid_one_is_a_one_line_error(tmp_path: Path) -> None:
     path = tmp_path / "plan.toml"
     for seed in range(20):
-        path.write_text(plan.dump(plan.draw(seed)))
-        assert plan.read(path) == plan.draw(seed)
+        path.write_text(plan.dump(plan.generate(seed)))
+        assert plan.read(path) == plan.generate(seed)
     path.write_text("[[fault]]\nat = 1.0\nkind = 'rain'")
     with pytest.raises(ConfigError) as wrong:
         plan.read(path)
@@ -126,9 +126,11 @@
 
 def test_the_checker_finds_a_second_over_budget() -> None:
     few = Plan(0, 1.0, 2, 10.0)
-    at_once = Seen([Admission(100.0 + n / 100.0, "p0") for n in range(20)])
-    spread = Seen([Admission(100.0 + n / 10.0, "p0") for n in range(200)])
-    assert judge.broken(few, at_once, real=False) and not judge.broken(few, spread, real=False)
+    at_once = Observed([Admission(100.0 + n / 100.0, "p0") for n in range(20)])
+    spread = Observed([Admission(100.0 + n / 10.0, "p0") for n in range(200)])
+    assert checker.find_violations(few, at_once, real=False) and not checker.find_violations(
+        few, spread, real=False
+    )
 
 
 # --- budgets ---
