--- a/limebridge/scale/applied.py
+++ b/limebridge/scale/applied.py
@@ -19,10 +19,10 @@
 RECORD = struct.Struct("<Qd")  # of a stamp file: position and CLOCK_MONOTONIC
 STALE_FROM, STALE_UNTIL = 2**63, 2**63 + 1  # of a stamp file, in place of a position
 NEVER = float("inf")
-STALE_LOOK_S = 0.25  # between two looks at whether a proxy is stale
+STALE_SAMPLE_INTERVAL_S = 0.25  # between two looks at whether a proxy is stale
 
 
-class HasPosition(Protocol):
+class SubscriberState(Protocol):
     """What is asked of a proxy's subscriber."""
 
     @property
@@ -32,14 +32,14 @@
     def as_of(self) -> float | None: ...
 
 
-class Following(Protocol):
+class DistributionState(Protocol):
     """What is asked of a proxy's distribution: `DistributionService`."""
 
     @property
-    def subscriber(self) -> HasPosition: ...
+    def subscriber(self) -> SubscriberState: ...
 
 
-class Taking(Protocol):
+class RecordReceiver(Protocol):
     """Where records take effect: `violetroute.distribution.service.Receiver`."""
 
     purges: int
@@ -67,51 +67,51 @@
     voids: int = 0
 
 
-class StaleTimes:
+class StalePeriods:
     """When a proxy was stale by its own clock, from looks at its `as_of`.
 
     A proxy is stale at `now` when `now - as_of` is more than `stale_after_s`. So a look finds the
     exact beginning also where the process stood still meanwhile; the end is at most a look late.
     """
 
-    __slots__ = ("_as_of", "_began_at", "closed", "stale_after_s")
+    __slots__ = ("_as_of", "_began_at", "ended_periods", "stale_after_s")
 
     def __init__(self, stale_after_s: float) -> None:
         self.stale_after_s = stale_after_s
         self._as_of: float | None = None
         self._began_at = -NEVER  # of the process
-        self.closed: list[tuple[float, float]] = []
+        self.ended_periods: list[tuple[float, float]] = []
 
-    def restarted(self, now: float) -> None:
+    def record_restart(self, now: float) -> None:
         """A new process knows nothing until its first look finds an `as_of`."""
         began = self._stale_since()
         if now > began:
-            self.closed.append((began, now))
+            self.ended_periods.append((began, now))
         self._as_of, self._began_at = None, now
 
-    def look(self, now: float, as_of: float | None) -> None:
+    def observe(self, now: float, as_of: float | None) -> None:
         """Both by CLOCK_MONOTONIC, as the event loop's clock is."""
         if as_of is None or as_of == self._as_of:
             return
         began = self._stale_since()
         if now > began:
-            self.closed.append((began, now))
+            self.ended_periods.append((began, now))
         self._as_of = as_of
 
     def _stale_since(self) -> float:
         """The end of what is known to be fresh."""
         return self._began_at if self._as_of is None else self._as_of + self.stale_after_s
 
-    def all(self) -> tuple[tuple[float, float], ...]:
+    def periods(self) -> tuple[tuple[float, float], ...]:
         """With the one that would begin if nothing came any more."""
-        return (*self.closed, (self._stale_since(), NEVER))
+        return (*self.ended_periods, (self._stale_since(), NEVER))
 
 
 class AppliedTimes:
     """Recorder of one hollow proxy, and the receiver of its records."""
 
     __slots__ = (
-        "_following",
+        "_distribution",
         "_last",
         "configurations",
         "first",
@@ -125,36 +125,36 @@
         self.first = 0
         self.times = array("d")
         self.purges = self.voids = self.configurations = 0
-        self.stale = StaleTimes(0.0)
+        self.stale = StalePeriods(0.0)
         self._last = 0
-        self._following: Following | None = None
+        self._distribution: DistributionState | None = None
 
-    def follow(self, following: Following, stale_after_s: float) -> None:
+    def attach(self, distribution: DistributionState, stale_after_s: float) -> None:
         """Whose position and age are recorded."""
-        self._following = following
+        self._distribution = distribution
         self.stale.stale_after_s = stale_after_s
 
-    def restarted(self) -> None:
+    def record_restart(self) -> None:
         """The proxy's process ended and begins anew."""
-        self._following = None
-        self.stale.restarted(time.monotonic())
+        self._distribution = None
+        self.stale.record_restart(time.monotonic())
 
     def purge(self, key: str) -> None:
         """A purge took effect: the first of its batch stamps the position."""
         self.purges += 1
-        if self._following is not None and self._following.subscriber.position > self._last:
-            self._stamp(self._following.subscriber.position)
+        if self._distribution is not None and self._distribution.subscriber.position > self._last:
+            self._stamp(self._distribution.subscriber.position)
 
     def invalidate_all(self, reason: str) -> None:
         """A snapshot: everything up to its base is done."""
         self.voids += 1
-        if self._following is not None and self._following.subscriber.position > self._last:
-            self._stamp(self._following.subscriber.position)
+        if self._distribution is not None and self._distribution.subscriber.position > self._last:
+            self._stamp(self._distribution.subscriber.position)
 
     def configure(self, change: ConfigurationChange) -> tuple[str, ...]:
         """Counted: a hollow proxy has no configuration."""
         self.configurations += len(change.records)
-        if self._following is not None and change.position > self._last:
+        if self._distribution is not None and change.position > self._last:
             self._stamp(change.position)
         return ()
 
@@ -167,31 +167,35 @@
             self.times.extend([now] * (position - self._last))
         self._last = position
 
-    def look(self, behind_s: float) -> None:
+    def observe(self, loop_behind_s: float) -> None:
         """Note how old the proxy takes its knowledge for.
 
         `behind_s`: how far the clock of its event loop is behind CLOCK_MONOTONIC.
         """
-        if self._following is not None:
-            as_of = self._following.subscriber.as_of
-            self.stale.look(time.monotonic(), None if as_of is None else as_of + behind_s)
+        if self._distribution is not None:
+            as_of = self._distribution.subscriber.as_of
+            self.stale.observe(time.monotonic(), None if as_of is None else as_of + loop_behind_s)
 
-    def seen(self, name: str) -> Applied:
+    def snapshot(self, name: str) -> Applied:
         """What was recorded."""
         times = self.times.tobytes()
-        return Applied(name, self.first, times, self.stale.all(), self.purges, self.voids)
+        return Applied(name, self.first, times, self.stale.periods(), self.purges, self.voids)
 
 
-class StampFile:
+class StampingReceiver:
     """A receiver that writes stamps to a file and passes everything on.  For real daemons."""
 
     def __init__(
-        self, receiver: Taking, following: Following, path: Path, stale_after_s: float
+        self,
+        receiver: RecordReceiver,
+        distribution: DistributionState,
+        path: Path,
+        stale_after_s: float,
     ) -> None:
-        self._receiver, self._following = receiver, following
+        self._receiver, self._distribution = receiver, distribution
         self._file = path.open("ab", buffering=0)  # open as long as the process
         self._last = 0
-        self._stale = StaleTimes(stale_after_s)
+        self._stale = StalePeriods(stale_after_s)
         self.purges, self.voids = receiver.purges, receiver.voids
         self.configurations = receiver.configurations
 
@@ -215,18 +219,18 @@
         return reasons
 
     def _stamp(self) -> None:
-        position = self._following.subscriber.position
+        position = self._distribution.subscriber.position
         if position > self._last:
             self._last = position
             self._file.write(RECORD.pack(position, time.monotonic()))
 
-    def look(self, loop: asyncio.AbstractEventLoop) -> None:
+    def sample_staleness(self, loop: asyncio.AbstractEventLoop) -> None:
         """Note how old the proxy takes its knowledge for, from now on each STALE_LOOK_S."""
-        self._stale.look(time.monotonic(), self._following.subscriber.as_of)
-        for began, ended in self._stale.closed:
+        self._stale.observe(time.monotonic(), self._distribution.subscriber.as_of)
+        for began, ended in self._stale.ended_periods:
             self._file.write(RECORD.pack(STALE_FROM, began) + RECORD.pack(STALE_UNTIL, ended))
-        self._stale.closed.clear()
-        loop.call_later(STALE_LOOK_S, self.look, loop)
+        self._stale.ended_periods.clear()
+        loop.call_later(STALE_SAMPLE_INTERVAL_S, self.sample_staleness, loop)
 
 
 def read_stamps(name: str, path: Path) -> Applied:
--- a/limebridge/scale/child.py
+++ b/limebridge/scale/child.py
@@ -11,9 +11,9 @@
 
 from .measure import Answer, Failed
 
-GRACE = 5.0  # s beyond its own time limit, until a child is killed
+KILL_GRACE_S = 5.0  # s beyond its own time limit, until a child is killed
 MODULE = "limebridge.scale.measure"
-REASON_LENGTH = 300  # characters of an error that are kept
+MAX_REASON_LENGTH = 300  # characters of an error that are kept
 
 
 async def run_child(subject: str, size: int, time_limit: float, module: str = MODULE) -> Answer:
@@ -25,7 +25,7 @@
         subject,
         str(size),
         "--time-limit",
-        str(time_limit + GRACE),
+        str(time_limit + KILL_GRACE_S),
         stdin=asyncio.subprocess.DEVNULL,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
@@ -54,9 +54,9 @@
         answer: Answer = msgspec.json.decode(lines[-1] if lines else b"", type=Answer)
         return answer
     except msgspec.DecodeError:
-        said = errors.decode(errors="replace").strip().splitlines()
-        reason = said[-1] if said else "it said nothing"
-        return Failed(f"its process ended with status {status}: {reason[:REASON_LENGTH]}")
+        error_lines = errors.decode(errors="replace").strip().splitlines()
+        reason = error_lines[-1] if error_lines else "it said nothing"
+        return Failed(f"its process ended with status {status}: {reason[:MAX_REASON_LENGTH]}")
 
 
 async def _end(process: asyncio.subprocess.Process) -> None:
--- a/limebridge/scale/command.py
+++ b/limebridge/scale/command.py
@@ -21,13 +21,13 @@
 from .run_command import run
 
 if TYPE_CHECKING:
-    from . import slopes as measuring
+    from . import slopes as slopes_module
 
 scale_app = typer.Typer(no_args_is_help=True, help="Costs at the target size: measured slopes.")
 
-MOST_JOBS = 4
+MAX_JOBS = 4
 TABLE_WIDTH = 130  # characters, also where the output is no terminal
-INTERRUPTED = 130  # exit status after Ctrl-C, as a shell has it
+EXIT_INTERRUPTED = 130  # exit status after Ctrl-C, as a shell has it
 
 
 scale_app.command()(capacity)
@@ -53,7 +53,7 @@
     skip_largest: Annotated[
         bool, typer.Option("--skip-largest", help="Leave the largest size of each subject out.")
     ] = False,
-    jobs: Annotated[int, typer.Option(min=1, max=MOST_JOBS, help="Measurements at a time.")] = 1,
+    jobs: Annotated[int, typer.Option(min=1, max=MAX_JOBS, help="Measurements at a time.")] = 1,
     time_limit: Annotated[
         float | None,
         typer.Option(min=0.1, max=3600.0, help="Seconds for one measurement; else the subject's."),
@@ -63,9 +63,9 @@
 
     Exit status 1 when a measurement failed, 2 when the arguments can't be used, 130 after Ctrl-C.
     """
-    from . import slopes as measuring  # numpy and scipy take half a second
+    from . import slopes as slopes_module  # numpy and scipy take half a second
 
-    options = measuring.Options(
+    options = slopes_module.Options(
         quick=quick, only=only, skip_largest=skip_largest, jobs=jobs, time_limit=time_limit
     )
     try:
@@ -76,7 +76,7 @@
         raise typer.Exit(2) from None
     except (KeyboardInterrupt, asyncio.CancelledError):
         typer.echo("limebridge: ended early; nothing was written", err=True)
-        raise typer.Exit(INTERRUPTED) from None
+        raise typer.Exit(EXIT_INTERRUPTED) from None
     save(result.slopes, path)
     _show(result.slopes)
     raise typer.Exit(1 if result.failed else 0)
@@ -91,11 +91,11 @@
         raise ConfigError(f"--json {path}: can't be written")
 
 
-async def _measure(options: measuring.Options) -> measuring.Result:
+async def _measure(options: slopes_module.Options) -> slopes_module.Result:
     """With a progress bar; SIGTERM ends it as Ctrl-C does."""
-    from . import slopes as measuring
+    from . import slopes as slopes_module
 
-    total = len(measuring.planned_jobs(options))
+    total = len(slopes_module.planned_jobs(options))
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
@@ -108,17 +108,17 @@
     with Progress(*columns, console=Console(stderr=True)) as progress:
         bar = progress.add_task("measuring", total=total)
 
-        def measured(what: str) -> None:
-            progress.update(bar, advance=1, description=what)
+        def on_measured(description: str) -> None:
+            progress.update(bar, advance=1, description=description)
 
-        return await measuring.run(options, measured)
+        return await slopes_module.run(options, on_measured)
 
 
-def _show(found: Slopes) -> None:
+def _show(measured_slopes: Slopes) -> None:
     """A table of all costs, and what has no figure."""
     names = ("cost", "unit", "per", "constant", "slope", "95% interval", "residual", "form")
     table = Table(*names, box=None)
-    for cost in found.costs:
+    for cost in measured_slopes.costs:
         table.add_row(
             cost.name,
             cost.unit,
@@ -132,7 +132,7 @@
     console = Console()
     console.width = max(console.width, TABLE_WIDTH)
     console.print(table)
-    for line in found.left_out:
+    for line in measured_slopes.left_out:
         console.print(f"left out: {line}", markup=False)
 
 
--- a/limebridge/scale/control_client.py
+++ b/limebridge/scale/control_client.py
@@ -20,7 +20,7 @@
 from violetroute.transport.sockets import SocketNetwork
 
 TIMEOUT_S = 3.0
-PUBLISH_TRIES = 40
+MAX_PUBLISH_ATTEMPTS = 40
 RETRY_S = 0.1
 MS = 1000.0
 
@@ -46,11 +46,11 @@
     async def publish(self, number: int, record: Record) -> Published | None:
         """Publish one record; tried again while its fate is not known.  None: given up."""
         request = Publish(f"record-{number}", (record,))
-        for _ in range(PUBLISH_TRIES):
-            asked = self.leader
-            reply = await self._request(asked, request, Published)
+        for _ in range(MAX_PUBLISH_ATTEMPTS):
+            machine = self.leader
+            reply = await self._request(machine, request, Published)
             if reply is None or reply.status == PublishStatus.NOT_LEADER:
-                self._follow(asked, "" if reply is None else reply.leader)
+                self._update_leader(machine, "" if reply is None else reply.leader)
             elif reply.status != PublishStatus.OVERLOADED:
                 return reply
             wait_s = RETRY_S if reply is None else max(RETRY_S, reply.retry_ms / MS)
@@ -59,42 +59,42 @@
 
     async def status(self) -> StatusReply | None:
         """What the machine that is taken for the leader says."""
-        asked = self.leader
-        reply = await self._request(asked, StatusRequest(0), StatusReply)
-        if reply is None or reply.leader != asked:
-            self._follow(asked, "" if reply is None else reply.leader)
+        machine = self.leader
+        reply = await self._request(machine, StatusRequest(0), StatusReply)
+        if reply is None or reply.leader != machine:
+            self._update_leader(machine, "" if reply is None else reply.leader)
         return reply
 
-    def _follow(self, asked: str, leader: str) -> None:
+    def _update_leader(self, machine: str, leader: str) -> None:
         """Ask who was named, or the next one where nobody was."""
-        if self.leader != asked:
+        if self.leader != machine:
             return  # another request has learnt better meanwhile
-        if leader in self._addresses and leader != asked:
+        if leader in self._addresses and leader != machine:
             self.leader = leader
-        elif leader != asked:
-            self.leader = self._names[(self._names.index(asked) + 1) % len(self._names)]
+        elif leader != machine:
+            self.leader = self._names[(self._names.index(machine) + 1) % len(self._names)]
 
     async def _request(
-        self, name: str, request: Publish | StatusRequest, kind: type[Reply]
+        self, name: str, request: Publish | StatusRequest, reply_type: type[Reply]
     ) -> Reply | None:
         """None without a reply that counts."""
         answer: asyncio.Future[bytes | None] = asyncio.get_running_loop().create_future()
 
-        def told(body: bytes | None, reason: str) -> None:
+        def on_response(body: bytes | None, reason: str) -> None:
             if not answer.done():
                 answer.set_result(body)
 
-        self._send(self._addresses[name], path_of(request), encode(request), told)
+        self._send(self._addresses[name], path_of(request), encode(request), on_response)
         reply = decode_reply(request, await answer)
-        return reply if isinstance(reply, kind) else None
+        return reply if isinstance(reply, reply_type) else None
 
-    def _send(self, address: Address, path: str, body: bytes, told: object) -> None:
+    def _send(self, address: Address, path: str, body: bytes, on_response: object) -> None:
         """Over a connection that is free; a pool has few, so there are several pools."""
         for pool in self._pools:
             try:
-                pool.request(address, path, body, TIMEOUT_S, told)  # type: ignore[arg-type]
+                pool.request(address, path, body, TIMEOUT_S, on_response)  # type: ignore[arg-type]
                 return
             except BusyError:
                 continue
         self._pools.append(HttpPool(self._net, self._keys))
-        self._send(address, path, body, told)
+        self._send(address, path, body, on_response)
--- a/limebridge/scale/growth.py
+++ b/limebridge/scale/growth.py
@@ -18,7 +18,7 @@
 from .run_sample import FOLLOWER, HOLLOW, LEADER
 from .target import Target
 
-NOTHING = "not measured"
+NOT_MEASURED = "not measured"
 
 
 class SeveralSizesError(ValueError):
@@ -29,7 +29,7 @@
 class GrowthRow:
     """One figure of a run, and the row of the page that predicts it, if there is one."""
 
-    what: str
+    label: str
     unit: str
     measured: Callable[[RunReport], float | None]
     predicted_by: str = ""  # identity of a capacity row
@@ -42,52 +42,54 @@
     if len(set(sizes)) < len(sizes):
         raise SeveralSizesError(f"two runs of the same size: {sizes}")
     needs = [_needs(report, target, slopes) for report in ordered]
-    heads = " | ".join(f"{size:,} proxies" for size in sizes)
-    lines = [f"| measured (predicted, ratio) | {heads} |", "| --- |" + " --- |" * len(sizes)]
+    headings = " | ".join(f"{size:,} proxies" for size in sizes)
+    lines = [f"| measured (predicted, ratio) | {headings} |", "| --- |" + " --- |" * len(sizes)]
     for row in GROWTH_ROWS:
         cells = (_cell(row, *pair) for pair in zip(ordered, needs, strict=True))
-        lines.append(f"| {row.what}, {row.unit} | {' | '.join(cells)} |")
+        lines.append(f"| {row.label}, {row.unit} | {' | '.join(cells)} |")
     return "\n".join(lines) + "\n"
 
 
 def _needs(report: RunReport, target: Target, slopes: Slopes) -> dict[str, Need]:
     """The page's rows at the size of this run."""
     plan = report.plan
-    of_run = msgspec.structs.replace(
+    target_of_run = msgspec.structs.replace(
         target,
         proxies=plan.proxies,
         control_machines=plan.controls,
         purges_per_s=plan.purges,
     )
-    return {need.row.identity: need for need in compute(ROWS, of_run, slopes)}
+    return {need.row.identity: need for need in compute(ROWS, target_of_run, slopes)}
 
 
 def _cell(row: GrowthRow, report: RunReport, needs: dict[str, Need]) -> str:
     measured = row.measured(report)
     if measured is None:
-        return NOTHING
+        return NOT_MEASURED
     need = needs.get(row.predicted_by)
     if need is None or need.need is None:
         return number(measured)
     return f"{number(measured)} ({number(need.need)}, {measured / need.need:.2f})"
 
 
-def _of_role(role: str, figure: Callable[[RoleUse], float]) -> Callable[[RunReport], float | None]:
+def _role_figure(
+    role: str, select: Callable[[RoleUse], float]
+) -> Callable[[RunReport], float | None]:
     def measured(report: RunReport) -> float | None:
         for use in report.roles:
             if use.role == role:
-                return figure(use)
+                return select(use)
         return None
 
     return measured
 
 
-def _of_delay(
-    name: str, figure: Callable[[Percentiles], float]
+def _delay_figure(
+    name: str, select: Callable[[Percentiles], float]
 ) -> Callable[[RunReport], float | None]:
     def measured(report: RunReport) -> float | None:
         delay = report.delays.get(name)
-        return figure(delay) if delay is not None and delay.count else None
+        return select(delay) if delay is not None and delay.count else None
 
     return measured
 
@@ -100,51 +102,55 @@
 PURGE_IN_FORCE = delay_name(Topic.PURGE, IN_FORCE)
 
 GROWTH_ROWS = (
-    GrowthRow("a proxy, both ways", "bytes/s", _of_role(HOLLOW, _both_ways), "proxy-bytes"),
+    GrowthRow("a proxy, both ways", "bytes/s", _role_figure(HOLLOW, _both_ways), "proxy-bytes"),
     GrowthRow(
         "of these distribution",
         "bytes/s",
-        _of_role(HOLLOW, lambda use: use.distribution_bytes),
+        _role_figure(HOLLOW, lambda use: use.distribution_bytes),
         "proxy-purges",
     ),
     GrowthRow(
         "of these membership, reports and counts",
         "bytes/s",
-        _of_role(HOLLOW, lambda use: use.gossip_bytes),
+        _role_figure(HOLLOW, lambda use: use.gossip_bytes),
     ),
-    GrowthRow("with headers", "bytes/s", _of_role(HOLLOW, lambda use: use.wire_bytes.mean)),
-    GrowthRow("a proxy", "of a core", _of_role(HOLLOW, lambda use: use.cpu_share), "proxy-cpu"),
+    GrowthRow("with headers", "bytes/s", _role_figure(HOLLOW, lambda use: use.wire_bytes.mean)),
+    GrowthRow("a proxy", "of a core", _role_figure(HOLLOW, lambda use: use.cpu_share), "proxy-cpu"),
     GrowthRow(
         "a control machine that follows",
         "of a core",
-        _of_role(FOLLOWER, lambda use: use.cpu_share),
+        _role_figure(FOLLOWER, lambda use: use.cpu_share),
         "control-cpu",
     ),
     GrowthRow(
         "a control machine that leads",
         "of a core",
-        _of_role(LEADER, lambda use: use.cpu_share),
+        _role_figure(LEADER, lambda use: use.cpu_share),
         "control-cpu",
     ),
     GrowthRow(
         "out of a control machine",
         "bytes/s",
-        _of_role(FOLLOWER, lambda use: use.bytes_out.mean),
+        _role_figure(FOLLOWER, lambda use: use.bytes_out.mean),
         "control-bytes",
     ),
     GrowthRow(
         "a control machine",
         "MB",
-        _of_role(FOLLOWER, lambda use: use.memory_mb),
+        _role_figure(FOLLOWER, lambda use: use.memory_mb),
         "control-memory",
     ),
     GrowthRow(
-        "purges applied everywhere, p50", "s", _of_delay(PURGE_EVERYWHERE, lambda delay: delay.p50)
+        "purges applied everywhere, p50",
+        "s",
+        _delay_figure(PURGE_EVERYWHERE, lambda delay: delay.p50),
     ),
     GrowthRow(
         "purges applied everywhere, most",
         "s",
-        _of_delay(PURGE_EVERYWHERE, lambda delay: delay.largest),
+        _delay_figure(PURGE_EVERYWHERE, lambda delay: delay.largest),
+    ),
+    GrowthRow(
+        "purges in force, most", "s", _delay_figure(PURGE_IN_FORCE, lambda delay: delay.largest)
     ),
-    GrowthRow("purges in force, most", "s", _of_delay(PURGE_IN_FORCE, lambda delay: delay.largest)),
 )
--- a/limebridge/scale/hollow.py
+++ b/limebridge/scale/hollow.py
@@ -26,15 +26,15 @@
 
 from .applied import AppliedTimes
 from .held_loop import HeldLoop
-from .run_plan import Place
-from .traffic import CountedSocket, Shape
+from .run_plan import ProxyLocation
+from .traffic import CountedSocket, DatagramShaper
 
 MAX_BACKOFF_MS = 1500.0
-PRETEND_EVERY_S = 0.5  # between two batches of pretended requests
-KEYS = 100_000  # different keys of the pretended requests
+SYNTHETIC_INTERVAL_S = 0.5  # between two batches of pretended requests
+KEY_COUNT = 100_000  # different keys of the pretended requests
 
 
-class StartClock:
+class HeldWallClock:
     """The wall clock, which stands at the run's start until it is released.
 
     A member's incarnation is the wall clock's time of its start. As long as the clock stands, all
@@ -61,7 +61,7 @@
         keys: Keys,
         members: int,
         nodes: int,
-        clock: StartClock,
+        clock: HeldWallClock,
         probe_s: float,
         requests: float,
         failed_share: float,
@@ -74,32 +74,34 @@
         ]
 
 
-def life_of(place: Place, restarts: int = 0) -> str:
+def life_nonce(location: ProxyLocation, restarts: int = 0) -> str:
     """The nonce of a hollow proxy's process."""
-    return f"hollow{place.number}" + (f"/{restarts}" if restarts else "")
+    return f"hollow{location.number}" + (f"/{restarts}" if restarts else "")
 
 
-def rumor_of(place: Place, port: int, incarnation: int) -> Rumor:
+def initial_rumor(location: ProxyLocation, port: int, incarnation: int) -> Rumor:
     """What a hollow proxy says of itself at its start."""
-    address = f"{place.host}:{port}"
-    return Rumor(place.name, life_of(place), incarnation, "a", address, place.zone)
+    address = f"{location.host}:{port}"
+    return Rumor(location.name, life_nonce(location), incarnation, "a", address, location.zone)
 
 
 class HollowProxy:
     """One proxy's control protocols.  Also what `Sharing` asks of a proxy (`service.Host`)."""
 
-    def __init__(self, place: Place, loop: HeldLoop, counters: memoryview, shape: Shape) -> None:
-        self.place = place
+    def __init__(
+        self, location: ProxyLocation, loop: HeldLoop, counters: memoryview, shaper: DatagramShaper
+    ) -> None:
+        self.location = location
         self.places, self.load_samples = NodeAddresses(), deque[LoadSample]()
-        self.net_maker = CountedSocket.maker(counters, shape)
+        self.socket_factory = CountedSocket.socket_factory(counters, shaper)
         self.loop = loop
-        self.net = SocketNetwork(loop, make=self.net_maker)
+        self.net = SocketNetwork(loop, make=self.socket_factory)
         self.sharing: Sharing | None = None
         self.distribution: DistributionService | None = None
-        self._leaving: asyncio.Task[None] | None = None  # of the process before this one
+        self._leave_task: asyncio.Task[None] | None = None  # of the process before this one
         self.applied = AppliedTimes()
-        self._random = random.Random(f"hollow/{place.number}")
-        self._pretend_timer: asyncio.TimerHandle | None = None
+        self._random = random.Random(f"hollow/{location.number}")
+        self._synthetic_timer: asyncio.TimerHandle | None = None
         self._restarts = 0
 
     # --- gossip ---
@@ -110,47 +112,47 @@
 
         With `fleet` it knows itself already, as one that has run for long; `seeds` are asked else.
         """
-        place = self.place
+        location = self.location
         table = SharingTable(
-            listen=f"{place.host}:{setup.port}",
+            listen=f"{location.host}:{setup.port}",
             proxies=setup.members,
             seeds=seeds,
             probe_s=setup.probe_s,
         )
-        self.net = SocketNetwork(self.loop, make=self.net_maker, clock=setup.clock)
+        self.net = SocketNetwork(self.loop, make=self.socket_factory, clock=setup.clock)
         self.sharing = Sharing(
             table,
             setup.keys,
-            place.name,
-            place.zone,
+            location.name,
+            location.zone,
             MAX_BACKOFF_MS,
             self.net,
             self,
-            life=life_of(place, self._restarts),
+            life=life_nonce(location, self._restarts),
         )
         if fleet:
-            self._know(self.sharing.members, fleet)
+            self._add_members(self.sharing.members, fleet)
         self.sharing.update_nodes(setup.nodes)
         if setup.requests > 0.0:
-            self._pretend(setup.requests, setup.failed_share, len(setup.nodes))
+            self._record_synthetic_requests(setup.requests, setup.failed_share, len(setup.nodes))
 
-    def _know(self, members: Members, fleet: Sequence[Rumor]) -> None:
+    def _add_members(self, members: Members, fleet: Sequence[Rumor]) -> None:
         now = self.loop.time()
         for rumor in fleet:
-            if rumor.name != self.place.name:
+            if rumor.name != self.location.name:
                 members.add_member(rumor, now)
 
-    def _pretend(self, requests: float, failed_share: float, nodes: int) -> None:
+    def _record_synthetic_requests(self, requests: float, failed_share: float, nodes: int) -> None:
         """Outcomes of a few requests, a batch each PRETEND_EVERY_S."""
-        wait = PRETEND_EVERY_S * self._random.uniform(0.8, 1.2)
-        self._pretend_timer = self.loop.call_later(
-            wait, self._pretend, requests, failed_share, nodes
+        wait = SYNTHETIC_INTERVAL_S * self._random.uniform(0.8, 1.2)
+        self._synthetic_timer = self.loop.call_later(
+            wait, self._record_synthetic_requests, requests, failed_share, nodes
         )
         sharing = self.sharing
         if sharing is None:
             return
-        for _ in range(round(requests * PRETEND_EVERY_S)):
-            sharing.record_request("", self._random.randrange(KEYS))
+        for _ in range(round(requests * SYNTHETIC_INTERVAL_S)):
+            sharing.record_request("", self._random.randrange(KEY_COUNT))
             if nodes:
                 failed = self._random.random() < failed_share
                 result = Result.LATE if failed else Result.OK
@@ -162,11 +164,11 @@
     # --- distribution ---
     def start_distribution(self, table: DistributionTable, keys: Keys) -> None:
         """Begin to poll a control machine."""
-        place = self.place
+        location = self.location
         self.distribution = DistributionService(
-            table, keys, place.name, table.region, self.net, self.applied
+            table, keys, location.name, table.region, self.net, self.applied
         )
-        self.applied.follow(self.distribution, table.stale_after_s)
+        self.applied.attach(self.distribution, table.stale_after_s)
 
     # --- its process ---
     def restart(self, killed: bool) -> None:
@@ -175,20 +177,20 @@
         Membership hears of the end either way: a member that is killed is measured elsewhere.
         """
         if self.distribution is not None and not killed:
-            self._leaving = self.loop.create_task(self.distribution.leave())
+            self._leave_task = self.loop.create_task(self.distribution.leave())
         self.close()  # once more, where it leaves: that changes nothing
-        self._pretend_timer = self.sharing = self.distribution = None
+        self._synthetic_timer = self.sharing = self.distribution = None
         self._restarts += 1
-        self.applied.restarted()
+        self.applied.record_restart()
 
-    def look(self) -> None:
+    def sample_staleness(self) -> None:
         """Note how old the proxy takes its knowledge for."""
-        self.applied.look(self.loop.behind_s)
+        self.applied.observe(self.loop.behind_s)
 
     def close(self) -> None:
         """End as a daemon does that is told to: some members hear that it leaves."""
-        if self._pretend_timer is not None:
-            self._pretend_timer.cancel()
+        if self._synthetic_timer is not None:
+            self._synthetic_timer.cancel()
         if self.sharing is not None:
             self.sharing.close()
         if self.distribution is not None:
--- a/limebridge/scale/hollow_host.py
+++ b/limebridge/scale/hollow_host.py
@@ -20,25 +20,25 @@
 from violetroute.distribution.table import DistributionTable
 from violetroute.sharing.table import read_keys
 
-from .applied import STALE_LOOK_S, Applied
+from .applied import STALE_SAMPLE_INTERVAL_S, Applied
 from .held_loop import HeldLoop
-from .hollow import GossipSetup, HollowProxy, StartClock, life_of, rumor_of
+from .hollow import GossipSetup, HeldWallClock, HollowProxy, initial_rumor, life_nonce
 from .links import LinkTable
 from .membership_looks import MEMBERSHIP_LOOK_S, MembershipLook, look
 from .process_usage import resident_bytes
-from .run_plan import SEEDS, Place
+from .run_plan import SEEDS, ProxyLocation
 from .standard_input import input_lines, wait_for_line
-from .traffic import Counters, Shape
+from .traffic import Counters, DatagramShaper
 
-LAG_EVERY_S = 0.1  # between two looks at how late the event loop is
-POLLS_OVER_S = 3.0  # over which the first polls are spread
+LAG_INTERVAL_S = 0.1  # between two looks at how late the event loop is
+POLL_START_SPREAD_S = 3.0  # over which the first polls are spread
 
 
 class HostFile(msgspec.Struct, frozen=True, kw_only=True):
     """What one hosting process is told."""
 
-    places: tuple[Place, ...]  # of its own hollow proxies
-    fleet: tuple[Place, ...]  # of all hollow proxies
+    places: tuple[ProxyLocation, ...]  # of its own hollow proxies
+    fleet: tuple[ProxyLocation, ...]  # of all hollow proxies
     counters: str  # the file for its counters, which it makes
     links: str
     regions: int
@@ -60,7 +60,7 @@
     empty_bytes: int  # resident memory before the first proxy
 
 
-class HostSeen(msgspec.Struct, frozen=True, kw_only=True):
+class HostObservations(msgspec.Struct, frozen=True, kw_only=True):
     """What the process saw so far; times are CLOCK_MONOTONIC."""
 
     members_up: tuple[int, ...]  # fleet size that each proxy believes
@@ -96,19 +96,19 @@
         counters = Counters(Path(file.counters), len(file.places), create=True)
         self.proxies = [
             HollowProxy(
-                place,
+                location,
                 self._loop,
                 counters.block(number),
-                Shape(links, place.region, f"{file.seed}/{place.number}"),
+                DatagramShaper(links, location.region, f"{file.seed}/{location.number}"),
             )
-            for number, place in enumerate(file.places)
+            for number, location in enumerate(file.places)
         ]
         self._lags: list[float] = []
         self._membership: list[MembershipLook] = []
         self._restarts = 0
         self._gossip: GossipSetup | None = None
 
-    def make(self) -> None:
+    def create_proxies(self) -> None:
         """Make all proxies, to run once the loop's clock is released.  OSError: a taken port."""
         if self._file.gossip_port:
             self._start_gossip()
@@ -117,7 +117,7 @@
         gc.collect()
         gc.freeze()  # as the daemon does: collections need not walk what start-up made
         gc.set_threshold(10_000, 20, 20)
-        self._loop.call_later(LAG_EVERY_S, self._look, self._loop.time() + LAG_EVERY_S)
+        self._loop.call_later(LAG_INTERVAL_S, self._measure_lag, self._loop.time() + LAG_INTERVAL_S)
 
     def _start_gossip(self) -> None:
         file = self._file
@@ -126,19 +126,19 @@
             read_keys(file.key_file),
             file.members,
             file.nodes,
-            StartClock(file.start_s),
+            HeldWallClock(file.start_s),
             file.probe_s,
             file.requests,
             file.failed_share,
         )
         incarnation = int(file.start_s * 1000.0)
-        fleet = [rumor_of(place, file.gossip_port, incarnation) for place in file.fleet]
+        fleet = [initial_rumor(location, file.gossip_port, incarnation) for location in file.fleet]
         gc.disable()  # nothing of what is made here is garbage
         for proxy in self.proxies:
             proxy.start_gossip(setup, fleet)
         gc.enable()
         self._gossip = setup
-        self._loop.call_later(MEMBERSHIP_LOOK_S, self._look_at_membership)
+        self._loop.call_later(MEMBERSHIP_LOOK_S, self._sample_membership)
 
     def release(self) -> None:
         """Let the clocks go on, and so the proxies begin."""
@@ -156,15 +156,15 @@
     def _restart_one(self, proxy: HollowProxy, killed: bool) -> None:
         proxy.restart(killed)
         if self._gossip is not None:
-            proxy.start_gossip(self._gossip, (), self._seeds(proxy.place))
+            proxy.start_gossip(self._gossip, (), self._seed_addresses(proxy.location))
         if self._file.distribution:
             keys = read_keys(self._file.key_file)
-            proxy.start_distribution(self._file.distribution[proxy.place.region], keys)
+            proxy.start_distribution(self._file.distribution[proxy.location.region], keys)
 
-    def _seeds(self, place: Place) -> tuple[str, ...]:
+    def _seed_addresses(self, location: ProxyLocation) -> tuple[str, ...]:
         """The first proxies of its region, as an operator's file would name them."""
-        near = (other for other in self._file.fleet if other.region == place.region)
-        others = (other for other in near if other.name != place.name)
+        same_region = (other for other in self._file.fleet if other.region == location.region)
+        others = (other for other in same_region if other.name != location.name)
         return tuple(
             f"{other.host}:{self._file.gossip_port}" for other in itertools.islice(others, SEEDS)
         )
@@ -172,48 +172,50 @@
     def _start_distribution(self) -> None:
         keys = read_keys(self._file.key_file)
         for number, proxy in enumerate(self.proxies):
-            table = self._file.distribution[proxy.place.region]
-            wait = POLLS_OVER_S * number / len(self.proxies)
+            table = self._file.distribution[proxy.location.region]
+            wait = POLL_START_SPREAD_S * number / len(self.proxies)
             self._loop.call_later(wait, proxy.start_distribution, table, keys)
-        self._loop.call_later(STALE_LOOK_S, self._look_at_proxies)
+        self._loop.call_later(STALE_SAMPLE_INTERVAL_S, self._sample_staleness)
 
-    def _look_at_proxies(self) -> None:
+    def _sample_staleness(self) -> None:
         for proxy in self.proxies:
-            proxy.look()
-        self._loop.call_later(STALE_LOOK_S, self._look_at_proxies)
+            proxy.sample_staleness()
+        self._loop.call_later(STALE_SAMPLE_INTERVAL_S, self._sample_staleness)
 
-    def _look_at_membership(self) -> None:
-        self._loop.call_later(MEMBERSHIP_LOOK_S, self._look_at_membership)
-        if sizes := self._sizes():
+    def _sample_membership(self) -> None:
+        self._loop.call_later(MEMBERSHIP_LOOK_S, self._sample_membership)
+        if sizes := self._member_counts():
             self._membership.append(look(sizes, self._loop.time() + self._loop.behind_s))
 
-    def _sizes(self) -> list[int]:
+    def _member_counts(self) -> list[int]:
         return [proxy.sharing.members.size for proxy in self.proxies if proxy.sharing]
 
-    def _current(self) -> tuple[int, ...]:
+    def _current_process_counts(self) -> tuple[int, ...]:
         """Of each proxy, the hollow ones that it knows as their present process, with itself."""
-        present = [(place.name, life_of(place, self._restarts)) for place in self._file.fleet]
+        present = [
+            (location.name, life_nonce(location, self._restarts)) for location in self._file.fleet
+        ]
         return tuple(
             1 + sum(proxy.sharing.members.is_up(name, life) for name, life in present)
             for proxy in self.proxies
             if proxy.sharing
         )
 
-    def _look(self, due: float) -> None:
+    def _measure_lag(self, due: float) -> None:
         now = self._loop.time()
         self._lags.append(max(0.0, now - due))
-        self._loop.call_later(LAG_EVERY_S, self._look, now + LAG_EVERY_S)
+        self._loop.call_later(LAG_INTERVAL_S, self._measure_lag, now + LAG_INTERVAL_S)
 
-    def seen(self) -> HostSeen:
+    def take_observations(self) -> HostObservations:
         """What was seen since the last call."""
         lags, self._lags = self._lags, []
         membership, self._membership = self._membership, []
-        return HostSeen(
-            members_up=tuple(self._sizes()),
-            members_current=self._current() if self._restarts else (),
+        return HostObservations(
+            members_up=tuple(self._member_counts()),
+            members_current=self._current_process_counts() if self._restarts else (),
             membership=tuple(membership),
             loop_lag=tuple(lags),
-            applied=tuple(proxy.applied.seen(proxy.place.name) for proxy in self.proxies),
+            applied=tuple(proxy.applied.snapshot(proxy.location.name) for proxy in self.proxies),
         )
 
     def close(self) -> None:
@@ -224,30 +226,30 @@
 
 async def host(file: HostFile, loop: HeldLoop) -> None:
     """Host the proxies until the standard input ends."""
-    empty = resident_bytes()
+    empty_bytes = resident_bytes()
     hollow_host = HollowHost(file, loop)
-    hollow_host.make()
-    _say(HostReady(empty_bytes=empty))
+    hollow_host.create_proxies()
+    _print_message(HostReady(empty_bytes=empty_bytes))
     if not wait_for_line():
         return
     hollow_host.release()
     async for line in input_lines():
-        _say(_carry_out(hollow_host, msgspec.json.decode(line, type=Order)))
+        _print_message(_execute(hollow_host, msgspec.json.decode(line, type=Order)))
     hollow_host.close()
 
 
-def _carry_out(hollow_host: HollowHost, order: Order) -> str:
+def _execute(hollow_host: HollowHost, order: Order) -> str:
     """One order.  What it came to, in a word."""
     match order:
         case Report(path):
-            Path(path).write_bytes(msgspec.msgpack.encode(hollow_host.seen()))
+            Path(path).write_bytes(msgspec.msgpack.encode(hollow_host.take_observations()))
             return "reported"
         case Restart(within_s, killed):
             hollow_host.restart(within_s, killed)
             return "restarting"
 
 
-def _say(message: object) -> None:
+def _print_message(message: object) -> None:
     print(msgspec.json.encode(message).decode(), flush=True)
 
 
--- a/limebridge/scale/in_force_check.py
+++ b/limebridge/scale/in_force_check.py
@@ -8,13 +8,13 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from .applied import NEVER, STALE_LOOK_S, Applied
+from .applied import NEVER, STALE_SAMPLE_INTERVAL_S, Applied
 from .delay_names import AT_A_PROXY, COMMITTED, EVERYWHERE, IN_FORCE, TOPIC_NAMES, delay_name
-from .run_load import Look, Publication
+from .run_load import Publication, StatusSample
 from .run_report import EarlyReport, InForceCheck, Percentiles, delay_percentiles
 
-EXAMPLES = 5  # of early reports that are told
-PAIRS_MOST = 5_000_000  # of proxy and record, of which the delay's percentiles are taken
+MAX_EXAMPLES = 5  # of early reports that are told
+MAX_PAIRS = 5_000_000  # of proxy and record, of which the delay's percentiles are taken
 
 
 class PublicationDelays:
@@ -23,29 +23,29 @@
     def __init__(
         self,
         publications: Sequence[Publication],
-        looks: Sequence[Look],
+        status_samples: Sequence[StatusSample],
         proxies: Sequence[Applied],
     ) -> None:
         self._committed = [each for each in publications if each.committed]
         self._proxies = proxies
         self._positions = sorted({each.position for each in self._committed})
-        self._times = matrix(proxies, self._positions)
+        self._times = applied_times_matrix(proxies, self._positions)
         self._column = {position: index for index, position in enumerate(self._positions)}
-        self._reported_at = reported_times(looks, self._positions)
+        self._reported_at = reported_times(status_samples, self._positions)
 
     def delays(self) -> dict[str, Percentiles]:
         """By name, in seconds.  What never happened is counted in `check`, not here."""
         everywhere = self._applied_everywhere()
         delays = dict[str, Percentiles]()
         for topic in TOPIC_NAMES:
-            some = [each for each in self._committed if each.topic == topic]
-            if not some:
+            records = [each for each in self._committed if each.topic == topic]
+            if not records:
                 continue
-            committed = (each.answered_at - each.published_at for each in some)
+            committed = (each.answered_at - each.published_at for each in records)
             delays[delay_name(topic, COMMITTED)] = delay_percentiles(committed)
-            delays[delay_name(topic, AT_A_PROXY)] = self._at_a_proxy(some)
-            delays[delay_name(topic, EVERYWHERE)] = self._delays(some, everywhere)
-            delays[delay_name(topic, IN_FORCE)] = self._delays(some, self._reported_at)
+            delays[delay_name(topic, AT_A_PROXY)] = self._delays_per_proxy(records)
+            delays[delay_name(topic, EVERYWHERE)] = self._delays_until(records, everywhere)
+            delays[delay_name(topic, IN_FORCE)] = self._delays_until(records, self._reported_at)
         return delays
 
     def _applied_everywhere(self) -> list[float]:
@@ -53,16 +53,16 @@
             return [NEVER] * len(self._positions)
         return [float(at) for at in self._times.max(axis=0)]
 
-    def _delays(self, some: Sequence[Publication], times: Sequence[float]) -> Percentiles:
-        done = ((each, times[self._column[each.position]]) for each in some)
+    def _delays_until(self, records: Sequence[Publication], times: Sequence[float]) -> Percentiles:
+        done = ((each, times[self._column[each.position]]) for each in records)
         return delay_percentiles(at - each.published_at for each, at in done if at < NEVER)
 
-    def _at_a_proxy(self, publications: Sequence[Publication]) -> Percentiles:
+    def _delays_per_proxy(self, publications: Sequence[Publication]) -> Percentiles:
         """Over pairs of proxy and record; of every so many records where there are very many."""
-        step = 1 + len(publications) * len(self._proxies) // PAIRS_MOST
-        some = publications[::step]
-        columns = [self._column[each.position] for each in some]
-        published = np.asarray([each.published_at for each in some])
+        step = 1 + len(publications) * len(self._proxies) // MAX_PAIRS
+        records = publications[::step]
+        columns = [self._column[each.position] for each in records]
+        published = np.asarray([each.published_at for each in records])
         delays = (self._times[:, columns] - published).ravel()
         return array_percentiles(delays[np.isfinite(delays)])
 
@@ -70,7 +70,9 @@
         """Whether anything was reported as in force too early."""
         reported = ((column, at) for column, at in enumerate(self._reported_at) if at < NEVER)
         too_early = [
-            early for column, at in reported if (early := self._early(column, at)) is not None
+            early
+            for column, at in reported
+            if (early := self._find_early_report(column, at)) is not None
         ]
         everywhere = self._applied_everywhere()
         return InForceCheck(
@@ -79,10 +81,10 @@
             never_applied=sum(at == NEVER for at in everywhere),
             early=len(too_early),
             worst_early_s=max((each.seconds or 0.0 for each in too_early), default=0.0),
-            examples=tuple(too_early[:EXAMPLES]),
+            examples=tuple(too_early[:MAX_EXAMPLES]),
         )
 
-    def _early(self, column: int, reported_at: float) -> EarlyReport | None:
+    def _find_early_report(self, column: int, reported_at: float) -> EarlyReport | None:
         """The last proxy to apply a position that was reported before, if it was not stale."""
         late = np.flatnonzero(self._times[:, column] > reported_at)
         rows = [int(row) for row in late if not was_stale(self._proxies[int(row)], reported_at)]
@@ -95,19 +97,22 @@
         return EarlyReport(self._positions[column], proxy, len(rows), seconds)
 
 
-def reported_times(looks: Sequence[Look], positions: Sequence[int]) -> list[float]:
+def reported_times(status_samples: Sequence[StatusSample], positions: Sequence[int]) -> list[float]:
     """When each position was first reported as in force; infinite where it was not."""
     highest, reported = 0, list[int]()
-    for look in looks:
-        highest = max(highest, look.in_force)
+    for sample in status_samples:
+        highest = max(highest, sample.in_force)
         reported.append(highest)
     indexes = (bisect_left(reported, position) for position in positions)
-    return [looks[index].at if index < len(looks) else NEVER for index in indexes]
+    return [status_samples[index].at if index < len(status_samples) else NEVER for index in indexes]
 
 
 def was_stale(proxy: Applied, at: float) -> bool:
     """Whether a proxy took itself for stale then, to the accuracy of the looks at it."""
-    return any(start - STALE_LOOK_S <= at <= end + STALE_LOOK_S for start, end in proxy.stale)
+    return any(
+        start - STALE_SAMPLE_INTERVAL_S <= at <= end + STALE_SAMPLE_INTERVAL_S
+        for start, end in proxy.stale
+    )
 
 
 def array_percentiles(values: NDArray[np.float64]) -> Percentiles:
@@ -120,19 +125,21 @@
     )
 
 
-def times_of(applied: Applied, positions: NDArray[np.int64]) -> NDArray[np.float64]:
+def applied_times(applied: Applied, positions: NDArray[np.int64]) -> NDArray[np.float64]:
     """When a proxy had applied each of the positions; infinite where it has not."""
     times = np.frombuffer(applied.times, dtype=np.float64)
-    found = np.full(len(positions), np.inf)
+    times_found = np.full(len(positions), np.inf)
     if len(times):
         index = np.maximum(positions - applied.first, 0)
         known = index < len(times)
-        found[known] = times[index[known]]
-    return found
+        times_found[known] = times[index[known]]
+    return times_found
 
 
-def matrix(proxies: Iterable[Applied], positions: Sequence[int]) -> NDArray[np.float64]:
+def applied_times_matrix(
+    proxies: Iterable[Applied], positions: Sequence[int]
+) -> NDArray[np.float64]:
     """One row a proxy, one column a position."""
     wanted = np.asarray(positions, dtype=np.int64)
-    rows = [times_of(applied, wanted) for applied in proxies]
+    rows = [applied_times(applied, wanted) for applied in proxies]
     return np.vstack(rows) if rows else np.empty((0, len(wanted)))
--- a/limebridge/scale/instrumented.py
+++ b/limebridge/scale/instrumented.py
@@ -25,9 +25,9 @@
 from violetroute.distribution.table import DistributionTable
 from violetroute.transport import sockets
 
-from .applied import StampFile
+from .applied import StampingReceiver
 from .links import LinkTable
-from .traffic import CountedSocket, Counters, Shape
+from .traffic import CountedSocket, Counters, DatagramShaper
 
 
 class InstrumentFile(msgspec.Struct, frozen=True):
@@ -46,9 +46,9 @@
     """Let every `SocketNetwork` of this process count and shape."""
     links = LinkTable(Path(file.links), file.regions)
     counters = Counters(Path(file.counters), 1, create=True).block(0)
-    shape = Shape(links, file.region, f"{file.seed}/{file.counters}")
+    shaper = DatagramShaper(links, file.region, f"{file.seed}/{file.counters}")
     ports = None if file.counted_ports is None else frozenset(file.counted_ports)
-    make = CountedSocket.maker(counters, shape, ports)
+    make = CountedSocket.socket_factory(counters, shaper, ports)
     original: Callable[..., None] = sockets.SocketNetwork.__init__
 
     def initialize(self: sockets.SocketNetwork, *arguments: Any, **options: Any) -> None:
@@ -66,9 +66,9 @@
     def initialize(self: service.DistributionService, *arguments: Any, **options: Any) -> None:
         original(self, *arguments, **options)
         table: DistributionTable = arguments[0]
-        stamps = StampFile(self.receiver, self, path, table.stale_after_s)
+        stamps = StampingReceiver(self.receiver, self, path, table.stale_after_s)
         self.receiver = stamps
-        stamps.look(asyncio.get_running_loop())
+        stamps.sample_staleness(asyncio.get_running_loop())
 
     setattr(service.DistributionService, "__init__", initialize)  # noqa: B010
 
--- a/limebridge/scale/links.py
+++ b/limebridge/scale/links.py
@@ -12,16 +12,16 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-WITHIN_REGION_S = 0.002  # one way
-BETWEEN_LEAST_S = 0.020  # one way, of the shortest link between two regions
-BETWEEN_MOST_S = 0.120
+INTRA_REGION_DELAY_S = 0.002  # one way
+MIN_INTER_REGION_DELAY_S = 0.020  # one way, of the shortest link between two regions
+MAX_INTER_REGION_DELAY_S = 0.120
 CUT = 1.0
 FIELDS = 3  # of a link: delay in s, share of packets lost, cut (CUT) or not (0)
 DELAY, LOSS, IS_CUT = range(FIELDS)
 DOUBLE = 8  # bytes
 FIRST_REGION_OCTET = 10  # region 0 is 127.10.0.0/16
-LEAST_RTO_S = 0.2  # Linux's lower bound of a retransmission timeout
-MOST_DOUBLINGS = 6  # of the retransmission timeout, for one segment
+MIN_RTO_S = 0.2  # Linux's lower bound of a retransmission timeout
+MAX_RTO_DOUBLINGS = 6  # of the retransmission timeout, for one segment
 
 
 class LinkTable:
@@ -41,11 +41,11 @@
         """A table of healthy links: delays drawn from the seed, the same loss everywhere."""
         path.write_bytes(bytes(regions * regions * FIELDS * DOUBLE))
         table = cls(path, regions, writable=True)
-        generator = random.Random(f"links/{seed}")
+        rng = random.Random(f"links/{seed}")
         for first in range(regions):
             for second in range(first, regions):
-                delay = generator.uniform(BETWEEN_LEAST_S, BETWEEN_MOST_S)
-                delay = WITHIN_REGION_S if first == second else delay
+                delay = rng.uniform(MIN_INTER_REGION_DELAY_S, MAX_INTER_REGION_DELAY_S)
+                delay = INTRA_REGION_DELAY_S if first == second else delay
                 for source, target in ((first, second), (second, first)):
                     table._set(source, target, DELAY, delay)
                     table._set(source, target, LOSS, loss)
@@ -82,15 +82,15 @@
         """One direction's loss from now on."""
         self._set(source, target, LOSS, share)
 
-    def cut(self, source: int, target: int, on: bool = True) -> None:
+    def set_cut(self, source: int, target: int, cut: bool = True) -> None:
         """Cut or mend one direction."""
-        self._set(source, target, IS_CUT, CUT if on else 0.0)
+        self._set(source, target, IS_CUT, CUT if cut else 0.0)
 
-    def isolate(self, region: int, on: bool = True) -> None:
+    def isolate(self, region: int, isolated: bool = True) -> None:
         """Cut or mend a region's links to all others, both directions."""
         for other in self._others(region):
-            self.cut(region, other, on)
-            self.cut(other, region, on)
+            self.set_cut(region, other, isolated)
+            self.set_cut(other, region, isolated)
 
     def _others(self, region: int) -> Iterator[int]:
         return (other for other in range(self.regions) if other != region)
@@ -111,7 +111,7 @@
 
 
 def retransmission_delay(
-    generator: random.Random, segments: int, loss: float, round_trip_s: float
+    rng: random.Random, segments: int, loss: float, round_trip_s: float
 ) -> float:
     """Seconds by which lost segments delay a piece of a TCP stream.
 
@@ -123,12 +123,12 @@
     """
     if loss <= 0.0:
         return 0.0
-    timeout = max(LEAST_RTO_S, 2.0 * round_trip_s)
-    most = 0.0
+    timeout = max(MIN_RTO_S, 2.0 * round_trip_s)
+    max_delay = 0.0
     for _ in range(segments):
-        waited, doublings = 0.0, 0
-        while doublings < MOST_DOUBLINGS and generator.random() < loss:
-            waited += timeout * 2**doublings
+        delay, doublings = 0.0, 0
+        while doublings < MAX_RTO_DOUBLINGS and rng.random() < loss:
+            delay += timeout * 2**doublings
             doublings += 1
-        most = max(most, waited)
-    return most
+        max_delay = max(max_delay, delay)
+    return max_delay
--- a/limebridge/scale/measure_control.py
+++ b/limebridge/scale/measure_control.py
@@ -7,13 +7,13 @@
 from .cost_definition import define_cost
 from .registry import Subject, Values
 from .run_sample import LEADER
-from .small_run import play, role_of
+from .small_run import role_of, run_small
 from .target import load_target
 
 
 def measure(size: int) -> Values:
     """What a control machine uses that serves `size` proxies; it leads, with no followers."""
-    machine = role_of(play(size, load_target().purges_per_s), LEADER)
+    machine = role_of(run_small(size, load_target().purges_per_s), LEADER)
     return {
         "control.cpu_share": machine.cpu_share,
         "control.bytes_out_per_s": machine.bytes_out.mean,
--- a/limebridge/scale/measure_distribution.py
+++ b/limebridge/scale/measure_distribution.py
@@ -7,14 +7,14 @@
 from .cost_definition import define_cost
 from .registry import Subject, Values
 from .run_sample import HOLLOW
-from .small_run import play, role_of
+from .small_run import role_of, run_small
 
 PROXIES = 60
 
 
 def measure(size: int) -> Values:
     """What one of 60 hollow proxies uses with `size` purges a second."""
-    hollow = role_of(play(PROXIES, float(size)), HOLLOW)
+    hollow = role_of(run_small(PROXIES, float(size)), HOLLOW)
     return {
         "distribution.proxy_bytes_per_s": hollow.bytes_in.mean + hollow.bytes_out.mean,
         "distribution.proxy_wire_bytes_per_s": hollow.wire_bytes.mean,
--- a/limebridge/scale/region_return.py
+++ b/limebridge/scale/region_return.py
@@ -27,9 +27,9 @@
 from violetroute.distribution.subscriber import Apply, InvalidateAll, SendPoll, Subscriber
 
 BATCH_S = 0.1
-DELAY_S = 0.04  # of a link between the region and its control machine, one way
-STEP_S = 0.02  # between two looks of the control machine at its timers
-BEFORE_S = 5.0  # s of normal service before the cut
+LINK_DELAY_S = 0.04  # of a link between the region and its control machine, one way
+TICK_INTERVAL_S = 0.02  # between two looks of the control machine at its timers
+NORMAL_SERVICE_S = 5.0  # s of normal service before the cut
 KEY_BYTES = 48
 FENCE = 1
 ADDRESS = "control:1"
@@ -58,7 +58,7 @@
 
     subscriber: Subscriber
     applied: int = 0  # the last position, or the one that a void stands for
-    voids: int = 0
+    invalidations: int = 0
     out_of_order: int = 0
     fresh_at: float = math.inf  # since the return
     bytes_by_second: dict[int, int] = field(default_factory=lambda: defaultdict(int))
@@ -84,35 +84,35 @@
         self._machine_bytes: dict[int, int] = defaultdict(int)
         self._proxies = [self._proxy(number) for number in range(proxies)]
 
-    def play(self) -> ReturnReport:
+    def run(self) -> ReturnReport:
         """Serve, cut, publish on, heal, and run until everybody is fresh again."""
         for proxy in self._proxies:
-            self._at(self._random.random(), lambda proxy=proxy: self._ask(proxy))  # type: ignore[misc]
+            self._schedule(self._random.random(), lambda proxy=proxy: self._send_poll(proxy))  # type: ignore[misc]
         self._publish()
-        self._look()
-        self._run(BEFORE_S)
-        live = self._mean_rate()
-        before = self._replica.commit
+        self._tick_sessions()
+        self._advance_to(NORMAL_SERVICE_S)
+        live_rate = self._mean_rate()
+        commit_before_cut = self._replica.commit
         self._cut = True
-        self._run(BEFORE_S + self._away_s)
-        missed = (self._replica.commit - before) * self._records
+        self._advance_to(NORMAL_SERVICE_S + self._away_s)
+        missed = (self._replica.commit - commit_before_cut) * self._records
         self._cut = False
         returned = self._now
         for proxy in self._proxies:
-            proxy.fresh_at, proxy.voids = math.inf, 0
+            proxy.fresh_at, proxy.invalidations = math.inf, 0
             proxy.bytes_by_second.clear()
-            self._ask(proxy)
+            self._send_poll(proxy)
         self._machine_bytes.clear()
         deadline = returned + 600.0
         while self._now < deadline and any(each.fresh_at == math.inf for each in self._proxies):
-            self._run(self._now + 1.0)
-        return self._report(returned, missed, live)
+            self._advance_to(self._now + 1.0)
+        return self._report(returned, missed, live_rate)
 
     # --- time ---
-    def _at(self, seconds: float, event: Callable[[], None]) -> None:
+    def _schedule(self, seconds: float, event: Callable[[], None]) -> None:
         heapq.heappush(self._events, (self._now + seconds, next(self._order), event))
 
-    def _run(self, until: float) -> None:
+    def _advance_to(self, until: float) -> None:
         while self._events and self._events[0][0] <= until:
             self._now, _, event = heapq.heappop(self._events)
             event()
@@ -127,18 +127,18 @@
         )
         self._replica.append((Batch(position, FENCE, int(self._now * 1000), records),))
         self._replica.commit_to(position)
-        self._answer(self._sessions.commit_advanced(self._now))
-        self._at(BATCH_S, self._publish)
+        self._send_answers(self._sessions.commit_advanced(self._now))
+        self._schedule(BATCH_S, self._publish)
 
-    def _look(self) -> None:
-        self._answer(self._sessions.tick(self._now))
+    def _tick_sessions(self) -> None:
+        self._send_answers(self._sessions.tick(self._now))
         report = self._sessions.next_report(self._now, FENCE)
         if report is not None:
             reply = ReportReply(True, FENCE, self._replica.commit, 0.0)
-            self._answer(self._sessions.replied(self._now, report, reply))
-        self._at(STEP_S, self._look)
+            self._send_answers(self._sessions.replied(self._now, report, reply))
+        self._schedule(TICK_INTERVAL_S, self._tick_sessions)
 
-    def _answer(self, answers: list[PollAnswer]) -> None:
+    def _send_answers(self, answers: list[PollAnswer]) -> None:
         for answered in answers:
             proxy, sent_at = self._polls.pop(answered.ticket)
             if self._cut:
@@ -146,30 +146,33 @@
             size = sum(len(memoryview(raw)) for raw in answered.reply.batches)
             self._machine_bytes[int(self._now)] += size
             reply = answered.reply
-            self._at(DELAY_S, lambda p=proxy, s=sent_at, r=reply: self._take(p, s, r))  # type: ignore[misc]
+            self._schedule(
+                LINK_DELAY_S,
+                lambda p=proxy, s=sent_at, r=reply: self._receive_reply(p, s, r),  # type: ignore[misc]
+            )
 
     # --- the proxies ---
     def _proxy(self, number: int) -> _Proxy:
         settings = SubscriberSettings(f"p{number}", "r", (ControlEndpoint(ADDRESS, "r"),))
         return _Proxy(Subscriber(settings, "i", self._random, 0.0))
 
-    def _ask(self, proxy: _Proxy) -> None:
+    def _send_poll(self, proxy: _Proxy) -> None:
         if self._cut:
             return
-        ask = proxy.subscriber.next(self._now)
-        if not isinstance(ask, SendPoll):
-            self._at(ask.until - self._now, lambda: self._ask(proxy))
+        action = proxy.subscriber.next(self._now)
+        if not isinstance(action, SendPoll):
+            self._schedule(action.until - self._now, lambda: self._send_poll(proxy))
             return
         sent_at = self._now
 
         def arrive() -> None:
             ticket = next(self._tickets)
             self._polls[ticket] = proxy, sent_at
-            self._answer(self._sessions.poll_received(self._now, ticket, ask.poll))
+            self._send_answers(self._sessions.poll_received(self._now, ticket, action.poll))
 
-        self._at(DELAY_S, arrive)
+        self._schedule(LINK_DELAY_S, arrive)
 
-    def _take(self, proxy: _Proxy, sent_at: float, reply: PollReply) -> None:
+    def _receive_reply(self, proxy: _Proxy, sent_at: float, reply: PollReply) -> None:
         if self._cut:
             return
         size = sum(len(memoryview(raw)) for raw in reply.batches)
@@ -180,11 +183,11 @@
                     proxy.out_of_order += batch.position != proxy.applied + 1
                     proxy.applied = batch.position
                 case InvalidateAll():
-                    proxy.voids += 1
+                    proxy.invalidations += 1
                     proxy.applied = proxy.subscriber.position
         if proxy.fresh_at == math.inf and proxy.subscriber.fresh(self._now):
             proxy.fresh_at = self._now
-        self._ask(proxy)
+        self._send_poll(proxy)
 
     # --- the report ---
     def _mean_rate(self) -> float:
@@ -193,20 +196,20 @@
         total = sum(proxy.bytes_by_second[second] for proxy in self._proxies for second in seconds)
         return total / max(1, len(seconds)) / len(self._proxies)
 
-    def _report(self, returned: float, missed: int, live: float) -> ReturnReport:
+    def _report(self, returned: float, missed: int, live_rate: float) -> ReturnReport:
         fresh = [proxy.fresh_at - returned for proxy in self._proxies]
         rates = [max(proxy.bytes_by_second.values(), default=0) for proxy in self._proxies]
         return ReturnReport(
             proxies=len(self._proxies),
             away_s=self._away_s,
             purges_missed=missed,
-            voided=sum(proxy.voids > 0 for proxy in self._proxies),
-            applied_late=sum(proxy.voids == 0 for proxy in self._proxies),
+            voided=sum(proxy.invalidations > 0 for proxy in self._proxies),
+            applied_late=sum(proxy.invalidations == 0 for proxy in self._proxies),
             caught_up_s=max(fresh),
             caught_up_first_s=min(fresh),
             proxy_bytes_per_s=float(max(rates)),
             machine_bytes_per_s=float(max(self._machine_bytes.values(), default=0)),
-            live_bytes_per_s=live,
+            live_bytes_per_s=live_rate,
             lost=sum(each.subscriber.position - each.applied for each in self._proxies),
             out_of_order=sum(proxy.out_of_order for proxy in self._proxies),
         )
--- a/limebridge/scale/relay.py
+++ b/limebridge/scale/relay.py
@@ -22,8 +22,8 @@
 from .standard_input import until_end_of_input
 
 SEGMENT = 1448  # bytes of payload of a full TCP segment over Ethernet
-CUT_LOOK_S = 0.05  # between two looks at whether a cut is mended
-HELD_MOST = 4 * 1024 * 1024  # bytes on their way in one direction; beyond it reading pauses
+CUT_POLL_S = 0.05  # between two looks at whether a cut is mended
+MAX_QUEUED_BYTES = 4 * 1024 * 1024  # bytes on their way in one direction; beyond it reading pauses
 BACKLOG = 1024
 
 
@@ -53,47 +53,45 @@
 class Direction(asyncio.Protocol):
     """Reads one side of a connection, and writes to the other side later."""
 
-    def __init__(
-        self, links: LinkTable, source: int, target: int, generator: random.Random
-    ) -> None:
+    def __init__(self, links: LinkTable, source: int, target: int, rng: random.Random) -> None:
         self._links, self._source, self._target = links, source, target
-        self._random = generator
+        self._random = rng
         self._loop = asyncio.get_running_loop()
-        self._held = deque[tuple[float, bytes | None]]()  # due time and data; None: end of stream
-        self._held_bytes = 0
+        self._queue = deque[tuple[float, bytes | None]]()  # due time and data; None: end of stream
+        self._queued_bytes = 0
         self._timer: asyncio.TimerHandle | None = None
         self.transport: asyncio.Transport | None = None
-        self.other: Direction | None = None
+        self.peer: Direction | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        self._hold(data)
+        self._enqueue(data)
 
     def eof_received(self) -> bool:
-        self._hold(None)
+        self._enqueue(None)
         return True  # the other direction may go on
 
     def connection_lost(self, error: Exception | None) -> None:
-        other = self.other
-        if other is not None and other.transport is not None:
-            self._loop.call_later(self._delay(0), other.transport.close)
+        peer = self.peer
+        if peer is not None and peer.transport is not None:
+            self._loop.call_later(self._delay(0), peer.transport.close)
 
-    def connect(self, other: Direction) -> None:
+    def set_peer(self, peer: Direction) -> None:
         """The other side is there."""
-        self.other = other
+        self.peer = peer
         if self._timer is None:
             self._deliver()
 
     # --- what is on its way ---
-    def _hold(self, data: bytes | None) -> None:
+    def _enqueue(self, data: bytes | None) -> None:
         due = self._loop.time() + self._delay(len(data or b""))
-        if self._held:
-            due = max(due, self._held[-1][0])
-        self._held.append((due, data))
-        self._held_bytes += len(data or b"")
-        if self._held_bytes > HELD_MOST and self.transport is not None:
+        if self._queue:
+            due = max(due, self._queue[-1][0])
+        self._queue.append((due, data))
+        self._queued_bytes += len(data or b"")
+        if self._queued_bytes > MAX_QUEUED_BYTES and self.transport is not None:
             self.transport.pause_reading()
         if self._timer is None:
             self._timer = self._loop.call_at(due, self._deliver)
@@ -108,30 +106,30 @@
 
     def _deliver(self) -> None:
         self._timer = None
-        if self.other is None:
+        if self.peer is None:
             return  # `connect` delivers once the other side is there
         if self._links.is_cut(self._source, self._target):
-            self._timer = self._loop.call_later(CUT_LOOK_S, self._deliver)
+            self._timer = self._loop.call_later(CUT_POLL_S, self._deliver)
             return
         now = self._loop.time()
-        while self._held and self._held[0][0] <= now + self._resolution:
-            self._write(self._held.popleft()[1])
-        if self._held_bytes <= HELD_MOST and self.transport is not None:
+        while self._queue and self._queue[0][0] <= now + self._delivery_tolerance_s:
+            self._write(self._queue.popleft()[1])
+        if self._queued_bytes <= MAX_QUEUED_BYTES and self.transport is not None:
             self.transport.resume_reading()
-        if self._held:
-            self._timer = self._loop.call_at(self._held[0][0], self._deliver)
+        if self._queue:
+            self._timer = self._loop.call_at(self._queue[0][0], self._deliver)
 
-    _resolution = 0.0005  # s: what is due so soon goes with the rest
+    _delivery_tolerance_s = 0.0005  # s: what is due so soon goes with the rest
 
     def _write(self, data: bytes | None) -> None:
-        self._held_bytes -= len(data or b"")
-        other = None if self.other is None else self.other.transport
-        if other is None or other.is_closing():
+        self._queued_bytes -= len(data or b"")
+        peer = None if self.peer is None else self.peer.transport
+        if peer is None or peer.is_closing():
             return
         if data is not None:
-            other.write(data)
-        elif other.can_write_eof():
-            other.write_eof()
+            peer.write(data)
+        elif peer.can_write_eof():
+            peer.write_eof()
 
 
 class RouteServer:
@@ -150,31 +148,31 @@
 
     def _accept(self) -> Direction:
         route = self._route
-        there = Direction(self._links, route.source, route.target, self._random)
-        task = asyncio.get_running_loop().create_task(self._connect(there))
+        forward = Direction(self._links, route.source, route.target, self._random)
+        task = asyncio.get_running_loop().create_task(self._connect(forward))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        return there
+        return forward
 
-    async def _connect(self, there: Direction) -> None:
+    async def _connect(self, forward: Direction) -> None:
         route, links = self._route, self._links
         while links.is_cut(route.source, route.target):
-            await asyncio.sleep(CUT_LOOK_S)
+            await asyncio.sleep(CUT_POLL_S)
         await asyncio.sleep(links.delay(route.source, route.target))  # the SYN
-        back = Direction(links, route.target, route.source, self._random)
+        backward = Direction(links, route.target, route.source, self._random)
         loop = asyncio.get_running_loop()
         try:
-            await loop.create_connection(lambda: back, "127.0.0.1", route.port)
+            await loop.create_connection(lambda: backward, "127.0.0.1", route.port)
         except OSError:
-            if there.transport is not None:
-                there.transport.abort()
+            if forward.transport is not None:
+                forward.transport.abort()
             return
-        back.connect(there)
-        there.connect(back)
-        if there.transport is None or there.transport.is_closing():
-            back.connection_lost(None)
-            if back.transport is not None:
-                back.transport.abort()
+        backward.set_peer(forward)
+        forward.set_peer(backward)
+        if forward.transport is None or forward.transport.is_closing():
+            backward.connection_lost(None)
+            if backward.transport is not None:
+                backward.transport.abort()
 
 
 async def relay(file: RelayFile) -> None:
--- a/limebridge/scale/return_command.py
+++ b/limebridge/scale/return_command.py
@@ -30,7 +30,7 @@
     """
     target = load_target()
     count = proxies or round(target.proxies / target.regions)
-    report = RegionReturn(count, away, target.purges_per_s, seed).play()
+    report = RegionReturn(count, away, target.purges_per_s, seed).run()
     text = msgspec.json.format(msgspec.json.encode(report), indent=1)
     typer.echo(text)
     if path is not None:
--- a/limebridge/scale/run.py
+++ b/limebridge/scale/run.py
@@ -17,35 +17,35 @@
 from violetroute.sharing.table import read_keys
 
 from .control_client import ControlClient
-from .hollow_host import HostSeen
+from .hollow_host import HostObservations
 from .in_force_check import PublicationDelays
 from .membership_looks import over_time
 from .process_facts import machine
 from .run_fleet import Fleet
-from .run_load import Load
+from .run_load import PublicationLoad
 from .run_plan import RunPlan
 from .run_report import Percentiles, RunReport, bounds, calibrate, delay_percentiles, percentiles
-from .run_sample import HOLLOW, REAL, Roles, Sample, take_sample
+from .run_sample import HOLLOW, REAL, Roles, UsageSample, take_usage_sample
 from .target import load_target
 from .time_dilation import REAL_TIME
 
-LATE_S = 0.25  # of an event loop, beyond which delays are the machine's
-STEP_S = 0.5  # between two updates of the progress bar
-SESSIONS_S = 40.0  # for all proxies to have a session with a control machine
-SETTLE_S = 15.0  # for the last purge to be in force
-FAULT_AT = 1.0 / 3.0  # share of the measured time: of a kill and of restarts
+MAX_LOOP_LAG_S = 0.25  # of an event loop, beyond which delays are the machine's
+PROGRESS_INTERVAL_S = 0.5  # between two updates of the progress bar
+SESSIONS_TIMEOUT_S = 40.0  # for all proxies to have a session with a control machine
+IN_FORCE_TIMEOUT_S = 15.0  # for the last purge to be in force
+FAULT_TIME_SHARE = 1.0 / 3.0  # share of the measured time: of a kill and of restarts
 PUBLISHER_REGION = 0
-LATENESS = "event loop of a host, lateness"
+LOOP_LAG = "event loop of a host, lateness"
 
 Progress = Callable[[str, float], None]  # what is done, and which share of it
 
 
-class Measured(msgspec.Struct, frozen=True, kw_only=True):
+class Measurements(msgspec.Struct, frozen=True, kw_only=True):
     """What one run has seen."""
 
-    before: Sample
-    after: Sample
-    seen: list[HostSeen]
+    before: UsageSample
+    after: UsageSample
+    seen: list[HostObservations]
     leader: str = ""
     publications: PublicationDelays | None = None
     answers: dict[str, int] = {}
@@ -59,11 +59,13 @@
         self.notes: list[str] = []
         self._killed: set[str] = set()
 
-    async def play(self) -> RunReport:
+    async def run(self) -> RunReport:
         """The whole run.  ProcessError when a process does not start or last."""
         load_average = os.getloadavg()[0]
         with tempfile.TemporaryDirectory(prefix="scale-") as name:
-            fleet = Fleet(self.plan, Path(name), lambda what: self._progress(f"start {what}", 0.0))
+            fleet = Fleet(
+                self.plan, Path(name), lambda activity: self._progress(f"start {activity}", 0.0)
+            )
             try:
                 await fleet.start()
                 measured = await self._measure(fleet)
@@ -72,55 +74,61 @@
                 self._progress("ending all processes", 1.0)
                 await fleet.close()
 
-    async def _measure(self, fleet: Fleet) -> Measured:
+    async def _measure(self, fleet: Fleet) -> Measurements:
         if not self.plan.distribution:
             return await self._measure_gossip(fleet)
         async with self._client(fleet) as client:
-            load = Load(self.plan, client)
+            load = PublicationLoad(self.plan, client)
             try:
                 return await self._measure_load(fleet, client, load)
             finally:
                 await load.close()
 
-    async def _measure_gossip(self, fleet: Fleet) -> Measured:
+    async def _measure_gossip(self, fleet: Fleet) -> Measurements:
         await self._wait("warming up", self.plan.warm_seconds, fleet)
-        await fleet.hosts_seen("warm")
-        before = take_sample(fleet)
+        await fleet.collect_observations("warm")
+        before = take_usage_sample(fleet)
         await self._wait("measuring", self.plan.seconds, fleet)
-        after = take_sample(fleet)
-        return Measured(before=before, after=after, seen=await fleet.hosts_seen("measured"))
+        after = take_usage_sample(fleet)
+        return Measurements(
+            before=before, after=after, seen=await fleet.collect_observations("measured")
+        )
 
-    async def _measure_load(self, fleet: Fleet, client: ControlClient, load: Load) -> Measured:
+    async def _measure_load(
+        self, fleet: Fleet, client: ControlClient, load: PublicationLoad
+    ) -> Measurements:
         self._progress("waiting for all sessions", 0.0)
-        if not await load.until_ready(self.plan.members, SESSIONS_S):
-            seen = load.looks[-1].sessions if load.looks else 0
-            self.notes.append(f"after {SESSIONS_S:g} s {seen} of {self.plan.members} sessions")
+        if not await load.wait_for_sessions(self.plan.members, SESSIONS_TIMEOUT_S):
+            seen = load.status_samples[-1].sessions if load.status_samples else 0
+            self.notes.append(
+                f"after {SESSIONS_TIMEOUT_S:g} s {seen} of {self.plan.members} sessions"
+            )
         await self._wait("warming up", self.plan.warm_seconds, fleet)
-        await fleet.hosts_seen("warm")
-        before, leader = take_sample(fleet), client.leader
+        await fleet.collect_observations("warm")
+        before, leader = take_usage_sample(fleet), client.leader
         faults = asyncio.create_task(self._inject_faults(fleet, client))
         try:
             await asyncio.gather(load.publish(), self._wait("measuring", self.plan.seconds, fleet))
         finally:
-            await self._end_of(faults)
-        after = take_sample(fleet)
+            await self._stop_faults(faults)
+        after = take_usage_sample(fleet)
         self._progress("waiting until all is in force", 1.0)
-        await load.settle(SETTLE_S)
-        seen_at_end = await fleet.hosts_seen("measured")
+        await load.wait_until_in_force(IN_FORCE_TIMEOUT_S)
+        seen_at_end = await fleet.collect_observations("measured")
         applied = [each for host in seen_at_end for each in host.applied]
         applied += fleet.real_applied()
-        return Measured(
+        return Measurements(
             before=before,
             after=after,
             seen=seen_at_end,
             leader=leader,
-            publications=PublicationDelays(load.publications, load.looks, applied),
-            answers=load.answers(),
+            publications=PublicationDelays(load.publications, load.status_samples, applied),
+            answers=load.count_answers(),
         )
 
     @contextlib.asynccontextmanager
     async def _client(self, fleet: Fleet) -> AsyncIterator[ControlClient]:
-        addresses = fleet.machines.addresses_from(PUBLISHER_REGION)
+        addresses = fleet.control_machines.addresses_from(PUBLISHER_REGION)
         client = ControlClient(addresses, read_keys(str(fleet.key_file)))
         try:
             yield client
@@ -128,21 +136,23 @@
             client.close()
 
     async def _inject_faults(self, fleet: Fleet, client: ControlClient) -> None:
-        await asyncio.sleep(FAULT_AT * self.plan.seconds)
+        await asyncio.sleep(FAULT_TIME_SHARE * self.plan.seconds)
         if self.plan.kill_control:
             self._killed.add(client.leader)
             fleet.control(client.leader).process.kill()
-            self.notes.append(f"{client.leader} led and was killed {FAULT_AT:.0%} into the time")
+            self.notes.append(
+                f"{client.leader} led and was killed {FAULT_TIME_SHARE:.0%} into the time"
+            )
         if self.plan.restart_within_s > 0.0:
             killed = self.plan.restart_killed
             await fleet.restart_hollow(self.plan.restart_within_s, killed)
             self.notes.append(
                 f"all hollow proxies restarted over {self.plan.restart_within_s:g} s,"
-                f" {FAULT_AT:.0%} into the time, "
+                f" {FAULT_TIME_SHARE:.0%} into the time, "
                 + ("killed" if killed else "each ending its session first")
             )
 
-    async def _end_of(self, faults: asyncio.Task[None]) -> None:
+    async def _stop_faults(self, faults: asyncio.Task[None]) -> None:
         """No fault comes any more; one that could not be injected fails the run.
 
         A cancellation of the run that comes meanwhile is not taken for that of the faults.
@@ -152,23 +162,23 @@
         if not faults.cancelled():
             faults.result()
 
-    async def _wait(self, what: str, seconds: float, fleet: Fleet) -> None:
+    async def _wait(self, activity: str, seconds: float, fleet: Fleet) -> None:
         began = time.monotonic()
-        while (passed := time.monotonic() - began) < seconds:
-            self._progress(what, passed / seconds)
-            await asyncio.sleep(min(STEP_S, seconds - passed))
+        while (elapsed := time.monotonic() - began) < seconds:
+            self._progress(activity, elapsed / seconds)
+            await asyncio.sleep(min(PROGRESS_INTERVAL_S, seconds - elapsed))
             for process in fleet.group.processes:
-                if process.ended and process.name not in self._killed:
+                if process.has_exited and process.name not in self._killed:
                     raise process.error(f"ended during the run ({process.exit_code})")
 
     # --- the report ---
-    def _report(self, fleet: Fleet, measured: Measured, load_average: float) -> RunReport:
+    def _report(self, fleet: Fleet, measured: Measurements, load_average: float) -> RunReport:
         before, after = measured.before, measured.after
         seconds = after.at - before.at
         roles = Roles(fleet, before, after, measured.leader).all()
         by_name = {role.role: role for role in roles}
         hollow, real = by_name.get(HOLLOW), by_name.get(REAL)
-        delays = {LATENESS: loop_lag(measured.seen)}
+        delays = {LOOP_LAG: loop_lag(measured.seen)}
         publications = measured.publications
         if publications is not None:
             delays |= publications.delays()
@@ -187,18 +197,18 @@
             purges=measured.answers,
             machine_cpu_share=busy_s / (seconds * self.plan.slowdown) / (os.cpu_count() or 1),
             membership=over_time(
-                (look for host in measured.seen for look in host.membership), before.at
+                (sample for host in measured.seen for sample in host.membership), before.at
             ),
             notes=(
                 *self.notes,
                 *slowdown_notes(self.plan),
-                *overload_notes(delays[LATENESS]),
+                *overload_notes(delays[LOOP_LAG]),
                 *membership_notes(measured.seen, self.plan),
             ),
         )
 
 
-def loop_lag(seen: Sequence[HostSeen]) -> Percentiles:
+def loop_lag(seen: Sequence[HostObservations]) -> Percentiles:
     """How late the event loops of the hosts were."""
     return delay_percentiles(lag for host in seen for lag in host.loop_lag)
 
@@ -215,7 +225,7 @@
 
 def overload_notes(lateness: Percentiles) -> list[str]:
     """Whether the hosts had enough CPU time for the delays to mean anything."""
-    if lateness.p99 <= LATE_S:
+    if lateness.p99 <= MAX_LOOP_LAG_S:
         return []
     return [
         f"the hosts of hollow proxies had too little CPU time (event loops late by"
@@ -223,7 +233,7 @@
     ]
 
 
-def membership_notes(seen: Sequence[HostSeen], plan: RunPlan) -> list[str]:
+def membership_notes(seen: Sequence[HostObservations], plan: RunPlan) -> list[str]:
     """How many members the hollow proxies know, where they gossip."""
     sizes = percentiles([float(size) for host in seen for size in host.members_up])
     if not sizes.count:
--- a/limebridge/scale/run_command.py
+++ b/limebridge/scale/run_command.py
@@ -22,9 +22,9 @@
     from .run import ScaleRun
     from .run_report import RunReport
 
-REFUSED = 2  # exit status for arguments that can't be used
-FAILED = 1
-INTERRUPTED = 130
+EXIT_REFUSED = 2  # exit status for arguments that can't be used
+EXIT_FAILED = 1
+EXIT_INTERRUPTED = 130
 
 
 def run(
@@ -109,20 +109,20 @@
     console = Console(stderr=True)
     try:
         check(plan)
-        report = _play(plan, console)
+        report = _run_plan(plan, console)
     except PlanError as error:
         typer.echo(f"limebridge: {error}", err=True)
-        raise typer.Exit(REFUSED) from None
+        raise typer.Exit(EXIT_REFUSED) from None
     except ProcessError as error:
         typer.echo(f"limebridge: {error}", err=True)
-        raise typer.Exit(FAILED) from None
+        raise typer.Exit(EXIT_FAILED) from None
     except (KeyboardInterrupt, asyncio.CancelledError):
         typer.echo("limebridge: interrupted, all processes were ended", err=True)
-        raise typer.Exit(INTERRUPTED) from None
-    _tell(report, as_json)
+        raise typer.Exit(EXIT_INTERRUPTED) from None
+    _write_report(report, as_json)
 
 
-def _tell(report: RunReport, path: Path) -> None:
+def _write_report(report: RunReport, path: Path) -> None:
     from .run_report import save
     from .run_tables import show
 
@@ -130,7 +130,7 @@
     show(report, Console())
 
 
-def _play(plan: RunPlan, console: Console) -> RunReport:
+def _run_plan(plan: RunPlan, console: Console) -> RunReport:
     from .run import ScaleRun
 
     columns = (TextColumn("{task.description}"), BarColumn(), TimeElapsedColumn())
@@ -149,4 +149,4 @@
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
-    return await scale_run.play()
+    return await scale_run.run()
--- a/limebridge/scale/run_controls.py
+++ b/limebridge/scale/run_controls.py
@@ -15,11 +15,11 @@
 
 from .run_plan import RunPlan
 
-LOG = "scale-run"  # the identity of the log
-SERVES = "control.serves"  # the event of a control machine that is ready
+LOG_ID = "scale-run"  # the identity of the log
+READY_EVENT = "control.serves"  # the event of a control machine that is ready
 LOOPBACK = "127.0.0.1"
-TERM_S = 5.0  # of the leader's lease
-LOOK_S = 0.5  # between two looks at the lease
+LEASE_TERM_S = 5.0  # of the leader's lease
+LEASE_POLL_INTERVAL_S = 0.5  # between two looks at the lease
 
 
 def control_name(number: int) -> str:
@@ -27,7 +27,7 @@
     return f"control-{number}"
 
 
-class Controls:
+class ControlMachines:
     """Where the control machines listen, and how each region reaches them."""
 
     def __init__(self, plan: RunPlan, folder: Path, key_file: Path) -> None:
@@ -35,17 +35,17 @@
         self.ports = free_ports(plan.controls)
         self.relay_ports: dict[tuple[int, int], int] = {}  # by region and number of the control
 
-    def pairs(self, regions: range) -> list[tuple[int, int]]:
+    def relay_routes(self, regions: range) -> list[tuple[int, int]]:
         """Which relay ports these regions need."""
         return [(region, control) for region in regions for control in range(self._plan.controls)]
 
-    def ports_of(self, region: int) -> tuple[int, ...]:
+    def relay_ports_of(self, region: int) -> tuple[int, ...]:
         """Where the control machines are reached from a region."""
         return tuple(self.relay_ports[region, number] for number in range(self._plan.controls))
 
     def addresses_from(self, region: int) -> dict[str, Address]:
         """The same by name."""
-        ports = enumerate(self.ports_of(region))
+        ports = enumerate(self.relay_ports_of(region))
         return {control_name(number): Address(LOOPBACK, port) for number, port in ports}
 
     def table(self, region: int) -> DistributionTable:
@@ -53,7 +53,7 @@
         plan = self._plan
         entries = (
             f"{LOOPBACK}:{port} r{plan.control_region(number)}"
-            for number, port in enumerate(self.ports_of(region))
+            for number, port in enumerate(self.relay_ports_of(region))
         )
         return DistributionTable(
             controls=tuple(entries),
@@ -67,7 +67,7 @@
         """One machine's file, and its empty log."""
         name = control_name(number)
         folder = self._folder / name
-        await asyncio.to_thread(init_folder, folder, name, LOG, False)
+        await asyncio.to_thread(init_folder, folder, name, LOG_ID, False)
         path = self._folder / f"{name}.toml"
         path.write_text(tomli_w.dumps(self._tables(number, folder)))
         return path
@@ -93,8 +93,8 @@
             "fleet": {
                 "store": "folder",
                 "folder": str(self._folder / "lease"),
-                "term_s": TERM_S,
-                "look_s": LOOK_S,
+                "term_s": LEASE_TERM_S,
+                "look_s": LEASE_POLL_INTERVAL_S,
             },
             "timings": {
                 "batch_s": plan.batch_s,
--- a/limebridge/scale/run_fleet.py
+++ b/limebridge/scale/run_fleet.py
@@ -21,19 +21,19 @@
 from violetroute.distribution.table import DistributionTable
 
 from .applied import Applied, read_stamps
-from .hollow_host import HostFile, HostReady, HostSeen, Order, Report, Restart
+from .hollow_host import HostFile, HostObservations, HostReady, Order, Report, Restart
 from .instrumented import InstrumentFile
 from .links import LinkTable
 from .relay import RelayFile, RelayPorts, Route
-from .run_controls import SERVES, Controls, control_name
-from .run_plan import REGIONS_PER_RELAY, SEEDS, Place, RunPlan
+from .run_controls import READY_EVENT, ControlMachines, control_name
+from .run_plan import REGIONS_PER_RELAY, SEEDS, ProxyLocation, RunPlan
 from .run_process import ProcessGroup, RunProcess
 from .time_dilation import dilated_command
 from .traffic import Counters, Traffic
 
-KEY = "a key of this scale run\n"
-LISTENS = "daemon.listens"  # the event of a daemon that is ready
-STARTS_AT_ONCE = 4  # daemons
+SHARED_KEY_TEXT = "a key of this scale run\n"
+DAEMON_READY_EVENT = "daemon.listens"  # the event of a daemon that is ready
+MAX_CONCURRENT_STARTS = 4  # daemons
 
 Progress = Callable[[str], None]
 
@@ -64,14 +64,16 @@
         self.group = ProcessGroup()
         self.links = LinkTable.create(folder / "links", plan.regions, plan.seed, plan.loss)
         self.key_file = folder / "key"
-        self.key_file.write_text(KEY)
+        self.key_file.write_text(SHARED_KEY_TEXT)
         self.relays: list[RunProcess] = []
         self.hosts: list[RunProcess] = []
         self.empty_bytes: list[int] = []  # of each host before its first hollow proxy
         self.real: list[CountedProcess] = []
-        self.bare: CountedProcess | None = None  # a daemon without control, to compare with
+        self.real_without_control: CountedProcess | None = (
+            None  # a daemon without control, to compare with
+        )
         self.controls: list[CountedProcess] = []
-        self.machines = Controls(plan, folder, self.key_file)
+        self.control_machines = ControlMachines(plan, folder, self.key_file)
         self.start_s = time.time()
         self.gossip_port = 0
         self._stand_ins: list[Discovery | CacheNode] = []  # that were started
@@ -104,16 +106,16 @@
         for number in range(plan.relay_count):
             first = number * REGIONS_PER_RELAY
             regions = range(first, min(first + REGIONS_PER_RELAY, plan.regions))
-            pairs = self.machines.pairs(regions)
+            relay_routes = self.control_machines.relay_routes(regions)
             routes = tuple(
-                Route(region, plan.control_region(control), self.machines.ports[control])
-                for region, control in pairs
+                Route(region, plan.control_region(control), self.control_machines.ports[control])
+                for region, control in relay_routes
             )
             links = str(self.folder / "links")
             file = RelayFile(links, plan.regions, plan.seed, routes)
             process = await self._start_module("relay", f"relay-{number}", file)
-            ports = await process.answer(RelayPorts)
-            self.machines.relay_ports |= dict(zip(pairs, ports.ports, strict=True))
+            ports = await process.read_reply(RelayPorts)
+            self.control_machines.relay_ports |= dict(zip(relay_routes, ports.ports, strict=True))
             self.relays.append(process)
 
     async def _start_module(self, module: str, name: str, file: msgspec.Struct) -> RunProcess:
@@ -126,32 +128,35 @@
 
     async def _start_controls(self) -> None:
         for number in range(self.plan.controls):
-            file = await self.machines.write_file(number)
+            file = await self.control_machines.write_file(number)
             name, region = control_name(number), self.plan.control_region(number)
-            counted = self.counted(name, region, None)
-            command = self.instrumented(name, "violetroute.distribution", str(file))
-            await counted.process.start(command, SERVES)
+            counted = self.add_instrumented(name, region, None)
+            command = self.instrumented_command(name, "violetroute.distribution", str(file))
+            await counted.process.start(command, READY_EVENT)
             self.controls.append(counted)
 
     async def _start_hosts(self) -> None:
-        plan, places = self.plan, tuple(self.plan.hollow_places())
-        size = math.ceil(len(places) / plan.host_count)
-        parts = [places[first : first + size] for first in range(0, len(places), size)]
-        for number, part in enumerate(parts):
-            file = self._host_file(number, part, places)
+        plan, locations = self.plan, tuple(self.plan.hollow_locations())
+        size = math.ceil(len(locations) / plan.host_count)
+        host_parts = [locations[first : first + size] for first in range(0, len(locations), size)]
+        for number, host_locations in enumerate(host_parts):
+            file = self._host_file(number, host_locations, locations)
             self.hosts.append(await self._start_module("hollow_host", f"host-{number}", file))
         for process in self.hosts:
-            self.empty_bytes.append((await process.answer(HostReady)).empty_bytes)
+            self.empty_bytes.append((await process.read_reply(HostReady)).empty_bytes)
         for process in self.hosts:
             await process.send("run")
 
     def _host_file(
-        self, number: int, part: tuple[Place, ...], places: tuple[Place, ...]
+        self,
+        number: int,
+        host_locations: tuple[ProxyLocation, ...],
+        locations: tuple[ProxyLocation, ...],
     ) -> HostFile:
         plan = self.plan
         return HostFile(
-            places=part,
-            fleet=places,
+            places=host_locations,
+            fleet=locations,
             counters=str(self.folder / f"host-{number}.counters"),
             links=str(self.folder / "links"),
             regions=plan.regions,
@@ -170,7 +175,7 @@
     def _distribution_tables(self) -> tuple[DistributionTable, ...]:
         """Of each region; none where distribution is off."""
         regions = range(self.plan.regions) if self.plan.distribution else range(0)
-        return tuple(self.machines.table(region) for region in regions)
+        return tuple(self.control_machines.table(region) for region in regions)
 
     async def _start_real(self) -> None:
         if not self.plan.real:
@@ -179,50 +184,56 @@
         self._stand_ins.append(self._discovery)
         self._node = await CacheNode().start()
         self._stand_ins.append(self._node)
-        gate = asyncio.Semaphore(STARTS_AT_ONCE)
+        start_slots = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
 
-        async def start(place: Place, control: bool) -> CountedProcess:
-            async with gate:
-                return await self._start_daemon(place, control)
+        async def start(location: ProxyLocation, control: bool) -> CountedProcess:
+            async with start_slots:
+                return await self._start_daemon(location, control)
 
-        places = self.plan.real_places()
-        self.real = list(await asyncio.gather(*(start(place, True) for place in places)))
-        self.bare = await start(msgspec.structs.replace(places[0], name="bare"), False)
+        locations = self.plan.real_locations()
+        self.real = list(await asyncio.gather(*(start(location, True) for location in locations)))
+        self.real_without_control = await start(
+            msgspec.structs.replace(locations[0], name="bare"), False
+        )
 
-    async def _start_daemon(self, place: Place, control: bool) -> CountedProcess:
+    async def _start_daemon(self, location: ProxyLocation, control: bool) -> CountedProcess:
         raw = configuration(self._discovery.port, [self._node.entry("s-0")])
-        path = self.folder / f"{place.name}.platform.json"
-        path.write_text(json.dumps(raw | {"name": place.name}))
-        operator = self.folder / f"{place.name}.toml"
-        operator.write_text(tomli_w.dumps(self._operator_tables(place) if control else {}))
-        ports = self.machines.ports_of(place.region)
-        counted = self.counted(place.name, place.region, ports, stamps=control)
-        command = self.instrumented(place.name, "violetroute", "--operator", str(operator))
-        await counted.process.start(command, LISTENS, environment(path))
+        path = self.folder / f"{location.name}.platform.json"
+        path.write_text(json.dumps(raw | {"name": location.name}))
+        operator = self.folder / f"{location.name}.toml"
+        operator.write_text(tomli_w.dumps(self._operator_tables(location) if control else {}))
+        ports = self.control_machines.relay_ports_of(location.region)
+        counted = self.add_instrumented(location.name, location.region, ports, stamps=control)
+        command = self.instrumented_command(
+            location.name, "violetroute", "--operator", str(operator)
+        )
+        await counted.process.start(command, DAEMON_READY_EVENT, environment(path))
         return counted
 
-    def _operator_tables(self, place: Place) -> dict[str, Any]:
+    def _operator_tables(self, location: ProxyLocation) -> dict[str, Any]:
         tables: dict[str, Any] = {"log": {"format": "json"}}
         if self.gossip_port:
             tables["sharing"] = {
-                "listen": f"{place.host}:{self.gossip_port}",
+                "listen": f"{location.host}:{self.gossip_port}",
                 "key_file": str(self.key_file),
-                "seeds": self._seeds(place.region),
+                "seeds": self._seed_addresses(location.region),
                 "proxies": self.plan.members,
                 "probe_s": self.plan.probe_s,
-                "socket": str(self.folder / f"{place.name}.sharing"),
+                "socket": str(self.folder / f"{location.name}.sharing"),
             }
         if self.plan.distribution:
-            table = self.machines.table(place.region)
+            table = self.control_machines.table(location.region)
             tables["distribution"] = msgspec.to_builtins(table)
         return tables
 
-    def _seeds(self, region: int) -> list[str]:
-        near = [place for place in self.plan.hollow_places() if place.region == region]
-        return [f"{place.host}:{self.gossip_port}" for place in near[:SEEDS]]
+    def _seed_addresses(self, region: int) -> list[str]:
+        same_region = [
+            location for location in self.plan.hollow_locations() if location.region == region
+        ]
+        return [f"{location.host}:{self.gossip_port}" for location in same_region[:SEEDS]]
 
     # --- instrumented processes ---
-    def counted(
+    def add_instrumented(
         self,
         name: str,
         region: int,
@@ -243,17 +254,17 @@
         (self.folder / f"{name}.instrument.json").write_bytes(msgspec.json.encode(file))
         return CountedProcess(self.group.add(name), region, counters)
 
-    def instrumented(self, name: str, module: str, *arguments: str) -> tuple[str, ...]:
+    def instrumented_command(self, name: str, module: str, *arguments: str) -> tuple[str, ...]:
         """The command that runs a daemon's module with counted sockets."""
         file = str(self.folder / f"{name}.instrument.json")
-        instrumented = "limebridge.scale.instrumented"
-        return dilated_command(self.plan.slowdown, instrumented, file, module, *arguments)
+        launcher = "limebridge.scale.instrumented"
+        return dilated_command(self.plan.slowdown, launcher, file, module, *arguments)
 
     # --- looking ---
     def counted_processes(self) -> list[CountedProcess]:
         """All daemons and control machines."""
-        bare = [] if self.bare is None else [self.bare]
-        return [*self.real, *bare, *self.controls]
+        others = [] if self.real_without_control is None else [self.real_without_control]
+        return [*self.real, *others, *self.controls]
 
     def real_applied(self) -> list[Applied]:
         """When each real daemon applied what."""
@@ -275,21 +286,21 @@
             blocks += Counters(path, count).read()
         return blocks
 
-    async def hosts_seen(self, name: str) -> list[HostSeen]:
+    async def collect_observations(self, name: str) -> list[HostObservations]:
         """What each host has seen since it was last asked.  ProcessError."""
         paths = [self.folder / f"host-{n}.{name}" for n in range(len(self.hosts))]
-        asked = (
-            _order(process, Report(str(path)))
+        requests = (
+            _send_order(process, Report(str(path)))
             for process, path in zip(self.hosts, paths, strict=True)
         )
-        await asyncio.gather(*asked)
-        return [msgspec.msgpack.decode(path.read_bytes(), type=HostSeen) for path in paths]
+        await asyncio.gather(*requests)
+        return [msgspec.msgpack.decode(path.read_bytes(), type=HostObservations) for path in paths]
 
     async def restart_hollow(self, within_s: float, killed: bool) -> None:
         """Every hollow proxy ends, `killed` or in order, and starts anew in time.  ProcessError."""
         order = Restart(within_s, killed)
-        await asyncio.gather(*(_order(process, order) for process in self.hosts))
+        await asyncio.gather(*(_send_order(process, order) for process in self.hosts))
 
 
-async def _order(process: RunProcess, order: Order) -> None:
-    await process.ask(msgspec.json.encode(order).decode(), str)
+async def _send_order(process: RunProcess, order: Order) -> None:
+    await process.request(msgspec.json.encode(order).decode(), str)
--- a/limebridge/scale/run_load.py
+++ b/limebridge/scale/run_load.py
@@ -19,8 +19,8 @@
 KEY_BYTES = 48  # of a purge
 CHANGED_TABLE = "log"  # of the operator's file: every proxy can take it on
 CHANGE_BYTES = 1024  # of a changed table's text, padded with a comment
-LOOK_S = 0.2  # between two looks at the status
-BURST_FROM = 0.5  # share of the time at which the burst begins
+STATUS_POLL_INTERVAL_S = 0.2  # between two looks at the status
+BURST_START_SHARE = 0.5  # share of the time at which the burst begins
 
 
 class Publication(msgspec.Struct, kw_only=True):
@@ -38,7 +38,7 @@
         return self.answer == PublishStatus.COMMITTED.name
 
 
-class Look(msgspec.Struct, frozen=True):
+class StatusSample(msgspec.Struct, frozen=True):
     """What the leader said at one time."""
 
     at: float  # its answer was here
@@ -49,7 +49,7 @@
     stale: int
 
 
-class Load:
+class PublicationLoad:
     """Publishes until it is stopped, and keeps what came of it."""
 
     def __init__(self, plan: RunPlan, client: ControlClient) -> None:
@@ -57,39 +57,39 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self.publications: list[Publication] = []
         self._numbers = itertools.count()  # each publication's own: an id is published once
-        self.looks: list[Look] = []
-        self._looking = asyncio.get_running_loop().create_task(self._look())
+        self.status_samples: list[StatusSample] = []
+        self._status_task = asyncio.get_running_loop().create_task(self._poll_status())
 
     async def publish(self) -> None:
         """Purges and changes for the plan's seconds, at times drawn from its seed."""
         plan = self._plan
         await asyncio.gather(
-            self._publish_at(self._purge_rate, self._purge, f"load/{plan.seed}"),
-            self._publish_at(lambda _: plan.changes, self._change, f"changes/{plan.seed}"),
+            self._publish_at_rate(self._purge_rate, self._purge, f"load/{plan.seed}"),
+            self._publish_at_rate(lambda _: plan.changes, self._change, f"changes/{plan.seed}"),
         )
 
-    async def _publish_at(
-        self, rate: Callable[[float], float], record: Callable[[int], Record], seed: str
+    async def _publish_at_rate(
+        self, rate: Callable[[float], float], make_record: Callable[[int], Record], seed: str
     ) -> None:
         """A Poisson process of publications; `rate` is a second, by the time since the start."""
-        generator = random.Random(seed)
+        rng = random.Random(seed)
         began = time.monotonic()
         due = 0.0
-        while (now_rate := rate(due)) > 0.0:
-            due += generator.expovariate(now_rate)
+        while (current_rate := rate(due)) > 0.0:
+            due += rng.expovariate(current_rate)
             if due >= self._plan.seconds:
                 break
             await asyncio.sleep(max(0.0, began + due - time.monotonic()))
             number = next(self._numbers)
-            task = asyncio.create_task(self._publish_one(number, record(number)))
+            task = asyncio.create_task(self._publish_one(number, make_record(number)))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     def _purge_rate(self, at: float) -> float:
         plan = self._plan
-        first = BURST_FROM * plan.seconds
-        bursts = first <= at < first + BURST_SHARE * plan.seconds
-        return plan.purges * (plan.burst if bursts else 1.0)
+        first = BURST_START_SHARE * plan.seconds
+        in_burst = first <= at < first + BURST_SHARE * plan.seconds
+        return plan.purges * (plan.burst if in_burst else 1.0)
 
     def _purge(self, number: int) -> Record:
         key = f"run/{self._plan.seed}/{number}/".ljust(KEY_BYTES, "x")
@@ -100,40 +100,40 @@
         text = f'format = "json"\n[events]\n"daemon.paused" = {1.0 + number / 1000.0}\n#'
         return Record(Topic.CONFIGURATION, CHANGED_TABLE, text.ljust(CHANGE_BYTES, "x").encode())
 
-    async def _publish_one(self, number: int, record: Record) -> None:
-        publication = Publication(topic=Topic(record.topic), published_at=time.monotonic())
+    async def _publish_one(self, number: int, make_record: Record) -> None:
+        publication = Publication(topic=Topic(make_record.topic), published_at=time.monotonic())
         self.publications.append(publication)
-        reply = await self._client.publish(number, record)
+        reply = await self._client.publish(number, make_record)
         publication.answered_at = time.monotonic()
         if reply is not None:
             publication.answer = PublishStatus(reply.status).name
             publication.position = reply.position
 
-    async def settle(self, seconds: float) -> None:
+    async def wait_until_in_force(self, seconds: float) -> None:
         """Wait until every answer is here and the last record is in force, at most so long."""
         end = time.monotonic() + seconds
         while time.monotonic() < end and (self._tasks or not self._all_in_force()):
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(STATUS_POLL_INTERVAL_S)
 
     def _all_in_force(self) -> bool:
         last = max((each.position for each in self.publications if each.committed), default=0)
-        return bool(self.looks) and self.looks[-1].in_force >= last
+        return bool(self.status_samples) and self.status_samples[-1].in_force >= last
 
-    async def until_ready(self, sessions: int, seconds: float) -> bool:
+    async def wait_for_sessions(self, sessions: int, seconds: float) -> bool:
         """Wait until so many proxies have a session with a control machine; whether they have."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
-            if self.looks and self.looks[-1].sessions >= sessions:
+            if self.status_samples and self.status_samples[-1].sessions >= sessions:
                 return True
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(STATUS_POLL_INTERVAL_S)
         return False
 
-    async def _look(self) -> None:
+    async def _poll_status(self) -> None:
         while True:
-            asked = self._client.leader
+            leader = self._client.leader
             reply = await self._client.status()
-            if reply is not None and reply.leader == reply.replica == asked:
-                look = Look(
+            if reply is not None and reply.leader == reply.replica == leader:
+                sample = StatusSample(
                     time.monotonic(),
                     reply.commit,
                     reply.applied,
@@ -141,16 +141,16 @@
                     reply.sessions,
                     reply.stale,
                 )
-                self.looks.append(look)
-            await asyncio.sleep(LOOK_S)
+                self.status_samples.append(sample)
+            await asyncio.sleep(STATUS_POLL_INTERVAL_S)
 
     async def close(self) -> None:
         """End all tasks."""
-        tasks = [self._looking, *self._tasks]
+        tasks = [self._status_task, *self._tasks]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def answers(self) -> dict[str, int]:
+    def count_answers(self) -> dict[str, int]:
         """How the publications were answered."""
         return dict(Counter(publication.answer for publication in self.publications))
--- a/limebridge/scale/run_plan.py
+++ b/limebridge/scale/run_plan.py
@@ -13,10 +13,10 @@
 
 from .links import loopback_host
 
-PROCESSES_MOST = 300
-MEMBERS_MOST = 4000  # of one fleet: the bound of `[sharing] proxies`
-CONTROLS_MOST = 16
-REGIONS_MOST = 64
+MAX_PROCESSES = 300
+MAX_MEMBERS = 4000  # of one fleet: the bound of `[sharing] proxies`
+MAX_CONTROLS = 16
+MAX_REGIONS = 64
 SEEDS = 4  # proxies of its region that a proxy which has just started is told of
 HOLLOW_PER_HOST = 330  # of one process; the soft limit of descriptors may ask for fewer
 REGIONS_PER_RELAY = 3
@@ -26,7 +26,7 @@
 MB = 1_000_000
 
 # Memory, measured with `limebridge scale run` itself, rounded up.
-HOST_MB = 55.0  # a process that hosts hollow proxies, before the first of them
+HOST_BASE_MB = 55.0  # a process that hosts hollow proxies, before the first of them
 HOLLOW_MB = 0.10  # a hollow proxy with its distribution, without members and nodes
 MEMBER_BYTES = 350.0  # one member in the table of one hollow proxy
 NODE_BYTES = 700.0  # one cache node in the judgements of one hollow proxy
@@ -39,7 +39,7 @@
     """A run that would be senseless or too large for this machine; one line."""
 
 
-class Place(msgspec.Struct, frozen=True):
+class ProxyLocation(msgspec.Struct, frozen=True):
     """Where a proxy lives."""
 
     name: str
@@ -105,20 +105,20 @@
         """Estimate of what all processes hold."""
         tables = self.nodes * NODE_BYTES + (self.members * MEMBER_BYTES if self.gossip else 0.0)
         hollow = self.proxies * (HOLLOW_MB + tables / MB)
-        others = self.host_count * HOST_MB + (self.relay_count + 1) * RELAY_MB
+        others = self.host_count * HOST_BASE_MB + (self.relay_count + 1) * RELAY_MB
         return hollow + others + (self.real + 1) * REAL_MB + self.controls * CONTROL_MB
 
-    def hollow_places(self) -> list[Place]:
+    def hollow_locations(self) -> list[ProxyLocation]:
         """All hollow proxies: sites in turn, each site in one region."""
-        return [self._place(number, f"h{number}") for number in range(self.proxies)]
+        return [self._location(number, f"h{number}") for number in range(self.proxies)]
 
-    def real_places(self) -> list[Place]:
+    def real_locations(self) -> list[ProxyLocation]:
         """The real daemons, spread over the regions."""
-        return [self._place(self.proxies + number, f"p{number}") for number in range(self.real)]
+        return [self._location(self.proxies + number, f"p{number}") for number in range(self.real)]
 
-    def _place(self, number: int, name: str) -> Place:
+    def _location(self, number: int, name: str) -> ProxyLocation:
         region = number % self.sites % self.regions
-        return Place(name, number, region, f"r{region}", loopback_host(region, number))
+        return ProxyLocation(name, number, region, f"r{region}", loopback_host(region, number))
 
     def control_region(self, number: int) -> int:
         """The region of a control machine."""
@@ -128,9 +128,9 @@
 def check(plan: RunPlan, memory_mb: float | None = None) -> None:
     """PlanError when the run is senseless or this machine is too small for it."""
     _check_arguments(plan)
-    if plan.process_count > PROCESSES_MOST:
+    if plan.process_count > MAX_PROCESSES:
         raise PlanError(
-            f"{plan.process_count} processes are needed, {PROCESSES_MOST} are the most"
+            f"{plan.process_count} processes are needed, {MAX_PROCESSES} are the most"
             " (fewer --real, --controls or --hosts)"
         )
     memory = total_memory_mb() if memory_mb is None else memory_mb
@@ -144,12 +144,12 @@
 
 def _check_arguments(plan: RunPlan) -> None:
     bounds = (
-        ("--proxies", plan.proxies, 1, MEMBERS_MOST - plan.real),
+        ("--proxies", plan.proxies, 1, MAX_MEMBERS - plan.real),
         ("--sites", plan.sites, 1, plan.proxies),
-        ("--regions", plan.regions, 1, min(REGIONS_MOST, plan.sites)),
+        ("--regions", plan.regions, 1, min(MAX_REGIONS, plan.sites)),
         ("--nodes", plan.nodes, 0, 10_000),
-        ("--real", plan.real, 0, PROCESSES_MOST),
-        ("--controls", plan.controls, 1, CONTROLS_MOST),
+        ("--real", plan.real, 0, MAX_PROCESSES),
+        ("--controls", plan.controls, 1, MAX_CONTROLS),
         ("--seconds", plan.seconds, 1.0, 3600.0),
         ("--warm", plan.warm_seconds, 0.0, 600.0),
         ("--purges", plan.purges, 0.1, 1000.0),
@@ -166,9 +166,9 @@
         ("--spread", plan.spread_s, 0.0, 60.0),
         ("--stale-after", plan.stale_after_s, 1.0, 3600.0),
     )
-    for name, value, least, most in bounds:
-        if not least <= value <= most:
-            raise PlanError(f"{name}: {value:g} is not between {least:g} and {most:g}")
+    for name, value, minimum, maximum in bounds:
+        if not minimum <= value <= maximum:
+            raise PlanError(f"{name}: {value:g} is not between {minimum:g} and {maximum:g}")
     if plan.kill_control and plan.controls < 3:
         raise PlanError("--kill-control: needs three control machines, so that two are left")
 
--- a/limebridge/scale/run_process.py
+++ b/limebridge/scale/run_process.py
@@ -13,14 +13,14 @@
 
 from .process_usage import Usage, usage
 
-READY_S = 90.0  # for a process to be ready: many start at once
-ANSWER_S = 60.0  # for its answer to a line
-END_S = 8.0  # for it to end by itself
-LINES_KEPT = 20  # of its standard error
-WORDS_MOST = 900  # characters of them in an error
-LINE_MOST = 1024 * 1024  # bytes of one line of its standard output
+READY_TIMEOUT_S = 90.0  # for a process to be ready: many start at once
+REPLY_TIMEOUT_S = 60.0  # for its answer to a line
+STOP_TIMEOUT_S = 8.0  # for it to end by itself
+MAX_STDERR_LINES = 20  # of its standard error
+MAX_ERROR_CHARS = 900  # characters of them in an error
+MAX_LINE_BYTES = 1024 * 1024  # bytes of one line of its standard output
 
-Answer = TypeVar("Answer")
+Reply = TypeVar("Reply")
 
 
 class ProcessError(Exception):
@@ -35,11 +35,11 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.lines = deque[str](maxlen=LINES_KEPT)
+        self.stderr_lines = deque[str](maxlen=MAX_STDERR_LINES)
         self._process: asyncio.subprocess.Process | None = None
-        self._reading: asyncio.Task[None] | None = None
+        self._stderr_task: asyncio.Task[None] | None = None
         self._marker = ""
-        self._marked = asyncio.Event()
+        self._marker_seen = asyncio.Event()
 
     async def start(
         self, command: tuple[str, ...], marker: str = "", env: Mapping[str, str] | None = None
@@ -53,34 +53,34 @@
             stderr=asyncio.subprocess.PIPE,
             env=env,
             start_new_session=True,
-            limit=LINE_MOST,
+            limit=MAX_LINE_BYTES,
         )
-        self._reading = asyncio.create_task(self._read_errors(self._process))
+        self._stderr_task = asyncio.create_task(self._read_errors(self._process))
         if marker:
-            await self._until_marked()
+            await self._wait_for_marker()
 
     async def _read_errors(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr is not None
         while chunk := await process.stderr.read(65536):
-            self.lines.extend(chunk.decode(errors="replace").splitlines())
+            self.stderr_lines.extend(chunk.decode(errors="replace").splitlines())
             if self._marker and self._marker.encode() in chunk:
-                self._marked.set()
-        self._marked.set()  # it has ended
+                self._marker_seen.set()
+        self._marker_seen.set()  # it has ended
 
-    async def _until_marked(self) -> None:
+    async def _wait_for_marker(self) -> None:
         try:
-            async with asyncio.timeout(READY_S):
-                await self._marked.wait()
+            async with asyncio.timeout(READY_TIMEOUT_S):
+                await self._marker_seen.wait()
         except TimeoutError:
-            raise self.error(f"is not ready after {READY_S:g} s") from None
-        if self.ended:
+            raise self.error(f"is not ready after {READY_TIMEOUT_S:g} s") from None
+        if self.has_exited:
             raise self.error("ended at its start")
 
-    def error(self, what: str) -> ProcessError:
+    def error(self, message: str) -> ProcessError:
         """What happened to it, with the last that it wrote."""
-        written = [line.strip() for line in self.lines if line.strip()]
-        last = " | ".join(written[-3:])[-WORDS_MOST:] if written else "it wrote nothing"
-        return ProcessError(f"{self.name} {what}: {last}")
+        written = [line.strip() for line in self.stderr_lines if line.strip()]
+        last = " | ".join(written[-3:])[-MAX_ERROR_CHARS:] if written else "it wrote nothing"
+        return ProcessError(f"{self.name} {message}: {last}")
 
     @property
     def exit_code(self) -> int | None:
@@ -94,15 +94,17 @@
         return self._process.pid
 
     @property
-    def ended(self) -> bool:
+    def has_exited(self) -> bool:
         """Whether it is gone, or was never started."""
         return self._process is None or self._process.returncode is not None
 
     def usage(self) -> Usage | None:
         """CPU time and memory until now; None when it is gone."""
-        return None if self.ended else usage(self.pid)
+        return None if self.has_exited else usage(self.pid)
 
-    async def answer(self, kind: type[Answer], timeout_s: float = READY_S) -> Answer:
+    async def read_reply(
+        self, reply_type: type[Reply], timeout_s: float = READY_TIMEOUT_S
+    ) -> Reply:
         """Its next line of standard output.  ProcessError when none comes."""
         assert self._process is not None and self._process.stdout is not None
         try:
@@ -114,7 +116,7 @@
             await asyncio.sleep(0.1)  # for the rest of its standard error
             raise self.error("ended")
         try:
-            return msgspec.json.decode(line, type=kind)
+            return msgspec.json.decode(line, type=reply_type)
         except msgspec.MsgspecError as error:
             raise self.error(f"wrote {line[:80]!r} ({error})") from None
 
@@ -127,10 +129,10 @@
         except OSError:
             raise self.error("ended") from None
 
-    async def ask(self, line: str, kind: type[Answer]) -> Answer:
+    async def request(self, line: str, reply_type: type[Reply]) -> Reply:
         """Send a line and wait for the answer.  ProcessError."""
         await self.send(line)
-        return await self.answer(kind, ANSWER_S)
+        return await self.read_reply(reply_type, REPLY_TIMEOUT_S)
 
     def kill(self) -> None:
         """SIGKILL, as a machine that fails."""
@@ -138,7 +140,7 @@
             if self._process is not None and self._process.returncode is None:
                 self._process.send_signal(signal.SIGKILL)
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         """It is gone when this returns: asked by the end of its input and SIGTERM, else killed."""
         process = self._process
         if process is None:
@@ -149,13 +151,13 @@
                 process.stdin.close()
                 process.send_signal(signal.SIGTERM)
             try:
-                async with asyncio.timeout(END_S):
+                async with asyncio.timeout(STOP_TIMEOUT_S):
                     await process.wait()
             except TimeoutError:
                 self.kill()
                 await process.wait()
-        if self._reading is not None:
-            self._reading.cancel()
+        if self._stderr_task is not None:
+            self._stderr_task.cancel()
 
 
 class ProcessGroup:
@@ -173,7 +175,7 @@
     async def close(self) -> None:
         """End all.  What has to be killed is killed even if the wait is interrupted."""
         try:
-            await asyncio.gather(*(process.end() for process in self.processes))
+            await asyncio.gather(*(process.stop() for process in self.processes))
         finally:
             for process in self.processes:
                 process.kill()
--- a/limebridge/scale/run_report.py
+++ b/limebridge/scale/run_report.py
@@ -18,8 +18,8 @@
 from .traffic import Traffic
 
 MICROSECONDS = 1_000_000
-LONGEST_S = 3600  # of a delay that is told apart
-DIGITS = 3  # significant digits of a percentile
+MAX_DELAY_S = 3600  # of a delay that is told apart
+SIGNIFICANT_DIGITS = 3  # significant digits of a percentile
 HUNDRED_PERCENT = 100.0
 
 
@@ -137,7 +137,7 @@
 
 def delay_percentiles(delays_s: Iterable[float]) -> Percentiles:
     """Of delays in seconds, to three digits, by a histogram of bounded size."""
-    histogram = HdrHistogram(1, LONGEST_S * MICROSECONDS, DIGITS)
+    histogram = HdrHistogram(1, MAX_DELAY_S * MICROSECONDS, SIGNIFICANT_DIGITS)
     count, total, largest = 0, 0.0, 0.0
     for delay in delays_s:
         histogram.record_value(max(1, round(delay * MICROSECONDS)))
--- a/limebridge/scale/run_sample.py
+++ b/limebridge/scale/run_sample.py
@@ -16,14 +16,14 @@
 
 HOLLOW = "proxy, hollow"
 REAL = "proxy, real"
-BARE = "proxy, real, without control"
+REAL_WITHOUT_CONTROL = "proxy, real, without control"
 LEADER = "control leader"
 FOLLOWER = "control follower"
 RELAYS = "relays of the run (no role)"
 IDLE_FIELDS = (4, 5)  # of the first line of /proc/stat: idle, waiting for a disk
 
 
-class Sample(msgspec.Struct, frozen=True):
+class UsageSample(msgspec.Struct, frozen=True):
     """Counters and use of all processes at one time."""
 
     at: float  # CLOCK_MONOTONIC
@@ -33,11 +33,11 @@
     machine_cpu_s: float
 
 
-def take_sample(fleet: Fleet) -> Sample:
+def take_usage_sample(fleet: Fleet) -> UsageSample:
     """All of it now.  What has ended keeps its counters and has no use."""
     processes = fleet.group.processes
     use = {process.name: process.usage() for process in processes}
-    return Sample(
+    return UsageSample(
         time.monotonic(),
         fleet.hollow_traffic(),
         {counted.process.name: counted.traffic() for counted in fleet.counted_processes()},
@@ -49,14 +49,16 @@
 def machine_cpu_s() -> float:
     """CPU time that all cores have spent on anything."""
     fields = [int(field) for field in Path("/proc/stat").read_text().split("\n")[0].split()[1:9]]
-    idle = sum(fields[place - 1] for place in IDLE_FIELDS)
+    idle = sum(fields[number - 1] for number in IDLE_FIELDS)
     return (sum(fields) - idle) / TICKS_PER_S
 
 
 class Roles:
     """What each role used between two samples."""
 
-    def __init__(self, fleet: Fleet, before: Sample, after: Sample, leader: str = "") -> None:
+    def __init__(
+        self, fleet: Fleet, before: UsageSample, after: UsageSample, leader: str = ""
+    ) -> None:
         self._fleet, self._before, self._after, self._leader = fleet, before, after, leader
         self._seconds = after.at - before.at
 
@@ -69,7 +71,10 @@
         roles = [
             self._hollow(),
             self._counted(REAL, fleet.real),
-            self._counted(BARE, [] if fleet.bare is None else [fleet.bare]),
+            self._counted(
+                REAL_WITHOUT_CONTROL,
+                [] if fleet.real_without_control is None else [fleet.real_without_control],
+            ),
             self._counted(LEADER, leader),
             self._counted(FOLLOWER, followers),
             self._relays(),
--- a/limebridge/scale/small_run.py
+++ b/limebridge/scale/small_run.py
@@ -13,7 +13,7 @@
 WARM_SECONDS = 4.0
 
 
-def play(proxies: int, purges_per_s: float) -> RunReport:
+def run_small(proxies: int, purges_per_s: float) -> RunReport:
     """One control machine, so many hollow proxies of one region, no gossip and no delays."""
     plan = RunPlan(
         proxies=proxies,
@@ -29,9 +29,9 @@
         gossip=False,
     )
     check(plan)
-    report = asyncio.run(ScaleRun(plan, lambda what, share: None).play())
-    verdict = report.in_force
-    if verdict is not None and (verdict.early or verdict.never_applied):
+    report = asyncio.run(ScaleRun(plan, lambda what, share: None).run())
+    in_force = report.in_force
+    if in_force is not None and (in_force.early or in_force.never_applied):
         raise MeasurementError("a purge was not applied everywhere when it was in force")
     return report
 
--- a/limebridge/scale/time_dilation.py
+++ b/limebridge/scale/time_dilation.py
@@ -34,28 +34,28 @@
     if factor == REAL_TIME:
         yield
         return
-    monotonic, wall, select = time.monotonic, time.time, selectors.EpollSelector.select
-    time.monotonic = _slowed(monotonic, factor)
-    time.time = lambda: wall() - monotonic() + monotonic() / factor
-    selectors.EpollSelector.select = _patient(select, factor)  # type: ignore[method-assign]
+    monotonic, wall_clock, select = time.monotonic, time.time, selectors.EpollSelector.select
+    time.monotonic = _slow_clock(monotonic, factor)
+    time.time = lambda: wall_clock() - monotonic() + monotonic() / factor
+    selectors.EpollSelector.select = _slow_select(select, factor)  # type: ignore[method-assign]
     try:
         yield
     finally:
-        time.monotonic, time.time = monotonic, wall
+        time.monotonic, time.time = monotonic, wall_clock
         selectors.EpollSelector.select = select  # type: ignore[method-assign]
 
 
-def _slowed(clock: Callable[[], float], factor: float) -> Callable[[], float]:
+def _slow_clock(clock: Callable[[], float], factor: float) -> Callable[[], float]:
     return lambda: clock() / factor
 
 
-def _patient(select: Callable[..., Any], factor: float) -> Callable[..., Any]:
+def _slow_select(select: Callable[..., Any], factor: float) -> Callable[..., Any]:
     """A selector's `select` whose timeout is in slowed seconds."""
 
-    def select_longer(self: selectors.EpollSelector, timeout: float | None = None) -> Any:
+    def select_slowed(self: selectors.EpollSelector, timeout: float | None = None) -> Any:
         return select(self, None if timeout is None else timeout * factor)
 
-    return select_longer
+    return select_slowed
 
 
 def dilated_command(factor: float, module: str, *arguments: str) -> tuple[str, ...]:
--- a/limebridge/scale/traffic.py
+++ b/limebridge/scale/traffic.py
@@ -21,7 +21,7 @@
 
 from .links import LinkTable, region_of_host
 
-WORD = 8  # bytes of a counter
+COUNTER_BYTES = 8  # bytes of a counter
 UDP_HEADERS = 28  # bytes: IPv4 and UDP
 TCP_HEADERS = 52  # bytes: IPv4, TCP and its timestamps
 
@@ -112,7 +112,7 @@
 
     def __init__(self, path: Path, blocks: int, create: bool = False) -> None:
         """OSError, ValueError where the file can't be mapped."""
-        size = blocks * len(Counter) * WORD
+        size = blocks * len(Counter) * COUNTER_BYTES
         if create:
             path.write_bytes(bytes(size))
         with open(path, "r+b") as file:
@@ -132,7 +132,7 @@
         return [Traffic(**dict(zip(names, block, strict=True))) for block in blocks]
 
 
-class Shape:
+class DatagramShaper:
     """How datagrams of one region travel.  Draws from its own seed."""
 
     def __init__(self, links: LinkTable, region: int, seed: str) -> None:
@@ -157,14 +157,14 @@
     """
 
     counters: memoryview
-    shape: Shape | None
+    shaper: DatagramShaper | None
     counted_ports: Container[int] | None
 
     @classmethod
-    def maker(
+    def socket_factory(
         cls,
         counters: memoryview,
-        shape: Shape | None = None,
+        shaper: DatagramShaper | None = None,
         counted_ports: Container[int] | None = None,
     ) -> Callable[[int, int], socket.socket]:
         """The function that `SocketNetwork` makes its sockets with.
@@ -172,34 +172,34 @@
         `counted_ports`: connections to other ports are not counted; None counts all.
         """
 
-        def make(family: int, kind: int) -> socket.socket:
-            made = cls(family, kind)
-            made.counters, made.shape, made.counted_ports = counters, shape, counted_ports
-            made.counts = True
-            return made
+        def make(family: int, socket_type: int) -> socket.socket:
+            sock = cls(family, socket_type)
+            sock.counters, sock.shaper, sock.counted_ports = counters, shaper, counted_ports
+            sock.is_counted = True
+            return sock
 
         return make
 
-    counts = True  # whether this connection is control traffic
+    is_counted = True  # whether this connection is control traffic
 
     def _add(self, counter: Counter, amount: int, messages: Counter) -> None:
-        if self.counts and amount > 0:
+        if self.is_counted and amount > 0:
             self.counters[counter] += amount
             self.counters[messages] += 1
 
     # --- streams ---
     def accept(self) -> tuple[Self, Any]:
         descriptor, address = self._accept()  # type: ignore[attr-defined]
-        made = type(self)(self.family, self.type, self.proto, fileno=descriptor)
-        made.counters, made.shape = self.counters, self.shape
-        made.counted_ports = self.counted_ports
-        made.counters[Counter.CONNECTIONS] += 1
-        return made, address
+        sock = type(self)(self.family, self.type, self.proto, fileno=descriptor)
+        sock.counters, sock.shaper = self.counters, self.shaper
+        sock.counted_ports = self.counted_ports
+        sock.counters[Counter.CONNECTIONS] += 1
+        return sock, address
 
     def connect_ex(self, address: Any) -> int:
         ports = self.counted_ports
-        self.counts = ports is None or address[1] in ports
-        if self.counts:
+        self.is_counted = ports is None or address[1] in ports
+        if self.is_counted:
             self.counters[Counter.CONNECTIONS] += 1
         return super().connect_ex(address)
 
@@ -221,15 +221,15 @@
     # --- datagrams ---
     def sendto(self, data: Any, *address: Any) -> int:
         self._add(Counter.UDP_BYTES_OUT, len(data), Counter.UDP_OUT)
-        delay = 0.0 if self.shape is None else self.shape.delay(address[-1][0])
+        delay = 0.0 if self.shaper is None else self.shaper.delay(address[-1][0])
         if delay is None:
             return len(data)
         if delay <= 0.0:
             return super().sendto(data, *address)
-        asyncio.get_running_loop().call_later(delay, self._send_late, data, address)
+        asyncio.get_running_loop().call_later(delay, self._send_delayed, data, address)
         return len(data)
 
-    def _send_late(self, data: bytes, address: tuple[Any, ...]) -> None:
+    def _send_delayed(self, data: bytes, address: tuple[Any, ...]) -> None:
         with contextlib.suppress(OSError):  # closed meanwhile, or nobody is there any more
             super().sendto(data, *address)
 
--- a/tests/limebridge/scale/test_scale_dilation.py
+++ b/tests/limebridge/scale/test_scale_dilation.py
@@ -25,12 +25,12 @@
     with dilated(FACTOR):
         slowed_began, wall_began = time.monotonic(), time.time()
         asyncio.run(asyncio.sleep(WAIT_S))
-        slowed, wall = time.monotonic() - slowed_began, time.time() - wall_began
-    passed = real() - began
+        slowed_elapsed, wall_elapsed = time.monotonic() - slowed_began, time.time() - wall_began
+    elapsed = real() - began
     assert time.monotonic is real  # as before
-    assert passed >= FACTOR * WAIT_S
-    assert WAIT_S <= slowed <= passed / FACTOR
-    assert WAIT_S * 0.9 <= wall <= passed / FACTOR + 0.01
+    assert elapsed >= FACTOR * WAIT_S
+    assert WAIT_S <= slowed_elapsed <= elapsed / FACTOR
+    assert WAIT_S * 0.9 <= wall_elapsed <= elapsed / FACTOR + 0.01
 
 
 def test_all_processes_agree_on_the_time(tmp_path: Path) -> None:
@@ -38,7 +38,7 @@
     module.write_text("import sys, time; print(time.monotonic(), time.time(), sys.argv[1:])")
     with dilated(FACTOR):
         before, wall_before = time.monotonic(), time.time()
-        told = subprocess.run(
+        printed = subprocess.run(
             dilated_command(FACTOR, "tells_the_time", "a", "b"),
             capture_output=True,
             text=True,
@@ -46,9 +46,9 @@
             env={"PYTHONPATH": f"{tmp_path}:{ROOT}"},
         ).stdout.split(" ", 2)
         after, wall_after = time.monotonic(), time.time()
-    assert before <= float(told[0]) <= after
-    assert wall_before <= float(told[1]) <= wall_after
-    assert told[2].strip() == "['a', 'b']"
+    assert before <= float(printed[0]) <= after
+    assert wall_before <= float(printed[1]) <= wall_after
+    assert printed[2].strip() == "['a', 'b']"
 
 
 def test_without_a_factor_nothing_is_changed() -> None:
@@ -74,7 +74,7 @@
     )
     began = time.monotonic()
     with dilated(plan.slowdown):
-        report = asyncio.run(ScaleRun(plan, lambda what, share: None).play())
+        report = asyncio.run(ScaleRun(plan, lambda what, share: None).run())
     assert time.monotonic() - began >= plan.slowdown * (plan.seconds + plan.warm_seconds)
     assert 1.9 < report.measured_s < 4.0  # of theirs
     assert any("2 times more slowly" in note for note in report.notes)
--- a/tests/limebridge/scale/test_scale_membership.py
+++ b/tests/limebridge/scale/test_scale_membership.py
@@ -10,13 +10,13 @@
 import msgspec
 
 from limebridge.scale.held_loop import HeldLoop
-from limebridge.scale.hollow import GossipSetup, HollowProxy, StartClock
+from limebridge.scale.hollow import GossipSetup, HeldWallClock, HollowProxy
 from limebridge.scale.links import LinkTable
 from limebridge.scale.membership_looks import MembershipAt, MembershipLook, look, over_time
 from limebridge.scale.run import ScaleRun
 from limebridge.scale.run_fleet import Fleet
 from limebridge.scale.run_plan import RunPlan
-from limebridge.scale.traffic import Counters, Shape
+from limebridge.scale.traffic import Counters, DatagramShaper
 from limebridge.scale.virtual_members import VirtualMembers
 from violetroute.sharing.anti_entropy import COMPARE_INTERVAL_S
 from violetroute.sharing.members import Members
@@ -44,7 +44,7 @@
 
 def test_a_restart_of_all_is_seen_in_the_membership() -> None:
     plan = msgspec.structs.replace(SMALL, restart_within_s=0.5)
-    report = asyncio.run(ScaleRun(plan, lambda what, share: None).play())
+    report = asyncio.run(ScaleRun(plan, lambda what, share: None).run())
     before = [each for each in report.membership if each.after_s < plan.seconds / 3.0 - 1.0]
     assert before and all(each.fewest >= plan.proxies for each in before)
     # A look comes each second and may miss the restart itself; the lives at the end can't lie.
@@ -55,7 +55,7 @@
 
 def test_without_restarts_nothing_is_said_of_them() -> None:
     plan = msgspec.structs.replace(SMALL, real=0, distribution=False, seconds=1.5)
-    report = asyncio.run(ScaleRun(plan, lambda what, share: None).play())
+    report = asyncio.run(ScaleRun(plan, lambda what, share: None).run())
     assert not any("present process" in note for note in report.notes)
     assert report.membership[0].fewest == report.membership[0].mean == plan.proxies
 
@@ -64,18 +64,20 @@
     plan = msgspec.structs.replace(SMALL, probe_s=2.5, distribution=False)
     fleet = Fleet(plan, tmp_path, lambda what: None)
     fleet.gossip_port = 1
-    places = tuple(plan.hollow_places())
-    assert fleet._host_file(0, places, places).probe_s == 2.5
-    assert fleet._operator_tables(plan.real_places()[0])["sharing"]["probe_s"] == 2.5
+    locations = tuple(plan.hollow_locations())
+    assert fleet._host_file(0, locations, locations).probe_s == 2.5
+    assert fleet._operator_tables(plan.real_locations()[0])["sharing"]["probe_s"] == 2.5
 
 
 def test_a_hollow_proxy_asks_as_often_as_its_host_is_told(tmp_path: Path) -> None:
     links = LinkTable.create(tmp_path / "links", 2, 1, 0.0)
     counters = Counters(tmp_path / "counters", 1, create=True)
-    place = SMALL.hollow_places()[0]
+    location = SMALL.hollow_locations()[0]
     loop = HeldLoop()
-    proxy = HollowProxy(place, loop, counters.block(0), Shape(links, place.region, "1"))
-    setup = GossipSetup(0, Keys([b"a key of this test"]), 2, 0, StartClock(1.0), 2.5, 0.0, 0.0)
+    proxy = HollowProxy(
+        location, loop, counters.block(0), DatagramShaper(links, location.region, "1")
+    )
+    setup = GossipSetup(0, Keys([b"a key of this test"]), 2, 0, HeldWallClock(1.0), 2.5, 0.0, 0.0)
     try:
         proxy.start_gossip(setup, ())
         assert proxy.sharing is not None
--- a/tests/limebridge/scale/test_scale_run.py
+++ b/tests/limebridge/scale/test_scale_run.py
@@ -25,16 +25,16 @@
     STALE_UNTIL,
     Applied,
     AppliedTimes,
-    StaleTimes,
+    StalePeriods,
     read_stamps,
 )
 from limebridge.scale.delay_names import EVERYWHERE, IN_FORCE, delay_name
 from limebridge.scale.in_force_check import PublicationDelays
 from limebridge.scale.links import (
-    BETWEEN_LEAST_S,
-    BETWEEN_MOST_S,
-    LEAST_RTO_S,
-    WITHIN_REGION_S,
+    INTRA_REGION_DELAY_S,
+    MAX_INTER_REGION_DELAY_S,
+    MIN_INTER_REGION_DELAY_S,
+    MIN_RTO_S,
     LinkTable,
     loopback_host,
     region_of_host,
@@ -42,8 +42,8 @@
 )
 from limebridge.scale.relay import RelayFile, RelayPorts, Route
 from limebridge.scale.run import ScaleRun
-from limebridge.scale.run_command import INTERRUPTED, REFUSED, run
-from limebridge.scale.run_load import Look, Publication
+from limebridge.scale.run_command import EXIT_INTERRUPTED, EXIT_REFUSED, run
+from limebridge.scale.run_load import Publication, StatusSample
 from limebridge.scale.run_plan import PlanError, RunPlan, check
 from limebridge.scale.run_process import ProcessError, ProcessGroup
 from limebridge.scale.run_report import (
@@ -59,7 +59,7 @@
 from limebridge.scale.run_sample import HOLLOW, LEADER, REAL
 from limebridge.scale.run_tables import bound_line
 from limebridge.scale.target import load_target
-from limebridge.scale.traffic import CountedSocket, Counters, Shape, Traffic
+from limebridge.scale.traffic import CountedSocket, Counters, DatagramShaper, Traffic
 from violetroute.distribution.messages import Topic
 
 TINY = RunPlan(
@@ -88,7 +88,7 @@
 # --- whole runs ---
 def test_a_tiny_run_is_measured_and_leaves_no_process(tmp_path: Path) -> None:
     before = set(children_of(os.getpid()))
-    report = asyncio.run(ScaleRun(TINY, lambda what, share: None).play())
+    report = asyncio.run(ScaleRun(TINY, lambda what, share: None).run())
     assert set(children_of(os.getpid())) <= before
 
     roles = {role.role: role for role in report.roles}
@@ -118,7 +118,7 @@
     plan = msgspec.structs.replace(
         TINY, real=0, gossip=False, changes=0.0, seconds=3.0, restart_within_s=1.0
     )
-    report = asyncio.run(ScaleRun(plan, lambda what, share: None).play())
+    report = asyncio.run(ScaleRun(plan, lambda what, share: None).run())
     assert any("restarted over 1 s" in note for note in report.notes)
     assert report.purges == {"COMMITTED": sum(report.purges.values())}
     assert report.in_force is not None
@@ -127,12 +127,12 @@
 
 
 def test_a_hollow_proxy_restarts_as_a_process_of_its_own() -> None:
-    stale = StaleTimes(2.0)
-    stale.look(1.0, 0.5)  # fresh from its first look on
-    stale.restarted(2.0)
-    stale.look(3.0, 2.9)
-    assert stale.closed == [(-NEVER, 1.0), (2.0, 3.0)]
-    assert stale.all()[-1] == (4.9, NEVER)
+    stale = StalePeriods(2.0)
+    stale.observe(1.0, 0.5)  # fresh from its first look on
+    stale.record_restart(2.0)
+    stale.observe(3.0, 2.9)
+    assert stale.ended_periods == [(-NEVER, 1.0), (2.0, 3.0)]
+    assert stale.periods()[-1] == (4.9, NEVER)
 
 
 def test_an_interruption_while_the_faults_end_ends_the_run() -> None:
@@ -149,7 +149,7 @@
         faults = asyncio.create_task(slow_to_end())
         await asyncio.sleep(0)
         scale_run = ScaleRun(TINY, lambda what, share: None)
-        run_task = asyncio.create_task(scale_run._end_of(faults))
+        run_task = asyncio.create_task(scale_run._stop_faults(faults))
         await ending.wait()
         run_task.cancel()
         with pytest.raises(asyncio.CancelledError):
@@ -167,7 +167,7 @@
         faults = asyncio.create_task(fails())
         await asyncio.sleep(0)
         with pytest.raises(ProcessError, match="host-0"):
-            await ScaleRun(TINY, lambda what, share: None)._end_of(faults)
+            await ScaleRun(TINY, lambda what, share: None)._stop_faults(faults)
 
     asyncio.run(play())
 
@@ -196,7 +196,7 @@
         children = wait_for_children(process.pid, 5)
         process.send_signal(signal.SIGINT)
         _, errors = process.communicate(timeout=20.0)
-    assert process.returncode == INTERRUPTED
+    assert process.returncode == EXIT_INTERRUPTED
     assert b"interrupted" in errors and b"Traceback" not in errors
     assert not [child for child in children if Path(f"/proc/{child}").exists()]
     assert not (tmp_path / "run.json").exists()
@@ -230,7 +230,7 @@
 ) -> None:
     target = tmp_path / "run.json"
     result = CliRunner().invoke(APP, [*arguments.split(), "--json", str(target)])
-    assert result.exit_code == REFUSED
+    assert result.exit_code == EXIT_REFUSED
     assert named in result.stderr and len(result.stderr.strip().splitlines()) == 1
     assert not target.exists()
 
@@ -251,15 +251,15 @@
     for one, two in pairs:
         delay = reader.delay(one, two)
         assert delay == same.delay(one, two) == reader.delay(two, one)
-        assert delay == WITHIN_REGION_S if one == two else delay >= BETWEEN_LEAST_S
-        assert delay <= BETWEEN_MOST_S and reader.loss(one, two) == 0.25
-    links.cut(0, 1)
+        assert delay == INTRA_REGION_DELAY_S if one == two else delay >= MIN_INTER_REGION_DELAY_S
+        assert delay <= MAX_INTER_REGION_DELAY_S and reader.loss(one, two) == 0.25
+    links.set_cut(0, 1)
     assert reader.is_cut(0, 1) and not reader.is_cut(1, 0)
     links.isolate(2)
     assert {pair for pair in pairs if reader.is_cut(*pair)} == {
         (0, 1), (2, 0), (2, 1), (2, 3), (0, 2), (1, 2), (3, 2),
     }  # fmt: skip
-    links.isolate(2, on=False)
+    links.isolate(2, isolated=False)
     assert not reader.is_cut(2, 0) and reader.is_cut(0, 1)
 
 
@@ -275,7 +275,7 @@
     generator = random.Random(1)
     assert retransmission_delay(generator, 10, 0.0, 0.1) == 0.0
     delays = [retransmission_delay(generator, 1, 0.1, 0.05) for _ in range(20_000)]
-    assert {round(delay / LEAST_RTO_S) for delay in delays} >= {0, 1, 3}
+    assert {round(delay / MIN_RTO_S) for delay in delays} >= {0, 1, 3}
     lost = sum(delay > 0.0 for delay in delays) / len(delays)
     assert 0.09 < lost < 0.11
     assert retransmission_delay(random.Random(1), 1, 1.0, 1.0) >= 2.0
@@ -285,8 +285,8 @@
     links = LinkTable.create(tmp_path / "links", 2, seed=1)
     links.set_delay(0, 1, 0.1)
     counters = Counters(tmp_path / "counters", 2, create=True)
-    sender = CountedSocket.maker(counters.block(0), Shape(links, 0, "sender"))
-    receiver = CountedSocket.maker(counters.block(1))
+    sender = CountedSocket.socket_factory(counters.block(0), DatagramShaper(links, 0, "sender"))
+    receiver = CountedSocket.socket_factory(counters.block(1))
 
     async def send() -> float:
         with (
@@ -295,9 +295,9 @@
         ):
             target.bind((loopback_host(1, 0), 0))
             target.settimeout(2.0)
-            links.cut(0, 1)
+            links.set_cut(0, 1)
             source.sendto(b"cut", target.getsockname())
-            links.cut(0, 1, on=False)
+            links.set_cut(0, 1, cut=False)
             links.set_loss(0, 1, 1.0)
             source.sendto(b"lost", target.getsockname())
             links.set_loss(0, 1, 0.0)
@@ -333,23 +333,23 @@
         try:
             module = ("-m", "limebridge.scale.relay", str(tmp_path / "relay.json"))
             await relay.start((sys.executable, *module))
-            ports = (await relay.answer(RelayPorts)).ports
+            ports = (await relay.read_reply(RelayPorts)).ports
             reader, writer = await asyncio.open_connection("127.0.0.1", ports[0])
             writer.write(b"at once")  # before the other side of the relay is connected
             assert await asyncio.wait_for(reader.readexactly(7), 5.0) == b"at once"
-            plain = await round_trip(reader, writer, b"plain")
-            links.cut(1, 0)
-            mend = asyncio.get_running_loop().call_later(0.5, links.cut, 1, 0, False)
+            plain_s = await round_trip(reader, writer, b"plain")
+            links.set_cut(1, 0)
+            restore_timer = asyncio.get_running_loop().call_later(0.5, links.set_cut, 1, 0, False)
             cut = await round_trip(reader, writer, b"through the cut")
-            mend.cancel()
+            restore_timer.cancel()
             writer.close()
-            return plain, cut
+            return plain_s, cut
         finally:
             await group.close()
             server.close()
 
-    plain, cut = asyncio.run(play())
-    assert 0.1 <= plain < 0.5 <= cut < 5.0
+    plain_s, cut = asyncio.run(play())
+    assert 0.1 <= plain_s < 0.5 <= cut < 5.0
 
 
 async def round_trip(
@@ -407,25 +407,29 @@
 
 def test_delays_count_from_the_publication_to_the_last_proxy() -> None:
     purges = [purge(10.0, 5), purge(10.5, 5), purge(11.0, 6)]
-    looks = [Look(12.0, 6, 4, 4, 2, 0), Look(13.0, 6, 6, 6, 2, 0)]
+    samples = [StatusSample(12.0, 6, 4, 4, 2, 0), StatusSample(13.0, 6, 6, 6, 2, 0)]
     delays = PublicationDelays(
-        purges, looks, [applied("a", 4, 9.0, 11.0, 12.0), applied("b", 5, 12.0, 12.5)]
+        purges, samples, [applied("a", 4, 9.0, 11.0, 12.0), applied("b", 5, 12.0, 12.5)]
     )
-    told = delays.delays()
-    everywhere = told[delay_name(Topic.PURGE, EVERYWHERE)]
+    delays_by_name = delays.delays()
+    everywhere = delays_by_name[delay_name(Topic.PURGE, EVERYWHERE)]
     assert everywhere.count == 3 and everywhere.largest == 2.0
-    assert told[delay_name(Topic.PURGE, IN_FORCE)].largest == 3.0
-    verdict = delays.check()
-    assert (verdict.positions, verdict.early, verdict.never_applied) == (2, 0, 0)
+    assert delays_by_name[delay_name(Topic.PURGE, IN_FORCE)].largest == 3.0
+    check_result = delays.check()
+    assert (check_result.positions, check_result.early, check_result.never_applied) == (2, 0, 0)
 
 
 def test_each_topic_has_delays_and_a_bound_of_its_own() -> None:
     records = [purge(10.0, 5), purge(10.0, 6, Topic.CONFIGURATION)]
-    looks = [Look(12.0, 6, 5, 5, 1, 0), Look(40.0, 6, 6, 6, 1, 0)]
-    told = PublicationDelays(records, looks, [applied("a", 5, 11.0, 39.5)]).delays()
-    assert told[delay_name(Topic.PURGE, EVERYWHERE)].largest == 1.0
-    assert told[delay_name(Topic.CONFIGURATION, EVERYWHERE)].largest == 29.5
-    met = {bound.name: bound.met for bound in bounds(load_target(), None, told) if bound.measured}
+    samples = [StatusSample(12.0, 6, 5, 5, 1, 0), StatusSample(40.0, 6, 6, 6, 1, 0)]
+    delays_by_name = PublicationDelays(records, samples, [applied("a", 5, 11.0, 39.5)]).delays()
+    assert delays_by_name[delay_name(Topic.PURGE, EVERYWHERE)].largest == 1.0
+    assert delays_by_name[delay_name(Topic.CONFIGURATION, EVERYWHERE)].largest == 29.5
+    met = {
+        bound.name: bound.met
+        for bound in bounds(load_target(), None, delays_by_name)
+        if bound.measured
+    }
     assert met == {
         "purge: publish to applied at every proxy, slowest": True,
         "purge: publish to in force, as the leader reports, slowest": True,
@@ -435,41 +439,43 @@
 
 
 def test_a_report_before_the_last_proxy_has_applied_is_found() -> None:
-    looks = [Look(12.0, 5, 5, 5, 2, 0)]
+    samples = [StatusSample(12.0, 5, 5, 5, 2, 0)]
     late = applied("late", 5, 12.5)
-    verdict = PublicationDelays([purge(10.0, 5)], looks, [applied("a", 5, 11.0), late]).check()
-    assert verdict.early == 1 and verdict.worst_early_s == 0.5
-    assert verdict.examples == (EarlyReport(5, "late", 1, 0.5),)
+    check_result = PublicationDelays(
+        [purge(10.0, 5)], samples, [applied("a", 5, 11.0), late]
+    ).check()
+    assert check_result.early == 1 and check_result.worst_early_s == 0.5
+    assert check_result.examples == (EarlyReport(5, "late", 1, 0.5),)
     never = applied("never", 0)
-    verdict = PublicationDelays([purge(10.0, 5)], looks, [never]).check()
-    assert verdict.early == verdict.never_applied == 1
-    assert verdict.examples == (EarlyReport(5, "never", 1, None),)
+    check_result = PublicationDelays([purge(10.0, 5)], samples, [never]).check()
+    assert check_result.early == check_result.never_applied == 1
+    assert check_result.examples == (EarlyReport(5, "never", 1, None),)
 
 
 def test_a_proxy_that_knew_that_it_was_stale_is_no_early_report() -> None:
-    looks = [Look(12.0, 5, 4, 5, 2, 1)]
+    samples = [StatusSample(12.0, 5, 4, 5, 2, 1)]
     for stale, early in (((11.0, 13.0), 0), ((11.0, NEVER), 0), ((5.0, 6.0), 1)):
         proxy = applied("late", 5, 12.5, stale=stale)
-        assert PublicationDelays([purge(10.0, 5)], looks, [proxy]).check().early == early
+        assert PublicationDelays([purge(10.0, 5)], samples, [proxy]).check().early == early
 
 
 def test_what_a_proxy_applies_is_stamped_by_position(tmp_path: Path) -> None:
-    class Following:
+    class FakeDistribution:
         def __init__(self) -> None:
             self.position = 0
             self.as_of: float | None = None
 
         @property
-        def subscriber(self) -> Following:
+        def subscriber(self) -> FakeDistribution:
             return self
 
-    following, times = Following(), AppliedTimes()
-    times.follow(following, stale_after_s=3.0)
+    distribution, times = FakeDistribution(), AppliedTimes()
+    times.attach(distribution, stale_after_s=3.0)
     for position in (3, 3, 4, 9):
-        following.position = position
+        distribution.position = position
         times.purge("key")
     times.invalidate_all("a snapshot")
-    seen = times.seen("a")
+    seen = times.snapshot("a")
     assert (seen.first, len(seen.times) // 8, seen.purges, seen.voids) == (3, 7, 4, 1)
     stamps = tmp_path / "stamps"
     records = ((3, 1.0), (STALE_FROM, 7.0), (STALE_UNTIL, 8.0), (5, 2.0))
@@ -479,10 +485,10 @@
 
 
 def test_staleness_begins_where_the_age_says_so_and_ends_with_a_later_look() -> None:
-    stale = StaleTimes(stale_after_s=3.0)
+    stale = StalePeriods(stale_after_s=3.0)
     for now, as_of in ((1.0, None), (2.0, 1.5), (2.5, 1.5), (4.0, 3.5), (9.0, 8.5), (9.5, 9.0)):
-        stale.look(now, as_of)
-    assert stale.all() == ((-NEVER, 2.0), (6.5, 9.0), (12.0, NEVER))
+        stale.observe(now, as_of)
+    assert stale.periods() == ((-NEVER, 2.0), (6.5, 9.0), (12.0, NEVER))
 
 
 def test_bounds_are_told_line_by_line() -> None:
