--- a/limebridge/scale/child.py
+++ b/limebridge/scale/child.py
@@ -1,4 +1,4 @@
-"""One measurement as a child process: bounded in time, gone when its owner is called off."""
+"""Runs one measurement in a child process, with a time limit; cancellation kills the child."""
 
 from __future__ import annotations
 
@@ -11,13 +11,16 @@
 
 from .measure import Answer, Failed
 
-KILL_GRACE_S = 5.0  # s beyond its own time limit, until a child is killed
+SELF_LIMIT_MARGIN_S = 5.0  # a child ends itself this long after the limit at which it is killed
 MODULE = "limebridge.scale.measure"
-MAX_REASON_LENGTH = 300  # characters of an error that are kept
+MAX_REASON_LENGTH = 300  # characters of an error message that are kept
 
 
 async def run_child(subject: str, size: int, time_limit: float, module: str = MODULE) -> Answer:
-    """The answer of a fresh process, or why there is none.  It is gone when this returns."""
+    """Measure `subject` at `size` in a new process; `Failed` with the reason if that fails.
+
+    The process has ended when this returns or is cancelled.
+    """
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -25,11 +28,11 @@
         subject,
         str(size),
         "--time-limit",
-        str(time_limit + KILL_GRACE_S),
+        str(time_limit + SELF_LIMIT_MARGIN_S),
         stdin=asyncio.subprocess.DEVNULL,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
-        start_new_session=True,  # Ctrl-C reaches its owner alone, who then ends it
+        start_new_session=True,  # Ctrl-C reaches only the parent, which then ends the child
         env=_environment(),
     )
     try:
@@ -43,7 +46,7 @@
 
 
 def _environment() -> dict[str, str]:
-    """Without the operator's own files, and with one thread for the numeric libraries."""
+    """This environment without the operator's file, and with single-threaded numeric libraries."""
     kept = {key: value for key, value in os.environ.items() if key != "LIMEBRIDGE_OPERATOR"}
     return kept | {"OPENBLAS_NUM_THREADS": "1", "OMP_NUM_THREADS": "1"}
 
@@ -60,7 +63,7 @@
 
 
 async def _end(process: asyncio.subprocess.Process) -> None:
-    """Kill the child if it still runs, and wait for it."""
+    """Kill the child if it still runs, and wait until it has ended."""
     if process.returncode is None:
         with contextlib.suppress(ProcessLookupError):
             process.kill()
--- a/limebridge/scale/command.py
+++ b/limebridge/scale/command.py
@@ -1,4 +1,4 @@
-"""`limebridge scale`: what the system costs at its target size."""
+"""`limebridge scale`: measures the resource costs of the system at its target size."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 scale_app = typer.Typer(no_args_is_help=True, help="Costs at the target size: measured slopes.")
 
 MAX_JOBS = 4
-TABLE_WIDTH = 130  # characters, also where the output is no terminal
-EXIT_INTERRUPTED = 130  # exit status after Ctrl-C, as a shell has it
+TABLE_WIDTH = 130  # minimum width in characters, also if the output is not a terminal
+EXIT_INTERRUPTED = 130  # after Ctrl-C, as in a shell: 128 + SIGINT
 
 
 scale_app.command()(capacity)
@@ -45,25 +45,29 @@
         Path, typer.Option("--json", metavar="FILE", help="Where the measured slopes are written.")
     ],
     quick: Annotated[
-        bool, typer.Option("--quick", help="Small sizes: says nothing about the target.")
+        bool,
+        typer.Option("--quick", help="Measure small sizes; no result for the target size."),
     ] = False,
     only: Annotated[
-        str, typer.Option(metavar="NAME", help="One subject or one cost, as list or list.bytes.")
+        str,
+        typer.Option(metavar="NAME", help="Only this subject or cost, such as list or list.bytes."),
     ] = "",
     skip_largest: Annotated[
-        bool, typer.Option("--skip-largest", help="Leave the largest size of each subject out.")
+        bool, typer.Option("--skip-largest", help="Leave out the largest size of each subject.")
     ] = False,
-    jobs: Annotated[int, typer.Option(min=1, max=MAX_JOBS, help="Measurements at a time.")] = 1,
+    jobs: Annotated[int, typer.Option(min=1, max=MAX_JOBS, help="Concurrent measurements.")] = 1,
     time_limit: Annotated[
         float | None,
-        typer.Option(min=0.1, max=3600.0, help="Seconds for one measurement; else the subject's."),
+        typer.Option(
+            min=0.1, max=3600.0, help="Seconds per measurement; default: the subject's limit."
+        ),
     ] = None,
 ) -> None:
-    """Measure each cost at several sizes, each in a fresh process, and fit a line to it.
+    """Measure each cost at several sizes, each in a new process, and fit a line to the results.
 
-    Exit status 1 when a measurement failed, 2 when the arguments can't be used, 130 after Ctrl-C.
+    Exit status 1 if a measurement failed, 2 for invalid arguments, 130 after Ctrl-C.
     """
-    from . import slopes as slopes_module  # numpy and scipy take half a second
+    from . import slopes as slopes_module  # not at the top: numpy and scipy load in half a second
 
     options = slopes_module.Options(
         quick=quick, only=only, skip_largest=skip_largest, jobs=jobs, time_limit=time_limit
@@ -75,7 +79,7 @@
         typer.echo(f"limebridge: {error}", err=True)
         raise typer.Exit(2) from None
     except (KeyboardInterrupt, asyncio.CancelledError):
-        typer.echo("limebridge: ended early; nothing was written", err=True)
+        typer.echo("limebridge: interrupted; nothing was written", err=True)
         raise typer.Exit(EXIT_INTERRUPTED) from None
     save(result.slopes, path)
     _show(result.slopes)
@@ -83,7 +87,7 @@
 
 
 def _check_writable(path: Path) -> None:
-    """ConfigError when the file can't be written: better known before the minutes of measuring."""
+    """Raise ConfigError if the file can't be written, before minutes are spent on measuring."""
     folder = path.parent
     while not folder.exists():
         folder = folder.parent
@@ -92,7 +96,7 @@
 
 
 async def _measure(options: slopes_module.Options) -> slopes_module.Result:
-    """With a progress bar; SIGTERM ends it as Ctrl-C does."""
+    """Run the measurements with a progress bar; SIGTERM cancels them, as Ctrl-C does."""
     from . import slopes as slopes_module
 
     total = len(slopes_module.planned_jobs(options))
@@ -115,7 +119,7 @@
 
 
 def _show(measured_slopes: Slopes) -> None:
-    """A table of all costs, and what has no figure."""
+    """Print a table of the measured costs, and a line for each size or cost without a result."""
     names = ("cost", "unit", "per", "constant", "slope", "95% interval", "residual", "form")
     table = Table(*names, box=None)
     for cost in measured_slopes.costs:
@@ -143,6 +147,3 @@
 
 
 scale_app.command()(run)
-
-# Further subcommands register themselves on `scale_app`:
-# `capacity` (tables of docs/CAPACITY.md): from . import capacity_command
--- a/limebridge/scale/control_client.py
+++ b/limebridge/scale/control_client.py
@@ -1,4 +1,4 @@
-"""Requests to the control machines of a run, from outside the fleet, over the product's client."""
+"""A client for the control machines of a run, which uses the HTTP client of the daemon."""
 
 from __future__ import annotations
 
@@ -28,7 +28,11 @@
 
 
 class ControlClient:
-    """Knows the control machines by name, and follows their word about who leads."""
+    """Publishes records and reads the status at the control machine believed to be the leader.
+
+    The belief starts with the first machine, and changes with the leader that a reply names; after
+    a failed request the next machine is tried.
+    """
 
     def __init__(self, addresses: dict[str, Address], keys: Keys) -> None:
         self._addresses = addresses
@@ -36,15 +40,19 @@
         self._keys = keys
         self._net = SocketNetwork(asyncio.get_running_loop())
         self._pools = [HttpPool(self._net, keys)]
-        self.leader = self._names[0]  # who is asked
+        self.leader = self._names[0]  # the machine that requests are sent to
 
     def close(self) -> None:
-        """Nothing more is told."""
+        """Close all connections; replies to pending requests are dropped."""
         for pool in self._pools:
             pool.close()
 
     async def publish(self, number: int, record: Record) -> Published | None:
-        """Publish one record; tried again while its fate is not known.  None: given up."""
+        """Publish one record under the id `record-NUMBER`, and return the final reply.
+
+        Retries if there is no reply, or the machine is not the leader or is overloaded.  The id
+        makes a retry safe: the record is published once.  None after MAX_PUBLISH_ATTEMPTS attempts.
+        """
         request = Publish(f"record-{number}", (record,))
         for _ in range(MAX_PUBLISH_ATTEMPTS):
             machine = self.leader
@@ -58,7 +66,7 @@
         return None
 
     async def status(self) -> StatusReply | None:
-        """What the machine that is taken for the leader says."""
+        """The status of the machine believed to be the leader, or None without a valid reply."""
         machine = self.leader
         reply = await self._request(machine, StatusRequest(0), StatusReply)
         if reply is None or reply.leader != machine:
@@ -66,9 +74,9 @@
         return reply
 
     def _update_leader(self, machine: str, leader: str) -> None:
-        """Ask who was named, or the next one where nobody was."""
+        """Switch to the `leader` that `machine` named, or to the next one if it is not known."""
         if self.leader != machine:
-            return  # another request has learnt better meanwhile
+            return  # a concurrent request has already changed the leader
         if leader in self._addresses and leader != machine:
             self.leader = leader
         elif leader != machine:
@@ -77,7 +85,7 @@
     async def _request(
         self, name: str, request: Publish | StatusRequest, reply_type: type[Reply]
     ) -> Reply | None:
-        """None without a reply that counts."""
+        """Send a request to a machine.  None without a valid reply of `reply_type`."""
         answer: asyncio.Future[bytes | None] = asyncio.get_running_loop().create_future()
 
         def on_response(body: bytes | None, reason: str) -> None:
@@ -89,7 +97,10 @@
         return reply if isinstance(reply, reply_type) else None
 
     def _send(self, address: Address, path: str, body: bytes, on_response: object) -> None:
-        """Over a connection that is free; a pool has few, so there are several pools."""
+        """Send on an idle connection.
+
+        A pool allows few connections per address, so a new pool is added when all are busy.
+        """
         for pool in self._pools:
             try:
                 pool.request(address, path, body, TIMEOUT_S, on_response)  # type: ignore[arg-type]
--- a/limebridge/scale/links.py
+++ b/limebridge/scale/links.py
@@ -1,8 +1,8 @@
-"""Links between regions: delay, loss and cuts, in one table that all processes of a run share.
+"""The network links between regions: delay, loss and cuts, shared by all processes of a run.
 
-The table is a small file that every process maps into its memory. The process that runs the whole
-writes it; relays (TCP) and shaped sockets (UDP) read it for each segment or datagram. So a change
-holds everywhere at once and no process has to be told.
+The table is a small file that every process maps into memory.  The process that controls the run
+writes it; relays (TCP) and shaped sockets (UDP) read it for each segment or datagram.  A change
+therefore applies in all processes at once, without a message to them.
 """
 
 from __future__ import annotations
@@ -12,23 +12,29 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-INTRA_REGION_DELAY_S = 0.002  # one way
-MIN_INTER_REGION_DELAY_S = 0.020  # one way, of the shortest link between two regions
+INTRA_REGION_DELAY_S = 0.002  # one way, within a region
+MIN_INTER_REGION_DELAY_S = 0.020  # one way, between two regions
 MAX_INTER_REGION_DELAY_S = 0.120
-CUT = 1.0
-FIELDS = 3  # of a link: delay in s, share of packets lost, cut (CUT) or not (0)
+CUT = 1.0  # value of the IS_CUT field of a link that passes no packets
+FIELDS = 3  # per link: delay in s, share of packets lost, cut (CUT) or not (0)
 DELAY, LOSS, IS_CUT = range(FIELDS)
-DOUBLE = 8  # bytes
+DOUBLE = 8  # bytes of a field
 FIRST_REGION_OCTET = 10  # region 0 is 127.10.0.0/16
-MIN_RTO_S = 0.2  # Linux's lower bound of a retransmission timeout
-MAX_RTO_DOUBLINGS = 6  # of the retransmission timeout, for one segment
+MIN_RTO_S = 0.2  # lower bound of the retransmission timeout in Linux
+MAX_RTO_DOUBLINGS = 6  # lost transmissions of one segment that are simulated
 
 
 class LinkTable:
-    """Delay, loss and cuts from each region to each other region.  One direction each."""
+    """Delay, loss and cut state of the link from each region to each region.
+
+    Each direction between two regions is a link of its own.
+    """
 
     def __init__(self, path: Path, regions: int, writable: bool = False) -> None:
-        """Map a table that `create` has written.  OSError, ValueError for a file that is none."""
+        """Map a table that `create` has written.
+
+        Raises OSError if the file cannot be opened, ValueError if it is too small for `regions`.
+        """
         self.regions = regions
         size = regions * regions * FIELDS * DOUBLE
         access = mmap.ACCESS_WRITE if writable else mmap.ACCESS_READ
@@ -38,7 +44,10 @@
 
     @classmethod
     def create(cls, path: Path, regions: int, seed: int, loss: float = 0.0) -> LinkTable:
-        """A table of healthy links: delays drawn from the seed, the same loss everywhere."""
+        """Write a table without cuts, with random delays from `seed` and `loss` on all links.
+
+        Both directions between two regions have the same delay.
+        """
         path.write_bytes(bytes(regions * regions * FIELDS * DOUBLE))
         table = cls(path, regions, writable=True)
         rng = random.Random(f"links/{seed}")
@@ -52,7 +61,7 @@
         return table
 
     def close(self) -> None:
-        """Give the mapping back."""
+        """Unmap the file."""
         self._values.release()
         self._map.close()
 
@@ -63,31 +72,31 @@
         return self._values[(source * self.regions + target) * FIELDS + field]
 
     def delay(self, source: int, target: int) -> float:
-        """Seconds that a packet takes, one way."""
+        """The one-way delay of a packet in seconds."""
         return self._get(source, target, DELAY)
 
     def loss(self, source: int, target: int) -> float:
-        """Share of the packets that are lost, 0 to 1."""
+        """The share of packets that are lost, 0 to 1."""
         return self._get(source, target, LOSS)
 
     def is_cut(self, source: int, target: int) -> bool:
-        """Whether nothing passes."""
+        """Whether the link passes no packets."""
         return self._get(source, target, IS_CUT) == CUT
 
     def set_delay(self, source: int, target: int, seconds: float) -> None:
-        """One direction's delay from now on."""
+        """Set the delay of one direction; packets already delayed keep theirs."""
         self._set(source, target, DELAY, seconds)
 
     def set_loss(self, source: int, target: int, share: float) -> None:
-        """One direction's loss from now on."""
+        """Set the share of packets, 0 to 1, that one direction loses from now on."""
         self._set(source, target, LOSS, share)
 
     def set_cut(self, source: int, target: int, cut: bool = True) -> None:
-        """Cut or mend one direction."""
+        """Cut one direction, or restore it with `cut=False`."""
         self._set(source, target, IS_CUT, CUT if cut else 0.0)
 
     def isolate(self, region: int, isolated: bool = True) -> None:
-        """Cut or mend a region's links to all others, both directions."""
+        """Cut a region's links to and from all others, or restore them with `isolated=False`."""
         for other in self._others(region):
             self.set_cut(region, other, isolated)
             self.set_cut(other, region, isolated)
@@ -97,12 +106,12 @@
 
 
 def loopback_host(region: int, number: int) -> str:
-    """The loopback address of a region's member `number`: its region can be read from it."""
+    """The loopback address of a region's member `number`; `region_of_host` reads its region."""
     return f"127.{FIRST_REGION_OCTET + region}.{number // 250}.{number % 250 + 1}"
 
 
 def region_of_host(host: str) -> int:
-    """The region of an address that `loopback_host` made.  -1 for another one."""
+    """The region of an address made by `loopback_host`; -1 for any other address."""
     first, _, rest = host.partition(".")
     second, _, _ = rest.partition(".")
     if first != "127" or not second.isdecimal():
@@ -113,13 +122,14 @@
 def retransmission_delay(
     rng: random.Random, segments: int, loss: float, round_trip_s: float
 ) -> float:
-    """Seconds by which lost segments delay a piece of a TCP stream.
-
-    Each segment is lost with probability `loss`, and so is each retransmission. A lost segment
-    costs a retransmission timeout (RTO), which doubles with each further loss of that segment; the
-    stream waits for the segment that is delayed most. The RTO is twice the round trip, at least
-    200 ms. Fast retransmission is left out: control messages are few segments long, so three
-    duplicate acknowledgements rarely come. Lost acknowledgements cost nothing in this model.
+    """Seconds by which lost segments delay `segments` segments of a TCP stream.
+
+    Each transmission of a segment is lost with probability `loss`.  A lost segment costs a
+    retransmission timeout (RTO), which doubles with each further loss of that segment; the result
+    is the delay of the slowest segment, because TCP delivers in order.  The RTO is twice the round
+    trip, at least 200 ms.  Fast retransmission is not simulated: control messages are only a few
+    segments long and rarely cause the three duplicate acknowledgements that trigger it.  Lost
+    acknowledgements cause no delay in this model.
     """
     if loss <= 0.0:
         return 0.0
--- a/limebridge/scale/process_facts.py
+++ b/limebridge/scale/process_facts.py
@@ -1,4 +1,4 @@
-"""Facts about a process and its machine, read from the kernel."""
+"""Memory, CPU time and limits of this process, and a description of the machine it runs on."""
 
 from __future__ import annotations
 
@@ -14,38 +14,45 @@
 
 
 def resident_bytes() -> int:
-    """Memory that this process holds in RAM, after a garbage collection."""
+    """The resident memory of this process in bytes, after a garbage collection."""
     gc.collect()
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     return pages * resource.getpagesize()
 
 
 def cpu_seconds(work: Callable[[], object]) -> float:
-    """CPU time of one call in this process: other processes do not count."""
+    """The CPU seconds that this process spends on one call of `work`, in all its threads."""
     began = process_time()
     work()
     return process_time() - began
 
 
 def least_cpu_seconds(work: Callable[[], object], rounds: int) -> float:
-    """The least CPU time of several calls: other work on the machine can only add to it."""
+    """The smallest CPU time of `rounds` calls of `work`, in seconds.
+
+    Other load on the machine can only increase the CPU time of a call, so the smallest is the
+    closest to the true cost.
+    """
     return min(cpu_seconds(work) for _ in range(rounds))
 
 
 def allow_descriptors(count: int) -> None:
-    """Raise this process's own limit of open files.  OSError or ValueError when it can't be."""
+    """Raise this process's limit of open files to at least `count`.
+
+    Raises ValueError above the hard limit, or OSError.
+    """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < count:
         resource.setrlimit(resource.RLIMIT_NOFILE, (count, hard))
 
 
 def total_memory_mb() -> int:
-    """Memory of the machine."""
+    """The machine's physical memory in MB (millions of bytes)."""
     return os.sysconf("SC_PHYS_PAGES") * resource.getpagesize() // 1_000_000
 
 
 def machine(load_average_before: float) -> Machine:
-    """This machine, with the load that was there at the begin and is there now."""
+    """Describe this machine, with its load average before a measurement and now."""
     return Machine(
         processor=_processor(),
         cores=os.cpu_count() or 1,
@@ -57,7 +64,7 @@
 
 
 def load_average() -> float:
-    """Processes that wanted a core, over the last minute."""
+    """The load average of the last minute, rounded to two decimals."""
     return round(os.getloadavg()[0], 2)
 
 
--- a/limebridge/scale/process_usage.py
+++ b/limebridge/scale/process_usage.py
@@ -1,4 +1,4 @@
-"""CPU time and memory of a process, from /proc."""
+"""CPU time and resident memory of a process, read from /proc."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 import msgspec
 
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
-USER_TICKS, SYSTEM_TICKS = 11, 12  # fields of /proc/PID/stat after the command's name
+USER_TICKS, SYSTEM_TICKS = 11, 12  # indexes in /proc/PID/stat after the command's name
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """What a process had used at one time."""
+    """The CPU time that a process has used since its start, and its resident memory."""
 
     cpu_s: float
     resident_bytes: int
 
 
 def usage(pid: int) -> Usage | None:
-    """None when there is no such process any more."""
+    """The usage of a process until now, or None if it no longer exists."""
     folder = Path("/proc") / str(pid)
     try:
         fields = (folder / "stat").read_text().rpartition(")")[2].split()
@@ -32,6 +32,6 @@
 
 
 def resident_bytes() -> int:
-    """Memory that this process holds."""
+    """The resident memory of this process in bytes."""
     mine = usage(os.getpid())
     return 0 if mine is None else mine.resident_bytes
--- a/limebridge/scale/registry.py
+++ b/limebridge/scale/registry.py
@@ -1,7 +1,7 @@
-"""What `limebridge scale slopes` measures: one subject a module, each with several costs.
+"""The subjects that `limebridge scale slopes` measures, each with one or more costs.
 
-A subject's module is named `measure_*.py` and holds one `SUBJECT`. To add one, write the module
-and put its name into `MODULES`.
+Each subject has a module `measure_*.py` with a constant `SUBJECT`.  To add a subject, write the
+module and add its name to `MODULES`.
 """
 
 from __future__ import annotations
@@ -23,41 +23,43 @@
     "measure_control",
     "measure_control_log",
 )
-DEFAULT_TIME_LIMIT = 240.0  # s
+DEFAULT_TIME_LIMIT = 240.0  # s for one run of a measurement
 
-# The values of all costs of a subject, by the cost's name, in the cost's unit.
+# The measured values of a subject's costs by the cost's name, each in the unit of its cost.
 Values = dict[str, float]
 
 
 class MeasurementError(Exception):
-    """A measurement that says nothing, for example because requests were refused; one line."""
+    """A measurement is invalid, for example because requests were refused; a one-line message."""
 
 
 class CostDefinition(msgspec.Struct, frozen=True, kw_only=True):
-    """A cost before it is measured; the fields are those of `results.Cost`."""
+    """The description of a cost; `name` to `mechanism` are as in `results.Cost`."""
 
     name: str
     unit: str
     what: str
     mechanism: str
-    least: bool = False  # of several runs the least counts: CPU time, to which others only add
+    # Of several runs the smallest value counts, not the median.  For CPU time, which other load on
+    # the machine can only increase.
+    least: bool = False
 
 
 class Subject(msgspec.Struct, frozen=True, kw_only=True):
-    """Costs that one run at one size measures together."""
+    """Costs that are measured together, by one run per size."""
 
     name: str
-    per: str  # what a size counts, in the singular
+    per: str  # the unit of a size, in the singular: node, proxy, purge/s
     costs: tuple[CostDefinition, ...]
-    sizes: tuple[int, ...]  # ascending, up to the target or beyond it
-    quick_sizes: tuple[int, ...]
-    measure: Callable[[int], Values]  # runs alone in a fresh process
-    runs: int = 1  # fresh processes for each size; without `least` their median counts
+    sizes: tuple[int, ...]  # ascending, up to the target size or beyond
+    quick_sizes: tuple[int, ...]  # used instead of `sizes` with --quick
+    measure: Callable[[int], Values]  # called once, in a new process of its own
+    runs: int = 1  # processes per size; the median of their values counts, or the least (`least`)
     time_limit: float = DEFAULT_TIME_LIMIT  # s for one run
 
 
 def subjects() -> dict[str, Subject]:
-    """All subjects by name, in the order of `MODULES`."""
+    """Import all subjects: by name, in the order of `MODULES`."""
     found: dict[str, Subject] = {}
     for module in MODULES:
         subject: Subject = importlib.import_module(f"{__package__}.{module}").SUBJECT
--- a/limebridge/scale/relay.py
+++ b/limebridge/scale/relay.py
@@ -1,10 +1,11 @@
-"""A process that relays TCP connections between regions, with their delay, loss and cuts.
+"""A process that relays TCP connections between regions and simulates delay, loss and cuts.
 
     python -m limebridge.scale.relay FILE
 
-FILE is a `RelayFile` as JSON. The relay listens on a port for each of its routes, prints the ports
-as one JSON line, and ends when its standard input does. What a direction delays it delays as a
-whole: bytes keep their order, as TCP has it. A cut direction holds what it has until it is mended.
+FILE is a `RelayFile` as JSON.  The relay listens on one port per route, prints the ports as one
+JSON line, and exits when its standard input ends.  Each direction of a connection delivers its
+bytes in order, as TCP does: later bytes are never due before earlier ones.  While a direction is
+cut, its bytes stay queued; they are delivered once the link is restored.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
 from .links import LinkTable, retransmission_delay
 from .standard_input import until_end_of_input
 
-SEGMENT = 1448  # bytes of payload of a full TCP segment over Ethernet
-CUT_POLL_S = 0.05  # between two looks at whether a cut is mended
-MAX_QUEUED_BYTES = 4 * 1024 * 1024  # bytes on their way in one direction; beyond it reading pauses
+SEGMENT = 1448  # payload bytes of a full TCP segment over Ethernet
+CUT_POLL_S = 0.05  # interval at which a cut link is checked for its restoration
+MAX_QUEUED_BYTES = 4 * 1024 * 1024  # in one direction; reading pauses above it
 BACKLOG = 1024
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Connections from a region to one port of another region."""
+    """A relayed way from the region `source` to a TCP port in the region `target`."""
 
     source: int
     target: int
@@ -36,22 +37,26 @@
 
 
 class RelayFile(msgspec.Struct, frozen=True):
-    """What one relay process is told."""
+    """The configuration of one relay process."""
 
-    links: str  # the link table's path
+    links: str  # path of the link table
     regions: int
     seed: int
     routes: tuple[Route, ...]
 
 
 class RelayPorts(msgspec.Struct, frozen=True):
-    """What a relay process prints once it listens: a port for each route, in order."""
+    """Printed by a relay process once it listens: one port per route, in order."""
 
     ports: tuple[int, ...]
 
 
 class Direction(asyncio.Protocol):
-    """Reads one side of a connection, and writes to the other side later."""
+    """One direction of a relayed connection.
+
+    It reads from one side, queues the data for the delay of the link, and writes it to the
+    transport of `peer`, the direction that reads the other side.
+    """
 
     def __init__(self, links: LinkTable, source: int, target: int, rng: random.Random) -> None:
         self._links, self._source, self._target = links, source, target
@@ -71,7 +76,7 @@
 
     def eof_received(self) -> bool:
         self._enqueue(None)
-        return True  # the other direction may go on
+        return True  # keeps the transport open, because the other direction may still send
 
     def connection_lost(self, error: Exception | None) -> None:
         peer = self.peer
@@ -79,12 +84,12 @@
             self._loop.call_later(self._delay(0), peer.transport.close)
 
     def set_peer(self, peer: Direction) -> None:
-        """The other side is there."""
+        """Set the direction of the other side once it is connected, and deliver what is due."""
         self.peer = peer
         if self._timer is None:
             self._deliver()
 
-    # --- what is on its way ---
+    # --- queued data ---
     def _enqueue(self, data: bytes | None) -> None:
         due = self._loop.time() + self._delay(len(data or b""))
         if self._queue:
@@ -107,7 +112,7 @@
     def _deliver(self) -> None:
         self._timer = None
         if self.peer is None:
-            return  # `connect` delivers once the other side is there
+            return  # `set_peer` delivers once the other side is connected
         if self._links.is_cut(self._source, self._target):
             self._timer = self._loop.call_later(CUT_POLL_S, self._deliver)
             return
@@ -119,7 +124,7 @@
         if self._queue:
             self._timer = self._loop.call_at(self._queue[0][0], self._deliver)
 
-    _delivery_tolerance_s = 0.0005  # s: what is due so soon goes with the rest
+    _delivery_tolerance_s = 0.0005  # data due within this time is delivered early, in one batch
 
     def _write(self, data: bytes | None) -> None:
         self._queued_bytes -= len(data or b"")
@@ -133,7 +138,7 @@
 
 
 class RouteServer:
-    """Accepts a route's connections and opens the other side of each."""
+    """Accepts the connections of a route and connects each to the route's port."""
 
     def __init__(self, links: LinkTable, route: Route, seed: int) -> None:
         self._links, self._route = links, route
@@ -141,7 +146,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> int:
-        """Listen; the port."""
+        """Listen on a free loopback port, and return it.  Raises OSError."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(self._accept, "127.0.0.1", 0, backlog=BACKLOG)
         return int(self._server.sockets[0].getsockname()[1])
@@ -158,7 +163,7 @@
         route, links = self._route, self._links
         while links.is_cut(route.source, route.target):
             await asyncio.sleep(CUT_POLL_S)
-        await asyncio.sleep(links.delay(route.source, route.target))  # the SYN
+        await asyncio.sleep(links.delay(route.source, route.target))  # delay of the SYN
         backward = Direction(links, route.target, route.source, self._random)
         loop = asyncio.get_running_loop()
         try:
@@ -176,7 +181,7 @@
 
 
 async def relay(file: RelayFile) -> None:
-    """Relay until the standard input ends."""
+    """Relay all routes of `file` until the standard input ends."""
     links = LinkTable(Path(file.links), file.regions)
     servers = [RouteServer(links, route, file.seed) for route in file.routes]
     ports = [await server.start() for server in servers]
@@ -185,7 +190,7 @@
 
 
 def main() -> None:
-    """The process."""
+    """Run the relay process with the `RelayFile` named by the first argument."""
     file = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=RelayFile)
     asyncio.run(relay(file))
 
--- a/limebridge/scale/run.py
+++ b/limebridge/scale/run.py
@@ -1,4 +1,4 @@
-"""A scale run: start all, warm up, measure for a while, report by role."""
+"""A scale run: starts all processes, warms up, measures, and reports what each role used."""
 
 from __future__ import annotations
 
@@ -29,19 +29,19 @@
 from .target import load_target
 from .time_dilation import REAL_TIME
 
-MAX_LOOP_LAG_S = 0.25  # of an event loop, beyond which delays are the machine's
+MAX_LOOP_LAG_S = 0.25  # above it the run's delays are those of an overloaded machine
 PROGRESS_INTERVAL_S = 0.5  # between two updates of the progress bar
-SESSIONS_TIMEOUT_S = 40.0  # for all proxies to have a session with a control machine
-IN_FORCE_TIMEOUT_S = 15.0  # for the last purge to be in force
-FAULT_TIME_SHARE = 1.0 / 3.0  # share of the measured time: of a kill and of restarts
-PUBLISHER_REGION = 0
+SESSIONS_TIMEOUT_S = 40.0  # for all proxies to open a session with a control machine
+IN_FORCE_TIMEOUT_S = 15.0  # for the last record to be in force after the measurement
+FAULT_TIME_SHARE = 1.0 / 3.0  # of the measured time that passes before faults are injected
+PUBLISHER_REGION = 0  # region from which records are published
 LOOP_LAG = "event loop of a host, lateness"
 
-Progress = Callable[[str, float], None]  # what is done, and which share of it
+Progress = Callable[[str, float], None]  # receives the current activity and the share done
 
 
 class Measurements(msgspec.Struct, frozen=True, kw_only=True):
-    """What one run has seen."""
+    """The raw results of one run."""
 
     before: UsageSample
     after: UsageSample
@@ -52,7 +52,7 @@
 
 
 class ScaleRun:
-    """One run.  `play` leaves no process and no file behind."""
+    """One scale run.  `run` leaves no process and no file behind."""
 
     def __init__(self, plan: RunPlan, progress: Progress) -> None:
         self.plan, self._progress = plan, progress
@@ -60,7 +60,7 @@
         self._killed: set[str] = set()
 
     async def run(self) -> RunReport:
-        """The whole run.  ProcessError when a process does not start or last."""
+        """Start, measure and stop the fleet.  Raises ProcessError if a process fails."""
         load_average = os.getloadavg()[0]
         with tempfile.TemporaryDirectory(prefix="scale-") as name:
             fleet = Fleet(
@@ -71,7 +71,7 @@
                 measured = await self._measure(fleet)
                 return self._report(fleet, measured, load_average)
             finally:
-                self._progress("ending all processes", 1.0)
+                self._progress("stopping all processes", 1.0)
                 await fleet.close()
 
     async def _measure(self, fleet: Fleet) -> Measurements:
@@ -112,7 +112,7 @@
         finally:
             await self._stop_faults(faults)
         after = take_usage_sample(fleet)
-        self._progress("waiting until all is in force", 1.0)
+        self._progress("waiting until all records are in force", 1.0)
         await load.wait_until_in_force(IN_FORCE_TIMEOUT_S)
         seen_at_end = await fleet.collect_observations("measured")
         applied = [each for host in seen_at_end for each in host.applied]
@@ -141,21 +141,22 @@
             self._killed.add(client.leader)
             fleet.control(client.leader).process.kill()
             self.notes.append(
-                f"{client.leader} led and was killed {FAULT_TIME_SHARE:.0%} into the time"
+                f"the leader {client.leader} was killed {FAULT_TIME_SHARE:.0%} into the measurement"
             )
         if self.plan.restart_within_s > 0.0:
             killed = self.plan.restart_killed
             await fleet.restart_hollow(self.plan.restart_within_s, killed)
             self.notes.append(
                 f"all hollow proxies restarted over {self.plan.restart_within_s:g} s,"
-                f" {FAULT_TIME_SHARE:.0%} into the time, "
+                f" {FAULT_TIME_SHARE:.0%} into the measurement, "
                 + ("killed" if killed else "each ending its session first")
             )
 
     async def _stop_faults(self, faults: asyncio.Task[None]) -> None:
-        """No fault comes any more; one that could not be injected fails the run.
+        """Cancel the injection of faults; raise the exception of one that could not be injected.
 
-        A cancellation of the run that comes meanwhile is not taken for that of the faults.
+        If the run itself is cancelled while this waits, that CancelledError is raised here: it is
+        not mistaken for the one of the `faults` task.
         """
         faults.cancel()
         await asyncio.wait({faults})
@@ -169,7 +170,7 @@
             await asyncio.sleep(min(PROGRESS_INTERVAL_S, seconds - elapsed))
             for process in fleet.group.processes:
                 if process.has_exited and process.name not in self._killed:
-                    raise process.error(f"ended during the run ({process.exit_code})")
+                    raise process.error(f"exited during the run ({process.exit_code})")
 
     # --- the report ---
     def _report(self, fleet: Fleet, measured: Measurements, load_average: float) -> RunReport:
@@ -209,32 +210,32 @@
 
 
 def loop_lag(seen: Sequence[HostObservations]) -> Percentiles:
-    """How late the event loops of the hosts were."""
+    """The delays of timers in the event loops of the hosts."""
     return delay_percentiles(lag for host in seen for lag in host.loop_lag)
 
 
 def slowdown_notes(plan: RunPlan) -> list[str]:
-    """How slowly time passed."""
+    """A note on the time dilation, if there was any."""
     if plan.slowdown == REAL_TIME:
         return []
     return [
-        f"time passed {plan.slowdown:g} times more slowly for all processes: every second here, of"
-        " a rate, a share or a delay, is one of theirs"
+        f"the clocks of all processes ran {plan.slowdown:g} times more slowly: a second in this"
+        " report, of a rate, a share or a delay, is a second of these clocks"
     ]
 
 
 def overload_notes(lateness: Percentiles) -> list[str]:
-    """Whether the hosts had enough CPU time for the delays to mean anything."""
+    """A note if the hosts had too little CPU time for the delays to be meaningful."""
     if lateness.p99 <= MAX_LOOP_LAG_S:
         return []
     return [
         f"the hosts of hollow proxies had too little CPU time (event loops late by"
-        f" {lateness.p99:.2f} s at p99): delays and rates are those of this machine"
+        f" {lateness.p99:.2f} s at p99): delays and rates show the limits of this machine"
     ]
 
 
 def membership_notes(seen: Sequence[HostObservations], plan: RunPlan) -> list[str]:
-    """How many members the hollow proxies know, where they gossip."""
+    """Notes on the number of members that the hollow proxies know, or that there is no gossip."""
     sizes = percentiles([float(size) for host in seen for size in host.members_up])
     if not sizes.count:
         return ["no gossip in this run"]
@@ -252,7 +253,7 @@
 
 
 def commit() -> str:
-    """The commit that is checked out here, with "+" for changes; "" outside a repository."""
+    """The checked-out commit, with "+" for uncommitted changes; "" without a repository."""
     folder = Path(__file__).parent
     try:
         described = subprocess.run(
--- a/limebridge/scale/run_command.py
+++ b/limebridge/scale/run_command.py
@@ -1,4 +1,4 @@
-"""`limebridge scale run`: a fleet of hollow and real proxies on this machine, measured."""
+"""`limebridge scale run`: runs and measures a fleet of hollow and real proxies on this machine."""
 
 from __future__ import annotations
 
@@ -18,65 +18,74 @@
 from .run_process import ProcessError
 from .time_dilation import dilated
 
-if TYPE_CHECKING:  # numpy and histograms are nothing to the other commands
+if TYPE_CHECKING:  # loads numpy and hdrh, which the other commands do not need
     from .run import ScaleRun
     from .run_report import RunReport
 
-EXIT_REFUSED = 2  # exit status for arguments that can't be used
+EXIT_REFUSED = 2  # invalid arguments, or a run that is too large for this machine
 EXIT_FAILED = 1
 EXIT_INTERRUPTED = 130
 
 
 def run(
-    as_json: Annotated[Path, typer.Option("--json", metavar="FILE", help="Where the report goes.")],
+    as_json: Annotated[Path, typer.Option("--json", metavar="FILE", help="File for the report.")],
     proxies: Annotated[int, typer.Option(help="Hollow proxies.")] = 2600,
-    sites: Annotated[int, typer.Option(help="Sites that they are spread over.")] = 170,
-    regions: Annotated[int, typer.Option(help="Regions that the sites are spread over.")] = 10,
-    nodes: Annotated[int, typer.Option(help="Cache nodes that the proxies judge.")] = 1200,
+    sites: Annotated[int, typer.Option(help="Sites of the proxies.")] = 170,
+    regions: Annotated[int, typer.Option(help="Regions of the sites.")] = 10,
+    nodes: Annotated[int, typer.Option(help="Cache nodes that the proxies report on.")] = 1200,
     real: Annotated[int, typer.Option(help="Real daemons.")] = 8,
     controls: Annotated[int, typer.Option(help="Control machines.")] = 8,
-    seconds: Annotated[float, typer.Option(help="Seconds that are measured.")] = 60.0,
-    warm: Annotated[float, typer.Option(help="Seconds before the measurement.")] = 10.0,
-    purges: Annotated[float, typer.Option(help="Purges a second.")] = 71.0,
-    changes: Annotated[float, typer.Option(help="Changes of configuration a second.")] = 0.1,
-    burst: Annotated[float, typer.Option(help="Times as many for a tenth of the time.")] = 1.0,
-    loss: Annotated[float, typer.Option(help="Share of packets that links lose.")] = 0.0,
+    seconds: Annotated[float, typer.Option(help="Seconds of measurement.")] = 60.0,
+    warm: Annotated[float, typer.Option(help="Seconds of warm-up before the measurement.")] = 10.0,
+    purges: Annotated[float, typer.Option(help="Purges per second.")] = 71.0,
+    changes: Annotated[float, typer.Option(help="Configuration changes per second.")] = 0.1,
+    burst: Annotated[
+        float, typer.Option(help="Factor of the purge rate for a tenth of the time.")
+    ] = 1.0,
+    loss: Annotated[float, typer.Option(help="Share of packets lost on each link.")] = 0.0,
     kill_control: Annotated[
         bool, typer.Option("--kill-control", help="Kill the leader after a third of the time.")
     ] = False,
     restart_within: Annotated[
-        float, typer.Option(help="Seconds in which all hollow proxies restart; 0: none does.")
+        float,
+        typer.Option(help="Restart all hollow proxies, spread over this many seconds; 0: never."),
     ] = 0.0,
     restart_killed: Annotated[
-        bool, typer.Option("--restart-killed", help="They are killed, and tell no control machine.")
+        bool,
+        typer.Option("--restart-killed", help="Kill restarting proxies: sessions are not ended."),
     ] = False,
-    gossip: Annotated[bool, typer.Option(help="Membership, judgements and counts too.")] = True,
+    gossip: Annotated[
+        bool, typer.Option(help="Run gossip: membership, health reports and counts.")
+    ] = True,
     probe: Annotated[
-        float, typer.Option(help="Seconds between two members that a proxy asks.")
+        float, typer.Option(help="Seconds between two probes of members by a proxy.")
     ] = SharingTable().probe_s,
     requests: Annotated[
-        float, typer.Option(help="Requests a second that a hollow proxy pretends.")
+        float, typer.Option(help="Synthetic requests per second of a hollow proxy.")
     ] = 8.0,
-    failed: Annotated[float, typer.Option(help="Share of the pretended ones that fail.")] = 0.0,
-    hosts: Annotated[int, typer.Option(help="Processes of hollow proxies; 0: as needed.")] = 0,
+    failed: Annotated[float, typer.Option(help="Share of synthetic requests that fail.")] = 0.0,
+    hosts: Annotated[int, typer.Option(help="Host processes; 0: as few as needed.")] = 0,
     slowdown: Annotated[
-        float, typer.Option(help="Times more slowly than real time passes in the run.")
+        float, typer.Option(help="Factor by which the clocks of the run are slowed.")
     ] = 1.0,
-    distribution: Annotated[bool, typer.Option(help="Purges from control machines.")] = True,
+    distribution: Annotated[
+        bool, typer.Option(help="Run control machines that distribute purges.")
+    ] = True,
     batch: Annotated[
-        float, typer.Option(help="Seconds in which the leader gathers publications.")
+        float, typer.Option(help="Seconds for which the leader collects a batch.")
     ] = Timings().batch_s,
     spread: Annotated[
-        float, typer.Option(help="Seconds between two answers with batches to a proxy.")
+        float, typer.Option(help="Minimum seconds between two replies with batches to a proxy.")
     ] = Timings().spread_s,
     stale_after: Annotated[
         float, typer.Option(help="Seconds after which a proxy is stale.")
     ] = Timings().stale_after_s,
-    seed: Annotated[int, typer.Option(help="Of link delays, losses and the load.")] = 1,
+    seed: Annotated[int, typer.Option(help="Seed of link delays, losses and the load.")] = 1,
 ) -> None:
     """Run hollow and real proxies with their control machines, and report by role.
 
-    Exit status 2 when the run is senseless or too large for this machine, 1 when a process failed.
+    Exit status 2 if the arguments are invalid or the run is too large for this machine, 1 if a
+    process failed, 130 after Ctrl-C.
     """
     plan = RunPlan(
         proxies=proxies,
@@ -117,7 +126,7 @@
         typer.echo(f"limebridge: {error}", err=True)
         raise typer.Exit(EXIT_FAILED) from None
     except (KeyboardInterrupt, asyncio.CancelledError):
-        typer.echo("limebridge: interrupted, all processes were ended", err=True)
+        typer.echo("limebridge: interrupted, all processes were stopped", err=True)
         raise typer.Exit(EXIT_INTERRUPTED) from None
     _write_report(report, as_json)
 
@@ -137,15 +146,15 @@
     with Progress(*columns, console=console) as bar:
         task = bar.add_task("starting", total=1.0)
 
-        def progress(what: str, share: float) -> None:
-            bar.update(task, description=what, completed=share)
+        def progress(activity: str, share: float) -> None:
+            bar.update(task, description=activity, completed=share)
 
         with dilated(plan.slowdown):
             return asyncio.run(_with_signals(ScaleRun(plan, progress)))
 
 
 async def _with_signals(scale_run: ScaleRun) -> RunReport:
-    """SIGTERM ends the run as Ctrl-C does."""
+    """Run it; SIGTERM cancels the run, as Ctrl-C does."""
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
--- a/limebridge/scale/run_controls.py
+++ b/limebridge/scale/run_controls.py
@@ -1,4 +1,4 @@
-"""The control machines of a scale run: their files, and their addresses behind the relays."""
+"""The control machines of a scale run: their configuration files, ports and relay addresses."""
 
 from __future__ import annotations
 
@@ -15,41 +15,44 @@
 
 from .run_plan import RunPlan
 
-LOG_ID = "scale-run"  # the identity of the log
-READY_EVENT = "control.serves"  # the event of a control machine that is ready
+LOG_ID = "scale-run"  # identity of the replicated log
+READY_EVENT = "control.serves"  # logged by a control machine that is ready
 LOOPBACK = "127.0.0.1"
-LEASE_TERM_S = 5.0  # of the leader's lease
-LEASE_POLL_INTERVAL_S = 0.5  # between two looks at the lease
+LEASE_TERM_S = 5.0  # duration of the leader's lease
+LEASE_POLL_INTERVAL_S = 0.5  # interval at which the lease is read
 
 
 def control_name(number: int) -> str:
-    """The name of a control machine."""
+    """The name of the control machine with this index."""
     return f"control-{number}"
 
 
 class ControlMachines:
-    """Where the control machines listen, and how each region reaches them."""
+    """Where the control machines listen, and through which relays each region reaches them.
+
+    All addresses are on loopback.  The fleet fills `relay_ports` once the relays have started.
+    """
 
     def __init__(self, plan: RunPlan, folder: Path, key_file: Path) -> None:
         self._plan, self._folder, self._key_file = plan, folder, key_file
         self.ports = free_ports(plan.controls)
-        self.relay_ports: dict[tuple[int, int], int] = {}  # by region and number of the control
+        self.relay_ports: dict[tuple[int, int], int] = {}  # by (region, control machine)
 
     def relay_routes(self, regions: range) -> list[tuple[int, int]]:
-        """Which relay ports these regions need."""
+        """The pairs of (region, control machine) for which these regions need a relay port."""
         return [(region, control) for region in regions for control in range(self._plan.controls)]
 
     def relay_ports_of(self, region: int) -> tuple[int, ...]:
-        """Where the control machines are reached from a region."""
+        """The relay ports through which a region reaches the control machines, in their order."""
         return tuple(self.relay_ports[region, number] for number in range(self._plan.controls))
 
     def addresses_from(self, region: int) -> dict[str, Address]:
-        """The same by name."""
+        """The addresses at which a region reaches the control machines, by machine name."""
         ports = enumerate(self.relay_ports_of(region))
         return {control_name(number): Address(LOOPBACK, port) for number, port in ports}
 
     def table(self, region: int) -> DistributionTable:
-        """`[distribution]` of the proxies of a region."""
+        """The table `[distribution]` of the proxies of a region."""
         plan = self._plan
         entries = (
             f"{LOOPBACK}:{port} r{plan.control_region(number)}"
@@ -64,7 +67,7 @@
         )
 
     async def write_file(self, number: int) -> Path:
-        """One machine's file, and its empty log."""
+        """Write the configuration file of one control machine, and initialize its data folder."""
         name = control_name(number)
         folder = self._folder / name
         await asyncio.to_thread(init_folder, folder, name, LOG_ID, False)
--- a/limebridge/scale/run_fleet.py
+++ b/limebridge/scale/run_fleet.py
@@ -1,4 +1,7 @@
-"""The processes of a scale run: relays, control machines, hosts of hollow proxies, real daemons."""
+"""Starts the processes of a scale run: relays, control machines, hosts of hollow proxies, daemons.
+
+It also reads their counters, and collects what the hosts observed.
+"""
 
 from __future__ import annotations
 
@@ -32,32 +35,32 @@
 from .traffic import Counters, Traffic
 
 SHARED_KEY_TEXT = "a key of this scale run\n"
-DAEMON_READY_EVENT = "daemon.listens"  # the event of a daemon that is ready
-MAX_CONCURRENT_STARTS = 4  # daemons
+DAEMON_READY_EVENT = "daemon.listens"  # logged by a daemon that is ready
+MAX_CONCURRENT_STARTS = 4  # of daemons
 
 Progress = Callable[[str], None]
 
 
 class CountedProcess:
-    """A process with one block of counters: a real daemon or a control machine."""
+    """An instrumented process with one block of counters: a real daemon or a control machine."""
 
     def __init__(self, process: RunProcess, region: int, counters: Path) -> None:
         self.process, self.region, self._path = process, region, counters
         self._counters: Counters | None = None
 
     def applied(self) -> Applied:
-        """When it applied what."""
+        """When the daemon applied each position; empty without distribution."""
         return read_stamps(self.process.name, self._path.with_suffix(".stamps"))
 
     def traffic(self) -> Traffic:
-        """Its counters now; they stay readable after its end."""
+        """The present values of its counters, which stay readable after the process has exited."""
         if self._counters is None:
             self._counters = Counters(self._path, 1)
         return self._counters.read()[0]
 
 
 class Fleet:
-    """All processes of one run, in a folder of its own."""
+    """All processes of one run.  Their files are in `folder`."""
 
     def __init__(self, plan: RunPlan, folder: Path, progress: Progress) -> None:
         self.plan, self.folder, self._progress = plan, folder, progress
@@ -67,11 +70,9 @@
         self.key_file.write_text(SHARED_KEY_TEXT)
         self.relays: list[RunProcess] = []
         self.hosts: list[RunProcess] = []
-        self.empty_bytes: list[int] = []  # of each host before its first hollow proxy
+        self.empty_bytes: list[int] = []  # resident memory of each host without hollow proxies
         self.real: list[CountedProcess] = []
-        self.real_without_control: CountedProcess | None = (
-            None  # a daemon without control, to compare with
-        )
+        self.baseline: CountedProcess | None = None  # a daemon without control protocols
         self.controls: list[CountedProcess] = []
         self.control_machines = ControlMachines(plan, folder, self.key_file)
         self.start_s = time.time()
@@ -80,7 +81,7 @@
 
     # --- start ---
     async def start(self) -> None:
-        """All roles, one after the other.  ProcessError."""
+        """Start the processes of all roles, one role after the other.  Raises ProcessError."""
         plan = self.plan
         self.gossip_port = free_ports(1)[0] if plan.gossip else 0
         self._progress("relays")
@@ -94,7 +95,7 @@
         await self._start_real()
 
     async def close(self) -> None:
-        """End everything."""
+        """Stop all processes, and the stand-ins for discovery and a cache node."""
         try:
             await self.group.close()
         finally:
@@ -173,7 +174,7 @@
         )
 
     def _distribution_tables(self) -> tuple[DistributionTable, ...]:
-        """Of each region; none where distribution is off."""
+        """The table of each region, by its index; empty without distribution."""
         regions = range(self.plan.regions) if self.plan.distribution else range(0)
         return tuple(self.control_machines.table(region) for region in regions)
 
@@ -192,9 +193,7 @@
 
         locations = self.plan.real_locations()
         self.real = list(await asyncio.gather(*(start(location, True) for location in locations)))
-        self.real_without_control = await start(
-            msgspec.structs.replace(locations[0], name="bare"), False
-        )
+        self.baseline = await start(msgspec.structs.replace(locations[0], name="bare"), False)
 
     async def _start_daemon(self, location: ProxyLocation, control: bool) -> CountedProcess:
         raw = configuration(self._discovery.port, [self._node.entry("s-0")])
@@ -240,7 +239,11 @@
         counted_ports: tuple[int, ...] | None,
         stamps: bool = False,
     ) -> CountedProcess:
-        """A process that will be started by `instrumented`."""
+        """Add a process that the caller starts with the command of `instrumented_command`.
+
+        `counted_ports` are the ports to which connections are counted; None counts all.  `stamps`
+        records when the process applies log positions.
+        """
         counters = self.folder / f"{name}.counters"
         file = InstrumentFile(
             str(counters),
@@ -255,30 +258,30 @@
         return CountedProcess(self.group.add(name), region, counters)
 
     def instrumented_command(self, name: str, module: str, *arguments: str) -> tuple[str, ...]:
-        """The command that runs a daemon's module with counted sockets."""
+        """The command that runs a module of the daemon with counted sockets."""
         file = str(self.folder / f"{name}.instrument.json")
         launcher = "limebridge.scale.instrumented"
         return dilated_command(self.plan.slowdown, launcher, file, module, *arguments)
 
-    # --- looking ---
+    # --- observation ---
     def counted_processes(self) -> list[CountedProcess]:
-        """All daemons and control machines."""
-        others = [] if self.real_without_control is None else [self.real_without_control]
+        """All real daemons and control machines."""
+        others = [] if self.baseline is None else [self.baseline]
         return [*self.real, *others, *self.controls]
 
     def real_applied(self) -> list[Applied]:
-        """When each real daemon applied what."""
+        """When each real daemon with control protocols applied each position."""
         return [counted.applied() for counted in self.real]
 
     def control(self, name: str) -> CountedProcess:
-        """A control machine by its name.  KeyError."""
+        """The control machine of this name.  KeyError if there is none."""
         for counted in self.controls:
             if counted.process.name == name:
                 return counted
         raise KeyError(name)
 
     def hollow_traffic(self) -> list[Traffic]:
-        """The counters of each hollow proxy, host by host."""
+        """The counters of each hollow proxy, in the order of the hosts."""
         blocks = list[Traffic]()
         for number in range(len(self.hosts)):
             path = self.folder / f"host-{number}.counters"
@@ -287,7 +290,10 @@
         return blocks
 
     async def collect_observations(self, name: str) -> list[HostObservations]:
-        """What each host has seen since it was last asked.  ProcessError."""
+        """What each host has observed since the previous call.  Raises ProcessError.
+
+        `name` is the suffix of the files that the hosts write.
+        """
         paths = [self.folder / f"host-{n}.{name}" for n in range(len(self.hosts))]
         requests = (
             _send_order(process, Report(str(path)))
@@ -297,7 +303,10 @@
         return [msgspec.msgpack.decode(path.read_bytes(), type=HostObservations) for path in paths]
 
     async def restart_hollow(self, within_s: float, killed: bool) -> None:
-        """Every hollow proxy ends, `killed` or in order, and starts anew in time.  ProcessError."""
+        """Order the hosts to restart all hollow proxies, spread over `within_s` seconds.
+
+        With `killed`, they do not end their sessions first.  Raises ProcessError.
+        """
         order = Restart(within_s, killed)
         await asyncio.gather(*(_send_order(process, order) for process in self.hosts))
 
--- a/limebridge/scale/run_load.py
+++ b/limebridge/scale/run_load.py
@@ -1,4 +1,4 @@
-"""The load of a scale run: purges with a burst, changes of configuration, looks at the leader."""
+"""The load of a scale run: publishes purges and configuration changes, and polls the leader."""
 
 from __future__ import annotations
 
@@ -16,33 +16,33 @@
 from .control_client import ControlClient
 from .run_plan import BURST_SHARE, RunPlan
 
-KEY_BYTES = 48  # of a purge
-CHANGED_TABLE = "log"  # of the operator's file: every proxy can take it on
-CHANGE_BYTES = 1024  # of a changed table's text, padded with a comment
-STATUS_POLL_INTERVAL_S = 0.2  # between two looks at the status
-BURST_START_SHARE = 0.5  # share of the time at which the burst begins
+KEY_BYTES = 48  # length of a purge's key
+CHANGED_TABLE = "log"  # table of the operator's file that every proxy can apply while it runs
+CHANGE_BYTES = 1024  # length of a changed table's text, padded with a comment
+STATUS_POLL_INTERVAL_S = 0.2  # interval at which the leader's status is requested
+BURST_START_SHARE = 0.5  # start of the burst as a share of the measured time
 
 
 class Publication(msgspec.Struct, kw_only=True):
-    """One record that was published.  Times are CLOCK_MONOTONIC."""
+    """One publish request and its outcome.  Times are CLOCK_MONOTONIC."""
 
     topic: Topic
     published_at: float
     answered_at: float = 0.0
-    answer: str = "none"  # a PublishStatus by name, or "none"
-    position: int = 0
+    answer: str = "none"  # name of the PublishStatus in the reply, or "none" without a reply
+    position: int = 0  # of the record in the log, from the reply
 
     @property
     def committed(self) -> bool:
-        """Whether it was answered so."""
+        """Whether the reply says that the record is committed."""
         return self.answer == PublishStatus.COMMITTED.name
 
 
 class StatusSample(msgspec.Struct, frozen=True):
-    """What the leader said at one time."""
+    """The state of the log and its sessions in one status reply of the leader."""
 
-    at: float  # its answer was here
-    commit: int
+    at: float  # CLOCK_MONOTONIC when the reply was received
+    commit: int  # this and the next two: log positions
     applied: int
     in_force: int
     sessions: int
@@ -50,18 +50,21 @@
 
 
 class PublicationLoad:
-    """Publishes until it is stopped, and keeps what came of it."""
+    """Publishes records through `client`, and keeps their outcomes and the leader's status.
+
+    The status is requested from the construction on until `close`.
+    """
 
     def __init__(self, plan: RunPlan, client: ControlClient) -> None:
         self._plan, self._client = plan, client
         self._tasks: set[asyncio.Task[None]] = set()
         self.publications: list[Publication] = []
-        self._numbers = itertools.count()  # each publication's own: an id is published once
+        self._numbers = itertools.count()  # source of unique ids: an id is published only once
         self.status_samples: list[StatusSample] = []
         self._status_task = asyncio.get_running_loop().create_task(self._poll_status())
 
     async def publish(self) -> None:
-        """Purges and changes for the plan's seconds, at times drawn from its seed."""
+        """Publish for the plan's `seconds`, at random times that are determined by its seed."""
         plan = self._plan
         await asyncio.gather(
             self._publish_at_rate(self._purge_rate, self._purge, f"load/{plan.seed}"),
@@ -71,7 +74,10 @@
     async def _publish_at_rate(
         self, rate: Callable[[float], float], make_record: Callable[[int], Record], seed: str
     ) -> None:
-        """A Poisson process of publications; `rate` is a second, by the time since the start."""
+        """Publish records as a Poisson process.
+
+        `rate` gives the rate per second by the time since the start; a rate of 0 ends the process.
+        """
         rng = random.Random(seed)
         began = time.monotonic()
         due = 0.0
@@ -96,7 +102,7 @@
         return Record(Topic.PURGE, key)
 
     def _change(self, number: int) -> Record:
-        """A table that differs from the one before."""
+        """A change of CHANGED_TABLE that differs from those with another number."""
         text = f'format = "json"\n[events]\n"daemon.paused" = {1.0 + number / 1000.0}\n#'
         return Record(Topic.CONFIGURATION, CHANGED_TABLE, text.ljust(CHANGE_BYTES, "x").encode())
 
@@ -110,7 +116,10 @@
             publication.position = reply.position
 
     async def wait_until_in_force(self, seconds: float) -> None:
-        """Wait until every answer is here and the last record is in force, at most so long."""
+        """Wait until all replies have come and the last committed record is in force.
+
+        Returns after `seconds` at the latest.
+        """
         end = time.monotonic() + seconds
         while time.monotonic() < end and (self._tasks or not self._all_in_force()):
             await asyncio.sleep(STATUS_POLL_INTERVAL_S)
@@ -120,7 +129,10 @@
         return bool(self.status_samples) and self.status_samples[-1].in_force >= last
 
     async def wait_for_sessions(self, sessions: int, seconds: float) -> bool:
-        """Wait until so many proxies have a session with a control machine; whether they have."""
+        """Wait up to `seconds` until the leader reports this many sessions of proxies.
+
+        Returns whether it did.
+        """
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             if self.status_samples and self.status_samples[-1].sessions >= sessions:
@@ -145,12 +157,12 @@
             await asyncio.sleep(STATUS_POLL_INTERVAL_S)
 
     async def close(self) -> None:
-        """End all tasks."""
+        """Cancel all tasks and wait for their end."""
         tasks = [self._status_task, *self._tasks]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def count_answers(self) -> dict[str, int]:
-        """How the publications were answered."""
+        """The number of publications by their `answer`."""
         return dict(Counter(publication.answer for publication in self.publications))
--- a/limebridge/scale/run_plan.py
+++ b/limebridge/scale/run_plan.py
@@ -1,4 +1,4 @@
-"""What a scale run is asked for, checked before anything starts, and where its members live."""
+"""The plan of a scale run: its arguments, their checks, and the addresses of its proxies."""
 
 from __future__ import annotations
 
@@ -14,102 +14,107 @@
 from .links import loopback_host
 
 MAX_PROCESSES = 300
-MAX_MEMBERS = 4000  # of one fleet: the bound of `[sharing] proxies`
+MAX_MEMBERS = 4000  # proxies of one fleet: the upper bound of `[sharing] proxies`
 MAX_CONTROLS = 16
 MAX_REGIONS = 64
-SEEDS = 4  # proxies of its region that a proxy which has just started is told of
-HOLLOW_PER_HOST = 330  # of one process; the soft limit of descriptors may ask for fewer
+SEEDS = 4  # proxies of its region that a starting proxy has as gossip seeds
+HOLLOW_PER_HOST = 330  # per process; a low soft limit of descriptors may allow fewer
 REGIONS_PER_RELAY = 3
-DESCRIPTORS_PER_HOLLOW = 4  # a socket for datagrams, one or two streams, one to spare
-DESCRIPTORS_OF_HOST = 64
-BURST_SHARE = 0.1  # of the measured time is the burst
+DESCRIPTORS_PER_HOLLOW = 4  # a UDP socket, one or two TCP connections, one to spare
+DESCRIPTORS_OF_HOST = 64  # of a host process besides those of its hollow proxies
+BURST_SHARE = 0.1  # length of the burst as a share of the measured time
 MB = 1_000_000
 
-# Memory, measured with `limebridge scale run` itself, rounded up.
+# Memory use, measured with `limebridge scale run` and rounded up.
 HOST_BASE_MB = 55.0  # a process that hosts hollow proxies, before the first of them
-HOLLOW_MB = 0.10  # a hollow proxy with its distribution, without members and nodes
-MEMBER_BYTES = 350.0  # one member in the table of one hollow proxy
-NODE_BYTES = 700.0  # one cache node in the judgements of one hollow proxy
+HOLLOW_MB = 0.10  # a hollow proxy with distribution, without members and nodes
+MEMBER_BYTES = 350.0  # one member in the member list of one hollow proxy
+NODE_BYTES = 700.0  # one cache node in the health reports of one hollow proxy
 REAL_MB = 45.0  # a real daemon
-CONTROL_MB = 80.0  # a control process
-RELAY_MB = 60.0  # a relay, or this program
+CONTROL_MB = 80.0  # a control machine
+RELAY_MB = 60.0  # a relay, or the process that controls the run
 
 
 class PlanError(Exception):
-    """A run that would be senseless or too large for this machine; one line."""
+    """The plan is invalid or too large for this machine; a one-line message."""
 
 
 class ProxyLocation(msgspec.Struct, frozen=True):
-    """Where a proxy lives."""
+    """A proxy's name, region, zone and address."""
 
     name: str
-    number: int  # of all proxies, hollow ones first
+    number: int  # index among all proxies, hollow ones first
     region: int
     zone: str
-    host: str  # its loopback address, from which its region can be read
+    host: str  # its loopback address, which encodes the region (`links.region_of_host`)
 
 
 class RunPlan(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """The arguments of `limebridge scale run`."""
+    """The arguments of `limebridge scale run`; stored in the report."""
 
-    proxies: int = 2600  # hollow ones
+    proxies: int = 2600  # hollow proxies
     sites: int = 170
     regions: int = 10
     nodes: int = 1200
     real: int = 8
     controls: int = 8
-    seconds: float = 60.0  # that are measured
+    seconds: float = 60.0  # length of the measurement
     warm_seconds: float = 10.0  # between the last start and the measurement
-    purges: float = 71.0  # a second
-    changes: float = 0.0  # of configuration, a second
-    burst: float = 1.0  # times `purges`, for BURST_SHARE of the time in the middle
+    purges: float = 71.0  # per second
+    changes: float = 0.0  # configuration changes per second
+    burst: float = 1.0  # factor of `purges` for BURST_SHARE of the time, from the middle on
     loss: float = 0.0  # share of datagrams and TCP segments that the links lose
     kill_control: bool = False  # the leader is killed after a third of the time
-    restart_within_s: float = 0.0  # all hollow proxies restart over it, from a third of the time on
-    restart_killed: bool = False  # the restarting ones are killed and tell nobody of their end
+    # If above 0, all hollow proxies restart, spread over this time, after a third of the time.
+    restart_within_s: float = 0.0
+    restart_killed: bool = False  # restarting proxies are killed and do not end their sessions
     gossip: bool = True
-    probe_s: float = SharingTable().probe_s  # between two members that a proxy asks
-    requests: float = 8.0  # a second that each hollow proxy pretends, for judgements and counts
-    failed_share: float = 0.0  # of the pretended requests, so that there is something bad to tell
-    hosts: int = 0  # processes that host hollow proxies; 0: as few as it takes
+    probe_s: float = SharingTable().probe_s  # interval at which a proxy probes another member
+    # Synthetic requests per second of each hollow proxy: input of its health reports and counts.
+    requests: float = 8.0
+    failed_share: float = 0.0  # of the synthetic requests, so that there are failures to report
+    hosts: int = 0  # processes that host hollow proxies; 0: as few as needed
     seed: int = 1
-    slowdown: float = 1.0  # times more slowly than real time passes for all processes
+    slowdown: float = 1.0  # factor by which the clocks of all processes are slowed
     distribution: bool = True
-    batch_s: float = Timings().batch_s  # of the control machines, as in their file
+    batch_s: float = Timings().batch_s  # this and the next two: as in a control machine's file
     spread_s: float = Timings().spread_s
     stale_after_s: float = Timings().stale_after_s
 
     @property
     def host_count(self) -> int:
-        """Processes that host hollow proxies."""
+        """The number of processes that host hollow proxies."""
         return self.hosts or math.ceil(self.proxies / HOLLOW_PER_HOST)
 
     @property
     def relay_count(self) -> int:
-        """Processes that relay TCP between regions."""
+        """The number of processes that relay TCP between regions."""
         return math.ceil(self.regions / REGIONS_PER_RELAY)
 
     @property
     def process_count(self) -> int:
-        """All processes of the run: with a daemon without control for comparison, and this one."""
-        bare = 1 if self.real else 0
-        return self.host_count + self.relay_count + self.real + bare + self.controls + 1
+        """The number of processes, including this one.
+
+        With real daemons there is one more, without control protocols, for comparison.
+        """
+        baseline = 1 if self.real else 0
+        return self.host_count + self.relay_count + self.real + baseline + self.controls + 1
 
     @property
     def members(self) -> int:
-        """Proxies of the fleet, hollow and real."""
+        """The number of proxies of the fleet, hollow and real."""
         return self.proxies + self.real
 
     @property
     def memory_mb(self) -> float:
-        """Estimate of what all processes hold."""
+        """Estimate of the memory of all processes in MB."""
         tables = self.nodes * NODE_BYTES + (self.members * MEMBER_BYTES if self.gossip else 0.0)
         hollow = self.proxies * (HOLLOW_MB + tables / MB)
         others = self.host_count * HOST_BASE_MB + (self.relay_count + 1) * RELAY_MB
         return hollow + others + (self.real + 1) * REAL_MB + self.controls * CONTROL_MB
 
     def hollow_locations(self) -> list[ProxyLocation]:
-        """All hollow proxies: sites in turn, each site in one region."""
+        """All hollow proxies, assigned to sites in turn; each site is in one region."""
         return [self._location(number, f"h{number}") for number in range(self.proxies)]
 
     def real_locations(self) -> list[ProxyLocation]:
@@ -126,11 +131,14 @@
 
 
 def check(plan: RunPlan, memory_mb: float | None = None) -> None:
-    """PlanError when the run is senseless or this machine is too small for it."""
+    """Raise PlanError if an argument is invalid or this machine is too small for the run.
+
+    A run may use half of `memory_mb`, by default the physical memory of this machine.
+    """
     _check_arguments(plan)
     if plan.process_count > MAX_PROCESSES:
         raise PlanError(
-            f"{plan.process_count} processes are needed, {MAX_PROCESSES} are the most"
+            f"{plan.process_count} processes are needed, at most {MAX_PROCESSES} are allowed"
             " (fewer --real, --controls or --hosts)"
         )
     memory = total_memory_mb() if memory_mb is None else memory_mb
@@ -159,7 +167,7 @@
         ("--restart-within", plan.restart_within_s, 0.0, plan.seconds / 2.0),
         ("--requests", plan.requests, 0.0, 1000.0),
         ("--failed", plan.failed_share, 0.0, 1.0),
-        ("--probe", plan.probe_s, 0.05, 60.0),  # as `[sharing] probe_s`
+        ("--probe", plan.probe_s, 0.05, 60.0),  # the bounds of `[sharing] probe_s`
         ("--hosts", plan.hosts, 0, plan.proxies),
         ("--slowdown", plan.slowdown, 1.0, 20.0),
         ("--batch", plan.batch_s, 0.0, 60.0),
@@ -170,7 +178,7 @@
         if not minimum <= value <= maximum:
             raise PlanError(f"{name}: {value:g} is not between {minimum:g} and {maximum:g}")
     if plan.kill_control and plan.controls < 3:
-        raise PlanError("--kill-control: needs three control machines, so that two are left")
+        raise PlanError("--kill-control: needs three control machines, so that two remain")
 
 
 def _check_descriptors(plan: RunPlan) -> None:
@@ -179,11 +187,11 @@
     needed = per_host * DESCRIPTORS_PER_HOLLOW + DESCRIPTORS_OF_HOST
     if soft != resource.RLIM_INFINITY and needed > soft:
         raise PlanError(
-            f"--hosts: {plan.host_count} processes would have {needed} descriptors each,"
-            f" the limit is {soft}"
+            f"--hosts: {plan.host_count} processes would need {needed} file descriptors each,"
+            f" the soft limit is {soft}"
         )
 
 
 def total_memory_mb() -> float:
-    """Memory of this machine."""
+    """The physical memory of this machine in MB."""
     return os.sysconf("SC_PHYS_PAGES") * resource.getpagesize() / MB
--- a/limebridge/scale/run_report.py
+++ b/limebridge/scale/run_report.py
@@ -1,4 +1,4 @@
-"""The records of a scale run: use by role, delays, bounds met or missed.  JSON by msgspec."""
+"""The report of a scale run, stored as JSON: use by role, delays, and the target's bounds."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from .traffic import Traffic
 
 MICROSECONDS = 1_000_000
-MAX_DELAY_S = 3600  # of a delay that is told apart
-SIGNIFICANT_DIGITS = 3  # significant digits of a percentile
+MAX_DELAY_S = 3600  # range of the delay histogram
+SIGNIFICANT_DIGITS = 3  # of a percentile of delays
 HUNDRED_PERCENT = 100.0
 
 
 class Percentiles(msgspec.Struct, frozen=True):
-    """How a figure is spread over members or events.  All zero where `count` is."""
+    """The distribution of a figure over members or events; all values are 0 if `count` is 0."""
 
     count: int
     mean: float
@@ -34,25 +34,28 @@
 
 
 class RoleUse(msgspec.Struct, frozen=True, kw_only=True):
-    """What one role used in the measured time.  Rates are a second, of one member."""
+    """What one role used in the measured time.  Rates are per second and member.
+
+    A member is a proxy or control machine; one process can host several hollow proxies.
+    """
 
     role: str
     members: int
     processes: int
     bytes_in: Percentiles  # payload
     bytes_out: Percentiles
-    wire_bytes: Percentiles  # both ways, with estimated headers
+    wire_bytes: Percentiles  # both directions, with estimated headers
     messages_in: Percentiles
     messages_out: Percentiles
-    gossip_bytes: float  # payload of datagrams, both ways, mean
-    distribution_bytes: float  # payload of streams, both ways, mean
-    cpu_share: float  # of one core, a member: CPU time of the processes by their members
-    memory_mb: float  # a member
+    gossip_bytes: float  # UDP payload, both directions, mean
+    distribution_bytes: float  # TCP payload, both directions, mean
+    cpu_share: float  # of one core per member: CPU time of the processes / number of members
+    memory_mb: float  # per member
     note: str = ""
 
 
 class Bound(msgspec.Struct, frozen=True, kw_only=True):
-    """A bound of the target and what was measured."""
+    """An upper bound of the target, and the measured value."""
 
     name: str
     unit: str
@@ -62,12 +65,12 @@
 
     @property
     def met(self) -> bool | None:
-        """None where nothing was measured."""
+        """Whether the measured value is within the bound; None if nothing was measured."""
         return None if self.measured is None else self.measured <= self.limit
 
 
 class Calibration(msgspec.Struct, frozen=True, kw_only=True):
-    """A hollow proxy against a real daemon, as ratios: 1.0 is equal."""
+    """Ratios of a hollow proxy's traffic to a real daemon's: 1.0 is equal."""
 
     messages_out: float
     messages_in: float
@@ -76,47 +79,50 @@
 
 
 class EarlyReport(msgspec.Struct, frozen=True):
-    """A position that was reported as in force before all proxies had applied it or were stale."""
+    """A position reported in force while a proxy neither had applied it nor was stale."""
 
     position: int
-    proxy: str  # the last one to apply it
-    proxies: int  # how many were late
-    seconds: float | None  # by which the last one was late; None: never applied
+    proxy: str  # the last proxy to apply it
+    proxies: int  # number of late proxies
+    seconds: float | None  # from the report until `proxy` applied it; None: it never did
 
 
 class InForceCheck(msgspec.Struct, frozen=True, kw_only=True):
-    """The leader's reports against what the proxies applied."""
+    """Compares the leader's reports of positions in force with what the proxies applied.
+
+    Counts are of positions of the committed publications.
+    """
 
-    positions: int  # that were reported as in force and published in the measured time
-    never_reported: int  # committed, and not reported as in force until the end
-    never_applied: int  # committed, and not applied by every proxy until the end
-    early: int  # reported as in force before each proxy had applied it or was stale
-    worst_early_s: float  # of those that applied it later
+    positions: int  # all of them
+    never_reported: int  # not reported in force until the end of the run
+    never_applied: int  # not applied by every proxy until the end of the run
+    early: int  # reported in force before each proxy had applied it or was stale
+    worst_early_s: float  # longest time from an early report until the last proxy applied it
     examples: tuple[EarlyReport, ...] = ()
 
 
 class RunReport(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole run."""
+    """The report of a run; its JSON is written by `save`."""
 
-    version: int = 1
+    version: int = 1  # of this format
     commit: str
     taken_at: str  # ISO 8601, UTC
     machine: Machine
     plan: RunPlan
     measured_s: float
     roles: tuple[RoleUse, ...]
-    delays: dict[str, Percentiles]  # s
+    delays: dict[str, Percentiles]  # in seconds, by `delay_name`
     bounds: tuple[Bound, ...]
-    calibration: Calibration | None
-    in_force: InForceCheck | None
-    purges: dict[str, int]  # how publications were answered
-    machine_cpu_share: float  # of all cores, over the measured time
+    calibration: Calibration | None  # None without real daemons, or if they had no traffic
+    in_force: InForceCheck | None  # None without distribution
+    purges: dict[str, int]  # number of publications, of purges and changes, by outcome
+    machine_cpu_share: float  # share of all cores that was busy in the measured time
     membership: tuple[MembershipAt, ...] = ()  # empty without gossip
-    notes: tuple[str, ...]  # what was left out, and what has to be known to read the figures
+    notes: tuple[str, ...]  # what was not measured, and what is needed to interpret the figures
 
 
 def percentiles(values: Sequence[float]) -> Percentiles:
-    """Of figures that are all known, exact: nearest rank."""
+    """The exact percentiles of `values`, by the nearest-rank method."""
     if not values:
         return Percentiles(0, 0.0, 0.0, 0.0, 0.0)
     ordered = sorted(values)
@@ -130,13 +136,13 @@
 
 
 def nearest_rank(ordered: Sequence[float], percent: float) -> float:
-    """The least value that at least so many percent of the sorted values do not exceed."""
+    """The smallest of the sorted values that at least `percent` of them do not exceed."""
     rank = -(-percent * len(ordered) // HUNDRED_PERCENT)
     return ordered[max(1, int(rank)) - 1]
 
 
 def delay_percentiles(delays_s: Iterable[float]) -> Percentiles:
-    """Of delays in seconds, to three digits, by a histogram of bounded size."""
+    """The percentiles of delays in seconds, to three digits, from a histogram of bounded size."""
     histogram = HdrHistogram(1, MAX_DELAY_S * MICROSECONDS, SIGNIFICANT_DIGITS)
     count, total, largest = 0, 0.0, 0.0
     for delay in delays_s:
@@ -162,7 +168,10 @@
     memory_bytes: float,
     note: str = "",
 ) -> RoleUse:
-    """`traffic` of each member, CPU time and memory of all processes of the role together."""
+    """What a role used per second and member.
+
+    `traffic` has one entry per member; `cpu_s` and `memory_bytes` are sums over all `processes`.
+    """
     members = max(1, len(traffic))
 
     def rate(figures: Iterable[int]) -> Percentiles:
@@ -186,7 +195,7 @@
 
 
 def calibrate(hollow: RoleUse, real: RoleUse) -> Calibration | None:
-    """Ratios of the medians.  None where one of them has no traffic."""
+    """Ratios of the medians of both roles; None if a median of `real` is 0."""
     pairs = [
         (getattr(hollow, name).p50, getattr(real, name).p50)
         for name in ("messages_out", "messages_in", "bytes_out", "bytes_in")
@@ -202,7 +211,7 @@
 def delay_bound(
     delays: Mapping[str, Percentiles], topic: Topic, what: str, limit_s: float, note: str = ""
 ) -> Bound:
-    """The slowest of a delay against its bound."""
+    """The largest value of a delay, with its bound."""
     name = delay_name(topic, what)
     delay = delays.get(name)
     measured = delay.largest if delay is not None and delay.count else None
@@ -212,8 +221,12 @@
 def bounds(
     target: Target, hollow: RoleUse | None, delays: Mapping[str, Percentiles]
 ) -> tuple[Bound, ...]:
-    """The target's bounds on control against a run's figures."""
-    purge_s, change_s, seen = target.purge_within_s, target.config_within_s, "as a status shows it"
+    """The target's bounds for the control protocols, with the measured values of a run."""
+    purge_s, change_s, seen = (
+        target.purge_within_s,
+        target.config_within_s,
+        "as the leader's status shows it",
+    )
     return (
         delay_bound(delays, Topic.PURGE, EVERYWHERE, purge_s),
         delay_bound(delays, Topic.PURGE, IN_FORCE, purge_s, seen),
@@ -248,12 +261,12 @@
 
 
 def save(report: RunReport, path: Path) -> None:
-    """Write a report, readable and stable under `git diff`."""
+    """Write a report as JSON with one value per line, for a readable `git diff`."""
     text = msgspec.json.format(msgspec.json.encode(report), indent=1)
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_bytes(text + b"\n")
 
 
 def read(path: Path) -> RunReport:
-    """A report.  OSError, msgspec.ValidationError."""
+    """Read a report.  Raises OSError or msgspec.DecodeError, also for JSON of another format."""
     return msgspec.json.decode(path.read_bytes(), type=RunReport)
--- a/limebridge/scale/run_sample.py
+++ b/limebridge/scale/run_sample.py
@@ -1,4 +1,4 @@
-"""Counters and CPU time of all processes at one time, and what roles used between two times."""
+"""Samples traffic, CPU time and memory of all processes, and compares two samples by role."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 LEADER = "control leader"
 FOLLOWER = "control follower"
 RELAYS = "relays of the run (no role)"
-IDLE_FIELDS = (4, 5)  # of the first line of /proc/stat: idle, waiting for a disk
+IDLE_FIELDS = (4, 5)  # numbers, from 1, of the fields idle and iowait in /proc/stat
 
 
 class UsageSample(msgspec.Struct, frozen=True):
-    """Counters and use of all processes at one time."""
+    """The traffic, CPU time and memory of all processes at one time."""
 
     at: float  # CLOCK_MONOTONIC
-    hollow: list[Traffic]
-    counted: dict[str, Traffic]  # by the process's name
-    use: dict[str, Usage]
-    machine_cpu_s: float
+    hollow: list[Traffic]  # of each hollow proxy
+    counted: dict[str, Traffic]  # of real daemons and control machines, by process name
+    use: dict[str, Usage]  # by process name
+    machine_cpu_s: float  # CPU time of the whole machine
 
 
 def take_usage_sample(fleet: Fleet) -> UsageSample:
-    """All of it now.  What has ended keeps its counters and has no use."""
+    """Sample all processes now.  A process that has exited has counters, but no entry in `use`."""
     processes = fleet.group.processes
     use = {process.name: process.usage() for process in processes}
     return UsageSample(
@@ -47,14 +47,17 @@
 
 
 def machine_cpu_s() -> float:
-    """CPU time that all cores have spent on anything."""
+    """CPU seconds that all cores together have spent since boot, without idle and iowait."""
     fields = [int(field) for field in Path("/proc/stat").read_text().split("\n")[0].split()[1:9]]
     idle = sum(fields[number - 1] for number in IDLE_FIELDS)
     return (sum(fields) - idle) / TICKS_PER_S
 
 
 class Roles:
-    """What each role used between two samples."""
+    """Computes what each role used between two samples.
+
+    `leader` is the name of the control machine that led at the first sample.
+    """
 
     def __init__(
         self, fleet: Fleet, before: UsageSample, after: UsageSample, leader: str = ""
@@ -63,7 +66,7 @@
         self._seconds = after.at - before.at
 
     def all(self) -> list[RoleUse]:
-        """The roles that had processes in this run."""
+        """The use of each role that has processes in this run."""
         fleet = self._fleet
         controls = fleet.controls
         leader = [each for each in controls if each.process.name == self._leader]
@@ -73,7 +76,7 @@
             self._counted(REAL, fleet.real),
             self._counted(
                 REAL_WITHOUT_CONTROL,
-                [] if fleet.real_without_control is None else [fleet.real_without_control],
+                [] if fleet.baseline is None else [fleet.baseline],
             ),
             self._counted(LEADER, leader),
             self._counted(FOLLOWER, followers),
@@ -91,7 +94,7 @@
             len(self._fleet.hosts),
             self._cpu_s(self._fleet.hosts),
             max(0.0, self._memory(self._fleet.hosts) - empty),
-            note="CPU and memory of the hosts, with delaying datagrams and pretending requests",
+            note="CPU and memory of the hosts, with datagram delays and synthetic requests",
         )
 
     def _counted(self, role: str, members: Sequence[CountedProcess]) -> RoleUse:
@@ -106,7 +109,7 @@
             len(processes),
             self._cpu_s(processes),
             self._memory(processes),
-            note=f"without CPU and memory of what ended: {', '.join(ended)}" if ended else "",
+            note=f"without CPU and memory of exited processes: {', '.join(ended)}" if ended else "",
         )
 
     def _relays(self) -> RoleUse:
--- a/limebridge/scale/run_tables.py
+++ b/limebridge/scale/run_tables.py
@@ -1,4 +1,4 @@
-"""A scale run's report as tables for people."""
+"""Prints the report of a scale run as tables and lines."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 def show(report: RunReport, console: Console) -> None:
-    """Roles, delays, calibration, bounds and notes."""
+    """Print the roles, delays, calibration, bounds and notes of a report."""
     console.print(_roles(report))
     console.print(_delays(report))
     if report.calibration is not None:
         ratios = report.calibration
         console.print(
-            "A hollow proxy by a real daemon:"
-            f" datagrams and messages {ratios.messages_out:.2f} out, {ratios.messages_in:.2f} in;"
+            "Ratios of a hollow proxy to a real daemon:"
+            f" messages {ratios.messages_out:.2f} out, {ratios.messages_in:.2f} in;"
             f" bytes {ratios.bytes_out:.2f} out, {ratios.bytes_in:.2f} in"
         )
     if report.in_force is not None:
@@ -27,8 +27,8 @@
     for bound in report.bounds:
         console.print(bound_line(bound))
     console.print(
-        f"The machine's cores were busy by {100 * report.machine_cpu_share:.0f}%;"
-        f" load average before {report.machine.load_average_before:g}"
+        f"CPU use of the machine: {100 * report.machine_cpu_share:.0f}% of all cores;"
+        f" load average before the run: {report.machine.load_average_before:g}"
     )
     for role in report.roles:
         if role.note:
@@ -38,7 +38,7 @@
 
 
 def bound_line(bound: Bound) -> str:
-    """One line: met, missed and by how much, or not measured."""
+    """One line: whether the bound is met, with the ratio of the measured value to the bound."""
     limit = f"{bound.name}: at most {bound.limit:g} {bound.unit}"
     note = f" ({bound.note})" if bound.note else ""
     if bound.measured is None:
@@ -49,7 +49,7 @@
 
 
 def in_force_line(check: InForceCheck) -> str:
-    """Whether the leader's reports were right."""
+    """The result of the check of the leader's reports, with examples of early reports."""
     examples = "".join(f"\n  {early_line(early)}" for early in check.examples)
     return (
         f"{check.positions} batches: {check.never_applied} not applied everywhere,"
@@ -59,9 +59,11 @@
 
 
 def early_line(early: EarlyReport) -> str:
-    """Which proxy was late, and by how much."""
-    late = "never applied it" if early.seconds is None else f"{early.seconds:.3f} s later"
-    return f"position {early.position}: {early.proxies} proxies late, {early.proxy} {late}"
+    """One early report: the last proxy to apply the position, and how much later it did."""
+    late = "never applied it" if early.seconds is None else f"applied it {early.seconds:.3f} s late"
+    return (
+        f"position {early.position}: {early.proxies} proxies late; the last, {early.proxy}, {late}"
+    )
 
 
 def _roles(report: RunReport) -> Table:
--- a/limebridge/scale/small_run.py
+++ b/limebridge/scale/small_run.py
@@ -1,4 +1,4 @@
-"""Small scale runs from which costs of the distribution are measured: one control machine."""
+"""Scale runs with one control machine, from which costs of the distribution are measured."""
 
 from __future__ import annotations
 
@@ -14,7 +14,11 @@
 
 
 def run_small(proxies: int, purges_per_s: float) -> RunReport:
-    """One control machine, so many hollow proxies of one region, no gossip and no delays."""
+    """Run one control machine with `proxies` hollow proxies of one region, without gossip.
+
+    Raises MeasurementError if a purge was reported in force before all proxies had applied it,
+    PlanError if this machine is too small, ProcessError if a process fails.
+    """
     plan = RunPlan(
         proxies=proxies,
         sites=1,
@@ -32,12 +36,12 @@
     report = asyncio.run(ScaleRun(plan, lambda what, share: None).run())
     in_force = report.in_force
     if in_force is not None and (in_force.early or in_force.never_applied):
-        raise MeasurementError("a purge was not applied everywhere when it was in force")
+        raise MeasurementError("a purge was reported in force before all proxies had applied it")
     return report
 
 
 def role_of(report: RunReport, name: str) -> RoleUse:
-    """That role's use.  MeasurementError when the run had none."""
+    """What the role `name` used.  MeasurementError if the run had no such role."""
     for role in report.roles:
         if role.role == name:
             return role
--- a/limebridge/scale/target.py
+++ b/limebridge/scale/target.py
@@ -1,7 +1,7 @@
-"""The size that the system is built for, as checked data.
+"""The size that the system is designed for, read and checked from a file.
 
-The figures are in `target.toml` beside this module. A file with the same table can take its place,
-for a smaller run or another plan.
+The figures are in `target.toml` next to this module.  Another file with the same table can be used
+instead, for a smaller run or another plan.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 SECONDS_PER_DAY = 86_400.0
 TARGET_FILE = Path(__file__).with_name("target.toml")
 
-# Bounds on both sides also refuse NaN and infinity.
+# A lower and an upper bound together also reject NaN and infinity.
 Count = Annotated[int, msgspec.Meta(ge=1, le=1_000_000_000)]
 Rate = Annotated[float, msgspec.Meta(gt=0, le=1e12)]
 Seconds = Annotated[float, msgspec.Meta(gt=0, le=86_400)]
@@ -25,7 +25,10 @@
 
 
 class Target(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """The load, the promises and the budgets of the system at full size."""
+    """The load, the guarantees and the resource budgets of the system at full size.
+
+    `target.toml` describes each figure.
+    """
 
     proxies: Count
     sites: Count
@@ -48,25 +51,25 @@
 
     @property
     def requests_per_proxy(self) -> float:
-        """Requests a second that one proxy takes when all take the same."""
+        """Requests per second of one proxy, with the load spread evenly."""
         return self.requests_per_s / self.proxies
 
     @property
     def config_changes_per_s(self) -> float:
-        """Changes of configuration a second, spread evenly over the day."""
+        """Configuration changes per second, spread evenly over the day."""
         return self.config_changes_per_day / SECONDS_PER_DAY
 
 
 class _File(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole of a target file."""
+    """The contents of a target file."""
 
     target: Target
 
 
 def load_target(path: Path | None = None) -> Target:
-    """The target in the file at `path`, or the one that the program comes with.
+    """Read the target from the file at `path`, or from the one shipped with the program.
 
-    ConfigError with one line that names the key when it can't be used.
+    Raises ConfigError, with a one-line message that names the invalid key.
     """
     name = str(path or TARGET_FILE)
     target = to_struct(read_toml(name), _File, name).target
@@ -75,13 +78,13 @@
 
 
 def _check_counts(target: Target, name: str) -> None:
-    """Refuse counts that contradict each other: more groups than members."""
+    """Raise ConfigError if there are more groups than members, such as more sites than proxies."""
     pairs = (
         ("sites", target.sites, "proxies", target.proxies),
         ("regions", target.regions, "zones", target.zones),
         ("zones", target.zones, "nodes", target.nodes),
         ("regions", target.regions, "sites", target.sites),
     )
-    for key, value, other, most in pairs:
-        if value > most:
-            raise ConfigError(f"{name}: [target] {key}: {value} is more than {other}, {most}")
+    for key, value, other, maximum in pairs:
+        if value > maximum:
+            raise ConfigError(f"{name}: [target] {key}: {value} is more than {other}, {maximum}")
--- a/limebridge/scale/time_dilation.py
+++ b/limebridge/scale/time_dilation.py
@@ -1,15 +1,16 @@
-"""Slows the clocks of a process, so that a machine can play a fleet too large for it in real time.
+"""Time dilation: slows the clocks of a process, to run a fleet too large for real time.
 
     python -m limebridge.scale.time_dilation FACTOR MODULE [ARGUMENT...]
 
-runs MODULE as `python -m` would while time passes FACTOR times more slowly for it.  All processes
-of a run have the same factor, so they agree on the time; a second of theirs holds FACTOR times as
-much CPU time.  The method is that of Gupta et al., "To Infinity and Beyond: Time-Warped Network
-Emulation" (NSDI 2006).
+runs MODULE as `python -m` would, with clocks that run FACTOR times more slowly.  All processes of a
+run have the same factor, so their clocks agree, and FACTOR times as much CPU time is available per
+second of dilated time.  The method is that of Gupta et al., "To Infinity and Beyond: Time-Warped
+Network Emulation" (NSDI 2006).
 
-Slowed are `time.monotonic`, `time.time` and the waits of the selectors, which is all that asyncio
-and the daemon use.  Not slowed are CPU times, which are counted as they are, and timers of the
-kernel: a TCP connection over loopback loses nothing, so they hardly matter.
+`time.monotonic`, `time.time` and the timeouts of the epoll selector are dilated, which is all that
+asyncio and the daemon use.  CPU times and the kernel's timers are not dilated.  CPU times are
+reported as measured.  The kernel's timers hardly matter, because TCP over loopback loses no
+segments.
 """
 
 from __future__ import annotations
@@ -22,14 +23,14 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-REAL_TIME = 1.0  # the factor of a run that is not slowed
+REAL_TIME = 1.0  # the factor of a run without dilation
 
 
 @contextlib.contextmanager
 def dilated(factor: float) -> Iterator[None]:
-    """Let time pass `factor` times more slowly for this process.
+    """Slow the clocks of this process by `factor` inside the `with` block.
 
-    A module that has bound a clock by name before keeps the real one.
+    A module that imported a clock function by name before that keeps the real clock.
     """
     if factor == REAL_TIME:
         yield
@@ -50,7 +51,7 @@
 
 
 def _slow_select(select: Callable[..., Any], factor: float) -> Callable[..., Any]:
-    """A selector's `select` whose timeout is in slowed seconds."""
+    """A selector's `select` with a timeout in dilated seconds."""
 
     def select_slowed(self: selectors.EpollSelector, timeout: float | None = None) -> Any:
         return select(self, None if timeout is None else timeout * factor)
@@ -59,7 +60,7 @@
 
 
 def dilated_command(factor: float, module: str, *arguments: str) -> tuple[str, ...]:
-    """The command line that runs a module under this factor."""
+    """The command that runs a module with clocks slowed by `factor`."""
     if factor == REAL_TIME:
         return (sys.executable, "-m", module, *arguments)
     launcher = f"{__package__}.time_dilation"
@@ -67,7 +68,7 @@
 
 
 def main() -> None:
-    """The process."""
+    """Run the module named on the command line with slowed clocks."""
     factor, module = float(sys.argv[1]), sys.argv[2]
     sys.argv = [module, *sys.argv[3:]]
     with dilated(factor):
--- a/limebridge/scale/traffic.py
+++ b/limebridge/scale/traffic.py
@@ -1,8 +1,8 @@
-"""Sockets that count what passes and shape what is sent between regions.
+"""Sockets that count their traffic and simulate the links between regions for datagrams.
 
-`SocketNetwork` of the daemon takes the function that makes its sockets. A run passes one that makes
-`CountedSocket`s, so the code under measurement stays as it is. Counters stand in a mapped file, so
-that another process can read them at any time.
+The daemon's `SocketNetwork` accepts a socket factory.  A run passes one that creates
+`CountedSocket`s, so the measured code itself is unchanged.  The counters are in a memory-mapped
+file, which the process that controls the run can read at any time.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 from .links import LinkTable, region_of_host
 
-COUNTER_BYTES = 8  # bytes of a counter
+COUNTER_BYTES = 8  # size of one counter in the file
 UDP_HEADERS = 28  # bytes: IPv4 and UDP
-TCP_HEADERS = 52  # bytes: IPv4, TCP and its timestamps
+TCP_HEADERS = 52  # bytes: IPv4, TCP and the TCP timestamp option
 
 
 class Counter(IntEnum):
-    """What is counted, by its place in a block of counters."""
+    """The counters of a block; the values are their indexes in it."""
 
     UDP_BYTES_IN = 0
     UDP_BYTES_OUT = 1
@@ -35,13 +35,13 @@
     UDP_OUT = 3
     TCP_BYTES_IN = 4
     TCP_BYTES_OUT = 5
-    TCP_IN = 6  # reads that brought something
-    TCP_OUT = 7  # writes that were taken
+    TCP_IN = 6  # reads that returned data
+    TCP_OUT = 7  # writes that sent data
     CONNECTIONS = 8  # opened or accepted
 
 
 class Traffic(msgspec.Struct, frozen=True, kw_only=True):
-    """Counters at one time, or what they grew by.  Bytes are payload without headers."""
+    """The values of a block of counters, or their increase.  Bytes are payload without headers."""
 
     udp_bytes_in: int = 0
     udp_bytes_out: int = 0
@@ -54,39 +54,39 @@
     connections: int = 0
 
     def since(self, before: Traffic) -> Traffic:
-        """What was added after `before`."""
+        """The increase of each counter from `before` to this."""
         return _combine(lambda now, then: now - then, self, before)
 
     def plus(self, other: Traffic) -> Traffic:
-        """Both together."""
+        """The sum of both, counter by counter."""
         return _combine(lambda one, two: one + two, self, other)
 
     @property
     def bytes_in(self) -> int:
-        """Payload received."""
+        """Payload bytes received over UDP and TCP."""
         return self.udp_bytes_in + self.tcp_bytes_in
 
     @property
     def bytes_out(self) -> int:
-        """Payload sent."""
+        """Payload bytes sent over UDP and TCP."""
         return self.udp_bytes_out + self.tcp_bytes_out
 
     @property
     def messages_in(self) -> int:
-        """Datagrams, and reads from streams that brought something."""
+        """Received datagrams, and TCP reads that returned data."""
         return self.udp_in + self.tcp_in
 
     @property
     def messages_out(self) -> int:
-        """Datagrams, and writes to streams."""
+        """Sent datagrams, and TCP writes that sent data."""
         return self.udp_out + self.tcp_out
 
     @property
     def wire_bytes(self) -> int:
-        """Both ways with headers, estimated.
+        """Estimate of the bytes in both directions, with headers.
 
-        A datagram has 28 bytes of headers. A read or write of a stream counts as one segment with
-        52 bytes of headers and one acknowledgement of 52 bytes that comes back.
+        A datagram has 28 bytes of headers.  A TCP read or write counts as one segment with 52 bytes
+        of headers, plus one acknowledgement of 52 bytes in the other direction.
         """
         datagrams = self.udp_in + self.udp_out
         segments = self.tcp_in + self.tcp_out
@@ -100,7 +100,7 @@
 
 
 def total(blocks: Iterable[Traffic]) -> Traffic:
-    """The sum of several."""
+    """The sum of several blocks, counter by counter."""
     result = Traffic()
     for block in blocks:
         result = result.plus(block)
@@ -108,10 +108,13 @@
 
 
 class Counters:
-    """Blocks of counters in a mapped file: one block for each proxy that a process hosts."""
+    """Blocks of counters in a memory-mapped file: one block for each proxy of a process."""
 
     def __init__(self, path: Path, blocks: int, create: bool = False) -> None:
-        """OSError, ValueError where the file can't be mapped."""
+        """Map the file at `path`; `create` first fills it with zeros.
+
+        Raises OSError if the file cannot be opened, ValueError if it is too small for `blocks`.
+        """
         size = blocks * len(Counter) * COUNTER_BYTES
         if create:
             path.write_bytes(bytes(size))
@@ -121,26 +124,32 @@
         self.blocks = blocks
 
     def block(self, number: int) -> memoryview:
-        """The counters of one block, to be added to."""
+        """A writable view of one block, indexed by `Counter`."""
         first = number * len(Counter)
         return self._values[first : first + len(Counter)]
 
     def read(self) -> list[Traffic]:
-        """All blocks as they are now."""
+        """The present values of all blocks."""
         names = [counter.name.lower() for counter in Counter]
         blocks = (self.block(number) for number in range(self.blocks))
         return [Traffic(**dict(zip(names, block, strict=True))) for block in blocks]
 
 
 class DatagramShaper:
-    """How datagrams of one region travel.  Draws from its own seed."""
+    """Decides loss and delay of each datagram sent from one region.
+
+    `seed` seeds its own random generator.
+    """
 
     def __init__(self, links: LinkTable, region: int, seed: str) -> None:
         self._links, self._region = links, region
         self._random = random.Random(f"datagrams/{seed}")
 
     def delay(self, host: str) -> float | None:
-        """Seconds until a datagram arrives at `host`; None when it is lost."""
+        """Seconds until a datagram arrives at `host`, or None if it is lost.
+
+        0.0 for an address that belongs to no region of the run.
+        """
         target = region_of_host(host)
         if not 0 <= target < self._links.regions:
             return 0.0
@@ -151,9 +160,9 @@
 
 
 class CountedSocket(socket.socket):
-    """A socket with counters.  Datagrams are dropped and delayed as its shape says.
+    """A socket that counts its traffic, and drops and delays datagrams as its shaper decides.
 
-    Streams are shaped by relays between the processes, not here.
+    TCP connections are not delayed here but by the relay processes (`relay.py`).
     """
 
     counters: memoryview
@@ -167,9 +176,10 @@
         shaper: DatagramShaper | None = None,
         counted_ports: Container[int] | None = None,
     ) -> Callable[[int, int], socket.socket]:
-        """The function that `SocketNetwork` makes its sockets with.
+        """A function of (family, type) that creates sockets for `SocketNetwork`.
 
-        `counted_ports`: connections to other ports are not counted; None counts all.
+        Outgoing connections to a port that is not in `counted_ports` are not counted; None counts
+        all.
         """
 
         def make(family: int, socket_type: int) -> socket.socket:
@@ -180,14 +190,14 @@
 
         return make
 
-    is_counted = True  # whether this connection is control traffic
+    is_counted = True  # False for a connection to a port that is not in `counted_ports`
 
     def _add(self, counter: Counter, amount: int, messages: Counter) -> None:
         if self.is_counted and amount > 0:
             self.counters[counter] += amount
             self.counters[messages] += 1
 
-    # --- streams ---
+    # --- TCP ---
     def accept(self) -> tuple[Self, Any]:
         descriptor, address = self._accept()  # type: ignore[attr-defined]
         sock = type(self)(self.family, self.type, self.proto, fileno=descriptor)
@@ -218,7 +228,7 @@
         self._add(Counter.TCP_BYTES_IN, count, Counter.TCP_IN)
         return count
 
-    # --- datagrams ---
+    # --- UDP ---
     def sendto(self, data: Any, *address: Any) -> int:
         self._add(Counter.UDP_BYTES_OUT, len(data), Counter.UDP_OUT)
         delay = 0.0 if self.shaper is None else self.shaper.delay(address[-1][0])
@@ -230,7 +240,7 @@
         return len(data)
 
     def _send_delayed(self, data: bytes, address: tuple[Any, ...]) -> None:
-        with contextlib.suppress(OSError):  # closed meanwhile, or nobody is there any more
+        with contextlib.suppress(OSError):  # this socket or the receiver's was closed meanwhile
             super().sendto(data, *address)
 
     def recvfrom(self, bufsize: int, flags: int = 0) -> tuple[bytes, Any]:
--- a/tests/limebridge/scale/test_scale_run.py
+++ b/tests/limebridge/scale/test_scale_run.py
@@ -221,8 +221,8 @@
         ("--purges 0", "--purges"),
         ("--controls 40", "--controls"),
         ("--controls 2 --kill-control", "--kill-control"),
-        ("--real 298", "300 are the most"),
-        ("--hosts 400 --proxies 400", "300 are the most"),
+        ("--real 298", "at most 300 are allowed"),
+        ("--hosts 400 --proxies 400", "at most 300 are allowed"),
     ],
 )
 def test_senseless_or_too_large_runs_are_refused(
