--- a/limebridge/scale/small_run.py
+++ b/limebridge/scale/small_run.py
@@ -16,8 +16,8 @@
 def run_small(proxies: int, purges_per_s: float) -> RunReport:
     """Run one control machine with `proxies` hollow proxies of one region, without gossip.
 
-    Raises MeasurementError if a purge was reported in force before all proxies had applied it,
-    PlanError if this machine is too small, ProcessError if a process fails.
+    Raises MeasurementError if a purge was reported in force too early or was never applied by a
+    proxy, PlanError if this machine is too small, ProcessError if a process fails.
     """
     plan = RunPlan(
         proxies=proxies,
@@ -36,7 +36,9 @@
     report = asyncio.run(ScaleRun(plan, lambda what, share: None).run())
     in_force = report.in_force
     if in_force is not None and (in_force.early or in_force.never_applied):
-        raise MeasurementError("a purge was reported in force before all proxies had applied it")
+        raise MeasurementError(
+            "a purge was reported in force too early, or a proxy never applied it"
+        )
     return report
 
 
