--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -85,11 +85,11 @@
 
     @staticmethod
     async def _way_cut(way: Any) -> None:
-        from limebridge.faults.relay import Path as Way
+        from limebridge.faults.relay import Impairment
 
-        way.set(Way(cut=True), Way(cut=True))
+        way.impair(Impairment(cut=True), Impairment(cut=True))
         await asyncio.sleep(4.0 * TERM)
-        way.set()
+        way.impair()
 
     def _name(self, nonce: str) -> str:
         """Whose life it is: as the log of the work says."""
@@ -121,7 +121,7 @@
                         "middle": round(found[len(found) // 2], 3),
                         "most": round(found[-1], 3),
                         "bound": round(bound(kind, store), 3),
-                        "broken": outcome.broken,
+                        "broken": outcome.violations,
                     }
                 ),
                 flush=True,
@@ -161,7 +161,7 @@
                 "of_them_for_effects": round(3.0 * rig.effects_put / rig.rest[1], 1),
                 "restart_calls": rig.restart[0],
                 "restart_s": round(rig.restart[1], 1),
-                "broken": outcome.broken,
+                "broken": outcome.violations,
             }
         )
     )
@@ -314,14 +314,14 @@
     """Effects a second before, and while a fifth of the daemons is cut off from all."""
 
     async def schedule(self) -> None:
-        from limebridge.faults.relay import Path as Way
+        from limebridge.faults.relay import Impairment
 
         await asyncio.sleep(2.0)
         before = len(self.effects.applied)
         await asyncio.sleep(5.0)
         self.well = (len(self.effects.applied) - before) / 5.0
         for way in self.daemons[0].ways:
-            way.set(Way(cut=True), Way(cut=True))
+            way.impair(Impairment(cut=True), Impairment(cut=True))
         before = len(self.effects.applied)
         await asyncio.sleep(8.0)
         self.cut = (len(self.effects.applied) - before) / 8.0
@@ -339,7 +339,7 @@
                     "effects_a_s": round(rig.well, 1),
                     "with_a_fifth_cut_off": round(rig.cut, 1),
                     "share": round(rig.cut / rig.well, 3),
-                    "broken": outcome.broken,
+                    "broken": outcome.violations,
                 }
             ),
             flush=True,
@@ -357,8 +357,8 @@
                 "steps": found.steps,
                 "depth": found.depth,
                 "whole": found.complete,
-                "healed": found.healed,
-                "stories": found.stories,
+                "healed": found.liveness_checks,
+                "stories": found.traces,
                 "s": round(time.perf_counter() - began),
             }
         )
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -56,7 +56,7 @@
         "daemons": daemons,
         "spent": round(outcome.again, 3),
         "fixed_parts": round(1.0 / daemons, 3),
-        "broken": outcome.broken,
+        "broken": outcome.violations,
     }
 
 
@@ -70,7 +70,7 @@
         "before": round(judge.share(plan, seen, at - 2.0, at), 3),
         "split": round(judge.share(plan, seen, at + 1.0, at + 6.0), 3),
         "five_seconds_after": round(judge.share(plan, seen, at + 6.0, at + 11.0), 3),
-        "broken": outcome.broken,
+        "broken": outcome.violations,
     }
 
 
@@ -341,15 +341,15 @@
 
 def whole(states: int, names: int) -> dict[str, Any]:
     began = time.monotonic()
-    found = check(World(Bounds(names=names)), states)
+    found = check(World(Bounds(processes=names)), states)
     return {
         "names": names,
         "states": found.states,
         "steps": found.steps,
         "depth": found.depth,
         "all": found.complete,
-        "healed": found.healed,
-        "broken": found.stories,
+        "healed": found.liveness_checks,
+        "broken": found.traces,
         "seconds": round(time.monotonic() - began),
     }
 
--- a/limebridge/faults/budgets.py
+++ b/limebridge/faults/budgets.py
@@ -31,15 +31,15 @@
 class Bounds:
     """How often each thing happens in one story."""
 
-    names: int = 2
-    times: int = 4
-    asks: int = 3
-    backs: int = 2
+    processes: int = 2
+    time_steps: int = 4
+    requests: int = 3
+    returns: int = 2
     copies: int = 2  # messages that come once more
     crashes: int = 1
 
 
-KINDS = tuple(bound.name for bound in fields(Bounds) if bound.name != "names")
+KINDS = tuple(bound.name for bound in fields(Bounds) if bound.name != "processes")
 
 
 # What a message is; "lend" answers "ask", also with nothing.  Not an enum: its members hash in
@@ -70,16 +70,16 @@
     incarnations: list[int] = field(default_factory=list)  # the number of each name's
     net: tuple[Message, ...] = ()
     left: dict[str, int] = field(default_factory=dict)
-    broken: str = ""
+    violated_rule: str = ""
 
     def __post_init__(self) -> None:
         if not self.left:
             self.left = {name: getattr(self.bounds, name) for name in KINDS}
             self.loans = [
                 Loans(HOME, TERMS, self.clock(place) - TERMS.loan_s)
-                for place in range(self.bounds.names)
+                for place in range(self.bounds.processes)
             ]
-            self.incarnations = [0] * self.bounds.names
+            self.incarnations = [0] * self.bounds.processes
 
     def clock(self, place: int) -> float:
         return 100.0 + self.now * RATES[place]
@@ -96,8 +96,8 @@
 
     # --- what may happen ---
     def events(self) -> Iterator[tuple[Any, ...]]:
-        left, places = self.left, range(self.bounds.names)
-        if left["times"]:
+        left, places = self.left, range(self.bounds.processes)
+        if left["time_steps"]:
             yield ("time",)
         for message in self.net:
             yield ("hear", message)
@@ -107,12 +107,12 @@
             for other in places:
                 if other == place:
                     continue
-                if left["asks"] and not self.loans[place].awaits_answer(f"p{other}"):
+                if left["requests"] and not self.loans[place].awaits_answer(f"p{other}"):
                     for amount in AMOUNTS:
                         yield ("ask", place, other, amount)
-                if left["asks"] and self.loans[place].awaits_answer(f"p{other}"):
+                if left["requests"] and self.loans[place].awaits_answer(f"p{other}"):
                     yield ("give up", place, other)
-                if left["backs"] and (
+                if left["returns"] and (
                     f"p{other}" in self.loans[place].lenders()
                     or self.loans[place].awaits_answer(f"p{other}")
                 ):
@@ -121,15 +121,15 @@
     def step(self, what: str, *args: Any) -> None:
         getattr(self, "_" + what.replace(" ", "_"))(*args)
         spent = sum(loans.authority(self.clock(place)) for place, loans in enumerate(self.loans))
-        if spent > HOME * self.bounds.names:
-            self.broken = "the sum"
+        if spent > HOME * self.bounds.processes:
+            self.violated_rule = "the sum"
 
     def _time(self) -> None:
-        self.left["times"] -= 1
+        self.left["time_steps"] -= 1
         self.now += STEP
 
     def _ask(self, place: int, other: int, amount: int) -> None:
-        self.left["asks"] -= 1
+        self.left["requests"] -= 1
         number = self.loans[place].new_request(self.clock(place), f"p{other}")
         incarnation = self.name(place)
         self._send(Message("ask", incarnation, f"p{other}", number, amount, incarnation))
@@ -139,7 +139,7 @@
         self.loans[place].drop_overdue(self.clock(place), 0.0)
 
     def _back(self, place: int, other: int) -> None:
-        self.left["backs"] -= 1
+        self.left["returns"] -= 1
         number = self.loans[place].give_back(f"p{other}")
         incarnation = self.name(place)
         self._send(Message("back", incarnation, f"p{other}", number, 0, incarnation))
@@ -184,11 +184,11 @@
         now, loans = self.clock(place), self.loans[place]
         lender = message.sender.partition("/")[0]
         granted = loans.accept_grant(now, lender, message.number, message.amount)
-        if granted or not message.amount or not self.left["backs"]:
+        if granted or not message.amount or not self.left["returns"]:
             return
         number = loans.number_to_refuse(lender, message.number)
         if number:
-            self.left["backs"] -= 1
+            self.left["returns"] -= 1
             borrower = message.borrower
             self._send(Message("back", borrower, lender, number, 0, borrower))
 
@@ -217,10 +217,10 @@
             ),
         )
 
-    def before(self, event: tuple[Any, ...]) -> World:
+    def copy_for(self, event: tuple[Any, ...]) -> World:
         return self.copy()
 
-    def heals(self) -> str:
+    def liveness_violation(self) -> str:
         """ "back" unless each process has exactly its home part, once nothing is sent any more."""
         later = self.copy()
         later.now += 4.0
--- a/limebridge/faults/command.py
+++ b/limebridge/faults/command.py
@@ -18,12 +18,12 @@
 from . import memory as virtual
 from . import plan as plans
 from .distribution.command import app as distribution
-from .exploring import explore_seeds, play_all, print_shrunk
-from .history import tell
+from .exploring import collect_outcomes, explore_seeds, print_shrunk
+from .history import format_trace
 from .interruption import interruptible
 from .model import Bounds, World
 from .options import (
-    SHOWN,
+    MAX_REPORTED,
     FirstSeed,
     Patch,
     PatchFile,
@@ -67,10 +67,10 @@
     """Play plans drawn from seeds on real processes.  Exit status 1 when something broke."""
     chosen = [plans.draw(seed, _store(store), settles) for seed in range(first, first + seeds)]
     began = time.monotonic()
-    played = play_all(explore.play_plans(chosen, jobs, patch_path(patch)), seeds, as_json)
+    played = collect_outcomes(explore.play_plans(chosen, jobs, patch_path(patch)), seeds, as_json)
     seconds = time.monotonic() - began
-    broken = sorted((each for each in played if each.broken), key=lambda each: each.plan.seed)
-    for outcome in broken[:SHOWN]:
+    broken = sorted((each for each in played if each.violations), key=lambda each: each.plan.seed)
+    for outcome in broken[:MAX_REPORTED]:
         _report_shrunk(outcome, store, keep, patch_path(patch))
     summary = summary_of_run(played, broken, seconds)
     if as_json:
@@ -109,7 +109,7 @@
         path = keep / f"faults-{seed}.toml"
         path.write_text(plans.dump(small.plan))
         line = f"limebridge faults replay {path}"
-    typer.echo(f"{line}\n{small.story}", err=True)
+    typer.echo(f"{line}\n{small.trace}", err=True)
 
 
 @app.command()
@@ -141,9 +141,9 @@
     if in_memory:
         raise typer.Exit(_replay_in_memory(plan, tries, patch))
     outcome = play(plan, patch_path(patch))
-    print(tell(outcome.history, outcome.broken))
-    print(f"{outcome.effects} effects, {outcome.seconds:.1f} s, {len(outcome.broken)} broken")
-    raise typer.Exit(1 if outcome.broken else 0)
+    print(format_trace(outcome.history, outcome.violations))
+    print(f"{outcome.effects} effects, {outcome.seconds:.1f} s, {len(outcome.violations)} broken")
+    raise typer.Exit(1 if outcome.violations else 0)
 
 
 def _replay_in_memory(plan: plans.Plan, tries: int, patch: Path | None) -> int:
@@ -152,10 +152,10 @@
         Patch(patch_path(patch))()
     for seed in range(plan.seed, plan.seed + tries):
         outcome = virtual.play(msgspec.structs.replace(plan, seed=seed, settles=False), tells=True)
-        if outcome.broken:
+        if outcome.violations:
             break
-    print(f"seed {outcome.plan.seed}\n{outcome.story}")
-    return 1 if outcome.broken else 0
+    print(f"seed {outcome.plan.seed}\n{outcome.trace}")
+    return 1 if outcome.violations else 0
 
 
 @app.command("list")
@@ -200,6 +200,6 @@
     explore_seeds(virtual.explore(first, seeds, jobs, 0, prepare), seeds, as_json, totals.add)
     if prepare is not None:
         prepare()
-    print_shrunk(totals.broken, virtual.shrink, plans.dump)
+    print_shrunk(totals.failed, virtual.shrink, plans.dump)
     print_summary(totals.summary(first, time.monotonic() - began), as_json)
-    return 1 if totals.broken else 0
+    return 1 if totals.failed else 0
--- a/limebridge/faults/distribution/command.py
+++ b/limebridge/faults/distribution/command.py
@@ -17,7 +17,7 @@
 from limebridge.experiments.builds import NoBuild
 from limebridge.faults.interruption import interruptible
 from limebridge.faults.options import (
-    SHOWN,
+    MAX_REPORTED,
     FirstSeed,
     Jobs,
     Json,
@@ -26,11 +26,11 @@
     PlanCount,
     SeedCount,
     patch_path,
-    planted,
     print_summary,
     seed_progress,
+    worker_patch,
 )
-from limebridge.faults.pool import play_each
+from limebridge.faults.pool import run_each
 from limebridge.faults.state_space import check
 from violetroute.config import ConfigError
 
@@ -112,7 +112,7 @@
 ) -> None:
     """Play plans in the simulated world, exact from their seeds.  Status 1 if something broke."""
     began, told = time.monotonic(), Explored(first)
-    prepare = planted(patch)
+    prepare = worker_patch(patch)
     bad: list[exploration.Outcome] = []
     healed: list[float] = []
     digest = blake2b(digest_size=8)
@@ -125,18 +125,18 @@
                 told.snapshots += each.voided
                 healed.append(each.healed_after_s)
                 digest.update(each.digest.encode())
-                bad += [each] if each.broken else []
+                bad += [each] if each.violations else []
             progress.update(told.seeds, len(bad))
     if prepare is not None:
         prepare()
-    for each in bad[:SHOWN]:
+    for each in bad[:MAX_REPORTED]:
         small = exploration.shrink(each)
         typer.echo(
-            f"seed {each.plan.seed}, made small:\n{plans.dump(small.plan)}{small.story}", err=True
+            f"seed {each.plan.seed}, made small:\n{plans.dump(small.plan)}{small.trace}", err=True
         )
     told.seconds, told.digest = round(time.monotonic() - began, 1), digest.hexdigest()
     told.healed_after_s = _percentiles(healed)
-    told.broken = [(each.plan.seed, *each.broken[0]) for each in bad[:LISTED]]
+    told.broken = [(each.plan.seed, *each.violations[0]) for each in bad[:LISTED]]
     told.broken_count = len(bad)
     _say(told, as_json)
     raise typer.Exit(1 if bad else 0)
@@ -162,7 +162,7 @@
         _builds(older, rolling) as builds,
         seed_progress("playing", seeds, as_json) as progress,
     ):
-        for each in play_each(functools.partial(rig.play, builds=builds), chosen, jobs):
+        for each in run_each(functools.partial(rig.play, builds=builds), chosen, jobs):
             told.plans += 1
             told.committed += each.committed
             told.applied += each.applied
@@ -170,13 +170,13 @@
             told.leaders_replaced += each.leaders_replaced
             seconds.append(each.seconds)
             healed.append(each.healed_after_s)
-            bad += [each] if each.broken else []
+            bad += [each] if each.violations else []
             progress.update(told.plans, len(bad))
-    for each in bad[:SHOWN]:
-        typer.echo(f"real seed {each.plan.seed}:\n{plans.dump(each.plan)}{each.story}", err=True)
+    for each in bad[:MAX_REPORTED]:
+        typer.echo(f"real seed {each.plan.seed}:\n{plans.dump(each.plan)}{each.trace}", err=True)
     told.seconds = round(time.monotonic() - began, 1)
     told.seconds_a_plan, told.healed_after_s = _percentiles(seconds), _percentiles(healed)
-    told.broken = sorted((each.plan.seed, *each.broken[0]) for each in bad[:LISTED])
+    told.broken = sorted((each.plan.seed, *each.violations[0]) for each in bad[:LISTED])
     told.broken_count = len(bad)
     _say(told, as_json)
     raise typer.Exit(1 if bad else 0)
@@ -210,12 +210,12 @@
     if real:
         with _builds(older, rolling) as builds:
             played = rig.play(plan, builds=builds)
-        print(played.story)
-        raise typer.Exit(1 if played.broken else 0)
+        print(played.trace)
+        raise typer.Exit(1 if played.violations else 0)
     outcome = exploration.play(plan, tells=True)
-    print(outcome.story)
-    print(f"digest {outcome.digest}, {len(outcome.broken)} broken")
-    raise typer.Exit(1 if outcome.broken else 0)
+    print(outcome.trace)
+    print(f"digest {outcome.digest}, {len(outcome.violations)} broken")
+    raise typer.Exit(1 if outcome.violations else 0)
 
 
 @app.command()
@@ -229,19 +229,19 @@
 ) -> None:
     """Walk at random through the orders of events.  Status 1 if something broke."""
     began, told = time.monotonic(), Walked(first)
-    prepare = planted(patch)
+    prepare = worker_patch(patch)
     bad: list[walks.Walk] = []
     with seed_progress("walking", seeds, as_json) as progress:
         for found in walks.explore(first, seeds, jobs, prepare):
             told.walks += len(found)
-            told.events += sum(len(each.story) for each in found)
+            told.events += sum(len(each.trace) for each in found)
             bad += [each for each in found if each.wrong]
             progress.update(told.walks, len(bad))
     if prepare is not None:
         prepare()
-    for each in bad[:SHOWN]:
+    for each in bad[:MAX_REPORTED]:
         small = walks.shrink(each)
-        story = "\n".join(small.story)
+        story = "\n".join(small.trace)
         typer.echo(f"seed {each.seed}, made small:\n{story}\nBROKEN {small.wrong}", err=True)
     told.seconds = round(time.monotonic() - began, 1)
     told.broken = [(each.seed, each.rule, each.wrong[:200]) for each in bad[:LISTED]]
@@ -270,7 +270,7 @@
     if patch is not None:
         Patch(patch_path(patch))()
     bounds = Bounds(times, publications, leaders, losses, copies, crashes, torn, disks, polls)
-    found = check(World(bounds), states, heal_every=HEAL_EVERY)
+    found = check(World(bounds), states, liveness_every=HEAL_EVERY)
     raise typer.Exit(found.report(time.monotonic() - began))
 
 
--- a/limebridge/faults/distribution/explore.py
+++ b/limebridge/faults/distribution/explore.py
@@ -11,7 +11,7 @@
 from limebridge.faults.violation import Violation
 
 from .judge import Rule, story
-from .plan import Plan, draw, without
+from .plan import Plan, draw, without_fault
 from .simulation import EndlessRun
 from .world import World
 
@@ -21,13 +21,13 @@
     """What is kept of a run."""
 
     plan: Plan
-    broken: tuple[Violation, ...]
+    violations: tuple[Violation, ...]
     committed: int  # publications that were answered COMMITTED
     applied: int  # batches, by all proxies
     voided: int  # snapshots that proxies started from
     healed_after_s: float
     digest: str
-    story: str = ""
+    trace: str = ""
 
 
 def play(plan: Plan, tells: bool = False) -> Outcome:
@@ -72,4 +72,4 @@
 
 def shrink(found: Outcome) -> Outcome:
     """The fewest faults with which the same property breaks, and its story."""
-    return play(many.shrink(found, play, without).plan, tells=True)
+    return play(many.shrink(found, play, without_fault).plan, tells=True)
--- a/limebridge/faults/distribution/links.py
+++ b/limebridge/faults/distribution/links.py
@@ -5,8 +5,7 @@
 from collections import Counter
 from collections.abc import Iterable, Sequence
 
-from limebridge.faults.relay import Path as Way
-from limebridge.faults.relay import Relay
+from limebridge.faults.relay import Impairment, Relay
 
 from .network import Link
 
@@ -49,7 +48,7 @@
 
     def _apply(self) -> None:
         for (asker, machine), relay in self._relays.items():
-            there = Way(cut=self._cut[asker, machine] > 0)
-            back = Way(cut=self._cut[machine, asker] > 0)
-            if (there.cut, back.cut) != (relay.there.cut, relay.back.cut):
-                relay.set(there, back)
+            there = Impairment(cut=self._cut[asker, machine] > 0)
+            back = Impairment(cut=self._cut[machine, asker] > 0)
+            if (there.cut, back.cut) != (relay.forward.cut, relay.backward.cut):
+                relay.impair(there, back)
--- a/limebridge/faults/distribution/plan.py
+++ b/limebridge/faults/distribution/plan.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from limebridge.faults.plan import Seconds, draw_faults, dump, read_as, without
+from limebridge.faults.plan import Seconds, draw_faults, dump, read_as, without_fault
 
-__all__ = ["Fault", "Kind", "Plan", "draw", "dump", "read", "without"]
+__all__ = ["Fault", "Kind", "Plan", "draw", "dump", "read", "without_fault"]
 
 MACHINES_AT_MOST = 5
 PROXIES_AT_MOST = 12
@@ -188,7 +188,7 @@
         until=seconds,
         kinds=theme.kinds,
         targets=PROXIES_AT_MOST,
-        lasts=theme.lasts,
+        durations=theme.lasts,
     )
     return Plan(
         seed,
--- a/limebridge/faults/distribution/real_plan.py
+++ b/limebridge/faults/distribution/real_plan.py
@@ -43,7 +43,7 @@
         until=seconds,
         kinds=KINDS,
         targets=WHO_AT_MOST,
-        lasts=(0.3, 1.0, 2.5),
+        durations=(0.3, 1.0, 2.5),
     )
     return Plan(
         seed,
--- a/limebridge/faults/distribution/rig.py
+++ b/limebridge/faults/distribution/rig.py
@@ -20,7 +20,7 @@
 from limebridge.child import DaemonStartError
 from limebridge.control.control_client import Machines, NoAnswerError, send_request
 from limebridge.control.process import ControlMachines, UnreadyError
-from limebridge.faults.interruption import finish, run
+from limebridge.faults.interruption import run, run_cleanup
 from limebridge.faults.violation import Violation
 from limebridge.ports import free_ports
 from violetroute.distribution.messages import StatusReply, StatusRequest
@@ -67,7 +67,7 @@
     """What came of a plan."""
 
     plan: Plan
-    broken: list[Violation]
+    violations: list[Violation]
     committed: int
     applied: int
     healed_after_s: float
@@ -77,9 +77,9 @@
     notes: list[tuple[float, str]] = field(default_factory=list)
 
     @property
-    def story(self) -> str:
+    def trace(self) -> str:
         """What happened, and what was broken."""
-        return story(self.notes, self.broken)
+        return story(self.notes, self.violations)
 
 
 class Rig:
@@ -134,7 +134,7 @@
             self.judge.complain(Rule.CRASH, f"a process did not start: {error}")
         finally:
             self._ended = True
-            await finish(self._close([*tasks, *self.faults.tasks]))
+            await run_cleanup(self._close([*tasks, *self.faults.tasks]))
         judge, rollout = self.judge, self.rollout
         return RealOutcome(
             self.plan,
--- a/limebridge/faults/distribution/state_space.py
+++ b/limebridge/faults/distribution/state_space.py
@@ -65,7 +65,7 @@
     published: int = 0
     committed: dict[int, bytes] = field(default_factory=dict)
     told: dict[int, float] = field(default_factory=dict)  # by fence, the youngest `as_of` so far
-    broken: str = ""
+    violated_rule: str = ""
 
     def __post_init__(self) -> None:
         if self.left:
@@ -113,12 +113,12 @@
         try:
             getattr(self, "_" + what.replace(" ", "_"))(*args)
         except Exception as error:  # no event may end a process
-            self.broken = f"{Rule.CRASH}: {type(error).__name__}: {error}"
+            self.violated_rule = f"{Rule.CRASH}: {type(error).__name__}: {error}"
             return
         self.packets = tuple(sorted(self.packets, key=repr))
-        self.broken = self._look()
+        self.violated_rule = self._look()
 
-    def before(self, event: Event) -> World:
+    def copy_for(self, event: Event) -> World:
         """A copy; nodes that the event does not touch are shared."""
         made = World.__new__(World)
         made.__dict__.update(self.__dict__)
@@ -262,7 +262,7 @@
             if not self.packets:
                 return
             self._deliver(self.packets[0])
-            self.broken = self.broken or self._look()
+            self.violated_rule = self.violated_rule or self._look()
 
     # --- rules ---
     def _look(self) -> str:
@@ -289,9 +289,9 @@
                 return Rule.AGE.value
         return ""
 
-    def heals(self) -> str:
+    def liveness_violation(self) -> str:
         """With a new leader and nothing lost from now on, publications are committed again."""
-        made = self.before(("time",))
+        made = self.copy_for(("time",))
         try:
             return made._heals()
         except Exception as error:  # as in `step`
@@ -310,8 +310,8 @@
             if number == HEAL_STEPS // 2:
                 made._publish(names[-1])
         made._settle()
-        if made.broken:
-            return made.broken
+        if made.violated_rule:
+            return made.violated_rule
         return "" if max(made.committed, default=0) > before + 1 else Rule.PROGRESS.value
 
     # --- states ---
--- a/limebridge/faults/distribution/walk.py
+++ b/limebridge/faults/distribution/walk.py
@@ -36,7 +36,7 @@
     """A story, and what its last event or the healing after it broke: "" if nothing."""
 
     seed: int
-    story: tuple[str, ...]
+    trace: tuple[str, ...]
     wrong: str
 
     @property
@@ -50,7 +50,7 @@
         return self.wrong.partition(":")[0]
 
     @property
-    def broken(self) -> tuple[Violation, ...]:
+    def violations(self) -> tuple[Violation, ...]:
         """As of a run in the simulated world."""
         return (Violation(self.rule, self.wrong),) if self.wrong else ()
 
@@ -65,7 +65,7 @@
     rng = random.Random(f"walk/{seed}")
     world = World(bounds)
     story: list[str] = []
-    while not world.broken and len(story) < steps:
+    while not world.violated_rule and len(story) < steps:
         events = list(world.events())
         if not events:
             break
@@ -73,7 +73,7 @@
         event = rng.choices(events, weights)[0]
         story.append(label(event))
         world.step(*event)
-    return Walk(seed, tuple(story), world.broken or world.heals())
+    return Walk(seed, tuple(story), world.violated_rule or world.liveness_violation())
 
 
 def replay(story: Sequence[str], bounds: Bounds = WALK) -> str:
@@ -84,14 +84,14 @@
             if label(event) == wanted:
                 world.step(*event)
                 break
-        if world.broken:
-            return world.broken
-    return world.heals()
+        if world.violated_rule:
+            return world.violated_rule
+    return world.liveness_violation()
 
 
 def shrink(found: Walk, bounds: Bounds = WALK) -> Walk:
     """The fewest events with which the same rule breaks."""
-    story = list(found.story)
+    story = list(found.trace)
     size = max(1, len(story) // 2)
     while size:
         place = 0
--- a/limebridge/faults/explore.py
+++ b/limebridge/faults/explore.py
@@ -9,9 +9,9 @@
 from functools import partial
 
 from . import plan as plans
-from .history import History, OwnerGap, tell
+from .history import History, OwnerGap, format_trace
 from .plan import Plan
-from .pool import play_each
+from .pool import run_each
 from .runner import play
 from .violation import Violation
 
@@ -33,11 +33,11 @@
     """What is kept of an outcome."""
 
     plan: Plan
-    broken: tuple[Violation, ...]
+    violations: tuple[Violation, ...]
     seconds: float = 0.0
     effects: int = 0
     gaps: tuple[ExplainedGap, ...] = ()
-    story: str = ""  # of one that broke a rule
+    trace: str = ""  # of one that broke a rule
 
 
 def play_plan(plan: Plan, patch: str = "") -> PlayedPlan:
@@ -47,14 +47,14 @@
     except Exception as error:
         trace = "".join(traceback.format_exception(error))
         violation = Violation("rig", f"{type(error).__name__}: {error}")
-        return PlayedPlan(plan, (violation,), story=trace)
+        return PlayedPlan(plan, (violation,), trace=trace)
     return PlayedPlan(
         plan,
-        tuple(outcome.broken),
+        tuple(outcome.violations),
         outcome.seconds,
         outcome.effects,
         tuple(explain(gap, outcome.history) for gap in outcome.gaps),
-        tell(outcome.history, outcome.broken) if outcome.broken else "",
+        format_trace(outcome.history, outcome.violations) if outcome.violations else "",
     )
 
 
@@ -71,7 +71,7 @@
 def play_plans(chosen: Iterable[Plan], jobs: int = 0, patch: str = "") -> Iterator[PlayedPlan]:
     """The outcomes, each as it ends; 0 jobs: one a core."""
     workers = jobs or os.cpu_count() or 1  # starting five to eight daemons takes a core whole
-    yield from play_each(partial(play_plan, patch=patch), chosen, workers)
+    yield from run_each(partial(play_plan, patch=patch), chosen, workers)
 
 
 @dataclass
@@ -79,7 +79,7 @@
     """A plan with fewer faults that still breaks the rule."""
 
     plan: Plan
-    story: str
+    trace: str
     played: int = 0  # plans, on the way
 
 
@@ -88,16 +88,16 @@
 
     Real processes are not exact: a plan counts as sound once it has held REPLAYS times.
     """
-    rule = outcome.broken[0].rule
-    kept = Shrunk(outcome.plan, outcome.story)
+    rule = outcome.violations[0].rule
+    kept = Shrunk(outcome.plan, outcome.trace)
     place = 0
     while place < len(kept.plan.fault):
-        smaller = plans.without(kept.plan, place)
+        smaller = plans.without_fault(kept.plan, place)
         for _ in range(REPLAYS):
             kept.played += 1
             found = play_plan(smaller, patch)
-            if any(violation.rule == rule for violation in found.broken):
-                kept.plan, kept.story = smaller, found.story
+            if any(violation.rule == rule for violation in found.violations):
+                kept.plan, kept.trace = smaller, found.trace
                 break
         else:
             place += 1
--- a/limebridge/faults/exploring.py
+++ b/limebridge/faults/exploring.py
@@ -8,27 +8,27 @@
 
 import typer
 
-from .many import Found
-from .options import SHOWN, seed_progress
+from .many import RunOutcome
+from .options import MAX_REPORTED, seed_progress
 
 
-class FoundWithStory(Found, Protocol):
+class RunOutcomeWithTrace(RunOutcome, Protocol):
     """What is kept of a run that can be told."""
 
     @property
-    def story(self) -> str: ...
+    def trace(self) -> str: ...
 
 
-class FoundWithDigest(Found, Protocol):
+class RunOutcomeWithDigest(RunOutcome, Protocol):
     """What is kept of a run that is exact from its seed."""
 
     @property
     def digest(self) -> str: ...
 
 
-F = TypeVar("F", bound=Found)
-S = TypeVar("S", bound=FoundWithStory)
-D = TypeVar("D", bound=FoundWithDigest)
+F = TypeVar("F", bound=RunOutcome)
+S = TypeVar("S", bound=RunOutcomeWithTrace)
+D = TypeVar("D", bound=RunOutcomeWithDigest)
 DIGEST_BYTES = 8
 
 
@@ -37,15 +37,15 @@
 
     def __init__(self) -> None:
         self.seeds = 0
-        self.broken: list[D] = []
+        self.failed: list[D] = []
         self._digest = blake2b(digest_size=DIGEST_BYTES)
 
     def add(self, outcome: D) -> None:
         """Take the next outcome in the order of the seeds."""
         self.seeds += 1
         self._digest.update(outcome.digest.encode())
-        if outcome.broken:
-            self.broken.append(outcome)
+        if outcome.violations:
+            self.failed.append(outcome)
 
     @property
     def digest(self) -> str:
@@ -53,13 +53,13 @@
         return self._digest.hexdigest()
 
 
-def play_all(outcomes: Iterable[F], total: int, as_json: bool) -> list[F]:
+def collect_outcomes(outcomes: Iterable[F], total: int, as_json: bool) -> list[F]:
     """The outcomes of plans on real processes, in the order in which they end."""
     played: list[F] = []
     with seed_progress("playing", total, as_json) as progress:
         for outcome in outcomes:
             played.append(outcome)
-            progress.update(len(played), sum(bool(each.broken) for each in played))
+            progress.update(len(played), sum(bool(each.violations) for each in played))
     return played
 
 
@@ -72,14 +72,14 @@
         for outcomes in chunks:
             for outcome in outcomes:
                 add(outcome)
-                broken += bool(outcome.broken)
+                broken += bool(outcome.violations)
             played += len(outcomes)
             progress.update(played, broken)
 
 
 def print_shrunk(broken: Sequence[S], shrink: Callable[[S], S], dump: Callable[[Any], str]) -> None:
     """Print the first plans that broke a rule, made small, with their stories; to stderr."""
-    for found in broken[:SHOWN]:
+    for found in broken[:MAX_REPORTED]:
         small = shrink(found)
         seed = found.plan.seed
-        typer.echo(f"seed {seed}, made small:\n{dump(small.plan)}{small.story}", err=True)
+        typer.echo(f"seed {seed}, made small:\n{dump(small.plan)}{small.trace}", err=True)
--- a/limebridge/faults/history.py
+++ b/limebridge/faults/history.py
@@ -200,7 +200,7 @@
 }
 
 
-def broken(history: History) -> list[Violation]:
+def check_history(history: History) -> list[Violation]:
     """All that does not hold."""
     return [Violation(rule, text) for rule, check in PROPERTIES.items() for text in check(history)]
 
@@ -230,7 +230,7 @@
     return gaps
 
 
-def tell(history: History, found: Iterable[Violation]) -> str:
+def format_trace(history: History, found: Iterable[Violation]) -> str:
     """The story of a run: faults, what processes logged, the last effects, and what was broken."""
     rows = [
         (fault.at, f"{fault.kind} {fault.seconds:g} s {fault.target}") for fault in history.faults
--- a/limebridge/faults/interruption.py
+++ b/limebridge/faults/interruption.py
@@ -103,7 +103,7 @@
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
 
 
-def work(
+def run_in_worker(
     play: Callable[Arguments, Result], *args: Arguments.args, **kwargs: Arguments.kwargs
 ) -> Result:
     """In a process of a pool: `play`, which a signal interrupts.  Raises KeyboardInterrupt then."""
@@ -134,7 +134,7 @@
         main.close()
 
 
-async def finish(clean_up: Coroutine[Any, Any, None]) -> None:
+async def run_cleanup(clean_up: Coroutine[Any, Any, None]) -> None:
     """Await a clean-up to its end.  One that is cancelled meanwhile is cancelled afterwards."""
     task = asyncio.create_task(clean_up)
     cancelled = False
--- a/limebridge/faults/many.py
+++ b/limebridge/faults/many.py
@@ -1,4 +1,4 @@
-"""Many seeds in processes of their own, and what broke made small."""
+"""Runs many seeds in worker processes and shrinks a plan that violates a rule."""
 
 from __future__ import annotations
 
@@ -6,59 +6,68 @@
 from collections.abc import Callable, Iterator, Sequence
 from typing import Any, Protocol, TypeVar
 
-from .pool import submit, worker_pool
+from .pool import Result, submit, worker_pool
 from .violation import Violation
 
-CHUNK = 20  # seeds that a process is given at once
+MAX_CHUNK_SEEDS = 20  # seeds that one task of a worker process covers
 
 
-class Found(Protocol):
-    """What is kept of a run."""
+class RunOutcome(Protocol):
+    """The part of a run's result that every rig and simulation has."""
 
     @property
     def plan(self) -> Any: ...
     @property
-    def broken(self) -> Sequence[Violation]: ...
+    def violations(self) -> Sequence[Violation]: ...
 
 
-F = TypeVar("F", bound=Found)
+F = TypeVar("F", bound=RunOutcome)
 
 
-def chunk(
-    play: Callable[[int], F], first: int, count: int, prepare: Callable[[], None] | None
-) -> list[F]:
-    """Some seeds, in this process."""
+def run_chunk(
+    run_seed: Callable[[int], Result], first: int, count: int, prepare: Callable[[], None] | None
+) -> list[Result]:
+    """Run `count` consecutive seeds in this process, after calling `prepare`."""
     if prepare is not None:
         prepare()
-    return [play(seed) for seed in range(first, first + count)]
+    return [run_seed(seed) for seed in range(first, first + count)]
 
 
 def explore(
-    play: Callable[[int], F],
+    run_seed: Callable[[int], Result],
     first: int,
     seeds: int,
     jobs: int,
     prepare: Callable[[], None] | None = None,
-) -> Iterator[list[F]]:
-    """Outcomes by chunks, in the seeds' order; `play` and `prepare` are sent to processes."""
+) -> Iterator[list[Result]]:
+    """Yield the outcomes in chunks, in seed order.
+
+    `jobs`: worker processes, 0 for one per core.  `run_seed` and `prepare` are pickled and sent to
+    the workers; `prepare` is called there before each chunk.
+    """
     many = jobs or os.cpu_count() or 1
-    size = max(1, min(CHUNK, seeds // (4 * many) or 1))
+    size = max(1, min(MAX_CHUNK_SEEDS, seeds // (4 * many) or 1))
     with worker_pool(many) as pool:
-        waits = [
-            submit(pool, chunk, play, at, min(size, first + seeds - at), prepare)
+        futures = [
+            submit(pool, run_chunk, run_seed, at, min(size, first + seeds - at), prepare)
             for at in range(first, first + seeds, size)
         ]
-        for wait in waits:
-            yield wait.result()
+        for future in futures:
+            yield future.result()
+
 
+def shrink(found: F, run_plan: Callable[[Any], F], without: Callable[[Any, int], Any]) -> F:
+    """Remove every fault that the violation of the first rule does not need.
 
-def shrink(found: F, play: Callable[[Any], F], without: Callable[[Any, int], Any]) -> F:
-    """The fewest faults with which the same property breaks."""
-    rule, kept, place = found.broken[0].rule, found, 0
-    while place < len(kept.plan.fault):
-        smaller = play(without(kept.plan, place))
-        if any(violation.rule == rule for violation in smaller.broken):
+    `found`: an outcome with at least one violation.  `without`: the plan without the fault at an
+    index.  Each fault is left out in turn and stays out if the same rule is violated without it.
+    Returns the outcome of the smallest plan.
+    """
+    rule, kept, index = found.violations[0].rule, found, 0
+    while index < len(kept.plan.fault):
+        smaller = run_plan(without(kept.plan, index))
+        if any(violation.rule == rule for violation in smaller.violations):
             kept = smaller
         else:
-            place += 1
+            index += 1
     return kept
--- a/limebridge/faults/memory.py
+++ b/limebridge/faults/memory.py
@@ -39,7 +39,7 @@
 from . import many
 from .endpoint import endpoint_fails
 from .history import History
-from .plan import FORGETS, Fault, Plan, draw, without
+from .plan import FORGETS, Fault, Plan, draw, without_fault
 from .process import BEAT, EventHandler, Process
 from .violation import Violation
 
@@ -64,7 +64,7 @@
         self.history.effects = self.effects.applied
         self.started = 0  # incarnations, for their names
         self.beat, self.look = BEAT, 0.1
-        self.broken: list[Violation] = []
+        self.violations: list[Violation] = []
 
     async def play(self) -> None:
         plan = self.plan
@@ -87,7 +87,7 @@
             await asyncio.sleep(0.05)
         tasks[0].cancel()
         if waits:
-            self.broken.append(Violation("goes on", f"nobody does {', '.join(sorted(waits))}"))
+            self.violations.append(Violation("goes on", f"nobody does {', '.join(sorted(waits))}"))
         for process in [*self.processes, *(t for p in self.processes for t in p.twins)]:
             await process.term()
 
@@ -101,7 +101,7 @@
                 may = [p.owner for p in running if p.fleet is not None and work in p.fleet.owned()]
                 if len(may) > 1 and not self._lost and work not in told:
                     told.add(work)
-                    self.broken.append(
+                    self.violations.append(
                         Violation(
                             "alone",
                             f"{work}: {' and '.join(may)} may at "
@@ -234,7 +234,7 @@
         else:
             for log in sorted((self.folder / "log").glob("*")):
                 history.logs[log.name] = [path.read_bytes() for path in sorted(log.glob("*/0*"))]
-        self.broken += histories.broken(history)
+        self.violations += histories.check_history(history)
 
 
 @dataclass(frozen=True)
@@ -242,11 +242,11 @@
     """What is kept of a run."""
 
     plan: Plan
-    broken: tuple[Violation, ...]
+    violations: tuple[Violation, ...]
     effects: int
     gaps: tuple[float, ...]
     digest: str
-    story: str = ""
+    trace: str = ""
 
 
 def play(plan: Plan, tells: bool = False) -> Outcome:
@@ -269,10 +269,10 @@
         world.finish()
     history = world.history
     told = repr([(round(e.at, 6), e.key, e.fence) for e in history.effects])
-    story = histories.tell(history, world.broken) if tells or world.broken else ""
+    story = histories.format_trace(history, world.violations) if tells or world.violations else ""
     return Outcome(
         plan,
-        tuple(world.broken),
+        tuple(world.violations),
         len(history.effects),
         tuple(gap.seconds for gap in histories.without_owner(history)),
         blake2b(told.encode(), digest_size=8).hexdigest(),
@@ -295,4 +295,4 @@
 
 def shrink(found: Outcome) -> Outcome:
     """The fewest faults with which the same property breaks, and its story."""
-    return play(many.shrink(found, play, without).plan, tells=True)
+    return play(many.shrink(found, play, without_fault).plan, tells=True)
--- a/limebridge/faults/model.py
+++ b/limebridge/faults/model.py
@@ -46,13 +46,13 @@
     incarnations: int = 2  # processes at a time
     stops: int = 1
     kills: int = 1
-    lost: int = 1
-    forgets: int = 1
-    times: int = 7
+    lost_calls: int = 1
+    store_losses: int = 1
+    time_steps: int = 7
     effects: int = 4
-    slow: int = 1  # calls with something between what the store does and its answer
-    stale: int = 1  # looks with something between reading and hearing
-    halves: int = 2  # effects with something between their check and their record
+    delayed_calls: int = 1  # calls with something between what the store does and its answer
+    delayed_reads: int = 1  # looks with something between reading and hearing
+    split_effects: int = 2  # effects with something between their check and their record
 
 
 BOUNDED = tuple(bound.name for bound in fields(Bounds) if bound.name != "incarnations")
@@ -70,7 +70,7 @@
     began: int = 0  # incarnations so far, for their nonces
     left: dict[str, int] = field(default_factory=dict)
     forgot: bool = False
-    broken: str = ""
+    violated_rule: str = ""
 
     def __post_init__(self) -> None:
         if not self.left:
@@ -90,15 +90,15 @@
     # --- what may happen ---
     def events(self) -> Iterator[tuple[str, int]]:
         left = self.left
-        if left["times"]:
+        if left["time_steps"]:
             yield "time", -1
-        if left["forgets"] and self.lease is not None:
+        if left["store_losses"] and self.lease is not None:
             yield "forget", -1
         for place, incarnation in enumerate(self.incarnations):
             if (
                 incarnation.call is not None
                 and incarnation.answer is None
-                and (left["slow"] or incarnation.stopped)
+                and (left["delayed_calls"] or incarnation.stopped)
             ):
                 yield "do", place
             if left["kills"]:
@@ -115,19 +115,19 @@
             yield "answer", place
         elif incarnation.call is not None:
             yield "call", place
-        if incarnation.call is not None and left["lost"]:
+        if incarnation.call is not None and left["lost_calls"]:
             yield "lose", place
         if incarnation.reading is not None:
             yield "hear", place
         else:
             yield "look", place
-            if left["stale"]:
+            if left["delayed_reads"]:
                 yield "read", place
         if incarnation.put is not None:
             yield "put", place
         elif left["effects"] and self._may(place):
             yield "effect", place
-            if left["halves"]:
+            if left["split_effects"]:
                 yield "begin", place
         if left["stops"] and (incarnation.put is not None or incarnation.owner.state == "owner"):
             yield "stop", place
@@ -137,13 +137,13 @@
 
     def step(self, what: str, place: int) -> None:
         if what == "time":
-            self.left["times"] -= 1
+            self.left["time_steps"] -= 1
             self.now += STEP
             for each in range(len(self.incarnations)):
                 if not self.incarnations[each].stopped:
                     self._acts(each, self.incarnations[each].owner.tick(self.clock(each)))
         elif what == "forget":
-            self.left["forgets"] -= 1
+            self.left["store_losses"] -= 1
             self.lease, self.forgot = None, True
         else:
             getattr(self, f"_{what}")(place, self.incarnations[place])
@@ -163,7 +163,7 @@
             self._put(place, incarnation)
 
     def _read(self, place: int, incarnation: Incarnation, cost: int = 1) -> None:
-        self.left["stale"] -= cost
+        self.left["delayed_reads"] -= cost
         holder = self.lease.nonce if self.lease is not None else ""
         runs = not holder or any(each.me.nonce == holder for each in self.incarnations)
         incarnation.reading = Reading(self.clock(place), self.lease, runs)
@@ -176,7 +176,7 @@
 
     def _do(self, place: int, incarnation: Incarnation, cost: int = 1) -> None:
         """The store serves the call."""
-        self.left["slow"] = max(0, self.left["slow"] - cost)
+        self.left["delayed_calls"] = max(0, self.left["delayed_calls"] - cost)
         match incarnation.call:
             case Acquire(_, _, floor, over):
                 made = leases.acquired("w", self.lease, over, floor, incarnation.me, 0.0)
@@ -210,7 +210,7 @@
 
     def _lose(self, place: int, incarnation: Incarnation) -> None:
         """The call or its answer is lost."""
-        self.left["lost"] -= 1
+        self.left["lost_calls"] -= 1
         assert incarnation.call is not None
         call, incarnation.call, incarnation.answer = incarnation.call, None, None
         self._acts(place, incarnation.owner.failed(self.clock(place), call.number))
@@ -233,7 +233,7 @@
     def _begin(self, place: int, incarnation: Incarnation, cost: int = 1) -> None:
         """Begin an effect: all checks, up to the instant before its record is put."""
         self.left["effects"] -= 1
-        self.left["halves"] -= cost
+        self.left["split_effects"] -= cost
         owner, log = incarnation.owner, incarnation.log
         fence = owner.valid_fence(self.clock(place))
         if incarnation.claimed == fence:
@@ -286,14 +286,14 @@
             record = read_record(data, "w")
             assert record is not None
             if record.fence < high or (record.fence == high and record.nonce != whose):
-                self.broken = "order"
+                self.violated_rule = "order"
             if record.kind == "claim":
                 claimed = record.fence, record.nonce
             elif claimed != (record.fence, record.nonce):
-                self.broken = "late"
+                self.violated_rule = "late"
             high, whose = max((high, whose), (record.fence, record.nonce), key=lambda of: of[0])
         if not self.forgot and sum(map(self._may, range(len(self.incarnations)))) > 1:
-            self.broken = "alone"
+            self.violated_rule = "alone"
 
     def goes_on(self) -> bool:
         """Whether an entry is put within HEALS steps of time when nothing fails any more."""
@@ -316,7 +316,7 @@
                 for record in (read_record(data, "w") for data in self.log[before:])
             ):
                 return True
-            self.left["times"] = 1
+            self.left["time_steps"] = 1
             self.step("time", -1)
         return False
 
@@ -332,10 +332,10 @@
         ]
         return made
 
-    def before(self, event: tuple[Any, ...]) -> World:
+    def copy_for(self, event: tuple[Any, ...]) -> World:
         return self.copy(event[1])
 
-    def heals(self) -> str:
+    def liveness_violation(self) -> str:
         return "" if self.copy().goes_on() else "goes on"
 
     def key(self) -> Any:
--- a/limebridge/faults/options.py
+++ b/limebridge/faults/options.py
@@ -25,7 +25,7 @@
 FirstSeed = Annotated[int, typer.Option("--from", min=0, help="The first seed.")]
 PlanCount = Annotated[int, typer.Option(min=1, max=100_000, help="How many plans.")]
 SeedCount = Annotated[int, typer.Option(min=1, max=1_000_000, help="How many.")]
-SHOWN = 3  # broken plans that are made small and told
+MAX_REPORTED = 3  # broken plans that are made small and told
 
 
 class Patch:
@@ -48,7 +48,7 @@
     return str(patch.resolve())
 
 
-def planted(patch: Path | None) -> Patch | None:
+def worker_patch(patch: Path | None) -> Patch | None:
     """What a process calls before it plays a plan.  Exit status 2 when there is no such file."""
     return Patch(patch_path(patch)) if patch is not None else None
 
--- a/limebridge/faults/plan.py
+++ b/limebridge/faults/plan.py
@@ -60,7 +60,7 @@
 FOLDER: tuple[Kind, ...] = ("endpoint", "endpoint", "torn", "gone", "older")
 CONSUL: tuple[Kind, ...] = ("endpoint", "leader", "lose_answers", "forget")
 FORGETS: frozenset[Kind] = frozenset(("gone", "older", "forget"))  # what was written is lost
-AT_MOST = 24  # daemons of one machine
+MAX_DAEMONS = 24  # daemons of one machine
 
 Seconds = Annotated[float, msgspec.Meta(ge=0.0, le=600.0)]
 
@@ -70,7 +70,7 @@
 
     at: Seconds
     kind: Kind
-    who: Annotated[int, msgspec.Meta(ge=0, lt=AT_MOST)] = 0
+    who: Annotated[int, msgspec.Meta(ge=0, lt=MAX_DAEMONS)] = 0
     seconds: Seconds = 1.0
 
 
@@ -79,7 +79,7 @@
 
     seed: int = 0
     seconds: Seconds = 6.0  # with faults; what comes after is the healing
-    daemons: Annotated[int, msgspec.Meta(ge=2, le=AT_MOST)] = 5
+    daemons: Annotated[int, msgspec.Meta(ge=2, le=MAX_DAEMONS)] = 5
     store: Literal["folder", "consul"] = "folder"
     works: Annotated[int, msgspec.Meta(ge=1, le=16)] = 2  # examples, beside the settlement
     settles: bool = False  # ledgers, clients and the settlement too
@@ -131,20 +131,20 @@
     until: float,
     kinds: Sequence[DrawnKind],
     targets: int,
-    lasts: Sequence[float],
+    durations: Sequence[float],
     since: float = 0.0,
 ) -> list[DrawnFault]:
     """Faults between `since` and `until` s, in the order of their time.
 
     `targets`: how many there are to choose from.  A fault lasts half to one and a half times one of
-    `lasts`, in s.
+    `durations`, in s.
     """
     drawn = [
         (
             round(rng.uniform(since, until), 3),
             rng.choice(kinds),
             rng.randrange(targets),
-            round(rng.choice(lasts) * rng.uniform(0.5, 1.5), 3),
+            round(rng.choice(durations) * rng.uniform(0.5, 1.5), 3),
         )
         for _ in range(count)
     ]
@@ -168,6 +168,6 @@
     return tomli_w.dumps(msgspec.to_builtins(plan))
 
 
-def without(plan: Any, place: int) -> Any:
+def without_fault(plan: Any, place: int) -> Any:
     """The plan but for one fault."""
     return msgspec.structs.replace(plan, fault=plan.fault[:place] + plan.fault[place + 1 :])
--- a/limebridge/faults/pool.py
+++ b/limebridge/faults/pool.py
@@ -1,4 +1,4 @@
-"""Processes that play plans side by side, and that end with the command that started them."""
+"""Worker processes that run fault plans in parallel and end with the command that started them."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from multiprocessing import active_children, get_context
 from typing import ParamSpec, TypeVar
 
-from .interruption import prepare_worker, signals_blocked, work
+from .interruption import prepare_worker, run_in_worker, signals_blocked
 
-Played = TypeVar("Played")
+Result = TypeVar("Result")
 Planned = TypeVar("Planned")
 Arguments = ParamSpec("Arguments")
 
 
 @contextmanager
 def worker_pool(jobs: int) -> Iterator[ProcessPoolExecutor]:
-    """A pool of `jobs` processes; 0 is one a core.  What is played goes through `submit`.
+    """A pool of `jobs` worker processes, 0 for one per core.  Use `submit` to give it work.
 
-    When the block is left by an exception, what waits is not begun, and what is being played is
-    interrupted.  All processes are gone afterwards.
+    If an exception leaves the block, tasks that have not started are cancelled and running ones are
+    interrupted by SIGTERM.  In every case all workers have ended when the block is left.
     """
     others = set(active_children())
     pool = ProcessPoolExecutor(
@@ -41,20 +41,26 @@
 
 def submit(
     pool: ProcessPoolExecutor,
-    play: Callable[Arguments, Played],
+    function: Callable[Arguments, Result],
     *args: Arguments.args,
     **kwargs: Arguments.kwargs,
-) -> Future[Played]:
-    """Have it played by a process of the pool, which may be started for it."""
+) -> Future[Result]:
+    """Run a function in a worker of the pool.
+
+    Signals are blocked during the call, because it may start a worker process.
+    """
     with signals_blocked():
-        return pool.submit(partial(work, play, *args, **kwargs))
+        return pool.submit(partial(run_in_worker, function, *args, **kwargs))
 
 
-def play_each(
-    play: Callable[[Planned], Played], plans: Iterable[Planned], jobs: int
-) -> Iterator[Played]:
-    """The outcomes of all plans, each as it ends; 0 jobs: one a core."""
+def run_each(
+    run_plan: Callable[[Planned], Result], plans: Iterable[Planned], jobs: int
+) -> Iterator[Result]:
+    """Yield the outcomes of all plans in the order in which they end.
+
+    `jobs`: worker processes, 0 for one per core.
+    """
     with worker_pool(jobs) as pool:
-        waits = [submit(pool, play, plan) for plan in plans]
-        for done in as_completed(waits):
+        futures = [submit(pool, run_plan, plan) for plan in plans]
+        for done in as_completed(futures):
             yield done.result()
--- a/limebridge/faults/process.py
+++ b/limebridge/faults/process.py
@@ -24,7 +24,7 @@
 from .history import History, LeaseEvent, LoggedEvent
 from .plan import Plan
 
-START = 1.7e9  # Unix s
+START_UNIX_S = 1.7e9  # Unix s
 DRIFT = 0.05
 BEAT = 0.2  # s between two effects of a work
 
@@ -66,8 +66,8 @@
 
     def __init__(self, loop: VirtualLoop, rate: float) -> None:
         self._loop, self._rate = loop, rate
-        self.dead = False
-        self.until = 0.0  # stopped until then, by the world's clock
+        self.killed = False
+        self.stopped_until = 0.0  # stopped until then, by the world's clock
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._loop, name)
@@ -87,7 +87,7 @@
 
     def stop(self, kernel: Kernel, owner: str, seconds: float) -> None:
         """Neither its timers nor its sockets go on for so long."""
-        until = self.until = max(self.until, kernel.now + seconds)
+        until = self.stopped_until = max(self.stopped_until, kernel.now + seconds)
         kernel.paused[owner] = until
 
         def goes_on() -> None:
@@ -98,11 +98,11 @@
         kernel.at(until, goes_on)
 
     def _run(self, callback: Callable[..., Any], args: tuple[Any, ...]) -> None:
-        if self.dead:
+        if self.killed:
             return
-        if self._loop.time() < self.until:
+        if self._loop.time() < self.stopped_until:
             # A handle that was cancelled meanwhile can't say so any more: what it calls can.
-            self._loop.call_at(self.until, self._run, callback, args)
+            self._loop.call_at(self.stopped_until, self._run, callback, args)
         else:
             callback(*args)
 
@@ -220,7 +220,7 @@
         world.started += 1
         self.clock = ProcessClock(world.loop, self.rate)
         self.owner = f"{self.name}/{world.started}"
-        net = network(world.kernel, self.owner, self.clock, lambda: START + world.kernel.now)
+        net = network(world.kernel, self.owner, self.clock, lambda: START_UNIX_S + world.kernel.now)
         table = self._table()
         self.folder_store: FolderStore | None = None
 
@@ -268,7 +268,7 @@
         """Nothing of it runs any more; the kernel resets its connections and frees its lock."""
         if self.fleet is None:
             return
-        self.fleet, self.clock.dead = None, True
+        self.fleet, self.clock.killed = None, True
         kernel, loop = self.world.kernel, self.world.loop
         for sock in [sock for sock in kernel.sockets.values() if sock.owner == self.owner]:
             number = sock.fileno()
--- a/limebridge/faults/rig.py
+++ b/limebridge/faults/rig.py
@@ -29,10 +29,10 @@
 from .daemon import BEAT, Daemon
 from .endpoint import endpoint_fails
 from .history import History, OwnerGap
-from .interruption import finish
+from .interruption import run_cleanup
 from .launch import daemon_command
 from .plan import Fault, Plan
-from .relay import Path as Way
+from .relay import Impairment
 from .violation import Violation
 
 PATIENCE = 30.0  # s until a work goes on after the healing: many terms, on a busy machine
@@ -45,7 +45,7 @@
 
     plan: Plan
     history: History
-    broken: list[Violation] = field(default_factory=list)
+    violations: list[Violation] = field(default_factory=list)
     seconds: float = 0.0
     effects: int = 0
     gaps: list[OwnerGap] = field(default_factory=list)
@@ -65,7 +65,7 @@
         self.consul: Any = None
         self.consul_port = 0
         self.rng = random.Random(f"rig/{plan.seed}")
-        self.broken: list[Violation] = []
+        self.violations: list[Violation] = []
         self.faults: list[asyncio.Task[None]] = []
 
     @property
@@ -74,7 +74,7 @@
 
     def complain(self, rule: str, text: str) -> None:
         """Record a violation."""
-        self.broken.append(Violation(rule, text))
+        self.violations.append(Violation(rule, text))
 
     def ledger_table(self) -> LedgerTable:
         """[ledger] of each daemon's file."""
@@ -98,7 +98,7 @@
         except DaemonStartError as error:
             self.complain("starts", str(error))
         finally:
-            await finish(self._end_all())
+            await run_cleanup(self._end_all())
         self.read_logs()
         return self._judge(self.now - began)
 
@@ -107,11 +107,11 @@
         history = self.history
         if self.effects.conflicts:
             self.complain("once", f"{self.effects.conflicts} keys came with another body")
-        self.broken += histories.broken(history)
+        self.violations += histories.check_history(history)
         return Outcome(
             self.plan,
             history,
-            self.broken,
+            self.violations,
             seconds,
             len(history.effects),
             histories.without_owner(history),
@@ -170,23 +170,23 @@
         way = self.rng.choice(daemon.ways)
         match fault.kind:
             case "cut":
-                way.set(Way(cut=True), Way(cut=True))
+                way.impair(Impairment(cut=True), Impairment(cut=True))
             case "cut_there":
-                way.set(there=Way(cut=True))
+                way.impair(forward=Impairment(cut=True))
             case "cut_back":
-                way.set(back=Way(cut=True))
+                way.impair(backward=Impairment(cut=True))
             case "slow":
-                way.set(Way(delay=0.05, jitter=0.2), Way(delay=0.05, jitter=0.2))
+                way.impair(Impairment(delay=0.05, jitter=0.2), Impairment(delay=0.05, jitter=0.2))
             case "half":
-                way.set(back=Way(half=20))
+                way.impair(backward=Impairment(truncate_after=20))
             case "drip":
-                way.set(back=Way(drip=0.005))
+                way.impair(backward=Impairment(byte_delay=0.005))
             case "twice":
-                way.set(there=Way(twice=True))
+                way.impair(forward=Impairment(resend=True))
             case _:
-                way.reset()
+                way.reset_connections()
         await asyncio.sleep(fault.seconds)
-        way.set()
+        way.impair()
 
     # --- faults of what is shared ---
     async def _shared(self, fault: Fault) -> None:
@@ -228,7 +228,7 @@
                     path.unlink()
         for daemon in self.daemons:
             for way in daemon.ways:
-                way.set()
+                way.impair()
             daemon.signal(signal.SIGCONT)
             daemon.unlimit()
             daemon.works = self.works
--- a/limebridge/faults/sharing/command.py
+++ b/limebridge/faults/sharing/command.py
@@ -10,10 +10,10 @@
 import typer
 
 from limebridge.faults.budgets import Bounds, World
-from limebridge.faults.exploring import explore_seeds, play_all, print_shrunk
+from limebridge.faults.exploring import collect_outcomes, explore_seeds, print_shrunk
 from limebridge.faults.interruption import interruptible
 from limebridge.faults.options import (
-    SHOWN,
+    MAX_REPORTED,
     FirstSeed,
     Jobs,
     Json,
@@ -22,10 +22,10 @@
     PlanCount,
     SeedCount,
     patch_path,
-    planted,
     print_summary,
+    worker_patch,
 )
-from limebridge.faults.pool import play_each
+from limebridge.faults.pool import run_each
 from limebridge.faults.state_space import check
 from violetroute.config import ConfigError
 
@@ -49,12 +49,12 @@
     began = time.monotonic()
     chosen = [plans.draw(seed) for seed in range(first, first + seeds)]
     play = partial(many.play_plan, patch=patch_path(patch))
-    played = play_all(play_each(play, chosen, jobs), seeds, as_json)
-    broken = sorted((each for each in played if each.broken), key=lambda each: each.plan.seed)
-    for each in broken[:SHOWN]:
+    played = collect_outcomes(run_each(play, chosen, jobs), seeds, as_json)
+    broken = sorted((each for each in played if each.violations), key=lambda each: each.plan.seed)
+    for each in broken[:MAX_REPORTED]:
         typer.echo(
             f"limebridge faults sharing replay {each.plan.seed}\n"
-            f"{plans.dump(each.plan)}{each.story}",
+            f"{plans.dump(each.plan)}{each.trace}",
             err=True,
         )
     print_summary(summary_of_run(played, broken, time.monotonic() - began), as_json)
@@ -72,13 +72,13 @@
 ) -> None:
     """Play plans in memory, exact from their seeds.  Exit status 1 when something broke."""
     began, totals = time.monotonic(), SharingTotals()
-    prepare = planted(patch)
+    prepare = worker_patch(patch)
     explore_seeds(memory.explore(first, seeds, jobs, prepare), seeds, as_json, totals.add)
     if prepare is not None:
         prepare()
-    print_shrunk(totals.broken, memory.shrink, plans.dump)
+    print_shrunk(totals.failed, memory.shrink, plans.dump)
     print_summary(totals.summary(first, time.monotonic() - began), as_json)
-    raise typer.Exit(1 if totals.broken else 0)
+    raise typer.Exit(1 if totals.failed else 0)
 
 
 @app.command()
@@ -98,11 +98,11 @@
         if patch is not None:
             Patch(patch_path(patch))()
         outcome = memory.play(plan, tells=True)
-        print(outcome.story)
-        raise typer.Exit(1 if outcome.broken else 0)
+        print(outcome.trace)
+        raise typer.Exit(1 if outcome.violations else 0)
     played = rig.play(plan, patch_path(patch))
-    print(judge.tell(played.seen, played.broken))
-    raise typer.Exit(1 if played.broken else 0)
+    print(judge.tell(played.seen, played.violations))
+    raise typer.Exit(1 if played.violations else 0)
 
 
 @app.command()
@@ -113,5 +113,5 @@
 ) -> None:
     """Check budgets in every order of what may happen, on the pure core."""
     began = time.monotonic()
-    found = check(World(Bounds(names=names)), states)
+    found = check(World(Bounds(processes=names)), states)
     raise typer.Exit(found.report(time.monotonic() - began))
--- a/limebridge/faults/sharing/daemon.py
+++ b/limebridge/faults/sharing/daemon.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from limebridge.child import Child, ChildState
-from limebridge.faults.relay import Datagrams
+from limebridge.faults.relay import DatagramRelay
 from limebridge.ports import free_ports
 from limebridge.standins.configuration import configuration
 from limebridge.standins.discovery import Discovery
@@ -32,7 +32,7 @@
     folder: Path  # of the rig's files
     key: Path  # file of the key that the daemons share
     command: tuple[str, ...]  # that starts a daemon
-    relays: dict[Way, Datagrams]
+    relays: dict[Way, DatagramRelay]
     discovery: Discovery
     known: list[NodeEntry]  # the nodes that a configuration names
 
--- a/limebridge/faults/sharing/many.py
+++ b/limebridge/faults/sharing/many.py
@@ -16,12 +16,12 @@
     """What came of one plan."""
 
     plan: Plan
-    broken: list[Violation]
+    violations: list[Violation]
     again: float = 0.0  # share of the budget that is spent at the end, after healing
     spent: int = 0  # requests that were let in
     asked: int = 0
     late: float = 0.0  # s by which the rig's own steps were late, at most
-    story: str = ""  # of one that broke a rule
+    trace: str = ""  # of one that broke a rule
 
 
 def play_plan(plan: Plan, patch: str = "") -> PlayedPlan:
@@ -32,10 +32,10 @@
         return PlayedPlan(plan, [Violation("rig", f"{type(error).__name__}: {error}")])
     return PlayedPlan(
         plan,
-        outcome.broken,
+        outcome.violations,
         outcome.again,
         len(outcome.seen.spent),
         outcome.asked,
         outcome.seen.late,
-        judge.tell(outcome.seen, outcome.broken) if outcome.broken else "",
+        judge.tell(outcome.seen, outcome.violations) if outcome.violations else "",
     )
--- a/limebridge/faults/sharing/memory.py
+++ b/limebridge/faults/sharing/memory.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from limebridge.faults import many
-from limebridge.faults.process import DRIFT, START, ProcessClock
+from limebridge.faults.process import DRIFT, START_UNIX_S, ProcessClock
 from limebridge.faults.violation import Violation
 from limebridge.virtual.kernel import Kernel
 from limebridge.virtual.loop import VirtualLoop
@@ -34,7 +34,7 @@
 
 from . import judge
 from .judge import Admission, Note, Seen
-from .plan import Fault, Plan, Way, cut_ways, draw, without
+from .plan import Fault, Plan, Way, cut_ways, draw, without_fault
 
 KEYS = Keys([b"a key of a world in memory"])
 PORT = 7000  # of the first
@@ -79,7 +79,7 @@
             self.clock,  # type: ignore[arg-type]
             Turns(),
             make=world.kernel.maker(self.owner),
-            clock=lambda: START + world.kernel.now,
+            clock=lambda: START_UNIX_S + world.kernel.now,
         )
         table = SharingTable(
             listen=f"127.0.0.1:{self.port}",
@@ -102,7 +102,7 @@
         if sharing is None or owner != self.owner:
             return
         now = world.kernel.now
-        if asks and now >= self.clock.until and sharing.admits("", "lookup") is None:
+        if asks and now >= self.clock.stopped_until and sharing.admits("", "lookup") is None:
             world.seen.spent.append(Admission(now, self.owner))
         # Without memory: one that would come late is drawn anew, by the rate that is then.
         wait = world.asks.expovariate(world.rates[self.number])
@@ -111,7 +111,7 @@
     def kill(self) -> None:
         if self.sharing is None:
             return
-        self.sharing, self.clock.dead = None, True
+        self.sharing, self.clock.killed = None, True
         kernel = self.world.kernel
         for sock in [sock for sock in kernel.sockets.values() if sock.owner == self.owner]:
             self.world.loop.remove_reader(sock.fileno())
@@ -211,7 +211,11 @@
     def _floor(self, process: Process) -> None:
         """Who has been asked for more than its part for long has all of that, whoever borrows."""
         sharing, now = process.sharing, self.kernel.now
-        if sharing is None or now < process.clock.until or sharing.members.duplicate is not None:
+        if (
+            sharing is None
+            or now < process.clock.stopped_until
+            or sharing.members.duplicate is not None
+        ):
             process.needs = math.inf
             return
         loans, clock = sharing.budgets["all"].loans, process.clock.time()
@@ -289,12 +293,12 @@
     """What is kept of a run.  `again`: of the budget, spent in the last seconds."""
 
     plan: Plan
-    broken: tuple[Violation, ...]
+    violations: tuple[Violation, ...]
     spent: int
     most: int  # in a second
     again: float
     digest: str
-    story: str = ""
+    trace: str = ""
 
 
 def play(plan: Plan, tells: bool = False) -> Outcome:
@@ -334,7 +338,7 @@
 
 def shrink(found: Outcome) -> Outcome:
     """The fewest faults with which the same property breaks, and its story."""
-    return play(many.shrink(found, play, without).plan, tells=True)
+    return play(many.shrink(found, play, without_fault).plan, tells=True)
 
 
 def played(seed: int, **changes: object) -> Outcome:
--- a/limebridge/faults/sharing/plan.py
+++ b/limebridge/faults/sharing/plan.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from limebridge.faults.plan import AT_MOST, Seconds, draw_faults, dump, read_as, without
+from limebridge.faults.plan import MAX_DAEMONS, Seconds, draw_faults, dump, read_as, without_fault
 
-__all__ = ["Fault", "Kind", "Plan", "Way", "cut_ways", "draw", "dump", "read", "without"]
+__all__ = ["Fault", "Kind", "Plan", "Way", "cut_ways", "draw", "dump", "read", "without_fault"]
 
 Kind = Literal[
     # to a process
@@ -58,7 +58,7 @@
 
     at: Seconds
     kind: Kind
-    who: Annotated[int, msgspec.Meta(ge=0, lt=AT_MOST)] = 0
+    who: Annotated[int, msgspec.Meta(ge=0, lt=MAX_DAEMONS)] = 0
     seconds: Seconds = 1.0
 
 
@@ -67,7 +67,7 @@
 
     seed: int = 0
     seconds: Seconds = 6.0
-    daemons: Annotated[int, msgspec.Meta(ge=2, le=AT_MOST)] = 5
+    daemons: Annotated[int, msgspec.Meta(ge=2, le=MAX_DAEMONS)] = 5
     per_s: Annotated[float, msgspec.Meta(gt=0.0, le=1e5)] = 120.0
     loan_s: Annotated[float, msgspec.Meta(ge=0.2, le=60.0)] = 1.0
     fault: list[Fault] = []
@@ -85,7 +85,7 @@
         until=seconds,
         kinds=KINDS,
         targets=daemons,
-        lasts=(0.2, 0.6, 1.2, 2.5),
+        durations=(0.2, 0.6, 1.2, 2.5),
     )
     return Plan(
         seed,
--- a/limebridge/faults/sharing/rig.py
+++ b/limebridge/faults/sharing/rig.py
@@ -18,9 +18,9 @@
 from pathlib import Path as FilePath
 
 from limebridge.child import Child, DaemonStartError
-from limebridge.faults.interruption import finish, run
+from limebridge.faults.interruption import run, run_cleanup
 from limebridge.faults.launch import daemon_command
-from limebridge.faults.relay import Datagrams, Path
+from limebridge.faults.relay import DatagramRelay, Impairment
 from limebridge.faults.violation import Violation
 from limebridge.ports import free_ports
 from limebridge.standins.discovery import Discovery
@@ -46,7 +46,7 @@
 
     plan: Plan
     seen: Seen
-    broken: list[Violation] = field(default_factory=list)
+    violations: list[Violation] = field(default_factory=list)
     again: float = 0.0
     asked: int = 0
     refused: int = 0
@@ -58,7 +58,7 @@
     def __init__(self, plan: Plan, folder: FilePath, patch: str = "") -> None:
         self.plan, self.folder = plan, folder
         self.command = daemon_command(patch)
-        self.seen, self.broken = Seen(), list[Violation]()
+        self.seen, self.violations = Seen(), list[Violation]()
         self.rates = [IDLE] * plan.daemons
         self.rates[-1] = LOADED * plan.per_s
         self.ids: Counter[bytes] = Counter()
@@ -77,7 +77,7 @@
 
     def complain(self, rule: str, text: str) -> None:
         """Record a violation."""
-        self.broken.append(Violation(rule, text))
+        self.violations.append(Violation(rule, text))
 
     def note(self, text: str) -> None:
         """Record what happens, for the story."""
@@ -101,7 +101,7 @@
             self.complain("starts", str(error))
             end = self.now
         finally:
-            await finish(self._end_all(tasks))
+            await run_cleanup(self._end_all(tasks))
         return self._judge(end)
 
     async def _open(self) -> None:
@@ -114,7 +114,7 @@
         self.clients = [Client(self, daemon) for daemon in self.daemons]
         self.spare = ports[plan.daemons :]
         self.relays = {
-            (here, there): await Datagrams(ports[there], f"{plan.seed}/{here}/{there}").start()
+            (here, there): await DatagramRelay(ports[there], f"{plan.seed}/{here}/{there}").start()
             for here in range(plan.daemons)
             for there in range(plan.daemons)
             if here != there
@@ -148,7 +148,7 @@
 
     def _judge(self, end: float) -> Outcome:
         plan, seen = self.plan, self.seen
-        self.broken += judge.broken(plan, seen, real=True)
+        self.violations += judge.broken(plan, seen, real=True)
         again = judge.share(plan, seen, end - 2.0, end)
         if again < ENOUGH:
             self.complain("goes on", f"{again:.3f} of the budget is spent in the end")
@@ -164,7 +164,7 @@
         return Outcome(
             plan,
             seen,
-            self.broken,
+            self.violations,
             again,
             sum(client.sent for client in self.clients),
             self.refused,
@@ -209,9 +209,11 @@
             case "cut" | "deaf" | "mute" | "split":
                 await self._cut(fault)
             case "loss":
-                await self._disturb(Path(drop=0.3), fault.seconds)
+                await self._disturb(Impairment(drop=0.3), fault.seconds)
             case "storm":
-                await self._disturb(Path(double=0.3, jitter=0.3, reorder=0.3), fault.seconds)
+                await self._disturb(
+                    Impairment(duplicate=0.3, jitter=0.3, reorder=0.3), fault.seconds
+                )
             case "crowd":
                 before, self.rates = self.rates, [self.plan.per_s / 2.0] * self.plan.daemons
                 await asyncio.sleep(fault.seconds)
@@ -228,17 +230,17 @@
         self.cut.subtract(ways)
         self._set_paths()
 
-    async def _disturb(self, path: Path, seconds: float) -> None:
+    async def _disturb(self, path: Impairment, seconds: float) -> None:
         """Lose, delay or copy datagrams on all ways for a while."""
         for relay in self.relays.values():
-            relay.there = relay.back = path
+            relay.forward = relay.backward = path
         await asyncio.sleep(seconds)
         self._set_paths()
 
     def _set_paths(self) -> None:
         """All ways are sound but those that are cut."""
         for way, relay in self.relays.items():
-            relay.there = relay.back = Path(cut=self.cut[way] > 0)
+            relay.forward = relay.backward = Impairment(cut=self.cut[way] > 0)
 
     async def _restart(self, daemon: Daemon, hard: bool, seconds: float) -> None:
         if daemon.busy.locked():
--- a/limebridge/faults/sharing/summary.py
+++ b/limebridge/faults/sharing/summary.py
@@ -88,6 +88,6 @@
             seconds=round(seconds, 1),
             let_in=self.admitted,
             spent_in_the_end=spread(self.shares),
-            broken=first_violations(self.broken),
+            broken=first_violations(self.failed),
             digest=self.digest,
         )
--- a/limebridge/faults/state_space.py
+++ b/limebridge/faults/state_space.py
@@ -25,17 +25,17 @@
 class World(Protocol):
     """A model.  An event is its name and the arguments of its step."""
 
-    broken: str  # the rule that the last step broke
+    violated_rule: str  # the rule that the last step broke
 
     def events(self) -> Iterable[tuple[Any, ...]]: ...
     def step(self, *event: Any) -> None: ...
-    def before(self, event: tuple[Any, ...]) -> Self:
+    def copy_for(self, event: tuple[Any, ...]) -> Self:
         """A copy on which this step can be taken."""
 
     def key(self) -> Any:
         """All that later steps depend on."""
 
-    def heals(self) -> str:
+    def liveness_violation(self) -> str:
         """The rule that is broken when no more faults come, or ""."""
 
 
@@ -51,29 +51,30 @@
     steps: int = 0
     depth: int = 0  # steps of the longest path
     complete: bool = False  # every state within the bounds was followed
-    healed: int = 0  # states from which `heals` was checked
-    stories: dict[str, list[str]] = field(default_factory=dict)  # shortest one of each broken rule
+    liveness_checks: int = 0  # states from which `liveness_violation` was checked
+    traces: dict[str, list[str]] = field(default_factory=dict)  # shortest one of each broken rule
 
     def report(self, seconds: float) -> int:
         """Print what was found within so many seconds; the exit status of the command."""
         print(
             f"{self.states} states, {self.steps} steps, depth {self.depth}, "
-            f"{'all of them' if self.complete else 'and more are left'}, {self.healed} healed, "
-            f"{seconds:.0f} s"
+            f"{'all of them' if self.complete else 'and more are left'}, "
+            f"{self.liveness_checks} healed, {seconds:.0f} s"
         )
-        for rule, story in self.stories.items():
+        for rule, story in self.traces.items():
             print(f"BROKEN {rule}: {', '.join(story)}")
-        return 1 if self.stories else 0
+        return 1 if self.traces else 0
 
 
 def check(
-    start: World, most: int = 1_000_000, heal_every: int = 64, stop_at_first: bool = False
+    start: World, max_states: int = 1_000_000, liveness_every: int = 64, stop_at_first: bool = False
 ) -> CheckResult:
     """Explore breadth first, which finds a shortest story of each broken rule.
 
-    `most`: states after which it ends.  `heal_every`: `heals` is checked from every so many states.
+    `max_states`: the search ends after this many states.  `liveness_every`: the liveness rule is
+    checked from one in this many states.
     """
-    search = _Search(start, heal_every)
+    search = _Search(start, liveness_every)
     found = search.found
     front: list[_Reached] = [(start, ())]
     while front:
@@ -81,7 +82,7 @@
         after: list[_Reached] = []
         for world, path in front:
             search.follow(world, path, after)
-            if found.states >= most or (stop_at_first and found.stories):
+            if found.states >= max_states or (stop_at_first and found.traces):
                 return found
         front = after
     found.complete = True
@@ -91,35 +92,35 @@
 class _Search:
     """The states that were seen, and what was found in them."""
 
-    def __init__(self, start: World, heal_every: int) -> None:
+    def __init__(self, start: World, liveness_every: int) -> None:
         self.found = CheckResult(states=1)
         self._seen = {hash(start.key())}
-        self._heal_every = heal_every
+        self._liveness_every = liveness_every
 
     def follow(self, world: World, path: _Path, after: list[_Reached]) -> None:
         """Play each event that may come next; states not seen before are added to `after`."""
         found, seen = self.found, self._seen
         for event in world.events():
-            made = world.before(event)
+            made = world.copy_for(event)
             made.step(*event)
             found.steps += 1
             story = (path, event)
-            if made.broken:
-                found.stories.setdefault(made.broken, _steps_of(story))
+            if made.violated_rule:
+                found.traces.setdefault(made.violated_rule, _steps_of(story))
                 continue
             mark = hash(made.key())
             if mark in seen:
                 continue
             seen.add(mark)
             after.append((made, story))
-            if len(seen) % self._heal_every == 0:
+            if len(seen) % self._liveness_every == 0:
                 self._heal(made, story)
         found.states = len(seen)
 
     def _heal(self, world: World, story: _Path) -> None:
-        self.found.healed += 1
-        if rule := world.heals():
-            self.found.stories.setdefault(rule, _steps_of(story))
+        self.found.liveness_checks += 1
+        if rule := world.liveness_violation():
+            self.found.traces.setdefault(rule, _steps_of(story))
 
 
 def _steps_of(story: _Path) -> list[str]:
--- a/limebridge/faults/summary.py
+++ b/limebridge/faults/summary.py
@@ -9,7 +9,7 @@
 
 from .explore import GAP_AT_END, PlayedPlan
 from .exploring import ExploreTotals
-from .many import Found
+from .many import RunOutcome
 from .memory import Outcome
 
 PARTS = (0.5, 0.9, 0.99, 1.0)  # of all gaps, for the quantiles
@@ -52,9 +52,9 @@
     }
 
 
-def first_violations(broken: Sequence[Found]) -> list[FirstViolation]:
+def first_violations(broken: Sequence[RunOutcome]) -> list[FirstViolation]:
     """Seed, rule and text of each plan that broke something."""
-    return [(outcome.plan.seed, *outcome.broken[0]) for outcome in broken]
+    return [(outcome.plan.seed, *outcome.violations[0]) for outcome in broken]
 
 
 def summary_of_run(
@@ -97,6 +97,6 @@
             effects=self.effects,
             changes_of_owner=len(self.gaps),
             without_owner_s=quantiles(self.gaps),
-            broken=first_violations(self.broken),
+            broken=first_violations(self.failed),
             digest=self.digest,
         )
--- a/tests/limebridge/faults/distribution/test_distribution_faults.py
+++ b/tests/limebridge/faults/distribution/test_distribution_faults.py
@@ -51,7 +51,7 @@
     if path.suffix == ".story":
         return walk.replay(path.read_text().splitlines()).partition(":")[0]
     kept = plan.read(path)
-    broken = explore.play(msgspec.structs.replace(kept, seed=kept.seed + shift)).broken
+    broken = explore.play(msgspec.structs.replace(kept, seed=kept.seed + shift)).violations
     return broken[0].rule if broken else ""
 
 
@@ -67,7 +67,7 @@
 def test_thirty_seeds_keep_every_promise() -> None:
     for seed in SEEDS:
         outcome = explore.played(seed)
-        assert outcome.broken == (), f"limebridge faults distribution replay {seed}"
+        assert outcome.violations == (), f"limebridge faults distribution replay {seed}"
         assert outcome.committed > 0 and outcome.applied > 0
 
 
@@ -80,14 +80,14 @@
 
 
 def test_a_replica_that_follows_may_leave_its_prepare_unanswered() -> None:
-    """Found by seeds and by walks: the leader ended with a KeyError."""
+    """RunOutcome by seeds and by walks: the leader ended with a KeyError."""
     assert played(PLANS / "prepare_to_a_follower.story", 0) == ""
 
 
 def test_every_order_of_two_leaders_terms_keeps_every_promise() -> None:
     none = dict.fromkeys(("times", "publications", "losses", "copies", "crashes"), 0)
-    found = check(World(Bounds(**none, torn=0, disks=0)), most=1500, heal_every=500)
-    assert found.stories == {} and found.states >= 1500
+    found = check(World(Bounds(**none, torn=0, disks=0)), max_states=1500, liveness_every=500)
+    assert found.traces == {} and found.states >= 1500
 
 
 @pytest.mark.parametrize("name", PLANTED)
@@ -184,18 +184,18 @@
 
 def test_real_processes_keep_every_promise() -> None:
     outcome = rig.play(REAL)
-    assert outcome.broken == [], outcome.story[-4000:]
+    assert outcome.violations == [], outcome.trace[-4000:]
     assert outcome.committed > 0 and outcome.applied > 0
 
 
 def test_a_real_disk_that_is_lost_is_replaced() -> None:
     lost = [Fault(0.5, "lose_disk", 1, 0.3), Fault(1.5, "cut_in", 0, 1.0)]
     outcome = rig.play(msgspec.structs.replace(REAL, seed=2, fault=lost))
-    assert outcome.broken == [], outcome.story[-4000:]
+    assert outcome.violations == [], outcome.trace[-4000:]
 
 
 def test_a_real_proxy_that_acknowledges_and_does_not_apply_is_found() -> None:
     """Leaders and its own status say that all is well: the judge compares with what it applied."""
     outcome = rig.play(msgspec.structs.replace(REAL, seed=3, fault=[]), drops_every=5)
-    assert {broken.rule for broken in outcome.broken} == {Rule.ORDER}, outcome.story[-4000:]
-    assert all(" p0 applies " in broken.text for broken in outcome.broken)
+    assert {broken.rule for broken in outcome.violations} == {Rule.ORDER}, outcome.trace[-4000:]
+    assert all(" p0 applies " in broken.text for broken in outcome.violations)
--- a/tests/limebridge/faults/distribution/test_distribution_hard_cases.py
+++ b/tests/limebridge/faults/distribution/test_distribution_hard_cases.py
@@ -169,15 +169,15 @@
 @pytest.mark.parametrize("case", CASES, ids=IDS)
 def test_the_case_keeps_every_promise(case: Case) -> None:
     outcome = explore.play(case.plan(), tells=True)
-    assert outcome.broken == (), outcome.story[-4000:]
-    assert case.happened in outcome.story
+    assert outcome.violations == (), outcome.trace[-4000:]
+    assert case.happened in outcome.trace
 
 
 @pytest.mark.parametrize("case", CASES, ids=IDS)
 def test_without_its_rule_the_case_is_found(case: Case, monkeypatch: pytest.MonkeyPatch) -> None:
     case.rule_taken_out(monkeypatch)
     outcome = explore.play(case.plan(), tells=True)
-    assert Rule.IN_FORCE in {broken.rule for broken in outcome.broken}, outcome.story[-4000:]
+    assert Rule.IN_FORCE in {broken.rule for broken in outcome.violations}, outcome.trace[-4000:]
 
 
 # --- wall clocks ---
--- a/tests/limebridge/faults/distribution/test_distribution_hard_cases_real.py
+++ b/tests/limebridge/faults/distribution/test_distribution_hard_cases_real.py
@@ -38,7 +38,7 @@
 
 def test_two_processes_of_one_name_are_two() -> None:
     outcome = rig.play(TWIN)
-    assert outcome.broken == [], outcome.story[-4000:]
+    assert outcome.violations == [], outcome.trace[-4000:]
 
 
 def test_control_machines_that_take_two_processes_of_one_name_for_one_are_found(
@@ -54,7 +54,7 @@
         },
     )
     outcome = rig.play(TWIN, builds=Builds(build, build))
-    assert Rule.IN_FORCE in {broken.rule for broken in outcome.broken}, outcome.story[-4000:]
+    assert Rule.IN_FORCE in {broken.rule for broken in outcome.violations}, outcome.trace[-4000:]
 
 
 def test_a_snapshot_with_configuration_of_before_is_found(tmp_path: Path) -> None:
@@ -66,8 +66,8 @@
     restarts = [Fault(at, "kill_proxy", 0, 0.2) for at in (1.0, 2.5)]
     plan = msgspec.structs.replace(TWIN, seconds=3.5, publications_per_s=20.0, fault=restarts)
     outcome = rig.play(plan, builds=Builds(build, build))
-    assert {broken.rule for broken in outcome.broken} == {Rule.ORDER}, outcome.story[-4000:]
-    assert all("from a snapshot at" in broken.text for broken in outcome.broken)
+    assert {broken.rule for broken in outcome.violations} == {Rule.ORDER}, outcome.trace[-4000:]
+    assert all("from a snapshot at" in broken.text for broken in outcome.violations)
 
 
 class Refusing(CountingReceiver):
--- a/tests/limebridge/faults/distribution/test_distribution_mixed_builds.py
+++ b/tests/limebridge/faults/distribution/test_distribution_mixed_builds.py
@@ -34,7 +34,7 @@
     builds = Builds(copy_of_this_build(tmp_path / "old"), next_build(tmp_path / "new"), True)
     cut = Fault(0.5, "cut", 0, 0.5)
     outcome = rig.play(msgspec.structs.replace(PLAN, fault=[cut]), builds=builds)
-    assert outcome.broken == [], outcome.story[-4000:]
+    assert outcome.violations == [], outcome.trace[-4000:]
     assert outcome.replaced == 2 * (PLAN.machines + PLAN.proxies)
     assert outcome.leaders_replaced >= 2  # at least one each way
     assert outcome.committed > 0 and outcome.applied > 0
@@ -43,7 +43,7 @@
 def test_a_disk_that_the_older_build_cannot_read_is_found(tmp_path: Path) -> None:
     builds = Builds(copy_of_this_build(tmp_path / "old"), build_with_another_disk(tmp_path), True)
     outcome = rig.play(SMALL, builds=builds)
-    (broken,) = outcome.broken
+    (broken,) = outcome.violations
     assert broken.rule == Rule.CRASH and "a frame that cannot be read" in broken.text
     assert outcome.replaced >= SMALL.machines + SMALL.proxies  # the way to the newer one was none
 
@@ -55,7 +55,7 @@
     old, new = copy_of_this_build(tmp_path / "old"), build_with_other_messages(tmp_path)
     monkeypatch.setattr(rig, "assign", split_by_role)
     outcome = rig.play(SMALL, builds=Builds(old, new))
-    assert Rule.PROGRESS in {broken.rule for broken in outcome.broken}, outcome.story[-4000:]
+    assert Rule.PROGRESS in {broken.rule for broken in outcome.violations}, outcome.trace[-4000:]
 
 
 def split_by_role(builds: Builds, stage: rig.Rig) -> None:
--- a/tests/limebridge/faults/distribution/test_distribution_walk.py
+++ b/tests/limebridge/faults/distribution/test_distribution_walk.py
@@ -24,4 +24,4 @@
     runpy.run_path(str(TESTS / "planted_distribution" / f"{STORY}.py"))["plant"]()
     found = walk.Walk(0, tuple(story), walk.replay(story))
     assert found.rule == Rule.DURABLE
-    assert walk.shrink(found).story == found.story  # nothing of it can be left out
+    assert walk.shrink(found).trace == found.trace  # nothing of it can be left out
--- a/tests/limebridge/faults/test_faults.py
+++ b/tests/limebridge/faults/test_faults.py
@@ -17,8 +17,7 @@
 from limebridge.faults import plan as plans
 from limebridge.faults.history import History
 from limebridge.faults.plan import Fault, Plan
-from limebridge.faults.relay import Datagrams, Relay
-from limebridge.faults.relay import Path as Way
+from limebridge.faults.relay import DatagramRelay, Impairment, Relay
 from limebridge.faults.runner import play
 from limebridge.standins.effects import Effect
 from tests.support import bounded, crossing
@@ -98,13 +97,13 @@
 @pytest.mark.parametrize("name", REAL)
 def test_real_daemons_keep_every_property(name: str) -> None:
     outcome = play(REAL[name])
-    assert outcome.broken == [], histories.tell(outcome.history, outcome.broken)
+    assert outcome.violations == [], histories.format_trace(outcome.history, outcome.violations)
     assert outcome.effects > 10
 
 
 def test_seeds_in_memory_are_exact_and_keep_every_property() -> None:
     first = [virtual.played(seed, 0) for seed in range(12)]
-    assert [each.broken for each in first] == [()] * 12
+    assert [each.violations for each in first] == [()] * 12
     assert sum(each.effects for each in first) > 200
     assert virtual.played(2, 0).digest == first[2].digest
 
@@ -142,19 +141,19 @@
     )
     assert told.returncode == 1 and f"BROKEN {PLANTED[plant]}" in told.stdout, told.stderr[-2000:]
     seed = int(told.stdout.split()[1])
-    assert virtual.play(msgspec.structs.replace(plans.read(plan), seed=seed)).broken == ()
+    assert virtual.play(msgspec.structs.replace(plans.read(plan), seed=seed)).violations == ()
 
 
 @pytest.mark.parametrize("plant", ["put_over", "fence_not_checked"])
 def test_a_planted_fault_is_found_by_real_daemons(plant: str) -> None:
     outcome = crossing.play(str(ROOT / "tests" / "planted_fleet" / f"{plant}.py"))
-    found = {violation.rule for violation in outcome.broken}
-    assert "none late" in found and crossing.NOT_FORCED not in found, outcome.broken
+    found = {violation.rule for violation in outcome.violations}
+    assert "none late" in found and crossing.NOT_FORCED not in found, outcome.violations
 
 
 def test_the_sound_build_is_clean_under_the_same_crossing() -> None:
     outcome = crossing.play()
-    assert outcome.broken == [], histories.tell(outcome.history, outcome.broken)
+    assert outcome.violations == [], histories.format_trace(outcome.history, outcome.violations)
     records = [decode(data, "beat-0") for data in outcome.history.logs["beat-0"]]
     owners = {each.nonce for each in records if each is not None and each.kind == "claim"}
     assert len(owners) == 2, "the owner that was stopped has been taken over from"
@@ -234,7 +233,7 @@
     ],
 )
 def test_each_property_is_seen_to_be_broken(history: History, rule: str) -> None:
-    assert rule in {violation.rule for violation in histories.broken(history)}
+    assert rule in {violation.rule for violation in histories.check_history(history)}
 
 
 # --- relays ---
@@ -251,27 +250,27 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", relay.port)
         writer.write(b"one")
         assert await reader.readexactly(3) == b"one"
-        relay.set(back=Way(cut=True))
+        relay.impair(backward=Impairment(cut=True))
         writer.write(b"two")
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.2):
                 await reader.readexactly(3)
-        relay.set()
+        relay.impair()
         assert await reader.readexactly(3) == b"two"  # held, not lost
-        relay.set(there=Way(drip=0.001), back=Way(delay=0.05))
+        relay.impair(forward=Impairment(byte_delay=0.001), backward=Impairment(delay=0.05))
         began = asyncio.get_running_loop().time()
         writer.write(b"three")
         assert await reader.readexactly(5) == b"three"
         assert asyncio.get_running_loop().time() - began >= 0.05
-        relay.set(back=Way(half=4))
+        relay.impair(backward=Impairment(truncate_after=4))
         writer.write(b"four")
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await reader.readexactly(4)
         reader, writer = await asyncio.open_connection("127.0.0.1", relay.port)
-        relay.set()
+        relay.impair()
         writer.write(b"five")
         assert await reader.readexactly(4) == b"five"
-        relay.reset()
+        relay.reset_connections()
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
             await reader.readexactly(1)
         await relay.stop()
@@ -291,7 +290,7 @@
 
         server = await asyncio.start_server(answer, "127.0.0.1", 0)
         relay = await Relay(server.sockets[0].getsockname()[1], "t").start()
-        relay.set(there=Way(twice=True))
+        relay.impair(forward=Impairment(resend=True))
         reader, writer = await asyncio.open_connection("127.0.0.1", relay.port)
         writer.write(b"one")
         assert await reader.read() == b"yes"
@@ -319,7 +318,7 @@
         loop = asyncio.get_running_loop()
         far, near = _Ear(), _Ear()
         door, _ = await loop.create_datagram_endpoint(lambda: far, local_addr=("127.0.0.1", 0))
-        relay = await Datagrams(door.get_extra_info("sockname")[1], "t").start()
+        relay = await DatagramRelay(door.get_extra_info("sockname")[1], "t").start()
         ours, _ = await loop.create_datagram_endpoint(
             lambda: near, remote_addr=("127.0.0.1", relay.port)
         )
@@ -329,15 +328,15 @@
                 while len(far.heard) < count:
                     await asyncio.sleep(0.01)
 
-        relay.there = Way(double=1.0)
+        relay.forward = Impairment(duplicate=1.0)
         ours.sendto(b"a")
         await heard(2)
-        relay.there = Way(drop=1.0)
+        relay.forward = Impairment(drop=1.0)
         ours.sendto(b"b")
         async with asyncio.timeout(5.0):
             while not relay.dropped:
                 await asyncio.sleep(0.01)
-        relay.there = Way(reorder=0.5)
+        relay.forward = Impairment(reorder=0.5)
         for number in range(40):
             ours.sendto(b"%d" % number)
         await heard(42)
--- a/tests/limebridge/faults/test_fleet_whole.py
+++ b/tests/limebridge/faults/test_fleet_whole.py
@@ -14,14 +14,24 @@
 from violetroute.fleet.election import LeaderElector, LeaseTiming
 
 # Small enough for the suite; benchmarks/fleet.py follows millions.
-SMALL = Bounds(stops=1, kills=0, lost=0, forgets=0, times=4, effects=3, slow=1, stale=0, halves=1)
+SMALL = Bounds(
+    stops=1,
+    kills=0,
+    lost_calls=0,
+    store_losses=0,
+    time_steps=4,
+    effects=3,
+    delayed_calls=1,
+    delayed_reads=0,
+    split_effects=1,
+)
 
 
 @pytest.mark.long
 def test_no_order_of_what_may_happen_breaks_a_rule() -> None:
-    found = check(World(SMALL), most=30_000)
-    assert found.stories == {}
-    assert found.states > 10_000 and found.healed > 100
+    found = check(World(SMALL), max_states=30_000)
+    assert found.traces == {}
+    assert found.states > 10_000 and found.liveness_checks > 100
 
 
 def time_from_the_answer(patch: pytest.MonkeyPatch) -> None:
@@ -106,15 +116,31 @@
         (time_from_the_answer, "alone", SMALL),
         (kept_over_a_stop, "alone", SMALL),
         (no_drift, "alone", SMALL),
-        (fence_not_checked, "order", Bounds(stops=0, kills=0, lost=0, slow=0, stale=0, halves=1)),
-        (number_alone, "order", Bounds(stops=0, kills=0, lost=0, slow=0, stale=0, halves=1)),
-        (wall_clock, "goes on", Bounds(stops=0, forgets=0, lost=0, slow=0, stale=0)),
+        (
+            fence_not_checked,
+            "order",
+            Bounds(
+                stops=0, kills=0, lost_calls=0, delayed_calls=0, delayed_reads=0, split_effects=1
+            ),
+        ),
+        (
+            number_alone,
+            "order",
+            Bounds(
+                stops=0, kills=0, lost_calls=0, delayed_calls=0, delayed_reads=0, split_effects=1
+            ),
+        ),
+        (
+            wall_clock,
+            "goes on",
+            Bounds(stops=0, store_losses=0, lost_calls=0, delayed_calls=0, delayed_reads=0),
+        ),
     ],
 )
 def test_a_planted_fault_is_found_with_its_shortest_story(
     plant: Any, rule: str, bounds: Bounds, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     plant(monkeypatch)
-    found = check(World(bounds), most=60_000, stop_at_first=True)
-    assert rule in found.stories, found
-    assert len(found.stories[rule]) <= 9
+    found = check(World(bounds), max_states=60_000, stop_at_first=True)
+    assert rule in found.traces, found
+    assert len(found.traces[rule]) <= 9
--- a/tests/limebridge/faults/test_sharing_whole.py
+++ b/tests/limebridge/faults/test_sharing_whole.py
@@ -11,13 +11,13 @@
 from violetroute.sharing.loans import BorrowedLoan, Loans, LoanTerms
 
 # Small enough for the suite; benchmarks/sharing.py follows millions.
-SMALL = Bounds(times=3, asks=2, backs=1, copies=1, crashes=1)
+SMALL = Bounds(time_steps=3, requests=2, returns=1, copies=1, crashes=1)
 
 
 def test_no_order_of_what_may_happen_spends_more_than_the_budget() -> None:
-    found = check(World(SMALL), most=30_000)
-    assert found.stories == {}
-    assert found.states > 10_000 and found.healed > 100
+    found = check(World(SMALL), max_states=30_000)
+    assert found.traces == {}
+    assert found.states > 10_000 and found.liveness_checks > 100
 
 
 def from_the_receipt(patch: pytest.MonkeyPatch) -> None:
@@ -113,9 +113,9 @@
     plant(monkeypatch)
     crashes = int(plant is whole_at_once)
     found = check(
-        World(Bounds(times=3, asks=2, backs=1, copies=1, crashes=crashes)),
-        most=120_000,
+        World(Bounds(time_steps=3, requests=2, returns=1, copies=1, crashes=crashes)),
+        max_states=120_000,
         stop_at_first=True,
     )
-    assert "the sum" in found.stories, found
-    assert len(found.stories["the sum"]) <= 9
+    assert "the sum" in found.traces, found
+    assert len(found.traces["the sum"]) <= 9
--- a/tests/support/crossing.py
+++ b/tests/support/crossing.py
@@ -39,7 +39,7 @@
     async def schedule(self) -> None:
         (self.folder / ARMED).touch()
         await self.until(self._stands_stopped, NOT_FORCED, lambda: "nobody stopped at a write")
-        if self.broken:
+        if self.violations:
             return
         await self.until(self._is_taken_over, NOT_FORCED, lambda: "no other owner wrote")
         late = self._stopped()
--- a/tests/violetroute/distribution/test_distribution_leader_contact.py
+++ b/tests/violetroute/distribution/test_distribution_leader_contact.py
@@ -126,19 +126,19 @@
     """Explores all event orders of a leader change that is followed by another one."""
     none = dict.fromkeys(("publications", "losses", "copies", "crashes", "torn", "disks"), 0)
     start = World(Bounds(**none, leaders=1, times=1))
-    return check(start, most=MAX_STATES, heal_every=HEAL_EVERY)
+    return check(start, max_states=MAX_STATES, liveness_every=HEAL_EVERY)
 
 
 def test_no_order_of_two_leader_changes_violates_a_rule() -> None:
     found = every_order()
-    assert found.stories == {} and found.healed > 100
+    assert found.traces == {} and found.liveness_checks > 100
 
 
 def test_exploration_detects_use_of_the_earliest_contact(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(machine_module, "latest_contact", lambda own, others: min((own, *others)))
-    assert set(every_order().stories) == {Rule.AGE.value}
+    assert set(every_order().traces) == {Rule.AGE.value}
 
 
 # --- in force ---
--- a/tests/violetroute/sharing/test_sharing.py
+++ b/tests/violetroute/sharing/test_sharing.py
@@ -48,7 +48,7 @@
 @pytest.mark.long
 def test_in_memory_runs_are_deterministic_and_keep_all_properties() -> None:
     first = [memory.played(seed) for seed in range(40)]
-    assert [each.broken for each in first] == [()] * 40
+    assert [each.violations for each in first] == [()] * 40
     assert memory.played(3).digest == first[3].digest
     # All load is on one proxy, which still spends the whole budget.
     assert sorted(each.again for each in first)[20] > 0.9
@@ -71,7 +71,7 @@
 
 def test_real_daemons_spend_nearly_the_whole_budget_and_no_more() -> None:
     outcome = rig.play(REAL)
-    assert outcome.broken == [], judge.tell(outcome.seen, outcome.broken)
+    assert outcome.violations == [], judge.tell(outcome.seen, outcome.violations)
     assert outcome.refused > 50
 
 
