--- a/limebridge/faults/distribution/plan.py
+++ b/limebridge/faults/distribution/plan.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from limebridge.faults.plan import Seconds, draw_faults, dump, read_as, without_fault
+from limebridge.faults.plan import Seconds, dump, generate_faults, read_as, without_fault
 
 __all__ = ["Fault", "Kind", "Plan", "draw", "dump", "read", "without_fault"]
 
@@ -180,7 +180,7 @@
     theme = rng.choice(THEMES)
     machines, proxies = rng.choice((3, 3, 5)), rng.randint(4, 8)
     seconds = rng.uniform(5.0, 10.0)
-    faults = draw_faults(
+    faults = generate_faults(
         rng,
         Fault,
         count=rng.randint(*theme.faults),
--- a/limebridge/faults/plan.py
+++ b/limebridge/faults/plan.py
@@ -123,7 +123,7 @@
 DrawnFault = TypeVar("DrawnFault")
 
 
-def draw_faults(
+def generate_faults(
     rng: random.Random,
     make: Callable[[float, DrawnKind, int, float], DrawnFault],
     *,
