--- a/limebridge/faults/distribution/plan.py
+++ b/limebridge/faults/distribution/plan.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from limebridge.faults.plan import Seconds, draw_faults, dump, read_as, without
+from limebridge.faults.plan import Seconds, dump, generate_faults, read_as, without_fault
 
-__all__ = ["Fault", "Kind", "Plan", "draw", "dump", "read", "without"]
+__all__ = ["Fault", "Kind", "Plan", "draw", "dump", "read", "without_fault"]
 
 MACHINES_AT_MOST = 5
 PROXIES_AT_MOST = 12
@@ -180,7 +180,7 @@
     theme = rng.choice(THEMES)
     machines, proxies = rng.choice((3, 3, 5)), rng.randint(4, 8)
     seconds = rng.uniform(5.0, 10.0)
-    faults = draw_faults(
+    faults = generate_faults(
         rng,
         Fault,
         count=rng.randint(*theme.faults),
@@ -188,7 +188,7 @@
         until=seconds,
         kinds=theme.kinds,
         targets=PROXIES_AT_MOST,
-        lasts=theme.lasts,
+        durations=theme.lasts,
     )
     return Plan(
         seed,
--- a/limebridge/faults/distribution/real_plan.py
+++ b/limebridge/faults/distribution/real_plan.py
@@ -4,7 +4,7 @@
 
 import random
 
-from limebridge.faults.plan import draw_faults
+from limebridge.faults.plan import generate_faults
 
 from .plan import Fault, Kind, Plan
 
@@ -35,7 +35,7 @@
     """The plan of a seed; `rolling`: its faults spread over a rollout."""
     rng = random.Random(f"distribution/real/{seed}")
     seconds = rng.uniform(*(ROLLING_SECONDS if rolling else SECONDS))
-    faults = draw_faults(
+    faults = generate_faults(
         rng,
         Fault,
         count=rng.randint(*(ROLLING_FAULTS if rolling else FAULTS)),
@@ -43,7 +43,7 @@
         until=seconds,
         kinds=KINDS,
         targets=WHO_AT_MOST,
-        lasts=(0.3, 1.0, 2.5),
+        durations=(0.3, 1.0, 2.5),
     )
     return Plan(
         seed,
