--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -341,15 +341,15 @@
 
 def whole(states: int, names: int) -> dict[str, Any]:
     began = time.monotonic()
-    found = check(World(Bounds(names=names)), states)
+    found = check(World(Bounds(processes=names)), states)
     return {
         "names": names,
         "states": found.states,
         "steps": found.steps,
         "depth": found.depth,
         "all": found.complete,
-        "healed": found.healed,
-        "broken": found.stories,
+        "healed": found.liveness_checks,
+        "broken": found.traces,
         "seconds": round(time.monotonic() - began),
     }
 
--- a/limebridge/faults/sharing/command.py
+++ b/limebridge/faults/sharing/command.py
@@ -10,10 +10,10 @@
 import typer
 
 from limebridge.faults.budgets import Bounds, World
-from limebridge.faults.exploring import explore_seeds, play_all, print_shrunk
+from limebridge.faults.exploring import collect_outcomes, explore_seeds, print_shrunk
 from limebridge.faults.interruption import interruptible
 from limebridge.faults.options import (
-    SHOWN,
+    MAX_REPORTED,
     FirstSeed,
     Jobs,
     Json,
@@ -22,10 +22,10 @@
     PlanCount,
     SeedCount,
     patch_path,
-    planted,
     print_summary,
+    worker_patch,
 )
-from limebridge.faults.pool import play_each
+from limebridge.faults.pool import run_each
 from limebridge.faults.state_space import check
 from violetroute.config import ConfigError
 
@@ -51,12 +51,12 @@
     started = time.monotonic()
     selected = [plans.generate(seed) for seed in range(first, first + seeds)]
     run_one = partial(pool_run.run_in_worker, patch=patch_path(patch))
-    played = play_all(play_each(run_one, selected, jobs), seeds, as_json)
-    broken = sorted((each for each in played if each.broken), key=lambda each: each.plan.seed)
-    for each in broken[:SHOWN]:
+    played = collect_outcomes(run_each(run_one, selected, jobs), seeds, as_json)
+    broken = sorted((each for each in played if each.violations), key=lambda each: each.plan.seed)
+    for each in broken[:MAX_REPORTED]:
         typer.echo(
             f"limebridge faults sharing replay {each.plan.seed}\n"
-            f"{plans.dump(each.plan)}{each.story}",
+            f"{plans.dump(each.plan)}{each.trace}",
             err=True,
         )
     print_summary(summary_of_run(played, broken, time.monotonic() - started), as_json)
@@ -74,13 +74,13 @@
 ) -> None:
     """Run plans in memory, deterministic by seed.  Exit status 1 after a violation."""
     started, totals = time.monotonic(), SharingTotals()
-    prepare = planted(patch)
+    prepare = worker_patch(patch)
     explore_seeds(memory.explore(first, seeds, jobs, prepare), seeds, as_json, totals.add)
     if prepare is not None:
         prepare()
-    print_shrunk(totals.broken, memory.shrink, plans.dump)
+    print_shrunk(totals.failed, memory.shrink, plans.dump)
     print_summary(totals.summary(first, time.monotonic() - started), as_json)
-    raise typer.Exit(1 if totals.broken else 0)
+    raise typer.Exit(1 if totals.failed else 0)
 
 
 @app.command()
@@ -104,8 +104,8 @@
         if patch is not None:
             Patch(patch_path(patch))()
         outcome = memory.run_plan(plan, with_trace=True)
-        print(outcome.story)
-        raise typer.Exit(1 if outcome.broken else 0)
+        print(outcome.trace)
+        raise typer.Exit(1 if outcome.violations else 0)
     played = rig.run_plan(plan, patch_path(patch))
     print(checker.format_trace(played.observed, played.violations))
     raise typer.Exit(1 if played.violations else 0)
@@ -119,5 +119,5 @@
 ) -> None:
     """Check the loans of the pure core in every order of events within bounds."""
     started = time.monotonic()
-    result = check(World(Bounds(names=names)), states)
+    result = check(World(Bounds(processes=names)), states)
     raise typer.Exit(result.report(time.monotonic() - started))
--- a/limebridge/faults/sharing/memory.py
+++ b/limebridge/faults/sharing/memory.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from limebridge.faults import many
-from limebridge.faults.process import DRIFT, START, ProcessClock
+from limebridge.faults.process import DRIFT, START_UNIX_S, ProcessClock
 from limebridge.faults.violation import Violation
 from limebridge.virtual.kernel import Kernel
 from limebridge.virtual.loop import VirtualLoop
@@ -34,7 +34,7 @@
 
 from . import checker
 from .checker import Admission, Note, Observed
-from .plan import Fault, Link, Plan, cut_links, generate, without
+from .plan import Fault, Link, Plan, cut_links, generate, without_fault
 
 KEYS = Keys([b"a key of a world in memory"])
 FIRST_PORT = 7000  # of the process with number 0
@@ -84,7 +84,7 @@
             self.clock,  # type: ignore[arg-type]
             Turns(),
             make=world.kernel.maker(self.incarnation),
-            clock=lambda: START + world.kernel.now,
+            clock=lambda: START_UNIX_S + world.kernel.now,
         )
         table = SharingTable(
             listen=f"127.0.0.1:{self.port}",
@@ -110,7 +110,7 @@
         if sharing is None or incarnation != self.incarnation:
             return
         now = world.kernel.now
-        if due and now >= self.clock.until and sharing.admits("", "lookup") is None:
+        if due and now >= self.clock.stopped_until and sharing.admits("", "lookup") is None:
             world.observed.admissions.append(Admission(now, self.incarnation))
         # The exponential distribution has no memory, so a long wait may be drawn anew later, by the
         # rate at that time.
@@ -124,7 +124,7 @@
         """Stop at once, as after SIGKILL; no-op if it does not run."""
         if self.sharing is None:
             return
-        self.sharing, self.clock.dead = None, True
+        self.sharing, self.clock.killed = None, True
         kernel = self.world.kernel
         for sock in [sock for sock in kernel.sockets.values() if sock.owner == self.incarnation]:
             self.world.loop.remove_reader(sock.fileno())
@@ -240,7 +240,11 @@
         Whoever borrowed from it, the loans must have expired by then without a renewal.
         """
         sharing, now = process.sharing, self.kernel.now
-        if sharing is None or now < process.clock.until or sharing.members.duplicate is not None:
+        if (
+            sharing is None
+            or now < process.clock.stopped_until
+            or sharing.members.duplicate is not None
+        ):
             process.overloaded_since = math.inf
             return
         loans, clock = sharing.budgets["all"].loans, process.clock.time()
@@ -319,12 +323,12 @@
     """The result of a run."""
 
     plan: Plan
-    broken: tuple[Violation, ...]
+    violations: tuple[Violation, ...]
     admitted: int  # requests
     peak: int  # most requests admitted in any window of one second
     final_share: float  # share of the budget spent in the last two seconds
     digest: str  # of the admissions
-    story: str = ""  # the trace, if it was requested or there is a violation
+    trace: str = ""  # the trace, if it was requested or there is a violation
 
 
 def run_plan(plan: Plan, with_trace: bool = False) -> Outcome:
@@ -371,7 +375,7 @@
 
 def shrink(found: Outcome) -> Outcome:
     """Leave out faults while the same rule is still violated; the outcome with its trace."""
-    return run_plan(many.shrink(found, run_plan, without).plan, with_trace=True)
+    return run_plan(many.shrink(found, run_plan, without_fault).plan, with_trace=True)
 
 
 def run_seed(seed: int, **changes: object) -> Outcome:
--- a/limebridge/faults/sharing/plan.py
+++ b/limebridge/faults/sharing/plan.py
@@ -8,9 +8,26 @@
 
 import msgspec
 
-from limebridge.faults.plan import AT_MOST, Seconds, draw_faults, dump, read_as, without
+from limebridge.faults.plan import (
+    MAX_DAEMONS,
+    Seconds,
+    dump,
+    generate_faults,
+    read_as,
+    without_fault,
+)
 
-__all__ = ["Fault", "Kind", "Link", "Plan", "cut_links", "dump", "generate", "read", "without"]
+__all__ = [
+    "Fault",
+    "Kind",
+    "Link",
+    "Plan",
+    "cut_links",
+    "dump",
+    "generate",
+    "read",
+    "without_fault",
+]
 
 Kind = Literal[
     # of a process: SIGKILL, SIGTERM, SIGSTOP, a duplicate of its name; SIGKILL of all
@@ -64,7 +81,7 @@
 
     at: Seconds
     kind: Kind
-    who: Annotated[int, msgspec.Meta(ge=0, lt=AT_MOST)] = 0
+    who: Annotated[int, msgspec.Meta(ge=0, lt=MAX_DAEMONS)] = 0
     seconds: Seconds = 1.0
 
 
@@ -76,7 +93,7 @@
 
     seed: int = 0
     seconds: Seconds = 6.0
-    daemons: Annotated[int, msgspec.Meta(ge=2, le=AT_MOST)] = 5
+    daemons: Annotated[int, msgspec.Meta(ge=2, le=MAX_DAEMONS)] = 5
     per_s: Annotated[float, msgspec.Meta(gt=0.0, le=1e5)] = 120.0
     loan_s: Annotated[float, msgspec.Meta(ge=0.2, le=60.0)] = 1.0
     fault: list[Fault] = []
@@ -86,7 +103,7 @@
     """The plan of a seed, always the same."""
     rng = random.Random(f"sharing/{seed}")
     daemons, seconds = rng.randint(5, 8), rng.uniform(4.0, 7.0)
-    faults = draw_faults(
+    faults = generate_faults(
         rng,
         Fault,
         count=rng.randint(2, 6),
@@ -94,7 +111,7 @@
         until=seconds,
         kinds=WEIGHTED_KINDS,
         targets=daemons,
-        lasts=(0.2, 0.6, 1.2, 2.5),
+        durations=(0.2, 0.6, 1.2, 2.5),
     )
     return Plan(
         seed,
--- a/limebridge/faults/sharing/pool_run.py
+++ b/limebridge/faults/sharing/pool_run.py
@@ -16,12 +16,12 @@
     """The result of one plan that ran on real processes."""
 
     plan: Plan
-    broken: list[Violation]
+    violations: list[Violation]
     final_share: float = 0.0  # share of the budget that is spent at the end, after healing
     admitted: int = 0  # requests
     sent: int = 0  # requests
     max_lag_s: float = 0.0  # longest delay of the rig's own timer
-    story: str = ""  # the trace; empty without a violation
+    trace: str = ""  # the trace; empty without a violation
 
 
 def run_in_worker(plan: Plan, patch: str = "") -> PlayedPlan:
--- a/limebridge/faults/sharing/rig.py
+++ b/limebridge/faults/sharing/rig.py
@@ -19,9 +19,9 @@
 from pathlib import Path as FilePath
 
 from limebridge.child import Child, DaemonStartError
-from limebridge.faults.interruption import finish, run
+from limebridge.faults.interruption import run, run_cleanup
 from limebridge.faults.launch import daemon_command
-from limebridge.faults.relay import Datagrams, Path
+from limebridge.faults.relay import DatagramRelay, Impairment
 from limebridge.faults.violation import Violation
 from limebridge.ports import free_ports
 from limebridge.standins.discovery import Discovery
@@ -109,7 +109,7 @@
             self.add_violation("starts", str(error))
             end = self.now
         finally:
-            await finish(self._end_all(tasks))
+            await run_cleanup(self._end_all(tasks))
         return self._check(end)
 
     async def _start_stand_ins(self) -> None:
@@ -122,7 +122,7 @@
         self.clients = [Client(self, daemon) for daemon in self.daemons]
         self.spare_ports = ports[plan.daemons :]
         self.relays = {
-            (here, there): await Datagrams(ports[there], f"{plan.seed}/{here}/{there}").start()
+            (here, there): await DatagramRelay(ports[there], f"{plan.seed}/{here}/{there}").start()
             for here in range(plan.daemons)
             for there in range(plan.daemons)
             if here != there
@@ -225,9 +225,11 @@
             case "cut" | "deaf" | "mute" | "split":
                 await self._cut(fault)
             case "loss":
-                await self._disturb(Path(drop=0.3), fault.seconds)
+                await self._disturb(Impairment(drop=0.3), fault.seconds)
             case "storm":
-                await self._disturb(Path(double=0.3, jitter=0.3, reorder=0.3), fault.seconds)
+                await self._disturb(
+                    Impairment(duplicate=0.3, jitter=0.3, reorder=0.3), fault.seconds
+                )
             case "crowd":
                 before, self.rates = self.rates, [self.plan.per_s / 2.0] * self.plan.daemons
                 await asyncio.sleep(fault.seconds)
@@ -244,17 +246,17 @@
         self.cut_counts.subtract(links)
         self._set_paths()
 
-    async def _disturb(self, path: Path, seconds: float) -> None:
+    async def _disturb(self, impairment: Impairment, seconds: float) -> None:
         """Lose, delay, duplicate or reorder datagrams on all links for a while."""
         for relay in self.relays.values():
-            relay.there = relay.back = path
+            relay.forward = relay.backward = impairment
         await asyncio.sleep(seconds)
         self._set_paths()
 
     def _set_paths(self) -> None:
         """Reset the relays of all links to no fault, except for links that are cut."""
         for link, relay in self.relays.items():
-            relay.there = relay.back = Path(cut=self.cut_counts[link] > 0)
+            relay.forward = relay.backward = Impairment(cut=self.cut_counts[link] > 0)
 
     async def _restart(self, daemon: Daemon, hard: bool, seconds: float) -> None:
         if daemon.restart_lock.locked():
--- a/tests/limebridge/faults/test_sharing_whole.py
+++ b/tests/limebridge/faults/test_sharing_whole.py
@@ -15,13 +15,13 @@
 from violetroute.sharing.loans import BorrowedLoan, Loans, LoanTerms
 
 # Small enough for the test suite; benchmarks/sharing.py explores millions of states.
-SMALL = Bounds(times=3, asks=2, backs=1, copies=1, crashes=1)
+SMALL = Bounds(time_steps=3, requests=2, returns=1, copies=1, crashes=1)
 
 
 def test_no_order_of_events_spends_more_than_the_budget() -> None:
-    result = check(World(SMALL), most=30_000)
-    assert result.stories == {}
-    assert result.states > 10_000 and result.healed > 100
+    result = check(World(SMALL), max_states=30_000)
+    assert result.traces == {}
+    assert result.states > 10_000 and result.liveness_checks > 100
 
 
 def time_counted_from_the_answer(patch: pytest.MonkeyPatch) -> None:
@@ -128,9 +128,9 @@
     inject(monkeypatch)
     crashes = int(inject is whole_home_part_at_start)
     result = check(
-        World(Bounds(times=3, asks=2, backs=1, copies=1, crashes=crashes)),
-        most=120_000,
+        World(Bounds(time_steps=3, requests=2, returns=1, copies=1, crashes=crashes)),
+        max_states=120_000,
         stop_at_first=True,
     )
-    assert "the sum" in result.stories, result
-    assert len(result.stories["the sum"]) <= 9
+    assert "the sum" in result.traces, result
+    assert len(result.traces["the sum"]) <= 9
--- a/tests/violetroute/sharing/test_sharing.py
+++ b/tests/violetroute/sharing/test_sharing.py
@@ -48,7 +48,7 @@
 @pytest.mark.long
 def test_in_memory_runs_are_deterministic_and_keep_all_properties() -> None:
     first = [memory.run_seed(seed) for seed in range(40)]
-    assert [each.broken for each in first] == [()] * 40
+    assert [each.violations for each in first] == [()] * 40
     assert memory.run_seed(3).digest == first[3].digest
     # All load is on one proxy, which still spends the whole budget.
     assert sorted(each.final_share for each in first)[20] > 0.9
