--- a/limebridge/placement/model.py
+++ b/limebridge/placement/model.py
@@ -6,11 +6,7 @@
 their shares.  So if the lost nodes have a share of W, a remaining node with a share of w carries
 w / (1 - W) of the load, and
 
-    w / (1 - W) * load <= busiest * capacity
-
-is equivalent to
-
-    w * load <= busiest * capacity * (1 - W).
+    w / (1 - W) * load <= busiest * capacity   <=>   w * load <= busiest * capacity * (1 - W).
 
 So a loss needs no change of the plan and no variables of its own.
 
@@ -72,10 +68,7 @@
 
 @dataclass(slots=True)
 class Model:
-    """The rows of a fleet, and the meaning of the variables, which are identified by index.
-
-    The first variables are the shares of `nodes`, in that order.
-    """
+    """The rows of a fleet.  Variables are indices; the first are the shares of `nodes`."""
 
     fleet: Fleet
     nodes: list[Node]
@@ -88,12 +81,9 @@
     goals: dict[str, dict[int, float]] = field(default_factory=dict)  # coefficients, by goal
     variable_count: int = 0
     peak: int = 0  # variable of the highest utilization
-    # By node: the variable that says whether it serves; None: it always does.
-    serving: list[int | None] = field(default_factory=list)
-    # By node: the variable of the absolute change of its share; empty without a plan in force.
-    moved_share: list[int] = field(default_factory=list)
-    # Groups of nodes whose shares must not increase in the order of the list.
-    ordered_groups: list[list[int]] = field(default_factory=list)
+    serving: list[int | None] = field(default_factory=list)  # by node; None: it always serves
+    moved_share: list[int] = field(default_factory=list)  # by node: absolute change of its share
+    groups: list[list[int]] = field(default_factory=list)  # the shares of a group must not increase
     removed_share: float = 0.0  # share in the plan in force of nodes that do not exist any more
 
     def point(self, shares: Mapping[str, float]) -> list[float]:
@@ -121,10 +111,7 @@
         return value + (self.removed_share / 2 if name == "moved" else 0.0)
 
     def violations(self, shares: Mapping[str, float]) -> list[tuple[Row, float]]:
-        """The rows that the shares violate, and by how much.
-
-        Sorted by constraint, the greatest violation of a constraint first.
-        """
+        """The violated rows and by how much, by constraint and with the greatest first."""
         point = self.point(shares)
         amounts = [(row, row.violation(point)) for row in self.rows]
         return sorted(
@@ -155,13 +142,8 @@
     shares from elsewhere.
     """
     nodes = fleet.expanded_nodes()
-    constraints = {
-        constraint.name: constraint
-        for constraint in _constraints(fleet, nodes, current is not None)
-    }
-    values = {name: constraint.value for name, constraint in constraints.items()} | dict(
-        overrides or {}
-    )
+    constraints = {each.name: each for each in _constraints(fleet, nodes, current is not None)}
+    values = {name: each.value for name, each in constraints.items()} | dict(overrides or {})
     load = values.get("load.requests_per_s", fleet.load.requests_per_s) * fleet.load.headroom
     model = Model(
         fleet,
@@ -187,9 +169,7 @@
         names = {node.name for node in nodes}
         model.removed_share = sum(share for name, share in current.items() if name not in names)
     _set_goals(model)
-    model.ordered_groups = (
-        [[index] for index in range(len(nodes))] if all_rows else interchangeable_nodes(model)
-    )
+    model.groups = [[index] for index in range(len(nodes))] if all_rows else interchangeable(model)
     model.rows += _structural_rows(model)
     for rows in (_node_rows, _group_rows, _fleet_rows, _loss_rows):
         model.rows += rows(model, values.get)
@@ -267,7 +247,7 @@
             old_share = model.current.get(model.nodes[index].name, 0.0)
             yield Row("", {index: 1.0, model.moved_share[index]: -1.0}, high=old_share)
             yield Row("", {index: 1.0, model.moved_share[index]: 1.0}, low=old_share)
-    for group in model.ordered_groups:
+    for group in model.groups:
         for first, second in pairwise(group):
             yield Row("", {first: 1.0, second: -1.0}, low=0.0)
             first_serves, second_serves = model.serving[first], model.serving[second]
@@ -275,9 +255,9 @@
                 yield Row("", {first_serves: 1.0, second_serves: -1.0}, low=0.0)
 
 
-def interchangeable_nodes(model: Model) -> list[list[int]]:
+def interchangeable(model: Model) -> list[list[int]]:
     """Groups of interchangeable nodes: no constraint and no loss distinguishes them."""
-    groups: dict[object, list[int]] = {}
+    by_signature: dict[object, list[int]] = {}
     lost_names = [set(loss.nodes) for loss in model.fleet.lost if loss.nodes]
     for index, node in enumerate(model.nodes):
         old_share = None if model.current is None else model.current.get(node.name, 0.0)
@@ -291,8 +271,8 @@
             old_share,
             tuple(node.name in names for names in lost_names),
         )
-        groups.setdefault(signature, []).append(index)
-    return list(groups.values())
+        by_signature.setdefault(signature, []).append(index)
+    return list(by_signature.values())
 
 
 def _with_serving(
@@ -375,7 +355,7 @@
     for loss in model.fleet.lost:
         busiest, moved = value_of(f"lost.{loss.name}.busiest"), value_of(f"lost.{loss.name}.moved")
         assert busiest is not None and moved is not None
-        largest = {index for group in model.ordered_groups for index in group[:2]}
+        largest = {index for group in model.groups for index in group[:2]}
         for subject, lost, remaining_load in loss_cases(model, loss):
             if loss.any == "node" and not lost & largest:
                 continue
--- a/limebridge/placement/solver.py
+++ b/limebridge/placement/solver.py
@@ -18,7 +18,7 @@
 from limebridge.highs import create_highs
 
 from .fleet import Fleet
-from .model import ZERO_SHARE, Model, Row, build, interchangeable_nodes
+from .model import ZERO_SHARE, Model, Row, build, interchangeable
 
 # Tolerance by which a goal may become worse for the following goals: relative, absolute below 1.
 GOAL_TOLERANCE = 1e-6
@@ -233,7 +233,7 @@
         program.add_row(Row("", {index: 1.0, deviation: 1.0}, low=target))
     result = program.minimize(deviations)
     best = point if result is None else result[0]
-    for group in interchangeable_nodes(model):
+    for group in interchangeable(model):
         serving = [index for index in group if has_keys[index]]
         if serving:
             mean = sum(best[index] for index in serving) / len(serving)
