--- a/limebridge/faults/distribution/command.py
+++ b/limebridge/faults/distribution/command.py
@@ -1,4 +1,4 @@
-"""`limebridge faults distribution`: versioned records under faults."""
+"""`limebridge faults distribution`: fault tests of the distribution of versioned records."""
 
 from __future__ import annotations
 
@@ -39,26 +39,28 @@
 from . import rig
 from . import walk as walks
 from .mixed_builds import Builds, unpack
-from .real_plan import draw_real
+from .real_plan import generate_real
 from .rig import RealOutcome
 from .state_space import Bounds, World
 
-app = typer.Typer(no_args_is_help=True, help="Distribution of records, under faults.")
-Often = Annotated[int, typer.Option(min=0, max=10, help="How often at most.")]
-HEAL_EVERY = 1000  # states, after which it is looked once whether all goes on
-LISTED = 20  # broken plans that are named
+app = typer.Typer(no_args_is_help=True, help="Test the distribution of records under faults.")
+MaxCount = Annotated[int, typer.Option(min=0, max=10, help="Maximum count.")]
+HEAL_EVERY = 1000  # one in so many new states is checked for recovery after its faults
+MAX_LISTED = 20  # failed plans that a summary names
 Older = Annotated[
     str,
-    typer.Option(metavar="COMMIT", help="Some processes run the build of this commit."),
+    typer.Option(metavar="COMMIT", help="Run the build of this commit in some processes."),
 ]
 Rolling = Annotated[
     bool,
-    typer.Option(help="With --older: replace all by this build, one after another, and back."),
+    typer.Option(
+        help="With --older: roll all processes to this build, one after another, and back."
+    ),
 ]
 
 
-class Explored(msgspec.Struct):
-    """What an exploration found."""
+class ExploreSummary(msgspec.Struct):
+    """Totals of an exploration; `healed_after_s` has percentiles by name."""
 
     first: int
     seeds: int = 0
@@ -72,8 +74,8 @@
     digest: str = ""
 
 
-class Walked(msgspec.Struct):
-    """What came of walks."""
+class WalkSummary(msgspec.Struct):
+    """Totals of random walks."""
 
     first: int
     walks: int = 0
@@ -83,8 +85,8 @@
     broken_count: int = 0
 
 
-class Run(msgspec.Struct):
-    """What came of plans on real processes."""
+class RunSummary(msgspec.Struct):
+    """Totals of plans on real processes; the durations are percentiles by name."""
 
     first: int
     plans: int = 0
@@ -110,36 +112,36 @@
     patch: PatchFile = None,
     as_json: Json = False,
 ) -> None:
-    """Play plans in the simulated world, exact from their seeds.  Status 1 if something broke."""
-    began, told = time.monotonic(), Explored(first)
+    """Run plans in the simulated world, reproducible by seed.  Exit status 1 on a violation."""
+    started_at, summary = time.monotonic(), ExploreSummary(first)
     prepare = planted(patch)
-    bad: list[exploration.Outcome] = []
+    failed: list[exploration.Outcome] = []
     healed: list[float] = []
     digest = blake2b(digest_size=8)
     with seed_progress("exploring", seeds, as_json) as progress:
         for outcomes in exploration.explore(first, seeds, jobs, prepare):
-            for each in outcomes:
-                told.seeds += 1
-                told.committed += each.committed
-                told.applied += each.applied
-                told.snapshots += each.voided
-                healed.append(each.healed_after_s)
-                digest.update(each.digest.encode())
-                bad += [each] if each.broken else []
-            progress.update(told.seeds, len(bad))
+            for outcome in outcomes:
+                summary.seeds += 1
+                summary.committed += outcome.committed
+                summary.applied += outcome.applied
+                summary.snapshots += outcome.invalidations
+                healed.append(outcome.healed_after_s)
+                digest.update(outcome.digest.encode())
+                failed += [outcome] if outcome.broken else []
+            progress.update(summary.seeds, len(failed))
     if prepare is not None:
         prepare()
-    for each in bad[:SHOWN]:
-        small = exploration.shrink(each)
+    for outcome in failed[:SHOWN]:
+        shrunk = exploration.shrink(outcome)
         typer.echo(
-            f"seed {each.plan.seed}, made small:\n{plans.dump(small.plan)}{small.story}", err=True
+            f"seed {outcome.plan.seed}, shrunk:\n{plans.dump(shrunk.plan)}{shrunk.trace}", err=True
         )
-    told.seconds, told.digest = round(time.monotonic() - began, 1), digest.hexdigest()
-    told.healed_after_s = _percentiles(healed)
-    told.broken = [(each.plan.seed, *each.broken[0]) for each in bad[:LISTED]]
-    told.broken_count = len(bad)
-    _say(told, as_json)
-    raise typer.Exit(1 if bad else 0)
+    summary.seconds, summary.digest = round(time.monotonic() - started_at, 1), digest.hexdigest()
+    summary.healed_after_s = _percentiles(healed)
+    summary.broken = [(outcome.plan.seed, *outcome.broken[0]) for outcome in failed[:MAX_LISTED]]
+    summary.broken_count = len(failed)
+    _print_summary(summary, as_json)
+    raise typer.Exit(1 if failed else 0)
 
 
 @app.command()
@@ -152,69 +154,73 @@
     rolling: Rolling = False,
     as_json: Json = False,
 ) -> None:
-    """Play plans on real processes.  Status 1 if something broke."""
-    began, told = time.monotonic(), Run(first, older=older, rolling=rolling)
-    bad: list[RealOutcome] = []
+    """Run plans on real processes.  Exit status 1 on a violation."""
+    started_at, summary = time.monotonic(), RunSummary(first, older=older, rolling=rolling)
+    failed: list[RealOutcome] = []
     seconds: list[float] = []
     healed: list[float] = []
-    chosen = [draw_real(seed, rolling) for seed in range(first, first + seeds)]
+    generated = [generate_real(seed, rolling) for seed in range(first, first + seeds)]
     with (
         _builds(older, rolling) as builds,
-        seed_progress("playing", seeds, as_json) as progress,
+        seed_progress("running", seeds, as_json) as progress,
     ):
-        for each in play_each(functools.partial(rig.play, builds=builds), chosen, jobs):
-            told.plans += 1
-            told.committed += each.committed
-            told.applied += each.applied
-            told.replaced += each.replaced
-            told.leaders_replaced += each.leaders_replaced
-            seconds.append(each.seconds)
-            healed.append(each.healed_after_s)
-            bad += [each] if each.broken else []
-            progress.update(told.plans, len(bad))
-    for each in bad[:SHOWN]:
-        typer.echo(f"real seed {each.plan.seed}:\n{plans.dump(each.plan)}{each.story}", err=True)
-    told.seconds = round(time.monotonic() - began, 1)
-    told.seconds_a_plan, told.healed_after_s = _percentiles(seconds), _percentiles(healed)
-    told.broken = sorted((each.plan.seed, *each.broken[0]) for each in bad[:LISTED])
-    told.broken_count = len(bad)
-    _say(told, as_json)
-    raise typer.Exit(1 if bad else 0)
+        for outcome in play_each(functools.partial(rig.run_plan, builds=builds), generated, jobs):
+            summary.plans += 1
+            summary.committed += outcome.committed
+            summary.applied += outcome.applied
+            summary.replaced += outcome.replaced
+            summary.leaders_replaced += outcome.leaders_replaced
+            seconds.append(outcome.seconds)
+            healed.append(outcome.healed_after_s)
+            failed += [outcome] if outcome.broken else []
+            progress.update(summary.plans, len(failed))
+    for outcome in failed[:SHOWN]:
+        typer.echo(
+            f"real seed {outcome.plan.seed}:\n{plans.dump(outcome.plan)}{outcome.trace}", err=True
+        )
+    summary.seconds = round(time.monotonic() - started_at, 1)
+    summary.seconds_a_plan, summary.healed_after_s = _percentiles(seconds), _percentiles(healed)
+    summary.broken = sorted(
+        (outcome.plan.seed, *outcome.broken[0]) for outcome in failed[:MAX_LISTED]
+    )
+    summary.broken_count = len(failed)
+    _print_summary(summary, as_json)
+    raise typer.Exit(1 if failed else 0)
 
 
 @app.command()
 @interruptible
 def replay(
-    what: Annotated[str, typer.Argument(metavar="FILE_OR_SEED")],
+    source: Annotated[str, typer.Argument(metavar="FILE_OR_SEED")],
     real: Annotated[bool, typer.Option("--real", help="On real processes.")] = False,
     older: Older = "",
     rolling: Rolling = False,
     patch: PatchFile = None,
 ) -> None:
-    """Play one plan again and tell its story; or the events of a .story file, one a line.
+    """Run one plan again and print its trace; or replay the events of a .story file, one a line.
 
-    Status 1 if something breaks.
+    Exit status 1 on a violation.
     """
     if patch is not None:
         Patch(patch_path(patch))()
-    if what.endswith(".story"):
-        wrong = walks.replay(Path(what).read_text().splitlines())
-        print(f"BROKEN {wrong}" if wrong else "nothing is broken")
-        raise typer.Exit(1 if wrong else 0)
+    if source.endswith(".story"):
+        violation = walks.replay(Path(source).read_text().splitlines())
+        print(f"BROKEN {violation}" if violation else "no violation")
+        raise typer.Exit(1 if violation else 0)
     try:
-        draw = functools.partial(draw_real, rolling=rolling) if real else plans.draw
-        plan = draw(int(what)) if what.isdecimal() else plans.read(Path(what))
+        generate = functools.partial(generate_real, rolling=rolling) if real else plans.generate
+        plan = generate(int(source)) if source.isdecimal() else plans.read(Path(source))
     except ConfigError as error:
         typer.echo(f"limebridge: {error}", err=True)
         raise typer.Exit(2) from None
     if real:
         with _builds(older, rolling) as builds:
-            played = rig.play(plan, builds=builds)
-        print(played.story)
-        raise typer.Exit(1 if played.broken else 0)
-    outcome = exploration.play(plan, tells=True)
-    print(outcome.story)
-    print(f"digest {outcome.digest}, {len(outcome.broken)} broken")
+            real_outcome = rig.run_plan(plan, builds=builds)
+        print(real_outcome.trace)
+        raise typer.Exit(1 if real_outcome.broken else 0)
+    outcome = exploration.run_plan(plan, with_trace=True)
+    print(outcome.trace)
+    print(f"digest {outcome.digest}, {len(outcome.broken)} violations")
     raise typer.Exit(1 if outcome.broken else 0)
 
 
@@ -227,57 +233,61 @@
     patch: PatchFile = None,
     as_json: Json = False,
 ) -> None:
-    """Walk at random through the orders of events.  Status 1 if something broke."""
-    began, told = time.monotonic(), Walked(first)
+    """Run random walks through the orders of events.  Exit status 1 on a violation."""
+    started_at, summary = time.monotonic(), WalkSummary(first)
     prepare = planted(patch)
-    bad: list[walks.Walk] = []
+    failed: list[walks.Walk] = []
     with seed_progress("walking", seeds, as_json) as progress:
-        for found in walks.explore(first, seeds, jobs, prepare):
-            told.walks += len(found)
-            told.events += sum(len(each.story) for each in found)
-            bad += [each for each in found if each.wrong]
-            progress.update(told.walks, len(bad))
+        for walked in walks.explore(first, seeds, jobs, prepare):
+            summary.walks += len(walked)
+            summary.events += sum(len(outcome.trace) for outcome in walked)
+            failed += [outcome for outcome in walked if outcome.violation]
+            progress.update(summary.walks, len(failed))
     if prepare is not None:
         prepare()
-    for each in bad[:SHOWN]:
-        small = walks.shrink(each)
-        story = "\n".join(small.story)
-        typer.echo(f"seed {each.seed}, made small:\n{story}\nBROKEN {small.wrong}", err=True)
-    told.seconds = round(time.monotonic() - began, 1)
-    told.broken = [(each.seed, each.rule, each.wrong[:200]) for each in bad[:LISTED]]
-    told.broken_count = len(bad)
-    _say(told, as_json)
-    raise typer.Exit(1 if bad else 0)
+    for outcome in failed[:SHOWN]:
+        shrunk = walks.shrink(outcome)
+        trace = "\n".join(shrunk.trace)
+        typer.echo(f"seed {outcome.seed}, shrunk:\n{trace}\nBROKEN {shrunk.violation}", err=True)
+    summary.seconds = round(time.monotonic() - started_at, 1)
+    summary.broken = [
+        (outcome.seed, outcome.rule, outcome.violation[:200]) for outcome in failed[:MAX_LISTED]
+    ]
+    summary.broken_count = len(failed)
+    _print_summary(summary, as_json)
+    raise typer.Exit(1 if failed else 0)
 
 
 @app.command()
 @interruptible
 def whole(
-    states: Annotated[int, typer.Option(min=1000, help="How many at most.")] = 100_000,
-    leaders: Often = 1,
-    publications: Often = 0,
-    losses: Often = 0,
-    copies: Often = 0,
-    crashes: Often = 0,
-    torn: Often = 0,
-    disks: Often = 0,
-    times: Often = 0,
-    polls: Often = 0,
+    states: Annotated[int, typer.Option(min=1000, help="Maximum number of states.")] = 100_000,
+    leaders: MaxCount = 1,
+    publications: MaxCount = 0,
+    losses: MaxCount = 0,
+    copies: MaxCount = 0,
+    crashes: MaxCount = 0,
+    torn: MaxCount = 0,
+    disks: MaxCount = 0,
+    times: MaxCount = 0,
+    polls: MaxCount = 0,
     patch: PatchFile = None,
 ) -> None:
-    """Follow every order of what may happen to three control machines, within bounds."""
-    began = time.monotonic()
+    """Explore every order of events of three control machines, within bounds."""
+    started_at = time.monotonic()
     if patch is not None:
         Patch(patch_path(patch))()
     bounds = Bounds(times, publications, leaders, losses, copies, crashes, torn, disks, polls)
-    found = check(World(bounds), states, heal_every=HEAL_EVERY)
-    raise typer.Exit(found.report(time.monotonic() - began))
+    result = check(World(bounds), states, heal_every=HEAL_EVERY)
+    raise typer.Exit(result.report(time.monotonic() - started_at))
 
 
 @contextmanager
 def _builds(older: str, rolling: bool) -> Iterator[Builds | None]:
-    """The two builds, unpacked for as long as they run; None without an older one.  Exit status 2
-    where there is no such build."""
+    """Unpacks both builds into a temporary folder; yields None without an older one.
+
+    Exits with status 2 if there is no such build, or if `rolling` is set without `older`.
+    """
     if rolling and not older:
         typer.echo("limebridge: --rolling needs --older", err=True)
         raise typer.Exit(2)
@@ -301,5 +311,5 @@
     }
 
 
-def _say(told: msgspec.Struct, as_json: bool) -> None:
-    print_summary(msgspec.to_builtins(told), as_json)
+def _print_summary(summary: msgspec.Struct, as_json: bool) -> None:
+    print_summary(msgspec.to_builtins(summary), as_json)
--- a/limebridge/faults/distribution/control.py
+++ b/limebridge/faults/distribution/control.py
@@ -21,8 +21,8 @@
 from violetroute.distribution.machine import Machine
 from violetroute.distribution.messages import Message, Publish, StatusReply, StatusRequest
 
+from .checker import Rule
 from .disk import Disk
-from .judge import Rule
 from .network import Exchange
 from .processes import Process, ProcessClock
 
@@ -63,7 +63,7 @@
         self.begin()
         offset = self.world.unix_offset(self.name) - self.now
         settings = replace(self._settings, unix_offset_s=offset)
-        seed = f"machine/{self.world.plan.seed}/{self.name}/{self.life}"
+        seed = f"machine/{self.world.plan.seed}/{self.name}/{self.incarnation_number}"
         self.machine = Machine(settings, self.disk.state.stored(), random.Random(seed), self.now)
         self._plan_tick()
 
@@ -105,7 +105,7 @@
         self._act(self._machine.replied(self.now, ticket, None))
 
     def _soon(self, event: Callable[[], None]) -> None:
-        self.simulation.after(0.0, self.for_this_life(event))
+        self.simulation.after(0.0, self.for_current_process(event))
 
     @property
     def _machine(self) -> Machine:
@@ -139,15 +139,15 @@
             self.for_reply(lambda reply: self._replied(send.ticket, reply)),
         )
         self._outgoing[send.ticket] = exchange
-        timeout = self.for_this_life(lambda: self._timed_out(send.ticket))
+        timeout = self.for_current_process(lambda: self._timed_out(send.ticket))
         self.simulation.after(self.clock.world_span(send.timeout_s), timeout)
 
     def for_reply(self, take: Callable[[Message | None], None]) -> Reply:
         """`take` for the process that runs now."""
-        life = self.life
+        incarnation_number = self.incarnation_number
 
         def guarded(reply: Message | None) -> None:
-            if life == self.life:
+            if incarnation_number == self.incarnation_number:
                 self.deliver(lambda: take(reply))
 
         return guarded
@@ -198,7 +198,7 @@
     def _do(self, action: Action) -> None:
         match action:
             case Persist():
-                done = self.for_this_life(lambda: self._persisted(action.ticket))
+                done = self.for_current_process(lambda: self._persisted(action.ticket))
                 self.disk.write(action, done)
             case Send():
                 self._send(action)
@@ -209,7 +209,7 @@
             case Fenced(fence):
                 self.world.lease.fenced(self, fence)
             case ReleaseLease():
-                self.world.lease.hand_on(self)
+                self.world.lease.release(self)
                 lost = self.led_fence
                 self._soon(lambda: self._step_down(lost))
             case Notice(event, fields):
@@ -233,16 +233,18 @@
         found: list[Message | None] = []
         self.receive(StatusRequest(), found.append)
         if not found or not isinstance(found[0], StatusReply):
-            self.world.judge.complain(Rule.PROGRESS, f"{self.name} does not answer its status")
+            self.world.checker.report_violation(
+                Rule.PROGRESS, f"{self.name} does not answer its status"
+            )
             return None
         return found[0]
 
-    def too_much(self, askers: int) -> str:
+    def too_much(self, requesters: int) -> str:
         """What has grown beyond its bound; "" if nothing has."""
         if len(self._outgoing) > OPEN_AT_MOST:
             return f"{self.name} has {len(self._outgoing)} requests open"
         held = [each for each in self._incoming.values() if not isinstance(each.request, Publish)]
-        if len(held) > HELD_AT_MOST * askers:
+        if len(held) > HELD_AT_MOST * requesters:
             return f"{self.name} holds {len(held)} requests"
         if len(self._incoming) - len(held) > self._settings.max_publications:
             return f"{self.name} holds {len(self._incoming) - len(held)} publications"
--- a/limebridge/faults/distribution/disk.py
+++ b/limebridge/faults/distribution/disk.py
@@ -22,7 +22,7 @@
 )
 from violetroute.distribution.messages import Batch, LogPoint, Snapshot
 
-from .judge import Content
+from .checker import LogEntry
 from .simulation import Simulation
 
 LATENCY = (0.001, 0.02)  # s of one write
@@ -30,7 +30,7 @@
 SLOW_S = 0.4
 
 
-class WrongWrite(Exception):
+class InvalidWriteError(Exception):
     """A change that does not fit what is stored: batches that do not follow the log's end."""
 
 
@@ -70,13 +70,13 @@
     def _append(self, batches: tuple[Batch, ...]) -> None:
         for batch in batches:
             if batch.position != self.last + 1:
-                raise WrongWrite(f"{batch.position} is appended after {self.last}")
+                raise InvalidWriteError(f"{batch.position} is appended after {self.last}")
             self.batches.append(batch)
 
     def _set_base(self, snapshot: Snapshot) -> None:
         dropped = snapshot.base.position - self.base
         if dropped < 0:
-            raise WrongWrite(f"the base falls from {self.base} to {snapshot.base.position}")
+            raise InvalidWriteError(f"the base falls from {self.base} to {snapshot.base.position}")
         self.batches = self.batches[dropped:]
         self.snapshot = snapshot
 
@@ -91,25 +91,25 @@
             self.recovering,
         )
 
-    def content_at(self, position: int) -> Content | None:
+    def entry_at(self, position: int) -> LogEntry | None:
         """None: the position is in the snapshot.  Nothing there at all: no keys, fence 0."""
         if position <= self.base:
             return None
         if position > self.last:
-            return Content(position, 0, ())
-        return content_of(self.batches[position - self.base - 1])
+            return LogEntry(position, 0, ())
+        return log_entry(self.batches[position - self.base - 1])
 
 
-def part_of(change: Change) -> Change:
+def torn_change(change: Change) -> Change:
     """What a crash in the middle of this change may leave: the first of several batches."""
     if isinstance(change, AppendBatches):
         return AppendBatches(change.batches[:1])
     return change
 
 
-def content_of(batch: Batch) -> Content:
+def log_entry(batch: Batch) -> LogEntry:
     """A batch as the judge compares it."""
-    return Content(batch.position, batch.fence, tuple(record.key for record in batch.records))
+    return LogEntry(batch.position, batch.fence, tuple(record.key for record in batch.records))
 
 
 class Disk:
@@ -120,7 +120,7 @@
         self.state = DiskState(log)
         self._writing: deque[Persist] = deque()
         self._free_at = 0.0
-        self._life = 0  # writes of a process that has ended are void
+        self._incarnation_number = 0  # writes of a process that has ended are void
 
     @property
     def writing(self) -> int:
@@ -133,11 +133,11 @@
         slow = self._rng.random() < SLOW_SHARE
         latency = SLOW_S * self._rng.random() if slow else self._rng.uniform(*LATENCY)
         self._free_at = max(self._free_at, self._simulation.now) + latency
-        life = self._life
-        self._simulation.at(self._free_at, lambda: self._store(life, done))
+        incarnation_number = self._incarnation_number
+        self._simulation.at(self._free_at, lambda: self._store(incarnation_number, done))
 
-    def _store(self, life: int, done: Callable[[], None]) -> None:
-        if life != self._life:
+    def _store(self, incarnation_number: int, done: Callable[[], None]) -> None:
+        if incarnation_number != self._incarnation_number:
             return
         for change in self._writing.popleft().changes:
             self.state.apply(change)
@@ -145,7 +145,7 @@
 
     def crash(self) -> None:
         """The process ends: some of what was under way is stored, in order."""
-        self._life += 1
+        self._incarnation_number += 1
         self._free_at = self._simulation.now
         survive = self._rng.randint(0, len(self._writing))
         changes = [change for each in list(self._writing)[:survive] for change in each.changes]
@@ -153,13 +153,15 @@
             torn = self._writing[survive].changes
             whole = self._rng.randint(0, len(torn))
             changes += torn[:whole]
-            changes += [part_of(change) for change in torn[whole : whole + self._rng.randint(0, 1)]]
+            changes += [
+                torn_change(change) for change in torn[whole : whole + self._rng.randint(0, 1)]
+            ]
         self._writing.clear()
         for change in changes:
             self.state.apply(change)
 
     def lose(self) -> None:
         """Everything is gone; what stands there now is the operator's replacement."""
-        self._life += 1
+        self._incarnation_number += 1
         self._writing.clear()
         self.state = DiskState(self.state.log, recovering=True)
--- a/limebridge/faults/distribution/explore.py
+++ b/limebridge/faults/distribution/explore.py
@@ -1,4 +1,4 @@
-"""Plans played in the simulated world: one, many in processes of their own, and made small."""
+"""Runs plans in the simulated world: one, many in worker processes, and shrinking of a failure."""
 
 from __future__ import annotations
 
@@ -10,66 +10,72 @@
 from limebridge.faults import many
 from limebridge.faults.violation import Violation
 
-from .judge import Rule, story
-from .plan import Plan, draw, without
-from .simulation import EndlessRun
+from .checker import Rule, format_trace
+from .plan import Plan, generate, without
+from .simulation import EventLimitExceeded
 from .world import World
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """What is kept of a run."""
+    """The result of one run.
+
+    `healed_after_s` is the time from the undoing of all faults until everything had caught up.
+    """
 
     plan: Plan
     broken: tuple[Violation, ...]
-    committed: int  # publications that were answered COMMITTED
-    applied: int  # batches, by all proxies
-    voided: int  # snapshots that proxies started from
+    committed: int  # publications that were replied with COMMITTED
+    applied: int  # batches, summed over all proxies
+    invalidations: int  # snapshots that proxies started from
     healed_after_s: float
     digest: str
-    story: str = ""
+    trace: str = ""
 
 
-def play(plan: Plan, tells: bool = False) -> Outcome:
-    """One plan; the same outcome each time and everywhere."""
+def run_plan(plan: Plan, with_trace: bool = False) -> Outcome:
+    """Runs a plan; the outcome is the same on every run and every machine."""
     world = World(plan)
-    judge = world.judge
+    checker = world.checker
     try:
-        world.play()
-    except EndlessRun as error:
-        judge.complain(Rule.BOUNDED, str(error))
+        world.run()
+    except EventLimitExceeded as error:
+        checker.report_violation(Rule.BOUNDED, str(error))
     except Exception as error:
-        judge.complain(Rule.CRASH, _where(error))
+        checker.report_violation(Rule.CRASH, error_location(error))
     return Outcome(
         plan,
-        tuple(judge.violations),
+        tuple(checker.violations),
         world.publisher.committed,
-        judge.applied_batches,
-        judge.voided,
+        checker.applied_batches,
+        checker.invalidations,
         world.healed_after_s,
         world.digest,
-        story(world.notes, judge.violations) if tells else "",
+        format_trace(world.notes, checker.violations) if with_trace else "",
     )
 
 
-def _where(error: Exception) -> str:
-    """The error, and the line of code that raised it."""
+def error_location(error: Exception) -> str:
+    """The error with the file and the function that raised it."""
     frame = traceback.extract_tb(error.__traceback__)[-1]
     return f"{type(error).__name__}: {error} ({Path(frame.filename).name}, {frame.name})"
 
 
-def played(seed: int) -> Outcome:
-    """The plan of a seed."""
-    return play(draw(seed))
+def run_seed(seed: int) -> Outcome:
+    """Runs the plan of a seed, without a trace."""
+    return run_plan(generate(seed))
 
 
 def explore(
     first: int, seeds: int, jobs: int, prepare: Callable[[], None] | None = None
 ) -> Iterator[list[Outcome]]:
-    """Outcomes by chunks, in the seeds' order."""
-    return many.explore(played, first, seeds, jobs, prepare)
+    """Yields chunks of outcomes in the order of their seeds, from `jobs` processes; 0: one a core.
+
+    Each process calls `prepare` first.
+    """
+    return many.explore(run_seed, first, seeds, jobs, prepare)
 
 
 def shrink(found: Outcome) -> Outcome:
-    """The fewest faults with which the same property breaks, and its story."""
-    return play(many.shrink(found, play, without).plan, tells=True)
+    """Removes faults as long as the same rule is violated; returns the outcome with its trace."""
+    return run_plan(many.shrink(found, run_plan, without).plan, with_trace=True)
--- a/limebridge/faults/distribution/faults.py
+++ b/limebridge/faults/distribution/faults.py
@@ -46,7 +46,7 @@
             case "kill_proxy" | "end_proxy" | "pause_proxy":
                 self._proxy(fault, proxy)
             case "twin_proxy":
-                self._later(fault, world.start_twin(proxy))
+                self._later(fault, world.start_duplicate(proxy))
             case "cut" | "cut_out" | "cut_in" | "cut_proxy" | "split" | "split_out" | "split_in":
                 self._links(fault, control, proxy)
             case "loss" | "storm":
@@ -97,8 +97,8 @@
             self._later(fault, proxy.start)
         elif fault.kind == "end_proxy":
             proxy.deliver(proxy.leave)
-            life = proxy.life
-            self._later(fault, lambda: proxy.replace(life))
+            incarnation_number = proxy.incarnation_number
+            self._later(fault, lambda: proxy.replace(incarnation_number))
         else:
             proxy.pause()
             self._later(fault, proxy.resume)
@@ -121,7 +121,7 @@
         world.lease.unreachable |= lost
 
         def undo() -> None:
-            world.network.mend(links)
+            world.network.restore(links)
             world.lease.unreachable -= lost
 
         self._later(fault, undo)
@@ -142,7 +142,7 @@
         lease = self._world.lease
         match fault.kind:
             case "second_leader":
-                lease.give_to_another(told_after_s=fault.seconds)
+                lease.transfer(notify_after_s=fault.seconds)
             case "no_leader":
                 lease.closed = True
                 self._later(fault, lambda: setattr(lease, "closed", False))
--- a/limebridge/faults/distribution/lease.py
+++ b/limebridge/faults/distribution/lease.py
@@ -63,7 +63,7 @@
             self._renewed_at = now
             return
         if self.holder is None or now - self._renewed_at > TERM_S:
-            self.give_to_another()
+            self.transfer()
 
     def _renews(self, holder: Candidate) -> bool:
         return self._reaches(holder) and holder.renews(self._holder_fence)
@@ -71,7 +71,7 @@
     def _reaches(self, candidate: Candidate) -> bool:
         return candidate.answers and candidate.name not in self.unreachable
 
-    def give_to_another(self, told_after_s: float | None = None) -> None:
+    def transfer(self, notify_after_s: float | None = None) -> None:
         """Take the lease from its holder and give it to someone else under a higher fence.
 
         `told_after_s`: when the holder hears of it; None: at once, or late by chance.
@@ -80,12 +80,12 @@
         ready = [each for each in self._candidates if self._may_hold(each)]
         if self.closed or not ready:
             return
-        if told_after_s is None:
+        if notify_after_s is None:
             believes_on = self._rng.random() < BELIEVES_ON
-            told_after_s = LATE_S * self._rng.random() if believes_on else 0.0
+            notify_after_s = LATE_S * self._rng.random() if believes_on else 0.0
         if old is not None:
             lost = old
-            self._simulation.after(told_after_s, lambda: lost.step_down(old_fence))
+            self._simulation.after(notify_after_s, lambda: lost.step_down(old_fence))
         self._give(self._rng.choice(ready))
 
     def _may_hold(self, candidate: Candidate) -> bool:
@@ -105,7 +105,7 @@
         if self.holder is candidate:
             self.holder = None
 
-    def hand_on(self, candidate: Candidate) -> None:
+    def release(self, candidate: Candidate) -> None:
         """The holder gives the lease back."""
         self._refused_until[candidate.name] = self._simulation.now + REFUSED_S
         if self.holder is candidate:
@@ -119,4 +119,4 @@
     def forget(self) -> None:
         """The store starts again without memory: fences begin anew, and nobody holds the lease."""
         self.fence = 0
-        self.give_to_another()
+        self.transfer()
--- a/limebridge/faults/distribution/links.py
+++ b/limebridge/faults/distribution/links.py
@@ -1,55 +1,61 @@
-"""Relays on every way between real processes, so that each can be cut one way or both."""
+"""Relays between real processes, so that each link can be cut in one direction or both."""
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
 
-from limebridge.faults.relay import Path as Way
+from limebridge.faults.relay import Path as Direction
 from limebridge.faults.relay import Relay
 
 from .network import Link
 
 
 class Links:
-    """A relay from each name to each control machine.  `ports`: of the machines, by name."""
+    """A relay from each requester to each control machine; `ports` are the machines', by name.
 
-    def __init__(self, askers: Sequence[str], ports: dict[str, int], seed: int) -> None:
+    Every relay draws its random behaviour from `seed` and the two names.
+    """
+
+    def __init__(self, requesters: Sequence[str], ports: dict[str, int], seed: int) -> None:
         self._relays = {
-            (asker, machine): Relay(port, f"{seed}/{asker}/{machine}")
-            for asker in askers
+            (requester, machine): Relay(port, f"{seed}/{requester}/{machine}")
+            for requester in requesters
             for machine, port in ports.items()
-            if asker != machine
+            if requester != machine
         }
         self._cut: Counter[Link] = Counter()
 
     async def start(self) -> None:
-        """Listen."""
+        """Starts all relays."""
         for relay in self._relays.values():
             await relay.start()
 
     async def stop(self) -> None:
-        """Everything that is open ends."""
+        """Stops all relays and closes their connections."""
         for relay in self._relays.values():
             await relay.stop()
 
-    def address(self, asker: str, machine: str) -> str:
-        """Where the machine is for this asker."""
-        return f"127.0.0.1:{self._relays[asker, machine].port}"
+    def address(self, requester: str, machine: str) -> str:
+        """The address at which this requester reaches the machine: that of their relay."""
+        return f"127.0.0.1:{self._relays[requester, machine].port}"
 
     def cut(self, links: Iterable[Link]) -> None:
-        """Nothing passes from the first name to the second, until `mend` was called as often."""
+        """Blocks traffic from the first to the second name of each link.
+
+        A link passes traffic again after `restore` was called as often as `cut`.
+        """
         self._cut.update(links)
         self._apply()
 
-    def mend(self, links: Iterable[Link]) -> None:
-        """Undo one `cut`."""
+    def restore(self, links: Iterable[Link]) -> None:
+        """Undoes one `cut` of each link."""
         self._cut.subtract(links)
         self._apply()
 
     def _apply(self) -> None:
-        for (asker, machine), relay in self._relays.items():
-            there = Way(cut=self._cut[asker, machine] > 0)
-            back = Way(cut=self._cut[machine, asker] > 0)
-            if (there.cut, back.cut) != (relay.there.cut, relay.back.cut):
-                relay.set(there, back)
+        for (requester, machine), relay in self._relays.items():
+            forward = Direction(cut=self._cut[requester, machine] > 0)
+            back = Direction(cut=self._cut[machine, requester] > 0)
+            if (forward.cut, back.cut) != (relay.there.cut, relay.back.cut):
+                relay.set(forward, back)
--- a/limebridge/faults/distribution/mixed_builds.py
+++ b/limebridge/faults/distribution/mixed_builds.py
@@ -1,7 +1,7 @@
-"""Processes of two builds in one run: who runs which, and a rollout from one to the other and back.
+"""Two builds in one run: their assignment to processes, and a rollout to the other and back.
 
-A build is a folder with the packages of a commit (`limebridge.experiments.builds`); a process runs
-it by being started there.
+A build is a folder with the packages of a commit (`limebridge.experiments.builds`).  A process runs
+it if it is started with that folder as its working directory.
 """
 
 from __future__ import annotations
@@ -21,28 +21,28 @@
 from limebridge.experiments.plan import HERE
 from violetroute.distribution.messages import StatusReply
 
-from .judge import Judge
+from .checker import RuleChecker
 from .plan import Plan
 from .real_proxy import RealProxy, status_of
 
-STEP_S = 0.05  # between two looks
-CAUGHT_UP_S = 10.0  # a bound on waiting for a process that was replaced
-KILLS = 0.25  # share of the processes that are killed and not told to end
-SOURCE = "import violetroute.distribution; print(violetroute.distribution.__file__)"
+POLL_INTERVAL_S = 0.05
+CATCH_UP_TIMEOUT_S = 10.0  # for a process that was replaced; the rollout continues after it
+KILL_SHARE = 0.25  # share of the processes that a rollout ends with SIGKILL instead of SIGTERM
+PRINT_PACKAGE_PATH = "import violetroute.distribution; print(violetroute.distribution.__file__)"
 
 
 class Faults(Protocol):
-    """What a rollout asks of the faults that are played beside it."""
+    """The faults that run at the same time as a rollout, as far as it has to know of them."""
 
     def is_down(self, name: str) -> bool:
-        """Whether a fault has ended this process and will start it again."""
+        """Whether a fault has ended this process and will restart it."""
 
-    def taken_down(self, name: str) -> AbstractContextManager[None]:
-        """No fault touches this process meanwhile."""
+    def reserve(self, name: str) -> AbstractContextManager[None]:
+        """Keeps faults from ending or starting this process inside the `with` block."""
 
 
-class Processes(Protocol):
-    """The rig, as far as this module needs it."""
+class RigProcesses(Protocol):
+    """The part of `Rig` that this module uses."""
 
     @property
     def plan(self) -> Plan: ...
@@ -55,25 +55,25 @@
     @property
     def faults(self) -> Faults: ...
     @property
-    def judge(self) -> Judge: ...
+    def checker(self) -> RuleChecker: ...
     @property
     def leader(self) -> str: ...
     @property
     def now(self) -> float: ...
 
-    def note(self, what: str) -> None:
-        """A line of the run's story."""
+    def note(self, message: str) -> None:
+        """Appends a line to the trace of the run."""
 
     async def status_of_machine(self, number: int) -> StatusReply | None:
-        """What this control machine says of itself; None: nothing in time."""
+        """The status of a control machine; None if it does not reply in time."""
 
 
 @dataclass(frozen=True)
 class Builds:
-    """Two builds that run side by side.
+    """The folders of two builds that run in one deployment.
 
-    `rolling`: all processes begin with the older one, and are replaced one after another by the
-    newer one, and then by the older one again.  Else each keeps its own.
+    With `rolling`, all processes start with the older build and are replaced one after another by
+    the newer one, then by the older one again.  Otherwise each process keeps its build.
     """
 
     older: Path
@@ -82,29 +82,36 @@
 
 
 def unpack(older: str, under: Path, rolling: bool = False) -> Builds:
-    """The build of a commit, and a copy of this checkout.  Raises NoBuild."""
+    """Unpacks the build of commit `older` and a copy of this checkout into folder `under`.
+
+    Raises NoBuild.
+    """
     builds = Builds(folder(older, under), folder(HERE, under), rolling)
-    for place in (builds.older, builds.newer):
-        check_source(place)
+    for path in (builds.older, builds.newer):
+        check_source(path)
     return builds
 
 
-def check_source(place: Path) -> None:
-    """Raises NoBuild unless a process that is started there runs the build of this folder."""
-    done = subprocess.run(
-        [sys.executable, "-c", SOURCE], cwd=place, capture_output=True, text=True, check=False
+def check_source(path: Path) -> None:
+    """Raises NoBuild unless a process that is started in folder `path` imports its packages."""
+    result = subprocess.run(
+        [sys.executable, "-c", PRINT_PACKAGE_PATH],
+        cwd=path,
+        capture_output=True,
+        text=True,
+        check=False,
     )
-    if done.returncode:
-        raise NoBuild(f"{place}: {done.stderr.strip().splitlines()[-1]}")
-    if not Path(done.stdout.strip()).is_relative_to(place.resolve()):
-        raise NoBuild(f"{place}: a process there runs {done.stdout.strip()}")
+    if result.returncode:
+        raise NoBuild(f"{path}: {result.stderr.strip().splitlines()[-1]}")
+    if not Path(result.stdout.strip()).is_relative_to(path.resolve()):
+        raise NoBuild(f"{path}: a process started there imports {result.stdout.strip()}")
 
 
-def assign(builds: Builds, rig: Processes) -> None:
-    """Give each process the build that it begins with; drawn from the plan's seed.
+def assign(builds: Builds, rig: RigProcesses) -> None:
+    """Assigns the initial build to each process, at random from the plan's seed.
 
-    Without a rollout at least one control machine and one proxy has each build, where there are
-    two.
+    Without a rollout, both builds run on at least one control machine and on at least one proxy,
+    provided that there are two of each.
     """
     rng = random.Random(f"builds/{rig.plan.seed}")
     groups: tuple[Sequence[ControlProcess | RealProxy], ...] = (
@@ -121,33 +128,34 @@
 class Rollout:
     """Replaces every process of a rig by one of another build.
 
-    Control machines are replaced one after another, and proxies too, side by side with them.
+    Control machines are replaced one after another, and at the same time the proxies are too.
+    `leaders_replaced` counts the machines that were leader when they were replaced.
     """
 
-    def __init__(self, rig: Processes, builds: Builds) -> None:
+    def __init__(self, rig: RigProcesses, builds: Builds) -> None:
         self._rig, self._builds = rig, builds
         self._machines_rng = random.Random(f"rollout/machines/{rig.plan.seed}")
         self._proxies_rng = random.Random(f"rollout/proxies/{rig.plan.seed}")
         self.replaced = 0
         self.leaders_replaced = 0
 
-    async def play(self) -> None:
-        """To the newer build and back.  Raises what starting a process raised."""
+    async def run(self) -> None:
+        """Rolls to the newer build and back.  Raises the exception of a start that failed."""
         await self._replace_all(self._builds.newer)
         await self._replace_all(self._builds.older)
 
     async def _replace_all(self, build: Path) -> None:
-        """Raises the first failure; nothing is replaced after it."""
-        both = [
+        """Replaces all processes.  Stops at the first failure and raises it."""
+        tasks = [
             asyncio.create_task(self._replace_machines(build)),
             asyncio.create_task(self._replace_proxies(build)),
         ]
         try:
-            await asyncio.gather(*both)
+            await asyncio.gather(*tasks)
         finally:
-            for task in both:
+            for task in tasks:
                 task.cancel()
-            await asyncio.gather(*both, return_exceptions=True)
+            await asyncio.gather(*tasks, return_exceptions=True)
         self._rig.note(f"all run {build.name}")
 
     async def _replace_machines(self, build: Path) -> None:
@@ -160,9 +168,9 @@
         proxies = list(self._rig.proxies)
         self._proxies_rng.shuffle(proxies)
         for proxy in proxies:
-            killed = self._proxies_rng.random() < KILLS
+            killed = self._proxies_rng.random() < KILL_SHARE
             await self._replace(proxy.name, proxy, build, killed)
-            await self._until_proxy_is_back(proxy)
+            await self._wait_for_proxy(proxy)
 
     async def _replace_machine(self, number: int, build: Path) -> None:
         name = self._rig.names[number]
@@ -170,41 +178,41 @@
         self.leaders_replaced += leads
         if leads:
             self._rig.note(f"{name} leads")
-        killed = self._machines_rng.random() < KILLS
+        killed = self._machines_rng.random() < KILL_SHARE
         await self._replace(name, self._rig.machines.processes[number], build, killed)
-        await self._until_machine_is_back(number)
+        await self._wait_for_machine(number)
 
     async def _replace(
         self, name: str, process: ControlProcess | RealProxy, build: Path, killed: bool
     ) -> None:
         faults = self._rig.faults
-        while faults.is_down(name):  # a fault has ended it and will start it again
-            await asyncio.sleep(STEP_S)
-        with faults.taken_down(name):
+        while faults.is_down(name):  # wait for the restart by the fault that ended it
+            await asyncio.sleep(POLL_INTERVAL_S)
+        with faults.reserve(name):
             self._rig.note(f"{name} is {'killed' if killed else 'ended'}, then runs {build.name}")
             await (process.kill() if killed else process.term())
             process.build = build
             await process.start()
         self.replaced += 1
 
-    # --- waiting, as an operator does before the next one ---
-    async def _until_machine_is_back(self, number: int) -> None:
-        """Until it has committed all that was committed when it was started."""
-        due = self._rig.judge.committed
-        end = self._rig.now + CAUGHT_UP_S
-        while self._rig.now < end:
+    # --- waits, as an operator waits before replacing the next process ---
+    async def _wait_for_machine(self, number: int) -> None:
+        """Waits until the machine has committed everything that was committed at its start."""
+        target_position = self._rig.checker.committed
+        deadline = self._rig.now + CATCH_UP_TIMEOUT_S
+        while self._rig.now < deadline:
             status = await self._rig.status_of_machine(number)
-            if status is not None and status.commit >= due and not status.recovering:
+            if status is not None and status.commit >= target_position and not status.recovering:
                 return
-            await asyncio.sleep(STEP_S)
-        self._rig.note(f"{self._rig.names[number]} is not back, and the rollout goes on")
+            await asyncio.sleep(POLL_INTERVAL_S)
+        self._rig.note(f"{self._rig.names[number]} has not caught up, the rollout continues")
 
-    async def _until_proxy_is_back(self, proxy: RealProxy) -> None:
-        """Until it is fresh."""
-        end = self._rig.now + CAUGHT_UP_S
-        while self._rig.now < end:
+    async def _wait_for_proxy(self, proxy: RealProxy) -> None:
+        """Waits until the proxy is fresh."""
+        deadline = self._rig.now + CATCH_UP_TIMEOUT_S
+        while self._rig.now < deadline:
             status = await status_of(proxy)
             if status is not None and status.fresh:
                 return
-            await asyncio.sleep(STEP_S)
-        self._rig.note(f"{proxy.name} is not back, and the rollout goes on")
+            await asyncio.sleep(POLL_INTERVAL_S)
+        self._rig.note(f"{proxy.name} is not fresh, the rollout continues")
--- a/limebridge/faults/distribution/network.py
+++ b/limebridge/faults/distribution/network.py
@@ -46,8 +46,8 @@
     `on_reply` is called at most once; `cancel` when the asker has given up.
     """
 
-    def __init__(self, asker: str, to: str, on_reply: OnReply) -> None:
-        self.asker, self.to, self._on_reply = asker, to, on_reply
+    def __init__(self, requester: str, to: str, on_reply: OnReply) -> None:
+        self.requester, self.to, self._on_reply = requester, to, on_reply
         self.open = True
         self.tickets: list[int] = []
 
@@ -76,7 +76,7 @@
         """Nothing passes these links, until `mend` was called as often."""
         self._cut.update(links)
 
-    def mend(self, links: Iterable[Link]) -> None:
+    def restore(self, links: Iterable[Link]) -> None:
         """Undo one `cut`; what waited in a link that is open again is delivered."""
         for link in links:
             self._cut[link] -= 1
@@ -88,25 +88,25 @@
         """Whether nothing passes from the first to the second name now."""
         return self._cut[link] > 0
 
-    def request(self, asker: str, to: str, message: Message, on_reply: OnReply) -> Exchange:
+    def request(self, requester: str, to: str, message: Message, on_reply: OnReply) -> Exchange:
         """Send a request; `on_reply` gets the answer, or None if the connection fails."""
-        exchange = Exchange(asker, to, on_reply)
+        exchange = Exchange(requester, to, on_reply)
         copies = 2 if self.storm and self._rng.random() < STORM_COPIES else 1
         for _ in range(copies):
-            self._send((asker, to), lambda: self._arrive(exchange, message))
+            self._send((requester, to), lambda: self._arrive(exchange, message))
         return exchange
 
     def abandon(self, exchange: Exchange) -> None:
         """The asker closes its connection; the other side hears of it, if it is reached."""
         exchange.cancel()
         for ticket in exchange.tickets:
-            self._send((exchange.asker, exchange.to), self._abandonment(exchange, ticket))
+            self._send((exchange.requester, exchange.to), self._abandonment(exchange, ticket))
 
     def _abandonment(self, exchange: Exchange, ticket: int) -> Callable[[], None]:
         return lambda: self.endpoints[exchange.to].abandon(ticket)
 
     def _arrive(self, exchange: Exchange, message: Message) -> None:
-        back = (exchange.to, exchange.asker)
+        back = (exchange.to, exchange.requester)
 
         def answer(reply: Message | None) -> None:
             self._send(back, lambda: exchange.finish(reply))
--- a/limebridge/faults/distribution/plan.py
+++ b/limebridge/faults/distribution/plan.py
@@ -11,10 +11,10 @@
 
 from limebridge.faults.plan import Seconds, draw_faults, dump, read_as, without
 
-__all__ = ["Fault", "Kind", "Plan", "draw", "dump", "read", "without"]
+__all__ = ["Fault", "Kind", "Plan", "dump", "generate", "read", "without"]
 
-MACHINES_AT_MOST = 5
-PROXIES_AT_MOST = 12
+MAX_MACHINES = 5
+MAX_PROXIES = 12
 
 Kind = Literal[
     # to a control machine
@@ -89,7 +89,7 @@
 
     at: Seconds
     kind: Kind
-    who: Annotated[int, msgspec.Meta(ge=0, lt=PROXIES_AT_MOST)] = 0
+    who: Annotated[int, msgspec.Meta(ge=0, lt=MAX_PROXIES)] = 0
     seconds: Seconds = 1.0
 
 
@@ -98,8 +98,8 @@
 
     seed: int = 0
     seconds: Seconds = 8.0
-    machines: Annotated[int, msgspec.Meta(ge=1, le=MACHINES_AT_MOST)] = 3
-    proxies: Annotated[int, msgspec.Meta(ge=1, le=PROXIES_AT_MOST)] = 4
+    machines: Annotated[int, msgspec.Meta(ge=1, le=MAX_MACHINES)] = 3
+    proxies: Annotated[int, msgspec.Meta(ge=1, le=MAX_PROXIES)] = 4
     stale_after_s: Annotated[float, msgspec.Meta(ge=0.2, le=60.0)] = 1.0
     publications_per_s: Annotated[float, msgspec.Meta(gt=0.0, le=1000.0)] = 6.0
     keep_s: Annotated[float, msgspec.Meta(ge=0.0, le=1e6)] = 3600.0  # for which batches are kept
@@ -108,7 +108,7 @@
 
 
 @dataclass(frozen=True)
-class Theme:
+class FaultProfile:
     """Faults that lead to one kind of situation.
 
     `keep_s`: for which batches are kept.  A fault lasts about one of `lasts`, in s.
@@ -122,11 +122,11 @@
     clocks: Clocks = "any"
 
 
-THEMES = (
-    Theme(KINDS),
-    Theme(KINDS),
-    Theme(KINDS, keep_s=2.0),
-    Theme(
+FAULT_PROFILES = (
+    FaultProfile(KINDS),
+    FaultProfile(KINDS),
+    FaultProfile(KINDS, keep_s=2.0),
+    FaultProfile(
         (
             "second_leader",
             "second_leader",
@@ -142,11 +142,11 @@
         ),
         faults=(4, 10),
     ),
-    Theme(
+    FaultProfile(
         ("lose_disk", "lose_disk", "lose_disk", "kill", "second_leader", "pause", "cut", "loss"),
         faults=(3, 8),
     ),
-    Theme(
+    FaultProfile(
         (
             "kill_proxy",
             "kill_proxy",
@@ -164,7 +164,7 @@
     # A proxy is fresh for at most stale_after_s of its clock since an answer that is some tenths of
     # a second old.  Clocks alone delay that by 10% of stale_after_s at most, which shows only where
     # it is longer than the age of the answer: stale_after_s is that long here, a cut even longer.
-    Theme(
+    FaultProfile(
         ("cut_proxy", "cut_proxy", "cut_proxy", "split", "cut_in", "cut_out"),
         faults=(3, 6),
         lasts=(10.0,),
@@ -174,10 +174,10 @@
 )
 
 
-def draw(seed: int) -> Plan:
+def generate(seed: int) -> Plan:
     """The plan of a seed."""
     rng = random.Random(f"distribution/{seed}")
-    theme = rng.choice(THEMES)
+    theme = rng.choice(FAULT_PROFILES)
     machines, proxies = rng.choice((3, 3, 5)), rng.randint(4, 8)
     seconds = rng.uniform(5.0, 10.0)
     faults = draw_faults(
@@ -187,7 +187,7 @@
         since=1.0,
         until=seconds,
         kinds=theme.kinds,
-        targets=PROXIES_AT_MOST,
+        targets=MAX_PROXIES,
         lasts=theme.lasts,
     )
     return Plan(
--- a/limebridge/faults/distribution/processes.py
+++ b/limebridge/faults/distribution/processes.py
@@ -37,7 +37,7 @@
     def __init__(self, simulation: Simulation, name: str, clock: ProcessClock) -> None:
         self.simulation, self.name, self.clock = simulation, name, clock
         self.up = False
-        self.life = 0
+        self.incarnation_number = 0
         self._pauses = 0
         self._held: deque[Callable[[], None]] = deque()
         self._wake_at = float("inf")
@@ -64,7 +64,7 @@
     def begin(self) -> None:
         """A new process of this name."""
         self.up = True
-        self.life += 1
+        self.incarnation_number += 1
         self._pauses = 0
         self._held.clear()
         self._wake_at = float("inf")
@@ -83,12 +83,12 @@
             return
         event()
 
-    def for_this_life(self, event: Callable[[], None]) -> Callable[[], None]:
+    def for_current_process(self, event: Callable[[], None]) -> Callable[[], None]:
         """The event for the process that runs now; nothing for a later one."""
-        life = self.life
+        incarnation_number = self.incarnation_number
 
         def guarded() -> None:
-            if life == self.life:
+            if incarnation_number == self.incarnation_number:
                 self.deliver(event)
 
         return guarded
@@ -111,4 +111,4 @@
         if self._wake_at <= when and self._wake_at > self.simulation.now:
             return
         self._wake_at = when
-        self.simulation.at(when, self.for_this_life(event))
+        self.simulation.at(when, self.for_current_process(event))
--- a/limebridge/faults/distribution/proxy.py
+++ b/limebridge/faults/distribution/proxy.py
@@ -19,7 +19,7 @@
     Subscriber,
 )
 
-from .disk import content_of
+from .disk import log_entry
 from .network import Exchange
 from .processes import Process, ProcessClock
 
@@ -51,7 +51,7 @@
     @property
     def incarnation(self) -> str:
         """Of the process that runs now."""
-        return f"{self.name}.{self.life}"
+        return f"{self.name}.{self.incarnation_number}"
 
     def start(self) -> None:
         """A new process without memory."""
@@ -78,9 +78,9 @@
         address = self._asks or self.settings.controls[0].address
         self.world.network.request(self.name, address, poll, lambda reply: None)
 
-    def replace(self, life: int) -> None:
+    def replace(self, incarnation_number: int) -> None:
         """The process of this life is gone, and a new one starts, unless that was done already."""
-        if self.up and self.life == life:
+        if self.up and self.incarnation_number == incarnation_number:
             self.kill()
             self.start()
 
@@ -108,14 +108,14 @@
     def _send(self, ask: SendPoll) -> None:
         polling = self._polling = Polling(ask.address, self.now)
         self._asks = ask.address
-        life = self.life
+        incarnation_number = self.incarnation_number
 
         def on_reply(reply: Message | None) -> None:
-            if life == self.life:
+            if incarnation_number == self.incarnation_number:
                 self.deliver(lambda: self._replied(polling, reply))
 
         polling.exchange = self.world.network.request(self.name, ask.address, ask.poll, on_reply)
-        timeout = self.for_this_life(lambda: self._timed_out(polling))
+        timeout = self.for_current_process(lambda: self._timed_out(polling))
         self.simulation.after(self.clock.world_span(ask.timeout_s), timeout)
 
     def _timed_out(self, polling: Polling) -> None:
@@ -153,7 +153,7 @@
                     self.world.voided(self, base)
                 case Apply(batch):
                     if batch.position != base:  # at the base: the snapshot's configuration
-                        self.world.applied(self, content_of(batch))
+                        self.world.applied(self, log_entry(batch))
                 case SequenceGap(expected, got):
                     self.world.note(f"  {self.name} finds a gap: {expected} expected, {got} came")
                 case BecameStale() | BecameFresh():
--- a/limebridge/faults/distribution/publisher.py
+++ b/limebridge/faults/distribution/publisher.py
@@ -117,6 +117,6 @@
         self.committed += 1
         now = self.simulation.now
         self.world.note(f"{' '.join(attempt.keys)} is committed at {reply.position}")
-        self.world.judge.publication_committed(now, reply.position, reply.fence, attempt.keys)
+        self.world.checker.publication_committed(now, reply.position, reply.fence, attempt.keys)
         if attempt.keys == (LAST,):
             self.last_position = reply.position
--- a/limebridge/faults/distribution/real_plan.py
+++ b/limebridge/faults/distribution/real_plan.py
@@ -1,4 +1,4 @@
-"""Plans for real processes: the kinds that signals, relays and folders can do."""
+"""Plans for real processes: only faults that signals, relays and data folders can cause."""
 
 from __future__ import annotations
 
@@ -24,25 +24,25 @@
     "split",
 )
 STALE_AFTER_S = 2.0
-WHO_AT_MOST = 12
-SECONDS = (3.0, 5.0)
-FAULTS = (1, 4)
-ROLLING_SECONDS = (9.0, 13.0)  # about as long as a rollout and its way back
-ROLLING_FAULTS = (1, 6)
+MAX_TARGETS = 12
+FAULT_PHASE_S = (3.0, 5.0)
+FAULT_COUNT = (1, 4)
+ROLLING_FAULT_PHASE_S = (9.0, 13.0)  # about the duration of a rollout and its reversal
+ROLLING_FAULT_COUNT = (1, 6)
 
 
-def draw_real(seed: int, rolling: bool = False) -> Plan:
-    """The plan of a seed; `rolling`: its faults spread over a rollout."""
+def generate_real(seed: int, rolling: bool = False) -> Plan:
+    """Returns the plan of a seed; with `rolling`, its faults are spread over a rollout."""
     rng = random.Random(f"distribution/real/{seed}")
-    seconds = rng.uniform(*(ROLLING_SECONDS if rolling else SECONDS))
+    seconds = rng.uniform(*(ROLLING_FAULT_PHASE_S if rolling else FAULT_PHASE_S))
     faults = draw_faults(
         rng,
         Fault,
-        count=rng.randint(*(ROLLING_FAULTS if rolling else FAULTS)),
+        count=rng.randint(*(ROLLING_FAULT_COUNT if rolling else FAULT_COUNT)),
         since=0.2,
         until=seconds,
         kinds=KINDS,
-        targets=WHO_AT_MOST,
+        targets=MAX_TARGETS,
         lasts=(0.3, 1.0, 2.5),
     )
     return Plan(
--- a/limebridge/faults/distribution/real_proxy.py
+++ b/limebridge/faults/distribution/real_proxy.py
@@ -1,4 +1,4 @@
-"""Real proxies of the rig: processes that record what they apply, and one whole daemon."""
+"""Real proxies of the rig: processes that record what they apply, and one complete daemon."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 from limebridge.standins.configuration import configuration
 from limebridge.standins.discovery import Discovery
 
-from .judge import Content, Judge
-from .recording import Recorded, RecordingFile
+from .checker import LogEntry, RuleChecker
+from .recording import RecordedEvent, RecordingFile
 
-COMMAND = (sys.executable, "-m", "limebridge.faults.distribution.recording")
-READY_S = 30.0
-END_S = 10.0  # for one that was told to end
-ASK_S = 0.5  # for a status; a process that is paused gives none
+RECORDING_COMMAND = (sys.executable, "-m", "limebridge.faults.distribution.recording")
+START_TIMEOUT_S = 30.0
+STOP_TIMEOUT_S = 10.0  # from SIGTERM to the end of the process
+STATUS_TIMEOUT_S = 0.5  # a paused process does not reply
 
 
-class NotReady(Exception):
-    """A process did not start; one line."""
+class ProxyStartError(Exception):
+    """A recording proxy did not start within START_TIMEOUT_S; the message is one line."""
 
 
 class ProxyStatus(msgspec.Struct, frozen=True):
-    """The part of a proxy's own status that is judged."""
+    """The fields of a proxy's own status that the checker uses."""
 
     incarnation: str
     position: int
@@ -39,7 +39,7 @@
 
 
 class RealProxy(Protocol):
-    """A proxy process over its incarnations."""
+    """A proxy, whose process can be ended and started again."""
 
     name: str
     socket: Path
@@ -53,9 +53,9 @@
 
 
 async def status_of(proxy: RealProxy) -> ProxyStatus | None:
-    """What it says of itself; None where it does not answer in time."""
+    """Reads a proxy's status from its introspection socket; None if it does not reply in time."""
     try:
-        async with asyncio.timeout(ASK_S):
+        async with asyncio.timeout(STATUS_TIMEOUT_S):
             reader, writer = await asyncio.open_unix_connection(str(proxy.socket))
             try:
                 writer.write(b"distribution\n")
@@ -68,23 +68,26 @@
 
 
 class RecordingProxy:
-    """A process that runs the distribution service alone; the judge is told what it applies."""
+    """A process that runs only the distribution service.
 
-    def __init__(self, folder: Path, file: RecordingFile, judge: Judge) -> None:
+    What it reports to have applied is passed to the rule checker.
+    """
+
+    def __init__(self, folder: Path, file: RecordingFile, checker: RuleChecker) -> None:
         self.name, self.socket = file.name, Path(file.socket)
         self._path = folder / f"{file.name}.json"
         self._path.write_bytes(msgspec.json.encode(file))
-        self._judge = judge
+        self._judge = checker
         self._process: asyncio.subprocess.Process | None = None
-        self._reading: asyncio.Task[None] | None = None
-        self._voided = False
+        self._reader_task: asyncio.Task[None] | None = None
+        self._invalidated = False
         self.running = False
         self.build: Path | None = None
 
     async def start(self) -> None:
-        """Until it polls.  Raises NotReady."""
+        """Starts the process and waits for its first line.  Raises ProxyStartError."""
         self._process = await asyncio.create_subprocess_exec(
-            *COMMAND,
+            *RECORDING_COMMAND,
             str(self._path),
             stdout=asyncio.subprocess.PIPE,
             cwd=self.build,
@@ -93,53 +96,54 @@
         stdout = self._process.stdout
         assert stdout is not None
         try:
-            async with asyncio.timeout(READY_S):
+            async with asyncio.timeout(START_TIMEOUT_S):
                 line = await stdout.readline()
         except TimeoutError:
             line = b""
         if not line:
             await self.kill()
-            raise NotReady(f"{self.name} did not start")
-        self.running, self._voided = True, False
-        self._reading = asyncio.create_task(self._read(stdout))
+            raise ProxyStartError(f"proxy {self.name} did not start")
+        self.running, self._invalidated = True, False
+        self._reader_task = asyncio.create_task(self._read_events(stdout))
 
-    async def _read(self, stdout: asyncio.StreamReader) -> None:
+    async def _read_events(self, stdout: asyncio.StreamReader) -> None:
         while (line := await stdout.readline()).endswith(b"\n"):
-            self._take(msgspec.json.decode(line, type=Recorded))
+            self._handle_event(msgspec.json.decode(line, type=RecordedEvent))
 
-    def _take(self, line: Recorded) -> None:
+    def _handle_event(self, line: RecordedEvent) -> None:
         now = asyncio.get_running_loop().time()
         if line.voided:
-            self._voided = True
+            self._invalidated = True
             return
-        if self._voided:  # without configuration the base stands before the first batch after it
-            self._voided = False
+        # A snapshot without configuration reports no base, which then precedes the next batch.
+        if self._invalidated:
+            self._invalidated = False
             base = line.base or line.position - 1
-            self._judge.all_voided(now, self.name, line.incarnation, base)
+            self._judge.all_invalidated(now, self.name, line.incarnation, base)
             configuration = line.keys if line.base else ()
-            self._judge.snapshot_taken(now, self.name, base, configuration)
+            self._judge.snapshot_applied(now, self.name, base, configuration)
         if line.base:
             return
-        content = Content(line.position, line.fence, line.keys)
+        content = LogEntry(line.position, line.fence, line.keys)
         self._judge.batch_applied(now, self.name, line.incarnation, content)
 
     def signal(self, number: int) -> None:
-        """To the process, if there is one."""
+        """Sends a signal to the process, if it runs."""
         if self._process is not None and self.running:
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self._process.pid, number)
 
     async def term(self) -> None:
-        """SIGTERM; killed where it does not end in time."""
+        """Sends SIGTERM; kills the process if it does not end within STOP_TIMEOUT_S."""
         self.signal(signal.SIGTERM)
         if self._process is not None:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(END_S):
+                async with asyncio.timeout(STOP_TIMEOUT_S):
                     await self._process.wait()
         await self.kill()
 
     async def kill(self) -> None:
-        """It is gone when this returns, and all that it wrote is read."""
+        """Kills the process; returns when it has ended and all its output was read."""
         self.running = False
         process = self._process
         if process is None:
@@ -148,12 +152,12 @@
             with contextlib.suppress(ProcessLookupError):
                 process.kill()
         await process.wait()
-        if self._reading is not None:
-            await self._reading
+        if self._reader_task is not None:
+            await self._reader_task
 
 
 class DaemonProxy:
-    """A whole daemon.  What it applies is not seen, what it says of itself is."""
+    """A complete daemon.  Its status is observed, but not the batches that it applies."""
 
     def __init__(self, folder: Path, file: RecordingFile, key_file: Path, port: int) -> None:
         self.name, self.socket = file.name, Path(file.socket)
@@ -173,7 +177,7 @@
         self.build: Path | None = None
 
     async def start(self) -> None:
-        """Until it listens.  Raises DaemonStartError."""
+        """Starts the daemon and waits until it listens.  Raises DaemonStartError."""
         if self._discovery is None:
             self._discovery = await Discovery().start()
         raw = configuration(self._discovery.port, []) | {"name": self.name}
@@ -182,24 +186,24 @@
         self.running = True
 
     def signal(self, number: int) -> None:
-        """To the process, if there is one."""
+        """Sends a signal to the process, if it runs."""
         if self.running:
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self._child.pid, number)
 
     async def term(self) -> None:
-        """SIGTERM; killed where it does not drain in time."""
+        """Sends SIGTERM and waits for the end; a daemon that does not drain in time is killed."""
         await self._child.term()
         self.running = False
 
     async def kill(self) -> None:
-        """It is gone when this returns."""
+        """Kills the daemon, also a paused one; returns when it has ended."""
         self.signal(signal.SIGCONT)
         self.running = False
         await self._child.kill()
 
     async def close(self) -> None:
-        """The stand-in for discovery ends too."""
+        """Kills the daemon and stops its stand-in for discovery."""
         await self.kill()
         if self._discovery is not None:
             await self._discovery.stop()
--- a/limebridge/faults/distribution/real_publisher.py
+++ b/limebridge/faults/distribution/real_publisher.py
@@ -1,4 +1,4 @@
-"""Publishes to real control machines, and tells the judge what is committed."""
+"""Publishes to real control machines, and reports committed publications to the rule checker."""
 
 from __future__ import annotations
 
@@ -9,27 +9,30 @@
 from limebridge.control.control_client import Machines, NoAnswerError, send_request
 from violetroute.distribution.messages import Publish, Published, PublishStatus, Record, Topic
 
-from .judge import Judge
+from .checker import RuleChecker
 from .plan import Plan
 from .recording import record_name
 
-ANSWER_S = 2.0  # for the answer to a publication
-CONFIGURATION_EVERY = 6  # of so many publications one is configuration
+PUBLISH_TIMEOUT_S = 2.0  # for the reply to a publication
+CONFIGURATION_INTERVAL = 6  # one in so many publications is configuration
 
 
 class RealPublisher:
-    """`machines`: whom to ask; `note`: is told each publication that is committed."""
+    """Publishes at a random rate that averages the plan's.
+
+    `machines` are the control machines to try; `note` gets a line per committed publication.
+    """
 
     def __init__(
-        self, plan: Plan, machines: Machines, judge: Judge, note: Callable[[str], None]
+        self, plan: Plan, machines: Machines, checker: RuleChecker, note: Callable[[str], None]
     ) -> None:
-        self._plan, self._judge, self._note = plan, judge, note
-        self._machines = Machines(machines.addresses, machines.keys, ANSWER_S)
+        self._plan, self._judge, self._note = plan, checker, note
+        self._machines = Machines(machines.addresses, machines.keys, PUBLISH_TIMEOUT_S)
         self._rng = random.Random(f"rig/{plan.seed}")
         self._count = 0
 
     async def run(self) -> None:
-        """Publish at the plan's rate until this is cancelled."""
+        """Publishes at the plan's rate until this task is cancelled."""
         pending: set[asyncio.Task[int]] = set()
         try:
             while True:
@@ -43,7 +46,10 @@
             await asyncio.gather(*pending, return_exceptions=True)
 
     async def publish(self) -> int:
-        """Ask each machine once until one takes it; its position, 0 if it is not certain."""
+        """Sends one record to the machines in random order, each once, until one is the leader.
+
+        Returns the position of the commit; 0 if it is not known that the record is committed.
+        """
         record = self._next_record()
         name = record_name(record)
         publish = Publish(f"{self._plan.seed}-{name}", (record,))
@@ -63,8 +69,8 @@
         return 0
 
     def _next_record(self) -> Record:
-        """A purge, or from time to time a table that a daemon takes on."""
+        """A purge, or one time in CONFIGURATION_INTERVAL a table that a daemon can apply."""
         self._count += 1
-        if self._count % CONFIGURATION_EVERY:
+        if self._count % CONFIGURATION_INTERVAL:
             return Record(Topic.PURGE, f"k{self._count}")
         return Record(Topic.CONFIGURATION, "log", b'level = "info"  # %d' % self._count)
--- a/limebridge/faults/distribution/recording.py
+++ b/limebridge/faults/distribution/recording.py
@@ -1,7 +1,7 @@
-"""`python -m limebridge.faults.distribution.recording FILE`: a proxy's side alone, which records.
+"""`python -m limebridge.faults.distribution.recording FILE`: records what a proxy would apply.
 
-It runs the daemon's own `DistributionService` without a proxy, prints one JSON line for whatever it
-applies, and answers its status on a Unix socket.
+The process runs the daemon's own `DistributionService` without a proxy, prints a JSON line for
+everything that it applies, and serves its status on a Unix socket.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 from violetroute.transport.introspection_socket import IntrospectionSocket
 from violetroute.transport.sockets import SocketNetwork
 
-from .judge import CONFIGURATION
+from .checker import CONFIGURATION_SEPARATOR
 
-if TYPE_CHECKING:  # earlier builds, which run this module too, have no such module
+if TYPE_CHECKING:  # older builds run this module too, and do not have `status`
     from violetroute.distribution.status import ServiceStatus
 
-SNAPSHOT_MS = 0  # `written_ms` of the batch that stands for the configuration of a snapshot
+SNAPSHOT_MS = 0  # `written_ms` of the batch that holds a snapshot's configuration
 
 
 class RecordingFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the process is started with.  `controls`: "HOST:PORT REGION" of each machine.
+    """The settings of the process, as JSON.  `controls`: "HOST:PORT REGION" of each machine.
 
-    `drops_every`: a planted fault, the batches at every such position are acknowledged and not
-    applied; 0: none.
+    `drops_every` is a planted fault: batches at positions that are multiples of it are acknowledged
+    but not applied; 0: all are applied.
     """
 
     name: str
@@ -46,10 +46,11 @@
     drops_every: int = 0
 
 
-class Recorded(msgspec.Struct, omit_defaults=True):
-    """One line: a start, a batch, that everything was voided, or a snapshot's configuration.
+class RecordedEvent(msgspec.Struct, omit_defaults=True):
+    """One output line: a start, an applied batch, an invalidation, or a snapshot's configuration.
 
-    `keys`: the names of the records.  `base`: the position of the snapshot.
+    `keys` are the names of the records; `base` is the position of the snapshot.  `voided`: the
+    whole cache was invalidated.
     """
 
     incarnation: str
@@ -61,44 +62,44 @@
 
 
 def record_name(record: Record) -> str:
-    """A purge's key; a configuration record's key and body."""
+    """The name of a record for the checker: a purge's key, or a configuration's key and body."""
     if record.topic == Topic.CONFIGURATION:
-        return f"{record.key}{CONFIGURATION}{record.body.decode()}"
+        return f"{record.key}{CONFIGURATION_SEPARATOR}{record.body.decode()}"
     return record.key
 
 
 class RecordingService(DistributionService):
-    """Prints what it applies before it acknowledges it."""
+    """Prints what it applies, before it acknowledges it."""
 
     __slots__ = ("drops_every",)
     drops_every: int
 
     def _apply(self, batch: Batch) -> None:
-        drops = self.drops_every and batch.written_ms != SNAPSHOT_MS
-        if drops and batch.position % self.drops_every == 0:
+        drops_some = self.drops_every and batch.written_ms != SNAPSHOT_MS
+        if drops_some and batch.position % self.drops_every == 0:
             return
         super()._apply(batch)
         names = tuple(record_name(record) for record in batch.records)
         if batch.written_ms == SNAPSHOT_MS:
-            _print(Recorded(self.incarnation, keys=names, base=batch.position))
+            _write_event(RecordedEvent(self.incarnation, keys=names, base=batch.position))
         else:
-            _print(Recorded(self.incarnation, batch.position, batch.fence, names))
+            _write_event(RecordedEvent(self.incarnation, batch.position, batch.fence, names))
 
     def _invalidate_all(self, reason: str) -> None:
         super()._invalidate_all(reason)
-        _print(Recorded(self.incarnation, voided=True))
+        _write_event(RecordedEvent(self.incarnation, voided=True))
 
 
-def _print(line: Recorded) -> None:
+def _write_event(line: RecordedEvent) -> None:
     sys.stdout.write(msgspec.json.encode(line).decode() + "\n")
     sys.stdout.flush()
 
 
 async def serve(file: RecordingFile) -> None:
-    """Until SIGTERM."""
+    """Runs the recording service until SIGTERM."""
     loop = asyncio.get_running_loop()
-    ended: asyncio.Future[None] = loop.create_future()
-    loop.add_signal_handler(signal.SIGTERM, ended.set_result, None)
+    stopped: asyncio.Future[None] = loop.create_future()
+    loop.add_signal_handler(signal.SIGTERM, stopped.set_result, None)
     table = DistributionTable(
         file.controls,
         region=file.region,
@@ -117,21 +118,21 @@
 
     service.drops_every = file.drops_every
 
-    def answer(what: str) -> ServiceStatus:
+    def status_reply(request: str) -> ServiceStatus:
         return service.status()
 
-    door = IntrospectionSocket(file.socket, answer)
-    await door.open()
-    _print(Recorded(service.incarnation))
-    await ended
-    if hasattr(service, "leave"):  # an earlier build beside this kit has none
+    introspection = IntrospectionSocket(file.socket, status_reply)
+    await introspection.open()
+    _write_event(RecordedEvent(service.incarnation))
+    await stopped
+    if hasattr(service, "leave"):  # older builds have no such method
         await service.leave()
     service.close()
-    door.close()
+    introspection.close()
 
 
 def main() -> None:
-    """Read the file and serve."""
+    """Reads the settings file named on the command line and serves."""
     logging.getLogger().addHandler(logging.NullHandler())
     file = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=RecordingFile)
     asyncio.run(serve(file))
--- a/limebridge/faults/distribution/rig.py
+++ b/limebridge/faults/distribution/rig.py
@@ -1,8 +1,8 @@
-"""Real control processes and real proxies with relays between them; a plan of faults played on it.
+"""Runs a plan of faults on real control processes and real proxies, connected through relays.
 
-Everything that is said of the run comes from the processes themselves: what callers are answered,
-what machines and proxies say of their status, and what the recording proxies applied.  After the
-plan everything is healed, and it is waited until all proxies are caught up and fresh.
+All observations come from the processes themselves: replies to publications, the status of control
+machines and proxies, and the batches that recording proxies applied.  After the plan all faults are
+undone, and the run waits until every proxy has caught up and is fresh.
 """
 
 from __future__ import annotations
@@ -27,32 +27,32 @@
 from violetroute.sharing.table import read_keys
 from violetroute.transport import parse_address
 
-from .judge import Judge, Rule, story
+from .checker import Rule, RuleChecker, format_trace
 from .links import Links
 from .mixed_builds import Builds, Rollout, assign
 from .plan import Plan
-from .real_faults import RealFaults, send
-from .real_proxy import DaemonProxy, NotReady, RealProxy, RecordingProxy, status_of
+from .real_faults import RealFaults, send_signal
+from .real_proxy import DaemonProxy, ProxyStartError, RealProxy, RecordingProxy, status_of
 from .real_publisher import RealPublisher
 from .recording import RecordingFile
 
-DRIFT = 0.01  # of the control machines' file
-ASK_S = 0.5  # for an answer of a machine
-LOOK_S = 0.1  # between two looks at everything
-HEAL_WITHIN_S = 40.0  # a bound on waiting, on a busy machine
+DRIFT = 0.01  # `drift` in the control machines' file
+REQUEST_TIMEOUT_S = 0.5  # for the reply of a control machine
+OBSERVE_INTERVAL_S = 0.1
+HEAL_TIMEOUT_S = 40.0  # long enough for a busy computer
 KEY = "a key of sixteen bytes and more"
-TERM_S = 1.0
+LEASE_TERM_S = 1.0
 TIMINGS = {"batch_s": 0.05, "hold_s": 0.25, "spread_s": 0.05}
 
 
 class RelayedMachines(ControlMachines):
-    """Machines that reach each other through relays."""
+    """Control machines that reach each other through the relays of `links`."""
 
     links: Links
     stale_after_s: float
 
     def table(self, number: int) -> dict[str, Any]:
-        """The machine's file."""
+        """The settings file of a machine, as a TOML table, with relay addresses of the others."""
         table = super().table(number)
         own = f"c{number}"
         for machine in table["machine"]:
@@ -64,7 +64,11 @@
 
 @dataclass
 class RealOutcome:
-    """What came of a plan."""
+    """The result of one plan.
+
+    `committed` counts publications, `applied` the batches of all recording proxies.
+    `healed_after_s` is the time from the undoing of all faults until everything had caught up.
+    """
 
     plan: Plan
     broken: list[Violation]
@@ -72,21 +76,22 @@
     applied: int
     healed_after_s: float
     seconds: float
-    replaced: int = 0  # processes, by a rollout
+    replaced: int = 0  # processes that a rollout replaced
     leaders_replaced: int = 0
     notes: list[tuple[float, str]] = field(default_factory=list)
 
     @property
-    def story(self) -> str:
-        """What happened, and what was broken."""
-        return story(self.notes, self.broken)
+    def trace(self) -> str:
+        """The notes of the run, and the violations, one a line."""
+        return format_trace(self.notes, self.broken)
 
 
 class Rig:
-    """One plan on real processes.
+    """Runs one plan on real processes, with all their files in `folder`.
 
-    `drops_every`: the first proxy does not apply the batches at every such position, which it
-    acknowledges all the same; 0: it applies all.  `builds`: None: all processes run this one.
+    `drops_every` is a planted fault: the first proxy acknowledges the batches at positions that are
+    multiples of it, but does not apply them; 0: it applies all.  `builds` is None if all processes
+    run this build.
     """
 
     def __init__(
@@ -94,53 +99,53 @@
     ) -> None:
         self.plan, self.folder, self.drops_every = plan, folder, drops_every
         self.builds = builds
-        self.judge = Judge(plan.stale_after_s, DRIFT)
+        self.checker = RuleChecker(plan.stale_after_s, DRIFT)
         self.notes: list[tuple[float, str]] = []
-        self._began = 0.0
-        self._ended = False
-        self.recovering: set[str] = set()  # machines that lost their disk and are not whole yet
-        self.twins: list[RecordingProxy] = []
-        self._twin_count = 0
-        self.leader = ""  # by the latest status of a machine that says that it leads
+        self._started_at = 0.0
+        self._stopping = False
+        self.recovering: set[str] = set()  # machines whose status says so, after a lost disk
+        self.duplicates: list[RecordingProxy] = []
+        self._duplicate_count = 0
+        self.leader = ""  # the machine that was last to report itself as leader
         self._last_position = 0
 
     @property
     def now(self) -> float:
-        """Seconds of the rig's clock."""
+        """Seconds of the event loop's clock, which is the observer's clock here."""
         return asyncio.get_running_loop().time()
 
-    def note(self, what: str) -> None:
-        """A line of the story."""
-        self.notes.append((self.now - self._began, what))
+    def note(self, message: str) -> None:
+        """Appends a line to the trace, with the time since the start."""
+        self.notes.append((self.now - self._started_at, message))
 
     # --- one run ---
-    async def play(self) -> RealOutcome:
-        """Start, faults, healing, the end of all processes."""
-        began = self._began = self.now
+    async def run(self) -> RealOutcome:
+        """Starts all processes, runs the faults, waits for recovery and ends all processes."""
+        began = self._started_at = self.now
         healed_after_s = 0.0
         await self._prepare()
         tasks: list[asyncio.Task[None]] = []
         try:
             await self.machines.start()
             await asyncio.gather(*(proxy.start() for proxy in self.proxies))
-            self._began = self.now
+            self._started_at = self.now
             tasks = [
                 asyncio.create_task(self.publisher.run()),
-                asyncio.create_task(self._looks()),
+                asyncio.create_task(self._observe_until_stopped()),
             ]
-            await self._schedule()
+            await self._run_faults_and_rollout()
             healed_after_s = await self._heal()
-        except (UnreadyError, DaemonStartError, NotReady) as error:
-            self.judge.complain(Rule.CRASH, f"a process did not start: {error}")
+        except (UnreadyError, DaemonStartError, ProxyStartError) as error:
+            self.checker.report_violation(Rule.CRASH, f"a process did not start: {error}")
         finally:
-            self._ended = True
+            self._stopping = True
             await finish(self._close([*tasks, *self.faults.tasks]))
-        judge, rollout = self.judge, self.rollout
+        checker, rollout = self.checker, self.rollout
         return RealOutcome(
             self.plan,
-            judge.violations,
-            len(judge.publications),
-            judge.applied_batches,
+            checker.violations,
+            len(checker.publications),
+            checker.applied_batches,
             healed_after_s,
             self.now - began,
             rollout.replaced if rollout else 0,
@@ -160,7 +165,10 @@
         )
         await self.links.start()
         self.machines = RelayedMachines(
-            self.folder, ports, on_log_line=self._told, fleet={"term_s": TERM_S, "look_s": 0.1}
+            self.folder,
+            ports,
+            on_log_line=self._on_log_line,
+            fleet={"term_s": LEASE_TERM_S, "look_s": 0.1},
         )
         self.machines.links = self.links
         self.machines.stale_after_s = plan.stale_after_s
@@ -172,15 +180,15 @@
         if self.builds is not None:
             assign(self.builds, self)
             self.rollout = Rollout(self, self.builds) if self.builds.rolling else None
-        self.asked = Machines(
+        self.query_targets = Machines(
             [parse_address(address) for address in self.machines.addresses],
             read_keys(str(self.machines.key_file)),
-            ASK_S,
+            REQUEST_TIMEOUT_S,
         )
-        self.publisher = RealPublisher(plan, self.asked, self.judge, self.note)
+        self.publisher = RealPublisher(plan, self.query_targets, self.checker, self.note)
 
     def _proxy(self, name: str) -> RecordingProxy | DaemonProxy:
-        """The last one is a whole daemon."""
+        """The proxy of this name: the last one is a complete daemon, the others only record."""
         controls = tuple(self.links.address(name, machine) for machine in self.names)
         file = RecordingFile(
             name, controls, KEY, str(self.folder / f"{name}.sock"), self.plan.stale_after_s
@@ -189,12 +197,12 @@
             file = msgspec.structs.replace(file, drops_every=self.drops_every)
         if name == self.proxy_names[-1]:
             return DaemonProxy(self.folder, file, self.machines.key_file, self._daemon_port)
-        return RecordingProxy(self.folder, file, self.judge)
+        return RecordingProxy(self.folder, file, self.checker)
 
-    def make_twin(self, name: str) -> RecordingProxy:
-        """A second proxy of this name.  It reaches the machines without relays."""
-        self._twin_count += 1
-        folder = self.folder / f"twin{self._twin_count}"
+    def make_duplicate(self, name: str) -> RecordingProxy:
+        """Creates a second proxy of this name, which reaches the machines without relays."""
+        self._duplicate_count += 1
+        folder = self.folder / f"twin{self._duplicate_count}"
         folder.mkdir()
         file = RecordingFile(
             name,
@@ -203,80 +211,87 @@
             str(folder / f"{name}.sock"),
             self.plan.stale_after_s,
         )
-        twin = RecordingProxy(folder, file, self.judge)
-        self.twins.append(twin)
-        return twin
+        duplicate = RecordingProxy(folder, file, self.checker)
+        self.duplicates.append(duplicate)
+        return duplicate
 
-    def _told(self, line: str) -> None:
+    def _on_log_line(self, line: str) -> None:
         if "control.fault" in line or "control.ends" in line:
-            self.judge.complain(Rule.CRASH, line[:300])
+            self.checker.report_violation(Rule.CRASH, line[:300])
         if len(self.notes) < 5000:
             self.note(f"  {line[:200]}")
 
     async def _close(self, tasks: list[asyncio.Task[None]]) -> None:
         for task in tasks:
             task.cancel()
-        for done in await asyncio.gather(*tasks, return_exceptions=True):
-            if isinstance(done, Exception):
-                self.judge.complain(Rule.CRASH, f"the rig: {type(done).__name__}: {done}")
+        for result in await asyncio.gather(*tasks, return_exceptions=True):
+            if isinstance(result, Exception):
+                self.checker.report_violation(
+                    Rule.CRASH, f"the rig: {type(result).__name__}: {result}"
+                )
         for process in self.machines.processes:
-            send(process, signal.SIGCONT)
+            send_signal(process, signal.SIGCONT)
         await self.machines.stop()
         for proxy in self.proxies:
             await (proxy.close() if isinstance(proxy, DaemonProxy) else proxy.kill())
         await self.links.stop()
 
-    # --- looking ---
-    async def _looks(self) -> None:
-        while not self._ended:
-            await self._look()
-            await asyncio.sleep(LOOK_S)
+    # --- observations ---
+    async def _observe_until_stopped(self) -> None:
+        while not self._stopping:
+            await self._observe()
+            await asyncio.sleep(OBSERVE_INTERVAL_S)
 
-    async def _look(self) -> None:
-        """Machines first: what is in force by then has to be applied when proxies are asked."""
+    async def _observe(self) -> None:
+        """Queries the machines before the proxies.
+
+        Whatever was in force in a machine's status has to be applied in a later one of a proxy.
+        """
         numbers = range(len(self.names))
         statuses = await asyncio.gather(*(self.status_of_machine(number) for number in numbers))
         for status in statuses:
             if status is not None:
-                self._machine_seen(status)
-        await asyncio.gather(*(self._look_at(proxy) for proxy in (*self.proxies, *self.twins)))
+                self._observe_machine(status)
+        await asyncio.gather(
+            *(self._observe_proxy(proxy) for proxy in (*self.proxies, *self.duplicates))
+        )
 
     async def status_of_machine(self, number: int) -> StatusReply | None:
-        """What a control machine says of itself; None where it does not answer in time."""
-        address = self.asked.addresses[number]
+        """The status of a control machine; None if it does not reply in time."""
+        address = self.query_targets.addresses[number]
         try:
-            reply: StatusReply = await send_request(self.asked, address, StatusRequest(0))
+            reply: StatusReply = await send_request(self.query_targets, address, StatusRequest(0))
         except NoAnswerError:
             return None
         return reply
 
-    def _machine_seen(self, status: StatusReply) -> None:
+    def _observe_machine(self, status: StatusReply) -> None:
         (self.recovering.add if status.recovering else self.recovering.discard)(status.replica)
         if status.leader != status.replica:
             return
         self.leader = status.leader
         last = status.last
         if status.commit == last.position and last.fence == status.fence:
-            self.judge.leader_seen(
+            self.checker.leader_observed(
                 self.now, status.replica, status.fence, status.commit, lambda position: None
             )
-        if status.in_force > self.judge.in_force:
-            self.judge.in_force_reported(self.now, status.in_force)
+        if status.in_force > self.checker.in_force:
+            self.checker.in_force_reported(self.now, status.in_force)
 
-    async def _look_at(self, proxy: RealProxy) -> None:
+    async def _observe_proxy(self, proxy: RealProxy) -> None:
         if not proxy.running:
             return
-        asked_at = self.now
+        sent_at = self.now
         status = await status_of(proxy)
         if status is not None:
-            self.judge.proxy_seen(
-                asked_at, proxy.name, status.incarnation, status.fresh, status.position
+            self.checker.proxy_observed(
+                sent_at, proxy.name, status.incarnation, status.fresh, status.position
             )
 
     # --- faults ---
-    async def _schedule(self) -> None:
-        """All faults, and beside them the rollout to its end."""
-        rollout = asyncio.create_task(self.rollout.play() if self.rollout else asyncio.sleep(0.0))
+    async def _run_faults_and_rollout(self) -> None:
+        """Runs all faults while the rollout runs to its end."""
+        rollout = asyncio.create_task(self.rollout.run() if self.rollout else asyncio.sleep(0.0))
         try:
             await self._begin_faults()
             await rollout
@@ -286,33 +301,33 @@
 
     async def _begin_faults(self) -> None:
         for fault in self.plan.fault:
-            await asyncio.sleep(max(0.0, self._began + fault.at - self.now))
+            await asyncio.sleep(max(0.0, self._started_at + fault.at - self.now))
             self.faults.begin(fault)
-        await asyncio.sleep(max(0.0, self._began + self.plan.seconds - self.now))
+        await asyncio.sleep(max(0.0, self._started_at + self.plan.seconds - self.now))
 
-    # --- the end ---
+    # --- end of the run ---
     async def _heal(self) -> float:
-        """Undo all faults; seconds until everything has gone on."""
+        """Undoes all faults; returns the seconds until everything had caught up."""
         await self.faults.heal()
         self.note("healed")
         began = self.now
-        await self._until(self._publishes_last, "the last publication is not committed")
+        await self._wait_until(self._publish_last, "the last publication is not committed")
         for proxy in self.proxies:
-            await self._until(lambda proxy=proxy: self._caught_up(proxy), proxy.name)  # type: ignore[misc]
-        await self._until(self._in_force, "the last publication is not in force")
-        await self._until(self._recovered, "a machine still recovers")
+            await self._wait_until(lambda proxy=proxy: self._caught_up(proxy), proxy.name)  # type: ignore[misc]
+        await self._wait_until(self._in_force, "the last publication is not in force")
+        await self._wait_until(self._recovered, "a machine still recovers")
         healed_after_s = self.now - began
-        self._all_run()
-        self.judge.finish(self._last_position, await self._fresh())
+        self._check_all_running()
+        self.checker.finish(self._last_position, await self._fresh_proxies())
         return healed_after_s
 
-    def _all_run(self) -> None:
+    def _check_all_running(self) -> None:
         for name, process in zip(self.names, self.machines.processes, strict=True):
             if not process.running:
-                self.judge.complain(Rule.CRASH, f"{name} has ended: {process.log[-1:]}")
+                self.checker.report_violation(Rule.CRASH, f"{name} has ended: {process.log[-1:]}")
 
-    async def _fresh(self) -> list[tuple[str, str]]:
-        """Name and incarnation of the recording proxies that believe themselves fresh."""
+    async def _fresh_proxies(self) -> list[tuple[str, str]]:
+        """Name and incarnation of the recording proxies that consider themselves fresh."""
         found = []
         for proxy in self.proxies:
             status = await status_of(proxy) if isinstance(proxy, RecordingProxy) else None
@@ -320,15 +335,17 @@
                 found.append((proxy.name, status.incarnation))
         return found
 
-    async def _until(self, done: Callable[[], Awaitable[bool]], what: str) -> None:
-        end = self.now + HEAL_WITHIN_S
-        while not await done():
+    async def _wait_until(self, condition: Callable[[], Awaitable[bool]], message: str) -> None:
+        end = self.now + HEAL_TIMEOUT_S
+        while not await condition():
             if self.now > end:
-                self.judge.complain(Rule.PROGRESS, f"{HEAL_WITHIN_S:g} s after: {what}")
+                self.checker.report_violation(
+                    Rule.PROGRESS, f"no recovery within {HEAL_TIMEOUT_S:g} s: {message}"
+                )
                 return
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(OBSERVE_INTERVAL_S)
 
-    async def _publishes_last(self) -> bool:
+    async def _publish_last(self) -> bool:
         self._last_position = await self.publisher.publish()
         return self._last_position > 0
 
@@ -337,13 +354,13 @@
         return status is not None and status.fresh and status.position >= self._last_position
 
     async def _in_force(self) -> bool:
-        return self.judge.in_force >= self._last_position
+        return self.checker.in_force >= self._last_position
 
     async def _recovered(self) -> bool:
         return not self.recovering
 
 
-def play(plan: Plan, drops_every: int = 0, builds: Builds | None = None) -> RealOutcome:
-    """One plan, in a folder of its own that is gone afterwards."""
+def run_plan(plan: Plan, drops_every: int = 0, builds: Builds | None = None) -> RealOutcome:
+    """Runs one plan in a temporary folder; `drops_every` and `builds` are those of `Rig`."""
     with tempfile.TemporaryDirectory(prefix="lb-distribution-") as folder:
-        return run(Rig(plan, Path(folder), drops_every, builds).play())
+        return run(Rig(plan, Path(folder), drops_every, builds).run())
--- a/limebridge/faults/distribution/simulation.py
+++ b/limebridge/faults/distribution/simulation.py
@@ -5,10 +5,10 @@
 import heapq
 from collections.abc import Callable
 
-EVENTS_AT_MOST = 2_000_000  # of one run: a loop without delay ends with an error
+MAX_EVENTS = 2_000_000  # of one run: a loop without delay ends with an error
 
 
-class EndlessRun(Exception):
+class EventLimitExceeded(Exception):
     """More events happened than a run may have."""
 
 
@@ -36,8 +36,8 @@
             self.now, _, event = heapq.heappop(self._heap)
             event()
             self.events += 1
-            if self.events > EVENTS_AT_MOST:
-                raise EndlessRun(f"more than {EVENTS_AT_MOST} events by {self.now:.3f} s")
+            if self.events > MAX_EVENTS:
+                raise EventLimitExceeded(f"more than {MAX_EVENTS} events by {self.now:.3f} s")
             if done is not None and done():
                 return
         self.now = max(self.now, end)
--- a/limebridge/faults/distribution/state_space.py
+++ b/limebridge/faults/distribution/state_space.py
@@ -1,15 +1,18 @@
-"""Control machines checked whole: every order of what may happen, within bounds.
-
-Three real `Machine`s and one real `Subscriber`.  A request or an answer stays in the network until
-it is delivered or its sender gives up, and a request may be delivered twice: so delay, loss, copies
-and order are one thing.  A machine can be killed, before or after what it has just decided is
-stored; its disk can be lost; the lease is given to another machine while the first still believes
-in its own.  A machine that is paused does nothing for a while, which any order allows.
-
-Held against it after every step: **durable** and **order**: one content stands at each committed
-position, for ever; **in force**: the proxy has applied what a leader reports as in force, or
-believes itself stale; **age**: no earlier leader tells an age that counts from after the time that
-a later one takes for the last such time.
+"""The model of the control machines: every order of events within bounds, for a model checker.
+
+The model runs three real `Machine`s and one real `Subscriber`.  A request or reply stays in the
+network until it is delivered or its requester gives up, and a request may be delivered twice.  The
+order of deliveries thus covers delay, loss and duplication too.  A machine can be killed before or
+after its latest writes are stored, its disk can be lost, and another machine can be given the lease
+while the previous leader still assumes that it holds it.  A pause needs no event of its own: orders
+in which a machine handles nothing for a while are explored anyway.
+
+These rules are checked after every step:
+
+- **durable**, **order**: the entry at a committed position never changes;
+- **in force**: the proxy has applied what a leader reports as in force, or considers itself stale;
+- **age**: no earlier leader reports an age relative to an `as_of` later than a later leader's bound
+  on it.
 """
 
 from __future__ import annotations
@@ -20,205 +23,212 @@
 
 from violetroute.distribution.messages import Publish, Record, Report, Topic
 
-from .judge import Rule
-from .nodes import CALLER, NAMES, Even, Node, Packet, Proxy, Storing, pack
+from .checker import Rule
+from .nodes import CALLER, NAMES, Durability, Node, NoJitter, Packet, Proxy, packet_key
 
-STEP_S = 0.25  # of an event "time"
-SETTLE_AT_MOST = 2000  # deliveries until a world without faults is quiet
-SETTLE_STEPS = 4  # events "time" before the first fault
-ROUNDING_S = 1e-6
-HEAL_STEPS = 40  # events "time" after which all has to have gone on
+STEP_S = 0.25  # duration of a "time" event
+MAX_SETTLE_DELIVERIES = 2000  # bound on the deliveries until no packet is left, without faults
+SETTLE_STEPS = 4  # "time" events before the first fault
+ROUNDING_ERROR_S = 1e-6
+HEAL_STEPS = 40  # "time" events within which a world without faults has to commit again
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """How often each thing happens in one story."""
+    """The maximum number of each event in one trace, and the number of control machines."""
 
     times: int = 2
     publications: int = 1
-    leaders: int = 1  # beside the first
-    losses: int = 1  # requests that are given up, delivered or not
+    leaders: int = 1  # in addition to the initial one
+    losses: int = 1  # requests that the requester gives up on, whether delivered or not
     copies: int = 1
     crashes: int = 1
-    torn: int = 1  # crashes before what was just decided is stored
+    torn: int = 1  # crashes before the writes of the last event are all stored
     disks: int = 1
     polls: int = 0
     machines: int = 3
 
 
 SMALL = Bounds()
-KINDS = tuple(bound.name for bound in fields(Bounds) if bound.name != "machines")
+BOUNDED_EVENTS = tuple(bound.name for bound in fields(Bounds) if bound.name != "machines")
 Event = tuple[Any, ...]
 
 
 @dataclass
 class World:
-    """One state.  `packets` is sorted, so that equal states are equal."""
+    """One state of the model.
+
+    `remaining` counts down from the bounds.  `packets` is sorted, so that states that differ only
+    in the order of sending have equal keys.
+    """
 
     bounds: Bounds
     now: float = 0.0
     nodes: dict[str, Node] = field(default_factory=dict)
     proxy: Proxy = field(default_factory=Proxy)
     packets: tuple[Packet, ...] = ()
-    left: dict[str, int] = field(default_factory=dict)
+    remaining: dict[str, int] = field(default_factory=dict)
     fence: int = 0
     published: int = 0
     committed: dict[int, bytes] = field(default_factory=dict)
-    told: dict[int, float] = field(default_factory=dict)  # by fence, the youngest `as_of` so far
+    max_as_of: dict[int, float] = field(default_factory=dict)  # by fence, the latest `as_of` so far
     broken: str = ""
 
     def __post_init__(self) -> None:
-        if self.left:
+        if self.remaining:
             return
         names = NAMES[: self.bounds.machines]
         self.nodes = {name: Node.new(name, names, self.now) for name in names}
-        self.left = dict.fromkeys(KINDS, 1_000)
+        self.remaining = dict.fromkeys(BOUNDED_EVENTS, 1_000)
         self._lead(names[0])
         for _ in range(SETTLE_STEPS):
             self._settle()
             self._time()
         self._settle()
-        self.left = {name: getattr(self.bounds, name) for name in KINDS}
+        self.remaining = {name: getattr(self.bounds, name) for name in BOUNDED_EVENTS}
 
-    # --- what may happen ---
+    # --- possible events ---
     def events(self) -> Iterator[Event]:
-        """Everything that may happen next."""
-        left = self.left
-        if left["times"]:
+        """The events that are possible in this state; each is a name with arguments of `step`."""
+        remaining = self.remaining
+        if remaining["times"]:
             yield ("time",)
         for packet in self.packets:
             yield ("deliver", packet)
-            if left["copies"] and not packet.answers and not packet.copied:
+            if remaining["copies"] and not packet.is_reply and not packet.duplicate:
                 yield ("copy", packet)
-            if left["losses"]:
+            if remaining["losses"]:
                 yield ("give up", packet)
-            if left["torn"] and packet.place in self.nodes:
+            if remaining["torn"] and packet.destination in self.nodes:
                 yield ("torn", packet)
                 yield ("half stored", packet)
         for name, node in self.nodes.items():
-            if left["leaders"] and node.disk.recovering is False:
+            if remaining["leaders"] and node.disk.recovering is False:
                 yield ("lead", name)
-            if left["publications"] and node.machine.leading:
+            if remaining["publications"] and node.machine.leading:
                 yield ("publish", name)
-            if left["crashes"]:
+            if remaining["crashes"]:
                 yield ("crash", name)
-            if left["disks"] and not any(each.disk.recovering for each in self.nodes.values()):
+            if remaining["disks"] and not any(node.disk.recovering for node in self.nodes.values()):
                 yield ("lose disk", name)
-        if left["polls"] and not self.proxy.waits:
+        if remaining["polls"] and not self.proxy.polling:
             for name in self.nodes:
                 yield ("poll", name)
 
-    def step(self, what: str, *args: Any) -> None:
-        """Let one event happen, and look at all rules."""
+    def step(self, event_name: str, *args: Any) -> None:
+        """Applies an event, named as its method without the underscore, and checks all rules.
+
+        `broken` is the violated rule afterwards; an exception violates the rule "crash".
+        """
         try:
-            getattr(self, "_" + what.replace(" ", "_"))(*args)
-        except Exception as error:  # no event may end a process
+            getattr(self, "_" + event_name.replace(" ", "_"))(*args)
+        except Exception as error:  # any exception would crash the process
             self.broken = f"{Rule.CRASH}: {type(error).__name__}: {error}"
             return
         self.packets = tuple(sorted(self.packets, key=repr))
-        self.broken = self._look()
+        self.broken = self._check_rules()
 
     def before(self, event: Event) -> World:
-        """A copy; nodes that the event does not touch are shared."""
-        made = World.__new__(World)
-        made.__dict__.update(self.__dict__)
-        made.left, made.committed = self.left.copy(), self.committed.copy()
-        made.told = self.told.copy()
+        """Returns a copy for `event`, which shares the machines that the event does not change."""
+        successor = World.__new__(World)
+        successor.__dict__.update(self.__dict__)
+        successor.remaining, successor.committed = self.remaining.copy(), self.committed.copy()
+        successor.max_as_of = self.max_as_of.copy()
         touched = self._touched(event)
-        made.nodes = {
+        successor.nodes = {
             name: node.copy() if touched is None or name in touched else node
             for name, node in self.nodes.items()
         }
-        made.proxy = self.proxy.copy()
-        return made
+        successor.proxy = self.proxy.copy()
+        return successor
 
     @staticmethod
     def _touched(event: Event) -> set[str] | None:
-        """The nodes that an event changes; None: all."""
+        """The names of the processes that an event changes; None: all."""
         if event[0] == "time":
             return None
         if isinstance(event[1], Packet):
-            return {event[1].asker, event[1].to}
+            return {event[1].requester, event[1].to}
         return {event[1]}
 
     # --- events ---
     def _time(self) -> None:
-        self.left["times"] -= 1
+        self.remaining["times"] -= 1
         self.now += STEP_S
         for name, node in self.nodes.items():
             if node.machine.next_at <= self.now:
-                self._act(name, lambda node=node: node.machine.tick(self.now))  # type: ignore[misc]
+                self._handle(name, lambda node=node: node.machine.tick(self.now))  # type: ignore[misc]
         self.proxy.tick(self.now)
 
     def _lead(self, name: str) -> None:
-        self.left["leaders"] -= 1
+        self.remaining["leaders"] -= 1
         self.fence += 1
-        self._act(name, lambda: self.nodes[name].machine.lead(self.now, self.fence))
+        self._handle(name, lambda: self.nodes[name].machine.lead(self.now, self.fence))
 
     def _publish(self, name: str) -> None:
-        self.left["publications"] -= 1
+        self.remaining["publications"] -= 1
         self.published += 1
         id_ = f"id{self.published}"
         publish = Publish(id_, (Record(Topic.PURGE, id_),))
-        self._request(name, Packet(CALLER, name, self.published, publish))
+        self._deliver_request(name, Packet(CALLER, name, self.published, publish))
 
     def _poll(self, name: str) -> None:
-        self.left["polls"] -= 1
-        self.packets += (self.proxy.ask(self.now, name),)
+        self.remaining["polls"] -= 1
+        self.packets += (self.proxy.send_poll(self.now, name),)
 
     def _deliver(self, packet: Packet) -> None:
         self._remove(packet)
-        self._arrive(packet)
+        self._process(packet)
 
     def _copy(self, packet: Packet) -> None:
-        """It is delivered, and comes once more."""
-        self.left["copies"] -= 1
+        """Delivers a request and keeps a duplicate of it in the network."""
+        self.remaining["copies"] -= 1
         self._remove(packet)
-        self.packets += (replace(packet, copied=True),)
-        self._arrive(packet)
+        self.packets += (replace(packet, duplicate=True),)
+        self._process(packet)
 
     def _give_up(self, packet: Packet) -> None:
-        """Its asker has waited too long; a request may still be delivered later."""
-        self.left["losses"] -= 1
-        if packet.answers:
+        """Lets the requester time out.  A reply is dropped; a request may still be delivered."""
+        self.remaining["losses"] -= 1
+        if packet.is_reply:
             self._remove(packet)
         else:
             self._remove(packet)
-            self.packets += (replace(packet, copied=True),)
-        self._answered(replace(packet, message=None, answers=True))
+            self.packets += (replace(packet, duplicate=True),)
+        self._deliver_reply(replace(packet, message=None, is_reply=True))
 
     def _torn(self, packet: Packet) -> None:
-        """It is delivered, and the process ends before anything of it is stored or sent."""
-        self._ends_with(packet, Storing.NOTHING)
+        """Delivers a packet to a process that crashes before it stores or sends anything."""
+        self._deliver_and_crash(packet, Durability.NOTHING)
 
     def _half_stored(self, packet: Packet) -> None:
-        """It is delivered, and the process ends when a part of it is stored."""
-        self._ends_with(packet, Storing.PART)
+        """Delivers a packet to a process that crashes after it has stored a part of its writes."""
+        self._deliver_and_crash(packet, Durability.PART)
 
-    def _ends_with(self, packet: Packet, storing: Storing) -> None:
-        self.left["torn"] -= 1
+    def _deliver_and_crash(self, packet: Packet, durability: Durability) -> None:
+        self.remaining["torn"] -= 1
         self._remove(packet)
-        self.nodes[packet.place].storing = storing
-        self._arrive(packet)
-        self._restart(packet.place)
+        self.nodes[packet.destination].durability = durability
+        self._process(packet)
+        self._restart(packet.destination)
 
     def _crash(self, name: str) -> None:
-        self.left["crashes"] -= 1
+        self.remaining["crashes"] -= 1
         self._restart(name)
 
     def _lose_disk(self, name: str) -> None:
-        self.left["disks"] -= 1
+        self.remaining["disks"] -= 1
         self.nodes[name].lose_disk()
         self._restart(name)
 
     def _restart(self, name: str) -> None:
-        """The process ends and another one starts; what was on its way to the first is void."""
+        """Replaces the process by a new one; replies to the old one are dropped."""
         node = self.nodes[name]
         node.restart(self.now)
         self.packets = tuple(
-            packet for packet in self.packets if not (packet.answers and packet.asker == name)
+            packet for packet in self.packets if not (packet.is_reply and packet.requester == name)
         )
-        self._act(name, lambda: node.machine.tick(self.now))
+        self._handle(name, lambda: node.machine.tick(self.now))
 
     # --- deliveries ---
     def _remove(self, packet: Packet) -> None:
@@ -226,46 +236,50 @@
         packets.remove(packet)
         self.packets = tuple(packets)
 
-    def _arrive(self, packet: Packet) -> None:
-        if packet.answers:
-            self._answered(packet)
+    def _process(self, packet: Packet) -> None:
+        if packet.is_reply:
+            self._deliver_reply(packet)
         else:
-            self._request(packet.to, packet)
+            self._deliver_request(packet.to, packet)
 
-    def _request(self, name: str, packet: Packet) -> None:
+    def _deliver_request(self, name: str, packet: Packet) -> None:
         node = self.nodes[name]
-        ticket = node.took(packet)
+        ticket = node.add_request(packet)
         assert packet.message is not None
         message = packet.message
-        self._act(name, lambda: node.machine.requested(self.now, ticket, message))
+        self._handle(name, lambda: node.machine.requested(self.now, ticket, message))
 
-    def _answered(self, packet: Packet) -> None:
-        if packet.asker == CALLER:
+    def _deliver_reply(self, packet: Packet) -> None:
+        if packet.requester == CALLER:
             return
-        if packet.asker == self.proxy.name:
-            self.proxy.answered(self.now, packet)
+        if packet.requester == self.proxy.name:
+            self.proxy.reply_received(self.now, packet)
             return
-        node = self.nodes[packet.asker]
-        if node.waits_for(packet):
+        node = self.nodes[packet.requester]
+        if node.accept_reply(packet):
             reply: Any = packet.message
-            self._act(packet.asker, lambda: node.machine.replied(self.now, packet.number, reply))
-
-    def _act(self, name: str, event: Callable[[], Any]) -> None:
-        sent = self.nodes[name].act(event, self.now)
-        if not self.bounds.polls:  # without proxies reports change nothing
-            sent = tuple(each for each in sent if not isinstance(each.message, Report))
+            self._handle(
+                packet.requester, lambda: node.machine.replied(self.now, packet.number, reply)
+            )
+
+    def _handle(self, name: str, event: Callable[[], Any]) -> None:
+        sent = self.nodes[name].handle(event, self.now)
+        if not self.bounds.polls:  # reports matter only to a proxy that polls
+            sent = tuple(
+                sent_packet for sent_packet in sent if not isinstance(sent_packet.message, Report)
+            )
         self.packets += sent
 
     def _settle(self) -> None:
-        """Deliver everything in order until nothing is on its way."""
-        for _ in range(SETTLE_AT_MOST):
+        """Delivers packets in order until none is left."""
+        for _ in range(MAX_SETTLE_DELIVERIES):
             if not self.packets:
                 return
             self._deliver(self.packets[0])
-            self.broken = self.broken or self._look()
+            self.broken = self.broken or self._check_rules()
 
     # --- rules ---
-    def _look(self) -> str:
+    def _check_rules(self) -> str:
         for node in self.nodes.values():
             for position, raw in node.committed():
                 if self.committed.setdefault(position, raw) != raw:
@@ -273,60 +287,65 @@
         in_force = max(node.in_force(self.now) for node in self.nodes.values())
         if self.proxy.fresh(self.now) and self.proxy.position < in_force:
             return Rule.IN_FORCE.value
-        return self._look_at_ages()
+        return self._check_ages()
 
-    def _look_at_ages(self) -> str:
+    def _check_ages(self) -> str:
         for node in self.nodes.values():
-            fence, as_of = node.leads(self.now)
+            fence, as_of = node.fence_and_as_of(self.now)
             if as_of is not None:
-                self.told[fence] = max(as_of, self.told.get(fence, as_of))
+                self.max_as_of[fence] = max(as_of, self.max_as_of.get(fence, as_of))
         for node in self.nodes.values():
-            fence, as_of = node.leads(self.now)
+            fence, as_of = node.fence_and_as_of(self.now)
             if as_of is None:
                 continue
-            earlier = max((at for other, at in self.told.items() if other < fence), default=0.0)
-            if earlier > node.contact_at + ROUNDING_S:
+            earlier_as_of = max(
+                (at for other, at in self.max_as_of.items() if other < fence), default=0.0
+            )
+            if earlier_as_of > node.latest_leader_contact_at + ROUNDING_ERROR_S:
                 return Rule.AGE.value
         return ""
 
     def heals(self) -> str:
-        """With a new leader and nothing lost from now on, publications are committed again."""
-        made = self.before(("time",))
+        """Checks that a new leader commits publications again when no more faults happen.
+
+        Returns the violated rule, or "".  This state is not changed.
+        """
+        successor = self.before(("time",))
         try:
-            return made._heals()
-        except Exception as error:  # as in `step`
+            return successor._check_heals()
+        except Exception as error:  # a crash, as in `step`
             return f"{Rule.CRASH}: {type(error).__name__}: {error}"
 
-    def _heals(self) -> str:
-        made = self
-        made.left = dict.fromkeys(KINDS, 1_000)
-        names = [name for name, node in made.nodes.items() if not node.disk.recovering]
-        before = max(made.committed, default=0)
-        made.fence += 1
-        made._lead(names[-1])
+    def _check_heals(self) -> str:
+        successor = self
+        successor.remaining = dict.fromkeys(BOUNDED_EVENTS, 1_000)
+        names = [name for name, node in successor.nodes.items() if not node.disk.recovering]
+        before = max(successor.committed, default=0)
+        successor.fence += 1
+        successor._lead(names[-1])
         for number in range(HEAL_STEPS):
-            made._settle()
-            made._time()
+            successor._settle()
+            successor._time()
             if number == HEAL_STEPS // 2:
-                made._publish(names[-1])
-        made._settle()
-        if made.broken:
-            return made.broken
-        return "" if max(made.committed, default=0) > before + 1 else Rule.PROGRESS.value
+                successor._publish(names[-1])
+        successor._settle()
+        if successor.broken:
+            return successor.broken
+        return "" if max(successor.committed, default=0) > before + 1 else Rule.PROGRESS.value
 
     # --- states ---
     def key(self) -> Any:
-        """All that what follows depends on."""
+        """Everything that later steps depend on; the ages are relative to now."""
         return (
             round(self.now, 6),
             self.fence,
             self.published,
-            tuple(self.left.values()),
-            tuple(pack(packet) for packet in self.packets),
+            tuple(self.remaining.values()),
+            tuple(packet_key(packet) for packet in self.packets),
             tuple(node.key(self.now) for node in self.nodes.values()),
-            tuple((fence, round(at - self.now, 6)) for fence, at in sorted(self.told.items())),
+            tuple((fence, round(at - self.now, 6)) for fence, at in sorted(self.max_as_of.items())),
             self.proxy.key(self.now),
         )
 
 
-__all__ = ["SMALL", "Bounds", "Even", "World"]
+__all__ = ["SMALL", "Bounds", "NoJitter", "World"]
--- a/limebridge/faults/distribution/walk.py
+++ b/limebridge/faults/distribution/walk.py
@@ -1,7 +1,8 @@
-"""Long random walks through the machines' state space, made small and replayed by their labels.
+"""Long random walks through the control machines' state space, and their replay and shrinking.
 
-The check of the whole state space (`state_space`) reaches every order up to a depth; a walk reaches
-one order far beyond it, such as the several terms that a commit of an earlier term takes.
+The exhaustive exploration (`state_space`) covers every order of events up to a small depth.  A walk
+follows one order far beyond that depth, for example through the several terms that it takes until
+a batch of an earlier term is wrongly committed.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 from .state_space import Bounds, Event, World
 
-STEPS = 80
+MAX_STEPS = 80
 WALK = Bounds(
     times=6,
     publications=3,
@@ -27,61 +28,64 @@
     disks=1,
     polls=4,
 )
-RARE = 0.1  # weight of what is no delivery, against 1.0 of a delivery
+DEFAULT_WEIGHT = 0.1  # weight of events that are not in WEIGHTS
 WEIGHTS = {"deliver": 1.0, "lead": 0.3, "publish": 0.3, "poll": 0.3}
 
 
 @dataclass(frozen=True)
 class Walk:
-    """A story, and what its last event or the healing after it broke: "" if nothing."""
+    """The event labels of one walk, and the rule that it violated: "" if none.
+
+    The violation follows from the last event, or from the check that the state recovers after it.
+    """
 
     seed: int
-    story: tuple[str, ...]
-    wrong: str
+    trace: tuple[str, ...]
+    violation: str
 
     @property
     def plan(self) -> int:
-        """What it was drawn from."""
+        """The seed, from which the walk is repeated."""
         return self.seed
 
     @property
     def rule(self) -> str:
-        """The rule that was broken."""
-        return self.wrong.partition(":")[0]
+        """The name of the violated rule, without the details of a crash."""
+        return self.violation.partition(":")[0]
 
     @property
     def broken(self) -> tuple[Violation, ...]:
-        """As of a run in the simulated world."""
-        return (Violation(self.rule, self.wrong),) if self.wrong else ()
+        """The violation in the form that runs in the simulated world have."""
+        return (Violation(self.rule, self.violation),) if self.violation else ()
 
 
-def label(event: Event) -> str:
-    """An event by which it is found again."""
+def event_label(event: Event) -> str:
+    """The text that identifies an event in a trace."""
     return " ".join(str(part) for part in event)
 
 
-def walk(seed: int, steps: int = STEPS, bounds: Bounds = WALK) -> Walk:
-    """One walk, the same each time."""
+def walk(seed: int, max_steps: int = MAX_STEPS, bounds: Bounds = WALK) -> Walk:
+    """Returns the walk of a seed, which is the same each time; it ends at the first violation."""
     rng = random.Random(f"walk/{seed}")
     world = World(bounds)
-    story: list[str] = []
-    while not world.broken and len(story) < steps:
+    trace: list[str] = []
+    while not world.broken and len(trace) < max_steps:
         events = list(world.events())
         if not events:
             break
-        weights = [WEIGHTS.get(event[0], RARE) for event in events]
+        weights = [WEIGHTS.get(event[0], DEFAULT_WEIGHT) for event in events]
         event = rng.choices(events, weights)[0]
-        story.append(label(event))
+        trace.append(event_label(event))
         world.step(*event)
-    return Walk(seed, tuple(story), world.broken or world.heals())
+    return Walk(seed, tuple(trace), world.broken or world.heals())
 
 
-def replay(story: Sequence[str], bounds: Bounds = WALK) -> str:
-    """The rule that a story breaks.  Events that are not possible are left out."""
+def replay(trace: Sequence[str], bounds: Bounds = WALK) -> str:
+    """Returns the rule that a trace violates, or "".  Impossible events are skipped."""
     world = World(bounds)
-    for wanted in story:
+    for label in trace:
         for event in world.events():
-            if label(event) == wanted:
+            if event_label(event) == label:
                 world.step(*event)
                 break
         if world.broken:
@@ -90,23 +94,26 @@
 
 
 def shrink(found: Walk, bounds: Bounds = WALK) -> Walk:
-    """The fewest events with which the same rule breaks."""
-    story = list(found.story)
-    size = max(1, len(story) // 2)
+    """Removes events as long as the same rule is violated: runs of half the trace down to one."""
+    trace = list(found.trace)
+    size = max(1, len(trace) // 2)
     while size:
-        place = 0
-        while place < len(story):
-            shorter = story[:place] + story[place + size :]
+        start = 0
+        while start < len(trace):
+            shorter = trace[:start] + trace[start + size :]
             if replay(shorter, bounds).partition(":")[0] == found.rule:
-                story = shorter
+                trace = shorter
             else:
-                place += size
+                start += size
         size //= 2
-    return Walk(found.seed, tuple(story), replay(story, bounds))
+    return Walk(found.seed, tuple(trace), replay(trace, bounds))
 
 
 def explore(
     first: int, seeds: int, jobs: int, prepare: Callable[[], None] | None = None
 ) -> Iterator[list[Walk]]:
-    """Walks by chunks, in the seeds' order."""
+    """Yields chunks of walks in the order of their seeds, from `jobs` processes; 0: one a core.
+
+    Each process calls `prepare` first.
+    """
     return many.explore(walk, first, seeds, jobs, prepare)
--- a/limebridge/faults/distribution/world.py
+++ b/limebridge/faults/distribution/world.py
@@ -16,9 +16,9 @@
 from violetroute.distribution.control_choice import ControlEndpoint, SubscriberSettings
 from violetroute.distribution.messages import StatusReply
 
+from .checker import LogEntry, Rule, RuleChecker
 from .control import ControlProcess
 from .faults import Faults
-from .judge import Content, Judge, Rule
 from .lease import LeaseStore
 from .network import Network
 from .plan import Plan
@@ -45,7 +45,7 @@
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
         self.simulation = Simulation()
-        self.judge = Judge(plan.stale_after_s, DRIFT)
+        self.checker = RuleChecker(plan.stale_after_s, DRIFT)
         self.notes: list[tuple[float, str]] = []
         self._digest = blake2b(digest_size=8)
         self._rng = random.Random(f"world/{plan.seed}")
@@ -98,7 +98,7 @@
         )
         return ProxyProcess(self, settings, self._clock(1.0 - DRIFT))
 
-    def start_twin(self, proxy: ProxyProcess) -> Callable[[], None]:
+    def start_duplicate(self, proxy: ProxyProcess) -> Callable[[], None]:
         """A second process of this proxy's name; what ends it."""
         self._twins += 1
         process = f"{proxy.name}-twin{self._twins}"
@@ -125,7 +125,7 @@
         return 1.7e9 + self.simulation.now + self._unix_offsets[name]
 
     # --- one run ---
-    def play(self) -> None:
+    def run(self) -> None:
         """Faults, healing, and the judgement of the end."""
         for process in (*self.controls, *self.proxies):
             process.start()
@@ -142,10 +142,12 @@
         self.simulation.run_until(healed_at + HEAL_WITHIN_S, lambda: not self._missing())
         self.healed_after_s = self.simulation.now - healed_at
         if missing := self._missing():
-            self.judge.complain(Rule.PROGRESS, f"{HEAL_WITHIN_S:g} s after the healing: {missing}")
+            self.checker.report_violation(
+                Rule.PROGRESS, f"{HEAL_WITHIN_S:g} s after the healing: {missing}"
+            )
         self._look_once()
         fresh = [(each.name, each.incarnation) for each in self.proxies if each.fresh()]
-        self.judge.finish(self.publisher.last_position, fresh)
+        self.checker.finish(self.publisher.last_position, fresh)
 
     def _missing(self) -> str:
         """What has not gone on yet; "" once everything has."""
@@ -155,8 +157,8 @@
         for proxy in self.proxies:
             if not proxy.fresh() or proxy.position < last:
                 return f"{proxy.name} is at {proxy.position} of {last}, fresh: {proxy.fresh()}"
-        if self.judge.in_force < last:
-            return f"in force is {self.judge.in_force} of {last}"
+        if self.checker.in_force < last:
+            return f"in force is {self.checker.in_force} of {last}"
         for control in self.controls:
             if control.disk.state.recovering:
                 return f"{control.name} still recovers"
@@ -174,33 +176,35 @@
             if status is not None and status.leader == control.name:
                 self._leader_seen(control, status)
             if grown := control.too_much(len(self.proxies) + len(self.controls)):
-                self.judge.complain(Rule.BOUNDED, f"at {now:.3f} {grown}")
+                self.checker.report_violation(Rule.BOUNDED, f"at {now:.3f} {grown}")
         for proxy in self.proxies:
             if proxy.up:
-                self.judge.proxy_seen(
+                self.checker.proxy_observed(
                     now, proxy.name, proxy.incarnation, proxy.fresh(), proxy.position
                 )
 
     def _leader_seen(self, control: ControlProcess, status: StatusReply) -> None:
         now, state = self.simulation.now, control.disk.state
-        own = state.content_at(status.commit)
+        own = state.entry_at(status.commit)
         if own is not None and own.fence == status.fence:
-            self.judge.commit_seen(now, status.commit)
-            self.judge.leader_seen(now, control.name, status.fence, status.commit, state.content_at)
-        if status.in_force > self.judge.in_force:
+            self.checker.commit_observed(now, status.commit)
+            self.checker.leader_observed(
+                now, control.name, status.fence, status.commit, state.entry_at
+            )
+        if status.in_force > self.checker.in_force:
             self.note(f"  {control.name} of fence {status.fence}: {status.in_force} is in force")
-            self.judge.in_force_reported(now, status.in_force)
+            self.checker.in_force_reported(now, status.in_force)
 
-    def applied(self, proxy: ProxyProcess, content: Content) -> None:
+    def applied(self, proxy: ProxyProcess, content: LogEntry) -> None:
         """A proxy has applied a batch."""
         keys = " ".join(content.keys)
         self.note(f"  {proxy.name} applies {content.position} of fence {content.fence} {keys}")
-        self.judge.batch_applied(self.simulation.now, proxy.name, proxy.incarnation, content)
+        self.checker.batch_applied(self.simulation.now, proxy.name, proxy.incarnation, content)
 
     def voided(self, proxy: ProxyProcess, base: int) -> None:
         """A proxy has voided everything."""
         self.note(f"  {proxy.name} voids everything and goes on behind {base}")
-        self.judge.all_voided(self.simulation.now, proxy.name, proxy.incarnation, base)
+        self.checker.all_invalidated(self.simulation.now, proxy.name, proxy.incarnation, base)
 
     def note(self, what: str) -> None:
         """A line of the story, which is digested too."""
--- a/tests/limebridge/faults/distribution/test_distribution_faults.py
+++ b/tests/limebridge/faults/distribution/test_distribution_faults.py
@@ -10,7 +10,7 @@
 import pytest
 
 from limebridge.faults.distribution import explore, plan, rig, walk
-from limebridge.faults.distribution.judge import Content, Judge, Rule
+from limebridge.faults.distribution.checker import LogEntry, Rule, RuleChecker
 from limebridge.faults.distribution.plan import Fault, Plan
 from limebridge.faults.distribution.state_space import Bounds, World
 from limebridge.faults.state_space import check
@@ -51,7 +51,7 @@
     if path.suffix == ".story":
         return walk.replay(path.read_text().splitlines()).partition(":")[0]
     kept = plan.read(path)
-    broken = explore.play(msgspec.structs.replace(kept, seed=kept.seed + shift)).broken
+    broken = explore.run_plan(msgspec.structs.replace(kept, seed=kept.seed + shift)).broken
     return broken[0].rule if broken else ""
 
 
@@ -66,17 +66,17 @@
 @pytest.mark.long
 def test_thirty_seeds_keep_every_promise() -> None:
     for seed in SEEDS:
-        outcome = explore.played(seed)
+        outcome = explore.run_seed(seed)
         assert outcome.broken == (), f"limebridge faults distribution replay {seed}"
         assert outcome.committed > 0 and outcome.applied > 0
 
 
 def test_a_run_is_the_same_each_time() -> None:
-    assert explore.played(3).digest == explore.played(3).digest != explore.played(4).digest
+    assert explore.run_seed(3).digest == explore.run_seed(3).digest != explore.run_seed(4).digest
 
 
 def test_walks_through_the_orders_of_events_keep_every_promise() -> None:
-    assert [found for found in map(walk.walk, WALKS) if found.wrong] == []
+    assert [found for found in map(walk.walk, WALKS) if found.violation] == []
 
 
 def test_a_replica_that_follows_may_leave_its_prepare_unanswered() -> None:
@@ -108,64 +108,64 @@
 
 
 # --- the judge ---
-def judge() -> Judge:
-    return Judge(stale_after_s=1.0, drift=0.0)
+def checker() -> RuleChecker:
+    return RuleChecker(stale_after_s=1.0, drift=0.0)
 
 
-def rules(judged: Judge) -> list[str]:
+def rules(judged: RuleChecker) -> list[str]:
     return [violation.rule for violation in judged.violations]
 
 
 def test_the_judge_names_what_a_proxy_does_wrong() -> None:
-    judged = judge()
-    judged.batch_applied(0.0, "p0", "a", Content(1, 1, ("x",)))
-    judged.batch_applied(0.0, "p0", "a", Content(3, 1, ("z",)))
+    judged = checker()
+    judged.batch_applied(0.0, "p0", "a", LogEntry(1, 1, ("x",)))
+    judged.batch_applied(0.0, "p0", "a", LogEntry(3, 1, ("z",)))
     assert rules(judged) == [Rule.ORDER]  # a gap
-    judged = judge()
-    judged.all_voided(0.0, "p0", "a", 2)
-    judged.batch_applied(0.0, "p0", "a", Content(3, 1, ("z",)))
+    judged = checker()
+    judged.all_invalidated(0.0, "p0", "a", 2)
+    judged.batch_applied(0.0, "p0", "a", LogEntry(3, 1, ("z",)))
     assert rules(judged) == []
-    judged.batch_applied(0.0, "p0", "a", Content(3, 1, ("z",)))
+    judged.batch_applied(0.0, "p0", "a", LogEntry(3, 1, ("z",)))
     assert rules(judged) == [Rule.ORDER]  # twice
-    judged = judge()
-    judged.batch_applied(0.0, "p0", "a", Content(1, 1, ("x",)))
-    judged.batch_applied(0.0, "p1", "a", Content(1, 2, ("y",)))
+    judged = checker()
+    judged.batch_applied(0.0, "p0", "a", LogEntry(1, 1, ("x",)))
+    judged.batch_applied(0.0, "p1", "a", LogEntry(1, 2, ("y",)))
     assert rules(judged) == [Rule.ORDER]  # another content
 
 
 def test_the_judge_names_who_is_fresh_without_what_it_has_to_have() -> None:
-    judged = judge()
+    judged = checker()
     judged.publication_committed(1.0, 1, 1, ("x",))
-    judged.proxy_seen(1.9, "p0", "a", fresh=True)
-    judged.proxy_seen(2.1, "p0", "a", fresh=False)
+    judged.proxy_observed(1.9, "p0", "a", fresh=True)
+    judged.proxy_observed(2.1, "p0", "a", fresh=False)
     assert rules(judged) == []
-    judged.proxy_seen(2.1, "p0", "a", fresh=True)
+    judged.proxy_observed(2.1, "p0", "a", fresh=True)
     assert rules(judged) == [Rule.BOUND]
-    judged = judge()
+    judged = checker()
     judged.in_force_reported(1.0, 1)
-    judged.proxy_seen(1.1, "p0", "a", fresh=True, position=1)
+    judged.proxy_observed(1.1, "p0", "a", fresh=True, position=1)
     assert rules(judged) == []
-    judged.proxy_seen(1.1, "p1", "a", fresh=True)
+    judged.proxy_observed(1.1, "p1", "a", fresh=True)
     assert rules(judged) == [Rule.IN_FORCE]
 
 
 def test_the_judge_names_a_later_leader_that_lacks_what_was_committed() -> None:
-    judged = judge()
+    judged = checker()
     judged.publication_committed(1.0, 2, 1, ("x",))
-    judged.leader_seen(2.0, "m1", 1, 1, lambda position: None)
+    judged.leader_observed(2.0, "m1", 1, 1, lambda position: None)
     assert rules(judged) == []  # the same term
-    judged.leader_seen(2.0, "m1", 2, 2, lambda position: Content(position, 1, ("x",)))
+    judged.leader_observed(2.0, "m1", 2, 2, lambda position: LogEntry(position, 1, ("x",)))
     assert rules(judged) == []
-    judged.leader_seen(2.0, "m2", 3, 1, lambda position: None)
-    judged.leader_seen(2.0, "m0", 4, 2, lambda position: Content(position, 4, ()))
+    judged.leader_observed(2.0, "m2", 3, 1, lambda position: None)
+    judged.leader_observed(2.0, "m0", 4, 2, lambda position: LogEntry(position, 4, ()))
     assert rules(judged)[0] == Rule.DURABLE and len(judged.violations) == 3
 
 
 # --- plans ---
 def test_a_plan_is_its_seeds_and_is_read_back(tmp_path: Path) -> None:
     for seed in range(40):
-        drawn = plan.draw(seed)
-        assert plan.draw(seed) == drawn
+        drawn = plan.generate(seed)
+        assert plan.generate(seed) == drawn
         path = tmp_path / "plan.toml"
         path.write_text(plan.dump(drawn))
         assert plan.read(path) == drawn
@@ -183,19 +183,19 @@
 
 
 def test_real_processes_keep_every_promise() -> None:
-    outcome = rig.play(REAL)
-    assert outcome.broken == [], outcome.story[-4000:]
+    outcome = rig.run_plan(REAL)
+    assert outcome.broken == [], outcome.trace[-4000:]
     assert outcome.committed > 0 and outcome.applied > 0
 
 
 def test_a_real_disk_that_is_lost_is_replaced() -> None:
     lost = [Fault(0.5, "lose_disk", 1, 0.3), Fault(1.5, "cut_in", 0, 1.0)]
-    outcome = rig.play(msgspec.structs.replace(REAL, seed=2, fault=lost))
-    assert outcome.broken == [], outcome.story[-4000:]
+    outcome = rig.run_plan(msgspec.structs.replace(REAL, seed=2, fault=lost))
+    assert outcome.broken == [], outcome.trace[-4000:]
 
 
 def test_a_real_proxy_that_acknowledges_and_does_not_apply_is_found() -> None:
     """Leaders and its own status say that all is well: the judge compares with what it applied."""
-    outcome = rig.play(msgspec.structs.replace(REAL, seed=3, fault=[]), drops_every=5)
-    assert {broken.rule for broken in outcome.broken} == {Rule.ORDER}, outcome.story[-4000:]
+    outcome = rig.run_plan(msgspec.structs.replace(REAL, seed=3, fault=[]), drops_every=5)
+    assert {broken.rule for broken in outcome.broken} == {Rule.ORDER}, outcome.trace[-4000:]
     assert all(" p0 applies " in broken.text for broken in outcome.broken)
--- a/tests/limebridge/faults/distribution/test_distribution_hard_cases.py
+++ b/tests/limebridge/faults/distribution/test_distribution_hard_cases.py
@@ -12,7 +12,7 @@
 import pytest
 
 from limebridge.faults.distribution import explore
-from limebridge.faults.distribution.judge import Rule
+from limebridge.faults.distribution.checker import Rule
 from limebridge.faults.distribution.plan import Fault, Kind, Plan
 from limebridge.faults.distribution.world import World
 from violetroute.distribution.followers import Followers
@@ -101,7 +101,7 @@
 def leader_at(plan: Plan, at: float) -> str:
     """The machine that has reported something in force last by then, before any fault."""
     world = World(msgspec.structs.replace(plan, seconds=at, fault=[]))
-    world.play()
+    world.run()
     reports = [what for when, what in world.notes if when <= at and what.endswith("is in force")]
     return reports[-1].split()[0]
 
@@ -168,16 +168,16 @@
 
 @pytest.mark.parametrize("case", CASES, ids=IDS)
 def test_the_case_keeps_every_promise(case: Case) -> None:
-    outcome = explore.play(case.plan(), tells=True)
-    assert outcome.broken == (), outcome.story[-4000:]
-    assert case.happened in outcome.story
+    outcome = explore.run_plan(case.plan(), with_trace=True)
+    assert outcome.broken == (), outcome.trace[-4000:]
+    assert case.happened in outcome.trace
 
 
 @pytest.mark.parametrize("case", CASES, ids=IDS)
 def test_without_its_rule_the_case_is_found(case: Case, monkeypatch: pytest.MonkeyPatch) -> None:
     case.rule_taken_out(monkeypatch)
-    outcome = explore.play(case.plan(), tells=True)
-    assert Rule.IN_FORCE in {broken.rule for broken in outcome.broken}, outcome.story[-4000:]
+    outcome = explore.run_plan(case.plan(), with_trace=True)
+    assert Rule.IN_FORCE in {broken.rule for broken in outcome.broken}, outcome.trace[-4000:]
 
 
 # --- wall clocks ---
@@ -185,8 +185,8 @@
     world = World(plan)
     names = [control.name for control in world.controls]
     world._unix_offsets = dict(zip(names, errors_s, strict=True))
-    world.play()
-    assert world.judge.violations == []
+    world.run()
+    assert world.checker.violations == []
     return world
 
 
--- a/tests/limebridge/faults/distribution/test_distribution_hard_cases_real.py
+++ b/tests/limebridge/faults/distribution/test_distribution_hard_cases_real.py
@@ -9,7 +9,7 @@
 
 from limebridge.control import control_client
 from limebridge.faults.distribution import rig
-from limebridge.faults.distribution.judge import Rule
+from limebridge.faults.distribution.checker import Rule
 from limebridge.faults.distribution.mixed_builds import Builds
 from limebridge.faults.distribution.plan import Fault, Plan
 from tests.support.distribution_next_build import SESSIONS, copy_of_this_build, replace_text
@@ -37,8 +37,8 @@
 
 
 def test_two_processes_of_one_name_are_two() -> None:
-    outcome = rig.play(TWIN)
-    assert outcome.broken == [], outcome.story[-4000:]
+    outcome = rig.run_plan(TWIN)
+    assert outcome.broken == [], outcome.trace[-4000:]
 
 
 def test_control_machines_that_take_two_processes_of_one_name_for_one_are_found(
@@ -53,8 +53,8 @@
             "Session(poll.name, poll.incarnation, ": 'Session(poll.name, "one", ',
         },
     )
-    outcome = rig.play(TWIN, builds=Builds(build, build))
-    assert Rule.IN_FORCE in {broken.rule for broken in outcome.broken}, outcome.story[-4000:]
+    outcome = rig.run_plan(TWIN, builds=Builds(build, build))
+    assert Rule.IN_FORCE in {broken.rule for broken in outcome.broken}, outcome.trace[-4000:]
 
 
 def test_a_snapshot_with_configuration_of_before_is_found(tmp_path: Path) -> None:
@@ -65,8 +65,8 @@
     )
     restarts = [Fault(at, "kill_proxy", 0, 0.2) for at in (1.0, 2.5)]
     plan = msgspec.structs.replace(TWIN, seconds=3.5, publications_per_s=20.0, fault=restarts)
-    outcome = rig.play(plan, builds=Builds(build, build))
-    assert {broken.rule for broken in outcome.broken} == {Rule.ORDER}, outcome.story[-4000:]
+    outcome = rig.run_plan(plan, builds=Builds(build, build))
+    assert {broken.rule for broken in outcome.broken} == {Rule.ORDER}, outcome.trace[-4000:]
     assert all("from a snapshot at" in broken.text for broken in outcome.broken)
 
 
--- a/tests/limebridge/faults/distribution/test_distribution_mixed_builds.py
+++ b/tests/limebridge/faults/distribution/test_distribution_mixed_builds.py
@@ -16,7 +16,7 @@
 from limebridge.cli import app
 from limebridge.experiments.builds import NoBuild
 from limebridge.faults.distribution import rig
-from limebridge.faults.distribution.judge import Content, Judge, Rule
+from limebridge.faults.distribution.checker import LogEntry, Rule, RuleChecker
 from limebridge.faults.distribution.mixed_builds import Builds, check_source
 from limebridge.faults.distribution.plan import Fault, Plan
 from tests.support.distribution_next_build import (
@@ -33,8 +33,8 @@
 def test_a_rollout_to_the_next_build_and_back_keeps_every_promise(tmp_path: Path) -> None:
     builds = Builds(copy_of_this_build(tmp_path / "old"), next_build(tmp_path / "new"), True)
     cut = Fault(0.5, "cut", 0, 0.5)
-    outcome = rig.play(msgspec.structs.replace(PLAN, fault=[cut]), builds=builds)
-    assert outcome.broken == [], outcome.story[-4000:]
+    outcome = rig.run_plan(msgspec.structs.replace(PLAN, fault=[cut]), builds=builds)
+    assert outcome.broken == [], outcome.trace[-4000:]
     assert outcome.replaced == 2 * (PLAN.machines + PLAN.proxies)
     assert outcome.leaders_replaced >= 2  # at least one each way
     assert outcome.committed > 0 and outcome.applied > 0
@@ -42,7 +42,7 @@
 
 def test_a_disk_that_the_older_build_cannot_read_is_found(tmp_path: Path) -> None:
     builds = Builds(copy_of_this_build(tmp_path / "old"), build_with_another_disk(tmp_path), True)
-    outcome = rig.play(SMALL, builds=builds)
+    outcome = rig.run_plan(SMALL, builds=builds)
     (broken,) = outcome.broken
     assert broken.rule == Rule.CRASH and "a frame that cannot be read" in broken.text
     assert outcome.replaced >= SMALL.machines + SMALL.proxies  # the way to the newer one was none
@@ -51,11 +51,11 @@
 def test_messages_that_the_older_build_cannot_read_are_found(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(rig, "HEAL_WITHIN_S", 1.0)  # nothing comes of waiting longer
+    monkeypatch.setattr(rig, "HEAL_TIMEOUT_S", 1.0)  # nothing comes of waiting longer
     old, new = copy_of_this_build(tmp_path / "old"), build_with_other_messages(tmp_path)
     monkeypatch.setattr(rig, "assign", split_by_role)
-    outcome = rig.play(SMALL, builds=Builds(old, new))
-    assert Rule.PROGRESS in {broken.rule for broken in outcome.broken}, outcome.story[-4000:]
+    outcome = rig.run_plan(SMALL, builds=Builds(old, new))
+    assert Rule.PROGRESS in {broken.rule for broken in outcome.broken}, outcome.trace[-4000:]
 
 
 def split_by_role(builds: Builds, stage: rig.Rig) -> None:
@@ -106,12 +106,12 @@
 # --- the judge ---
 def test_the_judge_names_a_snapshot_that_lacks_the_last_configuration() -> None:
     def judged(name: str, base: int) -> list[str]:
-        judge = Judge(stale_after_s=1.0, drift=0.0)
+        checker = RuleChecker(stale_after_s=1.0, drift=0.0)
         for position, key in enumerate(("log=a", "k1", "limits=x", "log=b"), 1):
-            judge.batch_applied(0.0, "p0", "i", Content(position, 1, (key,)))
-        judge.snapshot_taken(0.0, "p1", base, (name, "limits=x"))
-        judge.finish(0, [])
-        return [violation.rule for violation in judge.violations]
+            checker.batch_applied(0.0, "p0", "i", LogEntry(position, 1, (key,)))
+        checker.snapshot_applied(0.0, "p1", base, (name, "limits=x"))
+        checker.finish(0, [])
+        return [violation.rule for violation in checker.violations]
 
     assert judged("log=b", 4) == judged("log=a", 3) == []
     assert judged("log=c", 4) == []  # committed without anybody that was seen to apply it
--- a/tests/violetroute/distribution/test_distribution_leader_contact.py
+++ b/tests/violetroute/distribution/test_distribution_leader_contact.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from limebridge.faults.distribution.judge import Rule
+from limebridge.faults.distribution.checker import Rule
 from limebridge.faults.distribution.state_space import Bounds, World
 from limebridge.faults.state_space import CheckResult, check
 from tests.support import session_world
