--- a/limebridge/faults/distribution/state_space.py
+++ b/limebridge/faults/distribution/state_space.py
@@ -109,7 +109,7 @@
                 yield ("publish", name)
             if remaining["crashes"]:
                 yield ("crash", name)
-            if remaining["disks"] and not any(node.disk.recovering for node in self.nodes.values()):
+            if remaining["disks"] and not any(other.disk.recovering for other in self.nodes.values()):
                 yield ("lose disk", name)
         if remaining["polls"] and not self.proxy.polling:
             for name in self.nodes:
