--- a/limebridge/faults/distribution/command.py
+++ b/limebridge/faults/distribution/command.py
@@ -17,7 +17,7 @@
 from limebridge.experiments.builds import NoBuild
 from limebridge.faults.interruption import interruptible
 from limebridge.faults.options import (
-    SHOWN,
+    MAX_REPORTED,
     FirstSeed,
     Jobs,
     Json,
@@ -26,11 +26,11 @@
     PlanCount,
     SeedCount,
     patch_path,
-    planted,
     print_summary,
     seed_progress,
+    worker_patch,
 )
-from limebridge.faults.pool import play_each
+from limebridge.faults.pool import run_each
 from limebridge.faults.state_space import check
 from violetroute.config import ConfigError
 
@@ -45,7 +45,7 @@
 
 app = typer.Typer(no_args_is_help=True, help="Test the distribution of records under faults.")
 MaxCount = Annotated[int, typer.Option(min=0, max=10, help="Maximum count.")]
-HEAL_EVERY = 1000  # one in so many new states is checked for recovery after its faults
+LIVENESS_EVERY = 1000  # one in so many new states is checked for recovery after its faults
 MAX_LISTED = 20  # failed plans that a summary names
 Older = Annotated[
     str,
@@ -114,7 +114,7 @@
 ) -> None:
     """Run plans in the simulated world, reproducible by seed.  Exit status 1 on a violation."""
     started_at, summary = time.monotonic(), ExploreSummary(first)
-    prepare = planted(patch)
+    prepare = worker_patch(patch)
     failed: list[exploration.Outcome] = []
     healed: list[float] = []
     digest = blake2b(digest_size=8)
@@ -127,18 +127,20 @@
                 summary.snapshots += outcome.invalidations
                 healed.append(outcome.healed_after_s)
                 digest.update(outcome.digest.encode())
-                failed += [outcome] if outcome.broken else []
+                failed += [outcome] if outcome.violations else []
             progress.update(summary.seeds, len(failed))
     if prepare is not None:
         prepare()
-    for outcome in failed[:SHOWN]:
+    for outcome in failed[:MAX_REPORTED]:
         shrunk = exploration.shrink(outcome)
         typer.echo(
             f"seed {outcome.plan.seed}, shrunk:\n{plans.dump(shrunk.plan)}{shrunk.trace}", err=True
         )
     summary.seconds, summary.digest = round(time.monotonic() - started_at, 1), digest.hexdigest()
     summary.healed_after_s = _percentiles(healed)
-    summary.broken = [(outcome.plan.seed, *outcome.broken[0]) for outcome in failed[:MAX_LISTED]]
+    summary.broken = [
+        (outcome.plan.seed, *outcome.violations[0]) for outcome in failed[:MAX_LISTED]
+    ]
     summary.broken_count = len(failed)
     _print_summary(summary, as_json)
     raise typer.Exit(1 if failed else 0)
@@ -164,7 +166,7 @@
         _builds(older, rolling) as builds,
         seed_progress("running", seeds, as_json) as progress,
     ):
-        for outcome in play_each(functools.partial(rig.run_plan, builds=builds), generated, jobs):
+        for outcome in run_each(functools.partial(rig.run_plan, builds=builds), generated, jobs):
             summary.plans += 1
             summary.committed += outcome.committed
             summary.applied += outcome.applied
@@ -172,16 +174,16 @@
             summary.leaders_replaced += outcome.leaders_replaced
             seconds.append(outcome.seconds)
             healed.append(outcome.healed_after_s)
-            failed += [outcome] if outcome.broken else []
+            failed += [outcome] if outcome.violations else []
             progress.update(summary.plans, len(failed))
-    for outcome in failed[:SHOWN]:
+    for outcome in failed[:MAX_REPORTED]:
         typer.echo(
             f"real seed {outcome.plan.seed}:\n{plans.dump(outcome.plan)}{outcome.trace}", err=True
         )
     summary.seconds = round(time.monotonic() - started_at, 1)
     summary.seconds_a_plan, summary.healed_after_s = _percentiles(seconds), _percentiles(healed)
     summary.broken = sorted(
-        (outcome.plan.seed, *outcome.broken[0]) for outcome in failed[:MAX_LISTED]
+        (outcome.plan.seed, *outcome.violations[0]) for outcome in failed[:MAX_LISTED]
     )
     summary.broken_count = len(failed)
     _print_summary(summary, as_json)
@@ -217,11 +219,11 @@
         with _builds(older, rolling) as builds:
             real_outcome = rig.run_plan(plan, builds=builds)
         print(real_outcome.trace)
-        raise typer.Exit(1 if real_outcome.broken else 0)
+        raise typer.Exit(1 if real_outcome.violations else 0)
     outcome = exploration.run_plan(plan, with_trace=True)
     print(outcome.trace)
-    print(f"digest {outcome.digest}, {len(outcome.broken)} violations")
-    raise typer.Exit(1 if outcome.broken else 0)
+    print(f"digest {outcome.digest}, {len(outcome.violations)} violations")
+    raise typer.Exit(1 if outcome.violations else 0)
 
 
 @app.command()
@@ -235,7 +237,7 @@
 ) -> None:
     """Run random walks through the orders of events.  Exit status 1 on a violation."""
     started_at, summary = time.monotonic(), WalkSummary(first)
-    prepare = planted(patch)
+    prepare = worker_patch(patch)
     failed: list[walks.Walk] = []
     with seed_progress("walking", seeds, as_json) as progress:
         for walked in walks.explore(first, seeds, jobs, prepare):
@@ -245,7 +247,7 @@
             progress.update(summary.walks, len(failed))
     if prepare is not None:
         prepare()
-    for outcome in failed[:SHOWN]:
+    for outcome in failed[:MAX_REPORTED]:
         shrunk = walks.shrink(outcome)
         trace = "\n".join(shrunk.trace)
         typer.echo(f"seed {outcome.seed}, shrunk:\n{trace}\nBROKEN {shrunk.violation}", err=True)
@@ -278,7 +280,7 @@
     if patch is not None:
         Patch(patch_path(patch))()
     bounds = Bounds(times, publications, leaders, losses, copies, crashes, torn, disks, polls)
-    result = check(World(bounds), states, heal_every=HEAL_EVERY)
+    result = check(World(bounds), states, liveness_every=LIVENESS_EVERY)
     raise typer.Exit(result.report(time.monotonic() - started_at))
 
 
--- a/limebridge/faults/distribution/explore.py
+++ b/limebridge/faults/distribution/explore.py
@@ -11,7 +11,7 @@
 from limebridge.faults.violation import Violation
 
 from .checker import Rule, format_trace
-from .plan import Plan, generate, without
+from .plan import Plan, generate, without_fault
 from .simulation import EventLimitExceeded
 from .world import World
 
@@ -24,7 +24,7 @@
     """
 
     plan: Plan
-    broken: tuple[Violation, ...]
+    violations: tuple[Violation, ...]
     committed: int  # publications that were replied with COMMITTED
     applied: int  # batches, summed over all proxies
     invalidations: int  # snapshots that proxies started from
@@ -78,4 +78,4 @@
 
 def shrink(found: Outcome) -> Outcome:
     """Removes faults as long as the same rule is violated; returns the outcome with its trace."""
-    return run_plan(many.shrink(found, run_plan, without).plan, with_trace=True)
+    return run_plan(many.shrink(found, run_plan, without_fault).plan, with_trace=True)
--- a/limebridge/faults/distribution/links.py
+++ b/limebridge/faults/distribution/links.py
@@ -5,8 +5,7 @@
 from collections import Counter
 from collections.abc import Iterable, Sequence
 
-from limebridge.faults.relay import Path as Direction
-from limebridge.faults.relay import Relay
+from limebridge.faults.relay import Impairment, Relay
 
 from .network import Link
 
@@ -55,7 +54,7 @@
 
     def _apply(self) -> None:
         for (requester, machine), relay in self._relays.items():
-            forward = Direction(cut=self._cut[requester, machine] > 0)
-            back = Direction(cut=self._cut[machine, requester] > 0)
-            if (forward.cut, back.cut) != (relay.there.cut, relay.back.cut):
-                relay.set(forward, back)
+            forward = Impairment(cut=self._cut[requester, machine] > 0)
+            backward = Impairment(cut=self._cut[machine, requester] > 0)
+            if (forward.cut, backward.cut) != (relay.forward.cut, relay.backward.cut):
+                relay.impair(forward, backward)
--- a/limebridge/faults/distribution/real_plan.py
+++ b/limebridge/faults/distribution/real_plan.py
@@ -4,7 +4,7 @@
 
 import random
 
-from limebridge.faults.plan import draw_faults
+from limebridge.faults.plan import generate_faults
 
 from .plan import Fault, Kind, Plan
 
@@ -35,7 +35,7 @@
     """Returns the plan of a seed; with `rolling`, its faults are spread over a rollout."""
     rng = random.Random(f"distribution/real/{seed}")
     seconds = rng.uniform(*(ROLLING_FAULT_PHASE_S if rolling else FAULT_PHASE_S))
-    faults = draw_faults(
+    faults = generate_faults(
         rng,
         Fault,
         count=rng.randint(*(ROLLING_FAULT_COUNT if rolling else FAULT_COUNT)),
@@ -43,7 +43,7 @@
         until=seconds,
         kinds=KINDS,
         targets=MAX_TARGETS,
-        lasts=(0.3, 1.0, 2.5),
+        durations=(0.3, 1.0, 2.5),
     )
     return Plan(
         seed,
--- a/limebridge/faults/distribution/rig.py
+++ b/limebridge/faults/distribution/rig.py
@@ -20,7 +20,7 @@
 from limebridge.child import DaemonStartError
 from limebridge.control.control_client import Machines, NoAnswerError, send_request
 from limebridge.control.process import ControlMachines, UnreadyError
-from limebridge.faults.interruption import finish, run
+from limebridge.faults.interruption import run, run_cleanup
 from limebridge.faults.violation import Violation
 from limebridge.ports import free_ports
 from violetroute.distribution.messages import StatusReply, StatusRequest
@@ -71,7 +71,7 @@
     """
 
     plan: Plan
-    broken: list[Violation]
+    violations: list[Violation]
     committed: int
     applied: int
     healed_after_s: float
@@ -83,7 +83,7 @@
     @property
     def trace(self) -> str:
         """The notes of the run, and the violations, one a line."""
-        return format_trace(self.notes, self.broken)
+        return format_trace(self.notes, self.violations)
 
 
 class Rig:
@@ -139,7 +139,7 @@
             self.checker.report_violation(Rule.CRASH, f"a process did not start: {error}")
         finally:
             self._stopping = True
-            await finish(self._close([*tasks, *self.faults.tasks]))
+            await run_cleanup(self._close([*tasks, *self.faults.tasks]))
         checker, rollout = self.checker, self.rollout
         return RealOutcome(
             self.plan,
--- a/limebridge/faults/distribution/state_space.py
+++ b/limebridge/faults/distribution/state_space.py
@@ -72,7 +72,7 @@
     published: int = 0
     committed: dict[int, bytes] = field(default_factory=dict)
     max_as_of: dict[int, float] = field(default_factory=dict)  # by fence, the latest `as_of` so far
-    broken: str = ""
+    violated_rule: str = ""
 
     def __post_init__(self) -> None:
         if self.remaining:
@@ -109,7 +109,9 @@
                 yield ("publish", name)
             if remaining["crashes"]:
                 yield ("crash", name)
-            if remaining["disks"] and not any(other.disk.recovering for other in self.nodes.values()):
+            if remaining["disks"] and not any(
+                other.disk.recovering for other in self.nodes.values()
+            ):
                 yield ("lose disk", name)
         if remaining["polls"] and not self.proxy.polling:
             for name in self.nodes:
@@ -118,17 +120,17 @@
     def step(self, event_name: str, *args: Any) -> None:
         """Applies an event, named as its method without the underscore, and checks all rules.
 
-        `broken` is the violated rule afterwards; an exception violates the rule "crash".
+        `violated_rule` is set to the first violated one, "" if none.  An exception is a crash.
         """
         try:
             getattr(self, "_" + event_name.replace(" ", "_"))(*args)
         except Exception as error:  # any exception would crash the process
-            self.broken = f"{Rule.CRASH}: {type(error).__name__}: {error}"
+            self.violated_rule = f"{Rule.CRASH}: {type(error).__name__}: {error}"
             return
         self.packets = tuple(sorted(self.packets, key=repr))
-        self.broken = self._check_rules()
+        self.violated_rule = self._check_rules()
 
-    def before(self, event: Event) -> World:
+    def copy_for(self, event: Event) -> World:
         """Returns a copy for `event`, which shares the machines that the event does not change."""
         successor = World.__new__(World)
         successor.__dict__.update(self.__dict__)
@@ -276,7 +278,7 @@
             if not self.packets:
                 return
             self._deliver(self.packets[0])
-            self.broken = self.broken or self._check_rules()
+            self.violated_rule = self.violated_rule or self._check_rules()
 
     # --- rules ---
     def _check_rules(self) -> str:
@@ -305,18 +307,18 @@
                 return Rule.AGE.value
         return ""
 
-    def heals(self) -> str:
+    def liveness_violation(self) -> str:
         """Checks that a new leader commits publications again when no more faults happen.
 
         Returns the violated rule, or "".  This state is not changed.
         """
-        successor = self.before(("time",))
+        successor = self.copy_for(("time",))
         try:
-            return successor._check_heals()
+            return successor._check_liveness()
         except Exception as error:  # a crash, as in `step`
             return f"{Rule.CRASH}: {type(error).__name__}: {error}"
 
-    def _check_heals(self) -> str:
+    def _check_liveness(self) -> str:
         successor = self
         successor.remaining = dict.fromkeys(BOUNDED_EVENTS, 1_000)
         names = [name for name, node in successor.nodes.items() if not node.disk.recovering]
@@ -329,8 +331,8 @@
             if number == HEAL_STEPS // 2:
                 successor._publish(names[-1])
         successor._settle()
-        if successor.broken:
-            return successor.broken
+        if successor.violated_rule:
+            return successor.violated_rule
         return "" if max(successor.committed, default=0) > before + 1 else Rule.PROGRESS.value
 
     # --- states ---
--- a/limebridge/faults/distribution/walk.py
+++ b/limebridge/faults/distribution/walk.py
@@ -54,7 +54,7 @@
         return self.violation.partition(":")[0]
 
     @property
-    def broken(self) -> tuple[Violation, ...]:
+    def violations(self) -> tuple[Violation, ...]:
         """The violation in the form that runs in the simulated world have."""
         return (Violation(self.rule, self.violation),) if self.violation else ()
 
@@ -69,7 +69,7 @@
     rng = random.Random(f"walk/{seed}")
     world = World(bounds)
     trace: list[str] = []
-    while not world.broken and len(trace) < max_steps:
+    while not world.violated_rule and len(trace) < max_steps:
         events = list(world.events())
         if not events:
             break
@@ -77,7 +77,7 @@
         event = rng.choices(events, weights)[0]
         trace.append(event_label(event))
         world.step(*event)
-    return Walk(seed, tuple(trace), world.broken or world.heals())
+    return Walk(seed, tuple(trace), world.violated_rule or world.liveness_violation())
 
 
 def replay(trace: Sequence[str], bounds: Bounds = WALK) -> str:
@@ -88,9 +88,9 @@
             if event_label(event) == label:
                 world.step(*event)
                 break
-        if world.broken:
-            return world.broken
-    return world.heals()
+        if world.violated_rule:
+            return world.violated_rule
+    return world.liveness_violation()
 
 
 def shrink(found: Walk, bounds: Bounds = WALK) -> Walk:
--- a/tests/limebridge/faults/distribution/test_distribution_hard_cases.py
+++ b/tests/limebridge/faults/distribution/test_distribution_hard_cases.py
@@ -169,7 +169,7 @@
 @pytest.mark.parametrize("case", CASES, ids=IDS)
 def test_the_case_keeps_every_promise(case: Case) -> None:
     outcome = explore.run_plan(case.plan(), with_trace=True)
-    assert outcome.broken == (), outcome.trace[-4000:]
+    assert outcome.violations == (), outcome.trace[-4000:]
     assert case.happened in outcome.trace
 
 
@@ -177,7 +177,7 @@
 def test_without_its_rule_the_case_is_found(case: Case, monkeypatch: pytest.MonkeyPatch) -> None:
     case.rule_taken_out(monkeypatch)
     outcome = explore.run_plan(case.plan(), with_trace=True)
-    assert Rule.IN_FORCE in {broken.rule for broken in outcome.broken}, outcome.trace[-4000:]
+    assert Rule.IN_FORCE in {broken.rule for broken in outcome.violations}, outcome.trace[-4000:]
 
 
 # --- wall clocks ---
