--- a/limebridge/scale/command.py
+++ b/limebridge/scale/command.py
@@ -1,4 +1,4 @@
-"""`limebridge scale`: what the system costs at its target size."""
+"""`limebridge scale`: measures the resource costs of the system at its target size."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from .run_command import run
 
 if TYPE_CHECKING:
-    from . import slopes as measuring
+    from . import slopes as slopes_module
 
 scale_app = typer.Typer(no_args_is_help=True, help="Costs at the target size: measured slopes.")
 
-MOST_JOBS = 4
-TABLE_WIDTH = 130  # characters, also where the output is no terminal
-INTERRUPTED = 130  # exit status after Ctrl-C, as a shell has it
+MAX_JOBS = 4
+TABLE_WIDTH = 130  # minimum width in characters, also if the output is not a terminal
+EXIT_INTERRUPTED = 130  # after Ctrl-C, as in a shell: 128 + SIGINT
 
 
 scale_app.command()(capacity)
@@ -45,27 +45,31 @@
         Path, typer.Option("--json", metavar="FILE", help="Where the measured slopes are written.")
     ],
     quick: Annotated[
-        bool, typer.Option("--quick", help="Small sizes: says nothing about the target.")
+        bool,
+        typer.Option("--quick", help="Measure small sizes; no result for the target size."),
     ] = False,
     only: Annotated[
-        str, typer.Option(metavar="NAME", help="One subject or one cost, as list or list.bytes.")
+        str,
+        typer.Option(metavar="NAME", help="Only this subject or cost, such as list or list.bytes."),
     ] = "",
     skip_largest: Annotated[
-        bool, typer.Option("--skip-largest", help="Leave the largest size of each subject out.")
+        bool, typer.Option("--skip-largest", help="Leave out the largest size of each subject.")
     ] = False,
-    jobs: Annotated[int, typer.Option(min=1, max=MOST_JOBS, help="Measurements at a time.")] = 1,
+    jobs: Annotated[int, typer.Option(min=1, max=MAX_JOBS, help="Concurrent measurements.")] = 1,
     time_limit: Annotated[
         float | None,
-        typer.Option(min=0.1, max=3600.0, help="Seconds for one measurement; else the subject's."),
+        typer.Option(
+            min=0.1, max=3600.0, help="Seconds per measurement; default: the subject's limit."
+        ),
     ] = None,
 ) -> None:
-    """Measure each cost at several sizes, each in a fresh process, and fit a line to it.
+    """Measure each cost at several sizes, each in a new process, and fit a line to the results.
 
-    Exit status 1 when a measurement failed, 2 when the arguments can't be used, 130 after Ctrl-C.
+    Exit status 1 if a measurement failed, 2 for invalid arguments, 130 after Ctrl-C.
     """
-    from . import slopes as measuring  # numpy and scipy take half a second
+    from . import slopes as slopes_module  # not at the top: numpy and scipy load in half a second
 
-    options = measuring.Options(
+    options = slopes_module.Options(
         quick=quick, only=only, skip_largest=skip_largest, jobs=jobs, time_limit=time_limit
     )
     try:
@@ -75,15 +79,15 @@
         typer.echo(f"limebridge: {error}", err=True)
         raise typer.Exit(2) from None
     except (KeyboardInterrupt, asyncio.CancelledError):
-        typer.echo("limebridge: ended early; nothing was written", err=True)
-        raise typer.Exit(INTERRUPTED) from None
+        typer.echo("limebridge: interrupted; nothing was written", err=True)
+        raise typer.Exit(EXIT_INTERRUPTED) from None
     save(result.slopes, path)
     _show(result.slopes)
     raise typer.Exit(1 if result.failed else 0)
 
 
 def _check_writable(path: Path) -> None:
-    """ConfigError when the file can't be written: better known before the minutes of measuring."""
+    """Raise ConfigError if the file can't be written, before minutes are spent on measuring."""
     folder = path.parent
     while not folder.exists():
         folder = folder.parent
@@ -91,11 +95,11 @@
         raise ConfigError(f"--json {path}: can't be written")
 
 
-async def _measure(options: measuring.Options) -> measuring.Result:
-    """With a progress bar; SIGTERM ends it as Ctrl-C does."""
-    from . import slopes as measuring
+async def _measure(options: slopes_module.Options) -> slopes_module.Result:
+    """Run the measurements with a progress bar; SIGTERM cancels them, as Ctrl-C does."""
+    from . import slopes as slopes_module
 
-    total = len(measuring.planned_jobs(options))
+    total = len(slopes_module.planned_jobs(options))
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
@@ -108,17 +112,17 @@
     with Progress(*columns, console=Console(stderr=True)) as progress:
         bar = progress.add_task("measuring", total=total)
 
-        def measured(what: str) -> None:
-            progress.update(bar, advance=1, description=what)
+        def on_measured(description: str) -> None:
+            progress.update(bar, advance=1, description=description)
 
-        return await measuring.run(options, measured)
+        return await slopes_module.run(options, on_measured)
 
 
-def _show(found: Slopes) -> None:
-    """A table of all costs, and what has no figure."""
+def _show(measured_slopes: Slopes) -> None:
+    """Print a table of the measured costs, and a line for each size or cost without a result."""
     names = ("cost", "unit", "per", "constant", "slope", "95% interval", "residual", "form")
     table = Table(*names, box=None)
-    for cost in found.costs:
+    for cost in measured_slopes.costs:
         table.add_row(
             cost.name,
             cost.unit,
@@ -132,7 +136,7 @@
     console = Console()
     console.width = max(console.width, TABLE_WIDTH)
     console.print(table)
-    for line in found.left_out:
+    for line in measured_slopes.left_out:
         console.print(f"left out: {line}", markup=False)
 
 
@@ -143,6 +147,3 @@
 
 
 scale_app.command()(run)
-
-# Further subcommands register themselves on `scale_app`:
-# `capacity` (tables of docs/CAPACITY.md): from . import capacity_command
--- a/limebridge/scale/run_controls.py
+++ b/limebridge/scale/run_controls.py
@@ -1,4 +1,4 @@
-"""The control machines of a scale run: their files, and their addresses behind the relays."""
+"""The control machines of a scale run: their configuration files, ports and relay addresses."""
 
 from __future__ import annotations
 
@@ -15,45 +15,48 @@
 
 from .run_plan import RunPlan
 
-LOG = "scale-run"  # the identity of the log
-SERVES = "control.serves"  # the event of a control machine that is ready
+LOG_ID = "scale-run"  # identity of the replicated log
+READY_EVENT = "control.serves"  # logged by a control machine that is ready
 LOOPBACK = "127.0.0.1"
-TERM_S = 5.0  # of the leader's lease
-LOOK_S = 0.5  # between two looks at the lease
+LEASE_TERM_S = 5.0  # duration of the leader's lease
+LEASE_POLL_INTERVAL_S = 0.5  # interval at which the lease is read
 
 
 def control_name(number: int) -> str:
-    """The name of a control machine."""
+    """The name of the control machine with this index."""
     return f"control-{number}"
 
 
-class Controls:
-    """Where the control machines listen, and how each region reaches them."""
+class ControlMachines:
+    """Where the control machines listen, and through which relays each region reaches them.
+
+    All addresses are on loopback.  The fleet fills `relay_ports` once the relays have started.
+    """
 
     def __init__(self, plan: RunPlan, folder: Path, key_file: Path) -> None:
         self._plan, self._folder, self._key_file = plan, folder, key_file
         self.ports = free_ports(plan.controls)
-        self.relay_ports: dict[tuple[int, int], int] = {}  # by region and number of the control
+        self.relay_ports: dict[tuple[int, int], int] = {}  # by (region, control machine)
 
-    def pairs(self, regions: range) -> list[tuple[int, int]]:
-        """Which relay ports these regions need."""
+    def relay_routes(self, regions: range) -> list[tuple[int, int]]:
+        """The pairs of (region, control machine) for which these regions need a relay port."""
         return [(region, control) for region in regions for control in range(self._plan.controls)]
 
-    def ports_of(self, region: int) -> tuple[int, ...]:
-        """Where the control machines are reached from a region."""
+    def relay_ports_of(self, region: int) -> tuple[int, ...]:
+        """The relay ports through which a region reaches the control machines, in their order."""
         return tuple(self.relay_ports[region, number] for number in range(self._plan.controls))
 
     def addresses_from(self, region: int) -> dict[str, Address]:
-        """The same by name."""
-        ports = enumerate(self.ports_of(region))
+        """The addresses at which a region reaches the control machines, by machine name."""
+        ports = enumerate(self.relay_ports_of(region))
         return {control_name(number): Address(LOOPBACK, port) for number, port in ports}
 
     def table(self, region: int) -> DistributionTable:
-        """`[distribution]` of the proxies of a region."""
+        """The table `[distribution]` of the proxies of a region."""
         plan = self._plan
         entries = (
             f"{LOOPBACK}:{port} r{plan.control_region(number)}"
-            for number, port in enumerate(self.ports_of(region))
+            for number, port in enumerate(self.relay_ports_of(region))
         )
         return DistributionTable(
             controls=tuple(entries),
@@ -64,10 +67,10 @@
         )
 
     async def write_file(self, number: int) -> Path:
-        """One machine's file, and its empty log."""
+        """Write the configuration file of one control machine, and initialize its data folder."""
         name = control_name(number)
         folder = self._folder / name
-        await asyncio.to_thread(init_folder, folder, name, LOG, False)
+        await asyncio.to_thread(init_folder, folder, name, LOG_ID, False)
         path = self._folder / f"{name}.toml"
         path.write_text(tomli_w.dumps(self._tables(number, folder)))
         return path
@@ -93,8 +96,8 @@
             "fleet": {
                 "store": "folder",
                 "folder": str(self._folder / "lease"),
-                "term_s": TERM_S,
-                "look_s": LOOK_S,
+                "term_s": LEASE_TERM_S,
+                "look_s": LEASE_POLL_INTERVAL_S,
             },
             "timings": {
                 "batch_s": plan.batch_s,
--- a/limebridge/scale/run_sample.py
+++ b/limebridge/scale/run_sample.py
@@ -1,4 +1,4 @@
-"""Counters and CPU time of all processes at one time, and what roles used between two times."""
+"""Samples traffic, CPU time and memory of all processes, and compares two samples by role."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 
 HOLLOW = "proxy, hollow"
 REAL = "proxy, real"
-BARE = "proxy, real, without control"
+REAL_WITHOUT_CONTROL = "proxy, real, without control"
 LEADER = "control leader"
 FOLLOWER = "control follower"
 RELAYS = "relays of the run (no role)"
-IDLE_FIELDS = (4, 5)  # of the first line of /proc/stat: idle, waiting for a disk
+IDLE_FIELDS = (4, 5)  # numbers, from 1, of the fields idle and iowait in /proc/stat
 
 
-class Sample(msgspec.Struct, frozen=True):
-    """Counters and use of all processes at one time."""
+class UsageSample(msgspec.Struct, frozen=True):
+    """The traffic, CPU time and memory of all processes at one time."""
 
     at: float  # CLOCK_MONOTONIC
-    hollow: list[Traffic]
-    counted: dict[str, Traffic]  # by the process's name
-    use: dict[str, Usage]
-    machine_cpu_s: float
+    hollow: list[Traffic]  # of each hollow proxy
+    counted: dict[str, Traffic]  # of real daemons and control machines, by process name
+    use: dict[str, Usage]  # by process name
+    machine_cpu_s: float  # CPU time of the whole machine
 
 
-def take_sample(fleet: Fleet) -> Sample:
-    """All of it now.  What has ended keeps its counters and has no use."""
+def take_usage_sample(fleet: Fleet) -> UsageSample:
+    """Sample all processes now.  A process that has exited has counters, but no entry in `use`."""
     processes = fleet.group.processes
     use = {process.name: process.usage() for process in processes}
-    return Sample(
+    return UsageSample(
         time.monotonic(),
         fleet.hollow_traffic(),
         {counted.process.name: counted.traffic() for counted in fleet.counted_processes()},
@@ -47,21 +47,26 @@
 
 
 def machine_cpu_s() -> float:
-    """CPU time that all cores have spent on anything."""
+    """CPU seconds that all cores together have spent since boot, without idle and iowait."""
     fields = [int(field) for field in Path("/proc/stat").read_text().split("\n")[0].split()[1:9]]
-    idle = sum(fields[place - 1] for place in IDLE_FIELDS)
+    idle = sum(fields[number - 1] for number in IDLE_FIELDS)
     return (sum(fields) - idle) / TICKS_PER_S
 
 
 class Roles:
-    """What each role used between two samples."""
+    """Computes what each role used between two samples.
 
-    def __init__(self, fleet: Fleet, before: Sample, after: Sample, leader: str = "") -> None:
+    `leader` is the name of the control machine that led at the first sample.
+    """
+
+    def __init__(
+        self, fleet: Fleet, before: UsageSample, after: UsageSample, leader: str = ""
+    ) -> None:
         self._fleet, self._before, self._after, self._leader = fleet, before, after, leader
         self._seconds = after.at - before.at
 
     def all(self) -> list[RoleUse]:
-        """The roles that had processes in this run."""
+        """The use of each role that has processes in this run."""
         fleet = self._fleet
         controls = fleet.controls
         leader = [each for each in controls if each.process.name == self._leader]
@@ -69,7 +74,10 @@
         roles = [
             self._hollow(),
             self._counted(REAL, fleet.real),
-            self._counted(BARE, [] if fleet.bare is None else [fleet.bare]),
+            self._counted(
+                REAL_WITHOUT_CONTROL,
+                [] if fleet.baseline is None else [fleet.baseline],
+            ),
             self._counted(LEADER, leader),
             self._counted(FOLLOWER, followers),
             self._relays(),
@@ -86,7 +94,7 @@
             len(self._fleet.hosts),
             self._cpu_s(self._fleet.hosts),
             max(0.0, self._memory(self._fleet.hosts) - empty),
-            note="CPU and memory of the hosts, with delaying datagrams and pretending requests",
+            note="CPU and memory of the hosts, with datagram delays and synthetic requests",
         )
 
     def _counted(self, role: str, members: Sequence[CountedProcess]) -> RoleUse:
@@ -101,7 +109,7 @@
             len(processes),
             self._cpu_s(processes),
             self._memory(processes),
-            note=f"without CPU and memory of what ended: {', '.join(ended)}" if ended else "",
+            note=f"without CPU and memory of exited processes: {', '.join(ended)}" if ended else "",
         )
 
     def _relays(self) -> RoleUse:
--- a/limebridge/scale/small_run.py
+++ b/limebridge/scale/small_run.py
@@ -1,4 +1,4 @@
-"""Small scale runs from which costs of the distribution are measured: one control machine."""
+"""Scale runs with one control machine, from which costs of the distribution are measured."""
 
 from __future__ import annotations
 
@@ -13,8 +13,12 @@
 WARM_SECONDS = 4.0
 
 
-def play(proxies: int, purges_per_s: float) -> RunReport:
-    """One control machine, so many hollow proxies of one region, no gossip and no delays."""
+def run_small(proxies: int, purges_per_s: float) -> RunReport:
+    """Run one control machine with `proxies` hollow proxies of one region, without gossip.
+
+    Raises MeasurementError if a purge was reported in force too early or was never applied by a
+    proxy, PlanError if this machine is too small, ProcessError if a process fails.
+    """
     plan = RunPlan(
         proxies=proxies,
         sites=1,
@@ -29,15 +33,17 @@
         gossip=False,
     )
     check(plan)
-    report = asyncio.run(ScaleRun(plan, lambda what, share: None).play())
-    verdict = report.in_force
-    if verdict is not None and (verdict.early or verdict.never_applied):
-        raise MeasurementError("a purge was not applied everywhere when it was in force")
+    report = asyncio.run(ScaleRun(plan, lambda what, share: None).run())
+    in_force = report.in_force
+    if in_force is not None and (in_force.early or in_force.never_applied):
+        raise MeasurementError(
+            "a purge was reported in force too early, or a proxy never applied it"
+        )
     return report
 
 
 def role_of(report: RunReport, name: str) -> RoleUse:
-    """That role's use.  MeasurementError when the run had none."""
+    """What the role `name` used.  MeasurementError if the run had no such role."""
     for role in report.roles:
         if role.role == name:
             return role
