--- a/limebridge/scale/applied.py
+++ b/limebridge/scale/applied.py
@@ -1,6 +1,6 @@
-"""When proxies applied each position of the log, and when they knew that they were stale.
+"""Records when a proxy applied each position of the log, and when it knew that it was stale.
 
-Recorded at the proxies. Real daemons load this module too, so it imports little.
+Real daemons load this module too, so it imports little.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 from violetroute.distribution.configuration_change import ConfigurationChange
 
-RECORD = struct.Struct("<Qd")  # of a stamp file: position and CLOCK_MONOTONIC
-STALE_FROM, STALE_UNTIL = 2**63, 2**63 + 1  # of a stamp file, in place of a position
+RECORD = struct.Struct("<Qd")  # entry of a stamp file: position and CLOCK_MONOTONIC
+STALE_FROM, STALE_UNTIL = 2**63, 2**63 + 1  # mark a stale period's bounds, in place of a position
 NEVER = float("inf")
-STALE_SAMPLE_INTERVAL_S = 0.25  # between two looks at whether a proxy is stale
+STALE_SAMPLE_INTERVAL_S = 0.25  # interval at which the `as_of` of a proxy is read
 
 
 class SubscriberState(Protocol):
-    """What is asked of a proxy's subscriber."""
+    """The state that is read from a proxy's `Subscriber`."""
 
     @property
     def position(self) -> int: ...
@@ -33,14 +33,14 @@
 
 
 class DistributionState(Protocol):
-    """What is asked of a proxy's distribution: `DistributionService`."""
+    """The part of `DistributionService` that is used here."""
 
     @property
     def subscriber(self) -> SubscriberState: ...
 
 
 class RecordReceiver(Protocol):
-    """Where records take effect: `violetroute.distribution.service.Receiver`."""
+    """Applies records; as `Receiver` of `violetroute.distribution.service`."""
 
     purges: int
     voids: int
@@ -54,24 +54,25 @@
 
 
 class Applied(msgspec.Struct, frozen=True):
-    """One proxy's times by CLOCK_MONOTONIC, which all processes of a machine share.
+    """When one proxy applied positions, by CLOCK_MONOTONIC, which all processes of a machine share.
 
-    `times` are doubles; the first belongs to position `first`, the others to those that follow.
+    `times` is an array of doubles: the time of position `first`, then those of the next positions.
     """
 
     name: str
     first: int
     times: bytes
-    stale: tuple[tuple[float, float], ...] = ()  # from, until: when it knew that it was stale
+    stale: tuple[tuple[float, float], ...] = ()  # periods (from, until) of known staleness
     purges: int = 0
-    voids: int = 0
+    voids: int = 0  # invalidations of all objects
 
 
 class StalePeriods:
-    """When a proxy was stale by its own clock, from looks at its `as_of`.
+    """Derives the periods in which a proxy was stale from samples of its `as_of`.
 
-    A proxy is stale at `now` when `now - as_of` is more than `stale_after_s`. So a look finds the
-    exact beginning also where the process stood still meanwhile; the end is at most a look late.
+    A proxy is stale at `now` if `now - as_of` is more than `stale_after_s`.  The start of a period
+    is therefore exact, even if the process was paused between two samples; its end is late by the
+    time between two samples at most.
     """
 
     __slots__ = ("_as_of", "_began_at", "ended_periods", "stale_after_s")
@@ -79,18 +80,18 @@
     def __init__(self, stale_after_s: float) -> None:
         self.stale_after_s = stale_after_s
         self._as_of: float | None = None
-        self._began_at = -NEVER  # of the process
+        self._began_at = -NEVER  # start of the process
         self.ended_periods: list[tuple[float, float]] = []
 
     def record_restart(self, now: float) -> None:
-        """A new process knows nothing until its first look finds an `as_of`."""
+        """Begin a new life of the proxy, which is stale until a sample has an `as_of`."""
         began = self._stale_since()
         if now > began:
             self.ended_periods.append((began, now))
         self._as_of, self._began_at = None, now
 
     def observe(self, now: float, as_of: float | None) -> None:
-        """Both by CLOCK_MONOTONIC, as the event loop's clock is."""
+        """Add a sample of `as_of`, in CLOCK_MONOTONIC like `now`; None if it has none yet."""
         if as_of is None or as_of == self._as_of:
             return
         began = self._stale_since()
@@ -99,16 +100,16 @@
         self._as_of = as_of
 
     def _stale_since(self) -> float:
-        """The end of what is known to be fresh."""
+        """When the latest `as_of` becomes stale; without one, the start of the process."""
         return self._began_at if self._as_of is None else self._as_of + self.stale_after_s
 
     def periods(self) -> tuple[tuple[float, float], ...]:
-        """With the one that would begin if nothing came any more."""
+        """The ended periods, and an open one that starts when the latest `as_of` becomes stale."""
         return (*self.ended_periods, (self._stale_since(), NEVER))
 
 
 class AppliedTimes:
-    """Recorder of one hollow proxy, and the receiver of its records."""
+    """The receiver of a hollow proxy, which records the times of positions and stale periods."""
 
     __slots__ = (
         "_distribution",
@@ -130,29 +131,32 @@
         self._distribution: DistributionState | None = None
 
     def attach(self, distribution: DistributionState, stale_after_s: float) -> None:
-        """Whose position and age are recorded."""
+        """Set the service whose position and `as_of` are recorded."""
         self._distribution = distribution
         self.stale.stale_after_s = stale_after_s
 
     def record_restart(self) -> None:
-        """The proxy's process ended and begins anew."""
+        """Detach the ended service; the stale periods continue with a new life."""
         self._distribution = None
         self.stale.record_restart(time.monotonic())
 
     def purge(self, key: str) -> None:
-        """A purge took effect: the first of its batch stamps the position."""
+        """Count a purge.  The first purge of a batch records the time of the batch's position."""
         self.purges += 1
         if self._distribution is not None and self._distribution.subscriber.position > self._last:
             self._stamp(self._distribution.subscriber.position)
 
     def invalidate_all(self, reason: str) -> None:
-        """A snapshot: everything up to its base is done."""
+        """Count an invalidation of all objects, and record the time of the snapshot's position.
+
+        A snapshot stands for all positions up to its base.
+        """
         self.voids += 1
         if self._distribution is not None and self._distribution.subscriber.position > self._last:
             self._stamp(self._distribution.subscriber.position)
 
     def configure(self, change: ConfigurationChange) -> tuple[str, ...]:
-        """Counted: a hollow proxy has no configuration."""
+        """Count the records; a hollow proxy has no configuration to change."""
         self.configurations += len(change.records)
         if self._distribution is not None and change.position > self._last:
             self._stamp(change.position)
@@ -168,22 +172,22 @@
         self._last = position
 
     def observe(self, loop_behind_s: float) -> None:
-        """Note how old the proxy takes its knowledge for.
+        """Sample the `as_of` of the service.
 
-        `behind_s`: how far the clock of its event loop is behind CLOCK_MONOTONIC.
+        `loop_behind_s` is CLOCK_MONOTONIC minus the time of the event loop, in which `as_of` is.
         """
         if self._distribution is not None:
             as_of = self._distribution.subscriber.as_of
             self.stale.observe(time.monotonic(), None if as_of is None else as_of + loop_behind_s)
 
     def snapshot(self, name: str) -> Applied:
-        """What was recorded."""
+        """What was recorded until now for the proxy `name`."""
         times = self.times.tobytes()
         return Applied(name, self.first, times, self.stale.periods(), self.purges, self.voids)
 
 
 class StampingReceiver:
-    """A receiver that writes stamps to a file and passes everything on.  For real daemons."""
+    """Wraps the receiver of a real daemon, and writes the times of positions to a stamp file."""
 
     def __init__(
         self,
@@ -193,26 +197,26 @@
         stale_after_s: float,
     ) -> None:
         self._receiver, self._distribution = receiver, distribution
-        self._file = path.open("ab", buffering=0)  # open as long as the process
+        self._file = path.open("ab", buffering=0)  # stays open as long as the process runs
         self._last = 0
         self._stale = StalePeriods(stale_after_s)
         self.purges, self.voids = receiver.purges, receiver.voids
         self.configurations = receiver.configurations
 
     def purge(self, key: str) -> None:
-        """As the receiver behind it."""
+        """Pass it to the wrapped receiver, and record the position's time."""
         self._receiver.purge(key)
         self.purges = self._receiver.purges
         self._stamp()
 
     def invalidate_all(self, reason: str) -> None:
-        """As the receiver behind it."""
+        """Pass it to the wrapped receiver, and record the position's time."""
         self._receiver.invalidate_all(reason)
         self.voids = self._receiver.voids
         self._stamp()
 
     def configure(self, change: ConfigurationChange) -> tuple[str, ...]:
-        """As the receiver behind it."""
+        """Pass it to the wrapped receiver, and record the position's time."""
         reasons = self._receiver.configure(change)
         self.configurations = self._receiver.configurations
         self._stamp()
@@ -225,7 +229,7 @@
             self._file.write(RECORD.pack(position, time.monotonic()))
 
     def sample_staleness(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Note how old the proxy takes its knowledge for, from now on each STALE_LOOK_S."""
+        """Sample the `as_of` now and then every STALE_SAMPLE_INTERVAL_S; write ended periods."""
         self._stale.observe(time.monotonic(), self._distribution.subscriber.as_of)
         for began, ended in self._stale.ended_periods:
             self._file.write(RECORD.pack(STALE_FROM, began) + RECORD.pack(STALE_UNTIL, ended))
@@ -234,7 +238,10 @@
 
 
 def read_stamps(name: str, path: Path) -> Applied:
-    """What a real daemon has recorded until now; empty without a file."""
+    """What the real daemon `name` has recorded in its stamp file; empty if there is no file.
+
+    An incomplete entry at the end is ignored.
+    """
     data = path.read_bytes() if path.exists() else b""
     data = data[: len(data) // RECORD.size * RECORD.size]
     first, times = 0, array("d")
--- a/limebridge/scale/growth.py
+++ b/limebridge/scale/growth.py
@@ -1,4 +1,4 @@
-"""How the needs grow with the fleet: runs at several sizes against the page's predictions."""
+"""Compares runs of several fleet sizes with the predictions of docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -22,21 +22,24 @@
 
 
 class SeveralSizesError(ValueError):
-    """Runs that don't show growth; one line."""
+    """The runs cannot be compared by size; a one-line message."""
 
 
 @dataclass(frozen=True, slots=True)
 class GrowthRow:
-    """One figure of a run, and the row of the page that predicts it, if there is one."""
+    """One figure of a run, and the row of the capacity page that predicts it, if there is one."""
 
     label: str
     unit: str
     measured: Callable[[RunReport], float | None]
-    predicted_by: str = ""  # identity of a capacity row
+    predicted_by: str = ""  # `identity` of a capacity row; "" if none predicts the figure
 
 
 def growth_table(reports: Sequence[RunReport], target: Target, slopes: Slopes) -> str:
-    """The table, a column a run, by size.  SeveralSizesError when two have the same size."""
+    """A Markdown table with one column per run, by ascending size.
+
+    Raises SeveralSizesError if two runs have the same size.
+    """
     ordered = sorted(reports, key=lambda report: report.plan.proxies)
     sizes = [report.plan.proxies for report in ordered]
     if len(set(sizes)) < len(sizes):
@@ -51,7 +54,7 @@
 
 
 def _needs(report: RunReport, target: Target, slopes: Slopes) -> dict[str, Need]:
-    """The page's rows at the size of this run."""
+    """The rows of the capacity page by identity, computed for the size of this run."""
     plan = report.plan
     target_of_run = msgspec.structs.replace(
         target,
--- a/limebridge/scale/hollow.py
+++ b/limebridge/scale/hollow.py
@@ -1,9 +1,9 @@
-"""A hollow proxy: the control protocols of a proxy with no clients and no request path.
+"""A hollow proxy: the control protocols of a proxy without clients and request path.
 
 It runs the daemon's own `Sharing` and `DistributionService` on the daemon's own `SocketNetwork`.
-Hundreds share a process and an event loop. So that judgements and counts have something to tell,
-a hollow proxy pretends a few requests a second; `Sharing` sees their outcomes as it does a real
-proxy's.
+Hundreds of them share a process and an event loop.  To give health reports and counts some content,
+a hollow proxy records a few synthetic requests per second; `Sharing` receives their outcomes as it
+does those of a real proxy.
 """
 
 from __future__ import annotations
@@ -30,22 +30,22 @@
 from .traffic import CountedSocket, DatagramShaper
 
 MAX_BACKOFF_MS = 1500.0
-SYNTHETIC_INTERVAL_S = 0.5  # between two batches of pretended requests
-KEY_COUNT = 100_000  # different keys of the pretended requests
+SYNTHETIC_INTERVAL_S = 0.5  # mean time between two batches of synthetic requests
+KEY_COUNT = 100_000  # number of different keys of the synthetic requests
 
 
 class HeldWallClock:
-    """The wall clock, which stands at the run's start until it is released.
+    """A wall clock that shows the start time of the run until it is released.
 
-    A member's incarnation is the wall clock's time of its start. As long as the clock stands, all
-    hollow proxies of all processes know each other's incarnation without an exchange.
+    The incarnation of a member is the wall-clock time of its start.  With a stopped clock, all
+    hollow proxies have the same incarnation, so each process knows it without an exchange.
     """
 
     def __init__(self, start_s: float) -> None:
         self._start_s: float | None = start_s
 
     def release(self) -> None:
-        """Tell the true time from now on."""
+        """Show the true time from now on."""
         self._start_s = None
 
     def __call__(self) -> float:
@@ -53,7 +53,11 @@
 
 
 class GossipSetup:
-    """What all gossip of a process has in common."""
+    """The gossip settings that all hollow proxies of a process share.
+
+    `requests` is the number of synthetic requests per second of each proxy, `failed_share` the
+    share of them that fails.
+    """
 
     def __init__(
         self,
@@ -68,25 +72,25 @@
     ) -> None:
         self.port, self.keys, self.members, self.clock = port, keys, members, clock
         self.probe_s = probe_s
-        self.requests, self.failed_share = requests, failed_share  # pretended, a second
+        self.requests, self.failed_share = requests, failed_share
         self.nodes = [
             Member(number, CacheState.READY, started_at=1.0) for number in range(1, nodes + 1)
         ]
 
 
 def life_nonce(location: ProxyLocation, restarts: int = 0) -> str:
-    """The nonce of a hollow proxy's process."""
+    """The nonce that identifies one life of a hollow proxy: the one after `restarts` restarts."""
     return f"hollow{location.number}" + (f"/{restarts}" if restarts else "")
 
 
 def initial_rumor(location: ProxyLocation, port: int, incarnation: int) -> Rumor:
-    """What a hollow proxy says of itself at its start."""
+    """What a hollow proxy announces about itself when it starts for the first time."""
     address = f"{location.host}:{port}"
     return Rumor(location.name, life_nonce(location), incarnation, "a", address, location.zone)
 
 
 class HollowProxy:
-    """One proxy's control protocols.  Also what `Sharing` asks of a proxy (`service.Host`)."""
+    """The control protocols of one proxy.  Implements `Host` of `violetroute.sharing.service`."""
 
     def __init__(
         self, location: ProxyLocation, loop: HeldLoop, counters: memoryview, shaper: DatagramShaper
@@ -98,7 +102,7 @@
         self.net = SocketNetwork(loop, make=self.socket_factory)
         self.sharing: Sharing | None = None
         self.distribution: DistributionService | None = None
-        self._leave_task: asyncio.Task[None] | None = None  # of the process before this one
+        self._leave_task: asyncio.Task[None] | None = None  # ends the session of the previous life
         self.applied = AppliedTimes()
         self._random = random.Random(f"hollow/{location.number}")
         self._synthetic_timer: asyncio.TimerHandle | None = None
@@ -108,9 +112,10 @@
     def start_gossip(
         self, setup: GossipSetup, fleet: Sequence[Rumor], seeds: tuple[str, ...] = ()
     ) -> None:
-        """Join a fleet.  OSError.
+        """Start gossip.  Raises OSError if the address cannot be bound.
 
-        With `fleet` it knows itself already, as one that has run for long; `seeds` are asked else.
+        With `fleet`, all its members are known at once, as in a fleet that has run for long.
+        Without it, the proxy discovers members through `seeds`.
         """
         location = self.location
         table = SharingTable(
@@ -143,7 +148,11 @@
                 members.add_member(rumor, now)
 
     def _record_synthetic_requests(self, requests: float, failed_share: float, nodes: int) -> None:
-        """Outcomes of a few requests, a batch each PRETEND_EVERY_S."""
+        """Record a batch of synthetic requests now and, by a timer, every SYNTHETIC_INTERVAL_S.
+
+        `requests` is per second.  The intervals vary by up to 20%, so that the proxies of a host
+        are not synchronized.
+        """
         wait = SYNTHETIC_INTERVAL_S * self._random.uniform(0.8, 1.2)
         self._synthetic_timer = self.loop.call_later(
             wait, self._record_synthetic_requests, requests, failed_share, nodes
@@ -159,36 +168,37 @@
                 sharing.record_attempt(self._random.randrange(1, nodes + 1), result)
 
     def apply_peer_reports(self, bad: list[int], outcomes: list[LoadSample]) -> None:
-        """What others met: a proxy would pass it to its balancer."""
+        """Ignored: a real proxy passes the reports of its peers to its load balancer."""
 
     # --- distribution ---
     def start_distribution(self, table: DistributionTable, keys: Keys) -> None:
-        """Begin to poll a control machine."""
+        """Start to poll a control machine."""
         location = self.location
         self.distribution = DistributionService(
             table, keys, location.name, table.region, self.net, self.applied
         )
         self.applied.attach(self.distribution, table.stale_after_s)
 
-    # --- its process ---
+    # --- end and restart ---
     def restart(self, killed: bool) -> None:
-        """End, as on SIGTERM or `killed`, and forget all that it knew.  Its parts start anew.
+        """End this life, as on SIGTERM or, with `killed`, without ending the session.
 
-        Membership hears of the end either way: a member that is killed is measured elsewhere.
+        All state is dropped; the caller starts gossip and distribution again.  In both cases some
+        members are notified that it leaves: the detection of killed members is measured elsewhere.
         """
         if self.distribution is not None and not killed:
             self._leave_task = self.loop.create_task(self.distribution.leave())
-        self.close()  # once more, where it leaves: that changes nothing
+        self.close()  # `leave` has already closed the distribution; a second close has no effect
         self._synthetic_timer = self.sharing = self.distribution = None
         self._restarts += 1
         self.applied.record_restart()
 
     def sample_staleness(self) -> None:
-        """Note how old the proxy takes its knowledge for."""
+        """Record the `as_of` of the proxy, from which its stale periods are derived."""
         self.applied.observe(self.loop.behind_s)
 
     def close(self) -> None:
-        """End as a daemon does that is told to: some members hear that it leaves."""
+        """Stop all protocols and notify some members, as a daemon does at its shutdown."""
         if self._synthetic_timer is not None:
             self._synthetic_timer.cancel()
         if self.sharing is not None:
--- a/limebridge/scale/hollow_host.py
+++ b/limebridge/scale/hollow_host.py
@@ -2,9 +2,10 @@
 
     python -m limebridge.scale.hollow_host FILE
 
-FILE is a `HostFile` as JSON. The process prints one JSON line once its proxies are made, and lets
-them run after the first line on its standard input. Each line after that is an `Order` as JSON,
-answered with a JSON line. It ends when its standard input does.
+FILE is a `HostFile` as JSON.  The process creates its proxies, prints a `HostReady` as one JSON
+line, and lets the proxies run once it has read a line from its standard input.  Each further line
+is an `Order` as JSON, which is answered with a JSON line.  The process exits when its standard
+input ends.
 """
 
 from __future__ import annotations
@@ -30,55 +31,61 @@
 from .standard_input import input_lines, wait_for_line
 from .traffic import Counters, DatagramShaper
 
-LAG_INTERVAL_S = 0.1  # between two looks at how late the event loop is
-POLL_START_SPREAD_S = 3.0  # over which the first polls are spread
+LAG_INTERVAL_S = 0.1  # interval at which the lag of the event loop is measured
+POLL_START_SPREAD_S = 3.0  # time over which the first polls of the proxies are spread
 
 
 class HostFile(msgspec.Struct, frozen=True, kw_only=True):
-    """What one hosting process is told."""
+    """The configuration of one host process; see `RunPlan` for the figures of the run."""
 
-    places: tuple[ProxyLocation, ...]  # of its own hollow proxies
-    fleet: tuple[ProxyLocation, ...]  # of all hollow proxies
-    counters: str  # the file for its counters, which it makes
-    links: str
+    places: tuple[ProxyLocation, ...]  # its own hollow proxies
+    fleet: tuple[ProxyLocation, ...]  # all hollow proxies of the run
+    counters: str  # path of the file for its counters, which it creates
+    links: str  # path of the link table
     regions: int
     seed: int
-    members: int  # of the fleet, hollow and real
+    members: int  # proxies of the fleet, hollow and real
     nodes: int
     gossip_port: int  # 0: no gossip
     key_file: str
-    start_s: float  # wall clock at the run's start
+    start_s: float  # wall-clock time of the run's start
     probe_s: float
     requests: float
     failed_share: float
-    distribution: tuple[DistributionTable, ...] = ()  # of each region; empty: none
+    distribution: tuple[DistributionTable, ...] = ()  # one per region; empty: no distribution
 
 
 class HostReady(msgspec.Struct, frozen=True, kw_only=True):
-    """The proxies are made."""
+    """Printed once all proxies are created."""
 
     empty_bytes: int  # resident memory before the first proxy
 
 
 class HostObservations(msgspec.Struct, frozen=True, kw_only=True):
-    """What the process saw so far; times are CLOCK_MONOTONIC."""
+    """What the process has observed since the last report; times are CLOCK_MONOTONIC.
 
-    members_up: tuple[int, ...]  # fleet size that each proxy believes
-    # Hollow proxies that each one knows as their present process; empty without restarts.
+    `applied` covers the whole run.
+    """
+
+    members_up: tuple[int, ...]  # members that each proxy lists as alive or suspected, and itself
+    # Hollow proxies of which each proxy lists the present life; empty without restarts.
     members_current: tuple[int, ...] = ()
     membership: tuple[MembershipLook, ...] = ()
-    loop_lag: tuple[float, ...]  # s that the event loop was late, one value each LAG_EVERY_S
+    loop_lag: tuple[float, ...]  # seconds by which a timer was late, one per LAG_INTERVAL_S
     applied: tuple[Applied, ...] = ()
 
 
 class Report(msgspec.Struct, frozen=True, tag=True):
-    """Write what was seen since the last report to a file."""
+    """Order to write the `HostObservations` since the last report to the file `path` (msgpack)."""
 
     path: str
 
 
 class Restart(msgspec.Struct, frozen=True, tag=True):
-    """Restart every proxy, spread evenly over this time; `killed`: none tells of its end."""
+    """Order to restart all proxies, spread evenly over `within_s` seconds.
+
+    With `killed`, they do not end their sessions at the control machines.
+    """
 
     within_s: float
     killed: bool = False
@@ -88,7 +95,7 @@
 
 
 class HollowHost:
-    """The proxies of this process, and how late its event loop is."""
+    """Runs the hollow proxies of this process, and measures their state and the loop's lag."""
 
     def __init__(self, file: HostFile, loop: HeldLoop) -> None:
         self._file, self._loop = file, loop
@@ -109,13 +116,16 @@
         self._gossip: GossipSetup | None = None
 
     def create_proxies(self) -> None:
-        """Make all proxies, to run once the loop's clock is released.  OSError: a taken port."""
+        """Start gossip and distribution of all proxies; they run once the clock is released.
+
+        Raises OSError if an address is in use.
+        """
         if self._file.gossip_port:
             self._start_gossip()
         if self._file.distribution:
             self._start_distribution()
         gc.collect()
-        gc.freeze()  # as the daemon does: collections need not walk what start-up made
+        gc.freeze()  # as the daemon does: collections skip the objects created at start-up
         gc.set_threshold(10_000, 20, 20)
         self._loop.call_later(LAG_INTERVAL_S, self._measure_lag, self._loop.time() + LAG_INTERVAL_S)
 
@@ -133,7 +143,7 @@
         )
         incarnation = int(file.start_s * 1000.0)
         fleet = [initial_rumor(location, file.gossip_port, incarnation) for location in file.fleet]
-        gc.disable()  # nothing of what is made here is garbage
+        gc.disable()  # nothing created here is garbage, so collections would find none
         for proxy in self.proxies:
             proxy.start_gossip(setup, fleet)
         gc.enable()
@@ -141,13 +151,13 @@
         self._loop.call_later(MEMBERSHIP_LOOK_S, self._sample_membership)
 
     def release(self) -> None:
-        """Let the clocks go on, and so the proxies begin."""
+        """Start the loop's and the wall clock, so that the proxies run."""
         self._loop.release()
         if self._gossip is not None:
             self._gossip.clock.release()
 
     def restart(self, within_s: float, killed: bool) -> None:
-        """Restart all proxies over this time."""
+        """Schedule the restart of all proxies, spread evenly over `within_s` seconds."""
         self._restarts += 1
         for number, proxy in enumerate(self.proxies):
             wait_s = within_s * number / len(self.proxies)
@@ -162,7 +172,7 @@
             proxy.start_distribution(self._file.distribution[proxy.location.region], keys)
 
     def _seed_addresses(self, location: ProxyLocation) -> tuple[str, ...]:
-        """The first proxies of its region, as an operator's file would name them."""
+        """Gossip addresses of the first other proxies of its region, as in an operator's file."""
         same_region = (other for other in self._file.fleet if other.region == location.region)
         others = (other for other in same_region if other.name != location.name)
         return tuple(
@@ -191,7 +201,10 @@
         return [proxy.sharing.members.size for proxy in self.proxies if proxy.sharing]
 
     def _current_process_counts(self) -> tuple[int, ...]:
-        """Of each proxy, the hollow ones that it knows as their present process, with itself."""
+        """For each proxy, the number of hollow proxies of which it lists the present life.
+
+        Itself included.
+        """
         present = [
             (location.name, life_nonce(location, self._restarts)) for location in self._file.fleet
         ]
@@ -207,7 +220,7 @@
         self._loop.call_later(LAG_INTERVAL_S, self._measure_lag, now + LAG_INTERVAL_S)
 
     def take_observations(self) -> HostObservations:
-        """What was seen since the last call."""
+        """What was observed since the last call; `applied` since the start."""
         lags, self._lags = self._lags, []
         membership, self._membership = self._membership, []
         return HostObservations(
@@ -219,13 +232,13 @@
         )
 
     def close(self) -> None:
-        """End all proxies."""
+        """Stop all proxies."""
         for proxy in self.proxies:
             proxy.close()
 
 
 async def host(file: HostFile, loop: HeldLoop) -> None:
-    """Host the proxies until the standard input ends."""
+    """Host the proxies of `file` until the standard input ends."""
     empty_bytes = resident_bytes()
     hollow_host = HollowHost(file, loop)
     hollow_host.create_proxies()
@@ -239,7 +252,7 @@
 
 
 def _execute(hollow_host: HollowHost, order: Order) -> str:
-    """One order.  What it came to, in a word."""
+    """Execute one order, and return the reply to print."""
     match order:
         case Report(path):
             Path(path).write_bytes(msgspec.msgpack.encode(hollow_host.take_observations()))
@@ -254,7 +267,7 @@
 
 
 def main() -> None:
-    """The process."""
+    """Run the host process with the `HostFile` named by the first argument."""
     file = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=HostFile)
     loop = HeldLoop()
     with asyncio.Runner(loop_factory=lambda: loop) as runner:
--- a/limebridge/scale/in_force_check.py
+++ b/limebridge/scale/in_force_check.py
@@ -1,4 +1,4 @@
-"""The delays of publications, and the leader's reports against what the proxies applied."""
+"""Computes the delays of publications, and checks the leader's reports against the proxies."""
 
 from __future__ import annotations
 
@@ -13,12 +13,15 @@
 from .run_load import Publication, StatusSample
 from .run_report import EarlyReport, InForceCheck, Percentiles, delay_percentiles
 
-MAX_EXAMPLES = 5  # of early reports that are told
-MAX_PAIRS = 5_000_000  # of proxy and record, of which the delay's percentiles are taken
+MAX_EXAMPLES = 5  # early reports that are listed in the result
+MAX_PAIRS = 5_000_000  # about the most pairs of proxy and record in one percentile
 
 
 class PublicationDelays:
-    """What came of the committed records.  Times are CLOCK_MONOTONIC of one machine."""
+    """The delays of the committed publications, and the check of the leader's reports.
+
+    All times are CLOCK_MONOTONIC of one machine.
+    """
 
     def __init__(
         self,
@@ -34,7 +37,10 @@
         self._reported_at = reported_times(status_samples, self._positions)
 
     def delays(self) -> dict[str, Percentiles]:
-        """By name, in seconds.  What never happened is counted in `check`, not here."""
+        """The delays in seconds by name, of each topic with committed publications.
+
+        A position that was never applied or reported has no delay here; `check` counts it.
+        """
         everywhere = self._applied_everywhere()
         delays = dict[str, Percentiles]()
         for topic in TOPIC_NAMES:
@@ -58,7 +64,10 @@
         return delay_percentiles(at - each.published_at for each, at in done if at < NEVER)
 
     def _delays_per_proxy(self, publications: Sequence[Publication]) -> Percentiles:
-        """Over pairs of proxy and record; of every so many records where there are very many."""
+        """Delays over all pairs of proxy and record.
+
+        Above MAX_PAIRS pairs only every n-th record is used, to bound memory and time.
+        """
         step = 1 + len(publications) * len(self._proxies) // MAX_PAIRS
         records = publications[::step]
         columns = [self._column[each.position] for each in records]
@@ -67,7 +76,7 @@
         return array_percentiles(delays[np.isfinite(delays)])
 
     def check(self) -> InForceCheck:
-        """Whether anything was reported as in force too early."""
+        """Compare the time at which each position was reported in force with the proxies' times."""
         reported = ((column, at) for column, at in enumerate(self._reported_at) if at < NEVER)
         too_early = [
             early
@@ -85,7 +94,10 @@
         )
 
     def _find_early_report(self, column: int, reported_at: float) -> EarlyReport | None:
-        """The last proxy to apply a position that was reported before, if it was not stale."""
+        """The last of the proxies that neither had applied a position at its report nor were stale.
+
+        None if there is no such proxy: the report was right.
+        """
         late = np.flatnonzero(self._times[:, column] > reported_at)
         rows = [int(row) for row in late if not was_stale(self._proxies[int(row)], reported_at)]
         if not rows:
@@ -98,7 +110,7 @@
 
 
 def reported_times(status_samples: Sequence[StatusSample], positions: Sequence[int]) -> list[float]:
-    """When each position was first reported as in force; infinite where it was not."""
+    """When each position was first reported in force; NEVER if it was not."""
     highest, reported = 0, list[int]()
     for sample in status_samples:
         highest = max(highest, sample.in_force)
@@ -108,7 +120,10 @@
 
 
 def was_stale(proxy: Applied, at: float) -> bool:
-    """Whether a proxy took itself for stale then, to the accuracy of the looks at it."""
+    """Whether a proxy knew at `at` that it was stale.
+
+    Periods are extended by STALE_SAMPLE_INTERVAL_S on both sides: they are known to that accuracy.
+    """
     return any(
         start - STALE_SAMPLE_INTERVAL_S <= at <= end + STALE_SAMPLE_INTERVAL_S
         for start, end in proxy.stale
@@ -116,7 +131,7 @@
 
 
 def array_percentiles(values: NDArray[np.float64]) -> Percentiles:
-    """Exact, by nearest rank."""
+    """The exact percentiles of `values`, by the nearest-rank method."""
     if not len(values):
         return Percentiles(0, 0.0, 0.0, 0.0, 0.0)
     p50, p99 = np.percentile(values, [50.0, 99.0], method="inverted_cdf")
@@ -126,7 +141,7 @@
 
 
 def applied_times(applied: Applied, positions: NDArray[np.int64]) -> NDArray[np.float64]:
-    """When a proxy had applied each of the positions; infinite where it has not."""
+    """When a proxy had applied each of the positions; infinite for those it has not applied."""
     times = np.frombuffer(applied.times, dtype=np.float64)
     times_found = np.full(len(positions), np.inf)
     if len(times):
@@ -139,7 +154,7 @@
 def applied_times_matrix(
     proxies: Iterable[Applied], positions: Sequence[int]
 ) -> NDArray[np.float64]:
-    """One row a proxy, one column a position."""
+    """The times of `applied_times` as a matrix: one row per proxy, one column per position."""
     wanted = np.asarray(positions, dtype=np.int64)
     rows = [applied_times(applied, wanted) for applied in proxies]
     return np.vstack(rows) if rows else np.empty((0, len(wanted)))
--- a/limebridge/scale/region_return.py
+++ b/limebridge/scale/region_return.py
@@ -1,9 +1,9 @@
-"""A region that was cut off for long and returns with all of its proxies at once, on virtual time.
+"""Simulates the return of a region that was cut off for long, with all proxies, on virtual time.
 
-One control machine's sessions and log and the proxies' subscribers are the program's own; the
-leader answers every report at once, and links have a fixed delay.  What is measured: until when all
-have caught up, how fast a proxy and the control machine are sent batches, and whether anything was
-lost or applied out of order.
+The sessions and log of one control machine and the subscribers of the proxies are the real classes;
+the leader's reply to each report is simulated and comes at once, and links have a fixed delay.
+Measured are the time until all proxies have caught up, the rates at which batches are sent to a
+proxy and by the control machine, and whether batches were lost or applied out of order.
 """
 
 from __future__ import annotations
@@ -26,46 +26,52 @@
 from violetroute.distribution.sessions import PollAnswer, Sessions
 from violetroute.distribution.subscriber import Apply, InvalidateAll, SendPoll, Subscriber
 
-BATCH_S = 0.1
-LINK_DELAY_S = 0.04  # of a link between the region and its control machine, one way
-TICK_INTERVAL_S = 0.02  # between two looks of the control machine at its timers
-NORMAL_SERVICE_S = 5.0  # s of normal service before the cut
+BATCH_S = 0.1  # interval at which a batch of purges is published
+LINK_DELAY_S = 0.04  # between the region and its control machine, one way
+TICK_INTERVAL_S = 0.02  # interval at which the control machine checks its timers
+NORMAL_SERVICE_S = 5.0  # time of normal service before the cut
 KEY_BYTES = 48
 FENCE = 1
 ADDRESS = "control:1"
 
 
 class ReturnReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What came of one return.  Rates are the largest of any second, of batches."""
+    """The result of one simulated return.
+
+    Rates count bytes of batches, and are the largest of any second unless stated otherwise.
+    """
 
     proxies: int
-    away_s: float
-    purges_missed: int  # of each proxy
-    voided: int  # proxies that voided everything in place of applying what they missed
-    applied_late: int  # proxies that applied all of it, one by one
-    caught_up_s: float  # from the return until the last one was fresh
-    caught_up_first_s: float
-    proxy_bytes_per_s: float
-    machine_bytes_per_s: float
-    live_bytes_per_s: float  # a proxy's mean before the cut, to compare with
-    lost: int  # batches that a proxy neither applied nor voided
-    out_of_order: int
+    away_s: float  # length of the cut
+    purges_missed: int  # by each proxy
+    voided: int  # proxies that invalidated all objects instead of applying the missed purges
+    applied_late: int  # proxies that applied all missed purges, one by one
+    caught_up_s: float  # from the return until the last proxy was fresh; infinite if one never was
+    caught_up_first_s: float  # until the first proxy was fresh
+    proxy_bytes_per_s: float  # received by one proxy
+    machine_bytes_per_s: float  # sent by the control machine
+    live_bytes_per_s: float  # mean of a proxy before the cut, for comparison
+    lost: int  # batches that a proxy neither applied nor covered by an invalidation
+    out_of_order: int  # batches that were not the next one of the proxy that applied them
 
 
 @dataclass(slots=True)
 class _Proxy:
-    """One proxy, and what was seen of it."""
+    """One proxy, and what was observed of it."""
 
     subscriber: Subscriber
-    applied: int = 0  # the last position, or the one that a void stands for
+    applied: int = 0  # last position that was applied or covered by an invalidation
     invalidations: int = 0
     out_of_order: int = 0
-    fresh_at: float = math.inf  # since the return
+    fresh_at: float = math.inf  # virtual time at which it was first fresh; reset at the return
     bytes_by_second: dict[int, int] = field(default_factory=lambda: defaultdict(int))
 
 
 class RegionReturn:
-    """One run; deterministic by its seed."""
+    """One simulation; the seed determines its result.
+
+    `away_s` is the length of the cut.
+    """
 
     def __init__(self, proxies: int, away_s: float, purges_per_s: float, seed: int) -> None:
         self._random = Random(seed)
@@ -78,14 +84,19 @@
         self._replica.promise(FENCE, "leader")
         self._sessions = Sessions(SessionSettings(), "m", "i", self._replica, self._random, 0.0)
         self._sessions.set_ready(0.0, True)
-        self._polls: dict[int, tuple[_Proxy, float]] = {}  # by ticket: who, and when it was sent
+        self._polls: dict[
+            int, tuple[_Proxy, float]
+        ] = {}  # by ticket: the proxy and time of sending
         self._tickets = count()
         self._cut = False
         self._machine_bytes: dict[int, int] = defaultdict(int)
         self._proxies = [self._proxy(number) for number in range(proxies)]
 
     def run(self) -> ReturnReport:
-        """Serve, cut, publish on, heal, and run until everybody is fresh again."""
+        """Serve, cut the link while publishing goes on, restore it, and run until all are fresh.
+
+        Ends 600 virtual seconds after the return at the latest.
+        """
         for proxy in self._proxies:
             self._schedule(self._random.random(), lambda proxy=proxy: self._send_poll(proxy))  # type: ignore[misc]
         self._publish()
@@ -142,7 +153,7 @@
         for answered in answers:
             proxy, sent_at = self._polls.pop(answered.ticket)
             if self._cut:
-                continue  # the answer is lost, and the proxy asks again when its link is back
+                continue  # the reply is lost; the proxy polls again when the link is restored
             size = sum(len(memoryview(raw)) for raw in answered.reply.batches)
             self._machine_bytes[int(self._now)] += size
             reply = answered.reply
@@ -191,7 +202,7 @@
 
     # --- the report ---
     def _mean_rate(self) -> float:
-        """Bytes a second of a proxy, leaving out the first two seconds, in which all start."""
+        """Mean bytes per second of a proxy, without the first two seconds, in which all start."""
         seconds = range(2, int(self._now))
         total = sum(proxy.bytes_by_second[second] for proxy in self._proxies for second in seconds)
         return total / max(1, len(seconds)) / len(self._proxies)
--- a/limebridge/scale/return_command.py
+++ b/limebridge/scale/return_command.py
@@ -1,4 +1,4 @@
-"""`limebridge scale return`: a region that was cut off for long returns with all its proxies."""
+"""`limebridge scale return`: simulates the return of a region that was cut off for long."""
 
 from __future__ import annotations
 
@@ -14,19 +14,22 @@
 
 def region_return(
     proxies: Annotated[
-        int | None, typer.Option(min=1, max=2600, help="Of the region; else the target's.")
+        int | None,
+        typer.Option(
+            min=1, max=2600, help="Proxies of the region; default: the target's mean per region."
+        ),
     ] = None,
     away: Annotated[
-        float, typer.Option(min=1.0, max=14_400.0, help="Seconds for which it was cut off.")
+        float, typer.Option(min=1.0, max=14_400.0, help="Seconds for which the region is cut off.")
     ] = 3600.0,
-    seed: Annotated[int, typer.Option(help="Of all chance.")] = 1,
+    seed: Annotated[int, typer.Option(help="Seed of the random generator.")] = 1,
     path: Annotated[
-        Path | None, typer.Option("--json", metavar="FILE", help="Where the report goes, too.")
+        Path | None, typer.Option("--json", metavar="FILE", help="Write the report to FILE, too.")
     ] = None,
 ) -> None:
-    """Play the return on virtual time: how long, how fast, and whether anything is lost.
+    """Simulate the return of a region on virtual time, and print the report as JSON.
 
-    Exit status 1 when something was lost or applied out of order, or not all caught up.
+    Exit status 1 if a batch was lost or applied out of order, or a proxy did not catch up.
     """
     target = load_target()
     count = proxies or round(target.proxies / target.regions)
@@ -36,5 +39,5 @@
     if path is not None:
         path.parent.mkdir(parents=True, exist_ok=True)
         path.write_bytes(text + b"\n")
-    whole = report.lost == 0 and report.out_of_order == 0 and report.caught_up_s < float("inf")
-    raise typer.Exit(0 if whole else 1)
+    complete = report.lost == 0 and report.out_of_order == 0 and report.caught_up_s < float("inf")
+    raise typer.Exit(0 if complete else 1)
--- a/limebridge/scale/small_run.py
+++ b/limebridge/scale/small_run.py
@@ -33,7 +33,7 @@
         gossip=False,
     )
     check(plan)
-    report = asyncio.run(ScaleRun(plan, lambda what, share: None).run())
+    report = asyncio.run(ScaleRun(plan, lambda activity, share: None).run())
     in_force = report.in_force
     if in_force is not None and (in_force.early or in_force.never_applied):
         raise MeasurementError(
--- a/tests/limebridge/scale/test_scale_dilation.py
+++ b/tests/limebridge/scale/test_scale_dilation.py
@@ -1,4 +1,4 @@
-"""Time dilation of scale runs: clocks and waits of a process are slowed alike."""
+"""Time dilation of scale runs: the clocks and timeouts of a process are slowed by one factor."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from tests.support.paths import ROOT
 
 FACTOR = 4.0
-WAIT_S = 0.1  # slowed
+WAIT_S = 0.1  # in dilated time
 
 
-def test_a_wait_of_the_loop_takes_as_many_times_longer() -> None:
+def test_a_sleep_takes_factor_times_longer() -> None:
     real = time.monotonic
     began = real()
     with dilated(FACTOR):
@@ -27,19 +27,19 @@
         asyncio.run(asyncio.sleep(WAIT_S))
         slowed_elapsed, wall_elapsed = time.monotonic() - slowed_began, time.time() - wall_began
     elapsed = real() - began
-    assert time.monotonic is real  # as before
+    assert time.monotonic is real  # restored
     assert elapsed >= FACTOR * WAIT_S
     assert WAIT_S <= slowed_elapsed <= elapsed / FACTOR
     assert WAIT_S * 0.9 <= wall_elapsed <= elapsed / FACTOR + 0.01
 
 
-def test_all_processes_agree_on_the_time(tmp_path: Path) -> None:
-    module = tmp_path / "tells_the_time.py"
+def test_child_processes_have_the_same_dilated_clocks(tmp_path: Path) -> None:
+    module = tmp_path / "print_the_time.py"
     module.write_text("import sys, time; print(time.monotonic(), time.time(), sys.argv[1:])")
     with dilated(FACTOR):
         before, wall_before = time.monotonic(), time.time()
         printed = subprocess.run(
-            dilated_command(FACTOR, "tells_the_time", "a", "b"),
+            dilated_command(FACTOR, "print_the_time", "a", "b"),
             capture_output=True,
             text=True,
             check=True,
@@ -51,14 +51,14 @@
     assert printed[2].strip() == "['a', 'b']"
 
 
-def test_without_a_factor_nothing_is_changed() -> None:
+def test_factor_one_changes_nothing() -> None:
     real = time.monotonic
     with dilated(REAL_TIME):
         assert time.monotonic is real
     assert dilated_command(REAL_TIME, "m", "x") == (sys.executable, "-m", "m", "x")
 
 
-def test_a_slowed_run_measures_the_same_rates_as_the_processes_see() -> None:
+def test_a_dilated_run_measures_in_dilated_seconds() -> None:
     plan = RunPlan(
         proxies=8,
         sites=4,
@@ -74,9 +74,9 @@
     )
     began = time.monotonic()
     with dilated(plan.slowdown):
-        report = asyncio.run(ScaleRun(plan, lambda what, share: None).run())
+        report = asyncio.run(ScaleRun(plan, lambda activity, share: None).run())
     assert time.monotonic() - began >= plan.slowdown * (plan.seconds + plan.warm_seconds)
-    assert 1.9 < report.measured_s < 4.0  # of theirs
+    assert 1.9 < report.measured_s < 4.0  # dilated seconds
     assert any("2 times more slowly" in note for note in report.notes)
     assert report.calibration is not None and 0.5 < report.calibration.bytes_in < 2.0
     assert report.in_force is not None and report.in_force.early == 0
@@ -84,6 +84,6 @@
 
 
 @pytest.mark.parametrize("slowdown", [0.5, 50.0, float("nan")])
-def test_a_senseless_factor_is_refused(slowdown: float) -> None:
+def test_an_invalid_factor_is_refused(slowdown: float) -> None:
     with pytest.raises(PlanError, match="--slowdown"):
         check(RunPlan(slowdown=slowdown))
--- a/tests/limebridge/scale/test_scale_membership.py
+++ b/tests/limebridge/scale/test_scale_membership.py
@@ -44,7 +44,7 @@
 
 def test_a_restart_of_all_is_seen_in_the_membership() -> None:
     plan = msgspec.structs.replace(SMALL, restart_within_s=0.5)
-    report = asyncio.run(ScaleRun(plan, lambda what, share: None).run())
+    report = asyncio.run(ScaleRun(plan, lambda activity, share: None).run())
     before = [each for each in report.membership if each.after_s < plan.seconds / 3.0 - 1.0]
     assert before and all(each.fewest >= plan.proxies for each in before)
     # A look comes each second and may miss the restart itself; the lives at the end can't lie.
@@ -55,7 +55,7 @@
 
 def test_without_restarts_nothing_is_said_of_them() -> None:
     plan = msgspec.structs.replace(SMALL, real=0, distribution=False, seconds=1.5)
-    report = asyncio.run(ScaleRun(plan, lambda what, share: None).run())
+    report = asyncio.run(ScaleRun(plan, lambda activity, share: None).run())
     assert not any("present process" in note for note in report.notes)
     assert report.membership[0].fewest == report.membership[0].mean == plan.proxies
 
--- a/tests/limebridge/scale/test_scale_return.py
+++ b/tests/limebridge/scale/test_scale_return.py
@@ -1,4 +1,4 @@
-"""A region that returns: nothing is lost, and each proxy and machine is sent a bounded rate."""
+"""The return of a cut-off region: nothing is lost, and proxies are sent a bounded rate."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 TARGET = load_target()
 
 
-def test_a_short_absence_is_caught_up_record_by_record_at_the_rate() -> None:
+def test_after_a_short_cut_missed_records_are_applied_at_a_bounded_rate() -> None:
     report = RegionReturn(10, 10.0, TARGET.purges_per_s, 1).run()
     assert (report.lost, report.out_of_order, report.voided) == (0, 0, 0)
     assert report.applied_late == 10 and report.purges_missed >= 690
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_long_absence_is_voided_and_live_records_go_on_at_once(seed: int) -> None:
+def test_after_a_long_cut_all_objects_are_invalidated_at_once(seed: int) -> None:
     report = RegionReturn(10, 120.0, TARGET.purges_per_s, seed).run()
     assert (report.lost, report.out_of_order, report.applied_late) == (0, 0, 0)
     assert report.voided == 10 and report.caught_up_s < 1.0
--- a/tests/limebridge/scale/test_scale_run.py
+++ b/tests/limebridge/scale/test_scale_run.py
@@ -1,4 +1,4 @@
-"""`limebridge scale run`: a tiny run end to end, refusals, links, the report's figures, Ctrl-C."""
+"""`limebridge scale run`: tiny runs end to end, invalid plans, links, the report, Ctrl-C."""
 
 from __future__ import annotations
 
@@ -80,15 +80,15 @@
 
 
 def children_of(pid: int) -> list[int]:
-    """Processes that `pid` has started and that run."""
-    listed = Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
-    return [int(child) for child in listed]
+    """The ids of the running child processes of `pid`."""
+    pids = Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
+    return [int(child) for child in pids]
 
 
 # --- whole runs ---
 def test_a_tiny_run_is_measured_and_leaves_no_process(tmp_path: Path) -> None:
     before = set(children_of(os.getpid()))
-    report = asyncio.run(ScaleRun(TINY, lambda what, share: None).run())
+    report = asyncio.run(ScaleRun(TINY, lambda activity, share: None).run())
     assert set(children_of(os.getpid())) <= before
 
     roles = {role.role: role for role in report.roles}
@@ -118,7 +118,7 @@
     plan = msgspec.structs.replace(
         TINY, real=0, gossip=False, changes=0.0, seconds=3.0, restart_within_s=1.0
     )
-    report = asyncio.run(ScaleRun(plan, lambda what, share: None).run())
+    report = asyncio.run(ScaleRun(plan, lambda activity, share: None).run())
     assert any("restarted over 1 s" in note for note in report.notes)
     assert report.purges == {"COMMITTED": sum(report.purges.values())}
     assert report.in_force is not None
@@ -126,17 +126,17 @@
     assert report.in_force.early == 0, report.in_force
 
 
-def test_a_hollow_proxy_restarts_as_a_process_of_its_own() -> None:
+def test_a_restarted_proxy_is_stale_until_its_first_as_of() -> None:
     stale = StalePeriods(2.0)
-    stale.observe(1.0, 0.5)  # fresh from its first look on
+    stale.observe(1.0, 0.5)  # fresh from the first sample on
     stale.record_restart(2.0)
     stale.observe(3.0, 2.9)
     assert stale.ended_periods == [(-NEVER, 1.0), (2.0, 3.0)]
     assert stale.periods()[-1] == (4.9, NEVER)
 
 
-def test_an_interruption_while_the_faults_end_ends_the_run() -> None:
-    async def play() -> None:
+def test_cancellation_while_faults_are_stopped_ends_the_run() -> None:
+    async def scenario() -> None:
         ending = asyncio.Event()
 
         async def slow_to_end() -> None:
@@ -148,7 +148,7 @@
 
         faults = asyncio.create_task(slow_to_end())
         await asyncio.sleep(0)
-        scale_run = ScaleRun(TINY, lambda what, share: None)
+        scale_run = ScaleRun(TINY, lambda activity, share: None)
         run_task = asyncio.create_task(scale_run._stop_faults(faults))
         await ending.wait()
         run_task.cancel()
@@ -156,20 +156,20 @@
             await run_task
         assert run_task.cancelled()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_fault_that_cannot_be_injected_fails_the_run() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async def fails() -> None:
             raise ProcessError("host-0 ended")
 
         faults = asyncio.create_task(fails())
         await asyncio.sleep(0)
         with pytest.raises(ProcessError, match="host-0"):
-            await ScaleRun(TINY, lambda what, share: None)._stop_faults(faults)
+            await ScaleRun(TINY, lambda activity, share: None)._stop_faults(faults)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_ctrl_c_ends_all_children(tmp_path: Path) -> None:
@@ -203,7 +203,7 @@
 
 
 def wait_for_children(pid: int, count: int) -> list[int]:
-    """Once there are so many: a relay, a control machine, two hosts, a daemon."""
+    """Wait for `count` children: for 5 a relay, a control machine, two hosts and a daemon."""
     end = time.monotonic() + 20.0
     while len(children := children_of(pid)) < count:
         assert time.monotonic() < end, children
@@ -225,9 +225,7 @@
         ("--hosts 400 --proxies 400", "at most 300 are allowed"),
     ],
 )
-def test_senseless_or_too_large_runs_are_refused(
-    tmp_path: Path, arguments: str, named: str
-) -> None:
+def test_invalid_or_too_large_runs_are_refused(tmp_path: Path, arguments: str, named: str) -> None:
     target = tmp_path / "run.json"
     result = CliRunner().invoke(APP, [*arguments.split(), "--json", str(target)])
     assert result.exit_code == EXIT_REFUSED
@@ -313,7 +311,7 @@
     assert (received.udp_in, received.udp_bytes_in) == (1, 7)
 
 
-def test_a_relay_delays_and_holds_back_while_the_link_is_cut(tmp_path: Path) -> None:
+def test_a_relay_delays_data_and_holds_it_while_the_link_is_cut(tmp_path: Path) -> None:
     links = LinkTable.create(tmp_path / "links", 2, seed=1)
     links.set_delay(0, 1, 0.05)
     links.set_delay(1, 0, 0.05)
@@ -323,7 +321,7 @@
             writer.write(data)
         writer.close()
 
-    async def play() -> tuple[float, float]:
+    async def scenario() -> tuple[float, float]:
         server = await asyncio.start_server(echo, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         file = RelayFile(str(tmp_path / "links"), 2, 1, (Route(0, 1, port),))
@@ -335,7 +333,7 @@
             await relay.start((sys.executable, *module))
             ports = (await relay.read_reply(RelayPorts)).ports
             reader, writer = await asyncio.open_connection("127.0.0.1", ports[0])
-            writer.write(b"at once")  # before the other side of the relay is connected
+            writer.write(b"at once")  # before the relay has connected its other side
             assert await asyncio.wait_for(reader.readexactly(7), 5.0) == b"at once"
             plain_s = await round_trip(reader, writer, b"plain")
             links.set_cut(1, 0)
@@ -348,14 +346,14 @@
             await group.close()
             server.close()
 
-    plain_s, cut = asyncio.run(play())
+    plain_s, cut = asyncio.run(scenario())
     assert 0.1 <= plain_s < 0.5 <= cut < 5.0
 
 
 async def round_trip(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter, data: bytes
 ) -> float:
-    """Seconds until an echo is here."""
+    """Seconds until the echo of `data` has been received."""
     began = time.monotonic()
     writer.write(data)
     assert await asyncio.wait_for(reader.readexactly(len(data)), 5.0) == data
@@ -363,7 +361,7 @@
 
 
 # --- the report ---
-def test_percentiles_are_right_on_known_values() -> None:
+def test_percentiles_of_known_values() -> None:
     exact = percentiles([float(number) for number in range(1, 201)])
     assert (exact.count, exact.mean, exact.p50, exact.p99, exact.largest) == (
         200, 100.5, 100.0, 198.0, 200.0,
@@ -375,7 +373,7 @@
     assert percentiles([]).count == delay_percentiles([]).count == 0
 
 
-def test_use_is_a_second_and_a_member() -> None:
+def test_role_use_is_per_second_and_member() -> None:
     traffic = [
         Traffic(udp_bytes_in=100, udp_in=1, tcp_bytes_out=300, tcp_out=2),
         Traffic(udp_bytes_in=300, udp_in=3),
@@ -390,12 +388,12 @@
 def applied(
     name: str, first: int, *times: float, stale: tuple[float, float] | None = None
 ) -> Applied:
-    """A proxy's record, made up."""
+    """A proxy that applied the positions from `first` on at `times`, with one stale period."""
     return Applied(name, first, array("d", times).tobytes(), () if stale is None else (stale,))
 
 
 def purge(at: float, position: int, topic: Topic = Topic.PURGE) -> Publication:
-    """A committed record."""
+    """A committed publication that was published at `at`."""
     return Publication(
         topic=topic,
         published_at=at,
@@ -438,7 +436,7 @@
     }
 
 
-def test_a_report_before_the_last_proxy_has_applied_is_found() -> None:
+def test_a_report_before_the_last_proxy_applied_is_detected() -> None:
     samples = [StatusSample(12.0, 5, 5, 5, 2, 0)]
     late = applied("late", 5, 12.5)
     check_result = PublicationDelays(
@@ -452,14 +450,14 @@
     assert check_result.examples == (EarlyReport(5, "never", 1, None),)
 
 
-def test_a_proxy_that_knew_that_it_was_stale_is_no_early_report() -> None:
+def test_a_stale_proxy_does_not_make_a_report_early() -> None:
     samples = [StatusSample(12.0, 5, 4, 5, 2, 1)]
     for stale, early in (((11.0, 13.0), 0), ((11.0, NEVER), 0), ((5.0, 6.0), 1)):
         proxy = applied("late", 5, 12.5, stale=stale)
         assert PublicationDelays([purge(10.0, 5)], samples, [proxy]).check().early == early
 
 
-def test_what_a_proxy_applies_is_stamped_by_position(tmp_path: Path) -> None:
+def test_applied_positions_are_recorded_with_their_times(tmp_path: Path) -> None:
     class FakeDistribution:
         def __init__(self) -> None:
             self.position = 0
@@ -484,14 +482,14 @@
     assert read_stamps("c", tmp_path / "none").times == b""
 
 
-def test_staleness_begins_where_the_age_says_so_and_ends_with_a_later_look() -> None:
+def test_staleness_starts_by_as_of_and_ends_with_a_later_sample() -> None:
     stale = StalePeriods(stale_after_s=3.0)
     for now, as_of in ((1.0, None), (2.0, 1.5), (2.5, 1.5), (4.0, 3.5), (9.0, 8.5), (9.5, 9.0)):
         stale.observe(now, as_of)
     assert stale.periods() == ((-NEVER, 2.0), (6.5, 9.0), (12.0, NEVER))
 
 
-def test_bounds_are_told_line_by_line() -> None:
+def test_bound_lines_show_the_result_and_the_ratio() -> None:
     def line(measured: float | None) -> str:
         return bound_line(Bound(name="bytes", unit="bytes/s", limit=7000.0, measured=measured))
 
