--- a/limebridge/scale/applied.py
+++ b/limebridge/scale/applied.py
@@ -80,7 +80,7 @@
     def __init__(self, stale_after_s: float) -> None:
         self.stale_after_s = stale_after_s
         self._as_of: float | None = None
-        self._began_at = -NEVER  # start of the process
+        self._began_at = -NEVER  # start of the proxy's present life
         self.ended_periods: list[tuple[float, float]] = []
 
     def record_restart(self, now: float) -> None:
@@ -91,7 +91,7 @@
         self._as_of, self._began_at = None, now
 
     def observe(self, now: float, as_of: float | None) -> None:
-        """Add a sample of `as_of`, in CLOCK_MONOTONIC like `now`; None if it has none yet."""
+        """Add a sample of `as_of`; None before the first reply.  Both are by CLOCK_MONOTONIC."""
         if as_of is None or as_of == self._as_of:
             return
         began = self._stale_since()
@@ -100,7 +100,7 @@
         self._as_of = as_of
 
     def _stale_since(self) -> float:
-        """When the latest `as_of` becomes stale; without one, the start of the process."""
+        """When the latest `as_of` becomes stale; without one, the start of the present life."""
         return self._began_at if self._as_of is None else self._as_of + self.stale_after_s
 
     def periods(self) -> tuple[tuple[float, float], ...]:
@@ -163,6 +163,7 @@
         return ()
 
     def _stamp(self, position: int) -> None:
+        """Record the present time for `position` and for skipped positions before it."""
         now = time.monotonic()
         if not self.times:
             self.first = position
@@ -204,19 +205,19 @@
         self.configurations = receiver.configurations
 
     def purge(self, key: str) -> None:
-        """Pass it to the wrapped receiver, and record the position's time."""
+        """Pass the purge to the wrapped receiver, and record the time of its position."""
         self._receiver.purge(key)
         self.purges = self._receiver.purges
         self._stamp()
 
     def invalidate_all(self, reason: str) -> None:
-        """Pass it to the wrapped receiver, and record the position's time."""
+        """Pass the call to the wrapped receiver, and record the time of the snapshot's position."""
         self._receiver.invalidate_all(reason)
         self.voids = self._receiver.voids
         self._stamp()
 
     def configure(self, change: ConfigurationChange) -> tuple[str, ...]:
-        """Pass it to the wrapped receiver, and record the position's time."""
+        """Pass the change to the wrapped receiver, and record the time of its position."""
         reasons = self._receiver.configure(change)
         self.configurations = self._receiver.configurations
         self._stamp()
--- a/limebridge/scale/control_client.py
+++ b/limebridge/scale/control_client.py
@@ -22,7 +22,7 @@
 TIMEOUT_S = 3.0
 MAX_PUBLISH_ATTEMPTS = 40
 RETRY_S = 0.1
-MS = 1000.0
+MS_PER_S = 1000.0
 
 Reply = TypeVar("Reply")
 
@@ -61,7 +61,7 @@
                 self._update_leader(machine, "" if reply is None else reply.leader)
             elif reply.status != PublishStatus.OVERLOADED:
                 return reply
-            wait_s = RETRY_S if reply is None else max(RETRY_S, reply.retry_ms / MS)
+            wait_s = RETRY_S if reply is None else max(RETRY_S, reply.retry_ms / MS_PER_S)
             await asyncio.sleep(wait_s)
         return None
 
--- a/limebridge/scale/growth.py
+++ b/limebridge/scale/growth.py
@@ -21,7 +21,7 @@
 NOT_MEASURED = "not measured"
 
 
-class SeveralSizesError(ValueError):
+class DuplicateSizeError(ValueError):
     """The runs cannot be compared by size; a one-line message."""
 
 
@@ -38,12 +38,12 @@
 def growth_table(reports: Sequence[RunReport], target: Target, slopes: Slopes) -> str:
     """A Markdown table with one column per run, by ascending size.
 
-    Raises SeveralSizesError if two runs have the same size.
+    Raises DuplicateSizeError if two runs have the same size.
     """
     ordered = sorted(reports, key=lambda report: report.plan.proxies)
     sizes = [report.plan.proxies for report in ordered]
     if len(set(sizes)) < len(sizes):
-        raise SeveralSizesError(f"two runs of the same size: {sizes}")
+        raise DuplicateSizeError(f"two runs of the same size: {sizes}")
     needs = [_needs(report, target, slopes) for report in ordered]
     headings = " | ".join(f"{size:,} proxies" for size in sizes)
     lines = [f"| measured (predicted, ratio) | {headings} |", "| --- |" + " --- |" * len(sizes)]
--- a/limebridge/scale/hollow_host.py
+++ b/limebridge/scale/hollow_host.py
@@ -201,10 +201,7 @@
         return [proxy.sharing.members.size for proxy in self.proxies if proxy.sharing]
 
     def _current_process_counts(self) -> tuple[int, ...]:
-        """For each proxy, the number of hollow proxies of which it lists the present life.
-
-        Itself included.
-        """
+        """For each proxy, the number of hollow proxies whose present life it knows, with itself."""
         present = [
             (location.name, life_nonce(location, self._restarts)) for location in self._file.fleet
         ]
--- a/limebridge/scale/in_force_check.py
+++ b/limebridge/scale/in_force_check.py
@@ -94,9 +94,10 @@
         )
 
     def _find_early_report(self, column: int, reported_at: float) -> EarlyReport | None:
-        """The last of the proxies that neither had applied a position at its report nor were stale.
+        """Check the report of one position, which was made at `reported_at`.
 
-        None if there is no such proxy: the report was right.
+        A proxy is late if it had not applied the position then and was not stale.  The result names
+        the last of them to apply it; None if no proxy is late.
         """
         late = np.flatnonzero(self._times[:, column] > reported_at)
         rows = [int(row) for row in late if not was_stale(self._proxies[int(row)], reported_at)]
--- a/limebridge/scale/links.py
+++ b/limebridge/scale/links.py
@@ -18,7 +18,7 @@
 CUT = 1.0  # value of the IS_CUT field of a link that passes no packets
 FIELDS = 3  # per link: delay in s, share of packets lost, cut (CUT) or not (0)
 DELAY, LOSS, IS_CUT = range(FIELDS)
-DOUBLE = 8  # bytes of a field
+DOUBLE_BYTES = 8  # bytes of a field
 FIRST_REGION_OCTET = 10  # region 0 is 127.10.0.0/16
 MIN_RTO_S = 0.2  # lower bound of the retransmission timeout in Linux
 MAX_RTO_DOUBLINGS = 6  # lost transmissions of one segment that are simulated
@@ -36,7 +36,7 @@
         Raises OSError if the file cannot be opened, ValueError if it is too small for `regions`.
         """
         self.regions = regions
-        size = regions * regions * FIELDS * DOUBLE
+        size = regions * regions * FIELDS * DOUBLE_BYTES
         access = mmap.ACCESS_WRITE if writable else mmap.ACCESS_READ
         with open(path, "r+b" if writable else "rb") as file:
             self._map = mmap.mmap(file.fileno(), size, access=access)
@@ -48,7 +48,7 @@
 
         Both directions between two regions have the same delay.
         """
-        path.write_bytes(bytes(regions * regions * FIELDS * DOUBLE))
+        path.write_bytes(bytes(regions * regions * FIELDS * DOUBLE_BYTES))
         table = cls(path, regions, writable=True)
         rng = random.Random(f"links/{seed}")
         for first in range(regions):
--- a/limebridge/scale/process_facts.py
+++ b/limebridge/scale/process_facts.py
@@ -51,7 +51,7 @@
     return os.sysconf("SC_PHYS_PAGES") * resource.getpagesize() // 1_000_000
 
 
-def machine(load_average_before: float) -> Machine:
+def describe_machine(load_average_before: float) -> Machine:
     """Describe this machine, with its load average before a measurement and now."""
     return Machine(
         processor=_processor(),
--- a/limebridge/scale/region_return.py
+++ b/limebridge/scale/region_return.py
@@ -84,9 +84,7 @@
         self._replica.promise(FENCE, "leader")
         self._sessions = Sessions(SessionSettings(), "m", "i", self._replica, self._random, 0.0)
         self._sessions.set_ready(0.0, True)
-        self._polls: dict[
-            int, tuple[_Proxy, float]
-        ] = {}  # by ticket: the proxy and time of sending
+        self._polls: dict[int, tuple[_Proxy, float]] = {}  # by ticket: proxy and time of sending
         self._tickets = count()
         self._cut = False
         self._machine_bytes: dict[int, int] = defaultdict(int)
--- a/limebridge/scale/run.py
+++ b/limebridge/scale/run.py
@@ -20,11 +20,18 @@
 from .hollow_host import HostObservations
 from .in_force_check import PublicationDelays
 from .membership_looks import over_time
-from .process_facts import machine
+from .process_facts import describe_machine
 from .run_fleet import Fleet
 from .run_load import PublicationLoad
 from .run_plan import RunPlan
-from .run_report import Percentiles, RunReport, bounds, calibrate, delay_percentiles, percentiles
+from .run_report import (
+    Percentiles,
+    RunReport,
+    calibrate,
+    delay_percentiles,
+    percentiles,
+    target_bounds,
+)
 from .run_sample import HOLLOW, REAL, Roles, UsageSample, take_usage_sample
 from .target import load_target
 from .time_dilation import REAL_TIME
@@ -41,7 +48,12 @@
 
 
 class Measurements(msgspec.Struct, frozen=True, kw_only=True):
-    """The raw results of one run."""
+    """The raw results of one run.
+
+    `before` and `after` enclose the measured time; `seen` has one entry per host.  The last three
+    fields are only set with distribution: the leader at `before`, the delays of publications, and
+    the number of publications by outcome.
+    """
 
     before: UsageSample
     after: UsageSample
@@ -164,6 +176,7 @@
             faults.result()
 
     async def _wait(self, activity: str, seconds: float, fleet: Fleet) -> None:
+        """Wait `seconds`; raise ProcessError if a process exits that was not killed on purpose."""
         began = time.monotonic()
         while (elapsed := time.monotonic() - began) < seconds:
             self._progress(activity, elapsed / seconds)
@@ -185,14 +198,14 @@
             delays |= publications.delays()
         busy_s = after.machine_cpu_s - before.machine_cpu_s
         return RunReport(
-            commit=commit(),
+            commit=checked_out_commit(),
             taken_at=datetime.datetime.now(datetime.UTC).isoformat(timespec="seconds"),
-            machine=machine(load_average),
+            machine=describe_machine(load_average),
             plan=self.plan,
             measured_s=seconds,
             roles=tuple(roles),
             delays=delays,
-            bounds=bounds(load_target(), hollow, delays),
+            bounds=target_bounds(load_target(), hollow, delays),
             calibration=None if hollow is None or real is None else calibrate(hollow, real),
             in_force=None if publications is None else publications.check(),
             purges=measured.answers,
@@ -210,7 +223,7 @@
 
 
 def loop_lag(seen: Sequence[HostObservations]) -> Percentiles:
-    """The delays of timers in the event loops of the hosts."""
+    """The distribution of the timer delays in the event loops of the hosts."""
     return delay_percentiles(lag for host in seen for lag in host.loop_lag)
 
 
@@ -252,7 +265,7 @@
     return notes
 
 
-def commit() -> str:
+def checked_out_commit() -> str:
     """The checked-out commit, with "+" for uncommitted changes; "" without a repository."""
     folder = Path(__file__).parent
     try:
--- a/limebridge/scale/run_command.py
+++ b/limebridge/scale/run_command.py
@@ -14,7 +14,7 @@
 from violetroute.distribution.control_file import Timings
 from violetroute.sharing.table import SharingTable
 
-from .run_plan import PlanError, RunPlan, check
+from .run_plan import PlanError, RunPlan, check_plan
 from .run_process import ProcessError
 from .time_dilation import dilated
 
@@ -117,7 +117,7 @@
     )
     console = Console(stderr=True)
     try:
-        check(plan)
+        check_plan(plan)
         report = _run_plan(plan, console)
     except PlanError as error:
         typer.echo(f"limebridge: {error}", err=True)
@@ -133,10 +133,10 @@
 
 def _write_report(report: RunReport, path: Path) -> None:
     from .run_report import save
-    from .run_tables import show
+    from .run_tables import print_report
 
     save(report, path)
-    show(report, Console())
+    print_report(report, Console())
 
 
 def _run_plan(plan: RunPlan, console: Console) -> RunReport:
--- a/limebridge/scale/run_load.py
+++ b/limebridge/scale/run_load.py
@@ -45,8 +45,8 @@
     commit: int  # this and the next two: log positions
     applied: int
     in_force: int
-    sessions: int
-    stale: int
+    sessions: int  # proxies with a session
+    stale: int  # proxies of them that are stale
 
 
 class PublicationLoad:
@@ -106,10 +106,10 @@
         text = f'format = "json"\n[events]\n"daemon.paused" = {1.0 + number / 1000.0}\n#'
         return Record(Topic.CONFIGURATION, CHANGED_TABLE, text.ljust(CHANGE_BYTES, "x").encode())
 
-    async def _publish_one(self, number: int, make_record: Record) -> None:
-        publication = Publication(topic=Topic(make_record.topic), published_at=time.monotonic())
+    async def _publish_one(self, number: int, record: Record) -> None:
+        publication = Publication(topic=Topic(record.topic), published_at=time.monotonic())
         self.publications.append(publication)
-        reply = await self._client.publish(number, make_record)
+        reply = await self._client.publish(number, record)
         publication.answered_at = time.monotonic()
         if reply is not None:
             publication.answer = PublishStatus(reply.status).name
--- a/limebridge/scale/run_plan.py
+++ b/limebridge/scale/run_plan.py
@@ -40,7 +40,7 @@
 
 
 class ProxyLocation(msgspec.Struct, frozen=True):
-    """A proxy's name, region, zone and address."""
+    """The identity and location of a proxy of the run."""
 
     name: str
     number: int  # index among all proxies, hollow ones first
@@ -59,7 +59,7 @@
     real: int = 8
     controls: int = 8
     seconds: float = 60.0  # length of the measurement
-    warm_seconds: float = 10.0  # between the last start and the measurement
+    warm_seconds: float = 10.0  # warm-up before the measurement, once all processes have started
     purges: float = 71.0  # per second
     changes: float = 0.0  # configuration changes per second
     burst: float = 1.0  # factor of `purges` for BURST_SHARE of the time, from the middle on
@@ -130,7 +130,7 @@
         return number % self.regions
 
 
-def check(plan: RunPlan, memory_mb: float | None = None) -> None:
+def check_plan(plan: RunPlan, memory_mb: float | None = None) -> None:
     """Raise PlanError if an argument is invalid or this machine is too small for the run.
 
     A run may use half of `memory_mb`, by default the physical memory of this machine.
--- a/limebridge/scale/run_report.py
+++ b/limebridge/scale/run_report.py
@@ -218,7 +218,7 @@
     return Bound(name=f"{name}, slowest", unit="s", limit=limit_s, measured=measured, note=note)
 
 
-def bounds(
+def target_bounds(
     target: Target, hollow: RoleUse | None, delays: Mapping[str, Percentiles]
 ) -> tuple[Bound, ...]:
     """The target's bounds for the control protocols, with the measured values of a run."""
--- a/limebridge/scale/run_tables.py
+++ b/limebridge/scale/run_tables.py
@@ -8,7 +8,7 @@
 from .run_report import Bound, EarlyReport, InForceCheck, RunReport
 
 
-def show(report: RunReport, console: Console) -> None:
+def print_report(report: RunReport, console: Console) -> None:
     """Print the roles, delays, calibration, bounds and notes of a report."""
     console.print(_roles(report))
     console.print(_delays(report))
--- a/limebridge/scale/slopes.py
+++ b/limebridge/scale/slopes.py
@@ -16,7 +16,7 @@
 from .child import run_child
 from .fit import FitError, fit
 from .measure import Failed, Measured
-from .process_facts import load_average, machine
+from .process_facts import describe_machine, load_average
 from .quoted import QUOTED
 from .registry import CostDefinition, Subject, subjects
 from .results import Cost, Point, Slopes
@@ -94,7 +94,7 @@
     costs, unfitted = _fit_all(options, _values(jobs, answers))
     slopes = Slopes(
         commit=head(),
-        machine=machine(load_before),
+        machine=describe_machine(load_before),
         quick=options.quick,
         taken_at=began.isoformat(timespec="seconds"),
         costs=tuple(costs),
--- a/limebridge/scale/small_run.py
+++ b/limebridge/scale/small_run.py
@@ -6,7 +6,7 @@
 
 from .registry import MeasurementError
 from .run import ScaleRun
-from .run_plan import RunPlan, check
+from .run_plan import RunPlan, check_plan
 from .run_report import RoleUse, RunReport
 
 SECONDS = 15.0
@@ -32,7 +32,7 @@
         requests=0.0,
         gossip=False,
     )
-    check(plan)
+    check_plan(plan)
     report = asyncio.run(ScaleRun(plan, lambda activity, share: None).run())
     in_force = report.in_force
     if in_force is not None and (in_force.early or in_force.never_applied):
--- a/tests/limebridge/scale/test_scale_capacity.py
+++ b/tests/limebridge/scale/test_scale_capacity.py
@@ -21,7 +21,7 @@
 )
 from limebridge.scale.capacity_rows import ROWS
 from limebridge.scale.capacity_rows_others import NOT_OURS
-from limebridge.scale.growth import SeveralSizesError, growth_table
+from limebridge.scale.growth import DuplicateSizeError, growth_table
 from limebridge.scale.quoted import QUOTED
 from limebridge.scale.results import Cost, Machine, Slopes, combined, save
 from limebridge.scale.run_report import RunReport
@@ -233,7 +233,7 @@
 
 
 def test_growth_over_one_size_is_refused() -> None:
-    with pytest.raises(SeveralSizesError, match="two runs of the same size"):
+    with pytest.raises(DuplicateSizeError, match="two runs of the same size"):
         growth_table([run_of(200, 1.0), run_of(200, 2.0)], TARGET, slopes_of())
 
 
--- a/tests/limebridge/scale/test_scale_dilation.py
+++ b/tests/limebridge/scale/test_scale_dilation.py
@@ -11,7 +11,7 @@
 import pytest
 
 from limebridge.scale.run import ScaleRun
-from limebridge.scale.run_plan import PlanError, RunPlan, check
+from limebridge.scale.run_plan import PlanError, RunPlan, check_plan
 from limebridge.scale.time_dilation import REAL_TIME, dilated, dilated_command
 from tests.support.paths import ROOT
 
@@ -86,4 +86,4 @@
 @pytest.mark.parametrize("slowdown", [0.5, 50.0, float("nan")])
 def test_an_invalid_factor_is_refused(slowdown: float) -> None:
     with pytest.raises(PlanError, match="--slowdown"):
-        check(RunPlan(slowdown=slowdown))
+        check_plan(RunPlan(slowdown=slowdown))
--- a/tests/limebridge/scale/test_scale_run.py
+++ b/tests/limebridge/scale/test_scale_run.py
@@ -44,17 +44,17 @@
 from limebridge.scale.run import ScaleRun
 from limebridge.scale.run_command import EXIT_INTERRUPTED, EXIT_REFUSED, run
 from limebridge.scale.run_load import Publication, StatusSample
-from limebridge.scale.run_plan import PlanError, RunPlan, check
+from limebridge.scale.run_plan import PlanError, RunPlan, check_plan
 from limebridge.scale.run_process import ProcessError, ProcessGroup
 from limebridge.scale.run_report import (
     Bound,
     EarlyReport,
-    bounds,
     delay_percentiles,
     percentiles,
     read,
     role_use,
     save,
+    target_bounds,
 )
 from limebridge.scale.run_sample import HOLLOW, LEADER, REAL
 from limebridge.scale.run_tables import bound_line
@@ -235,9 +235,9 @@
 
 def test_a_run_beyond_half_of_the_memory_is_refused() -> None:
     plan = RunPlan()
-    check(plan, memory_mb=2.0 * plan.memory_mb)
+    check_plan(plan, memory_mb=2.0 * plan.memory_mb)
     with pytest.raises(PlanError, match="half of this machine's memory"):
-        check(plan, memory_mb=2.0 * plan.memory_mb - 2.0)
+        check_plan(plan, memory_mb=2.0 * plan.memory_mb - 2.0)
 
 
 # --- links ---
@@ -425,7 +425,7 @@
     assert delays_by_name[delay_name(Topic.CONFIGURATION, EVERYWHERE)].largest == 29.5
     met = {
         bound.name: bound.met
-        for bound in bounds(load_target(), None, delays_by_name)
+        for bound in target_bounds(load_target(), None, delays_by_name)
         if bound.measured
     }
     assert met == {
