--- a/tests/bad_builds/cold_flooded.py
+++ b/tests/bad_builds/cold_node_as_warm.py
@@ -5,13 +5,13 @@
 
 def plant():
     Balancer._warmth = lambda self, cache, now: 1.0
-    admits = Balancer._takes_key
+    original_takes_key = Balancer._takes_key
 
-    def admitted(self, cache, key, now):
+    def takes_key(self, cache, key, now):
         since, cache.cold_since = cache.cold_since, 0.0
         try:
-            return admits(self, cache, key, now)
+            return original_takes_key(self, cache, key, now)
         finally:
             cache.cold_since = since
 
-    Balancer._takes_key = admitted
+    Balancer._takes_key = takes_key
--- a/tests/bad_builds/descriptor_leak.py
+++ b/tests/bad_builds/descriptor_leak.py
@@ -3,9 +3,9 @@
 from violetroute.transport.stream import SocketStream
 
 
-class Kept:
-    def __init__(self, sock):
-        self.sock = sock
+class LeakedSocket:
+    def __init__(self, socket):
+        self.socket = socket
 
     def close(self):
         pass
@@ -15,12 +15,12 @@
 
 
 def plant():
-    finish = SocketStream._finish
+    original_finish = SocketStream._finish
 
-    def finished(self, error):
+    def finish_without_close(self, error):
         if self._socket is not None and self._first:
             LEAKED.append(self._socket)
-            self._socket = Kept(self._socket)
-        finish(self, error)
+            self._socket = LeakedSocket(self._socket)
+        original_finish(self, error)
 
-    SocketStream._finish = finished
+    SocketStream._finish = finish_without_close
--- a/tests/bad_builds/ejection_unbounded.py
+++ b/tests/bad_builds/ejection_unbounded.py
@@ -13,11 +13,11 @@
         0.005,
         0.0,
     )
-    learn = balance.Balancer._learn_outcome
+    original_learn = balance.Balancer._learn_outcome
 
-    def learned(self, pending, attempt, outcome):
-        learn(self, pending, attempt, outcome)
+    def learn_and_eject(self, pending, attempt, outcome):
+        original_learn(self, pending, attempt, outcome)
         if outcome.result in (Result.LATE, Result.FULL):
             self._eject(attempt.cache, self._now)
 
-    balance.Balancer._learn_outcome = learned
+    balance.Balancer._learn_outcome = learn_and_eject
--- a/tests/bad_builds/retry_storm.py
+++ b/tests/bad_builds/retry_storm.py
@@ -8,9 +8,9 @@
 def plant():
     balance.RETRY_RATE, balance.RETRY_BURST = 100.0, 1e9
     balance.MAX_ERROR_SHARE, balance.SPARE_CANDIDATES, choice.SPARE_CANDIDATES = 2.0, 8, 8
-    first = balance.Balancer.__init__
+    original_init = balance.Balancer.__init__
 
-    def begin(self, settings, seed, now):
-        first(self, replace(settings, max_attempts=12), seed, now)
+    def init(self, settings, seed, now):
+        original_init(self, replace(settings, max_attempts=12), seed, now)
 
-    balance.Balancer.__init__ = begin
+    balance.Balancer.__init__ = init
--- a/tests/limebridge/rehearsal/test_rehearsal.py
+++ b/tests/limebridge/rehearsal/test_rehearsal.py
@@ -187,14 +187,14 @@
     "drains_ignored": ("deploy-at-half-past-seven", "rule broken: drains kept"),
     "no_shedding": ("database-crawls", "worst ten seconds 0."),
     "retry_storm": ("database-crawls", "service 0."),
-    "cold_flooded": ("growth", "worst ten seconds 0."),
-    "keyed_late": ("one-node-stalls", "rule broken: no effect twice"),
-    "gate_twice_gain": ("site-lost", "swing 0."),
-    "same_wait": ("crowd-fourfold", "back after"),
+    "cold_node_as_warm": ("growth", "worst ten seconds 0."),
+    "late_keyed_repeat": ("one-node-stalls", "rule broken: no effect twice"),
+    "limiter_gain_doubled": ("site-lost", "swing 0."),
+    "equal_backoff": ("crowd-fourfold", "back after"),
     "ejection_unbounded": ("site-lost", "back not within"),
     "descriptor_leak": ("one-node-stalls", "descriptors open at its end"),
 }
-SEEDS = {"keyed_late": "2"}  # no repeat is late in seed 1; seeds 2 to 5 all fail
+SEEDS = {"late_keyed_repeat": "2"}  # no repeat is late in seed 1; seeds 2 to 5 all fail
 
 
 @pytest.mark.parametrize("name", BAD)
--- a/tests/limebridge/virtual/test_explore.py
+++ b/tests/limebridge/virtual/test_explore.py
@@ -31,7 +31,10 @@
 from limebridge.virtual.world import Outcome
 from tests.support.paths import ROOT, TESTS
 
-NOT_FOUND = {"keyed_late", "undelivered_ignored"}  # no plan finds these so far; see docs/ROADMAP.md
+NOT_FOUND = {
+    "late_keyed_repeat",
+    "delivery_limits_removed",
+}  # no plan finds these so far; see docs/ROADMAP.md
 PLANS = sorted((TESTS / "plans").glob("*.json"))
 
 
@@ -117,7 +120,7 @@
     here = run_plan(generate_consul(11))
     code, report = replay("11", "--consul")
     assert (code, report["digest"]) == (0, here.digest)
-    patch = str(TESTS / "planted" / "other_source_drain.py")
+    patch = str(TESTS / "planted" / "other_source_drain_ignored.py")
     found = subprocess.run(  # in a separate process, since a patch is never removed
         [
             sys.executable,
--- a/tests/planted/clients_before_news.py
+++ b/tests/planted/clients_read_before_discovery.py
@@ -7,9 +7,9 @@
 def plant():
     connect = SocketNetwork.connect
 
-    def last(self, address, handler, time_limit, first=False):
+    def connect_without_priority(self, address, handler, time_limit, first=False):
         return connect(
             self, address, handler, time_limit, first and not isinstance(handler, DiscoveryCall)
         )
 
-    SocketNetwork.connect = last
+    SocketNetwork.connect = connect_without_priority
--- a/tests/planted/connect_leak.py
+++ b/tests/planted/connect_leak.py
@@ -5,16 +5,16 @@
 discard = Pool._discard
 
 
-def leaks(self, connection):
+def discard_without_close(self, connection):
     if not connection.up:
         connection.stream = None
-        connection._pool = _Nobody()
+        connection._pool = StubPool()
         self.closed(connection)
         return
     discard(self, connection)
 
 
-class _Nobody:
+class StubPool:
     def opened(self, connection):
         pass
 
@@ -23,17 +23,17 @@
 
 
 def plant():
-    Pool._discard = leaks
-    Pool.give_up = _give_up
+    Pool._discard = discard_without_close
+    Pool.give_up = give_up_with_leak
 
 
 give_up = Pool.give_up
 
 
-def _give_up(self, attempt):
+def give_up_with_leak(self, attempt):
     node = self._nodes.get(attempt.cache_id)
     opening = None if node is None else node.waiting.get(attempt)
     may = give_up(self, attempt)
     if opening is not None and not opening.up:
-        leaks(self, opening)
+        discard_without_close(self, opening)
     return may
--- a/tests/planted/reused_after_give_up.py
+++ b/tests/planted/connection_reused_after_give_up.py
@@ -3,10 +3,10 @@
 from violetroute.upstream.connection import NodeConnection
 
 
-def keeps(self):
+def release_connection(self):
     self._detach_attempt()
     self._pool.release(self)
 
 
 def plant():
-    NodeConnection.give_up = keeps
+    NodeConnection.give_up = release_connection
--- a/tests/planted/stale_address.py
+++ b/tests/planted/draining_node_without_address.py
@@ -7,9 +7,9 @@
 def plant():
     apply = NodeAddresses.apply
 
-    def taken(self, member, address, inferred=False):
+    def apply_without_address(self, member, address, inferred=False):
         return apply(
             self, member, None if member.state is CacheState.DRAINING else address, inferred
         )
 
-    NodeAddresses.apply = taken
+    NodeAddresses.apply = apply_without_address
--- a/tests/planted/early_drain.py
+++ b/tests/planted/early_drain_ignored.py
@@ -4,10 +4,10 @@
 
 
 def plant():
-    taken = CatalogueState.apply_drains
+    original = CatalogueState.apply_drains
 
     def apply_drains(self, seen):
-        taken(self, seen)
+        original(self, seen)
         return []
 
     CatalogueState.apply_drains = apply_drains
--- a/tests/planted/handed_out_twice.py
+++ b/tests/planted/idle_connection_used_twice.py
@@ -6,7 +6,7 @@
 send = Pool.send
 
 
-def twice(self, attempt):
+def send_and_keep_idle(self, attempt):
     node = self._nodes.get(attempt.cache_id)
     last = node.idle[-1] if node is not None and node.idle else None
     send(self, attempt)
@@ -15,11 +15,11 @@
 
 
 def plant():
-    Pool.send = twice
+    Pool.send = send_and_keep_idle
     run = NodeConnection.run
 
-    def forgets(self, attempt):
+    def run_without_attempt(self, attempt):
         self.attempt = None
         run(self, attempt)
 
-    NodeConnection.run = forgets
+    NodeConnection.run = run_without_attempt
--- a/tests/planted/spoilt_as_unsent.py
+++ b/tests/planted/malformed_as_unsent.py
@@ -3,10 +3,10 @@
 from snowstall import Result
 from violetroute.proxy import Proxy
 
-ended = Proxy.attempt_ended
+original_attempt_ended = Proxy.attempt_ended
 
 
 def plant():
-    Proxy.attempt_ended = lambda self, attempt, result, *more, **named: ended(
+    Proxy.attempt_ended = lambda self, attempt, result, *more, **named: original_attempt_ended(
         self, attempt, Result.NEVER_SENT if result is Result.MALFORMED else result, *more, **named
     )
--- a/tests/planted/forgotten_on_reload.py
+++ b/tests/planted/requests_forgotten_on_reload.py
@@ -5,11 +5,11 @@
 reload = Proxy.reload
 
 
-def forgets(self, config):
+def reload_and_forget(self, config):
     reload(self, config)
     self._open.clear()
     self._named.clear()
 
 
 def plant():
-    Proxy.reload = forgets
+    Proxy.reload = reload_and_forget
--- a/tests/planted/refused_after_reset.py
+++ b/tests/planted/reset_as_unsent.py
@@ -3,10 +3,10 @@
 from snowstall import Result
 from violetroute.upstream.connection import NodeConnection
 
-break_ = NodeConnection._fail_attempt
+original_fail_attempt = NodeConnection._fail_attempt
 
 
 def plant():
-    NodeConnection._fail_attempt = lambda self, result: break_(
+    NodeConnection._fail_attempt = lambda self, result: original_fail_attempt(
         self, Result.NO_CONNECTION if result is Result.RESET else result
     )
--- a/tests/planted/answer_twice.py
+++ b/tests/planted/response_sent_twice.py
@@ -2,15 +2,15 @@
 
 from violetroute.clients.answers import Answer
 
-finish = Answer.finish
+original_finish = Answer.finish
 
 
-def twice(self, *parts):
+def finish_twice(self, *parts):
     connection, request = self._connection, self.request
-    finish(self, *parts)
+    original_finish(self, *parts)
     if request is not None and len(request.attempts) > 1 and connection._stream is not None:
         connection._stream.write(b"".join(parts))
 
 
 def plant():
-    Answer.finish = twice
+    Answer.finish = finish_twice
--- a/tests/planted/late_byte.py
+++ b/tests/planted/trailing_bytes_unchecked.py
@@ -5,7 +5,7 @@
 received = NodeConnection.received
 
 
-def hears(self, count):
+def received_unchecked(self, count):
     if self.attempt is not None:
         received(self, count)
     else:
@@ -16,12 +16,12 @@
     NodeConnection.no_pending_input = lambda self: (
         self.stream is not None and not self.stream.closing
     )
-    NodeConnection.received = hears
-    clean = NodeConnection._complete
+    NodeConnection.received = received_unchecked
+    original_complete = NodeConnection._complete
 
-    def complete(self, clean_=True):
-        rest, self._decoder = self._decoder, type(self._decoder)()
-        clean(self, clean_)
-        self._decoder = rest
+    def complete(self, reusable=True):
+        decoder, self._decoder = self._decoder, type(self._decoder)()
+        original_complete(self, reusable)
+        self._decoder = decoder
 
     NodeConnection._complete = complete
