--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -24,7 +24,7 @@
 import msgspec
 
 from limebridge.faults import memory as virtual
-from limebridge.faults.daemon import BEAT
+from limebridge.faults.daemon import BEAT_S
 from limebridge.faults.model import Bounds, World
 from limebridge.faults.plan import Fault, Plan
 from limebridge.faults.process import Process
@@ -42,7 +42,7 @@
 def bound(kind: str, store: str) -> float:
     """s without an effect that the settings promise: the last renewal's term (a session's up to
     twice), a look, the last place in the order, the calls of asking, claiming and putting."""
-    waits = LOOK * 1.2 + MAX_RANK * LOOK * 0.25 + 3 * CALL + BEAT
+    waits = LOOK * 1.2 + MAX_RANK * LOOK * 0.25 + 3 * CALL + BEAT_S
     if kind == "term" or (kind == "kill" and store == "folder"):
         return waits
     return waits + TERM * (2.0 if store == "consul" else 1.0) + (TERM if kind == "cut" else 0.0)
@@ -54,17 +54,19 @@
     kind = "kill"
     rounds = 10
 
-    async def schedule(self) -> None:
+    async def inject_faults(self) -> None:
         self.found: list[float] = []
         for _ in range(self.rounds):
-            await self.until(lambda: len(self.effects.applied) > 2, "starts", lambda: "no effect")
+            await self.wait_until(
+                lambda: len(self.effects.applied) > 2, "starts", lambda: "no effect"
+            )
             await asyncio.sleep(2.0 * TERM)
             last = self.effects.applied[-1]
             who = next(d for d in self.daemons if d.name == self._name(last.nonce))
             began = self.now
             fault = Fault(0.0, "stop", who.number, 3.0 * TERM)
             task = asyncio.create_task(self._do(who, fault))
-            await self.until(
+            await self.wait_until(
                 lambda last=last: self.effects.applied[-1].nonce != last.nonce,  # type: ignore[misc]
                 "goes on",
                 lambda: "no other owner",
@@ -76,7 +78,7 @@
 
     async def _do(self, who: Any, fault: Fault) -> None:
         if self.kind == "cut":
-            for way in who.ways:
+            for way in who.relays:
                 await self._way_cut(way)
         elif self.kind == "stop":
             await who._stop(fault)
@@ -109,7 +111,7 @@
             with tempfile.TemporaryDirectory() as folder:
                 rig = Owners(Plan(1, 60.0, 5, store, 1, False, TERM), Path(folder))
                 rig.kind, rig.rounds = kind, rounds
-                outcome = asyncio.run(rig.play())
+                outcome = asyncio.run(rig.run())
             found = sorted(rig.found)
             print(
                 json.dumps(
@@ -131,7 +133,7 @@
 class Counting(Rig):
     """Calls at the Consul: a quiet while, and while all restart."""
 
-    async def schedule(self) -> None:
+    async def inject_faults(self) -> None:
         assert self.consul is not None
         await asyncio.sleep(3.0)
         before, began = self.consul.kv.calls, self.now
@@ -141,7 +143,7 @@
         self.effects_put = len(self.effects.applied) - beats
         self.rest = (quiet, self.now - began)
         before, began = self.consul.kv.calls, self.now
-        await asyncio.gather(*(d.ends(hard=True) for d in self.daemons))
+        await asyncio.gather(*(d.end_process(kill=True) for d in self.daemons))
         await asyncio.gather(*(d.start() for d in self.daemons))
         await asyncio.sleep(3.0)
         self.restart = (self.consul.kv.calls - before, self.now - began)
@@ -150,7 +152,7 @@
 def calls() -> None:
     with tempfile.TemporaryDirectory() as folder:
         rig = Counting(Plan(1, 60.0, 8, "consul", 4, False, TERM), Path(folder))
-        outcome = asyncio.run(rig.play())
+        outcome = asyncio.run(rig.run())
     print(
         json.dumps(
             {
@@ -218,7 +220,7 @@
     began = time.perf_counter()
     with tempfile.TemporaryDirectory() as folder:
         world = Quiet(plan, Path(folder))
-        world.beat, world.look = 1e6, 1.0
+        world.beat_s, world.poll_s = 1e6, 1.0
         world.works = [f"beat-{number}" for number in range(10)]
         with quiet(50):
             told = world.loop.run_until_complete(world.measure(lives))
@@ -232,7 +234,7 @@
     on = False
     asked = 1500  # requests of each
 
-    async def schedule(self) -> None:
+    async def inject_faults(self) -> None:
         await asyncio.sleep(2.0)
         self.memory = [_memory(d.pid) for d in self.daemons]
         before = [_cpu(d.pid) for d in self.daemons]
@@ -284,18 +286,18 @@
                 rig = Resting(plan, Path(folder))
                 rig.on = on
                 if not on:
-                    rig.goes_on = rig.settle  # type: ignore[method-assign]
-                    kept = daemons.Daemon.operator
+                    rig.wait_for_progress = rig.settle  # type: ignore[method-assign]
+                    kept = daemons.Daemon.write_operator_file
 
                     def without(self: Any) -> Path:
                         path = self.rig.folder / f"{self.name}.toml"
                         path.write_text("")
                         return Path(path)
 
-                    daemons.Daemon.operator = without  # type: ignore[method-assign]
-                asyncio.run(rig.play())
+                    daemons.Daemon.write_operator_file = without  # type: ignore[method-assign]
+                asyncio.run(rig.run())
                 if not on:
-                    daemons.Daemon.operator = kept  # type: ignore[method-assign]
+                    daemons.Daemon.write_operator_file = kept  # type: ignore[method-assign]
             print(
                 json.dumps(
                     {
@@ -313,14 +315,14 @@
 class Cut(Rig):
     """Effects a second before, and while a fifth of the daemons is cut off from all."""
 
-    async def schedule(self) -> None:
+    async def inject_faults(self) -> None:
         from limebridge.faults.relay import Impairment
 
         await asyncio.sleep(2.0)
         before = len(self.effects.applied)
         await asyncio.sleep(5.0)
         self.well = (len(self.effects.applied) - before) / 5.0
-        for way in self.daemons[0].ways:
+        for way in self.daemons[0].relays:
             way.impair(Impairment(cut=True), Impairment(cut=True))
         before = len(self.effects.applied)
         await asyncio.sleep(8.0)
@@ -331,7 +333,7 @@
     for store in ("folder", "consul"):
         with tempfile.TemporaryDirectory() as folder:
             rig = Cut(Plan(1, 60.0, 5, store, 5, False, TERM), Path(folder))
-            outcome = asyncio.run(rig.play())
+            outcome = asyncio.run(rig.run())
         print(
             json.dumps(
                 {
--- a/limebridge/faults/billed.py
+++ b/limebridge/faults/billed.py
@@ -1,8 +1,9 @@
-"""The rig with ledgers, clients and the settlement: what is settled, against what nodes served.
+"""A rig with ledgers, clients and the settlement: compares settled bills with what nodes served.
 
-The wall clock of the daemons runs SPEED times as fast, so that periods of minutes pass in seconds.
-Kills cost what a ledger had counted and not written; the operator signs what reconciling finds, as
-in service, and then the settled bills have to be what the nodes served.
+The wall clock of the daemons runs SPEED times as fast, so that billing periods of minutes pass in
+seconds.  A killed daemon loses what its ledger had counted and not yet written.  As in production,
+an operator signs the corrections that reconciliation finds, and then the settled bills must equal
+what the nodes served.
 """
 
 from __future__ import annotations
@@ -30,11 +31,11 @@
 from .plan import Plan
 from .rig import Rig
 
-SPEED = 240.0  # times
-START = 1_700_000_100.0  # Unix s at which the fast clock begins
-MINUTES: Final = 5  # of a period
-RATE = 25.0  # requests a second to each daemon
-CLOCK = """
+SPEED = 240.0  # of the fast wall clock, relative to real time
+START_UNIX_S = 1_700_000_100.0  # at which the fast clock starts
+PERIOD_MIN: Final = 5  # minutes of a billing period
+RATE = 25.0  # requests per second to each daemon
+FAST_CLOCK = """
 import time
 from violetroute.transport.sockets import SocketNetwork
 SocketNetwork.wall = lambda self: {start} + (time.monotonic() - {began}) * {speed}
@@ -43,67 +44,81 @@
 BillLine = tuple[str | None, str]  # tenant, class
 
 
-class Billed(Rig):
-    """A rig whose owners settle."""
+class SettlementRig(Rig):
+    """A rig in which the daemons serve clients, keep ledgers and run the settlement work."""
 
     def __init__(self, plan: Plan, folder: Path, patch: str = "") -> None:
         super().__init__(plan, folder, patch)
-        self.began_at = time.monotonic()
-        clock = CLOCK.format(start=START, began=repr(self.began_at), speed=SPEED)
+        self.clock_started_at = time.monotonic()
+        clock = FAST_CLOCK.format(
+            start=START_UNIX_S, began=repr(self.clock_started_at), speed=SPEED
+        )
         self.command = daemon_command(patch, prelude=clock)
         self.works = [*self.works, "settlement"]
-        self.out, self.ledgers = folder / "out", folder / "ledgers"
+        self.export_folder, self.ledgers = folder / "out", folder / "ledgers"
         self.served = ServedLog(self.wall)
-        self.asked = 0
-        self.ends = False
+        self.sent_requests = 0
+        self.clients_stop = False
         self.clients: list[asyncio.Task[None]] = []
-        self.periods = Periods("UTC", MINUTES)
+        self.periods = Periods("UTC", PERIOD_MIN)
 
     def ledger_table(self) -> LedgerTable:
+        """Ledgers with short periods on the fast clock, exported to files."""
         return LedgerTable(
             folder=str(self.ledgers),
-            period_min=MINUTES,
+            period_min=PERIOD_MIN,
             grace_s=30.0,
             flush_s=0.05,
             ids=True,
             retry_s=0.05,
             retry_most_s=0.5,
             export="files",
-            export_folder=str(self.out),
+            export_folder=str(self.export_folder),
             closings=True,
         )
 
     async def open(self) -> None:
+        """Start the stand-ins, with a cache node that records what it served."""
         await super().open()
         await self.node.stop()
         self.node = await CacheNode(self.served.serve).start()
-        self.known = [self.node.entry("s-0")]
+        self.cache_nodes = [self.node.entry("s-0")]
 
     def wall(self) -> float:
-        return START + (time.monotonic() - self.began_at) * SPEED
+        """The fast wall clock in Unix s."""
+        return START_UNIX_S + (time.monotonic() - self.clock_started_at) * SPEED
 
-    async def schedule(self) -> None:
+    async def inject_faults(self) -> None:
+        """Start one client per daemon, then inject the faults."""
         self.clients = [asyncio.create_task(self._client(daemon)) for daemon in self.daemons]
-        await super().schedule()
+        await super().inject_faults()
 
     async def _client(self, daemon: Daemon) -> None:
-        """Asks on and on; a question whose proxy dies is the client's to ask anew."""
+        """Send requests to one daemon until the end; reconnect if the daemon fails.
+
+        Repeating a request whose proxy crashes is up to the client; this one sends another request.
+        """
         rng = random.Random(f"client/{daemon.name}")
-        while not self.ends:
+        while not self.clients_stop:
             try:
                 assert daemon.child is not None
                 reader, writer = await asyncio.open_connection("127.0.0.1", daemon.child.port)
-                while not self.ends:
-                    self.asked += 1
+                while not self.clients_stop:
+                    self.sent_requests += 1
                     tenant, cls = (
                         rng.choice((b"acme", b"zeta", b"city")),
                         rng.choice((b"lookup", b"optout")),
                     )
-                    listed = b"c=%b,t=%b,d=3000" % (cls, tenant)
-                    id_ = f"{daemon.name}-{self.asked}".encode()
-                    words = [b"OBJ.GET", b"k%d" % rng.randrange(50), id_, listed]
+                    options = b"c=%b,t=%b,d=3000" % (cls, tenant)
+                    id_ = f"{daemon.name}-{self.sent_requests}".encode()
+                    words = [b"OBJ.GET", b"k%d" % rng.randrange(50), id_, options]
                     if cls == b"optout":
-                        words = [b"OBJ.SET", *words[1:3], listed + b",k=k%d" % self.asked, b"v"]
+                        words = [
+                            b"OBJ.SET",
+                            *words[1:3],
+                            options + b",k=k%d" % self.sent_requests,
+                            b"v",
+                        ]
                     writer.write(command(*words))
                     async with asyncio.timeout(5.0):
                         await read_answer(reader)
@@ -112,21 +127,22 @@
             except (OSError, asyncio.IncompleteReadError, TimeoutError):
                 await asyncio.sleep(0.05)
 
-    async def goes_on(self) -> None:
-        before, self.works = self.works, self.works[:-1]  # a bill comes when there is one
-        await super().goes_on()
+    async def wait_for_progress(self) -> None:
+        """Wait for progress of the example works; the settlement has an effect only per bill."""
+        before, self.works = self.works, self.works[:-1]
+        await super().wait_for_progress()
         self.works = before
 
     async def settle(self) -> None:
-        """Close the month: sign what reconciling finds; then bills have to say what was served."""
-        self.ends = True
+        """Stop the clients, sign the corrections that reconciliation finds, and check the bills."""
+        self.clients_stop = True
         await asyncio.gather(*self.clients)
         served, unreadable = read_served(self.served.rows, self.periods, "nodes")
         if unreadable:
-            self.complain("bills", unreadable[0])
-        await self.until(self._all_out, "bills", lambda: "ledgers do not close")
+            self.report_violation("bills", unreadable[0])
+        await self.wait_until(self._all_exported, "bills", lambda: "some ledgers do not close")
         found = reconcile(self._exported().units, served, self.periods)
-        self._judge_exported(served)
+        self._check_exported(served)
         for daemon in self.daemons:
             if any(difference.proxy == daemon.name for difference in found.differences):
                 Folder(self.ledgers / daemon.name).put(
@@ -136,12 +152,13 @@
             f"{sum(served.values())} served, {found.short} short, {found.moved} moved"
         )
         await self._until_billed(served)
-        self._judge_keys()
+        self._check_batches()
 
-    def _judge_exported(self, served: Counter[Line]) -> None:
-        """No proxy exports more units of a tenant and class than nodes have served for it.
+    def _check_exported(self, served: Counter[Line]) -> None:
+        """Check that no proxy exports more units of a tenant and class than nodes served for it.
 
-        Not by period: on the fast clock a stop of some seconds moves a unit past several of them.
+        Periods are not compared: on the fast clock, a proxy suspended for some seconds counts a
+        unit several periods later.
         """
         surplus: Counter[tuple[str, str | None, str]] = Counter()
         for (proxy, _, tenant, cls), count in self._exported().units.items():
@@ -150,14 +167,16 @@
             surplus[proxy, tenant, cls] -= count
         for line, count in surplus.items():
             if count > 0:
-                self.complain("bills", f"{count} units of {line} exported that no node has served")
+                self.report_violation(
+                    "bills", f"{count} units of {line} exported that no node has served"
+                )
 
     async def _until_billed(self, served: Counter[Line]) -> None:
-        """Wait until the bills have the units that were served, by tenant and class."""
+        """Wait until the bills contain exactly the served units, by tenant and class."""
         units: Counter[BillLine] = Counter()
         for (_, _, tenant, cls), count in served.items():
             units[tenant, cls] += count
-        await self.until(
+        await self.wait_until(
             lambda: +self._billed() == +units,
             "bills",
             lambda: (
@@ -167,7 +186,7 @@
         )
 
     def _billed(self) -> Counter[BillLine]:
-        """The units of all bills until now."""
+        """The units of all bills so far, by tenant and class."""
         units: Counter[BillLine] = Counter()
         for effect in self.effects.applied:
             if effect.key.startswith("settlement/"):
@@ -175,31 +194,38 @@
                     units[tenant, cls] += count
         return units
 
-    def _all_out(self) -> bool:
-        """Every ledger has closed what its clients made."""
+    def _all_exported(self) -> bool:
+        """Whether every ledger has closed the period of the last served request."""
         last = self.periods.of(self.wall()) - 1
         if self.served.rows:
             last = self.periods.end(self.periods.of(json.loads(self.served.rows[-1])["at"]))
         closed = {}
-        for path in self.out.glob("*.through"):
-            told = json.loads(path.read_bytes())
-            closed[told["ledger"]] = told["until"]
+        for path in self.export_folder.glob("*.through"):
+            closing = json.loads(path.read_bytes())
+            closed[closing["ledger"]] = closing["until"]
         return all(closed.get(daemon.name, 0.0) >= last for daemon in self.daemons)
 
     def _exported(self) -> Exported:
+        """All exported batches, settled or not."""
         found = Exported()
         for name in sorted(
-            {path.name for path in (*self.out.glob("*.jsonl"), *self.out.glob("settled/*.jsonl"))}
+            {
+                path.name
+                for path in (
+                    *self.export_folder.glob("*.jsonl"),
+                    *self.export_folder.glob("settled/*.jsonl"),
+                )
+            }
         ):
-            try:  # an owner moves them when they are settled, and never back
-                text = (self.out / name).read_text()
+            try:  # the settlement moves a settled file to the folder "settled" and never back
+                text = (self.export_folder / name).read_text()
             except FileNotFoundError:
-                text = (self.out / "settled" / name).read_text()
+                text = (self.export_folder / "settled" / name).read_text()
             found.add(text, name)
         return found
 
-    def _judge_keys(self) -> None:
-        """No batch is in two bills, and what a bill says is what its batches say."""
+    def _check_batches(self) -> None:
+        """Check that no batch is in two bills, and that a bill has the units of its batches."""
         seen: Counter[str] = Counter()
         exported = self._exported()
         sizes = {key: json.loads(row)["units"] for key, row in exported.batches.items()}
@@ -211,7 +237,7 @@
                     units != effect.body["units"]
                     or len(effect.body["keys"]) > MAX_BATCHES_PER_ENTRY
                 ):
-                    self.complain("bills", f"{effect.key}: its batches have {units} units")
+                    self.report_violation("bills", f"{effect.key}: its batches have {units} units")
         twice = [key for key, times in seen.items() if times > 1]
         if twice:
-            self.complain("bills", f"{twice[0]} is in {seen[twice[0]]} bills")
+            self.report_violation("bills", f"{twice[0]} is in {seen[twice[0]]} bills")
--- a/limebridge/faults/command.py
+++ b/limebridge/faults/command.py
@@ -1,4 +1,4 @@
-"""`limebridge faults`: plans of faults on several processes of the daemon."""
+"""`limebridge faults`: commands that run plans of faults on several daemon processes."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
     print_summary,
     summary_values,
 )
-from .runner import play
+from .runner import run_plan
 from .sharing.command import app as sharing
 from .soak_command import soak
 from .state_space import check
 from .summary import FleetTotals, RunSummary, summary_of_run
 
-app = typer.Typer(no_args_is_help=True, help="Several processes, and what breaks between them.")
+app = typer.Typer(no_args_is_help=True, help="Test several daemon processes under faults.")
 app.add_typer(sharing, name="sharing")
 app.add_typer(distribution, name="distribution")
 app.command()(interruptible(soak))
@@ -49,39 +49,44 @@
 def run(
     seeds: PlanCount = 20,
     first: FirstSeed = 0,
-    jobs: Annotated[int, typer.Option(min=0, help="Plans at once; 0 is one a core.")] = 0,
-    store: Annotated[str, typer.Option(help="folder or consul; else as the seeds say.")] = "",
+    jobs: Annotated[int, typer.Option(min=0, help="Plans in parallel; 0: one per core.")] = 0,
+    store: Annotated[
+        str, typer.Option(help="folder or consul; default: drawn from the seed.")
+    ] = "",
     settles: Annotated[
         bool | None,
         typer.Option(
-            "--settles/--beats", help="With ledgers and settlement, or without; else by seed."
+            "--settles/--beats",
+            help="With ledgers and settlement, or without; default: drawn from the seed.",
         ),
     ] = None,
     keep: Annotated[
         Path | None,
-        typer.Option(metavar="DIR", help="Where plans of what broke are written, made small."),
+        typer.Option(metavar="DIR", help="Folder for the shrunk plans that failed."),
     ] = None,
     patch: PatchFile = None,
-    as_json: Annotated[bool, typer.Option("--json", help="One JSON object.")] = False,
+    as_json: Annotated[bool, typer.Option("--json", help="Print one JSON object.")] = False,
 ) -> None:
-    """Play plans drawn from seeds on real processes.  Exit status 1 when something broke."""
-    chosen = [plans.draw(seed, _store(store), settles) for seed in range(first, first + seeds)]
-    began = time.monotonic()
-    played = collect_outcomes(explore.play_plans(chosen, jobs, patch_path(patch)), seeds, as_json)
-    seconds = time.monotonic() - began
-    broken = sorted((each for each in played if each.violations), key=lambda each: each.plan.seed)
-    for outcome in broken[:MAX_REPORTED]:
-        _report_shrunk(outcome, store, keep, patch_path(patch))
-    summary = summary_of_run(played, broken, seconds)
+    """Run plans generated from seeds on real processes.  Exit status 1 after a violation."""
+    selected = [
+        plans.generate(seed, _store(store), settles) for seed in range(first, first + seeds)
+    ]
+    started = time.monotonic()
+    results = collect_outcomes(explore.run_plans(selected, jobs, patch_path(patch)), seeds, as_json)
+    seconds = time.monotonic() - started
+    failed = sorted((each for each in results if each.violations), key=lambda each: each.plan.seed)
+    for result in failed[:MAX_REPORTED]:
+        _report_shrunk(result, store, keep, patch_path(patch))
+    summary = summary_of_run(results, failed, seconds)
     if as_json:
         print_summary(summary, as_json)
     else:
         _print_table(summary)
-    raise typer.Exit(1 if broken else 0)
+    raise typer.Exit(1 if failed else 0)
 
 
 def _print_table(summary: RunSummary) -> None:
-    table = Table("what", "value", show_header=False, box=None)
+    table = Table("key", "value", show_header=False, box=None)
     for key, value in summary_values(summary).items():
         table.add_row(key, str(value))
     Console().print(table)
@@ -99,10 +104,10 @@
             raise typer.Exit(2)
 
 
-def _report_shrunk(outcome: explore.PlayedPlan, store: str, keep: Path | None, patch: str) -> None:
-    """Print the story of the smallest plan that breaks the rule, and the line that replays it."""
-    small = explore.shrink(outcome, patch)
-    seed = outcome.plan.seed
+def _report_shrunk(result: explore.PlanResult, store: str, keep: Path | None, patch: str) -> None:
+    """Print the trace of the shrunk plan, and the command line that replays it."""
+    small = explore.shrink(result, patch)
+    seed = result.plan.seed
     line = f"limebridge faults replay {seed}" + (f" --store {store}" if store else "")
     if keep is not None:
         keep.mkdir(parents=True, exist_ok=True)
@@ -115,43 +120,50 @@
 @app.command()
 @interruptible
 def replay(
-    what: Annotated[str, typer.Argument(metavar="FILE_OR_SEED")],
-    store: Annotated[str, typer.Option(help="As it was given to run.")] = "",
+    file_or_seed: Annotated[str, typer.Argument(metavar="FILE_OR_SEED")],
+    store: Annotated[str, typer.Option(help="The value that `run` was given.")] = "",
     settles: Annotated[bool | None, typer.Option("--settles/--beats")] = None,
     in_memory: Annotated[
-        bool, typer.Option("--virtual", help="In memory, as `explore --fleet` plays it: exact.")
+        bool,
+        typer.Option("--virtual", help="In memory, as `explore --fleet` runs it: deterministic."),
     ] = False,
     tries: Annotated[
         int,
         typer.Option(
             min=1,
             max=10_000,
-            help=("Under so many seeds, until one breaks something: its waits and clocks differ."),
+            help="Seeds to try, each with other delays and clocks, until one violates a rule.",
         ),
     ] = 1,
     patch: PatchFile = None,
 ) -> None:
-    """Play one plan again and tell its story.  Exit status 1 when it breaks something."""
-    where = _store(store)
+    """Run one plan and print its trace.  Exit status 1 after a violation."""
+    store_kind = _store(store)
     try:
-        plan = plans.draw(int(what), where, settles) if what.isdecimal() else plans.read(Path(what))
+        plan = (
+            plans.generate(int(file_or_seed), store_kind, settles)
+            if file_or_seed.isdecimal()
+            else plans.read(Path(file_or_seed))
+        )
     except ConfigError as error:
         typer.echo(f"limebridge: {error}", err=True)
         raise typer.Exit(2) from None
     if in_memory:
         raise typer.Exit(_replay_in_memory(plan, tries, patch))
-    outcome = play(plan, patch_path(patch))
+    outcome = run_plan(plan, patch_path(patch))
     print(format_trace(outcome.history, outcome.violations))
     print(f"{outcome.effects} effects, {outcome.seconds:.1f} s, {len(outcome.violations)} broken")
     raise typer.Exit(1 if outcome.violations else 0)
 
 
 def _replay_in_memory(plan: plans.Plan, tries: int, patch: Path | None) -> int:
-    """Play a plan under some seeds, until one breaks something; the exit status."""
+    """Run a plan under `tries` seeds, until one violates a rule; returns the exit status."""
     if patch is not None:
         Patch(patch_path(patch))()
     for seed in range(plan.seed, plan.seed + tries):
-        outcome = virtual.play(msgspec.structs.replace(plan, seed=seed, settles=False), tells=True)
+        outcome = virtual.run_plan(
+            msgspec.structs.replace(plan, seed=seed, settles=False), with_trace=True
+        )
         if outcome.violations:
             break
     print(f"seed {outcome.plan.seed}\n{outcome.trace}")
@@ -160,18 +172,18 @@
 
 @app.command("list")
 def list_(
-    seed: Annotated[int | None, typer.Argument(help="The plan of this seed.")] = None,
+    seed: Annotated[int | None, typer.Argument(help="Print the plan of this seed.")] = None,
 ) -> None:
-    """The kinds of faults, or what a seed's plan is."""
+    """List the kinds of faults, or print the plan of a seed."""
     if seed is not None:
-        print(plans.dump(plans.draw(seed)))
+        print(plans.dump(plans.generate(seed)))
         return
     table = Table("to", "kinds", box=None)
     for to, kinds in (
-        ("a process", plans.PROCESS),
-        ("a way", plans.WAYS),
-        ("a shared folder", plans.FOLDER),
-        ("a Consul", plans.CONSUL),
+        ("a process", plans.PROCESS_FAULTS),
+        ("a path", plans.PATH_FAULTS),
+        ("a shared folder", plans.FOLDER_FAULTS),
+        ("a Consul", plans.CONSUL_FAULTS),
     ):
         table.add_row(to, ", ".join(dict.fromkeys(kinds)))
     Console().print(table)
@@ -179,27 +191,27 @@
 
 @app.command()
 def whole(
-    states: Annotated[int, typer.Option(min=1000, help="How many at most.")] = 1_000_000,
+    states: Annotated[int, typer.Option(min=1000, help="Maximal number of states.")] = 1_000_000,
     incarnations: Annotated[
         int,
-        typer.Option("--incarnations", "--lives", min=2, max=3, help="Processes at a time."),
+        typer.Option("--incarnations", "--lives", min=2, max=3, help="Number of processes."),
     ] = 2,
 ) -> None:
-    """Check ownership in every order of what may happen, on the pure core."""
-    began = time.monotonic()
+    """Check the leases of the pure core in every order of events within bounds."""
+    started = time.monotonic()
     found = check(World(Bounds(incarnations=incarnations)), states)
-    raise typer.Exit(found.report(time.monotonic() - began))
+    raise typer.Exit(found.report(time.monotonic() - started))
 
 
 @interruptible
 def explore_fleet(
     first: int, seeds: int, jobs: int, prepare: Callable[[], None] | None, as_json: bool
 ) -> int:
-    """`limebridge explore --fleet`: the same plans in memory; the exit status."""
-    began, totals = time.monotonic(), FleetTotals()
+    """`limebridge explore --fleet`: run the same plans in memory; returns the exit status."""
+    started, totals = time.monotonic(), FleetTotals()
     explore_seeds(virtual.explore(first, seeds, jobs, 0, prepare), seeds, as_json, totals.add)
     if prepare is not None:
         prepare()
     print_shrunk(totals.failed, virtual.shrink, plans.dump)
-    print_summary(totals.summary(first, time.monotonic() - began), as_json)
+    print_summary(totals.summary(first, time.monotonic() - started), as_json)
     return 1 if totals.failed else 0
--- a/limebridge/faults/endpoint.py
+++ b/limebridge/faults/endpoint.py
@@ -1,4 +1,4 @@
-"""Faults of the endpoint that all processes hand their effects to."""
+"""Faults of the endpoint to which all processes send their effects."""
 
 from __future__ import annotations
 
@@ -7,17 +7,12 @@
 
 from limebridge.standins.effects import EffectEndpoint
 
-TROUBLES = (
-    "lost before",
-    "lost after",
-    "500 after",
-    "twice",
-)  # as `EffectEndpoint.fault` names them
-SHARE = 0.5  # of the calls that one of them comes to
+ENDPOINT_FAULTS = ("lost before", "lost after", "500 after", "twice")  # of EffectEndpoint.fault
+FAULT_SHARE = 0.5  # of the requests, while the endpoint fails
 
 
-async def endpoint_fails(effects: EffectEndpoint, rng: random.Random, seconds: float) -> None:
-    """For so many seconds, calls of the endpoint fail at random."""
-    effects.fault = lambda: rng.choice(TROUBLES) if rng.random() < SHARE else ""
+async def fail_endpoint(effects: EffectEndpoint, rng: random.Random, seconds: float) -> None:
+    """For `seconds`, a random half of the requests to the endpoint meets a random fault."""
+    effects.fault = lambda: rng.choice(ENDPOINT_FAULTS) if rng.random() < FAULT_SHARE else ""
     await asyncio.sleep(seconds)
     effects.fault = lambda: ""
--- a/limebridge/faults/explore.py
+++ b/limebridge/faults/explore.py
@@ -1,4 +1,4 @@
-"""Many plans at once, each in a process of its own, and what broke made small."""
+"""Runs many plans on real processes in parallel workers, and shrinks a failed plan."""
 
 from __future__ import annotations
 
@@ -12,43 +12,43 @@
 from .history import History, OwnerGap, format_trace
 from .plan import Plan
 from .pool import run_each
-from .runner import play
+from .runner import run_plan
 from .violation import Violation
 
-REPLAYS = 2  # times that a smaller plan is played before it counts as sound
-FAULT_BEFORE = 0.5  # s before the last effect of an owner, for a fault that made it the last
-GAP_AT_END = "end"  # cause of a gap after the healing: daemons hand back what they own
+MAX_REPLAYS = 2  # runs without the violation after which a smaller plan counts as correct
+CAUSE_WINDOW_S = 0.5  # before the last effect of an owner, in which a fault may have caused the gap
+GAP_AT_END = "end"  # cause of a gap after the healing: daemons release their leases
 
 
 @dataclass(frozen=True)
 class ExplainedGap:
-    """A time without an owner, and the faults that it may come from."""
+    """A gap without an owner, and the faults that may have caused it."""
 
-    cause: str  # the kinds of faults, GAP_AT_END or "none"
+    cause: str  # kinds of faults joined by "+", GAP_AT_END or "none"
     seconds: float
 
 
 @dataclass(frozen=True)
-class PlayedPlan:
-    """What is kept of an outcome."""
+class PlanResult:
+    """The part of an outcome that a worker process returns."""
 
     plan: Plan
     violations: tuple[Violation, ...]
     seconds: float = 0.0
     effects: int = 0
     gaps: tuple[ExplainedGap, ...] = ()
-    trace: str = ""  # of one that broke a rule
+    trace: str = ""  # only if a rule was violated
 
 
-def play_plan(plan: Plan, patch: str = "") -> PlayedPlan:
-    """One plan, played.  An error of the rig itself is a violation, so that others go on."""
+def run_and_explain(plan: Plan, patch: str = "") -> PlanResult:
+    """Run one plan.  An error of the rig itself becomes a violation, so other plans still run."""
     try:
-        outcome = play(plan, patch)
+        outcome = run_plan(plan, patch)
     except Exception as error:
         trace = "".join(traceback.format_exception(error))
         violation = Violation("rig", f"{type(error).__name__}: {error}")
-        return PlayedPlan(plan, (violation,), trace=trace)
-    return PlayedPlan(
+        return PlanResult(plan, (violation,), trace=trace)
+    return PlanResult(
         plan,
         tuple(outcome.violations),
         outcome.seconds,
@@ -59,46 +59,47 @@
 
 
 def explain(gap: OwnerGap, history: History) -> ExplainedGap:
-    """The gap with the kinds of all faults from FAULT_BEFORE s before it to its end."""
-    since = gap.since - FAULT_BEFORE
-    if history.healed_at and gap.since > history.healed_at - FAULT_BEFORE:
+    """The gap with the kinds of all faults from CAUSE_WINDOW_S before it to its end."""
+    since = gap.since - CAUSE_WINDOW_S
+    if history.healed_at and gap.since > history.healed_at - CAUSE_WINDOW_S:
         return ExplainedGap(GAP_AT_END, gap.seconds)
     until = gap.since + gap.seconds
     kinds = {fault.kind for fault in history.faults if since <= fault.at <= until}
     return ExplainedGap("+".join(sorted(kinds)) or "none", gap.seconds)
 
 
-def play_plans(chosen: Iterable[Plan], jobs: int = 0, patch: str = "") -> Iterator[PlayedPlan]:
-    """The outcomes, each as it ends; 0 jobs: one a core."""
-    workers = jobs or os.cpu_count() or 1  # starting five to eight daemons takes a core whole
-    yield from run_each(partial(play_plan, patch=patch), chosen, workers)
+def run_plans(chosen: Iterable[Plan], jobs: int = 0, patch: str = "") -> Iterator[PlanResult]:
+    """Yield the results in the order in which they end.  `jobs`: 0 for one per core."""
+    workers = jobs or os.cpu_count() or 1  # the start of five to eight daemons uses a full core
+    yield from run_each(partial(run_and_explain, patch=patch), chosen, workers)
 
 
 @dataclass
-class Shrunk:
-    """A plan with fewer faults that still breaks the rule."""
+class ShrunkPlan:
+    """A plan with fewer faults that still violates the rule."""
 
     plan: Plan
     trace: str
-    played: int = 0  # plans, on the way
+    runs: int = 0  # made while shrinking
 
 
-def shrink(outcome: PlayedPlan, patch: str = "") -> Shrunk:
-    """The fewest faults with which the same rule breaks: each left out in turn.
+def shrink(outcome: PlanResult, patch: str = "") -> ShrunkPlan:
+    """Leave out each fault in turn if the same rule is violated without it.
 
-    Real processes are not exact: a plan counts as sound once it has held REPLAYS times.
+    Runs of real processes differ: a plan counts as correct after MAX_REPLAYS runs without the
+    violation.
     """
     rule = outcome.violations[0].rule
-    kept = Shrunk(outcome.plan, outcome.trace)
-    place = 0
-    while place < len(kept.plan.fault):
-        smaller = plans.without_fault(kept.plan, place)
-        for _ in range(REPLAYS):
-            kept.played += 1
-            found = play_plan(smaller, patch)
+    kept = ShrunkPlan(outcome.plan, outcome.trace)
+    index = 0
+    while index < len(kept.plan.fault):
+        smaller = plans.without_fault(kept.plan, index)
+        for _ in range(MAX_REPLAYS):
+            kept.runs += 1
+            found = run_and_explain(smaller, patch)
             if any(violation.rule == rule for violation in found.violations):
                 kept.plan, kept.trace = smaller, found.trace
                 break
         else:
-            place += 1
+            index += 1
     return kept
--- a/limebridge/faults/exploring.py
+++ b/limebridge/faults/exploring.py
@@ -1,4 +1,4 @@
-"""Many plans as a command shows them: their progress, and what broke made small."""
+"""Progress and reports of commands that run many plans."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class RunOutcomeWithTrace(RunOutcome, Protocol):
-    """What is kept of a run that can be told."""
+    """The result of a run that can be shown as a trace."""
 
     @property
     def trace(self) -> str: ...
 
 
 class RunOutcomeWithDigest(RunOutcome, Protocol):
-    """What is kept of a run that is exact from its seed."""
+    """The result of a run that its seed determines exactly."""
 
     @property
     def digest(self) -> str: ...
@@ -33,7 +33,7 @@
 
 
 class ExploreTotals(Generic[D]):
-    """What is added up of the outcomes of an exploration."""
+    """Totals of all outcomes of an exploration."""
 
     def __init__(self) -> None:
         self.seeds = 0
@@ -41,7 +41,7 @@
         self._digest = blake2b(digest_size=DIGEST_BYTES)
 
     def add(self, outcome: D) -> None:
-        """Take the next outcome in the order of the seeds."""
+        """Add the next outcome, in seed order."""
         self.seeds += 1
         self._digest.update(outcome.digest.encode())
         if outcome.violations:
@@ -49,37 +49,37 @@
 
     @property
     def digest(self) -> str:
-        """Of all outcomes."""
+        """A digest of the digests of all outcomes, in hex."""
         return self._digest.hexdigest()
 
 
 def collect_outcomes(outcomes: Iterable[F], total: int, as_json: bool) -> list[F]:
-    """The outcomes of plans on real processes, in the order in which they end."""
-    played: list[F] = []
+    """Collect the outcomes of `total` plans in the order given, with a progress bar."""
+    collected: list[F] = []
     with seed_progress("playing", total, as_json) as progress:
         for outcome in outcomes:
-            played.append(outcome)
-            progress.update(len(played), sum(bool(each.violations) for each in played))
-    return played
+            collected.append(outcome)
+            progress.update(len(collected), sum(bool(each.violations) for each in collected))
+    return collected
 
 
 def explore_seeds(
     chunks: Iterable[Sequence[F]], seeds: int, as_json: bool, add: Callable[[F], None]
 ) -> None:
-    """Give each outcome to `add`, and show how many seeds were played and broke a rule."""
-    played = broken = 0
+    """Pass each outcome to `add`; show how many seeds were run and how many violated a rule."""
+    completed = failed = 0
     with seed_progress("exploring", seeds, as_json) as progress:
         for outcomes in chunks:
             for outcome in outcomes:
                 add(outcome)
-                broken += bool(outcome.violations)
-            played += len(outcomes)
-            progress.update(played, broken)
+                failed += bool(outcome.violations)
+            completed += len(outcomes)
+            progress.update(completed, failed)
 
 
-def print_shrunk(broken: Sequence[S], shrink: Callable[[S], S], dump: Callable[[Any], str]) -> None:
-    """Print the first plans that broke a rule, made small, with their stories; to stderr."""
-    for found in broken[:MAX_REPORTED]:
+def print_shrunk(failed: Sequence[S], shrink: Callable[[S], S], dump: Callable[[Any], str]) -> None:
+    """Print the first failed plans to stderr, shrunk and with their traces."""
+    for found in failed[:MAX_REPORTED]:
         small = shrink(found)
         seed = found.plan.seed
-        typer.echo(f"seed {seed}, made small:\n{dump(small.plan)}{small.trace}", err=True)
+        typer.echo(f"seed {seed}, shrunk:\n{dump(small.plan)}{small.trace}", err=True)
--- a/limebridge/faults/history.py
+++ b/limebridge/faults/history.py
@@ -1,7 +1,8 @@
-"""What was seen of a run, and one checker a property, from outside.
+"""The record of a run of a fault plan, and the rules that are checked on it from outside.
 
-Nothing here asks a daemon: what the endpoint took, what stands in the logs, what each process said
-of its terms (as a measure, never as a proof), and when which fault came.
+Nothing here asks a daemon.  The rules use the effects that the endpoint applied, the contents of
+the logs, and which fault happened when.  What the processes logged of their lease terms is shown in
+the trace and never used as evidence.
 """
 
 from __future__ import annotations
@@ -15,31 +16,31 @@
 from violetroute.fleet.job import idempotency_key
 from violetroute.fleet.log import FencedLog, Record, decode
 
-from .plan import FORGETS, Fault, Kind
+from .plan import DATA_LOSS_FAULTS, Fault, FaultKind
 from .violation import Violation
 
 
 @dataclass(frozen=True)
 class FaultEvent:
-    """A fault that came."""
+    """A fault that was injected."""
 
     at: float
-    kind: Kind
+    kind: FaultKind
     seconds: float
-    target: str  # the process that the plan names, also for what is shared
+    target: str  # the process that the plan names, even if the fault is one of a shared part
 
 
 @dataclass(frozen=True)
 class LeaseEvent:
-    """What a process logged of one of its jobs."""
+    """A log line of a process about one of its works."""
 
     event: str
-    detail: str  # the job, and the fence or the reason
+    detail: str  # the work, and the fence or the reason
 
 
 @dataclass(frozen=True)
 class LoggedEvent:
-    """A lease event, when and by whom."""
+    """A lease event with its time and the process that logged it."""
 
     at: float
     process: str
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True)
 class OwnerGap:
-    """A time without an effect of a job, from one owner to the next."""
+    """The time without effects of a work between its last owner and the next one."""
 
     work: str
     since: float
@@ -57,26 +58,26 @@
 
 @dataclass
 class History:
-    """Times in s of the rig's clock."""
+    """The record of one run.  Times are in s of the rig's clock."""
 
-    began: float = 0.0
+    started_at: float = 0.0
     faults: list[FaultEvent] = field(default_factory=list)
     logged: list[LoggedEvent] = field(default_factory=list)
     effects: list[Effect] = field(default_factory=list)
     logs: dict[str, list[bytes]] = field(default_factory=dict)
-    forgot: bool = False  # the store has lost what was written: only the order has to hold
+    store_lost_data: bool = False  # if so, only the order of effects is checked
     healed_at: float = 0.0
     notes: list[str] = field(default_factory=list)
 
     def add_fault(self, at: float, fault: Fault, target: str) -> None:
-        """Record a fault that comes now."""
+        """Record a fault that is injected now."""
         self.faults.append(FaultEvent(at, fault.kind, fault.seconds, target))
-        self.forgot = self.forgot or fault.kind in FORGETS
+        self.store_lost_data = self.store_lost_data or fault.kind in DATA_LOSS_FAULTS
 
-    def undone(self, works: Iterable[str], slack: float) -> set[str]:
-        """Jobs without an effect that was begun after the healing.
+    def works_without_effect(self, works: Iterable[str], slack: float) -> set[str]:
+        """The works that have no effect started after the healing.
 
-        `slack`: s from the begin of an effect to its arrival.
+        `slack`: s from the start of an effect to its arrival at the endpoint.
         """
         return set(works) - {
             effect.key.partition("/")[0]
@@ -86,80 +87,87 @@
 
 
 def fence_order(history: History) -> list[str]:
-    """The endpoint took no lower fence after a higher one, and no fence of two incarnations."""
+    """The fences of the applied effects of a work never decrease, and each has one incarnation."""
     found, high = [], dict[str, tuple[int, str]]()
     for effect in history.effects:
         work = effect.key.partition("/")[0]
-        fence, whose = high.get(work, (0, ""))
+        fence, nonce = high.get(work, (0, ""))
         if effect.fence < fence:
-            found.append(f"{effect.key}: taken with fence {effect.fence} after {fence}")
-        elif effect.fence == fence and effect.nonce != whose:
-            found.append(f"{effect.key}: fence {fence} is of {whose} and {effect.nonce}")
-        high[work] = max((fence, whose), (effect.fence, effect.nonce), key=lambda of: of[0])
+            found.append(f"{effect.key}: applied with fence {effect.fence} after fence {fence}")
+        elif effect.fence == fence and effect.nonce != nonce:
+            found.append(f"{effect.key}: fence {fence} was used by {nonce} and {effect.nonce}")
+        high[work] = max((fence, nonce), (effect.fence, effect.nonce), key=lambda pair: pair[0])
     return found
 
 
-def once(history: History) -> list[str]:
-    """Each key was taken once, and a beat is counted once."""
+def applied_once(history: History) -> list[str]:
+    """Each idempotency key is applied once, and each beat number of a work once.
+
+    Beat numbers are not checked if the store lost data.
+    """
     found, keys = [], set[str]()
     beats: dict[str, set[int]] = defaultdict(set)
     for effect in history.effects:
         if effect.key in keys:
-            found.append(f"{effect.key}: taken twice")
+            found.append(f"{effect.key}: applied twice")
         keys.add(effect.key)
-        if isinstance(effect.body, dict) and "beat" in effect.body and not history.forgot:
+        if isinstance(effect.body, dict) and "beat" in effect.body and not history.store_lost_data:
             work, beat = effect.key.partition("/")[0], effect.body["beat"]
             if beat in beats[work]:
-                found.append(f"{effect.key}: beat {beat} of {work} was taken before")
+                found.append(f"{effect.key}: beat {beat} of {work} was applied before")
             beats[work].add(beat)
     return found
 
 
-def none_late(history: History) -> list[str]:
-    """In each log an entry stands behind the claim of its own term, and fences rise.
+def no_late_entries(history: History) -> list[str]:
+    """Each log entry belongs to the claim before it, and the fences of claims increase.
 
-    A log that was lost is begun anew under what old owners go on to write at their places: that
-    counts for nobody, and what the endpoint took is judged by its own order.
+    Not checked if the store lost data: the log then starts again, while previous owners may still
+    write at their old positions.  No reader accepts those entries, and what the endpoint applied is
+    checked by `fence_order`.
     """
     found: list[str] = []
-    if history.forgot:
+    if history.store_lost_data:
         return found
     for name, log in history.logs.items():
         claimed: tuple[int, str] = (0, "")
         for position, data in enumerate(log):
             record = decode(data, name)
             if record is None:
-                found.append(f"{name}/{position}: no record")
+                found.append(f"{name}/{position}: not a valid record")
             elif record.kind == "claim":
                 if record.fence <= claimed[0]:
                     found.append(f"{name}/{position}: claim {record.fence} after {claimed[0]}")
                 claimed = record.fence, record.nonce
             elif (record.fence, record.nonce) != claimed:
-                found.append(f"{name}/{position}: an entry of {record.fence} in term {claimed[0]}")
+                found.append(
+                    f"{name}/{position}: entry with fence {record.fence} under claim {claimed[0]}"
+                )
     return found
 
 
-def none_lost(history: History) -> list[str]:
-    """Entries that count are handed over in their order, all but what is still waiting.
+def no_lost_entries(history: History) -> list[str]:
+    """Every valid entry of a log was applied by the endpoint, and its beats count up by ones.
 
-    What may wait: the last one of each log, and nothing when it says itself that it was handed.
+    The last entry of a log may still be pending, unless the log records that it was handed over.
+    Not checked if the store lost data.
     """
-    if history.forgot:
+    if history.store_lost_data:
         return []
     found = []
-    taken = {effect.key for effect in history.effects}
+    applied = {effect.key for effect in history.effects}
     for name, log in history.logs.items():
-        found += [f"{name}: {lost}" for lost in _lost(_LogEntries.of(name, log), taken)]
+        found += [f"{name}: {lost}" for lost in _lost(_LogEntries.of(name, log), applied)]
     return found
 
 
 @dataclass
 class _LogEntries:
-    """The entries of a log that count."""
+    """The valid entries of a log."""
 
-    keys: list[str] = field(default_factory=list)  # in the log's order
+    keys: list[str] = field(default_factory=list)  # idempotency keys, in the log's order
     beats: list[int] = field(default_factory=list)
-    handed: set[int] = field(default_factory=set)  # positions that the log says are handed over
+    handed: set[int] = field(default_factory=set)  # positions that the log records as handed over
 
     @classmethod
     def of(cls, name: str, log: Iterable[bytes]) -> _LogEntries:
@@ -179,34 +187,34 @@
             self.beats.append(body["beat"])
 
 
-def _lost(entries: _LogEntries, taken: set[str]) -> Iterator[str]:
-    """What is wrong with the entries of a log of which the endpoint took these keys."""
-    missing = [key for key in entries.keys if key not in taken]
+def _lost(entries: _LogEntries, applied: set[str]) -> Iterator[str]:
+    """The violations in one log.  `applied`: the idempotency keys of all applied effects."""
+    missing = [key for key in entries.keys if key not in applied]
     if missing and missing != entries.keys[-1:]:
-        yield f"{len(missing)} entries never came, first {missing[0]}"
+        yield f"{len(missing)} entries were never applied, the first is {missing[0]}"
     handed = entries.handed
     if handed and any(int(key.rpartition("/")[2]) in handed for key in missing):
-        yield "said to be handed over and was not"
+        yield "an entry recorded as handed over was never applied"
     if entries.beats != list(range(1, len(entries.beats) + 1)):
-        yield "beats do not count on by ones"
+        yield "beat numbers do not increase by ones from 1"
 
 
-EFFECTS_TOLD = 40  # the last ones, in the story of a run
-PROPERTIES = {
+MAX_TRACE_EFFECTS = 40  # only the last effects of a run are in its trace
+RULES = {
     "fence order": fence_order,
-    "once": once,
-    "none late": none_late,
-    "none lost": none_lost,
+    "once": applied_once,
+    "none late": no_late_entries,
+    "none lost": no_lost_entries,
 }
 
 
 def check_history(history: History) -> list[Violation]:
-    """All that does not hold."""
-    return [Violation(rule, text) for rule, check in PROPERTIES.items() for text in check(history)]
+    """The violations of all rules in a run."""
+    return [Violation(rule, text) for rule, check in RULES.items() for text in check(history)]
 
 
-def parse(line: str) -> LeaseEvent | None:
-    """The event of a line that a daemon logs in JSON; None for lines of other parts."""
+def parse_lease_event(line: str) -> LeaseEvent | None:
+    """The lease event in a line of a daemon's JSON log; None for any other line."""
     if '"fleet.' not in line:
         return None
     try:
@@ -217,8 +225,8 @@
     return LeaseEvent(str(fields.get("event", "")), f"{fields.get('work', '')} {reason}".strip())
 
 
-def without_owner(history: History) -> list[OwnerGap]:
-    """The gaps between the last effect of each owner and the first of the next one."""
+def owner_gaps(history: History) -> list[OwnerGap]:
+    """The gaps between the last effect of each owner and the first effect of the next one."""
     gaps = []
     last: dict[str, Effect] = {}
     for effect in history.effects:
@@ -230,8 +238,8 @@
     return gaps
 
 
-def format_trace(history: History, found: Iterable[Violation]) -> str:
-    """The story of a run: faults, what processes logged, the last effects, and what was broken."""
+def format_trace(history: History, violations: Iterable[Violation]) -> str:
+    """The trace of a run as text: faults, logged lease events, the last effects, violations."""
     rows = [
         (fault.at, f"{fault.kind} {fault.seconds:g} s {fault.target}") for fault in history.faults
     ]
@@ -240,8 +248,8 @@
         for event in history.logged
     ]
     rows += [
-        (effect.at, f"endpoint takes {effect.key} under {effect.fence}")
-        for effect in history.effects[-EFFECTS_TOLD:]
+        (effect.at, f"endpoint applies {effect.key} with fence {effect.fence}")
+        for effect in history.effects[-MAX_TRACE_EFFECTS:]
     ]
-    lines = [f"{at - history.began:8.3f}  {text}" for at, text in sorted(rows)]
-    return "\n".join([*lines, *(violation.line() for violation in found), *history.notes])
+    lines = [f"{at - history.started_at:8.3f}  {text}" for at, text in sorted(rows)]
+    return "\n".join([*lines, *(violation.line() for violation in violations), *history.notes])
--- a/limebridge/faults/interruption.py
+++ b/limebridge/faults/interruption.py
@@ -1,9 +1,9 @@
-"""SIGTERM and Ctrl-C end a fault run, and with it every process that it started.
+"""Ends a fault run, with every process that it started, on SIGTERM or Ctrl-C.
 
-The first of these signals counts.  Where a rig runs, its main task is cancelled, so that the rig
-ends its processes as it does after a plan; elsewhere KeyboardInterrupt is raised.  Later signals
-are ignored: they would cut the clean-up short and leave processes behind.  A worker of a pool that
-has nothing to play takes note and plays nothing more.
+Only the first signal counts.  While a rig runs, the signal cancels its main task, so the rig ends
+its processes as it does after a plan; at other times it raises KeyboardInterrupt.  Later signals
+are ignored, because they would interrupt the clean-up and leave processes behind.  A worker process
+that is idle only records the signal, and then runs no further plan.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 import typer
 
 SIGNALS = (signal.SIGTERM, signal.SIGINT)
-INTERRUPTED = 130  # exit status of a command that was told to end
+INTERRUPTED = 130  # exit status of an interrupted command, 128 + SIGINT
 
 Arguments = ParamSpec("Arguments")
 Result = TypeVar("Result")
 
 
 class _State:
-    """What this process was told, and what it has to cancel."""
+    """Whether this process was interrupted, and the task that a signal has to cancel."""
 
     def __init__(self) -> None:
         self.interrupted = False
-        self.idle = False  # a worker between two plans
+        self.idle = False  # a worker process between two plans
         self.task: asyncio.Task[Any] | None = None
 
-    def signalled(self, number: int, frame: FrameType | None) -> None:
-        """The signal handler."""
+    def handle_signal(self, number: int, frame: FrameType | None) -> None:
+        """Signal handler: cancel the task, or raise KeyboardInterrupt unless idle."""
         if self.interrupted:
             return
         self.interrupted = True
@@ -44,7 +44,7 @@
             raise KeyboardInterrupt
 
     def check(self) -> None:
-        """Raises KeyboardInterrupt once this process was told to end."""
+        """Raise KeyboardInterrupt if this process was interrupted."""
         if self.interrupted:
             raise KeyboardInterrupt
 
@@ -53,13 +53,15 @@
 
 
 @contextmanager
-def _handled() -> Iterator[None]:
-    """The signals are handled here; afterwards as they were, or ignored by a process that ends."""
+def _signal_handlers() -> Iterator[None]:
+    """Install the handlers.  Afterwards restore the previous ones, or ignore the signals if the
+    process was interrupted and is about to end.
+    """
     before = {number: signal.getsignal(number) for number in SIGNALS}
     _state.interrupted = _state.idle = False
     try:
         for number in SIGNALS:
-            signal.signal(number, _state.signalled)
+            signal.signal(number, _state.handle_signal)
         yield
     finally:
         for number, handler in before.items():
@@ -67,15 +69,15 @@
 
 
 def interruptible(command: Callable[Arguments, Result]) -> Callable[Arguments, Result]:
-    """A command that SIGTERM and Ctrl-C end, with exit status 130 once nothing is left of it."""
+    """Let SIGTERM and Ctrl-C end a command: exit status 130 once all its processes have ended."""
 
     @functools.wraps(command)
     def wrapped(*args: Arguments.args, **kwargs: Arguments.kwargs) -> Result:
-        with _handled():
+        with _signal_handlers():
             try:
                 return command(*args, **kwargs)
             except KeyboardInterrupt:
-                typer.echo("limebridge: interrupted, all processes were ended", err=True)
+                typer.echo("limebridge: interrupted, all processes have ended", err=True)
                 raise typer.Exit(INTERRUPTED) from None
 
     return wrapped
@@ -83,10 +85,10 @@
 
 @contextmanager
 def signals_blocked() -> Iterator[None]:
-    """SIGNALS wait meanwhile, and a process that is started meanwhile begins with them blocked.
+    """Block SIGNALS; a process that is started meanwhile inherits the blocked signals.
 
-    So a Ctrl-C of the terminal, which goes to all processes at once, meets no interpreter that has
-    not come as far as `prepare_worker`: it would end there with a traceback.
+    A terminal sends Ctrl-C to all processes at once.  An interpreter that receives it before it has
+    run `prepare_worker` would end with a traceback.
     """
     before = signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     try:
@@ -96,27 +98,27 @@
 
 
 def prepare_worker() -> None:
-    """For a process of a pool, before its first plan: signals are handled, and blocked no more."""
+    """Initialize a worker process: install the signal handler, then unblock the signals."""
     _state.idle = True
     for number in SIGNALS:
-        signal.signal(number, _state.signalled)
+        signal.signal(number, _state.handle_signal)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
 
 
 def run_in_worker(
-    play: Callable[Arguments, Result], *args: Arguments.args, **kwargs: Arguments.kwargs
+    function: Callable[Arguments, Result], *args: Arguments.args, **kwargs: Arguments.kwargs
 ) -> Result:
-    """In a process of a pool: `play`, which a signal interrupts.  Raises KeyboardInterrupt then."""
+    """Call a function in a worker process.  Raises KeyboardInterrupt if a signal interrupts it."""
     _state.idle = False
     try:
         _state.check()
-        return play(*args, **kwargs)
+        return function(*args, **kwargs)
     finally:
         _state.idle = True
 
 
 def run(main: Coroutine[Any, Any, Result]) -> Result:
-    """As `asyncio.run`; a signal cancels `main`, once.  Raises KeyboardInterrupt then."""
+    """As `asyncio.run`, but a signal cancels `main` once and KeyboardInterrupt is raised then."""
 
     async def cancellable() -> Result:
         _state.task = asyncio.current_task()
@@ -135,7 +137,9 @@
 
 
 async def run_cleanup(clean_up: Coroutine[Any, Any, None]) -> None:
-    """Await a clean-up to its end.  One that is cancelled meanwhile is cancelled afterwards."""
+    """Await a clean-up to its end.  If the caller is cancelled meanwhile, CancelledError is raised
+    only afterwards.
+    """
     task = asyncio.create_task(clean_up)
     cancelled = False
     while not task.done():
--- a/limebridge/faults/launch.py
+++ b/limebridge/faults/launch.py
@@ -1,4 +1,4 @@
-"""The command that starts a daemon of a rig, with the faults that are planted in its code."""
+"""The command line that starts a daemon of a rig, perhaps with a bug injected into its code."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 def daemon_command(patch: str = "", prelude: str = "") -> tuple[str, ...]:
-    """The words of a command line; the daemon's own arguments follow them.
+    """The first arguments of a command line; the daemon's own arguments follow them.
 
-    `patch`: path of a file whose plant() the daemon calls first, "" for none.  `prelude`: Python
-    statements that it executes before that.
+    `patch`: path of a Python file whose plant() the daemon calls first, to inject a bug; "" for
+    none.  `prelude`: Python statements that the daemon executes before that.
     """
     return sys.executable, "-c", prelude + _PROGRAM.format(patch=patch)
--- a/limebridge/faults/memory.py
+++ b/limebridge/faults/memory.py
@@ -1,15 +1,15 @@
-"""Several processes' fleet parts in one virtual world: a plan of faults, exact from its seed.
-
-What runs is the daemon's own part (`violetroute/fleet`): keeper, owners, works, the Consul store
-over virtual sockets, or the folder store over a real folder of files, whose calls are done at
-instants of the virtual clock, a log's reads and puts each at one of its own.  So a process can be
-stopped or killed between any two of them.  Each process has a clock of its own rate within the
-stated drift.  Plans and properties are those of the rig (`limebridge/faults`).
-
-Not played, since they are the kernel's and not ours: limits of a process (an error of the folder
-stands for them), a reset's and half an answer's bytes (a blocked path stands for them), starved
-cores (a short stop stands for one), what a middleman asks again (a slow way; the endpoint takes
-posts twice).
+"""Simulates the fleet components of several processes under a plan, deterministic by seed.
+
+The code under test is the daemon's own (`violetroute/fleet`): election, works, and either the
+Consul store over virtual sockets or the folder store over a real folder.  Each call to the folder
+store takes virtual time, and each read and put of a log is a separate step (`SteppedStore`), so a
+process can be suspended or killed between any two of them.  The clock of each process runs at its
+own rate within the configured drift.  Plans and rules are those of the rig (`limebridge/faults`).
+
+Some faults belong to the kernel and cannot be simulated.  They are approximated: resource limits of
+a process by errors of the folder store; a connection reset, a truncated answer and slow bytes by a
+blocked path; a starved CPU by a short suspension; requests that a middlebox sends again by a slow
+path, while the fault of the endpoint applies requests twice.
 """
 
 from __future__ import annotations
@@ -37,110 +37,121 @@
 
 from . import history as histories
 from . import many
-from .endpoint import endpoint_fails
+from .endpoint import fail_endpoint
 from .history import History
-from .plan import FORGETS, Fault, Plan, draw, without_fault
-from .process import BEAT, EventHandler, Process
+from .plan import DATA_LOSS_FAULTS, Fault, Plan, generate, without_fault
+from .process import BEAT_S, EventHandler, Process
 from .violation import Violation
 
-SESSIONS_LOST = (*FORGETS, "leader", "torn")  # faults after which two owners may overlap
-CALLS = (0.002, 0.02, 0.08)  # s that a step at the folder takes, about, by plan
-PATIENCE = 30.0  # s until a work goes on after the healing
-MEMORY = Path("/dev/shm")  # where files cost no disk, if there is such a place
+# Faults that lose the store's data or may lose its sessions, so that two owners may overlap.
+LEASE_LOSS_FAULTS = (*DATA_LOSS_FAULTS, "leader", "torn")
+MEAN_STEP_S = (0.002, 0.02, 0.08)  # mean times of a step at the folder store; one per plan
+RECOVERY_TIMEOUT_S = 30.0  # for progress of every work after the healing
+MEMORY_FOLDER = Path("/dev/shm")  # for files in memory, where the system has it
 
 
 class World:
-    """One plan."""
+    """The simulated world of one run of a plan; `folder` holds its files."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan, self.folder, self._root = plan, folder / "fleet", folder
         self.kernel = Kernel(plan.seed, start=1000.0)
         self.loop = VirtualLoop(self.kernel)
         self.rng = random.Random(f"fleet/{plan.seed}")
-        self.call = self.rng.choice(CALLS)
+        self.mean_step_s = self.rng.choice(MEAN_STEP_S)
         self.works = [f"beat-{number}" for number in range(plan.works)]
         self.history = History()
         self.effects, self.consul = EffectEndpoint(), Consul(seed=plan.seed)
         self.history.effects = self.effects.applied
         self.started = 0  # incarnations, for their names
-        self.beat, self.look = BEAT, 0.1
+        self.beat_s, self.poll_s = BEAT_S, 0.1
         self.violations: list[Violation] = []
 
-    async def play(self) -> None:
+    async def run(self) -> None:
+        """Run the plan, the healing, and the wait for progress; then end all processes."""
         plan = self.plan
         self.processes = [Process(self, number) for number in range(plan.daemons)]
         for process in self.processes:
-            await self._doors(process)
+            await self._open_ports(process)
             process.start()
-        self.history.began = self.kernel.now
-        tasks = [asyncio.create_task(self._watch())]
+        self.history.started_at = self.kernel.now
+        tasks = [asyncio.create_task(self._check_owners())]
         for fault in plan.fault:
-            await asyncio.sleep(max(0.0, self.history.began + fault.at - self.kernel.now))
+            await asyncio.sleep(max(0.0, self.history.started_at + fault.at - self.kernel.now))
             process = self.processes[fault.who % len(self.processes)]
             self.history.add_fault(self.kernel.now, fault, process.name)
-            tasks.append(asyncio.create_task(self._fault(fault, process)))
-        await asyncio.sleep(max(0.0, self.history.began + plan.seconds - self.kernel.now))
+            tasks.append(asyncio.create_task(self._inject(fault, process)))
+        await asyncio.sleep(max(0.0, self.history.started_at + plan.seconds - self.kernel.now))
         await asyncio.gather(*tasks[1:])
         await self._heal()
-        until = self.kernel.now + PATIENCE
-        while (waits := self._waits()) and self.kernel.now < until:
+        until = self.kernel.now + RECOVERY_TIMEOUT_S
+        while (pending := self._pending_works()) and self.kernel.now < until:
             await asyncio.sleep(0.05)
         tasks[0].cancel()
-        if waits:
-            self.violations.append(Violation("goes on", f"nobody does {', '.join(sorted(waits))}"))
-        for process in [*self.processes, *(t for p in self.processes for t in p.twins)]:
+        if pending:
+            self.violations.append(
+                Violation("goes on", f"no effect since the healing of {', '.join(sorted(pending))}")
+            )
+        for process in [
+            *self.processes,
+            *(duplicate for p in self.processes for duplicate in p.duplicates),
+        ]:
             await process.term()
 
-    async def _watch(self) -> None:
-        """Two that may begin effects of one work, by their own clocks: never, but after a loss."""
-        told: set[str] = set()
+    async def _check_owners(self) -> None:
+        """Check that no two processes may start effects of a work, each by its own clock.
+
+        This may happen only after the store has lost leases or sessions.
+        """
+        reported: set[str] = set()
         while True:
             await asyncio.sleep(0.02)
-            running = [p for each in self.processes for p in (each, *each.twins) if p.fleet]
+            running = [p for each in self.processes for p in (each, *each.duplicates) if p.fleet]
             for work in self.works:
                 may = [p.owner for p in running if p.fleet is not None and work in p.fleet.owned()]
-                if len(may) > 1 and not self._lost and work not in told:
-                    told.add(work)
+                if len(may) > 1 and not self._leases_lost and work not in reported:
+                    reported.add(work)
                     self.violations.append(
                         Violation(
                             "alone",
-                            f"{work}: {' and '.join(may)} may at "
-                            f"{self.kernel.now - self.history.began:.3f}",
+                            f"{work}: {' and '.join(may)} may start effects at "
+                            f"{self.kernel.now - self.history.started_at:.3f}",
                         )
                     )
 
     @property
-    def _lost(self) -> bool:
-        """What the store had was lost, or its sessions may have been."""
-        return any(fault.kind in SESSIONS_LOST for fault in self.history.faults)
+    def _leases_lost(self) -> bool:
+        """Whether a fault so far has lost the store's data, or may have lost its sessions."""
+        return any(fault.kind in LEASE_LOSS_FAULTS for fault in self.history.faults)
 
-    async def _doors(self, process: Process) -> None:
-        """Of its own to what is shared, so that it alone can be cut off."""
+    async def _open_ports(self, process: Process) -> None:
+        """Give it its own ports to the endpoint and Consul, so that it can be cut off alone."""
         for attribute, part in (("port", self.effects), ("consul_port", self.consul)):
             serve: Any = part._serve
             server = await asyncio.start_server(serve, "127.0.0.1", 0)
             setattr(process, attribute, server.sockets[0].getsockname()[1])
 
-    def _waits(self) -> set[str]:
-        return self.history.undone(self.works, BEAT)
+    def _pending_works(self) -> set[str]:
+        return self.history.works_without_effect(self.works, BEAT_S)
 
     async def _heal(self) -> None:
         self.effects.fault = lambda: ""
         self.consul.end_fault()
         for path in (self.folder / "lease").glob("beat*"):
             if path.stat().st_size < 10:
-                path.unlink()  # by hand, as the operators' page says
+                path.unlink()  # as the operators' page on faults says to do by hand
         for process in self.processes:
             for port in (process.port, process.consul_port):
-                self._link(port, to=False, back=False)
-            process.failing_until = 0.0
+                self._set_link(port, to=False, back=False)
+            process.store_fails_until = 0.0
             if process.fleet is None:
                 process.start()
             else:
                 process.fleet.configure(self.works)
         self.history.healed_at = self.kernel.now
 
-    def _link(self, port: int, to: bool, back: bool, latency: float = 0.0) -> None:
+    def _set_link(self, port: int, to: bool, back: bool, latency: float = 0.0) -> None:
+        """Set the path to a port: blocked directions, and latency in s beyond the usual 50 us."""
         link = self.kernel.link(port)
         link.latency = 0.000_05 + latency
         if to or back:
@@ -149,7 +160,7 @@
             self.kernel.heal(port)
 
     # --- faults ---
-    async def _fault(self, fault: Fault, process: Process) -> None:
+    async def _inject(self, fault: Fault, process: Process) -> None:
         match fault.kind:
             case "kill" | "term":
                 await self._restart(fault, process)
@@ -160,16 +171,16 @@
             case "hup":
                 await self._reload(fault, process)
             case "no_files" | "no_room":
-                process.failing_until = self.kernel.now + fault.seconds
+                process.store_fails_until = self.kernel.now + fault.seconds
             case "twin":
-                twin = Process(self, process.number)
-                twin.port, twin.consul_port = process.port, process.consul_port
-                twin.start()
-                process.twins.append(twin)
+                duplicate = Process(self, process.number)
+                duplicate.port, duplicate.consul_port = process.port, process.consul_port
+                duplicate.start()
+                process.duplicates.append(duplicate)
             case "cut" | "cut_there" | "cut_back" | "half" | "drip" | "reset" | "slow" | "twice":
-                await self._way(fault, process)
+                await self._impair_path(fault, process)
             case _:
-                await self._shared(fault)
+                await self._fault_of_shared(fault)
 
     async def _restart(self, fault: Fault, process: Process) -> None:
         """End the process, and start it again after a while."""
@@ -185,27 +196,29 @@
         process.busy = False
 
     async def _reload(self, fault: Fault, process: Process) -> None:
-        """Take all jobs from the process's file, and put them back after a while."""
+        """Reload the process with no works, and later with all works again."""
         if process.fleet is not None and not process.busy:
             process.fleet.configure(())
             await asyncio.sleep(fault.seconds)
             if process.fleet is not None and not process.busy:
                 process.fleet.configure(self.works)
 
-    async def _way(self, fault: Fault, process: Process) -> None:
+    async def _impair_path(self, fault: Fault, process: Process) -> None:
         ports = [process.port, *([process.consul_port] if self.plan.store == "consul" else [])]
         port = self.rng.choice(ports)
         if fault.kind in ("slow", "twice"):
-            self._link(port, to=False, back=False, latency=0.1)
+            self._set_link(port, to=False, back=False, latency=0.1)
         else:
-            self._link(port, to=fault.kind in ("cut", "cut_there"), back=fault.kind != "cut_there")
+            self._set_link(
+                port, to=fault.kind in ("cut", "cut_there"), back=fault.kind != "cut_there"
+            )
         await asyncio.sleep(fault.seconds)
-        self._link(port, to=False, back=False)
+        self._set_link(port, to=False, back=False)
 
-    async def _shared(self, fault: Fault) -> None:
+    async def _fault_of_shared(self, fault: Fault) -> None:
         match fault.kind:
             case "endpoint":
-                await endpoint_fails(self.effects, self.rng, fault.seconds)
+                await fail_endpoint(self.effects, self.rng, fault.seconds)
             case "gone":
                 if self.folder.exists():
                     os.rename(self.folder, self._root / f"gone-{self.kernel.now}")
@@ -228,6 +241,7 @@
                     await self.consul.inject_fault(fault.kind, fault.seconds)
 
     def finish(self) -> None:
+        """Read the logs from the store and check the rules on the history."""
         history = self.history
         if self.plan.store == "consul":
             history.logs = self.consul.logs()
@@ -239,7 +253,7 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """What is kept of a run."""
+    """The result of a run.  `gaps`: s without an owner; `digest`: of all applied effects."""
 
     plan: Plan
     violations: tuple[Violation, ...]
@@ -249,17 +263,20 @@
     trace: str = ""
 
 
-def play(plan: Plan, tells: bool = False) -> Outcome:
-    """One plan; the same outcome each time and everywhere."""
-    root = MEMORY if MEMORY.is_dir() and os.access(MEMORY, os.W_OK) else None
+def run_plan(plan: Plan, with_trace: bool = False) -> Outcome:
+    """Run one plan; the outcome is the same in every run and on every machine.
+
+    `with_trace`: with lease events and the trace also if no rule was violated.
+    """
+    root = MEMORY_FOLDER if MEMORY_FOLDER.is_dir() and os.access(MEMORY_FOLDER, os.W_OK) else None
     with tempfile.TemporaryDirectory(prefix="fleet-", dir=root) as folder:
         world = World(plan, Path(folder))
         try:
-            with quiet(logging.INFO if tells else logging.CRITICAL, EventHandler(world)):
-                world.loop.run_until_complete(world.play())
+            with quiet(logging.INFO if with_trace else logging.CRITICAL, EventHandler(world)):
+                world.loop.run_until_complete(world.run())
         finally:
             for process in getattr(world, "processes", []):
-                for each in (process, *process.twins):
+                for each in (process, *process.duplicates):
                     each.kill()
             for task in asyncio.all_tasks(world.loop):
                 task.cancel()
@@ -268,31 +285,33 @@
             world.loop.close()
         world.finish()
     history = world.history
-    told = repr([(round(e.at, 6), e.key, e.fence) for e in history.effects])
-    story = histories.format_trace(history, world.violations) if tells or world.violations else ""
+    applied = repr([(round(e.at, 6), e.key, e.fence) for e in history.effects])
+    trace = (
+        histories.format_trace(history, world.violations) if with_trace or world.violations else ""
+    )
     return Outcome(
         plan,
         tuple(world.violations),
         len(history.effects),
-        tuple(gap.seconds for gap in histories.without_owner(history)),
-        blake2b(told.encode(), digest_size=8).hexdigest(),
-        story,
+        tuple(gap.seconds for gap in histories.owner_gaps(history)),
+        blake2b(applied.encode(), digest_size=8).hexdigest(),
+        trace,
     )
 
 
-def played(seed: int, daemons: int) -> Outcome:
-    """The plan of a seed, without ledgers; `daemons` 0: as many as it says."""
-    plan = draw(seed, settles=False)
-    return play(msgspec.structs.replace(plan, daemons=daemons) if daemons else plan)
+def run_seed(seed: int, daemons: int) -> Outcome:
+    """Run the plan of a seed, without ledgers; `daemons` 0: as many as the plan says."""
+    plan = generate(seed, settles=False)
+    return run_plan(msgspec.structs.replace(plan, daemons=daemons) if daemons else plan)
 
 
 def explore(
     first: int, seeds: int, jobs: int, daemons: int, prepare: Callable[[], None] | None = None
 ) -> Iterator[list[Outcome]]:
-    """Outcomes by chunks, in the seeds' order."""
-    return many.explore(partial(played, daemons=daemons), first, seeds, jobs, prepare)
+    """Yield the outcomes in chunks, in seed order; see `many.explore`."""
+    return many.explore(partial(run_seed, daemons=daemons), first, seeds, jobs, prepare)
 
 
 def shrink(found: Outcome) -> Outcome:
-    """The fewest faults with which the same property breaks, and its story."""
-    return play(many.shrink(found, play, without_fault).plan, tells=True)
+    """Remove the faults that the violation does not need; the outcome has its trace."""
+    return run_plan(many.shrink(found, run_plan, without_fault).plan, with_trace=True)
--- a/limebridge/faults/model.py
+++ b/limebridge/faults/model.py
@@ -1,4 +1,4 @@
-"""Ownership as a model for `state_space`: two or three processes, a store and a fenced log."""
+"""Leases as a model for `state_space`: two or three processes, a store and a fenced log."""
 
 from __future__ import annotations
 
@@ -22,26 +22,27 @@
 
 from .model_incarnation import Incarnation, Reading, StoreAnswer, lease_key
 
-TERMS = LeaseTiming(term_s=1.0, drift=0.05, step_s=0.0)
-RATES = (0.95, 1.05, 1.0)  # of the incarnations' clocks
-STEP = 0.5  # s of an event "time"
-HEALS = 24  # steps of time within which an effect has to happen once all is well
+TIMING = LeaseTiming(term_s=1.0, drift=0.05, step_s=0.0)
+RATES = (0.95, 1.05, 1.0)  # of the clocks, by index of the process
+STEP = 0.5  # s by which an event "time" advances the clock
+LIVENESS_STEPS = 24  # of STEP s, in which an effect must happen once nothing fails any more
 
 
-class Even:
-    """A random source without jitter."""
+class NoJitter:
+    """A random source with which `LeaderElector` adds no jitter."""
 
     def random(self) -> float:
+        """Always 0."""
         return 0.0
 
 
-EVEN = Even()
-read_record = functools.cache(decode)  # a record depends on its bytes alone
+NO_JITTER = NoJitter()
+read_record = functools.cache(decode)  # valid, because a record depends on its bytes alone
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """How often each trouble happens in one story."""
+    """How often each kind of event may happen in one trace."""
 
     incarnations: int = 2  # processes at a time
     stops: int = 1
@@ -50,136 +51,156 @@
     store_losses: int = 1
     time_steps: int = 7
     effects: int = 4
-    delayed_calls: int = 1  # calls with something between what the store does and its answer
-    delayed_reads: int = 1  # looks with something between reading and hearing
-    split_effects: int = 2  # effects with something between their check and their record
+    delayed_calls: int = 1  # other events may happen between a call at the store and its answer
+    delayed_reads: int = 1  # other events may happen between a read and the use of its result
+    split_effects: int = 2  # other events may happen between an effect's check and its record
 
 
-BOUNDED = tuple(bound.name for bound in fields(Bounds) if bound.name != "incarnations")
+BOUNDED_EVENTS = tuple(bound.name for bound in fields(Bounds) if bound.name != "incarnations")
 
 
 @dataclass
 class World:
-    """The state of the model."""
+    """A state of the model.
+
+    An event is a name and the index of a process, -1 for "time" and "forget":
+
+    - "time": the clock advances by STEP; "forget": the store loses the lease;
+    - "do": the store serves a call; "answer": the process receives the answer; "call": both at
+      once; "lose": the call or its answer is lost;
+    - "read": the lease is read; "hear": the process receives the result; "look": both at once;
+    - "begin": an effect passes its checks; "put": its record is written; "effect": both at once;
+    - "kill": the process is replaced by a new incarnation; "stop" and "cont": it is suspended and
+      continued.
+    """
 
     bounds: Bounds
     now: float = 0.0
     lease: Lease | None = None
     log: list[bytes] = field(default_factory=list)
     incarnations: list[Incarnation] = field(default_factory=list)
-    began: int = 0  # incarnations so far, for their nonces
-    left: dict[str, int] = field(default_factory=dict)
-    forgot: bool = False
+    started: int = 0  # incarnations so far, for their names and nonces
+    remaining: dict[str, int] = field(default_factory=dict)
+    store_lost_data: bool = False
     violated_rule: str = ""
 
     def __post_init__(self) -> None:
-        if not self.left:
-            self.left = {name: getattr(self.bounds, name) for name in BOUNDED}
+        if not self.remaining:
+            self.remaining = {name: getattr(self.bounds, name) for name in BOUNDED_EVENTS}
             self.incarnations = [self._start_incarnation() for _ in range(self.bounds.incarnations)]
 
     def _start_incarnation(self) -> Incarnation:
-        self.began += 1
-        me = IncarnationId(f"p{self.began}", f"n{self.began}")
-        owner = LeaderElector("w", me.nonce, TERMS, EVEN)
-        owner.set_candidate(True, 0)
-        return Incarnation(owner, me, FencedLog("w", _ignore))
+        self.started += 1
+        me = IncarnationId(f"p{self.started}", f"n{self.started}")
+        elector = LeaderElector("w", me.nonce, TIMING, NO_JITTER)
+        elector.set_candidate(True, 0)
+        return Incarnation(elector, me, FencedLog("w", _ignore_entry))
 
-    def clock(self, place: int) -> float:
-        return self.now * RATES[place]
+    def clock(self, index: int) -> float:
+        """The monotonic clock of a process, in s."""
+        return self.now * RATES[index]
 
-    # --- what may happen ---
+    # --- possible events ---
     def events(self) -> Iterator[tuple[str, int]]:
-        left = self.left
-        if left["time_steps"]:
+        """All events that are possible in this state and within the bounds."""
+        remaining = self.remaining
+        if remaining["time_steps"]:
             yield "time", -1
-        if left["store_losses"] and self.lease is not None:
+        if remaining["store_losses"] and self.lease is not None:
             yield "forget", -1
-        for place, incarnation in enumerate(self.incarnations):
+        for index, incarnation in enumerate(self.incarnations):
             if (
                 incarnation.call is not None
                 and incarnation.answer is None
-                and (left["delayed_calls"] or incarnation.stopped)
+                and (remaining["delayed_calls"] or incarnation.stopped)
             ):
-                yield "do", place
-            if left["kills"]:
-                yield "kill", place
+                yield "do", index
+            if remaining["kills"]:
+                yield "kill", index
             if incarnation.stopped:
-                yield "cont", place
+                yield "cont", index
             else:
-                yield from self._steps_of(place, incarnation)
+                yield from self._events_of(index, incarnation)
 
-    def _steps_of(self, place: int, incarnation: Incarnation) -> Iterator[tuple[str, int]]:
-        """What may happen next in a process that is not stopped, but that it is killed."""
-        left = self.left
+    def _events_of(self, index: int, incarnation: Incarnation) -> Iterator[tuple[str, int]]:
+        """The possible events of a process that is not stopped, except "kill"."""
+        remaining = self.remaining
         if incarnation.answer is not None:
-            yield "answer", place
+            yield "answer", index
         elif incarnation.call is not None:
-            yield "call", place
-        if incarnation.call is not None and left["lost_calls"]:
-            yield "lose", place
+            yield "call", index
+        if incarnation.call is not None and remaining["lost_calls"]:
+            yield "lose", index
         if incarnation.reading is not None:
-            yield "hear", place
+            yield "hear", index
         else:
-            yield "look", place
-            if left["delayed_reads"]:
-                yield "read", place
+            yield "look", index
+            if remaining["delayed_reads"]:
+                yield "read", index
         if incarnation.put is not None:
-            yield "put", place
-        elif left["effects"] and self._may(place):
-            yield "effect", place
-            if left["split_effects"]:
-                yield "begin", place
-        if left["stops"] and (incarnation.put is not None or incarnation.owner.state == "owner"):
-            yield "stop", place
-
-    def _may(self, place: int) -> bool:
-        return self.incarnations[place].owner.valid_fence(self.clock(place)) > 0
-
-    def step(self, what: str, place: int) -> None:
-        if what == "time":
-            self.left["time_steps"] -= 1
+            yield "put", index
+        elif remaining["effects"] and self._may_begin_effect(index):
+            yield "effect", index
+            if remaining["split_effects"]:
+                yield "begin", index
+        if remaining["stops"] and (
+            incarnation.put is not None or incarnation.elector.state == "owner"
+        ):
+            yield "stop", index
+
+    def _may_begin_effect(self, index: int) -> bool:
+        return self.incarnations[index].elector.valid_fence(self.clock(index)) > 0
+
+    def step(self, event: str, index: int) -> None:
+        """Apply an event to this state and check the rules."""
+        if event == "time":
+            self.remaining["time_steps"] -= 1
             self.now += STEP
             for each in range(len(self.incarnations)):
                 if not self.incarnations[each].stopped:
-                    self._acts(each, self.incarnations[each].owner.tick(self.clock(each)))
-        elif what == "forget":
-            self.left["store_losses"] -= 1
-            self.lease, self.forgot = None, True
+                    self._process_actions(
+                        each, self.incarnations[each].elector.tick(self.clock(each))
+                    )
+        elif event == "forget":
+            self.remaining["store_losses"] -= 1
+            self.lease, self.store_lost_data = None, True
         else:
-            getattr(self, f"_{what}")(place, self.incarnations[place])
-        self._judge()
+            getattr(self, f"_{event}")(index, self.incarnations[index])
+        self._check_rules()
 
-    def _look(self, place: int, incarnation: Incarnation) -> None:
-        self._read(place, incarnation, 0)
-        self._hear(place, incarnation)
+    def _look(self, index: int, incarnation: Incarnation) -> None:
+        self._read(index, incarnation, 0)
+        self._hear(index, incarnation)
 
-    def _call(self, place: int, incarnation: Incarnation) -> None:
-        self._do(place, incarnation, 0)
-        self._answer(place, incarnation)
+    def _call(self, index: int, incarnation: Incarnation) -> None:
+        self._do(index, incarnation, 0)
+        self._answer(index, incarnation)
 
-    def _effect(self, place: int, incarnation: Incarnation) -> None:
-        self._begin(place, incarnation, 0)
+    def _effect(self, index: int, incarnation: Incarnation) -> None:
+        self._begin(index, incarnation, 0)
         if incarnation.put is not None:
-            self._put(place, incarnation)
+            self._put(index, incarnation)
 
-    def _read(self, place: int, incarnation: Incarnation, cost: int = 1) -> None:
-        self.left["delayed_reads"] -= cost
+    def _read(self, index: int, incarnation: Incarnation, cost: int = 1) -> None:
+        self.remaining["delayed_reads"] -= cost
         holder = self.lease.nonce if self.lease is not None else ""
         runs = not holder or any(each.me.nonce == holder for each in self.incarnations)
-        incarnation.reading = Reading(self.clock(place), self.lease, runs)
+        incarnation.reading = Reading(self.clock(index), self.lease, runs)
 
-    def _hear(self, place: int, incarnation: Incarnation) -> None:
+    def _hear(self, index: int, incarnation: Incarnation) -> None:
         assert incarnation.reading is not None
-        (asked_at, lease, alive), incarnation.reading = incarnation.reading, None
-        self._acts(place, incarnation.owner.observe(self.clock(place), asked_at, lease, alive))
-        self._acts(place, incarnation.owner.tick(self.clock(place)))
+        (requested_at, lease, alive), incarnation.reading = incarnation.reading, None
+        self._process_actions(
+            index, incarnation.elector.observe(self.clock(index), requested_at, lease, alive)
+        )
+        self._process_actions(index, incarnation.elector.tick(self.clock(index)))
 
-    def _do(self, place: int, incarnation: Incarnation, cost: int = 1) -> None:
-        """The store serves the call."""
-        self.left["delayed_calls"] = max(0, self.left["delayed_calls"] - cost)
+    def _do(self, index: int, incarnation: Incarnation, cost: int = 1) -> None:
+        """The store applies the call and makes its answer."""
+        self.remaining["delayed_calls"] = max(0, self.remaining["delayed_calls"] - cost)
         match incarnation.call:
-            case Acquire(_, _, floor, over):
-                made = leases.acquired("w", self.lease, over, floor, incarnation.me, 0.0)
+            case Acquire(_, _, floor, expected):
+                made = leases.acquired("w", self.lease, expected, floor, incarnation.me, 0.0)
             case Renew(_, _, fence):
                 made = leases.renewed(self.lease, fence, incarnation.me)
             case Release(_, _, fence):
@@ -188,54 +209,54 @@
             self.lease = made
         incarnation.answer = StoreAnswer(made is not None, self.lease)
 
-    def _answer(self, place: int, incarnation: Incarnation) -> None:
+    def _answer(self, index: int, incarnation: Incarnation) -> None:
         assert incarnation.answer is not None
         (accepted, lease), call = incarnation.answer, incarnation.call
         incarnation.answer = incarnation.call = None
-        now, owner = self.clock(place), incarnation.owner
+        now, elector = self.clock(index), incarnation.elector
         match call:
             case Acquire(_, number) if accepted:
                 assert lease is not None
-                actions = owner.granted(now, number, lease.fence)
+                actions = elector.granted(now, number, lease.fence)
             case Acquire(_, number):
-                actions = owner.denied(now, number, lease)
+                actions = elector.denied(now, number, lease)
             case Renew(_, number) if accepted:
-                actions = owner.renewed(now, number)
+                actions = elector.renewed(now, number)
             case Release(_, number) if accepted:
-                actions = owner.released(now, number)
+                actions = elector.released(now, number)
             case Renew(_, number) | Release(_, number):
-                actions = owner.lost(now, number, lease)
-        self._acts(place, actions)
-        self._acts(place, owner.tick(now))
+                actions = elector.lost(now, number, lease)
+        self._process_actions(index, actions)
+        self._process_actions(index, elector.tick(now))
 
-    def _lose(self, place: int, incarnation: Incarnation) -> None:
-        """The call or its answer is lost."""
-        self.left["lost_calls"] -= 1
+    def _lose(self, index: int, incarnation: Incarnation) -> None:
+        """The call or its answer is lost; the process treats the call as failed."""
+        self.remaining["lost_calls"] -= 1
         assert incarnation.call is not None
         call, incarnation.call, incarnation.answer = incarnation.call, None, None
-        self._acts(place, incarnation.owner.failed(self.clock(place), call.number))
+        self._process_actions(index, incarnation.elector.failed(self.clock(index), call.number))
 
-    def _kill(self, place: int, incarnation: Incarnation) -> None:
-        self.left["kills"] -= 1
-        self.incarnations[place] = self._start_incarnation()
+    def _kill(self, index: int, incarnation: Incarnation) -> None:
+        self.remaining["kills"] -= 1
+        self.incarnations[index] = self._start_incarnation()
 
-    def _stop(self, place: int, incarnation: Incarnation) -> None:
-        self.left["stops"] -= 1
+    def _stop(self, index: int, incarnation: Incarnation) -> None:
+        self.remaining["stops"] -= 1
         incarnation.stopped = True
 
-    def _cont(self, place: int, incarnation: Incarnation) -> None:
-        """Continue a stopped process: first the step that it was in, then its timers."""
+    def _cont(self, index: int, incarnation: Incarnation) -> None:
+        """Continue a stopped process: first the write that it was about to do, then its timers."""
         incarnation.stopped = False
         if incarnation.put is not None:
-            self._put(place, incarnation)
-        self._acts(place, incarnation.owner.tick(self.clock(place)))
-
-    def _begin(self, place: int, incarnation: Incarnation, cost: int = 1) -> None:
-        """Begin an effect: all checks, up to the instant before its record is put."""
-        self.left["effects"] -= 1
-        self.left["split_effects"] -= cost
-        owner, log = incarnation.owner, incarnation.log
-        fence = owner.valid_fence(self.clock(place))
+            self._put(index, incarnation)
+        self._process_actions(index, incarnation.elector.tick(self.clock(index)))
+
+    def _begin(self, index: int, incarnation: Incarnation, cost: int = 1) -> None:
+        """Begin an effect: do all its checks, up to the moment before its record is put."""
+        self.remaining["effects"] -= 1
+        self.remaining["split_effects"] -= cost
+        elector, log = incarnation.elector, incarnation.log
+        fence = elector.valid_fence(self.clock(index))
         if incarnation.claimed == fence:
             steps = append(log, fence, incarnation.me.nonce, incarnation.me.name, lambda: 1)
         else:
@@ -251,10 +272,10 @@
                     return
         except StopIteration as end:
             if isinstance(end.value, Fenced):
-                self._acts(place, owner.fenced(self.clock(place), end.value.floor))
-                self._acts(place, owner.tick(self.clock(place)))
+                self._process_actions(index, elector.fenced(self.clock(index), end.value.floor))
+                self._process_actions(index, elector.tick(self.clock(index)))
 
-    def _put(self, place: int, incarnation: Incarnation) -> None:
+    def _put(self, index: int, incarnation: Incarnation) -> None:
         assert incarnation.put is not None
         put, incarnation.put = incarnation.put, None
         if put.position == len(self.log):
@@ -264,82 +285,91 @@
             assert record is not None
             if record.kind == "claim":
                 incarnation.claimed = record.fence
-        if incarnation.owner.state != "owner":
-            incarnation.owner.work_stopped()
+        if incarnation.elector.state != "owner":
+            incarnation.elector.work_stopped()
 
-    def _acts(self, place: int, actions: Any) -> None:
-        incarnation = self.incarnations[place]
+    def _process_actions(self, index: int, actions: Any) -> None:
+        incarnation = self.incarnations[index]
         for action in actions:
             match action:
                 case TermBegan():
                     pass
                 case TermEnded():
                     if incarnation.put is None:
-                        incarnation.owner.work_stopped()
+                        incarnation.elector.work_stopped()
                 case _:
                     incarnation.call, incarnation.answer = action, None
 
     # --- the rules ---
-    def _judge(self) -> None:
-        high, whose, claimed = 0, "", (0, "")
+    def _check_rules(self) -> None:
+        """Check the rules "order", "late" and "alone" of `state_space`."""
+        high, nonce, claimed = 0, "", (0, "")
         for data in self.log:
             record = read_record(data, "w")
             assert record is not None
-            if record.fence < high or (record.fence == high and record.nonce != whose):
+            if record.fence < high or (record.fence == high and record.nonce != nonce):
                 self.violated_rule = "order"
             if record.kind == "claim":
                 claimed = record.fence, record.nonce
             elif claimed != (record.fence, record.nonce):
                 self.violated_rule = "late"
-            high, whose = max((high, whose), (record.fence, record.nonce), key=lambda of: of[0])
-        if not self.forgot and sum(map(self._may, range(len(self.incarnations)))) > 1:
+            high, nonce = max((high, nonce), (record.fence, record.nonce), key=lambda pair: pair[0])
+        if (
+            not self.store_lost_data
+            and sum(map(self._may_begin_effect, range(len(self.incarnations)))) > 1
+        ):
             self.violated_rule = "alone"
 
-    def goes_on(self) -> bool:
-        """Whether an entry is put within HEALS steps of time when nothing fails any more."""
+    def makes_progress(self) -> bool:
+        """Whether an entry is put within LIVENESS_STEPS time steps once nothing fails any more."""
         before = len(self.log)
-        self.left["effects"] = 1000
+        self.remaining["effects"] = 1000
         for incarnation in self.incarnations:
             incarnation.stopped = False
-        for _ in range(HEALS):
-            for place, incarnation in enumerate(self.incarnations):
-                for what in ("answer", "call", "hear", "look", "call"):
-                    if (what, place) in list(self.events()):
-                        self.step(what, place)
-                for _ in range(2):  # the claim, and what follows it
+        for _ in range(LIVENESS_STEPS):
+            for index, incarnation in enumerate(self.incarnations):
+                for event in ("answer", "call", "hear", "look", "call"):
+                    if (event, index) in list(self.events()):
+                        self.step(event, index)
+                for _ in range(2):  # the claim and the entry after it
                     if incarnation.put is not None:
-                        self._put(place, incarnation)
-                    if incarnation.put is None and self._may(place):
-                        self._begin(place, incarnation)
+                        self._put(index, incarnation)
+                    if incarnation.put is None and self._may_begin_effect(index):
+                        self._begin(index, incarnation)
             if any(
                 record is not None and record.kind == "entry"
                 for record in (read_record(data, "w") for data in self.log[before:])
             ):
                 return True
-            self.left["time_steps"] = 1
+            self.remaining["time_steps"] = 1
             self.step("time", -1)
         return False
 
     # --- states ---
-    def copy(self, place: int = -1) -> World:
-        """A copy for a step at `place`, which shares all other incarnations; -1: for any step."""
+    def copy(self, index: int = -1) -> World:
+        """A copy to which an event of process `index` can be applied; -1: any event.
+
+        The other incarnations are shared with the original, since such an event leaves them alone.
+        """
         made = World.__new__(World)
         made.__dict__.update(self.__dict__)
-        made.log, made.left = self.log[:], self.left.copy()
+        made.log, made.remaining = self.log[:], self.remaining.copy()
         made.incarnations = [
-            incarnation if place >= 0 and place != each else incarnation.copy()
+            incarnation if index >= 0 and index != each else incarnation.copy()
             for each, incarnation in enumerate(self.incarnations)
         ]
         return made
 
     def copy_for(self, event: tuple[Any, ...]) -> World:
+        """A copy to which this event can be applied without changing the original."""
         return self.copy(event[1])
 
     def liveness_violation(self) -> str:
-        return "" if self.copy().goes_on() else "goes on"
+        """ "goes on" if no effect happens once nothing fails any more, else ""."""
+        return "" if self.copy().makes_progress() else "goes on"
 
     def key(self) -> Any:
-        """All that later steps depend on."""
+        """A hashable value of everything that later steps depend on."""
         end, first = (
             len(self.log),
             min(incarnation.log.next_position for incarnation in self.incarnations),
@@ -348,14 +378,14 @@
         return (
             lease_key(self.lease, beat),
             tuple(self.log[first:]),
-            tuple(self.left.values()),
-            self.forgot,
+            tuple(self.remaining.values()),
+            self.store_lost_data,
             tuple(
-                incarnation.key(self.clock(place), end, beat)
-                for place, incarnation in enumerate(self.incarnations)
+                incarnation.key(self.clock(index), end, beat)
+                for index, incarnation in enumerate(self.incarnations)
             ),
         )
 
 
-def _ignore(position: int, record: Any) -> None:
+def _ignore_entry(position: int, record: Any) -> None:
     pass
--- a/limebridge/faults/options.py
+++ b/limebridge/faults/options.py
@@ -1,4 +1,4 @@
-"""What the commands of `limebridge faults` share: options, planted faults, progress, summaries."""
+"""Options, injected bugs, progress bars and summaries of all `limebridge faults` commands."""
 
 from __future__ import annotations
 
@@ -17,19 +17,21 @@
 PatchFile = Annotated[
     Path | None,
     typer.Option(
-        "--patch", metavar="FILE", help="A Python file whose plant() each process calls first."
+        "--patch",
+        metavar="FILE",
+        help="A Python file whose plant() each process calls first, to inject a bug.",
     ),
 ]
-Json = Annotated[bool, typer.Option("--json", help="One JSON object.")]
-Jobs = Annotated[int, typer.Option(min=0, help="At once; 0 is one a core.")]
+Json = Annotated[bool, typer.Option("--json", help="Print one JSON object.")]
+Jobs = Annotated[int, typer.Option(min=0, help="Worker processes; 0: one per core.")]
 FirstSeed = Annotated[int, typer.Option("--from", min=0, help="The first seed.")]
-PlanCount = Annotated[int, typer.Option(min=1, max=100_000, help="How many plans.")]
-SeedCount = Annotated[int, typer.Option(min=1, max=1_000_000, help="How many.")]
-MAX_REPORTED = 3  # broken plans that are made small and told
+PlanCount = Annotated[int, typer.Option(min=1, max=100_000, help="Number of plans.")]
+SeedCount = Annotated[int, typer.Option(min=1, max=1_000_000, help="Number of seeds.")]
+MAX_REPORTED = 3  # failed plans that are shrunk and printed with their trace
 
 
 class Patch:
-    """Calls plant() of a file; can be sent to another process."""
+    """Calling it runs plant() of a Python file.  It can be pickled for a worker process."""
 
     def __init__(self, path: str) -> None:
         self.path = path
@@ -39,7 +41,7 @@
 
 
 def patch_path(patch: Path | None) -> str:
-    """The whole path of a planted fault, "" for none.  Exit status 2 when there is no such file."""
+    """The absolute path of a patch file, "" for none.  Exits with status 2 if it does not exist."""
     if patch is None:
         return ""
     if not patch.is_file():
@@ -49,32 +51,32 @@
 
 
 def worker_patch(patch: Path | None) -> Patch | None:
-    """What a process calls before it plays a plan.  Exit status 2 when there is no such file."""
+    """The patch that a worker calls before a plan.  Exits with status 2 if it does not exist."""
     return Patch(patch_path(patch)) if patch is not None else None
 
 
 class SeedProgress:
-    """A bar of the seeds that were played, and how many of them broke something."""
+    """A progress bar of the seeds that were run, with the number of failed ones."""
 
-    def __init__(self, progress: Progress, what: str, total: int) -> None:
+    def __init__(self, progress: Progress, label: str, total: int) -> None:
         self._progress = progress
-        self._task = progress.add_task(what, total=total)
+        self._task = progress.add_task(label, total=total)
 
-    def update(self, played: int, broken: int) -> None:
-        """So many were played and broke something until now."""
-        self._progress.update(self._task, completed=played, description=f"{broken} broken")
+    def update(self, completed: int, failed: int) -> None:
+        """Show how many seeds were run so far, and how many of them violated a rule."""
+        self._progress.update(self._task, completed=completed, description=f"{failed} broken")
 
 
 @contextmanager
-def seed_progress(what: str, total: int, as_json: bool) -> Iterator[SeedProgress]:
-    """A progress bar on standard error, none where the result is JSON."""
+def seed_progress(label: str, total: int, as_json: bool) -> Iterator[SeedProgress]:
+    """A progress bar on standard error; hidden if the result is printed as JSON."""
     columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn())
     with Progress(*columns, console=Console(stderr=True), disable=as_json) as progress:
-        yield SeedProgress(progress, what, total)
+        yield SeedProgress(progress, label, total)
 
 
 def print_summary(summary: msgspec.Struct | Mapping[str, Any], as_json: bool) -> None:
-    """One JSON object, or a line for each key."""
+    """Print a summary as one JSON object, or one line for each key."""
     values = summary_values(summary) if isinstance(summary, msgspec.Struct) else summary
     if as_json:
         print(json.dumps(values))
@@ -84,6 +86,6 @@
 
 
 def summary_values(summary: msgspec.Struct) -> dict[str, Any]:
-    """The values of a summary as JSON has them, by key."""
+    """The fields of a summary as in its JSON object, by name."""
     values: dict[str, Any] = json.loads(msgspec.json.encode(summary))
     return values
--- a/limebridge/faults/plan.py
+++ b/limebridge/faults/plan.py
@@ -1,8 +1,8 @@
-"""A plan of faults: what happens to several processes and to what lies between them, and when.
+"""A plan of faults: what happens to several processes and to the parts that they share, and when.
 
-Drawn from a seed, written as TOML, read back to the same plan.  A plan gives the same schedule each
-time it is played; what real processes make of it differs by their scheduling, and a virtual world
-plays it exactly (`memory`).
+A plan is drawn from a seed, written as TOML and read back unchanged.  It gives the same schedule in
+every run.  Real processes still differ between runs, because the kernel schedules them; the virtual
+world of `memory` repeats a run exactly.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 
 from violetroute.config.tables import read_toml, to_struct
 
-Kind = Literal[
-    # to a process
+FaultKind = Literal[
+    # of a process
     "kill",
     "term",
     "stop",
@@ -27,7 +27,7 @@
     "no_files",
     "no_room",
     "twin",
-    # to the way between a process and the endpoint, or a Consul
+    # of the path between a process and the endpoint or a Consul
     "cut",
     "cut_there",
     "cut_back",
@@ -36,7 +36,7 @@
     "drip",
     "reset",
     "twice",
-    # to what is shared
+    # of the endpoint and the store, which all processes share
     "endpoint",
     "gone",
     "older",
@@ -45,7 +45,7 @@
     "lose_answers",
     "forget",
 ]
-PROCESS: tuple[Kind, ...] = (
+PROCESS_FAULTS: tuple[FaultKind, ...] = (
     "kill",
     "term",
     "stop",
@@ -56,41 +56,59 @@
     "no_room",
     "twin",
 )
-WAYS: tuple[Kind, ...] = ("cut", "cut_there", "cut_back", "slow", "half", "drip", "reset", "twice")
-FOLDER: tuple[Kind, ...] = ("endpoint", "endpoint", "torn", "gone", "older")
-CONSUL: tuple[Kind, ...] = ("endpoint", "leader", "lose_answers", "forget")
-FORGETS: frozenset[Kind] = frozenset(("gone", "older", "forget"))  # what was written is lost
-MAX_DAEMONS = 24  # daemons of one machine
+PATH_FAULTS: tuple[FaultKind, ...] = (
+    "cut",
+    "cut_there",
+    "cut_back",
+    "slow",
+    "half",
+    "drip",
+    "reset",
+    "twice",
+)
+FOLDER_FAULTS: tuple[FaultKind, ...] = ("endpoint", "endpoint", "torn", "gone", "older")
+CONSUL_FAULTS: tuple[FaultKind, ...] = ("endpoint", "leader", "lose_answers", "forget")
+DATA_LOSS_FAULTS: frozenset[FaultKind] = frozenset(("gone", "older", "forget"))
+MAX_DAEMONS = 24  # that a plan may start on one machine
 
 Seconds = Annotated[float, msgspec.Meta(ge=0.0, le=600.0)]
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One: `at` s after all daemons are up, to the `who`th, for `seconds`."""
+    """One fault: it begins `at` seconds after all daemons are up and lasts `seconds`.
+
+    `who`: the index of the process that it applies to, modulo the number of processes.
+    """
 
     at: Seconds
-    kind: Kind
+    kind: FaultKind
     who: Annotated[int, msgspec.Meta(ge=0, lt=MAX_DAEMONS)] = 0
     seconds: Seconds = 1.0
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One run."""
+    """The parameters and faults of one run; times in s."""
 
     seed: int = 0
-    seconds: Seconds = 6.0  # with faults; what comes after is the healing
+    seconds: Seconds = 6.0  # of the part with faults; all faults are healed after it
     daemons: Annotated[int, msgspec.Meta(ge=2, le=MAX_DAEMONS)] = 5
     store: Literal["folder", "consul"] = "folder"
-    works: Annotated[int, msgspec.Meta(ge=1, le=16)] = 2  # examples, beside the settlement
-    settles: bool = False  # ledgers, clients and the settlement too
+    works: Annotated[int, msgspec.Meta(ge=1, le=16)] = (
+        2  # example works, in addition to the settlement
+    )
+    settles: bool = False  # the run has ledgers, clients and the settlement work
     term_s: Annotated[float, msgspec.Meta(ge=0.2, le=60.0)] = 0.8
     fault: list[Fault] = []
 
 
-def draw(
+def generate(
     seed: int, store: Literal["folder", "consul"] | None = None, settles: bool | None = None
 ) -> Plan:
-    """The plan of a seed.  Faults of each kind come from a stream of their own."""
+    """The plan of a seed.
+
+    `store` and `settles` replace the values drawn from the seed; None keeps them.  A plan with
+    settlement always uses the folder store.
+    """
     rng = random.Random(f"faults/{seed}")
     drawn: Literal["folder", "consul"] = rng.choice(("folder", "folder", "consul"))
     where = store or drawn
@@ -98,21 +116,23 @@
     if billed:
         where = "folder"
     daemons, seconds = rng.randint(5, 8), rng.uniform(3.0, 6.0)
-    shared = FOLDER if where == "folder" else CONSUL
-    if billed:  # what a ledger's folder and the log have lost is no plan's: see the note
+    shared = FOLDER_FAULTS if where == "folder" else CONSUL_FAULTS
+    # A plan with settlement has no fault that loses data of a ledger's folder or of the log; the
+    # design note on faults says why.
+    if billed:
         shared = ("endpoint",)
     faults = []
     for _ in range(rng.randint(2, 7)):
-        kind = rng.choice((*PROCESS, *WAYS, *shared))
+        kind = rng.choice((*PROCESS_FAULTS, *PATH_FAULTS, *shared))
         if billed and kind == "twin":
             kind = "stop"
-        lasts = (0.3, 1.5, 2.5) if kind == "stop" else (0.1, 0.5, 1.0, 2.5)
+        durations = (0.3, 1.5, 2.5) if kind == "stop" else (0.1, 0.5, 1.0, 2.5)
         faults.append(
             Fault(
                 round(rng.uniform(0.0, seconds), 3),
                 kind,
                 rng.randrange(daemons),
-                round(rng.choice(lasts) * rng.uniform(0.5, 1.5), 3),
+                round(rng.choice(durations) * rng.uniform(0.5, 1.5), 3),
             )
         )
     faults.sort(key=lambda fault: fault.at)
@@ -134,10 +154,10 @@
     durations: Sequence[float],
     since: float = 0.0,
 ) -> list[DrawnFault]:
-    """Faults between `since` and `until` s, in the order of their time.
+    """Draw `count` faults that begin between `since` and `until` s, ordered by their time.
 
-    `targets`: how many there are to choose from.  A fault lasts half to one and a half times one of
-    `durations`, in s.
+    `make`: takes a fault's time, kind, target index and duration.  `targets`: the number of
+    possible targets.  The duration is one of `durations`, in s, times a factor from 0.5 to 1.5.
     """
     drawn = [
         (
@@ -156,18 +176,20 @@
 
 
 def read(path: Path) -> Plan:
-    """ConfigError, one line with the key, for anything else than a plan."""
+    """Read a plan from a TOML file.  Raises ConfigError, one line that names the invalid key."""
     return read_as(path, Plan)
 
 
-def read_as(path: Path, kind: type[P]) -> P:
-    return to_struct(read_toml(str(path)), kind, str(path))
+def read_as(path: Path, plan_type: type[P]) -> P:
+    """Read a plan of the given type from a TOML file.  Raises ConfigError if it is invalid."""
+    return to_struct(read_toml(str(path)), plan_type, str(path))
 
 
 def dump(plan: msgspec.Struct) -> str:
+    """The plan as TOML."""
     return tomli_w.dumps(msgspec.to_builtins(plan))
 
 
-def without_fault(plan: Any, place: int) -> Any:
-    """The plan but for one fault."""
-    return msgspec.structs.replace(plan, fault=plan.fault[:place] + plan.fault[place + 1 :])
+def without_fault(plan: Any, index: int) -> Any:
+    """A copy of the plan without the fault at this index."""
+    return msgspec.structs.replace(plan, fault=plan.fault[:index] + plan.fault[index + 1 :])
--- a/limebridge/faults/rig.py
+++ b/limebridge/faults/rig.py
@@ -1,9 +1,10 @@
-"""Several daemons as processes, stand-ins, and relays between them; a plan of faults played on it.
+"""Runs a plan of faults on several daemon processes, stand-ins, and relays between them.
 
-Every daemon has relays of its own to what it shares with the others, so that one can be cut off and
-the rest not.  Faults of a process need no privilege: signals, limits and affinity of one's own
-children.  Once the plan is over all is healed, and it is waited until each work goes on; then the
-daemons are asked to end, and what was seen is judged (`history`).
+Every daemon has its own relays to the parts that it shares with the others, so that one daemon can
+be cut off alone.  The faults of a process need no privileges: signals, limits and CPU affinity of
+one's own child processes.  When the plan is over, all faults are healed and the rig waits until
+every work makes progress again.  Then it terminates the daemons and checks the recorded history
+(`history`).
 """
 
 from __future__ import annotations
@@ -26,8 +27,8 @@
 from violetroute.ledger.table import LedgerTable
 
 from . import history as histories
-from .daemon import BEAT, Daemon
-from .endpoint import endpoint_fails
+from .daemon import BEAT_S, Daemon
+from .endpoint import fail_endpoint
 from .history import History, OwnerGap
 from .interruption import run_cleanup
 from .launch import daemon_command
@@ -35,13 +36,13 @@
 from .relay import Impairment
 from .violation import Violation
 
-PATIENCE = 30.0  # s until a work goes on after the healing: many terms, on a busy machine
-LOOK = 0.05  # s between looks at what is waited for
+WAIT_TIMEOUT_S = 30.0  # for progress after the healing: many lease terms, even on a busy machine
+POLL_INTERVAL_S = 0.05  # between checks of an awaited condition
 
 
 @dataclass
 class Outcome:
-    """What came of a plan."""
+    """The result of a run; `effects` counts the applied ones, `seconds` is the time it took."""
 
     plan: Plan
     history: History
@@ -52,7 +53,10 @@
 
 
 class Rig:
-    """`patch`: a file whose plant() every daemon runs first."""
+    """One run of a plan; files are kept in `folder`.
+
+    `patch`: a Python file whose plant() every daemon calls first, "" for none.
+    """
 
     def __init__(self, plan: Plan, folder: Path, patch: str = "") -> None:
         self.plan, self.folder = plan, folder
@@ -66,47 +70,51 @@
         self.consul_port = 0
         self.rng = random.Random(f"rig/{plan.seed}")
         self.violations: list[Violation] = []
-        self.faults: list[asyncio.Task[None]] = []
+        self.fault_tasks: list[asyncio.Task[None]] = []
 
     @property
     def now(self) -> float:
+        """The event loop's time in s."""
         return asyncio.get_running_loop().time()
 
-    def complain(self, rule: str, text: str) -> None:
+    def report_violation(self, rule: str, text: str) -> None:
         """Record a violation."""
         self.violations.append(Violation(rule, text))
 
     def ledger_table(self) -> LedgerTable:
-        """[ledger] of each daemon's file."""
+        """The [ledger] table of every daemon's operator file."""
         return LedgerTable()
 
     # --- one run ---
-    async def play(self) -> Outcome:
-        began = self.now
+    async def run(self) -> Outcome:
+        """Run the plan to its end, or until a daemon does not start; returns what was found."""
+        started_at = self.now
         self.daemons = [Daemon(self, number) for number in range(self.plan.daemons)]
         try:
             await self.open()
             for daemon in self.daemons:
                 await daemon.open()
             await asyncio.gather(*(daemon.start() for daemon in self.daemons))
-            self.history.began = self.now
-            await self.schedule()
+            self.history.started_at = self.now
+            await self.inject_faults()
             await self.heal()
-            await self.goes_on()
+            await self.wait_for_progress()
             await self.settle()
-            await self.end()
+            await self.terminate()
         except DaemonStartError as error:
-            self.complain("starts", str(error))
+            self.report_violation("starts", str(error))
         finally:
-            await run_cleanup(self._end_all())
+            await run_cleanup(self._clean_up())
         self.read_logs()
-        return self._judge(self.now - began)
+        return self._outcome(self.now - started_at)
 
-    def _judge(self, seconds: float) -> Outcome:
-        """What came of the plan, which took so many seconds."""
+    def _outcome(self, seconds: float) -> Outcome:
+        """Check the history of a run that took `seconds`."""
         history = self.history
         if self.effects.conflicts:
-            self.complain("once", f"{self.effects.conflicts} keys came with another body")
+            self.report_violation(
+                "once", f"{self.effects.conflicts} keys were sent again with another body"
+            )
         self.violations += histories.check_history(history)
         return Outcome(
             self.plan,
@@ -114,22 +122,23 @@
             self.violations,
             seconds,
             len(history.effects),
-            histories.without_owner(history),
+            histories.owner_gaps(history),
         )
 
-    async def _end_all(self) -> None:
-        """No fault goes on, so that none starts a daemon; all daemons and stand-ins end."""
-        for task in self.faults:
+    async def _clean_up(self) -> None:
+        """End all daemons and stand-ins.  Faults are cancelled first, as some start a daemon."""
+        for task in self.fault_tasks:
             task.cancel()
-        await asyncio.gather(*self.faults, return_exceptions=True)
+        await asyncio.gather(*self.fault_tasks, return_exceptions=True)
         await asyncio.gather(*(daemon.close() for daemon in self.daemons))
         await self.close()
 
     async def open(self) -> None:
+        """Start the stand-ins: endpoint, discovery, one cache node and perhaps a Consul."""
         await self.effects.start()
         await self.discovery.start()
         self.node = await CacheNode().start()
-        self.known = [self.node.entry("s-0")]
+        self.cache_nodes = [self.node.entry("s-0")]
         if self.plan.store == "consul":
             from limebridge.standins.consul import Consul
 
@@ -137,62 +146,67 @@
             self.consul_port = self.consul.port
 
     async def close(self) -> None:
+        """Stop the stand-ins."""
         for part in (self.effects, self.discovery, self.node, self.consul):
             if part is not None:
                 await part.stop()
 
-    async def schedule(self) -> None:
-        tasks = self.faults
+    async def inject_faults(self) -> None:
+        """Begin each fault of the plan at its time, and return when the plan's time is over.
+
+        Faults that are still in progress then are cancelled.
+        """
+        tasks = self.fault_tasks
         for fault in self.plan.fault:
-            await asyncio.sleep(max(0.0, self.history.began + fault.at - self.now))
+            await asyncio.sleep(max(0.0, self.history.started_at + fault.at - self.now))
             daemon = self.daemons[fault.who % len(self.daemons)]
             self.history.add_fault(self.now, fault, daemon.name)
-            tasks.append(asyncio.create_task(self._fault(fault, daemon)))
-        await asyncio.sleep(max(0.0, self.history.began + self.plan.seconds - self.now))
+            tasks.append(asyncio.create_task(self._inject(fault, daemon)))
+        await asyncio.sleep(max(0.0, self.history.started_at + self.plan.seconds - self.now))
         for task in tasks:
             task.cancel()
         for done in await asyncio.gather(*tasks, return_exceptions=True):
             if isinstance(done, Exception):
                 raise done
 
-    async def _fault(self, fault: Fault, daemon: Daemon) -> None:
+    async def _inject(self, fault: Fault, daemon: Daemon) -> None:
         name = fault.kind
         if name in ("cut", "cut_there", "cut_back", "slow", "half", "drip", "reset", "twice"):
-            await self._way(fault, daemon)
+            await self._impair_path(fault, daemon)
         elif name in ("endpoint", "gone", "older", "torn", "leader", "lose_answers", "forget"):
-            await self._shared(fault)
+            await self._fault_of_shared(fault)
         else:
             async with daemon.busy:
                 await getattr(daemon, f"_{name}")(fault)
 
-    # --- faults of a way ---
-    async def _way(self, fault: Fault, daemon: Daemon) -> None:
-        way = self.rng.choice(daemon.ways)
+    # --- faults of a path ---
+    async def _impair_path(self, fault: Fault, daemon: Daemon) -> None:
+        relay = self.rng.choice(daemon.relays)
         match fault.kind:
             case "cut":
-                way.impair(Impairment(cut=True), Impairment(cut=True))
+                relay.impair(Impairment(cut=True), Impairment(cut=True))
             case "cut_there":
-                way.impair(forward=Impairment(cut=True))
+                relay.impair(forward=Impairment(cut=True))
             case "cut_back":
-                way.impair(backward=Impairment(cut=True))
+                relay.impair(backward=Impairment(cut=True))
             case "slow":
-                way.impair(Impairment(delay=0.05, jitter=0.2), Impairment(delay=0.05, jitter=0.2))
+                relay.impair(Impairment(delay=0.05, jitter=0.2), Impairment(delay=0.05, jitter=0.2))
             case "half":
-                way.impair(backward=Impairment(truncate_after=20))
+                relay.impair(backward=Impairment(truncate_after=20))
             case "drip":
-                way.impair(backward=Impairment(byte_delay=0.005))
+                relay.impair(backward=Impairment(byte_delay=0.005))
             case "twice":
-                way.impair(forward=Impairment(resend=True))
+                relay.impair(forward=Impairment(resend=True))
             case _:
-                way.reset_connections()
+                relay.reset_connections()
         await asyncio.sleep(fault.seconds)
-        way.impair()
+        relay.impair()
 
-    # --- faults of what is shared ---
-    async def _shared(self, fault: Fault) -> None:
+    # --- faults of the endpoint and the store ---
+    async def _fault_of_shared(self, fault: Fault) -> None:
         match fault.kind:
             case "endpoint":
-                await endpoint_fails(self.effects, self.rng, fault.seconds)
+                await fail_endpoint(self.effects, self.rng, fault.seconds)
             case "gone":
                 with contextlib.suppress(FileNotFoundError):
                     os.rename(self.shared, self.folder / f"gone-{self.rng.random()}")
@@ -201,7 +215,9 @@
                 with contextlib.suppress(OSError, shutil.Error):
                     shutil.copytree(self.shared, copy)
                 await asyncio.sleep(fault.seconds)
-                while copy.exists():  # daemons make theirs anew in between
+                while (
+                    copy.exists()
+                ):  # retried, since daemons may create the folder again in between
                     with contextlib.suppress(OSError):
                         os.rename(self.shared, self.folder / f"gone-{self.rng.random()}")
                         os.rename(copy, self.shared)
@@ -212,13 +228,13 @@
                     with contextlib.suppress(FileNotFoundError):
                         path.write_bytes(path.read_bytes()[:9])
                         await asyncio.sleep(fault.seconds)
-                        path.unlink()  # by hand, as the operators' page says
+                        path.unlink()  # as the operators' page on faults says to do by hand
             case _:
                 await self.consul.inject_fault(fault.kind, fault.seconds)
 
-    # --- afterwards ---
+    # --- after the faults ---
     async def heal(self) -> None:
-        """All that can be mended is, and every daemon runs."""
+        """End all faults, remove torn lease files, and start every daemon that does not run."""
         self.effects.fault = lambda: ""
         if self.consul is not None:
             self.consul.end_fault()
@@ -227,52 +243,58 @@
                 if path.stat().st_size < 10:
                     path.unlink()
         for daemon in self.daemons:
-            for way in daemon.ways:
-                way.impair()
+            for relay in daemon.relays:
+                relay.impair()
             daemon.signal(signal.SIGCONT)
-            daemon.unlimit()
+            daemon.restore_limits()
             daemon.works = self.works
-            daemon.operator()
+            daemon.write_operator_file()
             daemon.signal(signal.SIGHUP)
         for daemon in self.daemons:
             child = daemon.child
             if child is None or child.state is not ChildState.UP or child.ended:
                 if child is not None and child.state is ChildState.UP:
-                    self.complain("ends", f"{daemon.name} crashed: {child.last_line}")
-                for started in daemon.children:  # one that was cut short in its draining
+                    self.report_violation("ends", f"{daemon.name} crashed: {child.last_line}")
+                for started in daemon.children:  # also one whose drain was interrupted
                     await started.kill()
                 await daemon.start()
         self.history.healed_at = self.now
 
-    async def until(self, what: Callable[[], bool], name: str, why: Callable[[], str]) -> None:
-        end = self.now + PATIENCE
-        while not what():
+    async def wait_until(
+        self, condition: Callable[[], bool], rule: str, reason: Callable[[], str]
+    ) -> None:
+        """Wait for a condition; after WAIT_TIMEOUT_S report a violation of `rule` instead."""
+        end = self.now + WAIT_TIMEOUT_S
+        while not condition():
             if self.now > end:
-                self.complain(name, why())
+                self.report_violation(rule, reason())
                 return
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def goes_on(self) -> None:
-        """Each work has an effect that was begun after the healing."""
+    async def wait_for_progress(self) -> None:
+        """Wait until each work has an effect that was started after the healing."""
 
-        def waits() -> set[str]:
-            return self.history.undone(self.works, BEAT)
+        def pending() -> set[str]:
+            return self.history.works_without_effect(self.works, BEAT_S)
 
-        await self.until(
-            lambda: not waits(), "goes on", lambda: f"nobody does {', '.join(sorted(waits()))}"
+        await self.wait_until(
+            lambda: not pending(),
+            "goes on",
+            lambda: f"no effect since the healing of {', '.join(sorted(pending()))}",
         )
 
     async def settle(self) -> None:
-        """What has to be waited for before the end."""
+        """Hook for subclasses: called before the daemons are terminated."""
 
-    async def end(self) -> None:
-        """SIGTERM to all: each drains, and hands back what it owns."""
+    async def terminate(self) -> None:
+        """Send SIGTERM to all daemons: each drains and releases its leases."""
         for daemon in self.daemons:
-            for twin in daemon.twins:
-                await twin.term()
-        await asyncio.gather(*(daemon.ends(hard=False) for daemon in self.daemons))
+            for duplicate in daemon.duplicates:
+                await duplicate.term()
+        await asyncio.gather(*(daemon.end_process(kill=False) for daemon in self.daemons))
 
     def read_logs(self) -> None:
+        """Read the logs of all works from the store into the history."""
         if self.consul is not None:
             self.history.logs = self.consul.logs()
             return
--- a/limebridge/faults/runner.py
+++ b/limebridge/faults/runner.py
@@ -1,22 +1,22 @@
-"""Plays a plan of faults on the rig that it asks for: with ledgers and settlement, or without."""
+"""Runs a plan of faults on real processes, with ledgers and settlement if the plan has them."""
 
 from __future__ import annotations
 
 import tempfile
 from pathlib import Path
 
-from .billed import Billed
+from .billed import SettlementRig
 from .interruption import run
 from .plan import Plan
 from .rig import Outcome, Rig
 
 
-def play(plan: Plan, patch: str = "") -> Outcome:
-    """One plan, in a folder of its own that is gone afterwards.
+def run_plan(plan: Plan, patch: str = "") -> Outcome:
+    """Run one plan in a temporary folder.
 
-    `patch`: a file whose plant() every daemon runs first.  Raises KeyboardInterrupt when a signal
-    ends the run; no process is left then.
+    `patch`: a Python file whose plant() every daemon calls first, "" for none.  Raises
+    KeyboardInterrupt when a signal ends the run; all processes have ended then.
     """
     with tempfile.TemporaryDirectory(prefix="faults-") as folder:
-        rig = (Billed if plan.settles else Rig)(plan, Path(folder), patch)
-        return run(rig.play())
+        rig = (SettlementRig if plan.settles else Rig)(plan, Path(folder), patch)
+        return run(rig.run())
--- a/limebridge/faults/summary.py
+++ b/limebridge/faults/summary.py
@@ -1,4 +1,4 @@
-"""What the commands of `limebridge faults` say of many plans: the objects that --json prints."""
+"""Summaries of many plans: the objects that the `limebridge faults` commands print as JSON."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 
 import msgspec
 
-from .explore import GAP_AT_END, PlayedPlan
+from .explore import GAP_AT_END, PlanResult
 from .exploring import ExploreTotals
 from .many import RunOutcome
 from .memory import Outcome
 
-PARTS = (0.5, 0.9, 0.99, 1.0)  # of all gaps, for the quantiles
+QUANTILES = (0.5, 0.9, 0.99, 1.0)
 
-FirstViolation = tuple[int, str, str]  # a seed, and the rule and text of what broke first
+FirstViolation = tuple[int, str, str]  # a seed, and the rule and text of its first violation
 
 
 class RunSummary(msgspec.Struct):
-    """Plans on real processes."""
+    """The result of `faults run`: plans on real processes."""
 
     plans: int
     seconds: float
     plans_a_minute: float
     effects: int
-    faults: dict[str, int]  # how often each kind came
+    faults: dict[str, int]  # count by kind
     changes_of_owner: int
-    without_owner_s: dict[str, float]  # quantiles of the gaps
+    without_owner_s: dict[str, float]  # by quantile
     broken: list[FirstViolation]
 
 
 class ExploreSummary(msgspec.Struct):
-    """Plans in memory; `digest` is of all that the endpoint took."""
+    """The result of `explore --fleet`: plans in memory; `digest` covers all applied effects."""
 
     first: int
     seeds: int
@@ -44,39 +44,41 @@
 
 
 def quantiles(values: Sequence[float]) -> dict[str, float]:
-    """The value below which each of PARTS lies, in s; empty without values."""
+    """The quantiles of some times in s, by QUANTILES; empty if there are no values."""
     ordered = sorted(values)
     count = len(ordered)
     return {
-        str(part): round(ordered[min(count - 1, int(part * count))], 3) for part in PARTS if ordered
+        str(share): round(ordered[min(count - 1, int(share * count))], 3)
+        for share in QUANTILES
+        if ordered
     }
 
 
-def first_violations(broken: Sequence[RunOutcome]) -> list[FirstViolation]:
-    """Seed, rule and text of each plan that broke something."""
-    return [(outcome.plan.seed, *outcome.violations[0]) for outcome in broken]
+def first_violations(failed: Sequence[RunOutcome]) -> list[FirstViolation]:
+    """Seed, rule and text of the first violation of each failed outcome."""
+    return [(outcome.plan.seed, *outcome.violations[0]) for outcome in failed]
 
 
 def summary_of_run(
-    played: Sequence[PlayedPlan], broken: Sequence[PlayedPlan], seconds: float
+    results: Sequence[PlanResult], failed: Sequence[PlanResult], seconds: float
 ) -> RunSummary:
-    """Gaps after the healing are none of a fault and do not count."""
-    gaps = [gap.seconds for plan in played for gap in plan.gaps if gap.cause != GAP_AT_END]
-    kinds: Counter[str] = Counter(fault.kind for outcome in played for fault in outcome.plan.fault)
+    """Summarize a run of `seconds`, without gaps after the healing, which no fault caused."""
+    gaps = [gap.seconds for result in results for gap in result.gaps if gap.cause != GAP_AT_END]
+    kinds: Counter[str] = Counter(fault.kind for outcome in results for fault in outcome.plan.fault)
     return RunSummary(
-        plans=len(played),
+        plans=len(results),
         seconds=round(seconds, 1),
-        plans_a_minute=round(60.0 * len(played) / seconds, 1),
-        effects=sum(outcome.effects for outcome in played),
+        plans_a_minute=round(60.0 * len(results) / seconds, 1),
+        effects=sum(outcome.effects for outcome in results),
         faults=dict(kinds.most_common()),
         changes_of_owner=len(gaps),
         without_owner_s=quantiles(gaps),
-        broken=first_violations(broken),
+        broken=first_violations(failed),
     )
 
 
 class FleetTotals(ExploreTotals[Outcome]):
-    """What is added up of the outcomes of `explore --fleet`."""
+    """Totals of the outcomes of `explore --fleet`."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -84,12 +86,13 @@
         self.gaps: list[float] = []
 
     def add(self, outcome: Outcome) -> None:
+        """Add the next outcome, in seed order."""
         super().add(outcome)
         self.effects += outcome.effects
         self.gaps += outcome.gaps
 
     def summary(self, first: int, seconds: float) -> ExploreSummary:
-        """`first`: the first seed."""
+        """Summarize an exploration of `seconds` that started at seed `first`."""
         return ExploreSummary(
             first=first,
             seeds=self.seeds,
--- a/limebridge/faults/violation.py
+++ b/limebridge/faults/violation.py
@@ -1,4 +1,4 @@
-"""A rule that a run of a fault plan broke: the report of every rig and simulation here."""
+"""A violation of a rule in a run of a fault plan, as every rig and simulation reports it."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class Violation(NamedTuple):
-    """A rule that a run broke, and how."""
+    """The name of the violated rule, and what happened."""
 
     rule: str
     text: str
 
     def line(self) -> str:
-        """As it stands in the story of a run."""
+        """The violation as a line of a run's trace."""
         return f"BROKEN {self.rule}: {self.text}"
--- a/tests/limebridge/faults/test_faults.py
+++ b/tests/limebridge/faults/test_faults.py
@@ -1,4 +1,4 @@
-"""The rig: fixed plans on real daemons, seeds in memory, and planted faults that are found."""
+"""The fault rig: fixed plans on real daemons, seeds in memory, and injected bugs that are found."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from limebridge.faults.history import History
 from limebridge.faults.plan import Fault, Plan
 from limebridge.faults.relay import DatagramRelay, Impairment, Relay
-from limebridge.faults.runner import play
+from limebridge.faults.runner import run_plan
 from limebridge.standins.effects import Effect
 from tests.support import bounded, crossing
 from tests.support.paths import ROOT
 from violetroute.config import ConfigError
 from violetroute.fleet.log import Record, decode, encode
 
-# Each is one real rig: what it was kept for stands with it.
+# Plans for real daemons; each name says which failures the plan tests.
 REAL = {
-    "stopped between check and write, killed, handed back": Plan(
+    "daemons are stopped between check and write, killed, and terminated": Plan(
         1,
         3.0,
         5,
@@ -43,7 +43,7 @@
             Fault(2.2, "term", 4, 0.1),
         ],
     ),
-    "a folder that comes back older, two of one name, no room": Plan(
+    "the folder is replaced by an older copy, two daemons have one name, writes fail": Plan(
         2,
         3.0,
         5,
@@ -59,7 +59,7 @@
             Fault(2.2, "gone", 3),
         ],
     ),
-    "a Consul that loses its leader, answers, and all it knew": Plan(
+    "the Consul loses its leader, its answers, and all its data": Plan(
         3,
         4.0,
         5,
@@ -75,7 +75,7 @@
             Fault(3.0, "hup", 2, 0.3),
         ],
     ),
-    "bills through kills and a stop of their owner": Plan(
+    "daemons that settle bills are killed and stopped": Plan(
         4,
         4.0,
         5,
@@ -95,34 +95,35 @@
 
 
 @pytest.mark.parametrize("name", REAL)
-def test_real_daemons_keep_every_property(name: str) -> None:
-    outcome = play(REAL[name])
+def test_real_daemons_violate_no_rule(name: str) -> None:
+    outcome = run_plan(REAL[name])
     assert outcome.violations == [], histories.format_trace(outcome.history, outcome.violations)
     assert outcome.effects > 10
 
 
-def test_seeds_in_memory_are_exact_and_keep_every_property() -> None:
-    first = [virtual.played(seed, 0) for seed in range(12)]
+def test_seeds_in_memory_are_deterministic_and_violate_no_rule() -> None:
+    first = [virtual.run_seed(seed, 0) for seed in range(12)]
     assert [each.violations for each in first] == [()] * 12
     assert sum(each.effects for each in first) > 200
-    assert virtual.played(2, 0).digest == first[2].digest
+    assert virtual.run_seed(2, 0).digest == first[2].digest
 
 
-# Each as it was found by `limebridge explore --fleet` and made small, with the property it broke.
-PLANTED = {
+# Each bug with the rule that it violates.  Its plan was found by `limebridge explore --fleet` and
+# then shrunk.
+INJECTED_BUGS = {
     "fence_not_checked": "none late",
-    "put_over": "none late",
-    "handed_twice": "once",
-    "time_from_the_answer": "alone",
-    "kept_over_a_stop": "alone",
+    "position_overwritten": "none late",
+    "decided_before_reading": "once",
+    "term_from_answer": "alone",
+    "expiry_ignored_after_stop": "alone",
 }
 
 
-@pytest.mark.parametrize("plant", PLANTED)
-def test_a_planted_fault_is_found_in_memory_and_the_mended_plan_is_sound(plant: str) -> None:
-    plan = ROOT / "tests" / "plans_fleet" / f"{plant}.toml"
-    patch = ROOT / "tests" / "planted_fleet" / f"{plant}.py"
-    told = bounded.run(
+@pytest.mark.parametrize("bug", INJECTED_BUGS)
+def test_an_injected_bug_is_found_in_memory_and_the_plan_is_correct_without_it(bug: str) -> None:
+    plan = ROOT / "tests" / "plans_fleet" / f"{bug}.toml"
+    patch = ROOT / "tests" / "planted_fleet" / f"{bug}.py"
+    result = bounded.run(
         [
             sys.executable,
             "-m",
@@ -139,35 +140,37 @@
         processor_s=150,
         folder=ROOT,
     )
-    assert told.returncode == 1 and f"BROKEN {PLANTED[plant]}" in told.stdout, told.stderr[-2000:]
-    seed = int(told.stdout.split()[1])
-    assert virtual.play(msgspec.structs.replace(plans.read(plan), seed=seed)).violations == ()
+    assert result.returncode == 1 and f"BROKEN {INJECTED_BUGS[bug]}" in result.stdout, (
+        result.stderr[-2000:]
+    )
+    seed = int(result.stdout.split()[1])
+    assert virtual.run_plan(msgspec.structs.replace(plans.read(plan), seed=seed)).violations == ()
 
 
-@pytest.mark.parametrize("plant", ["put_over", "fence_not_checked"])
-def test_a_planted_fault_is_found_by_real_daemons(plant: str) -> None:
-    outcome = crossing.play(str(ROOT / "tests" / "planted_fleet" / f"{plant}.py"))
+@pytest.mark.parametrize("bug", ["position_overwritten", "fence_not_checked"])
+def test_an_injected_bug_is_found_by_real_daemons(bug: str) -> None:
+    outcome = crossing.play(str(ROOT / "tests" / "planted_fleet" / f"{bug}.py"))
     found = {violation.rule for violation in outcome.violations}
     assert "none late" in found and crossing.NOT_FORCED not in found, outcome.violations
 
 
-def test_the_sound_build_is_clean_under_the_same_crossing() -> None:
+def test_the_unchanged_build_violates_nothing_in_the_same_crossing() -> None:
     outcome = crossing.play()
     assert outcome.violations == [], histories.format_trace(outcome.history, outcome.violations)
     records = [decode(data, "beat-0") for data in outcome.history.logs["beat-0"]]
     owners = {each.nonce for each in records if each is not None and each.kind == "claim"}
-    assert len(owners) == 2, "the owner that was stopped has been taken over from"
+    assert len(owners) == 2, "another daemon must have taken the lease of the stopped owner"
 
 
 # --- plans ---
-def test_a_plan_is_its_seeds_and_is_read_back() -> None:
+def test_a_plan_is_determined_by_its_seed_and_is_read_back() -> None:
     for seed in range(40):
-        plan = plans.draw(seed)
-        assert plans.draw(seed) == plan and 2 <= len(plan.fault) <= 7
+        plan = plans.generate(seed)
+        assert plans.generate(seed) == plan and 2 <= len(plan.fault) <= 7
         assert msgspec.convert(tomllib.loads(plans.dump(plan)), Plan) == plan
 
 
-def test_a_plan_that_is_none_is_one_line(tmp_path: Path) -> None:
+def test_an_invalid_plan_is_reported_in_one_line(tmp_path: Path) -> None:
     path = tmp_path / "plan.toml"
     for text, key in (
         ("seconds = -1", "seconds"),
@@ -176,13 +179,13 @@
         ("x = 1", "x"),
     ):
         path.write_text(text)
-        with pytest.raises(ConfigError) as wrong:
+        with pytest.raises(ConfigError) as error:
             plans.read(path)
-        assert key in str(wrong.value) and "\n" not in str(wrong.value)
+        assert key in str(error.value) and "\n" not in str(error.value)
     assert CliRunner().invoke(app, ["faults", "replay", str(path)]).exit_code == 2
 
 
-# --- checkers: each is seen to see ---
+# --- rules: each is seen to detect a violation ---
 def effect(key: str, fence: int, nonce: str, body: object = None, at: float = 0.0) -> Effect:
     return Effect(at, key, fence, nonce, body)
 
@@ -232,7 +235,7 @@
         ),
     ],
 )
-def test_each_property_is_seen_to_be_broken(history: History, rule: str) -> None:
+def test_each_rule_detects_its_violation(history: History, rule: str) -> None:
     assert rule in {violation.rule for violation in histories.check_history(history)}
 
 
@@ -243,7 +246,7 @@
     writer.close()
 
 
-def test_a_relay_cuts_one_way_delays_halves_and_resets() -> None:
+def test_a_relay_cuts_one_direction_delays_truncates_and_resets() -> None:
     async def run() -> None:
         server = await asyncio.start_server(echo, "127.0.0.1", 0)
         relay = await Relay(server.sockets[0].getsockname()[1], "t").start()
@@ -256,12 +259,12 @@
             async with asyncio.timeout(0.2):
                 await reader.readexactly(3)
         relay.impair()
-        assert await reader.readexactly(3) == b"two"  # held, not lost
+        assert await reader.readexactly(3) == b"two"  # the bytes were held back and not lost
         relay.impair(forward=Impairment(byte_delay=0.001), backward=Impairment(delay=0.05))
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         writer.write(b"three")
         assert await reader.readexactly(5) == b"three"
-        assert asyncio.get_running_loop().time() - began >= 0.05
+        assert asyncio.get_running_loop().time() - started_at >= 0.05
         relay.impair(backward=Impairment(truncate_after=4))
         writer.write(b"four")
         with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
@@ -279,12 +282,12 @@
     asyncio.run(run())
 
 
-def test_a_relay_asks_again_what_was_asked() -> None:
+def test_a_relay_sends_requests_again() -> None:
     async def run() -> None:
-        heard: asyncio.Queue[bytes] = asyncio.Queue()
+        received: asyncio.Queue[bytes] = asyncio.Queue()
 
         async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await heard.put(await reader.readexactly(3))
+            await received.put(await reader.readexactly(3))
             writer.write(b"yes")
             writer.close()
 
@@ -295,60 +298,60 @@
         writer.write(b"one")
         assert await reader.read() == b"yes"
         writer.close()
-        assert [await heard.get(), await heard.get()] == [b"one", b"one"]
+        assert [await received.get(), await received.get()] == [b"one", b"one"]
         await relay.stop()
         server.close()
 
     asyncio.run(run())
 
 
-class _Ear(asyncio.DatagramProtocol):
+class _Receiver(asyncio.DatagramProtocol):
     def __init__(self) -> None:
-        self.heard: list[bytes] = []
+        self.received: list[bytes] = []
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:  # type: ignore[override]
         self.transport = transport
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        self.heard.append(data)
+        self.received.append(data)
 
 
-def test_datagrams_are_dropped_doubled_and_overtaken_and_answers_find_their_way() -> None:
+def test_datagrams_are_dropped_duplicated_and_reordered_and_answers_reach_the_sender() -> None:
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        far, near = _Ear(), _Ear()
-        door, _ = await loop.create_datagram_endpoint(lambda: far, local_addr=("127.0.0.1", 0))
-        relay = await DatagramRelay(door.get_extra_info("sockname")[1], "t").start()
-        ours, _ = await loop.create_datagram_endpoint(
+        far, near = _Receiver(), _Receiver()
+        target, _ = await loop.create_datagram_endpoint(lambda: far, local_addr=("127.0.0.1", 0))
+        relay = await DatagramRelay(target.get_extra_info("sockname")[1], "t").start()
+        client, _ = await loop.create_datagram_endpoint(
             lambda: near, remote_addr=("127.0.0.1", relay.port)
         )
 
-        async def heard(count: int) -> None:
+        async def wait_received(count: int) -> None:
             async with asyncio.timeout(5.0):
-                while len(far.heard) < count:
+                while len(far.received) < count:
                     await asyncio.sleep(0.01)
 
         relay.forward = Impairment(duplicate=1.0)
-        ours.sendto(b"a")
-        await heard(2)
+        client.sendto(b"a")
+        await wait_received(2)
         relay.forward = Impairment(drop=1.0)
-        ours.sendto(b"b")
+        client.sendto(b"b")
         async with asyncio.timeout(5.0):
             while not relay.dropped:
                 await asyncio.sleep(0.01)
         relay.forward = Impairment(reorder=0.5)
         for number in range(40):
-            ours.sendto(b"%d" % number)
-        await heard(42)
-        assert far.heard[2:] != [b"%d" % n for n in range(40)]
-        assert sorted(far.heard[2:], key=int) == [b"%d" % n for n in range(40)]
+            client.sendto(b"%d" % number)
+        await wait_received(42)
+        assert far.received[2:] != [b"%d" % n for n in range(40)]
+        assert sorted(far.received[2:], key=int) == [b"%d" % n for n in range(40)]
         (sender,) = relay._senders.values()
         far.transport.sendto(b"back", sender.get_extra_info("sockname"))
         async with asyncio.timeout(5.0):
-            while near.heard != [b"back"]:
+            while near.received != [b"back"]:
                 await asyncio.sleep(0.01)
         relay.stop()
-        door.close()
-        ours.close()
+        target.close()
+        client.close()
 
     asyncio.run(run())
--- a/tests/limebridge/faults/test_fleet_whole.py
+++ b/tests/limebridge/faults/test_fleet_whole.py
@@ -1,4 +1,4 @@
-"""Ownership checked whole within bounds; each planted fault is found there with a short story."""
+"""Model check of leases: the code violates no rule, and each injected bug has a short trace."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from violetroute.fleet import lease, log
 from violetroute.fleet.election import LeaderElector, LeaseTiming
 
-# Small enough for the suite; benchmarks/fleet.py follows millions.
+# Small enough for the test suite; benchmarks/fleet.py explores millions of states.
 SMALL = Bounds(
     stops=1,
     kills=0,
@@ -28,25 +28,25 @@
 
 
 @pytest.mark.long
-def test_no_order_of_what_may_happen_breaks_a_rule() -> None:
+def test_no_order_of_events_violates_a_rule() -> None:
     found = check(World(SMALL), max_states=30_000)
     assert found.traces == {}
     assert found.states > 10_000 and found.liveness_checks > 100
 
 
-def time_from_the_answer(patch: pytest.MonkeyPatch) -> None:
-    """A term is reckoned from when its grant came."""
+def term_from_answer(patch: pytest.MonkeyPatch) -> None:
+    """A term is counted from the arrival of its grant, not from the request."""
     granted = LeaderElector.granted
 
-    def late(self: LeaderElector, now: float, number: int, fence: int) -> Any:
+    def from_answer(self: LeaderElector, now: float, number: int, fence: int) -> Any:
         self._sent_at = now
         return granted(self, now, number, fence)
 
-    patch.setattr(LeaderElector, "granted", late)
+    patch.setattr(LeaderElector, "granted", from_answer)
 
 
-def kept_over_a_stop(patch: pytest.MonkeyPatch) -> None:
-    """Who goes on after a stop believes what it knew."""
+def expiry_ignored_after_stop(patch: pytest.MonkeyPatch) -> None:
+    """A process that continues after a stop uses its lease without checking its expiry."""
     patch.setattr(
         LeaderElector,
         "valid_fence",
@@ -54,31 +54,34 @@
     )
 
 
-def no_drift(patch: pytest.MonkeyPatch) -> None:
-    """Two clocks are taken to run alike."""
+def drift_ignored(patch: pytest.MonkeyPatch) -> None:
+    """The term does not allow for clocks that run at different rates."""
     patch.setattr(LeaseTiming, "hold_s", property(lambda self: self.term_s))
 
 
 def fence_not_checked(patch: pytest.MonkeyPatch) -> None:
-    """Entries are put wherever the log ends."""
+    """Entries are appended at the end of the log, whoever has claimed it."""
 
-    def unchecked(kind: str) -> Any:
-        def put(log_: log.FencedLog, fence: int, nonce: str, name: str, *more: Any) -> log.Steps:
+    def without_check(kind: str) -> Any:
+        def append_record(
+            log_: log.FencedLog, fence: int, nonce: str, name: str, *more: Any
+        ) -> log.Steps:
             yield from log.read_to_end(log_)
             data = log.encode(log.Record(log.VERSION, log_.name, fence, nonce, kind))  # type:
             #   ignore[arg-type]
             yield log.Put(log_.name, log_.next_position, data)
             return log.Done(log_.next_position)
 
-        return put
+        return append_record
 
-    patch.setattr(model, "claim", unchecked("claim"))
-    patch.setattr(model, "append", unchecked("entry"))
+    patch.setattr(model, "claim", without_check("claim"))
+    patch.setattr(model, "append", without_check("entry"))
 
 
-def number_alone(patch: pytest.MonkeyPatch) -> None:
-    """A forgotten store begins at 1 again, and the place of the effect looks at the number
-    alone.
+def nonce_not_compared(patch: pytest.MonkeyPatch) -> None:
+    """The target of effects compares fences without nonces.
+
+    A store that has lost its data starts again at fence 1, so two incarnations get the same fence.
     """
 
     def claim(log_: log.FencedLog, fence: int, nonce: str, name: str) -> log.Steps:
@@ -95,27 +98,29 @@
     patch.setattr(model, "claim", claim)
 
 
-def wall_clock(patch: pytest.MonkeyPatch) -> None:
-    """The fence is the second of a wall clock that has been put back."""
+def fence_from_wall_clock(patch: pytest.MonkeyPatch) -> None:
+    """The fence is the time of a wall clock that has been set back."""
     acquired = lease.acquired
 
-    def by_the_wall(work: str, current: Any, over: Any, floor: int, me: Any, wall: float) -> Any:
-        made = acquired(work, current, over, 0, me, wall)
+    def by_wall_clock(
+        work: str, current: Any, expected: Any, floor: int, me: Any, wall: float
+    ) -> Any:
+        made = acquired(work, current, expected, 0, me, wall)
         return (
             None
             if made is None
             else msgspec.structs.replace(made, fence=9 if current is None else 3)
         )
 
-    patch.setattr(lease, "acquired", by_the_wall)
+    patch.setattr(lease, "acquired", by_wall_clock)
 
 
 @pytest.mark.parametrize(
     ("plant", "rule", "bounds"),
     [
-        (time_from_the_answer, "alone", SMALL),
-        (kept_over_a_stop, "alone", SMALL),
-        (no_drift, "alone", SMALL),
+        (term_from_answer, "alone", SMALL),
+        (expiry_ignored_after_stop, "alone", SMALL),
+        (drift_ignored, "alone", SMALL),
         (
             fence_not_checked,
             "order",
@@ -124,20 +129,20 @@
             ),
         ),
         (
-            number_alone,
+            nonce_not_compared,
             "order",
             Bounds(
                 stops=0, kills=0, lost_calls=0, delayed_calls=0, delayed_reads=0, split_effects=1
             ),
         ),
         (
-            wall_clock,
+            fence_from_wall_clock,
             "goes on",
             Bounds(stops=0, store_losses=0, lost_calls=0, delayed_calls=0, delayed_reads=0),
         ),
     ],
 )
-def test_a_planted_fault_is_found_with_its_shortest_story(
+def test_an_injected_bug_is_found_with_its_shortest_trace(
     plant: Any, rule: str, bounds: Bounds, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     plant(monkeypatch)
--- a/tests/planted_fleet/kept_over_a_stop.py
+++ b/tests/planted_fleet/expiry_ignored_after_stop.py
@@ -1,4 +1,4 @@
-"""Planted: who goes on after a stop believes what it knew, and looks at no clock."""
+"""Injected bug: a process that continues after SIGSTOP does not check whether its lease expired."""
 
 from violetroute.fleet.election import LeaderElector
 
--- a/tests/planted_fleet/fence_not_checked.py
+++ b/tests/planted_fleet/fence_not_checked.py
@@ -1,11 +1,11 @@
-"""Planted: an owner puts its records wherever the log ends, whoever has claimed it."""
+"""Injected bug: an owner appends records at the end of the log without checking who claimed it."""
 
 from violetroute.fleet import job, log
 
 
 def plant():
-    def unchecked(kind, body):
-        def put(log_, fence, nonce, name, decide=lambda: None):
+    def without_check(kind, body):
+        def append_record(log_, fence, nonce, name, decide=lambda: None):
             for _ in range(log.MAX_ATTEMPTS):
                 yield from log.read_to_end(log_)
                 data = log.encode(log.Record(1, log_.name, fence, nonce, kind, decide(), name))
@@ -14,9 +14,9 @@
                     return log.Done(log_.next_position - 1)
             return log.Contended()
 
-        return put
+        return append_record
 
-    job.claim, job.append = unchecked("claim", None), unchecked("entry", None)
+    job.claim, job.append = without_check("claim", None), without_check("entry", None)
     log.FenceGuard.admits = lambda self, fence, nonce: (
         setattr(self, "fence", fence),
         setattr(self, "nonce", nonce),
--- a/tests/planted_fleet/put_over.py
+++ b/tests/planted_fleet/position_overwritten.py
@@ -1,4 +1,4 @@
-"""Planted: a log's position is replaced by whoever comes last, not linked where there is none."""
+"""Injected bug: a put replaces the record at its position, instead of failing if there is one."""
 
 import os
 
@@ -8,11 +8,11 @@
 def plant():
     link = os.link
 
-    def replaces(source, name):
+    def replace_record(source, name):
         if "/log/" in str(name):
             os.replace(source, name)
         else:
             link(source, name)
 
-    os.link = replaces
+    os.link = replace_record
     assert FolderStore
--- a/tests/support/crossing.py
+++ b/tests/support/crossing.py
@@ -36,16 +36,16 @@
         super().__init__(plan, folder, patch)
         self.command = daemon_command(patch, prelude=LOAD_PAUSE_POINT)
 
-    async def schedule(self) -> None:
+    async def inject_faults(self) -> None:
         (self.folder / ARMED).touch()
-        await self.until(self._stands_stopped, NOT_FORCED, lambda: "nobody stopped at a write")
+        await self.wait_until(self._stands_stopped, NOT_FORCED, lambda: "nobody stopped at a write")
         if self.violations:
             return
-        await self.until(self._is_taken_over, NOT_FORCED, lambda: "no other owner wrote")
+        await self.wait_until(self._is_taken_over, NOT_FORCED, lambda: "no other owner wrote")
         late = self._stopped()
         (daemon,) = (each for each in self.daemons if each.pid == late.pid)
         daemon.signal(signal.SIGCONT)
-        await self.until(
+        await self.wait_until(
             (self.folder / WRITTEN).exists, NOT_FORCED, lambda: "the late write did not end"
         )
 
@@ -73,4 +73,4 @@
 def play(patch: str = "") -> Outcome:
     """One crossing between two daemons that have run `patch`, judged like any plan."""
     with tempfile.TemporaryDirectory(prefix="crossing-") as folder:
-        return asyncio.run(CrossingRig(PLAN, Path(folder), patch).play())
+        return asyncio.run(CrossingRig(PLAN, Path(folder), patch).run())
