--- a/limebridge/faults/distribution/__init__.py
+++ b/limebridge/faults/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Fault tests of record distribution: plans, rule checker, simulated world, rig of processes."""
+"""Distribution of records under faults: plans, a judge, a simulated world, a rig of processes."""
--- a/tests/limebridge/virtual/test_explore.py
+++ b/tests/limebridge/virtual/test_explore.py
@@ -31,10 +31,8 @@
 from limebridge.virtual.world import Outcome
 from tests.support.paths import ROOT, TESTS
 
-NOT_FOUND = {
-    "late_keyed_repeat",
-    "delivery_limits_removed",
-}  # no plan finds these so far; see docs/ROADMAP.md
+# No plan finds these so far; see docs/ROADMAP.md.
+NOT_FOUND = {"late_keyed_repeat", "delivery_limits_removed"}
 PLANS = sorted((TESTS / "plans").glob("*.json"))
 
 
--- a/tests/support/bounded.py
+++ b/tests/support/bounded.py
@@ -1,7 +1,7 @@
-"""Runs a program of a test within a bound on the processor time that it uses.
+"""Runs a program for a test with a limit on its CPU time.
 
-What is played in virtual time takes the same processor time on a busy machine as on a quiet one;
-its real time says how busy the machine is.
+A run in virtual time takes the same CPU time on a busy machine as on an idle one, while its real
+time depends on the load of the machine.
 """
 
 from __future__ import annotations
@@ -12,15 +12,16 @@
 from functools import partial
 from pathlib import Path
 
-HANGS_S = 900  # real time, for a program that waits and uses no processor
+MAX_REAL_TIME_S = 900  # for a program that hangs without using CPU time
 
 
 def run(
     arguments: Sequence[str], processor_s: int, folder: Path
 ) -> subprocess.CompletedProcess[str]:
-    """Its output as text.  SIGXCPU ends a process that uses more than `processor_s` seconds.
+    """Run a program in `folder`; its exit status and its output as text.
 
-    Raises subprocess.TimeoutExpired after HANGS_S of real time.
+    SIGXCPU ends a program that uses more than `processor_s` seconds of CPU time.  Raises
+    subprocess.TimeoutExpired after MAX_REAL_TIME_S.
     """
     limit = partial(resource.setrlimit, resource.RLIMIT_CPU, (processor_s, processor_s + 1))
     return subprocess.run(
@@ -29,6 +30,6 @@
         capture_output=True,
         text=True,
         check=False,
-        timeout=HANGS_S,
+        timeout=MAX_REAL_TIME_S,
         preexec_fn=limit,
     )
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -1,8 +1,8 @@
-"""KNOWN-RED.txt: tests that fail for a real fault which is known and not yet mended.
+"""Pytest plugin for KNOWN-RED.txt, the list of tests that fail for a known fault not fixed yet.
 
-One line each: `test id | cause | issue`, three at most.  They are run like the others.  One that
-fails is passed over and printed; one that passes, or is not there, fails the run: then its line is
-out of date.
+Each line is `test id | cause | issue`; there are at most three.  The tests run like all others.  If
+a listed test fails, it is reported as an expected failure and its line is printed.  If it passes or
+does not exist, the run fails, since its line is outdated.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 import pytest
 
-MOST = 3
+MAX_LISTED = 3
 
 
 def read(path: Path) -> dict[str, str]:
-    """What is listed: by test id, its cause and issue."""
+    """The cause and issue of each listed test, by test id.  Raises pytest.UsageError."""
     if not path.exists():
         return {}
     listed = {}
@@ -25,12 +25,14 @@
         if len(parts) != 3 or not all(parts):
             raise pytest.UsageError(f"{path.name}: not `test id | cause | issue`: {line!r}")
         listed[parts[0]] = f"{parts[1]} ({parts[2]})"
-    if len(listed) > MOST:
-        raise pytest.UsageError(f"{path.name}: {len(listed)} tests; {MOST} is the bound")
+    if len(listed) > MAX_LISTED:
+        raise pytest.UsageError(f"{path.name}: {len(listed)} tests; the limit is {MAX_LISTED}")
     return listed
 
 
 class KnownRed:
+    """The hooks; registered only if a test is listed."""
+
     def __init__(self, listed: dict[str, str]) -> None:
         self.listed = listed
 
@@ -38,11 +40,13 @@
         self, config: pytest.Config, items: list[pytest.Item]
     ) -> None:
         found = {item.nodeid for item in items}
-        files = {name.partition("::")[0] for name in found}
-        for name in self.listed:  # a run of some files alone tells nothing of the others
-            file = name.partition("::")[0]
-            if name not in found and (file in files or not (config.rootpath / file).exists()):
-                raise pytest.UsageError(f"KNOWN-RED.txt: no such test: {name}")
+        files = {test_id.partition("::")[0] for test_id in found}
+        for (
+            test_id
+        ) in self.listed:  # a run of some files does not show whether tests of others exist
+            file = test_id.partition("::")[0]
+            if test_id not in found and (file in files or not (config.rootpath / file).exists()):
+                raise pytest.UsageError(f"KNOWN-RED.txt: no such test: {test_id}")
 
     @pytest.hookimpl(wrapper=True)
     def pytest_runtest_makereport(
@@ -55,12 +59,12 @@
             report.outcome, report.wasxfail = "skipped", self.listed[item.nodeid]
         elif report.when == "call":
             report.outcome = "failed"
-            report.longrepr = "listed in KNOWN-RED.txt and passes: take its line out"
+            report.longrepr = "listed in KNOWN-RED.txt and passes: remove its line"
         return report
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
-        for name, why in self.listed.items():
-            terminalreporter.write_line(f"KNOWN-RED {name}: {why}")
+        for test_id, reason in self.listed.items():
+            terminalreporter.write_line(f"KNOWN-RED {test_id}: {reason}")
 
 
 def pytest_configure(config: pytest.Config) -> None:
--- a/tests/support/long_first.py
+++ b/tests/support/long_first.py
@@ -1,8 +1,9 @@
-"""Tests with the mark `long` are each worker's first, so that none is left for the end of a run.
+"""Pytest plugin: each worker starts with its share of the tests marked `long`.
 
-pytest-xdist deals the tests out in as many equal runs as there are workers.  A worker with none
-left takes half of another's, by their number.  It can't take the one that runs nor the next: a
-long one there would keep a single worker busy when all others have ended.
+pytest-xdist divides the tests into as many consecutive runs of equal length as there are workers.
+An idle worker takes over half of the tests that another one has left, by their number, but not the
+one that is running nor the next one.  A long test there, at the end of the suite, would keep one
+worker busy while all others are idle.
 """
 
 from __future__ import annotations
@@ -12,25 +13,27 @@
 import pytest
 
 
-def dealt(items: Sequence[pytest.Item], workers: int) -> list[pytest.Item]:
-    """The items in an order in which each worker's run begins with its share of the long ones.
+def order_long_first(items: Sequence[pytest.Item], workers: int) -> list[pytest.Item]:
+    """The items ordered so that the run of each worker begins with its share of the long tests.
 
-    The others keep their order, and with it what the tests of a module share.
+    The other tests keep their order, so that tests of a module still run together and share its
+    fixtures.
     """
     long = [item for item in items if item.get_closest_marker("long")]
     others = [item for item in items if not item.get_closest_marker("long")]
     order: list[pytest.Item] = []
     for worker in range(workers):
         run = (len(items) - len(order)) // (workers - worker)
-        first = long[workers - 1 - worker :: workers]  # the later runs are the longer ones
-        rest = max(0, run - len(first))
-        order += first + others[:rest]
-        del others[:rest]
+        # The runs of later workers are longer if the items do not divide evenly.
+        run_long = long[workers - 1 - worker :: workers]
+        short_count = max(0, run - len(run_long))
+        order += run_long + others[:short_count]
+        del others[:short_count]
     return order + others
 
 
 @pytest.hookimpl(trylast=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     worker = getattr(config, "workerinput", None)
-    if worker is not None:  # of pytest-xdist
-        items[:] = dealt(items, worker["workercount"])
+    if worker is not None:  # in a worker of pytest-xdist
+        items[:] = order_long_first(items, worker["workercount"])
--- a/tests/support/work.py
+++ b/tests/support/operation_count.py
@@ -1,4 +1,4 @@
-"""How much work a call does, counted and not timed: the same on a busy machine."""
+"""Counts the bytecode operations of a call, a cost that does not depend on the machine's load."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from typing import Any
 
 
-def operations(call: Callable[[], object]) -> int:
-    """Bytecode operations that the call runs, in all functions of Python that it calls."""
+def count_operations(call: Callable[[], object]) -> int:
+    """The bytecode operations of a call, including all Python functions that it calls."""
     count = 0
 
     def trace(frame: FrameType, event: str, argument: Any) -> Any:
@@ -18,10 +18,10 @@
         count += event == "opcode"
         return trace
 
-    before = sys.gettrace()
+    previous = sys.gettrace()
     sys.settrace(trace)
     try:
         call()
     finally:
-        sys.settrace(before)
+        sys.settrace(previous)
     return count
--- a/tests/support/program_without_lag.py
+++ b/tests/support/program_without_lag.py
@@ -1,8 +1,8 @@
-"""The daemon's program with a loop that measures no lag, so that it never refuses for lack of CPU.
+"""The daemon's program without the measurement of event loop lag, so that it never sheds load.
 
-On a busy machine the program is not run for a while, finds itself overloaded and answers `-BUSY`.
-That is right, and tested in `test_own_load.py`.  A test that needs each of its commands to be taken
-runs this program in its place.
+On a busy machine the daemon may get no CPU time for a while; then it measures an overload and
+answers `-BUSY`.  That is correct, and tested in `test_own_load.py`.  Tests that need each of their
+commands to be admitted run this program instead.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def without_lag(selector: TurnSelector) -> Turns:
-    """The selector polls as in service, and nobody reads its times."""
+    """Turns that are not connected to the selector, so that its poll times are not read."""
     return Turns()
 
 
--- a/tests/support/send_times.py
+++ b/tests/support/send_times.py
@@ -1,8 +1,8 @@
-"""When a proxy in this process sent each command to a node, and each final answer.
+"""Records when a proxy in this process sent each command to a node, and each final answer.
 
-What a node reads and what a client reads are told by two tasks; a busy loop may run the later of
-them first.  Whether a proxy sent something after its final answer is told by its own order alone:
-both times are taken here in the proxy's own calls, on one clock.
+The test's node and client read in two tasks, and a busy loop may run the one whose data arrived
+later first.  So their order does not show whether a proxy sent a command after its final answer.
+Both times are therefore taken in the calls of the proxy itself, on one clock.
 """
 
 from __future__ import annotations
@@ -17,82 +17,85 @@
 
 
 class _Sends:
-    """The bytes that went over one connection: where each write began, and when."""
+    """The writes on one connection: the offset of the first byte of each, and its time in s."""
 
     def __init__(self) -> None:
         self.offsets: list[int] = []
-        self.times: list[float | None] = []  # None: the kernel did not take the first byte then
+        self.times: list[
+            float | None
+        ] = []  # None: the kernel did not accept its first byte in that call
         self.length = 0
 
     def add(self, size: int, at: float | None) -> None:
+        """Record a write of `size` bytes."""
         self.offsets.append(self.length)
         self.times.append(at)
         self.length += size
 
     def at(self, offset: int) -> float | None:
-        """When the byte at this offset was sent; None: not known."""
-        place = bisect_right(self.offsets, offset) - 1
-        return self.times[place] if place >= 0 and offset < self.length else None
+        """The time at which the byte at this offset was sent, or None if it is unknown."""
+        index = bisect_right(self.offsets, offset) - 1
+        return self.times[index] if index >= 0 and offset < self.length else None
 
 
 class _TimedStream:
-    """A stream that notes when its writes happen, and is else the one below."""
+    """Wraps a stream and records the times of its writes."""
 
-    def __init__(self, below: Any, loop: asyncio.AbstractEventLoop, times: SendTimes) -> None:
-        self._below, self._loop, self._times = below, loop, times
+    def __init__(self, stream: Any, loop: asyncio.AbstractEventLoop, times: SendTimes) -> None:
+        self._stream, self._loop, self._times = stream, loop, times
         self._sends: _Sends | None = None
 
     def __getattr__(self, name: str) -> Any:
-        return getattr(self._below, name)
+        return getattr(self._stream, name)
 
     def write(self, data: bytes) -> bool:
-        return self._write(len(data), lambda: self._below.write(data))
+        return self._write(len(data), lambda: self._stream.write(data))
 
     def write_all(self, parts: Sequence[bytes]) -> bool:
-        return self._write(sum(map(len, parts)), lambda: self._below.write_all(parts))
+        return self._write(sum(map(len, parts)), lambda: self._stream.write_all(parts))
 
     def _write(self, size: int, write: Callable[[], bool]) -> bool:
-        sends = self._sends = self._sends or self._times.begin(self._below._socket)
-        waiting, at = self._below.unsent, self._loop.time()
-        all_taken = write()
-        begun = not waiting and self._below.unsent < size
-        sends.add(size, at if begun else None)
-        return all_taken
+        sends = self._sends = self._sends or self._times.begin(self._stream._socket)
+        unsent_before, at = self._stream.unsent, self._loop.time()
+        all_accepted = write()
+        first_byte_sent = not unsent_before and self._stream.unsent < size
+        sends.add(size, at if first_byte_sent else None)
+        return all_accepted
 
 
 class SendTimes:
-    """The sends and answers of a proxy, from `watch` on; times are the loop's, in seconds."""
+    """The sends and answers of a proxy after `watch`, with times in s of the event loop."""
 
     def __init__(self) -> None:
         self._all: list[_Sends] = []
         self._by_ports: dict[tuple[int, int], _Sends] = {}
-        self.answered: dict[str, float] = {}  # by the request's id
+        self.answer_times: dict[str, float] = {}  # by request ID
 
     def watch(self, proxy: Proxy, ports: Container[int]) -> None:
-        """Note the proxy's sends to nodes at these ports, and its final answers.
+        """Record the proxy's sends to nodes on these ports, and its final answers.
 
-        To be called before the first request.
+        Must be called before the first request.
         """
         net, connect, answer = proxy._pool._net, proxy._pool._net.connect, proxy._answer
 
-        def timed_connect(address: Address, *arguments: Any, **more: Any) -> Any:
-            stream = connect(address, *arguments, **more)
+        def connect_timed(address: Address, *arguments: Any, **options: Any) -> Any:
+            stream = connect(address, *arguments, **options)
             return _TimedStream(stream, net.loop, self) if address.port in ports else stream
 
-        def timed_answer(request: Any, *parts: bytes | bytearray) -> None:
-            self.answered.setdefault(request.command.id.decode(), net.loop.time())
+        def answer_timed(request: Any, *parts: bytes | bytearray) -> None:
+            self.answer_times.setdefault(request.command.id.decode(), net.loop.time())
             answer(request, *parts)
 
-        net.connect = timed_connect  # type: ignore[method-assign]
-        proxy._answer = timed_answer  # type: ignore[method-assign]
+        net.connect = connect_timed  # type: ignore[method-assign]
+        proxy._answer = answer_timed  # type: ignore[method-assign]
 
     @property
     def sends(self) -> int:
-        """Writes to nodes of which the kernel took the first byte."""
+        """The number of writes to nodes of which the kernel accepted the first byte."""
         return sum(at is not None for sends in self._all for at in sends.times)
 
     def begin(self, sock: Any) -> _Sends:
-        """A new connection's sends, by the proxy's and the node's port."""
+        """Register a new connection, which is identified by the ports of the proxy and the node."""
         sends = _Sends()
         self._all.append(sends)
         if sock is not None:
@@ -100,9 +103,9 @@
         return sends
 
     def sent_at(self, writer: asyncio.StreamWriter, offset: int) -> float:
-        """When the proxy sent this byte of a node's connection; where not known, now.
+        """The time at which the proxy sent the byte at `offset` on a node's connection.
 
-        Now, at which the node has read it, is the latest that it can be.
+        If it is unknown, the current time: the node has read the byte, so it was not sent later.
         """
         ports = writer.get_extra_info("peername")[1], writer.get_extra_info("sockname")[1]
         sends = self._by_ports.get(ports)
--- a/tests/support/stall_free_loop.py
+++ b/tests/support/stall_free_loop.py
@@ -1,12 +1,13 @@
-"""An event loop on real sockets whose clock stands while the machine gives the process no CPU.
+"""An event loop on real sockets whose clock stops while the process gets no CPU time.
 
-For tests that have all peers in one process and judge times between them.  On a busy machine the
-process is not run for a while.  On the machine's clock, deadlines pass in that while and all that
-is due comes at once when it ends.  Then the test judges the machine, not the code under test.
+It is for tests that have all peers in one process and check times between them.  On a busy machine
+the process may not be scheduled for a while.  With the machine's clock deadlines would expire
+during that time, and all timers that are due would fire at once afterwards: the test would check
+the machine and not the code.
 
-Here a poll takes the time that it was asked to wait at most, and the turns between polls take the
-CPU time that they use.  A peer in another process, or a thread, lives by another clock: a test
-with such has no use for this loop.
+On this clock a poll takes at most the time that it was to wait, and an iteration between two polls
+takes the CPU time that it used.  The loop is not suitable for tests with a peer in another process
+or thread, which has another clock.
 """
 
 from __future__ import annotations
@@ -22,36 +23,37 @@
 
 
 class StallFreeSelector(selectors.DefaultSelector):
-    """Counts the time of its polls, each no longer than it was asked to wait."""
+    """Sums the time of its polls, each counted with at most its timeout."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.waited = 0.0  # s
+        self.poll_time_s = 0.0  # s
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        began = time.monotonic()
+        started = time.monotonic()
         ready = super().select(timeout)
-        took = time.monotonic() - began
-        self.waited += took if timeout is None else min(took, max(0.0, timeout))
+        elapsed = time.monotonic() - started
+        self.poll_time_s += elapsed if timeout is None else min(elapsed, max(0.0, timeout))
         return ready
 
 
 class StallFreeLoop(asyncio.SelectorEventLoop):
-    """`time()` is right in the loop's own thread alone."""
+    """An event loop with that clock; `time()` is valid only in the thread of the loop."""
 
     def __init__(self) -> None:
         self._clock = StallFreeSelector()
         super().__init__(self._clock)
 
     def time(self) -> float:
-        return self._clock.waited + time.thread_time()
+        return self._clock.poll_time_s + time.thread_time()
 
 
 def run(main: Coroutine[Any, Any, T]) -> T:
     """As `asyncio.run`, on a `StallFreeLoop`.
 
-    What a worker of the suite holds by now is kept from garbage collection, as the daemon keeps
-    what its start made: one collection of a worker's heap takes 0.1 to 0.3 s of CPU in one turn.
+    Objects that exist before are excluded from garbage collection, as in the daemon after its
+    start: one collection of the heap of a test worker takes 0.1 to 0.3 s of CPU time in one
+    iteration of the loop.
     """
     gc.freeze()
     try:
--- a/tests/support/test_known_red.py
+++ b/tests/support/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt passes over what is listed and fails, and nothing else."""
+"""Tests listed in KNOWN-RED.txt may fail, and no others."""
 
 from __future__ import annotations
 
@@ -48,27 +48,27 @@
 
 
 @pytest.mark.parametrize("workers", ["0", "2"])
-def test_what_is_listed_and_fails_is_passed_over_and_printed(tmp_path: Path, workers: str) -> None:
+def test_a_listed_test_that_fails_is_expected_and_printed(tmp_path: Path, workers: str) -> None:
     both = "test_some.py::test_red | why | 41\ntest_some.py::test_other | too | 42\n"
-    code, told = run(tmp_path, both, "-n", workers)
-    assert code == 0 and "1 passed, 2 xfailed" in told
-    assert "KNOWN-RED test_some.py::test_red: why (41)" in told
-    code, told = run(tmp_path, "test_some.py::test_red | why | 41\n", "-n", workers)
-    assert code == 1 and "1 failed, 1 passed, 1 xfailed" in told
+    status, output = run(tmp_path, both, "-n", workers)
+    assert status == 0 and "1 passed, 2 xfailed" in output
+    assert "KNOWN-RED test_some.py::test_red: why (41)" in output
+    status, output = run(tmp_path, "test_some.py::test_red | why | 41\n", "-n", workers)
+    assert status == 1 and "1 failed, 1 passed, 1 xfailed" in output
 
 
 @pytest.mark.parametrize(
-    ("listed", "said", "code"),
+    ("listed", "message", "status"),
     [
-        ("test_some.py::test_good | why | 41", "passes: take its line out", 1),
+        ("test_some.py::test_good | why | 41", "passes: remove its line", 1),
         ("test_some.py::test_gone | why | 41", "no such test", 4),
         ("test_gone.py::test_red | why | 41", "no such test", 4),
         ("test_some.py::test_red | why", "not `test id", 4),
-        ("\n".join(f"test_some.py::test_{n} | why | 41" for n in range(4)), "3 is the bound", 4),
+        ("\n".join(f"test_some.py::test_{n} | why | 41" for n in range(4)), "the limit is 3", 4),
     ],
 )
-def test_what_is_out_of_date_or_too_much_fails_the_run(
-    tmp_path: Path, listed: str, said: str, code: int
+def test_an_outdated_invalid_or_too_long_list_fails_the_run(
+    tmp_path: Path, listed: str, message: str, status: int
 ) -> None:
-    found, told = run(tmp_path, listed, tests="def test_good():\n    pass\n")
-    assert found == code and said in told
+    exit_status, output = run(tmp_path, listed, tests="def test_good():\n    pass\n")
+    assert exit_status == status and message in output
--- a/tests/support/test_long_first.py
+++ b/tests/support/test_long_first.py
@@ -1,4 +1,4 @@
-"""The order in which workers get the tests."""
+"""The order in which the workers of pytest-xdist get the tests."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.support.long_first import dealt
+from tests.support.long_first import order_long_first
 
 
 @dataclass(frozen=True)
@@ -19,15 +19,15 @@
         return name if self.long and name == "long" else None
 
 
-def made(count: int, long: set[int]) -> list[Any]:
+def make_items(count: int, long: set[int]) -> list[Any]:
     return [Item(number, number in long) for number in range(count)]
 
 
 @pytest.mark.parametrize("workers", [1, 2, 3, 8])
 @pytest.mark.parametrize("long", [set(), {99}, {50, 51, 52, 53, 54, 55, 56}, set(range(100))])
 def test_each_run_begins_with_its_share_and_nothing_is_lost(workers: int, long: set[int]) -> None:
-    items = made(100, long)
-    order: list[Any] = dealt(items, workers)
+    items = make_items(100, long)
+    order: list[Any] = order_long_first(items, workers)
     assert sorted(order, key=lambda item: item.number) == items
     short = [item.number for item in order if not item.long]
     assert short == sorted(short)
@@ -42,5 +42,5 @@
 @pytest.mark.parametrize("count", [0, 1, 5])
 def test_fewer_tests_than_workers(count: int) -> None:
     for long in (set(), {0}, set(range(count))):
-        order: list[Any] = dealt(made(count, long), 8)
+        order: list[Any] = order_long_first(make_items(count, long), 8)
         assert sorted(item.number for item in order) == list(range(count))
--- a/tests/violetroute/membership/test_consul_morning.py
+++ b/tests/violetroute/membership/test_consul_morning.py
@@ -42,7 +42,7 @@
         self.sent_late: list[tuple[str, str, float]] = []  # node, id, s after the final answer
 
     def arrived(self, at: float, node: str, id_: str, sent_at: float) -> None:
-        answered_at = self.times.answered.get(id_)
+        answered_at = self.times.answer_times.get(id_)
         if answered_at is not None and sent_at > answered_at:
             self.sent_late.append((node, id_, sent_at - answered_at))
         self.events.append((at, "arrived", (node, id_, sent_at)))
@@ -171,7 +171,7 @@
         assert checker.violations == []
         assert seen.sent_late == []
         # The answer time is known for nearly all requests.
-        assert len(seen.times.answered) >= 0.95 * crowd.sent
+        assert len(seen.times.answer_times) >= 0.95 * crowd.sent
         assert crowd.count_outcomes()["served"] > 0.95 * crowd.sent
         assert any(what == "node_reported" for _, what, _ in seen.events)
 
--- a/tests/violetroute/sharing/test_sharing_anti_entropy_bytes.py
+++ b/tests/violetroute/sharing/test_sharing_anti_entropy_bytes.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.support.one_member import compared, entries, hears, member, of_kind
-from tests.support.work import operations
+from tests.support.operation_count import count_operations
 from violetroute.sharing import anti_entropy
 from violetroute.sharing.anti_entropy import (
     ANSWER_BYTES,
@@ -142,9 +142,9 @@
         each = size // 16
         costs.append(
             [
-                operations(lambda one=one: one.tick(0.1)),  # type: ignore[misc]
-                operations(lambda one=one: hears(one, 0.1, Compare(1, 200, 1))),  # type: ignore[misc]
-                operations(
+                count_operations(lambda one=one: one.tick(0.1)),  # type: ignore[misc]
+                count_operations(lambda one=one: hears(one, 0.1, Compare(1, 200, 1))),  # type: ignore[misc]
+                count_operations(
                     lambda one=one, each=each: hears(  # type: ignore[misc]
                         one, 0.1, BucketRequest(1, bucket_count(16 * each), 0)
                     )
--- a/tests/violetroute/sharing/test_sharing_cost.py
+++ b/tests/violetroute/sharing/test_sharing_cost.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.support.work import operations
+from tests.support.operation_count import count_operations
 from violetroute.sharing.members import FORGET_S, HELPERS, Members
 from violetroute.sharing.probe import Probe, suspicion_time
 from violetroute.sharing.rumors import MAX_WAITING, RETRANSMIT_FACTOR, RUMORS_PER_DATAGRAM, Rumors
@@ -43,7 +43,7 @@
         members = fleet(count)
         suspect(members, 0.05, count)
         members.tick(0.1)
-        costs.append(operations(lambda members=members: members.tick(0.2)))  # type: ignore[misc]
+        costs.append(count_operations(lambda members=members: members.tick(0.2)))  # type: ignore[misc]
     assert costs[1] <= costs[0] * 1.1
 
 
@@ -55,7 +55,7 @@
             members.receive(0.05, "x", "l", 1, Rumor(f"p{number}", "l", 1, "d", by="x"))
         members.tick(0.1)
         members.up()
-        costs.append(operations(lambda members=members: members.tick(0.2)))  # type: ignore[misc]
+        costs.append(count_operations(lambda members=members: members.tick(0.2)))  # type: ignore[misc]
     assert costs[1] <= costs[0] * 1.1
 
 
@@ -86,7 +86,7 @@
     for count in (SMALL, LARGE):
         members = fleet(count, ("at7", "seed"))
         members.receive(0.05, "x", "l", 1, Rumor("p3", "l", 1, "d", by="x"))
-        costs.append(operations(lambda members=members: members._reconnect(0.1)))  # type: ignore[misc]
+        costs.append(count_operations(lambda members=members: members._reconnect(0.1)))  # type: ignore[misc]
     assert costs[1] <= costs[0] * 1.1
 
 
@@ -97,7 +97,7 @@
         members.up()
         probe = Probe("p7", "l", 1, 0.0, 1.0)
         costs.append(
-            operations(lambda members=members, probe=probe: members._request_helpers(probe))
+            count_operations(lambda members=members, probe=probe: members._request_helpers(probe))
         )  # type: ignore[misc]
     assert costs[1] <= costs[0] * 1.5  # duplicate samples are drawn again
     members = fleet(HELPERS + 1)
@@ -143,7 +143,7 @@
         costs = []
         for count in (SMALL, MAX_WAITING):
             rumors = waiting(count)
-            costs.append(operations(lambda rumors=rumors, work=work: work(rumors)))  # type: ignore[misc]
+            costs.append(count_operations(lambda rumors=rumors, work=work: work(rumors)))  # type: ignore[misc]
         assert costs[1] <= costs[0] * 1.5 + 100  # 100: the cost of evicting another rumor
 
 
--- a/tests/violetroute/sharing/test_sharing_digest.py
+++ b/tests/violetroute/sharing/test_sharing_digest.py
@@ -8,7 +8,7 @@
 import pytest
 
 from limebridge.scale.virtual_members import VirtualMembers
-from tests.support.work import operations
+from tests.support.operation_count import count_operations
 from violetroute.sharing import wire
 from violetroute.sharing.byte_pacer import BytePacer
 from violetroute.sharing.digest import (
@@ -113,7 +113,7 @@
         digests = MemberDigests()
         for number in range(size):
             digests.put(f"p{number}", "x", 1)
-        costs.append(operations(lambda digests=digests: digests.put("p5", "y", 2)))  # type: ignore[misc]
+        costs.append(count_operations(lambda digests=digests: digests.put("p5", "y", 2)))  # type: ignore[misc]
     assert costs[1] <= costs[0] * 1.1
 
 
--- a/tests/violetroute/sharing/test_sharing_node_cost.py
+++ b/tests/violetroute/sharing/test_sharing_node_cost.py
@@ -12,8 +12,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from tests.support.operation_count import count_operations
 from tests.support.plain_node_health import PlainNodeHealth
-from tests.support.work import operations
 from violetroute.sharing.decaying_outcomes import HALF_LIFE_S
 from violetroute.sharing.node_health import NodeHealth
 from violetroute.sharing.wire import HealthReport
@@ -48,7 +48,7 @@
             node_health.unhealthy_nodes(0.5)
             node_health.isolated_members(0.5)
 
-        costs.append(operations(round_))
+        costs.append(count_operations(round_))
     assert costs[1] <= costs[0] * 1.2
 
 
@@ -57,7 +57,9 @@
     for nodes in (SMALL, LARGE):
         node_health = busy(nodes)
         node_health.merge_report(0.0, "x", "a", HealthReport(3, 1, 3.0, 0.0), 0.0)
-        costs.append(operations(lambda node_health=node_health: node_health.forget_member("x")))  # type: ignore[misc]
+        costs.append(
+            count_operations(lambda node_health=node_health: node_health.forget_member("x"))
+        )  # type: ignore[misc]
     assert costs[1] <= costs[0] * 1.2
 
 
--- a/tests/violetroute/sharing/test_sharing_node_memory.py
+++ b/tests/violetroute/sharing/test_sharing_node_memory.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from tests.support.work import operations
+from tests.support.operation_count import count_operations
 from violetroute.sharing.expiry_queue import ExpiryQueue
 from violetroute.sharing.node_health import MAX_EXPIRED_PER_ROUND, MAX_OUTCOME_ROWS, NodeHealth
 from violetroute.sharing.row_lists import NO_ROW, RowLists
@@ -98,7 +98,9 @@
                 report = HealthReport(node, 1, 1.0 + member, 0.0)
                 node_health.merge_report(0.0, f"m{member}", "a", report, 0.0)
         before = kept_reports(node_health)
-        costs.append(operations(lambda node_health=node_health: node_health.unhealthy_nodes(1e6)))  # type: ignore[misc]
+        costs.append(
+            count_operations(lambda node_health=node_health: node_health.unhealthy_nodes(1e6))
+        )  # type: ignore[misc]
         assert 0 < before - kept_reports(node_health) <= MAX_EXPIRED_PER_ROUND
         for _ in range(8 * members // MAX_EXPIRED_PER_ROUND + 8):
             node_health.unhealthy_nodes(1e6)
