--- a/limebridge/faults/distribution/__init__.py
+++ b/limebridge/faults/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Distribution of records under faults: plans, a judge, a simulated world, a rig of processes."""
+"""Fault tests of record distribution: plans, rule checker, simulated world, rig of processes."""
--- a/limebridge/faults/distribution/disk.py
+++ b/limebridge/faults/distribution/disk.py
@@ -1,7 +1,7 @@
 """The disk of a simulated control machine: what is stored, and what a crash loses.
 
-Writes are stored one after another, each some time after it was asked for.  At a crash a random
-number of the first ones that are under way is stored, and of the next one perhaps a part.
+Writes become durable in order, each some time after it was issued.  At a crash, a random number of
+the oldest pending writes is stored, and possibly a part of the next one.
 """
 
 from __future__ import annotations
@@ -25,17 +25,20 @@
 from .checker import LogEntry
 from .simulation import Simulation
 
-LATENCY = (0.001, 0.02)  # s of one write
-SLOW_SHARE = 0.03  # share of writes that take up to SLOW_S
-SLOW_S = 0.4
+WRITE_LATENCY_S = (0.001, 0.02)  # range for one write
+SLOW_WRITE_SHARE = 0.03  # share of the writes that take up to MAX_SLOW_WRITE_S
+MAX_SLOW_WRITE_S = 0.4
 
 
 class InvalidWriteError(Exception):
-    """A change that does not fit what is stored: batches that do not follow the log's end."""
+    """A change that contradicts what is stored.
+
+    A batch that does not follow the end of the log, or a snapshot older than the stored one.
+    """
 
 
 class DiskState:
-    """What is stored durably."""
+    """The durable state of a control machine's disk."""
 
     def __init__(self, log: str, recovering: bool = False) -> None:
         self.log, self.recovering = log, recovering
@@ -54,7 +57,7 @@
         return self.base + len(self.batches)
 
     def apply(self, change: Change) -> None:
-        """Store one change.  Raises WrongWrite."""
+        """Stores one change.  Raises InvalidWriteError."""
         match change:
             case SetPromise(fence, leader):
                 self.fence, self.leader = fence, leader
@@ -74,14 +77,14 @@
             self.batches.append(batch)
 
     def _set_base(self, snapshot: Snapshot) -> None:
-        dropped = snapshot.base.position - self.base
-        if dropped < 0:
+        dropped_count = snapshot.base.position - self.base
+        if dropped_count < 0:
             raise InvalidWriteError(f"the base falls from {self.base} to {snapshot.base.position}")
-        self.batches = self.batches[dropped:]
+        self.batches = self.batches[dropped_count:]
         self.snapshot = snapshot
 
     def stored(self) -> Stored:
-        """What a process that starts now finds."""
+        """The state that a process finds when it starts now."""
         return Stored(
             self.log,
             self.fence,
@@ -92,7 +95,10 @@
         )
 
     def entry_at(self, position: int) -> LogEntry | None:
-        """None: the position is in the snapshot.  Nothing there at all: no keys, fence 0."""
+        """The log entry at a position; None if only the snapshot covers it.
+
+        Beyond the end of the log, an entry without keys and with fence 0.
+        """
         if position <= self.base:
             return None
         if position > self.last:
@@ -101,67 +107,78 @@
 
 
 def torn_change(change: Change) -> Change:
-    """What a crash in the middle of this change may leave: the first of several batches."""
+    """What a crash during this change may store: of appended batches only the first."""
     if isinstance(change, AppendBatches):
         return AppendBatches(change.batches[:1])
     return change
 
 
 def log_entry(batch: Batch) -> LogEntry:
-    """A batch as the judge compares it."""
+    """A batch in the form that the rule checker compares."""
     return LogEntry(batch.position, batch.fence, tuple(record.key for record in batch.records))
 
 
 class Disk:
-    """Takes writes and says when each is durable."""
+    """Stores writes with a random latency and calls back when each is durable."""
 
     def __init__(self, simulation: Simulation, rng: random.Random, log: str) -> None:
         self._simulation, self._rng = simulation, rng
         self.state = DiskState(log)
-        self._writing: deque[Persist] = deque()
+        self._pending_writes: deque[Persist] = deque()
         self._free_at = 0.0
-        self._incarnation_number = 0  # writes of a process that has ended are void
+        self._incarnation_number = 0  # pending writes of an earlier process are dropped
 
     @property
-    def writing(self) -> int:
-        """Writes under way."""
-        return len(self._writing)
-
-    def write(self, persist: Persist, done: Callable[[], None]) -> None:
-        """Store the changes some time from now, after those that were asked for before."""
-        self._writing.append(persist)
-        slow = self._rng.random() < SLOW_SHARE
-        latency = SLOW_S * self._rng.random() if slow else self._rng.uniform(*LATENCY)
+    def pending_writes(self) -> int:
+        """The number of writes that are not durable yet."""
+        return len(self._pending_writes)
+
+    def write(self, persist: Persist, on_durable: Callable[[], None]) -> None:
+        """Stores the changes after a delay and all earlier writes, then calls `on_durable`."""
+        self._pending_writes.append(persist)
+        slow = self._rng.random() < SLOW_WRITE_SHARE
+        latency = (
+            MAX_SLOW_WRITE_S * self._rng.random() if slow else self._rng.uniform(*WRITE_LATENCY_S)
+        )
         self._free_at = max(self._free_at, self._simulation.now) + latency
         incarnation_number = self._incarnation_number
-        self._simulation.at(self._free_at, lambda: self._store(incarnation_number, done))
+        self._simulation.schedule_at(
+            self._free_at, lambda: self._store(incarnation_number, on_durable)
+        )
 
-    def _store(self, incarnation_number: int, done: Callable[[], None]) -> None:
+    def _store(self, incarnation_number: int, on_durable: Callable[[], None]) -> None:
         if incarnation_number != self._incarnation_number:
             return
-        for change in self._writing.popleft().changes:
+        for change in self._pending_writes.popleft().changes:
             self.state.apply(change)
-        done()
+        on_durable()
 
     def crash(self) -> None:
-        """The process ends: some of what was under way is stored, in order."""
+        """Handles the end of the process: some pending writes are stored, in order."""
         self._incarnation_number += 1
         self._free_at = self._simulation.now
-        survive = self._rng.randint(0, len(self._writing))
-        changes = [change for each in list(self._writing)[:survive] for change in each.changes]
-        if survive < len(self._writing):
-            torn = self._writing[survive].changes
-            whole = self._rng.randint(0, len(torn))
-            changes += torn[:whole]
+        durable_count = self._rng.randint(0, len(self._pending_writes))
+        changes = [
+            change
+            for persist in list(self._pending_writes)[:durable_count]
+            for change in persist.changes
+        ]
+        if durable_count < len(self._pending_writes):
+            torn_write = self._pending_writes[durable_count].changes
+            durable_changes = self._rng.randint(0, len(torn_write))
+            changes += torn_write[:durable_changes]
             changes += [
-                torn_change(change) for change in torn[whole : whole + self._rng.randint(0, 1)]
+                torn_change(change)
+                for change in torn_write[
+                    durable_changes : durable_changes + self._rng.randint(0, 1)
+                ]
             ]
-        self._writing.clear()
+        self._pending_writes.clear()
         for change in changes:
             self.state.apply(change)
 
     def lose(self) -> None:
-        """Everything is gone; what stands there now is the operator's replacement."""
+        """Loses everything; the disk is now the operator's empty replacement, in recovery."""
         self._incarnation_number += 1
-        self._writing.clear()
+        self._pending_writes.clear()
         self.state = DiskState(self.state.log, recovering=True)
--- a/limebridge/faults/distribution/plan.py
+++ b/limebridge/faults/distribution/plan.py
@@ -1,4 +1,4 @@
-"""A plan of faults for control machines and proxies: drawn from a seed, TOML, read back."""
+"""Fault plans for control machines and proxies: generated from a seed, written and read as TOML."""
 
 from __future__ import annotations
 
@@ -17,33 +17,34 @@
 MAX_PROXIES = 12
 
 Kind = Literal[
-    # to a control machine
-    "kill",  # the process ends; what is on its disk stays
-    "pause",  # the process stops and goes on; its connections stay
-    "pause_reset",  # the same, and its connections are reset
-    "lose_disk",  # the disk is lost; the operator replaces the machine
-    # to a proxy
+    # a control machine
+    "kill",  # the process is killed; its disk is kept
+    "pause",  # the process is stopped and continued; its connections are kept
+    "pause_reset",  # as "pause", but its connections are reset
+    "lose_disk",  # the disk is lost, and the operator replaces the machine
+    # a proxy
     "kill_proxy",
-    "end_proxy",  # it ends its session, lingers, and is followed by a new process
+    "end_proxy",  # it ends its session, stays up for a while and is replaced by a new process
     "pause_proxy",
-    "twin_proxy",  # a second process of the same name
-    # to links: of one machine with all others, of one proxy, between two parts, of all
+    "twin_proxy",  # a second process with the same name
+    # links: of one machine or one proxy with all others, between two groups, or all
     "cut",
-    "cut_out",  # only what the machine sends
-    "cut_in",  # only what is sent to it
+    "cut_out",  # only messages from the machine
+    "cut_in",  # only messages to the machine
     "cut_proxy",
     "split",
-    "split_out",  # only what the first part sends
-    "split_in",  # only what is sent to it
+    "split_out",  # only messages from the first group
+    "split_in",  # only messages to the first group
     "loss",
-    "storm",  # long delays and copies
-    # to the lease
-    "second_leader",  # another machine is given the lease; the first is not told
-    "no_leader",
-    "forget_fences",  # the store starts again with low fences
-    # to what is published
+    "storm",  # long delays and duplicate requests
+    # the lease
+    "second_leader",  # another machine is granted the lease; the first is notified late
+    "no_leader",  # no machine is granted the lease
+    "forget_fences",  # the store restarts from fence 0
+    # publications
     "burst",
 ]
+# The kinds from which faults are drawn; a kind that occurs more often is more likely.
 KINDS: tuple[Kind, ...] = (
     "kill",
     "kill",
@@ -75,16 +76,16 @@
 )
 
 
-# Rates of the simulated clocks.  "any": each within the drift, half of them at its ends.  "apart":
-# those of the control machines as fast as they may be, those of the proxies as slow.
+# Rates of the simulated clocks.  "any": each within the drift, half of them at a limit of it.
+# "apart": those of control machines at the fastest rate, those of proxies at the slowest.
 Clocks = Literal["any", "apart"]
 
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`at` s after the start, to the `who`th machine or proxy, for `seconds`.
+    """A fault `at` s after the start, of machine or proxy number `who`, that lasts `seconds`.
 
-    "split" parts the first `who` + 1 machines, and every second proxy, from the rest; "split_out"
-    and "split_in" do so one way.
+    "split" separates the first `who` + 1 machines and every second proxy from the rest; "split_out"
+    and "split_in" do so in one direction.
     """
 
     at: Seconds
@@ -94,7 +95,7 @@
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One run.  `seconds` with faults; what comes after is the healing."""
+    """The parameters of one run.  `seconds` is the time with faults, which are undone after it."""
 
     seed: int = 0
     seconds: Seconds = 8.0
@@ -102,22 +103,23 @@
     proxies: Annotated[int, msgspec.Meta(ge=1, le=MAX_PROXIES)] = 4
     stale_after_s: Annotated[float, msgspec.Meta(ge=0.2, le=60.0)] = 1.0
     publications_per_s: Annotated[float, msgspec.Meta(gt=0.0, le=1000.0)] = 6.0
-    keep_s: Annotated[float, msgspec.Meta(ge=0.0, le=1e6)] = 3600.0  # for which batches are kept
+    keep_s: Annotated[float, msgspec.Meta(ge=0.0, le=1e6)] = 3600.0  # retention of batches
     clocks: Clocks = "any"
     fault: list[Fault] = []
 
 
 @dataclass(frozen=True)
 class FaultProfile:
-    """Faults that lead to one kind of situation.
+    """Ranges of plan parameters that together lead to one type of situation.
 
-    `keep_s`: for which batches are kept.  A fault lasts about one of `lasts`, in s.
+    `faults` is the range of their number, `durations` their approximate lengths in s, and `keep_s`
+    the retention of batches in s.
     """
 
     kinds: tuple[Kind, ...]
     keep_s: float = 3600.0
     faults: tuple[int, int] = (2, 8)
-    lasts: tuple[float, ...] = (0.2, 0.6, 1.5, 3.0)
+    durations: tuple[float, ...] = (0.2, 0.6, 1.5, 3.0)
     stale_after_s: tuple[float, ...] = (0.8, 1.0, 2.0)
     clocks: Clocks = "any"
 
@@ -161,13 +163,14 @@
         keep_s=0.3,
         faults=(3, 6),
     ),
-    # A proxy is fresh for at most stale_after_s of its clock since an answer that is some tenths of
-    # a second old.  Clocks alone delay that by 10% of stale_after_s at most, which shows only where
-    # it is longer than the age of the answer: stale_after_s is that long here, a cut even longer.
+    # A proxy is fresh for at most stale_after_s of its clock, counted from a reply whose data is
+    # some tenths of a second old.  Clock drift extends this by at most 10% of stale_after_s.  A
+    # missing correction is detected only if that is longer than the age of the data, so
+    # stale_after_s is long here and the cuts last longer than it.
     FaultProfile(
         ("cut_proxy", "cut_proxy", "cut_proxy", "split", "cut_in", "cut_out"),
         faults=(3, 6),
-        lasts=(10.0,),
+        durations=(10.0,),
         stale_after_s=(6.0,),
         clocks="apart",
     ),
@@ -175,34 +178,37 @@
 
 
 def generate(seed: int) -> Plan:
-    """The plan of a seed."""
+    """Returns the plan of a seed."""
     rng = random.Random(f"distribution/{seed}")
-    theme = rng.choice(FAULT_PROFILES)
+    profile = rng.choice(FAULT_PROFILES)
     machines, proxies = rng.choice((3, 3, 5)), rng.randint(4, 8)
     seconds = rng.uniform(5.0, 10.0)
     faults = generate_faults(
         rng,
         Fault,
-        count=rng.randint(*theme.faults),
+        count=rng.randint(*profile.faults),
         since=1.0,
         until=seconds,
-        kinds=theme.kinds,
+        kinds=profile.kinds,
         targets=MAX_PROXIES,
-        durations=theme.lasts,
+        durations=profile.durations,
     )
     return Plan(
         seed,
         round(seconds, 3),
         machines,
         proxies,
-        rng.choice(theme.stale_after_s),
+        rng.choice(profile.stale_after_s),
         rng.choice((3.0, 6.0, 12.0)),
-        theme.keep_s,
-        theme.clocks,
+        profile.keep_s,
+        profile.clocks,
         faults,
     )
 
 
 def read(path: Path) -> Plan:
-    """The plan of a TOML file.  Raises ConfigError, one line with the key, for anything else."""
+    """Reads a plan from a TOML file.
+
+    Raises ConfigError with a one-line message that names the key.
+    """
     return read_as(path, Plan)
--- a/limebridge/faults/distribution/processes.py
+++ b/limebridge/faults/distribution/processes.py
@@ -1,4 +1,4 @@
-"""Simulated processes: a clock of its own rate, an end, a pause, and what waits meanwhile."""
+"""Simulated processes: clocks with their own rates, crashes, and events deferred by a pause."""
 
 from __future__ import annotations
 
@@ -8,107 +8,110 @@
 
 from .simulation import Simulation
 
-CLOCK_ERROR_S = 1e-6  # a timer never fires before its time by the process's clock
+TIMER_ROUNDING_S = 1e-6  # added so that no timer fires early by the process's clock
 
 
 @dataclass(frozen=True)
 class ProcessClock:
-    """A monotonic clock: `offset` at the start, `rate` seconds a second of the world."""
+    """A monotonic clock with `offset` s at the start and `rate` s per second of simulated time."""
 
     offset: float
     rate: float
 
     def read(self, world_now: float) -> float:
-        """What the process reads at this instant of the world."""
+        """The reading of the clock at this simulated time."""
         return self.offset + self.rate * world_now
 
     def world_time(self, reading: float) -> float:
-        """When the clock shows this."""
+        """The simulated time at which the clock has this reading."""
         return (reading - self.offset) / self.rate
 
-    def world_span(self, seconds: float) -> float:
-        """How long a wait of so many seconds of this clock takes."""
+    def world_duration(self, seconds: float) -> float:
+        """The simulated duration of so many seconds of this clock."""
         return seconds / self.rate
 
 
 class Process:
-    """One process after another of one name.  Events reach only the one they were meant for."""
+    """A named process and its restarts, numbered by `incarnation_number`.
+
+    An event that was scheduled for one incarnation never reaches a later one.
+    """
 
     def __init__(self, simulation: Simulation, name: str, clock: ProcessClock) -> None:
         self.simulation, self.name, self.clock = simulation, name, clock
         self.up = False
         self.incarnation_number = 0
         self._pauses = 0
-        self._held: deque[Callable[[], None]] = deque()
-        self._wake_at = float("inf")
+        self._deferred: deque[Callable[[], None]] = deque()
+        self._next_wake_at = float("inf")
 
     @property
     def now(self) -> float:
-        """The process's own clock."""
+        """The current reading of the process's own clock."""
         return self.clock.read(self.simulation.now)
 
     @property
     def paused(self) -> bool:
-        """Whether it is stopped (SIGSTOP)."""
+        """Whether it is stopped, as by SIGSTOP."""
         return self._pauses > 0
 
     @property
     def running(self) -> bool:
-        """Up and not paused."""
+        """Whether it is up and not paused."""
         return self.up and not self.paused
 
     def start(self) -> None:
-        """Run a new process of this name."""
+        """Starts a new incarnation and schedules its first event."""
         raise NotImplementedError
 
-    def begin(self) -> None:
-        """A new process of this name."""
+    def begin_incarnation(self) -> None:
+        """Resets the state of the process for a new incarnation."""
         self.up = True
         self.incarnation_number += 1
         self._pauses = 0
-        self._held.clear()
-        self._wake_at = float("inf")
+        self._deferred.clear()
+        self._next_wake_at = float("inf")
 
-    def end(self) -> None:
-        """The process is killed; whatever was meant for it is void."""
+    def end_incarnation(self) -> None:
+        """Marks the process as ended and drops its deferred events."""
         self.up = False
-        self._held.clear()
+        self._deferred.clear()
 
     def deliver(self, event: Callable[[], None]) -> None:
-        """Let the process handle an event: now, or once its pause is over."""
+        """Runs an event now, or after the current pause; drops it if the process is down."""
         if not self.up:
             return
         if self.paused:
-            self._held.append(event)
+            self._deferred.append(event)
             return
         event()
 
     def for_current_process(self, event: Callable[[], None]) -> Callable[[], None]:
-        """The event for the process that runs now; nothing for a later one."""
+        """Wraps an event so that it is delivered to the current incarnation only."""
         incarnation_number = self.incarnation_number
 
-        def guarded() -> None:
+        def run_if_current() -> None:
             if incarnation_number == self.incarnation_number:
                 self.deliver(event)
 
-        return guarded
+        return run_if_current
 
     def pause(self) -> None:
-        """Nothing is handled from now on.  Pauses may overlap."""
+        """Defers all events from now on.  Pauses may overlap."""
         self._pauses += 1
 
     def resume(self) -> None:
-        """Undo one pause; after the last one everything that waited is handled in order."""
+        """Undoes one pause; after the last one the deferred events run in order."""
         self._pauses = max(0, self._pauses - 1)
-        while self._held and self.running:
-            self._held.popleft()()
+        while self._deferred and self.running:
+            self._deferred.popleft()()
 
-    def wake(self, at: float, event: Callable[[], None]) -> None:
-        """Call `event` when the process's clock has passed `at`, unless one is planned earlier."""
+    def schedule_wake(self, at: float, event: Callable[[], None]) -> None:
+        """Schedules `event` for `at` on the process's clock, unless an earlier one is scheduled."""
         if at == float("inf"):
             return
-        when = max(self.clock.world_time(at), self.simulation.now) + CLOCK_ERROR_S
-        if self._wake_at <= when and self._wake_at > self.simulation.now:
+        when = max(self.clock.world_time(at), self.simulation.now) + TIMER_ROUNDING_S
+        if self._next_wake_at <= when and self._next_wake_at > self.simulation.now:
             return
-        self._wake_at = when
-        self.simulation.at(when, self.for_current_process(event))
+        self._next_wake_at = when
+        self.simulation.schedule_at(when, self.for_current_process(event))
--- a/limebridge/faults/distribution/publisher.py
+++ b/limebridge/faults/distribution/publisher.py
@@ -1,4 +1,4 @@
-"""The callers that publish in the simulated world, and what they are answered."""
+"""The clients that publish in the simulated world, and the replies that they get."""
 
 from __future__ import annotations
 
@@ -24,68 +24,75 @@
 NAME = "caller"
 TIMEOUT_S = 3.0
 RETRY_S = 0.2
-TRIES_AT_MOST = 40
-BURST = 30
-LAST = "last"  # key of the publication after the healing
+MAX_ATTEMPTS = 40
+BURST_SIZE = 30
+LAST_KEY = "last"  # key of the publication that is sent after all faults were undone
 
 
 @dataclass
-class Attempt:
-    """One publication that is under way."""
+class PendingPublication:
+    """A publication that is not committed yet; `to` is the machine to which it is sent."""
 
     id: str
     keys: tuple[str, ...]
-    tries: int = 0
+    attempts: int = 0
     to: str = ""
     exchange: Exchange | None = None
 
 
 class Publisher(Process):
-    """Publishes at a random rate, and asks again where it was not answered."""
+    """Publishes at random times.
+
+    A publication is retried up to MAX_ATTEMPTS times, until it is committed or the reply says that
+    its outcome is unknown.
+    """
 
     def __init__(self, world: World) -> None:
         super().__init__(world.simulation, NAME, ProcessClock(0.0, 1.0))
         self.world = world
         self._rng = random.Random(f"publisher/{world.plan.seed}")
         self._count = 0
-        self.last_position = 0  # of the publication after the healing, once it is committed
+        self.last_position = 0  # of the publication with LAST_KEY, once it is committed; else 0
         self.committed = 0
 
     def start(self) -> None:
-        """Publish from now on."""
-        self.begin()
-        self._next()
+        """Starts to publish at the plan's average rate."""
+        self.begin_incarnation()
+        self._publish_next()
 
-    def _next(self) -> None:
+    def _publish_next(self) -> None:
         self.publish()
-        wait = self._rng.expovariate(self.world.plan.publications_per_s)
-        self.simulation.after(wait, self._next)
+        delay = self._rng.expovariate(self.world.plan.publications_per_s)
+        self.simulation.schedule_after(delay, self._publish_next)
 
     def publish(self) -> None:
-        """One publication of one to three records."""
+        """Sends a publication of one or three records."""
         self._count += 1
         count = self._rng.choice((1, 1, 1, 3))
         keys = tuple(f"k{self._count}.{number}" for number in range(count))
-        self._try(Attempt(f"id{self._count}", keys))
+        self._send(PendingPublication(f"id{self._count}", keys))
 
     def burst(self) -> None:
-        """Many publications at once."""
-        for _ in range(BURST):
+        """Sends BURST_SIZE publications at once."""
+        for _ in range(BURST_SIZE):
             self.publish()
 
     def publish_last(self) -> None:
-        """The publication by which it is seen that all goes on."""
-        self._try(Attempt("id-last", (LAST,)))
-
-    def _try(self, attempt: Attempt) -> None:
-        attempt.tries += 1
-        attempt.to = attempt.to or self._rng.choice(self.world.controls).name
-        records = tuple(self._record(key) for key in attempt.keys)
-        publish = Publish(attempt.id, records)
-        exchange = attempt.exchange = self.world.network.request(
-            NAME, attempt.to, publish, lambda reply: self._answered(attempt, reply)
+        """Sends the publication whose commit shows that the machines have recovered.
+
+        Unlike others, it is retried without limit and after every reply but COMMITTED.
+        """
+        self._send(PendingPublication("id-last", (LAST_KEY,)))
+
+    def _send(self, publication: PendingPublication) -> None:
+        publication.attempts += 1
+        publication.to = publication.to or self._rng.choice(self.world.controls).name
+        records = tuple(self._record(key) for key in publication.keys)
+        publish = Publish(publication.id, records)
+        exchange = publication.exchange = self.world.network.request(
+            NAME, publication.to, publish, lambda reply: self._replied(publication, reply)
         )
-        self.simulation.after(TIMEOUT_S, lambda: self._timed_out(attempt, exchange))
+        self.simulation.schedule_after(TIMEOUT_S, lambda: self._timed_out(publication, exchange))
 
     @staticmethod
     def _record(key: str) -> Record:
@@ -93,30 +100,30 @@
             return Record(Topic.CONFIGURATION, key, b"text")
         return Record(Topic.PURGE, key)
 
-    def _timed_out(self, attempt: Attempt, exchange: Exchange) -> None:
+    def _timed_out(self, publication: PendingPublication, exchange: Exchange) -> None:
         if exchange.open:
             self.world.network.abandon(exchange)
-            self._answered(attempt, None)
+            self._replied(publication, None)
 
-    def _answered(self, attempt: Attempt, reply: Message | None) -> None:
-        attempt.to = ""
+    def _replied(self, publication: PendingPublication, reply: Message | None) -> None:
+        publication.to = ""
         if isinstance(reply, Published):
             if reply.status == PublishStatus.COMMITTED:
-                self._committed(attempt, reply)
+                self._committed(publication, reply)
                 return
-            if reply.status == PublishStatus.UNKNOWN and attempt.keys != (LAST,):
+            if reply.status == PublishStatus.UNKNOWN and publication.keys != (LAST_KEY,):
                 return
             if reply.status == PublishStatus.NOT_LEADER:
-                attempt.to = reply.leader
-        if attempt.to not in self.world.network.endpoints:
-            attempt.to = ""
-        if attempt.tries < TRIES_AT_MOST or attempt.keys == (LAST,):
-            self.simulation.after(RETRY_S, lambda: self._try(attempt))
+                publication.to = reply.leader
+        if publication.to not in self.world.network.endpoints:
+            publication.to = ""
+        if publication.attempts < MAX_ATTEMPTS or publication.keys == (LAST_KEY,):
+            self.simulation.schedule_after(RETRY_S, lambda: self._send(publication))
 
-    def _committed(self, attempt: Attempt, reply: Published) -> None:
+    def _committed(self, publication: PendingPublication, reply: Published) -> None:
         self.committed += 1
         now = self.simulation.now
-        self.world.note(f"{' '.join(attempt.keys)} is committed at {reply.position}")
-        self.world.checker.publication_committed(now, reply.position, reply.fence, attempt.keys)
-        if attempt.keys == (LAST,):
+        self.world.note(f"{' '.join(publication.keys)} is committed at {reply.position}")
+        self.world.checker.publication_committed(now, reply.position, reply.fence, publication.keys)
+        if publication.keys == (LAST_KEY,):
             self.last_position = reply.position
--- a/limebridge/faults/distribution/world.py
+++ b/limebridge/faults/distribution/world.py
@@ -1,9 +1,9 @@
-"""A simulated world of control machines and proxies; one plan, exact from its seed.
+"""A simulated world of control machines and proxies, which runs one plan reproducibly.
 
-The deciding code is the real one (`Machine`, `Subscriber`).  Simulated are the clocks, which run at
-rates of their own within the stated drift, the network, the disks, the lease and the callers that
-publish.  A judge sees what callers, leaders and proxies say, and an observer asks all of them many
-times a second without disturbing anything.
+The decisions are made by the real code (`Machine`, `Subscriber`).  The clocks, which run at their
+own rates within the stated drift, the network, the disks, the lease and the publishing clients are
+simulated.  A rule checker gets the replies to publications and what leaders and proxies report.
+The machines and proxies are queried many times a second, which does not disturb the run.
 """
 
 from __future__ import annotations
@@ -29,16 +29,20 @@
 
 DRIFT = 0.05
 LOG = "log-1"
-LOOK_S = 0.05  # between two looks at everything
-WALL_ERRORS_S = (0.0, 600.0)  # by which wall clocks are wrong at most, one of them a run
-RETAIN_EVERY_S = 0.7
-HEAL_WITHIN_S = 25.0  # after the last fault everything goes on within this time
+OBSERVE_INTERVAL_S = 0.05
+MAX_WALL_CLOCK_ERRORS_S = (0.0, 600.0)  # a run draws one of them as bound on wall clock errors
+RETENTION_INTERVAL_S = 0.7
+HEAL_TIMEOUT_S = 25.0  # for recovery after all faults were undone
 REGIONS = ("north", "south", "west")
-NOTES_AT_MOST = 20_000
+MAX_NOTES = 20_000
 
 
 class World:
-    """One run of a plan."""
+    """One run of a plan.
+
+    `notes` are the lines of its trace with their times, `healed_after_s` the time from the undoing
+    of all faults until everything had caught up.
+    """
 
     log = LOG
 
@@ -51,18 +55,20 @@
         self._rng = random.Random(f"world/{plan.seed}")
         self.network = Network(self.simulation, random.Random(f"network/{plan.seed}"))
         names = tuple(f"m{number}" for number in range(plan.machines))
-        wall_error_s = self._rng.choice(WALL_ERRORS_S)
-        self._unix_offsets = {name: self._rng.uniform(-1, 1) * wall_error_s for name in names}
+        max_wall_clock_error_s = self._rng.choice(MAX_WALL_CLOCK_ERRORS_S)
+        self._unix_offsets = {
+            name: self._rng.uniform(-1, 1) * max_wall_clock_error_s for name in names
+        }
         self.controls = [
             ControlProcess(self, self._settings(n, names), self._clock(1.0 + DRIFT)) for n in names
         ]
         self.proxies = [self._proxy(number, names) for number in range(plan.proxies)]
-        self.network.endpoints.update({each.name: each for each in self.controls})
+        self.network.endpoints.update({process.name: process for process in self.controls})
         self.lease = LeaseStore(self.simulation, random.Random(f"lease/{plan.seed}"), self.controls)
         self.publisher = Publisher(self)
         self.faults = Faults(self)
         self.healed_after_s = 0.0
-        self._twins = 0
+        self._duplicate_count = 0
 
     def _settings(self, name: str, names: tuple[str, ...]) -> MachineSettings:
         return MachineSettings(
@@ -76,7 +82,7 @@
             stale_after_s=self.plan.stale_after_s,
             drift=DRIFT,
             keep_s=self.plan.keep_s,
-            retention_interval_s=RETAIN_EVERY_S,
+            retention_interval_s=RETENTION_INTERVAL_S,
             poll_hold_s=0.2,
             spread_s=0.05,
             report_s=0.05,
@@ -85,7 +91,7 @@
 
     def _proxy(self, number: int, names: tuple[str, ...]) -> ProxyProcess:
         controls = tuple(
-            ControlEndpoint(name, REGIONS[place % len(REGIONS)]) for place, name in enumerate(names)
+            ControlEndpoint(name, REGIONS[index % len(REGIONS)]) for index, name in enumerate(names)
         )
         settings = SubscriberSettings(
             f"p{number}",
@@ -99,58 +105,61 @@
         return ProxyProcess(self, settings, self._clock(1.0 - DRIFT))
 
     def start_duplicate(self, proxy: ProxyProcess) -> Callable[[], None]:
-        """A second process of this proxy's name; what ends it."""
-        self._twins += 1
-        process = f"{proxy.name}-twin{self._twins}"
-        twin = ProxyProcess(self, proxy.settings, self._clock(1.0 - DRIFT), process)
-        self.proxies.append(twin)
-        twin.start()
+        """Starts a second process with this proxy's name; returns a function that ends it."""
+        self._duplicate_count += 1
+        process = f"{proxy.name}-twin{self._duplicate_count}"
+        duplicate = ProxyProcess(self, proxy.settings, self._clock(1.0 - DRIFT), process)
+        self.proxies.append(duplicate)
+        duplicate.start()
 
         def end() -> None:
-            twin.kill()
-            self.proxies.remove(twin)
+            duplicate.kill()
+            self.proxies.remove(duplicate)
 
         return end
 
-    def _clock(self, rate_apart: float) -> ProcessClock:
-        """Half of the clocks are as slow or as fast as they may be; all, where the plan says so."""
-        between = self._rng.uniform(1.0 - DRIFT, 1.0 + DRIFT)
-        rate = self._rng.choice((1.0 - DRIFT, 1.0 + DRIFT, between, between))
+    def _clock(self, extreme_rate: float) -> ProcessClock:
+        """A clock within the drift: half of the clocks run at one of its limits.
+
+        If the plan's clocks are "apart", all run at `extreme_rate`.
+        """
+        random_rate = self._rng.uniform(1.0 - DRIFT, 1.0 + DRIFT)
+        rate = self._rng.choice((1.0 - DRIFT, 1.0 + DRIFT, random_rate, random_rate))
         if self.plan.clocks == "apart":
-            rate = rate_apart
+            rate = extreme_rate
         return ProcessClock(self._rng.uniform(0.0, 1e5), rate)
 
     def unix_offset(self, name: str) -> float:
-        """Unix time at this instant, as wrong as this machine's wall clock is."""
+        """Unix time now by this machine's wall clock, which has a constant error in each run."""
         return 1.7e9 + self.simulation.now + self._unix_offsets[name]
 
     # --- one run ---
     def run(self) -> None:
-        """Faults, healing, and the judgement of the end."""
+        """Runs the faults, undoes them, waits for recovery and checks the final state."""
         for process in (*self.controls, *self.proxies):
             process.start()
         self.lease.start()
         self.publisher.start()
-        self._look()
+        self._observe_periodically()
         for fault in self.plan.fault:
-            self.simulation.at(fault.at, self.faults.event(fault))
+            self.simulation.schedule_at(fault.at, self.faults.event(fault))
         self.simulation.run_until(self.plan.seconds)
         self.faults.heal()
         self.note("healed")
         self.publisher.publish_last()
         healed_at = self.simulation.now
-        self.simulation.run_until(healed_at + HEAL_WITHIN_S, lambda: not self._missing())
+        self.simulation.run_until(healed_at + HEAL_TIMEOUT_S, lambda: not self._unmet_goal())
         self.healed_after_s = self.simulation.now - healed_at
-        if missing := self._missing():
+        if unmet_goal := self._unmet_goal():
             self.checker.report_violation(
-                Rule.PROGRESS, f"{HEAL_WITHIN_S:g} s after the healing: {missing}"
+                Rule.PROGRESS, f"no recovery within {HEAL_TIMEOUT_S:g} s: {unmet_goal}"
             )
-        self._look_once()
-        fresh = [(each.name, each.incarnation) for each in self.proxies if each.fresh()]
+        self._observe()
+        fresh = [(proxy.name, proxy.incarnation) for proxy in self.proxies if proxy.fresh()]
         self.checker.finish(self.publisher.last_position, fresh)
 
-    def _missing(self) -> str:
-        """What has not gone on yet; "" once everything has."""
+    def _unmet_goal(self) -> str:
+        """The first condition of recovery that is not met yet; "" once all are."""
         last = self.publisher.last_position
         if not last:
             return "the last publication is not committed"
@@ -164,29 +173,29 @@
                 return f"{control.name} still recovers"
         return ""
 
-    # --- what is seen ---
-    def _look(self) -> None:
-        self._look_once()
-        self.simulation.after(LOOK_S, self._look)
+    # --- observations ---
+    def _observe_periodically(self) -> None:
+        self._observe()
+        self.simulation.schedule_after(OBSERVE_INTERVAL_S, self._observe_periodically)
 
-    def _look_once(self) -> None:
+    def _observe(self) -> None:
         now = self.simulation.now
         for control in self.controls:
             status = control.status()
             if status is not None and status.leader == control.name:
-                self._leader_seen(control, status)
-            if grown := control.too_much(len(self.proxies) + len(self.controls)):
-                self.checker.report_violation(Rule.BOUNDED, f"at {now:.3f} {grown}")
+                self._observe_leader(control, status)
+            if exceeded := control.exceeded_limit(len(self.proxies) + len(self.controls)):
+                self.checker.report_violation(Rule.BOUNDED, f"at {now:.3f} {exceeded}")
         for proxy in self.proxies:
             if proxy.up:
                 self.checker.proxy_observed(
                     now, proxy.name, proxy.incarnation, proxy.fresh(), proxy.position
                 )
 
-    def _leader_seen(self, control: ControlProcess, status: StatusReply) -> None:
+    def _observe_leader(self, control: ControlProcess, status: StatusReply) -> None:
         now, state = self.simulation.now, control.disk.state
-        own = state.entry_at(status.commit)
-        if own is not None and own.fence == status.fence:
+        own_entry = state.entry_at(status.commit)
+        if own_entry is not None and own_entry.fence == status.fence:
             self.checker.commit_observed(now, status.commit)
             self.checker.leader_observed(
                 now, control.name, status.fence, status.commit, state.entry_at
@@ -195,24 +204,27 @@
             self.note(f"  {control.name} of fence {status.fence}: {status.in_force} is in force")
             self.checker.in_force_reported(now, status.in_force)
 
-    def applied(self, proxy: ProxyProcess, content: LogEntry) -> None:
-        """A proxy has applied a batch."""
-        keys = " ".join(content.keys)
-        self.note(f"  {proxy.name} applies {content.position} of fence {content.fence} {keys}")
-        self.checker.batch_applied(self.simulation.now, proxy.name, proxy.incarnation, content)
+    def on_batch_applied(self, proxy: ProxyProcess, entry: LogEntry) -> None:
+        """Notes and checks a batch that a proxy applied."""
+        keys = " ".join(entry.keys)
+        self.note(f"  {proxy.name} applies {entry.position} of fence {entry.fence} {keys}")
+        self.checker.batch_applied(self.simulation.now, proxy.name, proxy.incarnation, entry)
 
-    def voided(self, proxy: ProxyProcess, base: int) -> None:
-        """A proxy has voided everything."""
+    def on_invalidated(self, proxy: ProxyProcess, base: int) -> None:
+        """Notes and checks that a proxy invalidated its cache and continues after `base`."""
         self.note(f"  {proxy.name} voids everything and goes on behind {base}")
         self.checker.all_invalidated(self.simulation.now, proxy.name, proxy.incarnation, base)
 
-    def note(self, what: str) -> None:
-        """A line of the story, which is digested too."""
-        self._digest.update(f"{self.simulation.now:.6f} {what}\n".encode())
-        if len(self.notes) < NOTES_AT_MOST:
-            self.notes.append((self.simulation.now, what))
+    def note(self, message: str) -> None:
+        """Appends a line to the trace and adds it to the digest.
+
+        The trace keeps MAX_NOTES lines; the digest covers all of them.
+        """
+        self._digest.update(f"{self.simulation.now:.6f} {message}\n".encode())
+        if len(self.notes) < MAX_NOTES:
+            self.notes.append((self.simulation.now, message))
 
     @property
     def digest(self) -> str:
-        """Of everything that was noted."""
+        """Hash of all notes, to compare runs of the same plan."""
         return self._digest.hexdigest()
--- a/limebridge/scale/in_force_check.py
+++ b/limebridge/scale/in_force_check.py
@@ -14,7 +14,7 @@
 from .run_report import EarlyReport, InForceCheck, Percentiles, delay_percentiles
 
 MAX_EXAMPLES = 5  # early reports that are listed in the result
-MAX_PAIRS = 5_000_000  # about the most pairs of proxy and record in one percentile
+MAX_PAIRS = 5_000_000  # approximate upper bound of the (proxy, record) pairs in a percentile
 
 
 class PublicationDelays:
--- a/limebridge/scale/links.py
+++ b/limebridge/scale/links.py
@@ -111,7 +111,7 @@
 
 
 def region_of_host(host: str) -> int:
-    """The region of an address made by `loopback_host`; -1 for any other address."""
+    """The region that `loopback_host` encoded in an address; -1 if it has none."""
     first, _, rest = host.partition(".")
     second, _, _ = rest.partition(".")
     if first != "127" or not second.isdecimal():
--- a/limebridge/scale/run_command.py
+++ b/limebridge/scale/run_command.py
@@ -84,8 +84,7 @@
 ) -> None:
     """Run hollow and real proxies with their control machines, and report by role.
 
-    Exit status 2 if the arguments are invalid or the run is too large for this machine, 1 if a
-    process failed, 130 after Ctrl-C.
+    Exit status 1 if a process failed, 2 for an invalid or too large run, 130 after Ctrl-C.
     """
     plan = RunPlan(
         proxies=proxies,
--- a/limebridge/scale/run_report.py
+++ b/limebridge/scale/run_report.py
@@ -90,13 +90,13 @@
 class InForceCheck(msgspec.Struct, frozen=True, kw_only=True):
     """Compares the leader's reports of positions in force with what the proxies applied.
 
-    Counts are of positions of the committed publications.
+    The counts are of log positions of committed publications.
     """
 
-    positions: int  # all of them
-    never_reported: int  # not reported in force until the end of the run
-    never_applied: int  # not applied by every proxy until the end of the run
-    early: int  # reported in force before each proxy had applied it or was stale
+    positions: int  # all such positions
+    never_reported: int  # positions that were not reported in force before the end of the run
+    never_applied: int  # positions that some proxy had not applied at the end of the run
+    early: int  # positions reported in force before each proxy had applied them or was stale
     worst_early_s: float  # longest time from an early report until the last proxy applied it
     examples: tuple[EarlyReport, ...] = ()
 
--- a/limebridge/scale/traffic.py
+++ b/limebridge/scale/traffic.py
@@ -240,7 +240,7 @@
         return len(data)
 
     def _send_delayed(self, data: bytes, address: tuple[Any, ...]) -> None:
-        with contextlib.suppress(OSError):  # this socket or the receiver's was closed meanwhile
+        with contextlib.suppress(OSError):  # the socket or its receiver was closed during the delay
             super().sendto(data, *address)
 
     def recvfrom(self, bufsize: int, flags: int = 0) -> tuple[bytes, Any]:
