--- a/limebridge/faults/__init__.py
+++ b/limebridge/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Several processes of the program, and what breaks between them."""
+"""Tests of several daemon processes under faults: real, simulated and model-checked ones."""
--- a/limebridge/faults/budgets.py
+++ b/limebridge/faults/budgets.py
@@ -68,7 +68,7 @@
 
     - ("time",): the clock advances by STEP;
     - ("ask", index, other, amount): `index` requests a loan from `other`;
-    - ("give up", index, other): `index` stops waiting for the answer of `other`;
+    - ("give up", index, other): `index` stops waiting for the answers to all its requests;
     - ("back", index, other): `index` returns what it borrowed from `other`;
     - ("hear", message): a message is delivered;
     - ("crash", index): the process crashes and restarts at once.
@@ -152,7 +152,7 @@
         self._send(Message("ask", incarnation, f"p{other}", number, amount, incarnation))
 
     def _give_up(self, index: int, other: int) -> None:
-        """Stop waiting for an answer."""
+        """Stop waiting for the answers to all requests of the process."""
         self.loans[index].drop_overdue(self.clock(index), 0.0)
 
     def _back(self, index: int, other: int) -> None:
@@ -243,7 +243,7 @@
         return self.copy()
 
     def liveness_violation(self) -> str:
-        """ "back" if some process lacks its home part 4 s after the last message, else ""."""
+        """ "back" if some process does not have exactly its home part 4 s later, else ""."""
         later = self.copy()
         later.now += 4.0
         back = all(
--- a/limebridge/faults/exploring.py
+++ b/limebridge/faults/exploring.py
@@ -56,7 +56,7 @@
 def collect_outcomes(outcomes: Iterable[F], total: int, as_json: bool) -> list[F]:
     """Collect the outcomes of `total` plans in the order given, with a progress bar."""
     collected: list[F] = []
-    with seed_progress("playing", total, as_json) as progress:
+    with seed_progress("running", total, as_json) as progress:
         for outcome in outcomes:
             collected.append(outcome)
             progress.update(len(collected), sum(bool(each.violations) for each in collected))
--- a/limebridge/faults/plan.py
+++ b/limebridge/faults/plan.py
@@ -19,32 +19,33 @@
 
 FaultKind = Literal[
     # of a process
-    "kill",
-    "term",
-    "stop",
-    "hup",
-    "core",
-    "no_files",
-    "no_room",
-    "twin",
+    "kill",  # SIGKILL, and a new start at the end of the fault
+    "term",  # SIGTERM, and a new start at the end of the fault
+    "stop",  # SIGSTOP, and SIGCONT at the end
+    "hup",  # a reload without works, and one with all works at the end
+    "core",  # lowest priority on one core
+    "no_files",  # it can open no new file or socket
+    "no_room",  # it can write no data to files
+    "twin",  # a second process is started under its name
     # of the path between a process and the endpoint or a Consul
-    "cut",
-    "cut_there",
-    "cut_back",
-    "slow",
-    "half",
-    "drip",
-    "reset",
-    "twice",
+    "cut",  # nothing passes
+    "cut_there",  # nothing passes from the process
+    "cut_back",  # nothing passes to the process
+    "slow",  # delays
+    "half",  # connections are reset within an answer
+    "drip",  # answers arrive byte by byte
+    "reset",  # all open connections are reset, once
+    "twice",  # requests are sent again after their connection has ended
     # of the endpoint and the store, which all processes share
-    "endpoint",
-    "gone",
-    "older",
-    "torn",
-    "leader",
-    "lose_answers",
-    "forget",
+    "endpoint",  # the endpoint loses or repeats requests, or answers with errors
+    "gone",  # the store's folder is moved away
+    "older",  # the store's folder is replaced by a copy made at the start of the fault
+    "torn",  # a lease file is truncated
+    "leader",  # the Consul has no leader
+    "lose_answers",  # the Consul applies writes and resets the connection instead of an answer
+    "forget",  # the Consul loses its data
 ]
+# Kinds to draw from; one that is listed twice is drawn twice as often.
 PROCESS_FAULTS: tuple[FaultKind, ...] = (
     "kill",
     "term",
@@ -68,6 +69,7 @@
 )
 FOLDER_FAULTS: tuple[FaultKind, ...] = ("endpoint", "endpoint", "torn", "gone", "older")
 CONSUL_FAULTS: tuple[FaultKind, ...] = ("endpoint", "leader", "lose_answers", "forget")
+# Kinds after which the store has lost data that was written.
 DATA_LOSS_FAULTS: frozenset[FaultKind] = frozenset(("gone", "older", "forget"))
 MAX_DAEMONS = 24  # that a plan may start on one machine
 
@@ -93,9 +95,8 @@
     seconds: Seconds = 6.0  # of the part with faults; all faults are healed after it
     daemons: Annotated[int, msgspec.Meta(ge=2, le=MAX_DAEMONS)] = 5
     store: Literal["folder", "consul"] = "folder"
-    works: Annotated[int, msgspec.Meta(ge=1, le=16)] = (
-        2  # example works, in addition to the settlement
-    )
+    # Number of example works, in addition to the settlement.
+    works: Annotated[int, msgspec.Meta(ge=1, le=16)] = 2
     settles: bool = False  # the run has ledgers, clients and the settlement work
     term_s: Annotated[float, msgspec.Meta(ge=0.2, le=60.0)] = 0.8
     fault: list[Fault] = []
--- a/limebridge/faults/relay.py
+++ b/limebridge/faults/relay.py
@@ -28,7 +28,7 @@
     cut: bool = False  # nothing is forwarded; bytes wait unread as with an unplugged cable
     delay: float = 0.0
     jitter: float = 0.0  # added to the delay: uniform between 0 and this
-    byte_delay: float = 0.0  # TCP: bytes are sent one at a time, at this interval; 0: no limit
+    byte_delay: float = 0.0  # TCP: bytes are sent one at a time, at this interval; 0: off
     truncate_after: int = -1  # TCP: bytes after which the connection is reset; -1: never
     resend: bool = False  # TCP: when a connection ends, its bytes are sent again on a new one
     drop: float = 0.0  # UDP
--- a/limebridge/faults/runner.py
+++ b/limebridge/faults/runner.py
@@ -5,10 +5,10 @@
 import tempfile
 from pathlib import Path
 
-from .billed import SettlementRig
 from .interruption import run
 from .plan import Plan
 from .rig import Outcome, Rig
+from .settlement_rig import SettlementRig
 
 
 def run_plan(plan: Plan, patch: str = "") -> Outcome:
