--- a/tests/support/one_member.py
+++ b/tests/support/one_member.py
@@ -1,4 +1,4 @@
-"""One member of the gossip, driven by hand."""
+"""A single member of the gossip, whose peer `p0` is the test itself."""
 
 from __future__ import annotations
 
@@ -18,32 +18,41 @@
 
 
 def member(*names: str, now: float = 0.0, kind: type[Members] = Members) -> Members:
-    """One that knows these, of the life x and incarnation 1."""
-    made = kind("me", "x", 1, "me", "", 1.0, (), random.Random(1), now)
+    """A member that knows the given members (life x, incarnation 1).
+
+    Its probes and reconnects are postponed, so that a test sees anti-entropy alone.
+    """
+    member_ = kind("me", "x", 1, "me", "", 1.0, (), random.Random(1), now)
     for name in names:
-        made.add_member(Rumor(name, "x", 1, "a", name), now)
-    made._probe_at = made._reconnect_at = 1e9
-    return made
+        member_.add_member(Rumor(name, "x", 1, "a", name), now)
+    member_._probe_at = member_._reconnect_at = 1e9
+    return member_
 
 
 def entries(*names: str, incarnation: int = 1) -> list[MemberEntry]:
-    """What another tells of these."""
+    """Entries of another member's list for the given members."""
     return [MemberEntry(name, "x", incarnation, name) for name in names]
 
 
-def hears(of: Members, now: float, *items: Item) -> list[Send]:
-    """Items of p0."""
-    return [out for item in items for out in of.receive(now, "p0", "x", 1, item, "p0")]
+def receive_from_p0(receiver: Members, now: float, *items: Item) -> list[Send]:
+    """Pass items from p0 to a member; what it sends."""
+    return [send for item in items for send in receiver.receive(now, "p0", "x", 1, item, "p0")]
+
 
+def of_kind(sends: list[Send], kind: type[Item]) -> list[Item]:
+    """The items of one type in what a member sends."""
+    return [item for send in sends for item in send.items if isinstance(item, kind)]
 
-def of_kind(outs: list[Send], kind: type[Item]) -> list[Item]:
-    return [item for out in outs for item in out.items if isinstance(item, kind)]
 
+def compare_with_p0(
+    receiver: Members, now: float, count: int = 2, buckets: int = 1
+) -> list[BucketRequest]:
+    """Let a member compare its list with one that differs in all buckets; its bucket requests.
 
-def compared(of: Members, now: float, count: int = 2, buckets: int = 1) -> list[BucketRequest]:
-    """Let it compare with a list of which every bucket differs; what it asks for."""
-    of._anti_entropy.compare_at = now
-    (compare,) = of_kind(of.tick(now), Compare)
+    `count` and `buckets`: the members and buckets of the other list.
+    """
+    receiver._anti_entropy.compare_at = now
+    (compare,) = of_kind(receiver.tick(now), Compare)
     assert isinstance(compare, Compare)
     digests = Digests(compare.number, count, 99, pack_short(range(1, buckets + 1)))
-    return of_kind(hears(of, now, digests), BucketRequest)  # type: ignore[return-value]
+    return of_kind(receive_from_p0(receiver, now, digests), BucketRequest)  # type: ignore[return-value]
--- a/tests/violetroute/sharing/test_sharing_anti_entropy_bytes.py
+++ b/tests/violetroute/sharing/test_sharing_anti_entropy_bytes.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.support.one_member import compared, entries, hears, member, of_kind
+from tests.support.one_member import compare_with_p0, entries, member, of_kind, receive_from_p0
 from tests.support.operation_count import count_operations
 from violetroute.sharing import anti_entropy
 from violetroute.sharing.anti_entropy import (
@@ -41,7 +41,8 @@
         now = step / 100.0
         for item in (BucketRequest(step, 16, step % 16), Ping(step)):
             sent += sum(
-                len(encode_item(each)) for each in of_kind(hears(one, now, item), BucketMembers)
+                len(encode_item(each))
+                for each in of_kind(receive_from_p0(one, now, item), BucketMembers)
             )
     assert sent <= SENT_BYTES_S * (seconds + BURST_S) + ANSWER_BYTES
     assert sent > SENT_BYTES_S * seconds / 2
@@ -49,14 +50,14 @@
 
 def test_a_new_member_requests_no_more_than_its_rate() -> None:
     one, got, seconds = member("p0"), 0, 20
-    requests = compared(one, 0.0, count=4000, buckets=128)
+    requests = compare_with_p0(one, 0.0, count=4000, buckets=128)
     for step in range(seconds * 100):
         now, waiting, requests = step / 100.0, requests, []
         for request in waiting:
             names = [f"{request.number} {number:030}" for number in range(25)]
             answer = BucketMembers(request.number, 128, request.index, entries(*names))
             got += len(encode_item(answer))
-            requests += of_kind(hears(one, now, answer), BucketRequest)  # type: ignore[arg-type]
+            requests += of_kind(receive_from_p0(one, now, answer), BucketRequest)  # type: ignore[arg-type]
         requests += of_kind(one.tick(now), BucketRequest)  # type: ignore[arg-type]
         most = REQUESTED_BYTES_S * (now + BURST_S) + WINDOW * (ANSWER_BYTES + DATAGRAM_BYTES)
         assert got <= most
@@ -67,15 +68,15 @@
     wanted = pack_short([member_hash("me", "x", 1)])
     for spent, pushed in ((0.0, 1), (2.0 * SENT_BYTES_S * BURST_S, 0)):
         one = member("p0")
-        (request,) = compared(one, 1.0)
+        (request,) = compare_with_p0(one, 1.0)
         one._anti_entropy._sent_pacer.spend(1.0, spent)
         answer = BucketMembers(request.number, 1, 0, [], wanted)
-        assert len(hears(one, 1.0, answer)) == pushed
+        assert len(receive_from_p0(one, 1.0, answer)) == pushed
     one = member("p0")
-    requests = compared(one, 1.0, buckets=16)
+    requests = compare_with_p0(one, 1.0, buckets=16)
     one._anti_entropy._sent_pacer.spend(1.0, 2.0 * SENT_BYTES_S * BURST_S)
     for request in requests:
-        assert not hears(one, 1.0, BucketMembers(request.number, 16, request.index, []))
+        assert not receive_from_p0(one, 1.0, BucketMembers(request.number, 16, request.index, []))
     assert not of_kind(one.tick(1.1), BucketRequest)
     assert of_kind(one.tick(4.0), BucketRequest)
 
@@ -97,14 +98,14 @@
     check = one._anti_entropy._comparison
     assert check is not None
     digests = Digests(check.number, 60, 1, pack_short([1]))
-    assert paid(lambda: hears(one, now, digests)) > 0.0
-    assert paid(lambda: hears(one, now, Compare(1, 60, 1))) > 0.0
-    assert paid(lambda: hears(one, now, BucketRequest(1, 4, 0))) > 0.0
+    assert paid(lambda: receive_from_p0(one, now, digests)) > 0.0
+    assert paid(lambda: receive_from_p0(one, now, Compare(1, 60, 1))) > 0.0
+    assert paid(lambda: receive_from_p0(one, now, BucketRequest(1, 4, 0))) > 0.0
     exchange = one._anti_entropy._exchange
     assert exchange is not None
     (number,) = exchange.open
     wanted = pack_short([member_hash("p1", "x", 1)])
-    assert paid(lambda: hears(one, now, BucketMembers(number, 1, 0, [], wanted))) > 0.0
+    assert paid(lambda: receive_from_p0(one, now, BucketMembers(number, 1, 0, [], wanted))) > 0.0
 
 
 def test_bucket_digests_stay_within_the_rate() -> None:
@@ -112,7 +113,7 @@
     answers = [
         answer
         for step in range(2000)
-        for answer in of_kind(hears(one, step / 1000.0, Compare(step, 200, 1)), Digests)
+        for answer in of_kind(receive_from_p0(one, step / 1000.0, Compare(step, 200, 1)), Digests)
     ]
     assert len(answers) == 2000  # without an answer it would look like an older build
     full = sum(len(item.digests) > 0 for item in answers if isinstance(item, Digests))
@@ -127,7 +128,7 @@
     for name in names:
         one.add_member(Rumor(name, "l" * 32, 2**53, "a", "a" * 64, "z" * 64), 0.0)
     held = pack_short(range(100))
-    answer = of_kind(hears(one, 1.0, BucketRequest(2**53, 1, 0, held)), BucketMembers)
+    answer = of_kind(receive_from_p0(one, 1.0, BucketRequest(2**53, 1, 0, held)), BucketMembers)
     most = anti_entropy.ITEM_BYTES + 40
     assert answer and all(len(encode_item(item)) <= most for item in answer)
     assert sum(len(encode_item(item)) for item in answer) <= ANSWER_BYTES + 500
@@ -143,9 +144,9 @@
         costs.append(
             [
                 count_operations(lambda one=one: one.tick(0.1)),  # type: ignore[misc]
-                count_operations(lambda one=one: hears(one, 0.1, Compare(1, 200, 1))),  # type: ignore[misc]
+                count_operations(lambda one=one: receive_from_p0(one, 0.1, Compare(1, 200, 1))),  # type: ignore[misc]
                 count_operations(
-                    lambda one=one, each=each: hears(  # type: ignore[misc]
+                    lambda one=one, each=each: receive_from_p0(  # type: ignore[misc]
                         one, 0.1, BucketRequest(1, bucket_count(16 * each), 0)
                     )
                 ),
@@ -165,7 +166,7 @@
         one._anti_entropy._sent_pacer = BytePacer(1e-6, 1e12, 0.0)
         before = one._anti_entropy._sent_pacer._level
         for index, now in enumerate(times):
-            assert hears(one, now, BucketRequest(index, 4, index))
+            assert receive_from_p0(one, now, BucketRequest(index, 4, index))
         return before - one._anti_entropy._sent_pacer._level
 
     assert paid(1.0, 2.0) - paid(1.0, 1.0) == pytest.approx(DATAGRAM_BYTES, abs=1.0)
--- a/tests/violetroute/sharing/test_sharing_anti_entropy_messages.py
+++ b/tests/violetroute/sharing/test_sharing_anti_entropy_messages.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.support.one_member import compared, entries, hears, member, of_kind
+from tests.support.one_member import compare_with_p0, entries, member, of_kind, receive_from_p0
 from violetroute.sharing.anti_entropy import (
     ANSWER_TIMEOUT_S,
     BACKOFF_S,
@@ -41,15 +41,17 @@
     (compare,) = of_kind(one.tick(1.0), Compare)
     assert isinstance(compare, Compare)
     answer = Digests(compare.number, 2, 99, pack_short([1]))
-    assert not hears(one, 1.0, Digests(compare.number - 1, 2, 99, pack_short([1])))
-    assert len(of_kind(hears(one, 1.0, answer), BucketRequest)) == 1
-    assert not hears(one, 1.0, answer, answer)
+    assert not receive_from_p0(one, 1.0, Digests(compare.number - 1, 2, 99, pack_short([1])))
+    assert len(of_kind(receive_from_p0(one, 1.0, answer), BucketRequest)) == 1
+    assert not receive_from_p0(one, 1.0, answer, answer)
     late = member("p0")
     late._anti_entropy.compare_at = 1.0
     (compare,) = of_kind(late.tick(1.0), Compare)
     assert isinstance(compare, Compare)
     late.tick(1.1 + ANSWER_TIMEOUT_S)
-    assert not hears(late, 1.2 + ANSWER_TIMEOUT_S, Digests(compare.number, 2, 99, pack_short([1])))
+    assert not receive_from_p0(
+        late, 1.2 + ANSWER_TIMEOUT_S, Digests(compare.number, 2, 99, pack_short([1]))
+    )
 
 
 @pytest.mark.parametrize(
@@ -60,35 +62,37 @@
     one._anti_entropy.compare_at = 1.0
     (compare,) = of_kind(one.tick(1.0), Compare)
     assert isinstance(compare, Compare)
-    assert not hears(one, 1.0, Digests(compare.number, 2, 99, digests))
+    assert not receive_from_p0(one, 1.0, Digests(compare.number, 2, 99, digests))
     assert one._anti_entropy._exchange is None
 
 
 def test_an_invalid_bucket_request_gets_no_answer() -> None:
     one = member("p0", "p1")
-    assert hears(one, 1.0, BucketRequest(1, 4, 3))
-    assert not hears(one, 1.0, BucketRequest(1, 3, 1))
-    assert not hears(one, 1.0, BucketRequest(1, 4, 4))
+    assert receive_from_p0(one, 1.0, BucketRequest(1, 4, 3))
+    assert not receive_from_p0(one, 1.0, BucketRequest(1, 3, 1))
+    assert not receive_from_p0(one, 1.0, BucketRequest(1, 4, 4))
     hashes = pack_short(member_hash(name, "x", 1) for name in ("me", "p0", "p1"))
-    (answer,) = of_kind(hears(one, 1.0, BucketRequest(1, 1, 0, hashes + b"odd")), BucketMembers)
+    (answer,) = of_kind(
+        receive_from_p0(one, 1.0, BucketRequest(1, 1, 0, hashes + b"odd")), BucketMembers
+    )
     assert answer == BucketMembers(1, 1, 0, [], b"")
 
 
 def test_a_large_list_is_not_divided_into_few_buckets() -> None:
     one = member(*(f"p{number}" for number in range(600)))  # 64 buckets
-    assert not hears(one, 1.0, BucketRequest(1, 4, 0))
-    assert hears(one, 1.0, BucketRequest(1, 8, 0))
+    assert not receive_from_p0(one, 1.0, BucketRequest(1, 4, 0))
+    assert receive_from_p0(one, 1.0, BucketRequest(1, 8, 0))
     for buckets, requests_buckets in ((4, False), (8, True)):
         one._anti_entropy.compare_at = 1.0
         (compare,) = of_kind(one.tick(1.0), Compare)
         assert isinstance(compare, Compare)
         digests = Digests(compare.number, 601, 99, pack_short(range(1, buckets + 1)))
-        assert bool(hears(one, 1.0, digests)) == requests_buckets
+        assert bool(receive_from_p0(one, 1.0, digests)) == requests_buckets
 
 
 def test_a_duplicate_or_unrelated_bucket_answer_triggers_no_request() -> None:
     one = member("p0")
-    (request,) = compared(one, 1.0)
+    (request,) = compare_with_p0(one, 1.0)
     wanted = pack_short([member_hash("me", "x", 1)])
     answer = BucketMembers(request.number, 1, 0, entries("p1"), wanted)
     # From before a restart, or of another bucket count: merged, but no request follows.
@@ -97,20 +101,20 @@
         BucketMembers(request.number, 2, 0, entries("p3"), wanted),
         BucketMembers(request.number, 2, 1, entries("p4"), wanted),
     ):
-        assert not hears(one, 1.0, other)
+        assert not receive_from_p0(one, 1.0, other)
     assert {"p2", "p3", "p4"} <= set(one.up())
     assert one._anti_entropy._exchange is not None
-    (pushed,) = of_kind(hears(one, 1.0, answer), BucketMembers)
+    (pushed,) = of_kind(receive_from_p0(one, 1.0, answer), BucketMembers)
     assert isinstance(pushed, BucketMembers)
     assert [entry.name for entry in pushed.members] == ["me"] and pushed.number == 0
     assert one._anti_entropy._exchange is None
-    assert not hears(one, 1.0, answer, answer)
+    assert not receive_from_p0(one, 1.0, answer, answer)
 
 
 def test_an_unanswered_request_is_retried_with_backoff_a_limited_number_of_times() -> None:
     one = member("p0", "p1", "p2")
     peers, times, now = list[str](), list[float](), 1.0
-    compared(one, now)
+    compare_with_p0(one, now)
     while one._anti_entropy._exchange is not None and now < 60.0:
         now += 0.1
         for out in one.tick(now):
@@ -125,12 +129,12 @@
 
 def test_an_answer_resets_the_backoff_and_other_requests_go_on() -> None:
     one = member("p0", "p1", "p2")
-    requests = compared(one, 1.0, buckets=8)
+    requests = compare_with_p0(one, 1.0, buckets=8)
     one.tick(1.1 + ANSWER_TIMEOUT_S)
     assert one._anti_entropy._backoff > BACKOFF_S
     first = requests[0]
     one._anti_entropy._exchange.open[first.number] = BucketQuery(first.index)  # type: ignore[union-attr]
-    hears(one, 1.2 + ANSWER_TIMEOUT_S, BucketMembers(first.number, 8, first.index, []))
+    receive_from_p0(one, 1.2 + ANSWER_TIMEOUT_S, BucketMembers(first.number, 8, first.index, []))
     assert one._anti_entropy._backoff == BACKOFF_S
 
 
@@ -138,21 +142,21 @@
     for has_new_members in (True, False):
         one, now = member("p0"), 1.0
         for _ in range(6):  # no differences: the interval has doubled
-            (request,) = compared(one, now)
-            hears(one, now, BucketMembers(request.number, 1, 0, []))
+            (request,) = compare_with_p0(one, now)
+            receive_from_p0(one, now, BucketMembers(request.number, 1, 0, []))
             now = one._anti_entropy.compare_at
         if has_new_members:
-            (request,) = compared(one, now)
-            hears(one, now, BucketMembers(request.number, 1, 0, entries("p1")))
+            (request,) = compare_with_p0(one, now)
+            receive_from_p0(one, now, BucketMembers(request.number, 1, 0, entries("p1")))
             assert one._anti_entropy.compare_at - now <= 1.5 * COMPARE_SOON_S
         else:
             one._anti_entropy.compare_at = now
             (compare,) = of_kind(one.tick(now), Compare)
             assert isinstance(compare, Compare)
-            hears(one, now, Digests(compare.number, 2, one._list.digests.whole))
+            receive_from_p0(one, now, Digests(compare.number, 2, one._list.digests.whole))
             assert COMPARE_SOON_S < one._anti_entropy.compare_at - now <= 1.5 * COMPARE_INTERVAL_S
-        (request,) = compared(one, now)
-        hears(one, now, BucketMembers(request.number, 1, 0, []))
+        (request,) = compare_with_p0(one, now)
+        receive_from_p0(one, now, BucketMembers(request.number, 1, 0, []))
         assert one._anti_entropy.compare_at - now <= 1.5 * COMPARE_INTERVAL_S
 
 
@@ -166,10 +170,10 @@
 
 def test_open_bucket_requests_are_limited_by_the_window() -> None:
     one = member("p0", *(f"q{number}" for number in range(200)))
-    requests = compared(one, 1.0, count=250, buckets=16)
+    requests = compare_with_p0(one, 1.0, count=250, buckets=16)
     assert len(requests) == WINDOW
     first = requests[0]
-    more = hears(one, 1.0, BucketMembers(first.number, 16, first.index, []))
+    more = receive_from_p0(one, 1.0, BucketMembers(first.number, 16, first.index, []))
     assert len(of_kind(more, BucketRequest)) == 1
 
 
@@ -178,14 +182,14 @@
     one._anti_entropy.compare_at = 1.0
     (compare,) = of_kind(one.tick(1.0), Compare)
     assert isinstance(compare, Compare)
-    out = hears(one, 1.0, Digests(compare.number, count, 99, pack_short(range(1, 17))))
+    out = receive_from_p0(one, 1.0, Digests(compare.number, count, 99, pack_short(range(1, 17))))
     peers = list[str]()
     while out:
         peers.append(out[0].to)
         (request, *_) = of_kind(out[:1], BucketRequest)
         assert isinstance(request, BucketRequest)
         answer = BucketMembers(request.number, 16, request.index, [])
-        out = out[1:] + hears(one, 1.0, answer)
+        out = out[1:] + receive_from_p0(one, 1.0, answer)
     return peers
 
 
@@ -198,14 +202,14 @@
 
 def test_bucket_requests_have_a_random_order_and_bounded_size() -> None:
     one = member("p0", *(f"q{number}" for number in range(200)))
-    requests = compared(one, 1.0, count=250, buckets=64)
+    requests = compare_with_p0(one, 1.0, count=250, buckets=64)
     assert [request.index for request in requests] != [0, 1, 2, 3]
     one = member("p0", *(f"q{number}" for number in range(254)))
     assert (
         max(len(one._list.digests.members(2, index)) for index in (0, 1)) * SHORT_BYTES
         > MAX_HELD_BYTES
     )
-    requests = compared(one, 1.0, count=256, buckets=2)
+    requests = compare_with_p0(one, 1.0, count=256, buckets=2)
     assert max(len(request.held) for request in requests) == MAX_HELD_BYTES
 
 
@@ -228,7 +232,7 @@
     assert one._anti_entropy.greeting(1.0) == ()
     one.tick(1.1 + ANSWER_TIMEOUT_S)  # no answer: no conclusion about a member there
     assert one._anti_entropy._unanswered == 0
-    compared(one, 3.0)
+    compare_with_p0(one, 3.0)
     assert one._anti_entropy.greeting(3.0) == ()
 
 
@@ -236,12 +240,12 @@
 def test_a_dead_member_is_not_revived_and_the_peer_gets_a_rumor() -> None:
     for state, reported_state in (("d", "s"), ("l", "l")):
         one = member("p0", "p1")
-        hears(one, 1.0, Rumor("p1", "x", 1, state, "p1", by="p0"))
-        compared(one, 1.0)
-        (out,) = hears(one, 1.0, BucketMembers(7, 1, 0, entries("p1")))
+        receive_from_p0(one, 1.0, Rumor("p1", "x", 1, state, "p1", by="p0"))
+        compare_with_p0(one, 1.0)
+        (out,) = receive_from_p0(one, 1.0, BucketMembers(7, 1, 0, entries("p1")))
         assert out == Send("p0", "", (Rumor("p1", "x", 1, reported_state, "p1", by="me"),))
         assert not one.is_up("p1", "x")
-        hears(one, 1.0, BucketMembers(7, 1, 0, entries("p1", incarnation=2)))
+        receive_from_p0(one, 1.0, BucketMembers(7, 1, 0, entries("p1", incarnation=2)))
         assert one.is_up("p1", "x")
 
 
@@ -254,9 +258,9 @@
             assert isinstance(compare, Compare)
             checks.append(now)
             answer = Digests(compare.number, 2, 99, pack_short([5]))
-            for request in of_kind(hears(one, now, answer), BucketRequest):
+            for request in of_kind(receive_from_p0(one, now, answer), BucketRequest):
                 assert isinstance(request, BucketRequest)
-                hears(one, now, BucketMembers(request.number, 1, 0, []))
+                receive_from_p0(one, now, BucketMembers(request.number, 1, 0, []))
     assert len(checks) < 18
     waits = [later - earlier for earlier, later in pairwise(checks)]
     assert max(waits) <= 1.5 * MAX_COMPARE_INTERVAL_S + 0.2
@@ -264,9 +268,9 @@
 
 def test_merged_entries_are_not_sent_on_as_rumors() -> None:
     one = member("p0")
-    hears(one, 1.0, BucketMembers(7, 1, 0, entries("p1", "p2")))
+    receive_from_p0(one, 1.0, BucketMembers(7, 1, 0, entries("p1", "p2")))
     assert {"p1", "p2"} <= set(one.up()) and not one.rumors()
-    hears(one, 1.0, Rumor("p3", "x", 1, "a", "p3"))
+    receive_from_p0(one, 1.0, Rumor("p3", "x", 1, "a", "p3"))
     assert [rumor.name for rumor in one.rumors()] == ["p3"]
 
 
@@ -274,15 +278,15 @@
     one = member("p0")
     both = one._list.digests.whole
     assert both == member_hash("me", "x", 1) ^ member_hash("p0", "x", 1)
-    hears(one, 1.0, Rumor("me", "y", 5, "a", "elsewhere"))
+    receive_from_p0(one, 1.0, Rumor("me", "y", 5, "a", "elsewhere"))
     assert one.duplicate is not None
     assert one._list.digests.whole == member_hash("me", "y", 5) ^ member_hash("p0", "x", 1)
-    (answer,) = of_kind(hears(one, 1.0, BucketRequest(1, 1, 0)), BucketMembers)
+    (answer,) = of_kind(receive_from_p0(one, 1.0, BucketRequest(1, 1, 0)), BucketMembers)
     assert isinstance(answer, BucketMembers)
     assert MemberEntry("me", "y", 5, "elsewhere") in answer.members
-    hears(one, 1.0, Rumor("me", "y", 5, "d"))
+    receive_from_p0(one, 1.0, Rumor("me", "y", 5, "d"))
     assert one._list.digests.whole == member_hash("me", "x", 6) ^ member_hash("p0", "x", 1)
-    hears(one, 1.0, Rumor("me", "x", 6, "s", by="p0"))
+    receive_from_p0(one, 1.0, Rumor("me", "x", 6, "s", by="p0"))
     assert one._list.digests.whole == member_hash("me", "x", 7) ^ member_hash("p0", "x", 1)
     one.leave()
     assert one._list.digests.whole == member_hash("p0", "x", 1)
@@ -302,7 +306,7 @@
     (compare,) = of_kind(one.tick(now), Compare)
     assert isinstance(compare, Compare)
     whole = one._list.digests.whole
-    hears(one, now, Digests(compare.number, 2, whole))
+    receive_from_p0(one, now, Digests(compare.number, 2, whole))
     one._anti_entropy.compare_at, one._anti_entropy._page_at = now, 0.0
     (out,) = one.tick(now)
     assert len(out.items) == 1
--- a/tests/violetroute/sharing/test_sharing_node_cost.py
+++ b/tests/violetroute/sharing/test_sharing_node_cost.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from tests.support.operation_count import count_operations
-from tests.support.plain_node_health import PlainNodeHealth
+from tests.support.reference_node_health import ReferenceNodeHealth
 from violetroute.sharing.decaying_outcomes import HALF_LIFE_S
 from violetroute.sharing.node_health import NodeHealth
 from violetroute.sharing.wire import HealthReport
@@ -120,25 +120,25 @@
 @settings(max_examples=400, deadline=None)
 @given(steps)
 def test_estimates_match_a_scan_of_all_nodes(given_steps: list[tuple[Any, ...]]) -> None:
-    kept, plain, now = NodeHealth("a"), PlainNodeHealth("a"), 0.0
+    kept, reference, now = NodeHealth("a"), ReferenceNodeHealth("a"), 0.0
     for node in range(NODES):
         kept.add_node(node, 1.0)
-        plain.add_node(node, 1.0)
+        reference.add_node(node, 1.0)
     for step in given_steps:
         if step[0] == "time":
             now += step[1] * HALF_LIFE_S
-            assert kept.unhealthy_nodes(now) == plain.unhealthy_nodes(now)
-            assert set(kept.isolated_members(now)) == plain.isolated_members(now)
+            assert kept.unhealthy_nodes(now) == reference.unhealthy_nodes(now)
+            assert set(kept.isolated_members(now)) == reference.isolated_members(now)
         else:
-            assert apply(kept, step, now) == apply(plain, step, now)
+            assert apply(kept, step, now) == apply(reference, step, now)
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_estimates_match_a_scan_of_all_nodes_in_rounds_of_a_fleet(seed: int) -> None:
-    rng, kept, plain = random.Random(seed), NodeHealth("a"), PlainNodeHealth("a")
+    rng, kept, reference = random.Random(seed), NodeHealth("a"), ReferenceNodeHealth("a")
     for node in range(40):
         kept.add_node(node, 1.0)
-        plain.add_node(node, 1.0)
+        reference.add_node(node, 1.0)
     unhealthy_count = 0
     for number in range(200):
         now = 0.5 * number
@@ -149,10 +149,10 @@
             for node in rng.sample(range(40), 10):
                 wrong = rng.uniform(0.5, 4.0) if node in bad or member == 11 else 0.0
                 saw = HealthReport(node, 1, rng.uniform(0.0, 4.0) * (node not in bad), wrong)
-                for health in (kept, plain):
+                for health in (kept, reference):
                     health.merge_report(now, f"m{member}", zone, saw, 0.0)
         found = kept.unhealthy_nodes(now)
         unhealthy_count += len(found)
-        assert found == plain.unhealthy_nodes(now)
-        assert set(kept.isolated_members(now)) == plain.isolated_members(now)
+        assert found == reference.unhealthy_nodes(now)
+        assert set(kept.isolated_members(now)) == reference.isolated_members(now)
     assert unhealthy_count > 100
