--- a/tests/limebridge/faults/distribution/test_distribution_hard_cases_real.py
+++ b/tests/limebridge/faults/distribution/test_distribution_hard_cases_real.py
@@ -1,4 +1,8 @@
-"""Hard cases of issue 48 on real processes: two of one name, and one refusal among a hundred."""
+"""Hard cases of issue 48 on real processes.
+
+Two proxies with the same name, a snapshot with outdated configuration, and one proxy of a hundred
+that refuses a configuration.
+"""
 
 from __future__ import annotations
 
@@ -23,10 +27,10 @@
 from violetroute.transport.sockets import SocketNetwork
 
 PROXIES = 100
-REFUSES = 42
+REFUSING_PROXY = 42
 REASON = "[log] level: this machine has none"
 
-TWIN = Plan(
+DUPLICATE_PLAN = Plan(
     seed=1,
     seconds=5.0,
     proxies=2,
@@ -36,15 +40,15 @@
 )
 
 
-def test_two_processes_of_one_name_are_two() -> None:
-    outcome = rig.run_plan(TWIN)
+def test_two_processes_of_one_name_are_distinguished() -> None:
+    outcome = rig.run_plan(DUPLICATE_PLAN)
     assert outcome.violations == [], outcome.trace[-4000:]
 
 
-def test_control_machines_that_take_two_processes_of_one_name_for_one_are_found(
+def test_control_machines_that_merge_two_processes_of_one_name_are_detected(
     tmp_path: Path,
 ) -> None:
-    """The one that is cut off believes itself fresh, and the other one acknowledges."""
+    """One process is cut off while it considers itself fresh; the other acknowledges batches."""
     build = copy_of_this_build(tmp_path)
     replace_text(
         build / SESSIONS,
@@ -53,25 +57,31 @@
             "Session(poll.name, poll.incarnation, ": 'Session(poll.name, "one", ',
         },
     )
-    outcome = rig.run_plan(TWIN, builds=Builds(build, build))
-    assert Rule.IN_FORCE in {broken.rule for broken in outcome.violations}, outcome.trace[-4000:]
+    outcome = rig.run_plan(DUPLICATE_PLAN, builds=Builds(build, build))
+    assert Rule.IN_FORCE in {violation.rule for violation in outcome.violations}, outcome.trace[
+        -4000:
+    ]
 
 
-def test_a_snapshot_with_configuration_of_before_is_found(tmp_path: Path) -> None:
+def test_snapshot_with_outdated_configuration_is_detected(tmp_path: Path) -> None:
     build = copy_of_this_build(tmp_path)
     replace_text(
         build / "violetroute/distribution/committed_configuration.py",
-        {"            self._records = None\n": ""},  # what was made once is never made anew
+        {"            self._records = None\n": ""},  # the records are built once and never rebuilt
     )
     restarts = [Fault(at, "kill_proxy", 0, 0.2) for at in (1.0, 2.5)]
-    plan = msgspec.structs.replace(TWIN, seconds=3.5, publications_per_s=20.0, fault=restarts)
+    plan = msgspec.structs.replace(
+        DUPLICATE_PLAN, seconds=3.5, publications_per_s=20.0, fault=restarts
+    )
     outcome = rig.run_plan(plan, builds=Builds(build, build))
-    assert {broken.rule for broken in outcome.violations} == {Rule.ORDER}, outcome.trace[-4000:]
-    assert all("from a snapshot at" in broken.text for broken in outcome.violations)
+    assert {violation.rule for violation in outcome.violations} == {Rule.ORDER}, outcome.trace[
+        -4000:
+    ]
+    assert all("from a snapshot at" in violation.text for violation in outcome.violations)
 
 
-class Refusing(CountingReceiver):
-    """Takes configuration on, or refuses it as a daemon does whose own file cannot bear it."""
+class RefusingReceiver(CountingReceiver):
+    """Applies configuration, or refuses it like a daemon whose own file conflicts with it."""
 
     __slots__ = ("refuses", "tables")
 
@@ -88,35 +98,35 @@
         return ()
 
 
-def test_one_refusal_among_a_hundred_is_named_and_holds_nothing_up(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with Deployment(tmp_path, machines=1, daemons=0) as stage:
-            net = SocketNetwork(asyncio.get_running_loop())
-            keys = Keys([stage.controls.key_file.read_text().strip().encode()])
-            table = DistributionTable(tuple(stage.controls.addresses), configuration=True)
-            receivers = [Refusing(number == REFUSES) for number in range(PROXIES)]
+def test_one_refusal_among_a_hundred_is_reported_and_delays_nothing(tmp_path: Path) -> None:
+    async def run_case() -> None:
+        async with Deployment(tmp_path, machines=1, daemons=0) as deployment:
+            network = SocketNetwork(asyncio.get_running_loop())
+            keys = Keys([deployment.controls.key_file.read_text().strip().encode()])
+            table = DistributionTable(tuple(deployment.controls.addresses), configuration=True)
+            receivers = [RefusingReceiver(number == REFUSING_PROXY) for number in range(PROXIES)]
             services = [
-                DistributionService(table, keys, f"p{number}", "", net, receiver)
+                DistributionService(table, keys, f"p{number}", "", network, receiver)
                 for number, receiver in enumerate(receivers)
             ]
             try:
                 await until(lambda: all(service.status().fresh for service in services))
-                position = await configure(stage, b'level = "warning"')
-                status = await stage.in_force(position)
+                position = await configure(deployment, b'level = "warning"')
+                status = await deployment.in_force(position)
                 assert status.sessions == PROXIES and status.stale == 0
-                assert status.refused == ((f"p{REFUSES}", position, REASON),)
+                assert status.refused == ((f"p{REFUSING_PROXY}", position, REASON),)
                 bodies = [receiver.tables.get("log") for receiver in receivers]
                 assert bodies.count(b'level = "warning"') == PROXIES - 1
-                assert bodies[REFUSES] is None  # the old one stays
+                assert bodies[REFUSING_PROXY] is None  # its previous configuration is kept
             finally:
                 for service in services:
                     service.close()
 
-    asyncio.run(play())
+    asyncio.run(run_case())
 
 
-async def configure(stage: Deployment, body: bytes) -> int:
-    """The position, once it is committed."""
+async def configure(deployment: Deployment, body: bytes) -> int:
+    """Publishes the table "log" and returns its position once it is committed."""
     publish = Publish("configuration", (Record(Topic.CONFIGURATION, "log", body),))
-    reply: Published = await control_client.publish(stage.machines, publish, 30.0)
+    reply: Published = await control_client.publish(deployment.machines, publish, 30.0)
     return reply.position
--- a/tests/planted_distribution/ack_before_the_log_is_copied.py
+++ b/tests/planted_distribution/ack_before_the_log_is_copied.py
@@ -5,11 +5,11 @@
 
 
 def plant() -> None:
-    own = Followers._acknowledged
+    original = Followers._acknowledged
 
     def acknowledged(self: Followers, follower: _Follower, fetch: Fetch) -> None:
         serving, self.serving = self.serving, True
-        own(self, follower, fetch)
+        original(self, follower, fetch)
         self.serving = serving
 
     Followers._acknowledged = acknowledged
--- a/tests/planted_distribution/as_of_from_receipt.py
+++ b/tests/planted_distribution/as_of_from_receipt.py
@@ -1,15 +1,15 @@
-"""A proxy reckons its freshness from when the answer came, not from when its poll was sent."""
+"""A proxy counts the age of its data from the receipt of a reply, not from the send of its poll."""
 
 from violetroute.distribution.messages import PollReply
 from violetroute.distribution.subscriber import Effect, Subscriber
 
 
 def plant() -> None:
-    replied = Subscriber.replied
+    original_replied = Subscriber.replied
 
-    def late(
+    def from_receipt(
         self: Subscriber, now: float, sent_at: float, address: str, reply: PollReply | None
     ) -> list[Effect]:
-        return replied(self, now, now, address, reply)
+        return original_replied(self, now, now, address, reply)
 
-    Subscriber.replied = late
+    Subscriber.replied = from_receipt
--- a/tests/planted_distribution/commit_of_earlier_term.py
+++ b/tests/planted_distribution/commit_of_earlier_term.py
@@ -1,11 +1,11 @@
-"""A leader counts acknowledgements of batches that an earlier leader wrote as a commit."""
+"""A leader commits batches of an earlier leader once a majority has acknowledged them."""
 
 from violetroute.distribution.followers import Followers
 
 
 def plant() -> None:
     def committed(self: Followers) -> int | None:
-        durable = [each.durable for each in self._followers.values()]
+        durable = [follower.durable for follower in self._followers.values()]
         durable.append(self._replica.durable)
         return sorted(durable, reverse=True)[self._quorum - 1]
 
--- a/tests/planted_distribution/earliest_contact.py
+++ b/tests/planted_distribution/earliest_contact.py
@@ -1,4 +1,4 @@
-"""A new leader counts from the earliest last contact of its majority in place of the latest."""
+"""A new leader uses the earliest leader contact of its majority as bound instead of the latest."""
 
 from collections.abc import Iterable
 
--- a/tests/planted_distribution/early_before_full_reports.py
+++ b/tests/planted_distribution/early_before_full_reports.py
@@ -4,11 +4,13 @@
 
 
 def plant() -> None:
-    committed = InForceTracker.committed
+    original_committed = InForceTracker.committed
 
-    def without_doubt(self: InForceTracker, now: float, position: int, contact_at: float) -> None:
-        committed(self, now, position, contact_at)
+    def without_unknown_sessions(
+        self: InForceTracker, now: float, position: int, contact_at: float
+    ) -> None:
+        original_committed(self, now, position, contact_at)
         for machine in self._machines.values():
             machine.unknown_sessions_until = now
 
-    InForceTracker.committed = without_doubt
+    InForceTracker.committed = without_unknown_sessions
--- a/tests/planted_distribution/fresh_after_its_end.py
+++ b/tests/planted_distribution/fresh_after_its_end.py
@@ -1,16 +1,16 @@
-"""A process that has ended its session goes on to believe itself fresh by its last answer."""
+"""A process that has ended its session still considers itself fresh because of its last reply."""
 
 from violetroute.distribution.messages import Poll
 from violetroute.distribution.subscriber import Subscriber
 
 
 def plant() -> None:
-    end = Subscriber.end
+    original_end = Subscriber.end
 
-    def keeps_its_age(self: Subscriber) -> Poll:
+    def keep_as_of(self: Subscriber) -> Poll:
         as_of = self.as_of
-        poll = end(self)
+        poll = original_end(self)
         self._as_of = as_of
         return poll
 
-    Subscriber.end = keeps_its_age
+    Subscriber.end = keep_as_of
--- a/tests/planted_distribution/gap_not_noticed.py
+++ b/tests/planted_distribution/gap_not_noticed.py
@@ -1,4 +1,4 @@
-"""Batches that are not kept any more are passed over, and the proxy does not look for the gap."""
+"""Control machines skip batches that they no longer keep, and the proxy does not check for gaps."""
 
 import msgspec
 
--- a/tests/planted_distribution/late_leader_believed.py
+++ b/tests/planted_distribution/late_leader_believed.py
@@ -1,4 +1,4 @@
-"""A replica follows a leader whose fence is lower than the one that it has promised."""
+"""A replica follows a leader whose fence is lower than the one that it has promised to follow."""
 
 from violetroute.distribution.actions import Change, SetPromise
 from violetroute.distribution.replica import Replica
--- a/tests/planted_distribution/lost_disk_as_empty_log.py
+++ b/tests/planted_distribution/lost_disk_as_empty_log.py
@@ -1,4 +1,4 @@
-"""A replica whose disk was lost counts for a quorum at once, as if its log had been empty."""
+"""A replica that lost its disk counts towards the quorum at once, as if its log had been empty."""
 
 from violetroute.distribution.recovery import Recovery
 
--- a/tests/planted_distribution/no_drift_in_force.py
+++ b/tests/planted_distribution/no_drift_in_force.py
@@ -1,4 +1,4 @@
-"""The leader's bound on a proxy's freshness leaves out the drift of clocks."""
+"""The leader's bound on how long a proxy stays fresh ignores clock drift."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def plant() -> None:
-    """Take the time without drift."""
+    """Uses `stale_after_s` without the correction for drift."""
     InForceSettings.drop_after_s = property(lambda self: self.stale_after_s)
--- a/tests/planted_distribution/no_drift_in_sessions.py
+++ b/tests/planted_distribution/no_drift_in_sessions.py
@@ -1,4 +1,4 @@
-"""A control machine's bound on its proxies' freshness leaves out the drift of clocks."""
+"""A control machine's bound on how long its proxies stay fresh ignores clock drift."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def plant() -> None:
-    """Drop a session after the time without drift."""
+    """Drops a session after `stale_after_s`, without the correction for drift."""
     SessionSettings.drop_after_s = property(lambda self: self.stale_after_s)
