--- a/limebridge/experiments/plan.py
+++ b/limebridge/experiments/plan.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from limebridge.rehearsal.scenario import Scenario, shipped
-from limebridge.rehearsal.vary import AT_SIZE, named_scenario, varied
+from limebridge.rehearsal.scenario import Scenario, shipped_scenarios
+from limebridge.rehearsal.vary import AT_SIZE_SUFFIX, apply_changes, named_scenario
 from violetroute.config import ConfigError
 from violetroute.config.tables import read_toml, to_struct
 
@@ -118,7 +118,11 @@
 
 def _check(made: Experiment, path: str) -> None:
     for name in made.scenarios:
-        if name not in shipped() and not name.endswith(AT_SIZE) and not Path(name).exists():
+        if (
+            name not in shipped_scenarios()
+            and not name.endswith(AT_SIZE_SUFFIX)
+            and not Path(name).exists()
+        ):
             raise ConfigError(f"{path}: scenario: {name}: neither one of ours nor a file")
     if not made.scenarios or SCENARIO in made.factors:
         raise ConfigError(f"{path}: scenario: none, or a factor of that name; it takes a list")
@@ -204,7 +208,7 @@
 
 def applied(scenario: Scenario, point: Point) -> Scenario:
     """The scenario of a point.  ConfigError where its figures don't go together."""
-    return varied(
+    return apply_changes(
         scenario,
         {
             name: value
--- a/limebridge/experiments/worker.py
+++ b/limebridge/experiments/worker.py
@@ -19,9 +19,9 @@
 import msgspec
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from limebridge.rehearsal.engine import Morning
-from limebridge.rehearsal.report import plain
-from limebridge.rehearsal.scenario import Scenario, check
+from limebridge.rehearsal.engine import Rehearsal
+from limebridge.rehearsal.report import to_dict
+from limebridge.rehearsal.scenario import Scenario, validate
 from violetroute.config import ConfigError
 from violetroute.config.tables import to_struct
 
@@ -39,14 +39,14 @@
 
 def play(scenario: Scenario, seed: int) -> dict[str, Any]:
     """Measures, the histogram of answers' times, and what explains them."""
-    morning = Morning(scenario, seed)
-    morning.loop.set_exception_handler(_ends)
-    result = morning.run()
-    told = plain(result)
+    rehearsal = Rehearsal(scenario, seed)
+    rehearsal.loop.set_exception_handler(_ends)
+    result = rehearsal.run()
+    told = to_dict(result)
     times = HdrHistogram(LEAST_US, MOST_US, DIGITS)
-    for each in morning.asked:
-        if each.answered is not None:
-            times.record_value(max(LEAST_US, round((each.answered - each.at) * 1e6)))
+    for each in rehearsal.requests:
+        if each.served_at is not None:
+            times.record_value(max(LEAST_US, round((each.served_at - each.at) * 1e6)))
     share = told["share"] or {}
     measures = {
         name: told[name]
@@ -61,7 +61,7 @@
         )
     }
     measures |= {name: share.get(name) for name in ("whole", "trouble", "after", "back", "swing")}
-    measures["broken"] = len(result.broken)
+    measures["broken"] = len(result.violations)
     detail = {
         "failed": told["failed"],
         "blame": told["blame"],
@@ -69,7 +69,9 @@
         "worst_at": told["worst_at"],
         "ends": told["ends"],
         "seconds": [[round(a, 4), round(e, 4)] for a, e in result.score.seconds],
-        "unserved": [[round(a.at, 4), a.cls, a.tenant, a.site, a.ends] for a in result.unserved],
+        "unserved": [
+            [round(a.at, 4), a.cls, a.tenant, a.site, a.outcomes] for a in result.unserved
+        ],
         "broken": told["broken"],
     }
     return {
@@ -113,7 +115,7 @@
     began = time.monotonic()
     try:
         scenario = to_struct(job["scenario"], Scenario, "scenario")
-        check(scenario, "scenario")
+        validate(scenario, "scenario")
         with patched(job["constants"]):
             told = play(scenario, job["seed"]) | {"scenario": digest(job["scenario"])}
     except ConfigError as error:
--- a/limebridge/rehearsal/attainable.py
+++ b/limebridge/rehearsal/attainable.py
@@ -1,10 +1,12 @@
-"""What could have been earned: by a policy that sees the true state of everything at once.  Pure.
-
-A linear programme over bins of STEP seconds (docs/design/overload-and-recovery.md derives it): work
-is a fluid that may be done in any bin from the asking on, in time for all of its worth, later for a
-part of it; no bin gives more work than the nodes that are up can do, nor more fetches than the
-customer database.  A read takes a fetch if nobody can have kept its key.  Bins are rounded in
-the builds' favour, so it is a bound for what they earn (but for the luck of drawn work).
+"""Computes the worth that an omniscient policy could have earned in a run.  Pure.
+
+A linear program over bins of BIN_S seconds (derived in docs/design/overload-and-recovery.md).  Work
+is divisible and may be done in any bin from its request's arrival until the client gives up: for
+its full worth while on time, for a part of it afterwards.  The work in a bin is limited by the
+nodes that are up, the fetches by the customer database; a read needs a fetch if no node can have
+cached its key.  A request may use the whole of its first and its last bin, so the result is an
+upper bound on what any build earns, except that the service times drawn in the run may be lower
+than the mean.
 """
 
 from __future__ import annotations
@@ -14,202 +16,217 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from .score import Asked
+from .score import RequestRecord
 
-STEP = 0.25  # s of a bin
-BACK_SHARE, BACK_HELD = 0.95, 5  # of what is attainable; s for which it is held
-SETTLE = 2.0  # s of a trouble in which nobody can know yet
-AFTER = 15.0  # s behind a trouble that are looked at
-EARLY = 1e-6  # of a worth: what one bin earlier is preferred by, so that there is one answer
+BIN_S = 0.25  # length of a bin
+# A run has recovered once it earns this share of the attainable worth for this many seconds.
+RECOVERED_SHARE, RECOVERED_SECONDS = 0.95, 5
+DETECTION_S = 2.0  # first seconds of a fault, in which no proxy can have detected it yet
+AFTERMATH_S = 15.0  # seconds after a fault that are evaluated
+EARLY_PREFERENCE = 1e-6  # share of the worth lost per bin of delay; makes the optimum unique
 
 
 @dataclass(slots=True)
-class Room:
-    """What there is in one bin: seconds of work at speed 1, fetches of the database."""
+class Capacity:
+    """The capacity in one bin: seconds of work at speed 1, and database fetches."""
 
     work: float
     fetches: float
 
 
 @dataclass
-class Share:
-    """Earned over attainable; shares of 1 and seconds."""
+class AttainedShare:
+    """Earned worth divided by attainable worth; "the fault" is the span of `fault_span`."""
 
-    whole: float
-    trouble: float  # from SETTLE seconds behind the onset to the end of the trouble
-    after: float  # AFTER seconds behind it
-    back: float | None  # s from its end until BACK_SHARE is held for BACK_HELD s; None: never
-    swing: float  # mean change of the share from one second to the next, from the onset on
-    attainable: list[float]  # worth by second of the asking
+    whole: float  # the whole run
+    trouble: float  # from DETECTION_S after the start of the fault to its end
+    after: float  # the AFTERMATH_S after the fault
+    back: float | None  # s from the end of the fault until recovery; None: not within the run
+    swing: float  # mean change of the share from one second to the next, from the fault's start on
+    attainable: list[float]  # worth by the second in which the requests were made
 
 
 @dataclass(slots=True)
 class _Group:
-    """All of one kind that was asked in one bin."""
+    """The requests of one bin that have the same class, last bin and need for a fetch."""
 
-    place: int
+    arrival_bin: int
     second: int
-    density: float  # worth of a second of work in time
-    late: float  # share of it that is left later
-    in_time: int  # the last bin of each
-    until: int
-    each: float  # s of work of one
-    fetch: bool
-    work: float = 0.0
-
-
-def attainable(found: Iterable[Asked], rooms: Sequence[Room], seconds: int) -> list[float]:
-    """The worth that could be had of what was asked in each second.
-
-    rooms holds a Room for every bin from the start of the run on; behind them the last one's is
-    there.  An Asked's `work` is in seconds at speed 1, its `life` in seconds from the first try
-    to the last moment at which its client would still take an answer.
+    worth_rate: float  # worth of a second of work done on time
+    late_share: float  # share of the worth of work done later
+    last_in_time: int  # last bin in which the work is on time
+    last_bin: int  # last bin before the client gives up
+    work_each: float  # s of work per request
+    fetch: bool  # whether each request needs a database fetch
+    work: float = 0.0  # s of work of all requests
+
+
+def attainable_worth(
+    requests: Iterable[RequestRecord], capacities: Sequence[Capacity], seconds: int
+) -> list[float]:
+    """The attainable worth of the requests of each second.
+
+    `capacities` holds one entry per bin from the start of the run; later bins have the capacity of
+    the last entry.  Raises ArithmeticError if the linear program can't be solved.
     """
-    groups = _groups(found, seconds)
+    groups = _groups(requests, seconds)
     earned = [0.0] * seconds
     if not groups:
         return earned
-    last = max(group.until for group in groups)
-    there = [rooms[min(place, len(rooms) - 1)] for place in range(last + 1)]
-    if _all_at_once(groups, there):
+    last = max(group.last_bin for group in groups)
+    by_bin = [capacities[min(index, len(capacities) - 1)] for index in range(last + 1)]
+    if _fits_on_arrival(groups, by_bin):
         for group in groups:
-            earned[group.second] += group.density * group.work
+            earned[group.second] += group.worth_rate * group.work
         return earned
-    return _solve(groups, there, earned)
+    return _solve(groups, by_bin, earned)
 
 
-def _groups(found: Iterable[Asked], seconds: int) -> list[_Group]:
-    made: dict[tuple[object, ...], _Group] = {}
-    for each in found:
-        place = int(each.at / STEP)
-        until = int((each.at + each.life) / STEP)
-        name = (place, each.cls, each.fresh, until)
-        group = made.get(name)
+def _groups(requests: Iterable[RequestRecord], seconds: int) -> list[_Group]:
+    groups: dict[tuple[object, ...], _Group] = {}
+    for request in requests:
+        arrival_bin = int(request.at / BIN_S)
+        last_bin = int((request.at + request.useful_s) / BIN_S)
+        group_key = (arrival_bin, request.cls, request.must_fetch, last_bin)
+        group = groups.get(group_key)
         if group is None:
-            group = made[name] = _Group(
-                place,
-                min(seconds - 1, int(each.at)),
-                each.worth / each.work,
-                each.late,
-                min(until, int((place + 1) + each.aim / STEP)),
-                until,
-                each.work,
-                each.fresh,
+            group = groups[group_key] = _Group(
+                arrival_bin,
+                min(seconds - 1, int(request.at)),
+                request.worth / request.work,
+                request.late_share,
+                min(last_bin, int((arrival_bin + 1) + request.target_s / BIN_S)),
+                last_bin,
+                request.work,
+                request.must_fetch,
             )
-        group.work += each.work
-    return list(made.values())
+        group.work += request.work
+    return list(groups.values())
 
 
-def _all_at_once(groups: list[_Group], there: list[Room]) -> bool:
-    """Whether each bin carries what was asked in it: then there is nothing to solve."""
-    work, fetches = [0.0] * len(there), [0.0] * len(there)
+def _fits_on_arrival(groups: list[_Group], capacities: list[Capacity]) -> bool:
+    """Whether each bin has the capacity for its own arrivals, so that all worth is attainable."""
+    work, fetches = [0.0] * len(capacities), [0.0] * len(capacities)
     for group in groups:
-        work[group.place] += group.work
-        fetches[group.place] += group.work / group.each * group.fetch
+        work[group.arrival_bin] += group.work
+        fetches[group.arrival_bin] += group.work / group.work_each * group.fetch
     return all(
-        w <= room.work and f <= room.fetches
-        for w, f, room in zip(work, fetches, there, strict=True)
+        w <= capacity.work and f <= capacity.fetches
+        for w, f, capacity in zip(work, fetches, capacities, strict=True)
     )
 
 
-def _solve(groups: list[_Group], there: list[Room], earned: list[float]) -> list[float]:
-    import highspy  # half a second that a calm run does not need
+def _solve(groups: list[_Group], capacities: list[Capacity], earned: list[float]) -> list[float]:
+    import highspy  # imported here: it takes half a second, and a run without overload needs no LP
     import numpy as np
 
     from limebridge.highs import create_highs
 
     columns = [
-        (number, place)
-        for number, group in enumerate(groups)
-        for place in range(group.place, group.until + 1)
+        (group_index, bin_)
+        for group_index, group in enumerate(groups)
+        for bin_ in range(group.arrival_bin, group.last_bin + 1)
     ]
-    size, bins = len(groups), len(there)
+    group_count, bin_count = len(groups), len(capacities)
     value = np.array(
         [
-            groups[number].density
-            * (1.0 if place <= groups[number].in_time else groups[number].late)
-            * (1.0 - EARLY * (place - groups[number].place))
-            for number, place in columns
+            groups[group_index].worth_rate
+            * (1.0 if bin_ <= groups[group_index].last_in_time else groups[group_index].late_share)
+            * (1.0 - EARLY_PREFERENCE * (bin_ - groups[group_index].arrival_bin))
+            for group_index, bin_ in columns
         ]
     )
-    starts, rows, entries = [0], [], []
-    for number, place in columns:
-        rows += [number, size + place]
-        entries += [1.0, 1.0]
-        if groups[number].fetch:
-            rows.append(size + bins + place)
-            entries.append(1.0 / groups[number].each)
+    starts, rows, coefficients = [0], [], []
+    for group_index, bin_ in columns:
+        rows += [group_index, group_count + bin_]
+        coefficients += [1.0, 1.0]
+        if groups[group_index].fetch:
+            rows.append(group_count + bin_count + bin_)
+            coefficients.append(1.0 / groups[group_index].work_each)
         starts.append(len(rows))
     model = highspy.HighsLp()
-    model.num_col_, model.num_row_ = len(columns), size + 2 * bins
+    model.num_col_, model.num_row_ = len(columns), group_count + 2 * bin_count
     model.sense_ = highspy.ObjSense.kMaximize
     model.col_cost_ = value
     model.col_lower_, model.col_upper_ = np.zeros(len(columns)), np.full(len(columns), math.inf)
-    model.row_lower_ = np.full(size + 2 * bins, -math.inf)
+    model.row_lower_ = np.full(group_count + 2 * bin_count, -math.inf)
     model.row_upper_ = np.array(
         [group.work for group in groups]
-        + [room.work for room in there]
-        + [room.fetches for room in there]
+        + [capacity.work for capacity in capacities]
+        + [capacity.fetches for capacity in capacities]
     )
     model.a_matrix_.format_ = highspy.MatrixFormat.kColwise
     model.a_matrix_.start_ = np.array(starts, dtype=np.int32)
     model.a_matrix_.index_ = np.array(rows, dtype=np.int32)
-    model.a_matrix_.value_ = np.array(entries)
+    model.a_matrix_.value_ = np.array(coefficients)
     solver = create_highs()
     solver.passModel(model)
     solver.run()
     if solver.getModelStatus() != highspy.HighsModelStatus.kOptimal:
         raise ArithmeticError(f"attainable worth: {solver.getModelStatus()}")
-    told = solver.getSolution().col_value
-    for (number, _), amount, worth in zip(columns, told, value, strict=True):
-        earned[groups[number].second] += float(amount * worth)
+    amounts = solver.getSolution().col_value
+    for (group_index, _), amount, worth in zip(columns, amounts, value, strict=True):
+        earned[groups[group_index].second] += float(amount * worth)
     return earned
 
 
-def troubles(
-    events: Iterable[tuple[float, float]], asked: Sequence[float], rooms: Sequence[Room]
+def fault_span(
+    events: Iterable[tuple[float, float]],
+    work_by_second: Sequence[float],
+    capacities: Sequence[Capacity],
 ) -> tuple[float, float] | None:
-    """From when to when (s) something was wrong: events, or more work asked than there is room.
+    """Start and end (s) of the span that covers all events and all overloaded seconds, or None.
 
-    asked holds the work asked by second.
+    A second is overloaded if the work requested in it exceeds the capacity of its bins.  `events`
+    holds start and end of each.
     """
     spans = list(events)
-    per = round(1.0 / STEP)
-    for second, work in enumerate(asked):
-        there = rooms[second * per : (second + 1) * per]
-        if len(there) == per and work > sum(room.work for room in there):
+    bins_per_second = round(1.0 / BIN_S)
+    for second, work in enumerate(work_by_second):
+        within_second = capacities[second * bins_per_second : (second + 1) * bins_per_second]
+        if len(within_second) == bins_per_second and work > sum(
+            capacity.work for capacity in within_second
+        ):
             spans.append((float(second), second + 1.0))
     return (min(s[0] for s in spans), max(s[1] for s in spans)) if spans else None
 
 
-def compare(
-    seconds: Sequence[tuple[float, float]], could: Sequence[float], span: tuple[float, float] | None
-) -> Share:
-    """seconds: worth asked and earned by second; could: attainable by second."""
+def attained_share(
+    seconds: Sequence[tuple[float, float]],
+    attainable: Sequence[float],
+    span: tuple[float, float] | None,
+) -> AttainedShare:
+    """Compare earned with attainable worth.
+
+    `seconds` holds the requested and the earned worth by second, `span` the result of `fault_span`.
+    """
     earned = [pair[1] for pair in seconds]
 
-    def part(first: float, last: float) -> float:
-        places = range(max(0, math.ceil(first)), min(len(earned), math.ceil(last)))
-        have = sum(could[n] for n in places)
-        return sum(earned[n] for n in places) / have if have > 0.0 else 1.0
+    def share_between(first: float, last: float) -> float:
+        indexes = range(max(0, math.ceil(first)), min(len(earned), math.ceil(last)))
+        available = sum(attainable[n] for n in indexes)
+        return sum(earned[n] for n in indexes) / available if available > 0.0 else 1.0
 
-    whole = part(0.0, len(earned))
+    whole = share_between(0.0, len(earned))
     if span is None:
-        return Share(whole, 1.0, 1.0, 0.0, 0.0, list(could))
+        return AttainedShare(whole, 1.0, 1.0, 0.0, 0.0, list(attainable))
     begin, end = span
-    shares = [got / there if there > 0.0 else 1.0 for got, there in zip(earned, could, strict=True)]
-    back = None
-    for place in range(math.ceil(end), len(shares) - BACK_HELD + 1):
-        if all(share >= BACK_SHARE for share in shares[place : place + BACK_HELD]):
-            back = max(0.0, place - end)
+    shares = [
+        worth / limit if limit > 0.0 else 1.0
+        for worth, limit in zip(earned, attainable, strict=True)
+    ]
+    recovered_after = None
+    for index in range(math.ceil(end), len(shares) - RECOVERED_SECONDS + 1):
+        if all(share >= RECOVERED_SHARE for share in shares[index : index + RECOVERED_SECONDS]):
+            recovered_after = max(0.0, index - end)
             break
-    watched = shares[int(begin) : min(len(shares), math.ceil(end + AFTER))]
-    moves = [abs(b - a) for a, b in itertools.pairwise(watched)]
-    return Share(
+    observed = shares[int(begin) : min(len(shares), math.ceil(end + AFTERMATH_S))]
+    changes = [abs(b - a) for a, b in itertools.pairwise(observed)]
+    return AttainedShare(
         whole,
-        part(begin + SETTLE, end),
-        part(end, end + AFTER),
-        back,
-        sum(moves) / len(moves) if moves else 0.0,
-        list(could),
+        share_between(begin + DETECTION_S, end),
+        share_between(end, end + AFTERMATH_S),
+        recovered_after,
+        sum(changes) / len(changes) if changes else 0.0,
+        list(attainable),
     )
--- a/limebridge/rehearsal/command.py
+++ b/limebridge/rehearsal/command.py
@@ -1,4 +1,4 @@
-"""`limebridge rehearse`: a scenario, some seeds, a verdict."""
+"""`limebridge rehearse`: runs a scenario with several seeds and prints a verdict for each."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 from limebridge.child import DaemonStartError
 from violetroute.config import ConfigError
 
-from .engine import play
-from .real import play_real
-from .report import html, plain, verdict, xml
+from .engine import run_scenario
+from .real import run_real
+from .report import render_html, render_junit, to_dict, verdict
 from .result import Result
-from .scenario import Scenario, load, shipped
-from .vary import named_scenario, varied
+from .scenario import Scenario, load, shipped_scenarios
+from .vary import apply_changes, named_scenario
 
-NEW = """# A rehearsal; `limebridge rehearse THIS_FILE`.  Tables left out have their defaults.
+TEMPLATE = """# A scenario for `limebridge rehearse THIS_FILE`.  Omitted tables have default values.
 [run]
 seconds = 30.0
 about = "what it rehearses"
@@ -49,216 +49,230 @@
 [bar]
 service = 0.8
 """
-SURE = 2.0  # standard errors by which a mean has to differ to be called a change (about 1 in 20)
+# A mean difference of more standard errors than this is a change; wrong about once in 20 times.
+SIGNIFICANT_ERRORS = 2.0
 
-Run = dict[str, Any]  # as `plain` has it
-COMPARED: dict[str, Callable[[Run], Any]] = {  # None in reports that do not have the figure
+RunDict = dict[str, Any]  # as made by report.to_dict
+COMPARED_MEASURES: dict[str, Callable[[RunDict], Any]] = {  # None: not in the report
     **{name: operator.itemgetter(name) for name in ("service", "worst", "worst_class", "total")},
     "of attainable": lambda run: (run.get("share") or {}).get("whole"),
 }
 
 
-def _stop(text: object, status: int = 2) -> NoReturn:
+def _fail(text: object, status: int = 2) -> NoReturn:
     typer.echo(f"limebridge: {text}", err=True)
     raise typer.Exit(status) from None
 
 
-def _one(what: tuple[Scenario, int, str | None]) -> Result:
-    scenario, seed, patch = what
+def _run_one(job: tuple[Scenario, int, str | None]) -> Result:
+    scenario, seed, patch = job
     if patch is not None:
         runpy.run_path(patch)["plant"]()
-    return play(scenario, seed)
+    return run_scenario(scenario, seed)
 
 
 def rehearse(
-    scenario: Annotated[str, typer.Argument(help="A file, or one of --list.")] = "",
-    seeds: Annotated[int, typer.Option(min=1, max=1000, help="Runs, one a seed.")] = 1,
+    scenario: Annotated[str, typer.Argument(help="A file, or a name from --list.")] = "",
+    seeds: Annotated[int, typer.Option(min=1, max=1000, help="Runs, one per seed.")] = 1,
     first: Annotated[
         int | None,
-        typer.Option("--from", min=0, help="The first seed, in place of the scenario's."),
+        typer.Option("--from", min=0, help="The first seed, instead of the scenario's."),
     ] = None,
-    change: Annotated[
+    assignments: Annotated[
         list[str] | None,
         typer.Option(
             "--set",
             metavar="KEY=VALUE",
-            help="Another figure, as proxies.count=1 or load.scale=1.5.",
+            help="Change a value, e.g. proxies.count=1 or load.scale=1.5.",
         ),
     ] = None,
-    jobs: Annotated[int, typer.Option(min=0, help="Processes; 0 is one a core.")] = 0,
+    jobs: Annotated[int, typer.Option(min=0, help="Processes; 0: one per core.")] = 0,
     baseline: Annotated[
         Path | None,
         typer.Option(
-            metavar="REPORT.json", help="An earlier --json of the same scenario and seeds."
+            metavar="REPORT.json", help="Earlier --json output of the same scenario and seeds."
         ),
     ] = None,
     patch: Annotated[
         Path | None,
         typer.Option(
-            metavar="FILE", help="A Python file whose plant() is called first: a bad build."
+            metavar="FILE", help="A Python file whose plant() injects a bug before the run."
         ),
     ] = None,
     report: Annotated[
-        Path | None, typer.Option("--html", metavar="FILE", help="Write a report.")
+        Path | None, typer.Option("--html", metavar="FILE", help="Write an HTML report.")
     ] = None,
-    names: Annotated[bool, typer.Option("--list", help="The scenarios that are shipped.")] = False,
-    explain: Annotated[bool, typer.Option("--explain", help="What it is, without a run.")] = False,
+    names: Annotated[bool, typer.Option("--list", help="List the shipped scenarios.")] = False,
+    explain: Annotated[
+        bool, typer.Option("--explain", help="Describe the scenario, don't run it.")
+    ] = False,
     new: Annotated[
-        Path | None, typer.Option("--new", metavar="FILE", help="Write a scenario to begin with.")
+        Path | None, typer.Option("--new", metavar="FILE", help="Write a template of a scenario.")
     ] = None,
-    as_json: Annotated[bool, typer.Option("--json", help="One JSON object.")] = False,
+    as_json: Annotated[bool, typer.Option("--json", help="Print one JSON object.")] = False,
     real: Annotated[
-        bool, typer.Option("--real", help="In real time, with the daemon as processes on loopback.")
+        bool, typer.Option("--real", help="Real time, with daemon processes on loopback.")
     ] = False,
     run: Annotated[
-        str, typer.Option(metavar="COMMAND", help="With --real: how the daemon is started.")
+        str, typer.Option(metavar="COMMAND", help="With --real: command line of the daemon.")
     ] = "",
     junit: Annotated[
         Path | None, typer.Option(metavar="FILE", help="Write the verdicts as JUnit XML.")
     ] = None,
 ) -> None:
-    """Play a scenario on the virtual clock against the daemon's own code.
+    """Run a scenario on the virtual clock against the daemon's own code.
 
-    Exit status 0: passed; 1: failed; 2: the scenario can't be used; 3: void, the kit itself was
-    too late.
+    Exit status 0: passed; 1: failed; 2: the scenario can't be used; 3: void, since the test kit
+    itself was too late.
     """
     if names:
-        for name in shipped():
+        for name in shipped_scenarios():
             print(f"{name:28}{load(name).run.about}")
         return
     if new is not None:
         if new.exists():
-            _stop(f"{new}: is there already")
-        new.write_text(NEW)
+            _fail(f"{new}: the file exists already")
+        new.write_text(TEMPLATE)
         return
     if not scenario:
-        _stop("which scenario? --list names those that are shipped")
+        _fail("no scenario given; --list prints the shipped ones")
     try:
-        made = varied(named_scenario(scenario), _changes(change))
+        chosen = apply_changes(named_scenario(scenario), _parse_changes(assignments))
     except ConfigError as error:
-        _stop(error)
+        _fail(error)
     if first is not None:
-        made = msgspec.structs.replace(made, run=msgspec.structs.replace(made.run, seed=first))
+        chosen = msgspec.structs.replace(
+            chosen, run=msgspec.structs.replace(chosen.run, seed=first)
+        )
     if explain:
-        _explain(made)
+        _explain(chosen)
         return
     if real and patch is not None:
-        _stop("--patch: planted in virtual runs alone; with --real name a build by --run")
+        _fail("--patch: only for virtual runs; with --real choose a build by --run")
     if run and not real:
-        _stop("--run: for --real; a virtual run plays this checkout")
-    before = _baseline(baseline, made) if baseline is not None else []
-    results = _real(made, seeds, run) if real else _runs(made, seeds, jobs, patch, as_json)
-    told: dict[str, Any] = {"runs": [plain(result) for result in results]}
+        _fail("--run: only with --real; a virtual run uses this checkout")
+    before = _baseline(baseline, chosen) if baseline is not None else []
+    results = (
+        _run_real(chosen, seeds, run) if real else _run_virtual(chosen, seeds, jobs, patch, as_json)
+    )
+    output: dict[str, Any] = {"runs": [to_dict(result) for result in results]}
     if before:
-        told["changes"] = changes(before, told["runs"])
+        output["changes"] = significant_changes(before, output["runs"])
     if report is not None:
-        report.write_text(html(results))
+        report.write_text(render_html(results))
     if junit is not None:
-        junit.write_text(xml(results))
+        junit.write_text(render_junit(results))
     if as_json:
-        print(json.dumps(told))
+        print(json.dumps(output))
     else:
-        _show(results, told.get("changes", []))
+        _show(results, output.get("changes", []))
     if any(result.void for result in results):
         raise typer.Exit(3)
-    worse = any(change["worse"] for change in told.get("changes", []))
+    worse = any(change["worse"] for change in output.get("changes", []))
     raise typer.Exit(1 if worse or any(result.failed for result in results) else 0)
 
 
-def _changes(told: list[str] | None) -> dict[str, Any]:
-    """KEY=VALUE, the value as TOML has it; a bare word is text."""
-    found: dict[str, Any] = {}
-    for each in told or []:
-        key, is_there, value = each.partition("=")
-        if not is_there:
-            raise ConfigError(f"--set {each}: not KEY=VALUE")
+def _parse_changes(assignments: list[str] | None) -> dict[str, Any]:
+    """Parse KEY=VALUE pairs; a value that is not TOML is taken as a string."""
+    values: dict[str, Any] = {}
+    for assignment in assignments or []:
+        key, separator, value = assignment.partition("=")
+        if not separator:
+            raise ConfigError(f"--set {assignment}: not KEY=VALUE")
         try:
-            found[key] = tomllib.loads(f"value = {value}")["value"]
+            values[key] = tomllib.loads(f"value = {value}")["value"]
         except tomllib.TOMLDecodeError:
-            found[key] = value
-    return found
+            values[key] = value
+    return values
 
 
-def _runs(made: Scenario, seeds: int, jobs: int, patch: Path | None, quiet: bool) -> list[Result]:
+def _run_virtual(
+    scenario: Scenario, seeds: int, jobs: int, patch: Path | None, quiet: bool
+) -> list[Result]:
     if patch is not None and not patch.is_file():
-        _stop(f"no file {patch}")
+        _fail(f"--patch: {patch} is not a file")
     work = [
-        (made, made.run.seed + number, None if patch is None else str(patch))
+        (scenario, scenario.run.seed + number, None if patch is None else str(patch))
         for number in range(seeds)
     ]
     if seeds == 1 and patch is None:
-        return [_one(work[0])]
+        return [_run_one(work[0])]
     columns = (TextColumn("rehearsing"), BarColumn(), MofNCompleteColumn())
     results = []
     processes = min(seeds, jobs or len(os.sched_getaffinity(0)))
     with (
-        multiprocessing.get_context("spawn").Pool(processes, _deaf) as pool,
+        multiprocessing.get_context("spawn").Pool(processes, _ignore_interrupts) as pool,
         Progress(*columns, console=Console(stderr=True), disable=quiet) as progress,
     ):
         bar = progress.add_task("", total=seeds)
-        for result in until_stopped(pool.imap(_one, work)):
+        for result in until_interrupted(pool.imap(_run_one, work)):
             results.append(result)
             progress.update(bar, completed=len(results))
     if not results:
-        _stop("stopped before the first run was over", 1)
+        _fail("interrupted before the first run ended", 1)
     if len(results) < seeds:
         results[-1].partial = True
     return results
 
 
-def until_stopped(runs: Iterator[Result]) -> Iterator[Result]:
-    """Those that are over by the time of a Ctrl-C."""
+def until_interrupted(runs: Iterator[Result]) -> Iterator[Result]:
+    """Yield the results of the runs that end before a Ctrl-C."""
     try:
         yield from runs
     except KeyboardInterrupt:
         return
 
 
-def _deaf() -> None:
-    """Ctrl-C goes to all of a terminal's processes; the one in front ends the others."""
+def _ignore_interrupts() -> None:
+    """Ignore SIGINT: the terminal sends it to all processes, and the parent stops the others."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
 
-def _real(made: Scenario, seeds: int, run: str) -> list[Result]:
-    """One after the other: side by side they would make each other late."""
+def _run_real(scenario: Scenario, seeds: int, run: str) -> list[Result]:
+    """Run the seeds one after another: concurrent runs would delay each other."""
     results = []
     try:
         for number in range(seeds):
-            results.append(play_real(made, made.run.seed + number, run))
+            results.append(run_real(scenario, scenario.run.seed + number, run))
             if results[-1].partial:
                 break
     except (DaemonStartError, OSError) as error:
-        _stop(error)
+        _fail(error)
     return results
 
 
-def _baseline(path: Path, made: Scenario) -> list[dict[str, Any]]:
+def _baseline(path: Path, scenario: Scenario) -> list[dict[str, Any]]:
     try:
         runs: list[dict[str, Any]] = json.loads(path.read_bytes())["runs"]
-        if any(run["scenario"] != made.name for run in runs):
-            raise ValueError("it is of another scenario")
+        if any(run["scenario"] != scenario.name for run in runs):
+            raise ValueError("it has runs of another scenario")
         return runs
     except (OSError, ValueError, KeyError, TypeError) as error:
-        _stop(f"{path}: no report to compare with: {error}")
+        _fail(f"{path}: can't be used as a baseline: {error}")
 
 
-def changes(before: list[dict[str, Any]], after: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """What differs over the seeds that both have, by pairs; noise is not called a change.
+def significant_changes(
+    before: list[dict[str, Any]], after: list[dict[str, Any]]
+) -> list[dict[str, Any]]:
+    """The measures that differ between runs with the same seeds, by pairs of equal seeds.
 
-    A change is a mean difference of SURE standard errors: wrong about once in twenty figures.
+    A mean difference counts if it exceeds SIGNIFICANT_ERRORS standard errors, which happens by
+    chance about once in twenty measures.
     """
     pairs = [(old, new) for old in before for new in after if old["seed"] == new["seed"]]
-    found = []
-    for name, of in COMPARED.items():
+    changes = []
+    for name, measure in COMPARED_MEASURES.items():
         differences = [
-            of(new) - of(old) for old, new in pairs if of(old) is not None and of(new) is not None
+            measure(new) - measure(old)
+            for old, new in pairs
+            if measure(old) is not None and measure(new) is not None
         ]
         if len(differences) < 2:
             continue
         mean = statistics.mean(differences)
         error = statistics.stdev(differences) / len(differences) ** 0.5
-        if abs(mean) > SURE * error and abs(mean) > 1e-9:
-            found.append(
+        if abs(mean) > SIGNIFICANT_ERRORS * error and abs(mean) > 1e-9:
+            changes.append(
                 {
                     "what": name,
                     "by": round(mean, 4),
@@ -267,43 +281,44 @@
                     "worse": mean < 0.0,
                 }
             )
-    return found
+    return changes
 
 
-def _explain(made: Scenario) -> None:
-    print(f"{made.name}: {made.run.about}")
+def _explain(scenario: Scenario) -> None:
+    print(f"{scenario.name}: {scenario.run.about}")
     print(
-        f"{made.size} nodes at {len(made.site)} sites, about {made.capacity:.0f} requests/s "
-        f"when warm; {made.proxies.count} proxies; {made.run.seconds:g} s"
+        f"{scenario.size} nodes at {len(scenario.site)} sites, "
+        f"about {scenario.capacity:.0f} requests/s when warm; "
+        f"{scenario.proxies.count} proxies; {scenario.run.seconds:g} s"
     )
-    for point in made.load.curve:
-        print(f"  {point.at:7.1f} s  {point.rate:g} requests a second")
-    for event in sorted(made.event, key=lambda event: event.at):
+    for point in scenario.load.curve:
+        print(f"  {point.at:7.1f} s  {point.rate:g} requests/s")
+    for event in sorted(scenario.event, key=lambda event: event.at):
         print(
             f"  {event.at:7.1f} s  {event.kind} for {event.lasts:g} s, share {event.share:g}"
             + (f", at {event.site}" if event.site else "")
         )
-    bar = made.bar
+    bar = scenario.bar
     print(
         f"bar: service {bar.service:g}, worst ten seconds {bar.worst:g}, "
-        f"worst class {bar.worst_class:g}, no rule broken"
+        f"worst class {bar.worst_class:g}, no rule violated"
     )
-    wanted = [
-        f"{name} {least:g}"
-        for name, least in (
+    requirements = [
+        f"{name} {minimum:g}"
+        for name, minimum in (
             ("whole run", bar.attainable),
             ("in the trouble", bar.trouble),
             ("after it", bar.after),
         )
-        if least
+        if minimum
     ]
-    wanted += [f"back within {bar.back:g} s"] if bar.back else []
-    wanted += [f"swing {bar.swing:g} at most"] if bar.swing else []
-    if wanted:
-        print(f"of what is attainable: {', '.join(wanted)}")
+    requirements += [f"back within {bar.back:g} s"] if bar.back else []
+    requirements += [f"swing {bar.swing:g} at most"] if bar.swing else []
+    if requirements:
+        print(f"of what is attainable: {', '.join(requirements)}")
 
 
-def _show(results: list[Result], changed: list[dict[str, Any]]) -> None:
+def _show(results: list[Result], changes: list[dict[str, Any]]) -> None:
     table = Table(
         "seed",
         "service",
@@ -319,9 +334,9 @@
         padding=(0, 1, 0, 0),
     )  # 80 columns
     for result in results:
-        found = result.score
+        score = result.score
         share = result.share
-        of = (
+        attained = (
             ["", "", ""]
             if share is None
             else [
@@ -332,26 +347,26 @@
         )
         table.add_row(
             str(result.seed),
-            f"{found.service:.3f}",
-            f"{found.worst:.3f}",
-            f"{found.worst_class:.3f}",
-            *of,
-            f"{found.p99_ms:.0f}",
+            f"{score.service:.3f}",
+            f"{score.worst:.3f}",
+            f"{score.worst_class:.3f}",
+            *attained,
+            f"{score.p99_ms:.0f}",
             str(max(result.database, default=0)),
             verdict(result),
         )
     Console().print(table)
-    for what, part in list(results[0].blame.items())[:4] if results else []:
-        print(f"seed {results[0].seed} lost {part:.4f}: {what}")
+    for cause, share_lost in list(results[0].blame.items())[:4] if results else []:
+        print(f"seed {results[0].seed} lost {share_lost:.4f}: {cause}")
     if results and results[0].costs:
-        dear = max(results[0].costs, key=lambda cost: cost.lost)
-        print(f"  most in second {dear.second}: {dear.by} ({dear.part:.0%} of it)")
+        top = max(results[0].costs, key=lambda cost: cost.lost)
+        print(f"  most in second {top.second}: {top.cause} ({top.cause_share:.0%} of it)")
     for result in results:
-        for why in result.failed:
-            print(f"seed {result.seed}: {why}")
-        for each in result.broken[:3]:
-            print(f"  rule {each.rule} at {each.at - 1000.0:.3f}: {each.message} {each.request}")
-    for change in changed:
+        for reason in result.failed:
+            print(f"seed {result.seed}: {reason}")
+        for v in result.violations[:3]:
+            print(f"  rule {v.rule} at {v.at - 1000.0:.3f}: {v.message} {v.request}")
+    for change in changes:
         print(
             f"{change['what']} {'worse' if change['worse'] else 'better'} by "
             f"{abs(change['by']):.4f} (standard error {change['error']:.4f}, "
--- a/limebridge/rehearsal/fleet.py
+++ b/limebridge/rehearsal/fleet.py
@@ -1,7 +1,7 @@
-"""A rehearsal's proxies talk to each other: who is there, what they met at the nodes.
+"""The gossip between the proxies of a rehearsal: membership and health reports about nodes.
 
-They begin as a fleet that has stood for long: each knows all.  `deaf`: a share of them hear nothing
-from the others; `liars`: a share tell of trouble at each node they know.
+The run begins with a fleet in steady state, in which each proxy knows all others.  A share `deaf`
+of the proxies receives no datagrams, a share `liars` reports every node it knows as unhealthy.
 """
 
 from __future__ import annotations
@@ -18,68 +18,70 @@
 
 from .scenario import Scenario
 
-PORT = 20_000  # of the first proxy
-WAY = 0.0005  # s one way
-KEYS = Keys([b"a key of an emulated fleet"])
+FIRST_PORT = 20_000  # datagram port of proxy 0; proxy n has FIRST_PORT + n
+ONE_WAY_S = 0.0005  # network delay of a datagram
+FLEET_KEYS = Keys([b"a key of an emulated fleet"])
 
 
-class Talk:
-    """All proxies of one run."""
+class ProxySharing:
+    """Creates the sharing service of every proxy of a run."""
 
     def __init__(self, scenario: Scenario, kernel: Kernel, random: Random) -> None:
         self._proxies = scenario.proxies
-        self._lives = 0
+        self._incarnations = 0
         names = [f"p{number}" for number in range(scenario.proxies.count)]
         random.shuffle(names)
-        deaf = round(scenario.proxies.deaf * len(names))
-        self._deaf = {PORT + int(name[1:]) for name in names[:deaf]}
-        self._liars = set(names[deaf : deaf + round(scenario.proxies.liars * len(names))])
-        kernel.datagram_delays = lambda owner, port: [] if port in self._deaf else [WAY]
-        self.here: list[Sharing] = []
+        deaf_count = round(scenario.proxies.deaf * len(names))
+        self._deaf_ports = {FIRST_PORT + int(name[1:]) for name in names[:deaf_count]}
+        self._liars = set(
+            names[deaf_count : deaf_count + round(scenario.proxies.liars * len(names))]
+        )
+        kernel.datagram_delays = lambda owner, port: [] if port in self._deaf_ports else [ONE_WAY_S]
+        self.services: list[Sharing] = []
 
-    def join(self, process: Any, net: SocketNetwork) -> Sharing:
-        """One more life of a proxy."""
+    def create_sharing(self, process: Any, net: SocketNetwork) -> Sharing:
+        """Create the sharing service of a proxy that starts; each start is a new incarnation."""
         number, settings = int(process.owner[1:]), process.proxy_config.settings
-        self._lives += 1
+        self._incarnations += 1
         table = SharingTable(
-            listen=f"127.0.0.1:{PORT + number}",
+            listen=f"127.0.0.1:{FIRST_PORT + number}",
             proxies=self._proxies.count,
-            seeds=(f"127.0.0.1:{PORT}", f"127.0.0.1:{PORT + 1}"),
+            seeds=(f"127.0.0.1:{FIRST_PORT}", f"127.0.0.1:{FIRST_PORT + 1}"),
         )
         sharing = Sharing(
             table,
-            KEYS,
+            FLEET_KEYS,
             process.owner,
             settings.zone,
             settings.max_backoff,
             net,
             process.proxy,
-            life=f"life{self._lives}",
+            life=f"life{self._incarnations}",
         )
         factory.attach(sharing, process.proxy)
         node_health = sharing.rounds.node_health
         if process.owner in self._liars and node_health is not None:
             node_health.reports_to_send = (  # type: ignore[method-assign]
                 lambda now, most=24: [
-                    HealthReport(node, known.started, 0.0, 9.0)
-                    for node, known in list(node_health._nodes.items())[:most]
+                    HealthReport(node, node_state.started, 0.0, 9.0)
+                    for node, node_state in list(node_health._nodes.items())[:most]
                 ]
             )
-        self.here.append(sharing)
+        self.services.append(sharing)
         return sharing
 
-    def settle(self, now: float) -> None:
-        """Each knows all, and had a word of it."""
-        own = [(sharing.name, sharing.members.own_rumor()) for sharing in self.here]
-        for sharing in self.here:
-            for name, rumor in own:
+    def introduce_all(self, now: float) -> None:
+        """Add every proxy to the member list of every other one, at time `now` (s)."""
+        own_rumors = [(sharing.name, sharing.members.own_rumor()) for sharing in self.services]
+        for sharing in self.services:
+            for name, rumor in own_rumors:
                 if name != sharing.name and name not in sharing.members.members:
                     sharing.members.add_member(rumor, now)
 
-    def cost(self, seconds: float) -> dict[str, float]:
-        """Datagrams and bytes a second of one member."""
-        many = max(1, len(self.here)) * seconds
+    def traffic(self, seconds: float) -> dict[str, float]:
+        """Mean datagrams and bytes sent per second by a member, over `seconds`."""
+        member_seconds = max(1, len(self.services)) * seconds
         return {
-            "datagrams": sum(sharing.sent for sharing in self.here) / many,
-            "bytes": sum(sharing.bytes_sent for sharing in self.here) / many,
+            "datagrams": sum(sharing.sent for sharing in self.services) / member_seconds,
+            "bytes": sum(sharing.bytes_sent for sharing in self.services) / member_seconds,
         }
--- a/limebridge/rehearsal/keys.py
+++ b/limebridge/rehearsal/keys.py
@@ -1,4 +1,4 @@
-"""Which keys the clients of a rehearsal ask for, and which of them a node can have kept."""
+"""Chooses the keys of a rehearsal's requests and tracks which of them a node can have cached."""
 
 from __future__ import annotations
 
@@ -10,34 +10,39 @@
 
 
 class KeyChooser:
-    """Popular by Zipf's law, but for those that are hot or asked for once."""
+    """Draws keys by Zipf's law, besides hot keys and keys that are requested only once."""
 
     def __init__(self, table: Keys) -> None:
-        self.hot: list[tuple[bytes, float]] = []  # with its share of all that is asked
-        self.once = table.once  # share of keys that nobody has asked for before
-        self._popular = list(
+        self.hot_keys: list[tuple[bytes, float]] = []  # key and its share of requests
+        self.once_share = table.once  # share of requests with a key never used before
+        self._cumulative_weights = list(
             itertools.accumulate(1.0 / (rank + 1) ** table.zipf for rank in range(table.count))
         )
-        self._kept: dict[bytes, None] = {}  # that a node can have kept
+        self._possibly_cached: dict[bytes, None] = {}
 
-    def draw(self, rng: Random) -> bytes:
-        """The next one that is asked for."""
-        draw = rng.random()
-        for key, share in self.hot:
-            if draw < share:
+    def choose(self, rng: Random) -> bytes:
+        """The key of the next request."""
+        drawn = rng.random()
+        for key, share in self.hot_keys:
+            if drawn < share:
                 return key
-            draw -= share
-        if rng.random() < self.once:
+            drawn -= share
+        if rng.random() < self.once_share:
             return b"once-%d" % rng.getrandbits(48)
-        place = bisect.bisect_left(self._popular, rng.random() * self._popular[-1])
-        return b"key-%d" % place
+        rank = bisect.bisect_left(
+            self._cumulative_weights, rng.random() * self._cumulative_weights[-1]
+        )
+        return b"key-%d" % rank
+
+    def record_access(self, key: bytes, is_read: bool, database_running: bool) -> bool:
+        """Record a read or write; return True for a read of a key that no node can have cached.
 
-    def meet(self, key: bytes, read: bool, database_flows: bool) -> bool:
-        """Whether no node can have kept the key: never asked for, or written since."""
-        if not read:
-            self._kept.pop(key, None)
+        That is a key never read before, or written since the last read.
+        """
+        if not is_read:
+            self._possibly_cached.pop(key, None)
             return False
-        fresh = key not in self._kept
-        if database_flows:  # else nobody can have fetched it meanwhile
-            self._kept[key] = None
-        return fresh
+        must_fetch = key not in self._possibly_cached
+        if database_running:  # otherwise no node can have fetched it
+            self._possibly_cached[key] = None
+        return must_fetch
--- a/limebridge/rehearsal/loss_attribution.py
+++ b/limebridge/rehearsal/loss_attribution.py
@@ -1,8 +1,9 @@
-"""Which decision cost most, second by second.  Pure.
+"""Attributes the lost worth of a run to routing decisions, by second and in total.  Pure.
 
-A request that earned less than its worth is put down to what became of its first try: only that
-one could be in time.  Seen from outside, by what nodes and clients saw, so that it says the same
-of any build.  Nobody is blamed for a node's trouble in its first SETTLE seconds.
+The cause of a loss is what happened to the request's first attempt, since only an answer to that
+one can be on time.  The causes are derived from what nodes and clients observed, so that builds
+with different internals can be compared.  A node that has been unavailable for less than
+DETECTION_S counts as newly unavailable, since no proxy can know it yet.
 """
 
 from __future__ import annotations
@@ -11,131 +12,147 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from .attainable import SETTLE, STEP
-from .score import Asked
+from .attainable import BIN_S, DETECTION_S
+from .score import RequestRecord
 
-IDLE = 0.1  # share of the sound nodes' work that has to lie idle for it to be called room
-SLACK = 0.05  # s between an attempt's sending and its coming
+IDLE_SHARE = 0.1  # the nodes had capacity if this share of the available nodes' slots was idle
+TRANSIT_SLACK_S = 0.05  # between the sending of an attempt and its arrival at the node
 
-ROOM = "refused while nodes had room"
-FULL = "refused, nodes were full"
-SILENT = "sent where nobody answers"
-KNOWN = "sent to a node long bad"
-NEWS = "sent to a node just gone bad"
-ONCE = "late, no other node was asked"
-LATE = "late, though another was asked"
-NODE = "failed at the node"
+REFUSED_WITH_CAPACITY = "refused while nodes had room"
+REFUSED_FULL = "refused, nodes were full"
+UNANSWERED = "sent where nobody answers"
+KNOWN_UNAVAILABLE = "sent to a node long bad"
+NEWLY_UNAVAILABLE = "sent to a node just gone bad"
+LATE_SINGLE_NODE = "late, no other node was asked"
+LATE_SEVERAL_NODES = "late, though another was asked"
+NODE_FAILURE = "failed at the node"
 
 
 @dataclass(frozen=True, slots=True)
-class Cost:
-    """What one second lost, and by what most."""
+class SecondLoss:
+    """The loss of the requests made in one second, and its largest cause."""
 
     second: int
     lost: float  # worth
-    by: str
-    part: float  # of the lost worth, by that
+    cause: str
+    cause_share: float  # of the lost worth
 
 
 @dataclass(slots=True)
-class Seen:
-    """What the stand-ins saw of a run.
+class Observations:
+    """What the stand-ins observed in a run; times are in s from its start.
 
-    went: by a try's id, the nodes that its commands came to, with the time; bad: by node, from when
-    to when (s) it could do nothing; idle: by second, the share of the sound nodes' work that was
-    not asked of them.
+    `arrivals`: by attempt id, the nodes that its commands reached, with the time.  `unavailable`:
+    by node, start and end of the spans in which it had no capacity.  `idle`: by second, the idle
+    share of the slots of the nodes that were available throughout that second.
     """
 
-    went: Mapping[str, Sequence[tuple[float, str]]]
-    bad: Mapping[str, Sequence[tuple[float, float]]]
+    arrivals: Mapping[str, Sequence[tuple[float, str]]]
+    unavailable: Mapping[str, Sequence[tuple[float, float]]]
     idle: Sequence[float]
 
 
-class Watch:
-    """Takes down what nodes do while a run goes on; its size grows with the run's commands."""
+class RunRecorder:
+    """Records what nodes do during a run; its memory grows with the number of commands."""
 
     def __init__(self) -> None:
-        self._went: dict[str, list[tuple[float, str]]] = defaultdict(list)
-        self._bad: dict[str, list[tuple[float, float]]] = defaultdict(list)
-
-    def came(self, id_: str, at: float, node: str) -> None:
-        """A try's command came to a node."""
-        self._went[id_].append((at, node))
-
-    def looked(self, node: str, at: float, able: float) -> None:
-        """Note what a node can do at this moment, 0 for nothing; called every STEP seconds."""
-        if able <= 0.0:
-            spells = self._bad[node]
-            goes_on = spells and at - spells[-1][1] < 2.0 * STEP
-            spells[-1:] = [(spells[-1][0], at)] if goes_on else [*spells[-1:], (at, at)]
-
-    def seen(self, worked: Mapping[str, Sequence[float]], slots: Mapping[str, int]) -> Seen:
-        """worked: by node and second, seconds of its slots that were at work."""
+        self._arrivals: dict[str, list[tuple[float, str]]] = defaultdict(list)
+        self._unavailable: dict[str, list[tuple[float, float]]] = defaultdict(list)
+
+    def record_arrival(self, id_: str, at: float, node: str) -> None:
+        """Record that a command of attempt `id_` reached a node at `at` (s)."""
+        self._arrivals[id_].append((at, node))
+
+    def record_capacity(self, node: str, at: float, capacity: float) -> None:
+        """Record a node's capacity at `at` (s), 0 if unavailable; called every BIN_S seconds."""
+        if capacity <= 0.0:
+            spans = self._unavailable[node]
+            continues = spans and at - spans[-1][1] < 2.0 * BIN_S
+            spans[-1:] = [(spans[-1][0], at)] if continues else [*spans[-1:], (at, at)]
+
+    def observations(
+        self, busy: Mapping[str, Sequence[float]], slots: Mapping[str, int]
+    ) -> Observations:
+        """The observations of the run; `busy` has the busy slot seconds by node and second."""
         idle = []
-        for second in range(max(map(len, worked.values()), default=0)):
-            sound = [
+        for second in range(max(map(len, busy.values()), default=0)):
+            available = [
                 name
-                for name, done in worked.items()
+                for name, done in busy.items()
                 if second < len(done)
                 and not any(
-                    begin < second + 1 and end >= second for begin, end in self._bad.get(name, ())
+                    begin < second + 1 and end >= second
+                    for begin, end in self._unavailable.get(name, ())
                 )
             ]
-            have = sum(slots[name] for name in sound)
-            used = sum(worked[name][second] for name in sound)
-            idle.append(1.0 - used / have if have else 0.0)
-        return Seen(self._went, self._bad, idle)
+            slot_seconds = sum(slots[name] for name in available)
+            busy_seconds = sum(busy[name][second] for name in available)
+            idle.append(1.0 - busy_seconds / slot_seconds if slot_seconds else 0.0)
+        return Observations(self._arrivals, self._unavailable, idle)
 
 
-def fate(each: Asked, seen: Seen) -> str | None:
-    """What became of its first try; None when it earned all it was worth."""
-    if each.earned >= each.worth or not each.ids:
+def loss_cause(request: RequestRecord, observations: Observations) -> str | None:
+    """Why the request earned less than its worth, one of the causes above; None if it did not.
+
+    Also None if it has no attempt.
+    """
+    if request.earned >= request.worth or not request.attempt_ids:
         return None
-    went = seen.went.get(each.ids[0], ())
-    how = each.ends[0] if each.ends else "out of time"
-    if how == "refused" and not went:
-        second = min(len(seen.idle) - 1, int(each.at))
-        return ROOM if second >= 0 and seen.idle[second] >= IDLE else FULL
-    if not went:
-        return SILENT
-    spells = [
+    arrivals = observations.arrivals.get(request.attempt_ids[0], ())
+    outcome = request.outcomes[0] if request.outcomes else "out of time"
+    if outcome == "refused" and not arrivals:
+        second = min(len(observations.idle) - 1, int(request.at))
+        return (
+            REFUSED_WITH_CAPACITY
+            if second >= 0 and observations.idle[second] >= IDLE_SHARE
+            else REFUSED_FULL
+        )
+    if not arrivals:
+        return UNANSWERED
+    spans = [
         max(
-            (at - SLACK - begin for begin, end in seen.bad.get(node, ()) if begin <= at <= end),
+            (
+                at - TRANSIT_SLACK_S - begin
+                for begin, end in observations.unavailable.get(node, ())
+                if begin <= at <= end
+            ),
             default=-1.0,
         )
-        for at, node in went
+        for at, node in arrivals
     ]
-    if spells[0] >= SETTLE:
-        return KNOWN
-    if spells[0] >= 0.0:
-        return NEWS
-    if how in ("refused", "failed"):
-        return NODE
-    return LATE if len({node for _, node in went}) > 1 else ONCE
-
-
-def costs(found: Iterable[Asked], seen: Seen) -> list[Cost]:
-    """The seconds that lost anything, in order."""
-    seconds: dict[int, Counter[str]] = defaultdict(Counter)
-    for each in found:
-        what = fate(each, seen)
-        if what is not None:
-            seconds[int(each.at)][what] += each.worth - each.earned  # type: ignore[assignment]
-    told = []
-    for second, by in sorted(seconds.items()):
-        lost = sum(by.values())
-        most = max(sorted(by), key=lambda name: by[name])
-        told.append(Cost(second, lost, most, by[most] / lost))
-    return told
-
-
-def totals(found: Iterable[Asked], seen: Seen) -> dict[str, float]:
-    """Share of the worth asked that each decision lost, the dearest first."""
-    by: Counter[str] = Counter()
-    asked = 0.0
-    for each in found:
-        asked += each.worth
-        what = fate(each, seen)
-        if what is not None:
-            by[what] += each.worth - each.earned  # type: ignore[assignment]
-    return {what: lost / asked for what, lost in by.most_common()} if asked else {}
+    if spans[0] >= DETECTION_S:
+        return KNOWN_UNAVAILABLE
+    if spans[0] >= 0.0:
+        return NEWLY_UNAVAILABLE
+    if outcome in ("refused", "failed"):
+        return NODE_FAILURE
+    return LATE_SEVERAL_NODES if len({node for _, node in arrivals}) > 1 else LATE_SINGLE_NODE
+
+
+def costs_by_second(
+    requests: Iterable[RequestRecord], observations: Observations
+) -> list[SecondLoss]:
+    """The loss of each second in which some worth was lost, in order of time."""
+    by_second: dict[int, Counter[str]] = defaultdict(Counter)
+    for request in requests:
+        cause = loss_cause(request, observations)
+        if cause is not None:
+            by_second[int(request.at)][cause] += request.worth - request.earned  # type: ignore[assignment]
+    seconds = []
+    for second, by_cause in sorted(by_second.items()):
+        lost = sum(by_cause.values())
+        largest = max(sorted(by_cause), key=lambda name: by_cause[name])
+        seconds.append(SecondLoss(second, lost, largest, by_cause[largest] / lost))
+    return seconds
+
+
+def loss_shares(requests: Iterable[RequestRecord], observations: Observations) -> dict[str, float]:
+    """The share of the requested worth lost by each cause, the largest first."""
+    by_cause: Counter[str] = Counter()
+    total = 0.0
+    for request in requests:
+        total += request.worth
+        cause = loss_cause(request, observations)
+        if cause is not None:
+            by_cause[cause] += request.worth - request.earned  # type: ignore[assignment]
+    return {cause: lost / total for cause, lost in by_cause.most_common()} if total else {}
--- a/limebridge/rehearsal/real.py
+++ b/limebridge/rehearsal/real.py
@@ -1,11 +1,14 @@
-"""The same scenario with the installed daemon as processes on loopback.
-
-Stand-ins, clients, troubles and score are engine.py's own; what differs is time, the network
-(no distances between sites, so `[network]` is not played), and that the daemon's own CPU counts.
-The kit measures how late it is itself: a run in which its loop was later than LATE is void, since
-then it judged itself and not the daemon.  Rule three is judged by what the list told, not by the
-bytes that a process had, so with `slack` for the way; nobody knows when a real process sent
-a command, so each is taken to have been sent when it came.
+"""Runs a scenario in real time, with the installed daemon as processes on loopback.
+
+Stand-ins, clients, events and score are those of engine.py.  The differences: real time, no delays
+between sites (`[network]` is ignored), and the daemon's own CPU time counts.
+
+The test kit measures the lateness of its own event loop.  If the 99th percentile exceeds
+MAX_LATENESS_S, the run is void, since its result would show the kit's delays and not the daemon's.
+
+Rule 3 is checked against the published node list, not against the bytes that a process has
+received, so changes take effect LIST_DELAY_S later.  The time at which a real process sent a
+command is unknown; the time of its arrival is used instead.
 """
 
 from __future__ import annotations
@@ -23,19 +26,20 @@
 from limebridge.standins.operator_file import operator_file
 from violetroute.config import Operator
 
-from .engine import Morning
+from .engine import Rehearsal
 from .result import Result
 from .scenario import Scenario
 
-BEAT = 0.01  # s between looks at how late the kit's own loop is
-LATE = 0.05  # s, of the latest hundredth of the looks: more and the run is void.  Clients here
-#              wait so much longer than they say: what has come and is not read yet is no loss
-MOST = 24  # daemons of one machine
-SLACK = 0.1  # s for what a list tells to reach a daemon
+LATENESS_INTERVAL_S = 0.01  # between measurements of the lateness of the kit's event loop
+# A run is void if the 99th percentile of the lateness exceeds this.  Clients wait this much longer
+# than the deadline that they announce, so an answer that has arrived but is unread is not lost.
+MAX_LATENESS_S = 0.05
+MAX_DAEMONS = 24  # on one machine
+LIST_DELAY_S = 0.1  # allowed for a change of the node list to reach a daemon
 
 
-class RealKernel:
-    """What engine.py asks of the virtual one."""
+class RealTimeKernel:
+    """The part of limebridge.virtual.Kernel that engine.py needs, on the clock of an event loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -45,8 +49,8 @@
         return self._loop.time()
 
 
-class RealMorning(Morning):
-    """A run in real time."""
+class RealTimeRehearsal(Rehearsal):
+    """A run in real time; `command` starts the daemon, `folder` holds its files."""
 
     def __init__(
         self, scenario: Scenario, seed: int, command: tuple[str, ...], folder: Path
@@ -54,55 +58,60 @@
         super().__init__(scenario, seed)
         self._command, self._folder = command, folder
         self._lateness: list[float] = []
-        self.grace = LATE
+        self.grace = MAX_LATENESS_S
+
+    async def run_in_real_time(self) -> Result:
+        """Run to the end or to Ctrl-C, and stop all daemons.
 
-    async def play(self) -> Result:
-        """DaemonStartError: a daemon could not be started."""
+        Raises DaemonStartError if a daemon could not be started.
+        """
         self.loop = asyncio.get_running_loop()
-        self.kernel = RealKernel(self.loop)
-        beat = asyncio.create_task(self._beat())
+        self.kernel = RealTimeKernel(self.loop)
+        lateness_task = asyncio.create_task(self._measure_lateness())
         try:
-            await self._play()
-        except asyncio.CancelledError:  # Ctrl-C: all is ended, and what there is is told
+            await self._run_scenario()
+        except asyncio.CancelledError:  # Ctrl-C: stop everything and report the result so far
             self._partial = True
-            self.loop.set_exception_handler(lambda *what: None)  # of what is cut off with it
+            self.loop.set_exception_handler(lambda *what: None)  # for the connections cut off now
         finally:
-            beat.cancel()
+            lateness_task.cancel()
             await asyncio.gather(*(p.kill() for p in getattr(self, "processes", [])))
         result = self.result()
-        late = sorted(self._lateness)[int(0.99 * len(self._lateness))]
-        result.late_ms = late * 1000.0
-        result.void = late > LATE
+        lateness = sorted(self._lateness)[int(0.99 * len(self._lateness))]
+        result.late_ms = lateness * 1000.0
+        result.void = lateness > MAX_LATENESS_S
         return result
 
-    async def _beat(self) -> None:
+    async def _measure_lateness(self) -> None:
         while True:
-            due = self.loop.time() + BEAT
-            await asyncio.sleep(BEAT)
+            due = self.loop.time() + LATENESS_INTERVAL_S
+            await asyncio.sleep(LATENESS_INTERVAL_S)
             self._lateness.append(self.loop.time() - due)
 
-    # --- what is done otherwise here ---
-    def _world(self) -> None:
-        self.wall = time.time() - self.loop.time()
+    # --- overrides of engine.py ---
+    def _set_up_network(self) -> None:
+        self.epoch = time.time() - self.loop.time()
 
-    def _hear(self) -> None:
+    def _observe_sources(self) -> None:
         pass
 
-    def _list(self, *entries: NodeEntry, reset: bool = False) -> None:
-        super()._list(*entries, reset=reset)
-        for judge in self.judges.values():
+    def _publish(self, *entries: NodeEntry, reset: bool = False) -> None:
+        super()._publish(*entries, reset=reset)
+        for checker in self.checkers.values():
             for entry in entries:
-                judge.node_reported(
-                    self.kernel.now + SLACK, entry["instanceId"], entry["lifecycle"] == "in_service"
+                checker.node_reported(
+                    self.kernel.now + LIST_DELAY_S,
+                    entry["instanceId"],
+                    entry["lifecycle"] == "in_service",
                 )
 
-    def _links(self, port: int) -> None:
+    def _set_link_delay(self, port: int) -> None:
         pass
 
     def _sent_at(self) -> None:
         return None
 
-    async def _daemon(self, owner: str, raw: dict[str, Any]) -> tuple[Any, int]:
+    async def _start_proxy(self, owner: str, raw: dict[str, Any]) -> tuple[Any, int]:
         daemon = Child(self._folder, owner, self._command)
         operator = None
         if self.scenario.operator != Operator():
@@ -110,34 +119,39 @@
             operator.write_text(operator_file(self.scenario.operator))
         return daemon, await daemon.start(raw, free_ports(1)[0], operator)
 
-    async def _restart(self, process: Any, port: int) -> None:
+    async def _restart_proxy(self, process: Any, port: int) -> None:
         if await process.term():
-            self._left(process)
-            self.judges[process.owner].proxy_restarted(self.kernel.now, {})
+            self._check_leftovers(process)
+            self.checkers[process.owner].proxy_restarted(self.kernel.now, {})
             await process.start(process.proxy_config, port)
 
-    def _left(self, process: Any) -> None:
+    def _check_leftovers(self, process: Any) -> None:
         if process.crashed:
-            self.judges[process.owner].report_fault(
+            self.checkers[process.owner].report_fault(
                 self.kernel.now, f"{process.owner} crashed: {process.last_line}"
             )
 
 
-def play_real(scenario: Scenario, seed: int | None = None, run: str = "") -> Result:
-    """One run in real time; `run` is the daemon's command line, the installed one without it."""
-    if scenario.proxies.count > MOST:
-        raise DaemonStartError(f"{scenario.proxies.count} daemons on one machine; {MOST} at most")
+def run_real(scenario: Scenario, seed: int | None = None, run: str = "") -> Result:
+    """Run in real time; `run` is the daemon's command line, by default the installed one.
+
+    Raises DaemonStartError if a daemon does not start or the scenario needs the virtual clock.
+    """
+    if scenario.proxies.count > MAX_DAEMONS:
+        raise DaemonStartError(
+            f"{scenario.proxies.count} daemons on one machine; {MAX_DAEMONS} at most"
+        )
     if scenario.proxies.cores:
         raise DaemonStartError(
-            "[proxies] cores: a share of a core is played on the virtual clock alone"
+            "[proxies] cores: a share of a core can only be emulated on the virtual clock"
         )
     if scenario.operator.log.level not in ("debug", "info"):
         raise DaemonStartError(
-            "[operator.log] level: debug or info, since a start is read in the log"
+            "[operator.log] level: debug or info, since the log line of the start is needed"
         )
     command = tuple(shlex.split(run)) if run else INSTALLED
     with tempfile.TemporaryDirectory() as folder:
-        morning = RealMorning(
+        rehearsal = RealTimeRehearsal(
             scenario, scenario.run.seed if seed is None else seed, command, Path(folder)
         )
-        return asyncio.run(morning.play())
+        return asyncio.run(rehearsal.run_in_real_time())
--- a/limebridge/rehearsal/report.py
+++ b/limebridge/rehearsal/report.py
@@ -1,4 +1,4 @@
-"""What a run came to: one JSON object, and one HTML page that needs nothing else."""
+"""Renders results: a JSON object per run, JUnit XML, and a self-contained HTML page."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
 
 from .result import Result
 
-WIDTH, HEIGHT, CELL = 900.0, 160.0, 14.0  # px of the pictures
-BREAKS = 20  # told at most
-DEAREST = 10  # seconds, with the decision that cost most in each
+WIDTH, HEIGHT, CELL = 900.0, 160.0, 14.0  # px: size of the line chart, height of a row
+MAX_VIOLATIONS = 20  # that a report lists
+MAX_COSTLY_SECONDS = 10  # seconds with the largest losses that the page lists
 
 
-def plain(result: Result) -> dict[str, Any]:
-    """Everything but the curves, the same to the last digit for the same seed."""
-    found = result.score
+def to_dict(result: Result) -> dict[str, Any]:
+    """The result without its time series, as it is printed as JSON; equal for equal seeds."""
+    score = result.score
     return {
         "scenario": result.scenario.name,
         "seed": result.seed,
         "passed": not result.failed,
         "verdict": verdict(result),
         "failed": result.failed,
-        "service": found.service,
-        "worst": found.worst,
-        "worst_at": found.worst_at,
-        "worst_class": found.worst_class,
-        "total": found.total,
-        "classes": found.classes,
-        "tenants": found.tenants,
-        "sites": found.sites,
-        "asked": found.asked,
-        "tries": found.tries,
-        "ends": found.ends,
-        "p50_ms": found.p50_ms,
-        "p99_ms": found.p99_ms,
-        "crossed": result.crossed,
+        "service": score.service,
+        "worst": score.worst,
+        "worst_at": score.worst_at,
+        "worst_class": score.worst_class,
+        "total": score.total,
+        "classes": score.classes,
+        "tenants": score.tenants,
+        "sites": score.sites,
+        "asked": score.requests,
+        "tries": score.attempts,
+        "ends": score.outcomes,
+        "p50_ms": score.p50_ms,
+        "p99_ms": score.p99_ms,
+        "crossed": result.cross_site_commands,
         "commands": result.commands,
         "database_most": max(result.database, default=0),
         "share": None
@@ -50,13 +50,16 @@
             "swing": result.share.swing,
         },
         "blame": result.blame,
-        "costs": [[c.second, c.lost, c.by, c.part] for c in result.costs],
-        "broken": [[b.rule, round(b.at, 6), b.message, b.request] for b in result.broken[:BREAKS]],
+        "costs": [[c.second, c.lost, c.cause, c.cause_share] for c in result.costs],
+        "broken": [
+            [v.rule, round(v.at, 6), v.message, v.request]
+            for v in result.violations[:MAX_VIOLATIONS]
+        ],
     }
 
 
 def verdict(result: Result) -> str:
-    """One word."""
+    """One word: void, partial, failed or passed."""
     return (
         "void"
         if result.void
@@ -68,12 +71,12 @@
     )
 
 
-def xml(results: list[Result]) -> str:
-    """JUnit's form: a test case a seed, a void one as skipped."""
+def render_junit(results: list[Result]) -> str:
+    """The results of one scenario as JUnit XML: a test case per seed; void runs are skipped."""
     failed = sum(bool(result.failed) and not result.void for result in results)
     void = sum(result.void for result in results)
     name = results[0].scenario.name if results else ""
-    suite = ElementTree.Element(
+    testsuite = ElementTree.Element(
         "testsuite",
         name=f"rehearse {name}",
         tests=str(len(results)),
@@ -82,42 +85,42 @@
         skipped=str(void),
     )
     for result in results:
-        case = ElementTree.SubElement(
-            suite,
+        testcase = ElementTree.SubElement(
+            testsuite,
             "testcase",
             classname=f"rehearse.{name}",
             name=f"seed {result.seed}",
             time=f"{result.scenario.run.seconds:g}",
         )
         if result.failed:
-            told = ElementTree.SubElement(
-                case, "skipped" if result.void else "failure", message=result.failed[0]
+            element = ElementTree.SubElement(
+                testcase, "skipped" if result.void else "failure", message=result.failed[0]
             )
-            told.text = "\n".join(result.failed)
-    return ElementTree.tostring(suite, encoding="unicode", xml_declaration=True) + "\n"
+            element.text = "\n".join(result.failed)
+    return ElementTree.tostring(testsuite, encoding="unicode", xml_declaration=True) + "\n"
 
 
-def html(results: list[Result]) -> str:
-    """One page for all runs of a scenario, the first one drawn."""
+def render_html(results: list[Result]) -> str:
+    """A page about all runs of a scenario, with charts of the first one."""
     first = results[0]
     seconds = first.scenario.run.seconds
     step = WIDTH / seconds
-    served = [
-        (n * step, HEIGHT - HEIGHT * (earned / asked if asked else 1.0))
-        for n, (asked, earned) in enumerate(first.score.seconds)
+    served_line = [
+        (n * step, HEIGHT - HEIGHT * (earned / requested if requested else 1.0))
+        for n, (requested, earned) in enumerate(first.score.seconds)
     ]
     share = first.share
-    could = (
+    attainable = (
         []
         if share is None
         else [
-            (n * step, HEIGHT - HEIGHT * (there / asked if asked else 1.0))
-            for n, (there, (asked, _)) in enumerate(
+            (n * step, HEIGHT - HEIGHT * (limit / requested if requested else 1.0))
+            for n, (limit, (requested, _)) in enumerate(
                 zip(share.attainable, first.score.seconds, strict=True)
             )
         ]
     )
-    most = max([1, *first.database, int(first.scenario.database.ceiling)])
+    database_max = max([1, *first.database, int(first.scenario.database.ceiling)])
     rows = []
     for name, work in first.nodes.items():
         slots = first.slots[name]
@@ -137,23 +140,23 @@
         name=first.scenario.name,
         about=first.scenario.run.about,
         results=results,
-        found=first.score,
+        score=first.score,
         failed=first.failed,
         width=WIDTH,
         height=HEIGHT,
         cell=CELL,
         step=step,
         share=share,
-        could=" ".join(f"{x:.1f},{y:.1f}" for x, y in could),
-        line=" ".join(f"{x:.1f},{y:.1f}" for x, y in served),
+        attainable=" ".join(f"{x:.1f},{y:.1f}" for x, y in attainable),
+        served_line=" ".join(f"{x:.1f},{y:.1f}" for x, y in served_line),
         rows=rows,
         seconds=seconds,
         database=[
-            {"x": n * step, "h": 60.0 * count / most, "count": count}
+            {"x": n * step, "h": 60.0 * count / database_max, "count": count}
             for n, count in enumerate(first.database)
         ],
         ceiling=first.scenario.database.ceiling,
-        most=most,
+        database_max=database_max,
         bar=first.scenario.bar,
         events=[
             {
@@ -164,8 +167,8 @@
             }
             for event in first.scenario.event
         ],
-        broken=first.broken[:BREAKS],
+        violations=first.violations[:MAX_VIOLATIONS],
         blame=first.blame,
-        costs=sorted(first.costs, key=lambda cost: -cost.lost)[:DEAREST],
+        costs=sorted(first.costs, key=lambda cost: -cost.lost)[:MAX_COSTLY_SECONDS],
         unserved=first.unserved,
     )
--- a/limebridge/rehearsal/result.py
+++ b/limebridge/rehearsal/result.py
@@ -1,4 +1,4 @@
-"""What came of a rehearsal, and why it does not pass."""
+"""The result of a rehearsal, and the reasons why it does not pass."""
 
 from __future__ import annotations
 
@@ -7,85 +7,86 @@
 
 from limebridge.rules import Violation
 
-from .attainable import Share
-from .loss_attribution import Cost
+from .attainable import AttainedShare
+from .loss_attribution import SecondLoss
 from .scenario import Scenario
-from .score import Asked, Score
+from .score import RequestRecord, Score
 
 
 @dataclass
 class Result:
-    """What came of a run."""
+    """The result of one run."""
 
     scenario: Scenario
     seed: int
     score: Score
-    broken: list[Violation]
+    violations: list[Violation]
     database: list[int]  # fetches by second
-    nodes: dict[str, list[float]]  # seconds of work by second, over its slots
-    crossed: int  # commands that went to another site than their proxy's
+    nodes: dict[str, list[float]]  # by node: busy slot seconds of each second
+    cross_site_commands: int  # commands sent to a node at another site than the proxy's
     commands: int
-    events: list[tuple[float, str]] = field(default_factory=list)
+    events: list[tuple[float, str]] = field(default_factory=list)  # time (s) and kind
     slots: dict[str, int] = field(default_factory=dict)  # by node
-    late_ms: float = 0.0  # of the kit itself, in real time: the latest hundredth
-    void: bool = False  # it was too late itself to judge
-    partial: bool = False  # ended before its time
-    unserved: list[Asked] = field(default_factory=list)  # of the worst ten seconds, the dearest
-    share: Share | None = None  # earned over attainable
-    costs: list[Cost] = field(default_factory=list)  # by second, what lost most
-    blame: dict[str, float] = field(default_factory=dict)  # share of what was asked
+    late_ms: float = 0.0  # real time only: 99th percentile of the lateness of the kit itself
+    void: bool = False  # the kit was too late for the result to say anything about the daemon
+    partial: bool = False  # interrupted before its end
+    # requests of the worst ten seconds that earned less than their worth, largest loss first
+    unserved: list[RequestRecord] = field(default_factory=list)
+    share: AttainedShare | None = None  # earned divided by attainable worth
+    costs: list[SecondLoss] = field(default_factory=list)  # the seconds with a loss
+    blame: dict[str, float] = field(default_factory=dict)  # by cause: share of the requested worth
 
     @property
     def failed(self) -> list[str]:
-        """Why it does not pass, in words."""
+        """The reasons why the run does not pass, one line each; empty if it passes."""
         if self.void:
             return [f"void: the kit itself was {self.late_ms:.0f} ms late"]
         if self.partial:
             return ["partial: stopped before its end"]
-        bar, found = self.scenario.bar, self.score
-        told = [
-            f"{name} {value:.3f}, wanted {least:g}"
-            for name, value, least in (
-                ("service", found.service, bar.service),
-                ("worst ten seconds", found.worst, bar.worst),
-                ("worst class", found.worst_class, bar.worst_class),
+        bar, score = self.scenario.bar, self.score
+        reasons = [
+            f"{name} {value:.3f}, wanted {minimum:g}"
+            for name, value, minimum in (
+                ("service", score.service, bar.service),
+                ("worst ten seconds", score.worst, bar.worst),
+                ("worst class", score.worst_class, bar.worst_class),
             )
-            if value < least
+            if value < minimum
         ]
-        told += self._missed()
-        rules = Counter(each.rule for each in self.broken if each.rule)
-        told += [each.message for each in self.broken if not each.rule][:3]
+        reasons += self._attainable_reasons()
+        rules = Counter(violation.rule for violation in self.violations if violation.rule)
+        reasons += [violation.message for violation in self.violations if not violation.rule][:3]
         names = {
             1: "no request lost",
             2: "no effect twice",
             3: "drains kept",
             4: "cold nodes not pushed over",
         }
-        told += [
+        reasons += [
             f"rule broken: {names[rule]}, {count} times" for rule, count in sorted(rules.items())
         ]
         ceiling = self.scenario.database.ceiling
         if ceiling and max(self.database, default=0) > ceiling:
-            told.append(f"customer database {max(self.database)}/s, ceiling {ceiling:g}")
-        return told
+            reasons.append(f"customer database {max(self.database)}/s, ceiling {ceiling:g}")
+        return reasons
 
-    def _missed(self) -> list[str]:
-        """What of the attainable was not had."""
+    def _attainable_reasons(self) -> list[str]:
+        """The reasons that concern the share of the attainable worth."""
         bar, share = self.scenario.bar, self.share
         if share is None:
             return []
-        told = [
-            f"{name} {value:.3f} of what was attainable, wanted {least:g}"
-            for name, value, least in (
+        reasons = [
+            f"{name} {value:.3f} of what was attainable, wanted {minimum:g}"
+            for name, value, minimum in (
                 ("whole run", share.whole, bar.attainable),
                 ("in the trouble", share.trouble, bar.trouble),
                 ("after it", share.after, bar.after),
             )
-            if value < least
+            if value < minimum
         ]
         if bar.swing and share.swing > bar.swing:
-            told.append(f"swing {share.swing:.3f} from second to second, at most {bar.swing:g}")
+            reasons.append(f"swing {share.swing:.3f} from second to second, at most {bar.swing:g}")
         if bar.back and (share.back is None or share.back > bar.back):
             when = "not within the run" if share.back is None else f"after {share.back:.0f} s"
-            told.append(f"back {when}, wanted within {bar.back:g} s")
-        return told
+            reasons.append(f"back {when}, wanted within {bar.back:g} s")
+        return reasons
--- a/limebridge/rehearsal/scenario.py
+++ b/limebridge/rehearsal/scenario.py
@@ -1,6 +1,7 @@
-"""A scenario as an operator writes it: TOML, typed and checked whole; a mistake is one line.
+"""The schema of scenario files (TOML), and their loading and validation.
 
-Times are seconds unless a key's name ends in `_ms`.
+Times are in seconds unless the name of the key ends in `_ms`.  The whole file is validated before
+anything runs; an error message is one line.
 """
 
 from __future__ import annotations
@@ -16,77 +17,89 @@
 from violetroute.config import ConfigError, Operator
 from violetroute.config.tables import read_toml, to_struct
 
-from .trace import read
+from .trace import read_trace
 
 Share = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
-Above0 = Annotated[float, msgspec.Meta(gt=0.0, le=1e9)]
-From0 = Annotated[float, msgspec.Meta(ge=0.0, le=1e9)]
+Positive = Annotated[float, msgspec.Meta(gt=0.0, le=1e9)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0.0, le=1e9)]
 Count = Annotated[int, msgspec.Meta(ge=1, le=100_000)]
 Range = Annotated[list[float], msgspec.Meta(min_length=2, max_length=2)]
-PLAYED = ("log", "limits")  # tables of the operator's file that concern a rehearsal
-FOLDER = Path(__file__).resolve().parent.parent.parent / "rehearsals"
+SUPPORTED_TABLES = ("log", "limits")  # tables of the operator's file that affect a rehearsal
+SHIPPED_FOLDER = Path(__file__).resolve().parent.parent.parent / "rehearsals"
 
 
 class _Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What all tables are."""
+    """Base of all tables: immutable, unknown keys are errors."""
 
 
 class Run(_Table, frozen=True):
-    seconds: Above0 = 60.0
+    """Length and seed of the run."""
+
+    seconds: Positive = 60.0
     seed: int = 1
-    drawn_as: str = ""  # whose random numbers it has, by name; "" is its own
-    about: str = ""  # what it rehearses, for `--list`
+    drawn_as: str = ""  # scenario whose random numbers are used; "": this one
+    about: str = ""  # one line for `--list`
 
 
 class Site(_Table, frozen=True):
+    """A site with nodes and proxies."""
+
     name: str
-    share: Share = 1.0  # of the proxies, in proportion
+    share: Share = 1.0  # weight by which the proxies are distributed over the sites
 
 
 class Box(_Table, frozen=True):
-    """A class of machines."""
+    """A type of machines."""
 
     name: str
-    slots: Count = 4  # requests worked on at once
-    speed: Range = msgspec.field(default_factory=lambda: [1.0, 1.0])  # drawn evenly
-    at: dict[str, int] = {}  # how many at each site
+    slots: Count = 4  # requests that a node works on at once
+    speed: Range = msgspec.field(default_factory=lambda: [1.0, 1.0])  # drawn uniformly
+    at: dict[str, int] = {}  # number of nodes by site
 
 
 class Nodes(_Table, frozen=True):
-    waiting: Count = 24  # beyond the slots; more are turned away
-    cold_from: Share = 0.13
-    warm: Above0 = 23.0
-    keeps: Count = 4000  # keys of a node
+    """Properties of all nodes."""
+
+    waiting: Count = 24  # queue limit; a node rejects further requests
+    cold_from: Share = 0.13  # share of its speed that a cold node begins with
+    warm: Positive = 23.0  # until a cold node is warm
+    keeps: Count = 4000  # keys that a node can cache
 
 
 class Network(_Table, frozen=True):
-    within_ms: From0 = 0.1  # one way, in a site
-    between_ms: From0 = 2.0
-    jitter_ms: From0 = 0.05
+    """One-way delays between proxies and nodes."""
+
+    within_ms: NonNegative = 0.1  # within a site
+    between_ms: NonNegative = 2.0  # added between two sites
+    jitter_ms: NonNegative = 0.05
 
 
 class Database(_Table, frozen=True):
-    at_once: Count = 16
-    latency_ms: Above0 = 50.0
-    waiting: Count = 400
-    refusal_ms: From0 = 0.0  # of a slot's time, for each fetch beyond these: it falls over
-    ceiling: From0 = 0.0  # fetches a second that it must not see; 0: none stated
+    """The customer database."""
+
+    at_once: Count = 16  # concurrent fetches
+    latency_ms: Positive = 50.0
+    waiting: Count = 400  # queue limit; further fetches are rejected
+    refusal_ms: NonNegative = 0.0  # slot time that a rejection costs: overload reduces throughput
+    ceiling: NonNegative = 0.0  # fetches per second that must not be exceeded; 0: no ceiling
 
 
 class Class(_Table, frozen=True):
+    """A class of requests."""
+
     name: str
-    share: Share
-    work_ms: Above0
-    aim_ms: Above0
-    deadline_ms: Above0
-    worth: Above0 = 1.0
-    late: Share = 0.3  # of the worth, between aim and the client's time
+    share: Share  # weight by which the class of a request is drawn
+    work_ms: Positive  # mean work on a node of speed 1
+    aim_ms: Positive  # latency target
+    deadline_ms: Positive
+    worth: Positive = 1.0  # per second of work
+    late: Share = 0.3  # of the worth, after the latency target while the client still waits
     effect: Literal["pure", "token", "side_effect"] = "pure"
-    window_ms: From0 = 0.0
+    window_ms: NonNegative = 0.0  # idempotency window of a keyed write
 
-    def told(self) -> dict[str, Any]:
-        """As the platform's settings have it."""
-        found: dict[str, Any] = {
+    def to_settings(self) -> dict[str, Any]:
+        """The class in the format of the platform's settings."""
+        settings: dict[str, Any] = {
             "name": self.name,
             "promiseMs": self.aim_ms,
             "deadlineMs": self.deadline_ms,
@@ -94,50 +107,62 @@
             "worth": self.worth,
             "lateValue": self.late,
         }
-        return found | (
+        return settings | (
             {"group": "all", "keyTtlMs": self.window_ms} if self.effect == "token" else {}
         )
 
 
 class Keys(_Table, frozen=True):
+    """The distribution of the keys."""
+
     count: Count = 2000
-    zipf: Above0 = 1.0
-    once: Share = 0.0  # of the reads: keys that are wanted only once
+    zipf: Positive = 1.0  # exponent of Zipf's law
+    once: Share = 0.0  # share of the requests whose key is used only once
 
 
 class Tenant(_Table, frozen=True):
+    """A tenant and its share of the requests."""
+
     name: str
-    share: Above0 = 1.0
+    share: Positive = 1.0  # weight by which the tenant of a request is drawn
 
 
 class Proxies(_Table, frozen=True):
+    """Number and properties of the proxies."""
+
     count: Count = 6
-    descriptors: Count = 256
-    cores: From0 = 0.0  # of each; its own time is played then (virtual/costs.json), not at 0
-    fleet: bool = False  # they talk to each other: [sharing] is on
-    deaf: Share = 0.0  # of them hear nothing of the others
-    liars: Share = 0.0  # of them tell of trouble at each node
+    descriptors: Count = 256  # limit of file descriptors
+    cores: NonNegative = 0.0  # CPU per proxy, for costs.json of limebridge/virtual; 0: no CPU time
+    fleet: bool = False  # whether the proxies gossip with each other: [sharing] is on
+    deaf: Share = 0.0  # of the proxies receive no gossip
+    liars: Share = 0.0  # of the proxies report every node as unhealthy
 
 
 class Point(_Table, frozen=True):
-    at: From0
-    rate: From0  # requests a second from here on a line to the next point
+    """A point of the load curve, which is linear between two points."""
+
+    at: NonNegative
+    rate: NonNegative  # requests per second
 
 
 class Load(_Table, frozen=True):
+    """The load: a curve or a recorded trace."""
+
     curve: list[Point] = []
-    trace: str = ""  # a recorded load in place of the curve (trace.py), beside the scenario's file
-    speed: Above0 = 1.0  # of the trace's clock: 2 asks twice as fast
+    trace: str = ""  # file of a recorded load (trace.py), relative to the scenario's folder
+    speed: Positive = 1.0  # of the replay: 2 sends the trace in half the time
 
 
 class Clients(_Table, frozen=True):
+    """Timeouts and retries of the clients."""
+
     retries: Annotated[int, msgspec.Meta(ge=0, le=10)] = 2
-    wait_ms: From0 = 50.0  # before a retry, doubling
+    wait_ms: NonNegative = 50.0  # before the first retry; doubles with each further one
     patience: Range = msgspec.field(default_factory=lambda: [0.5, 0.8])  # of the class's deadline
-    honours_busy: bool = True  # waits as long as -BUSY MS says
+    honours_busy: bool = True  # wait at least as long as -BUSY MS says
 
 
-Trouble = Literal[
+EventKind = Literal[
     "slow",
     "stalls",
     "dies",
@@ -155,29 +180,34 @@
 
 
 class Event(_Table, frozen=True):
-    at: From0
-    kind: Trouble
-    lasts: From0 = 5.0
-    share: Share = 0.25  # of the nodes, for those that concern nodes; of the traffic, for keys
-    site: str = ""  # of a site that is lost, or where nodes join
-    amount: From0 = 3.0  # how many times slower; s until the connection breaks, for lost answers
+    """A fault or another event of the run."""
+
+    at: NonNegative
+    kind: EventKind
+    lasts: NonNegative = 5.0
+    share: Share = 0.25  # of the nodes, or of the requests for `hot_key` and `scan`
+    site: str = ""  # only nodes of this site; where nodes join
+    amount: NonNegative = 3.0  # slowdown factor; `loses_answers`: s until the connection breaks
 
 
 class Bar(_Table, frozen=True):
-    """What a run has to reach; a broken rule fails it whatever it reaches."""
+    """What a run has to reach; a rule violation fails it in any case.  0: no requirement.
+
+    `attainable`, `trouble` and `after` are shares of the attainable worth (attainable.py).
+    """
 
     service: Share = 0.0
-    worst: Share = 0.0  # ten seconds
+    worst: Share = 0.0  # in the worst ten seconds
     worst_class: Share = 0.0
-    attainable: Share = 0.0  # of what could have been had (attainable.py): the whole run,
-    trouble: Share = 0.0  # from two seconds behind an onset to its end,
-    after: Share = 0.0  # the fifteen seconds behind it
-    swing: From0 = 0.0  # at most from one second to the next, on average; 0: not asked
-    back: From0 = 0.0  # s from its end until nearly all is had again, at most; 0: not asked
+    attainable: Share = 0.0  # in the whole run
+    trouble: Share = 0.0  # from two seconds after the start of the fault to its end
+    after: Share = 0.0  # in the fifteen seconds after the fault
+    swing: NonNegative = 0.0  # maximal mean change of the share from one second to the next
+    back: NonNegative = 0.0  # maximal time from the end of the fault to recovery
 
 
 class Scenario(_Table, frozen=True):
-    """The whole file."""
+    """A scenario file; `name` is the name of the file without its suffix."""
 
     load: Load
     run: Run = Run()
@@ -193,18 +223,19 @@
     tenant: list[Tenant] = msgspec.field(default_factory=lambda: [Tenant("all")])
     proxies: Proxies = Proxies()
     clients: Clients = Clients()
-    operator: Operator = Operator()  # the operator's file of every proxy
+    operator: Operator = Operator()  # operator settings of every proxy
     event: list[Event] = []
     bar: Bar = Bar()
     name: str = ""
 
     @property
     def size(self) -> int:
+        """The number of nodes."""
         return sum(count for box in self.box for count in box.at.values())
 
     @property
     def capacity(self) -> float:
-        """Requests a second when all are warm and every read is kept, by mean speeds and work."""
+        """Requests per second with all nodes warm and every read a hit, by mean speed and work."""
         work = sum(c.share * c.work_ms for c in self.classes) / sum(c.share for c in self.classes)
         return sum(
             count * box.slots * sum(box.speed) / 2.0 / (work / 1000.0)
@@ -213,57 +244,63 @@
         )
 
 
-def spread(names: list[str], shares: list[float], count: int) -> list[str]:
-    """Names in proportion to their shares, mixed evenly."""
-    due = [0.0] * len(names)
-    found = []
+def distribute(names: list[str], shares: list[float], count: int) -> list[str]:
+    """`count` names in proportion to their shares, interleaved as evenly as possible."""
+    credits = [0.0] * len(names)
+    distributed = []
     for _ in range(count):
-        due = [have + share / sum(shares) for have, share in zip(due, shares, strict=True)]
-        place = max(range(len(names)), key=lambda n: (due[n], -n))
-        due[place] -= 1.0
-        found.append(names[place])
-    return found
+        credits = [owed + share / sum(shares) for owed, share in zip(credits, shares, strict=True)]
+        index = max(range(len(names)), key=lambda n: (credits[n], -n))
+        credits[index] -= 1.0
+        distributed.append(names[index])
+    return distributed
 
 
-def rate(curve: list[Point], at: float) -> float:
-    """On the line between the two points around."""
+def rate_at(curve: list[Point], at: float) -> float:
+    """The rate at a time (s) by linear interpolation; constant after the last point."""
     for before, after in itertools.pairwise(curve):
         if at < after.at:
-            part = (at - before.at) / max(1e-9, after.at - before.at)
-            return before.rate + part * (after.rate - before.rate)
+            fraction = (at - before.at) / max(1e-9, after.at - before.at)
+            return before.rate + fraction * (after.rate - before.rate)
     return curve[-1].rate
 
 
-def shipped() -> dict[str, Path]:
-    """By name."""
-    return {path.stem: path for path in sorted(FOLDER.glob("*.toml"))}
+def shipped_scenarios() -> dict[str, Path]:
+    """The files of the scenarios in `rehearsals/`, by name."""
+    return {path.stem: path for path in sorted(SHIPPED_FOLDER.glob("*.toml"))}
+
 
+def load(name_or_path: str) -> Scenario:
+    """Load and validate a scenario: a shipped one by name, or a file, with its trace.
 
-def load(what: str) -> Scenario:
-    """A shipped one by its name, or a file.  ConfigError: one line that names the key."""
-    path = shipped().get(what) or Path(what)
+    Raises ConfigError with one line that names the key.
+    """
+    path = shipped_scenarios().get(name_or_path) or Path(name_or_path)
     if not path.exists():
-        raise ConfigError(f"{what}: neither a scenario of ours ({', '.join(shipped())}) nor a file")
+        raise ConfigError(
+            f"{name_or_path}: neither a file nor a scenario; "
+            f"there are {', '.join(shipped_scenarios())}"
+        )
     raw = read_toml(str(path))
     if "name" in raw:
-        raise ConfigError(f"{path}: name: it is the file's")
+        raise ConfigError(f"{path}: name: set by the name of the file")
     try:
         scenario = to_struct(raw, Scenario, str(path))
     except ConfigError as error:
-        raise ConfigError(f"{error}{_near(str(error))}") from None
-    check(scenario, str(path))
+        raise ConfigError(f"{error}{_suggestion(str(error))}") from None
+    validate(scenario, str(path))
     if scenario.load.trace:
         trace = str(path.parent / scenario.load.trace)
         scenario = msgspec.structs.replace(
             scenario, load=msgspec.structs.replace(scenario.load, trace=trace)
         )
-        for _ in read(Path(trace), {c.name for c in scenario.classes}):
-            pass  # all of it is looked at before anything runs
+        for _ in read_trace(Path(trace), {c.name for c in scenario.classes}):
+            pass  # validates the whole trace before the run
     return msgspec.structs.replace(scenario, name=path.stem)
 
 
-def _near(error: str) -> str:
-    """What may have been meant by a name that is none of ours."""
+def _suggestion(error: str) -> str:
+    """The closest known name for an unknown one in an error message, or an empty string."""
     known = {
         name
         for table in (
@@ -285,48 +322,55 @@
             Bar,
         )
         for name in table.__struct_encode_fields__
-    } | set(get_args(Trouble))
+    } | set(get_args(EventKind))
     for word in re.findall(r"[`'\"]([A-Za-z_]+)[`'\"]", error):
-        found = difflib.get_close_matches(word, known - {word}, 1)
-        if word not in known and found:
-            return f" (did you mean {found[0]}?)"
+        matches = difflib.get_close_matches(word, known - {word}, 1)
+        if word not in known and matches:
+            return f" (did you mean {matches[0]}?)"
     return ""
 
 
-def check(scenario: Scenario, path: str) -> None:
-    """ConfigError, one line, where keys that are each well typed don't go together."""
+def validate(scenario: Scenario, path: str) -> None:
+    """Check the consistency of values that are each valid by themselves.
+
+    Raises ConfigError with one line; `path` names the source.
+    """
     sites = [site.name for site in scenario.site]
-    wrong = ""
+    error = ""
     for number, box in enumerate(scenario.box):
         for site in box.at:
             if site not in sites:
-                wrong = f"[[box]] {number + 1} at: no site {site!r}"
+                error = f"[[box]] {number + 1} at: no site {site!r}"
         if not 0.0 < box.speed[0] <= box.speed[1]:
-            wrong = f"[[box]] {number + 1} speed: not from a smaller to a larger one above 0"
+            error = f"[[box]] {number + 1} speed: must be [low, high] with 0 < low <= high"
     for number, event in enumerate(scenario.event):
         if event.kind in ("site_lost",) and event.site not in sites:
-            wrong = f"[[event]] {number + 1} site: no site {event.site!r}"
+            error = f"[[event]] {number + 1} site: no site {event.site!r}"
         if event.at >= scenario.run.seconds:
-            wrong = f"[[event]] {number + 1} at: after the end of the run"
+            error = f"[[event]] {number + 1} at: after the end of the run"
     times = [point.at for point in scenario.load.curve]
     if bool(times) == bool(scenario.load.trace):
-        wrong = "[load] curve: it or a trace, one of the two"
+        error = "[load] curve: either curve or trace is required, not both"
     elif times and (times != sorted(times) or times[0] != 0.0):
-        wrong = "[load] curve: begins at 0, in the order of time"
-    for each in scenario.classes:
-        if each.effect == "token" and not each.window_ms:
-            wrong = f"[[class]] {each.name} window_ms: a keyed write needs one"
-        if each.aim_ms > each.deadline_ms:
-            wrong = f"[[class]] {each.name} aim_ms: above its deadline"
+        error = "[load] curve: must begin at 0 and be in order of time"
+    for cls in scenario.classes:
+        if cls.effect == "token" and not cls.window_ms:
+            error = f"[[class]] {cls.name} window_ms: required for effect token"
+        if cls.aim_ms > cls.deadline_ms:
+            error = f"[[class]] {cls.name} aim_ms: above its deadline"
     low, high = scenario.clients.patience
     if not 0.0 < low <= high <= 1.0:
-        wrong = "[clients] patience: two shares of the deadline, the smaller first"
+        error = "[clients] patience: must be [low, high] with 0 < low <= high <= 1"
     for table in Operator.__struct_fields__:
-        if table not in PLAYED and getattr(scenario.operator, table) != getattr(Operator(), table):
-            wrong = f"[operator.{table}]: a rehearsal does not play it; {', '.join(PLAYED)} it does"
+        if table not in SUPPORTED_TABLES and getattr(scenario.operator, table) != getattr(
+            Operator(), table
+        ):
+            error = (
+                f"[operator.{table}]: not supported here; only {', '.join(SUPPORTED_TABLES)} are"
+            )
     if len(set(sites)) != len(sites):
-        wrong = "[[site]] name: stands there twice"
+        error = "[[site]] name: two sites have the same name"
     if not scenario.size:
-        wrong = "[[box]] at: no nodes"
-    if wrong:
-        raise ConfigError(f"{path}: {wrong}")
+        error = "[[box]] at: no nodes"
+    if error:
+        raise ConfigError(f"{path}: {error}")
--- a/limebridge/rehearsal/score.py
+++ b/limebridge/rehearsal/score.py
@@ -1,8 +1,8 @@
-"""What a run was worth.  Pure.
+"""Scores a run: the worth earned by answers divided by the worth of all requests.  Pure.
 
-Worth answered in time over worth asked, a request's worth being its class's times its work; a
-client's retries count with its first try, and in time is from that first try on.  Between the aim
-and the time at which the client gives up an answer has `late` of its worth.
+The worth of a request is the worth of its class times its work.  Retries belong to the request of
+the first attempt, and its time runs from that attempt on.  An answer within the latency target
+earns the whole worth, a later one that the client still waits for earns `late_share` of it.
 """
 
 from __future__ import annotations
@@ -12,93 +12,98 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-WINDOW = 10.0  # s, of which the worst is looked for
-STEP = 1.0
+WORST_WINDOW_S = 10.0  # length of the window whose worst position is reported
+STEP_S = 1.0  # by which the window is moved
 
 
 @dataclass(slots=True)
-class Asked:
-    """One thing that a client wanted, with all its tries."""
+class RequestRecord:
+    """A request of a client with all its attempts."""
 
     at: float  # s from the start of the run
     cls: str
     tenant: str
     site: str
     worth: float
-    aim: float
-    late: float
-    answered: float | None = None  # s from the start
-    tries: int = 0
-    ends: list[str] = field(default_factory=list)  # of each try
-    ids: list[str] = field(default_factory=list)  # of each try, as it began
-    work: float = 0.0  # s at speed 1
-    life: float = 0.0  # s from the first try on in which an answer is of any use
-    fresh: bool = False  # a read whose key no node can have kept
+    target_s: float  # latency target
+    late_share: float  # of the worth, for an answer after the latency target
+    served_at: float | None = None  # s from the start of the run
+    attempts: int = 0
+    outcomes: list[str] = field(default_factory=list)  # of the attempts that have ended, in order
+    attempt_ids: list[str] = field(default_factory=list)  # of all attempts, in order of their start
+    work: float = 0.0  # s of work on a node of speed 1
+    useful_s: float = 0.0  # s from the first attempt until the client accepts no answer any more
+    must_fetch: bool = False  # a read of a key that no node can have cached
 
     @property
     def earned(self) -> float:
-        if self.answered is None:
+        """The earned worth: all, `late_share` of it, or none without an answer."""
+        if self.served_at is None:
             return 0.0
-        return self.worth if self.answered - self.at <= self.aim else self.worth * self.late
+        return (
+            self.worth
+            if self.served_at - self.at <= self.target_s
+            else self.worth * self.late_share
+        )
 
 
 @dataclass
 class Score:
-    """Shares of 1."""
+    """The score of a run; shares are between 0 and 1."""
 
-    service: float
-    worst: float  # ten seconds
-    worst_at: float  # where they begin
-    worst_class: float
+    service: float  # share of the worth earned in the whole run
+    worst: float  # the same in the worst WORST_WINDOW_S
+    worst_at: float  # start of that window, s from the start of the run
+    worst_class: float  # share of the worst-served class
     classes: dict[str, float]
     tenants: dict[str, float]
     sites: dict[str, float]
-    seconds: list[tuple[float, float]]  # worth asked and earned, by second
-    asked: int
-    tries: int
-    ends: dict[str, int]
+    seconds: list[tuple[float, float]]  # requested and earned worth, by second
+    requests: int
+    attempts: int
+    outcomes: dict[str, int]  # attempts by outcome
     p50_ms: float
     p99_ms: float
 
     @property
     def total(self) -> float:
-        """As the user weighs it: the whole run, the worst ten seconds, the worst class."""
+        """The mean of whole run, worst ten seconds and worst class, with the user's weights."""
         return 0.8 * self.service + 0.1 * self.worst + 0.1 * self.worst_class
 
 
-def score(found: Iterable[Asked], seconds: float) -> Score:
-    """Of everything that was asked within the run."""
-    by: dict[str, dict[str, list[float]]] = {
+def score(records: Iterable[RequestRecord], seconds: float) -> Score:
+    """Score the requests of a run of this many seconds."""
+    groups_by: dict[str, dict[str, list[float]]] = {
         name: defaultdict(lambda: [0.0, 0.0]) for name in ("cls", "tenant", "site")
     }
-    bins = [[0.0, 0.0] for _ in range(max(1, math.ceil(seconds / STEP)))]
-    ends: Counter[str] = Counter()
+    bins = [[0.0, 0.0] for _ in range(max(1, math.ceil(seconds / STEP_S)))]
+    outcomes: Counter[str] = Counter()
     times: list[float] = []
-    asked = tries = 0
-    for each in found:
-        asked, tries = asked + 1, tries + each.tries
-        ends.update(each.ends)
-        earned = each.earned
-        for name, groups in by.items():
-            pair = groups[getattr(each, name)]
-            pair[0] += each.worth
-            pair[1] += earned
-        pair = bins[min(len(bins) - 1, int(each.at / STEP))]
-        pair[0] += each.worth
-        pair[1] += earned
-        if each.answered is not None:
-            times.append(each.answered - each.at)
+    requests = attempts = 0
+    for record in records:
+        requests, attempts = requests + 1, attempts + record.attempts
+        outcomes.update(record.outcomes)
+        earned = record.earned
+        for name, groups in groups_by.items():
+            sums = groups[getattr(record, name)]
+            sums[0] += record.worth
+            sums[1] += earned
+        sums = bins[min(len(bins) - 1, int(record.at / STEP_S))]
+        sums[0] += record.worth
+        sums[1] += earned
+        if record.served_at is not None:
+            times.append(record.served_at - record.at)
     shares = {
-        name: {key: _share(pair) for key, pair in sorted(groups.items())}
-        for name, groups in by.items()
+        name: {key: _share(sums) for key, sums in sorted(groups.items())}
+        for name, groups in groups_by.items()
     }
     worst, worst_at = 1.0, 0.0
-    size = int(WINDOW / STEP)
-    for place in range(max(1, len(bins) - size + 1)):
-        window = bins[place : place + size]
-        value = _share([sum(b[0] for b in window), sum(b[1] for b in window)])
-        if value < worst:
-            worst, worst_at = value, place * STEP
+    window_steps = int(WORST_WINDOW_S / STEP_S)
+    for first in range(max(1, len(bins) - window_steps + 1)):
+        window = bins[first : first + window_steps]
+        share = _share([sum(b[0] for b in window), sum(b[1] for b in window)])
+        if share < worst:
+            worst, worst_at = share, first * STEP_S
     times.sort()
     total = [sum(b[0] for b in bins), sum(b[1] for b in bins)]
     return Score(
@@ -110,17 +115,17 @@
         shares["tenant"],
         shares["site"],
         [(b[0], b[1]) for b in bins],
-        asked,
-        tries,
-        dict(sorted(ends.items())),
-        _at(times, 0.5) * 1000.0,
-        _at(times, 0.99) * 1000.0,
+        requests,
+        attempts,
+        dict(sorted(outcomes.items())),
+        _percentile(times, 0.5) * 1000.0,
+        _percentile(times, 0.99) * 1000.0,
     )
 
 
-def _share(pair: list[float]) -> float:
-    return pair[1] / pair[0] if pair[0] else 1.0
+def _share(sums: list[float]) -> float:
+    return sums[1] / sums[0] if sums[0] else 1.0
 
 
-def _at(times: list[float], part: float) -> float:
-    return times[min(len(times) - 1, int(part * len(times)))] if times else 0.0
+def _percentile(times: list[float], fraction: float) -> float:
+    return times[min(len(times) - 1, int(fraction * len(times)))] if times else 0.0
--- a/limebridge/rehearsal/trace.py
+++ b/limebridge/rehearsal/trace.py
@@ -1,7 +1,7 @@
-"""A recorded load, to be asked again at its own times: CSV or JSON lines, also behind .zst.
+"""Reads a recorded load for replay: CSV or JSON lines, optionally compressed (.zst).
 
-Columns (or members): `at` in seconds from the start, `class`; `tenant` and `key` may be left out.
-Lines come in the order of time.  A mistake is one line with the file and the number of its line.
+Columns (or members): `at` in seconds from the start and `class`; `tenant` and `key` are optional.
+Rows are in order of time.  An error message is one line with the file and the line number.
 """
 
 from __future__ import annotations
@@ -18,54 +18,61 @@
 
 from violetroute.config import ConfigError
 
-MOST = 5_000_000  # lines
-LARGEST = 1 << 30  # bytes behind the compression: a small file must not fill the memory
+MAX_LINES = 5_000_000
+MAX_BYTES = 1 << 30  # after decompression: a small file must not fill the memory
 
 
 @dataclass(frozen=True, slots=True)
-class Recorded:
+class RecordedRequest:
     """One request of a trace."""
 
-    at: float  # s
+    at: float  # s from the start
     cls: str
-    tenant: str
-    key: str
+    tenant: str  # empty: not recorded
+    key: str  # empty: not recorded
 
 
-def read(path: Path, classes: set[str]) -> Iterator[Recorded]:
-    """Its requests, one by one.  ConfigError: a file or line that can't be used."""
-    last, number = 0.0, 0
+def read_trace(path: Path, classes: set[str]) -> Iterator[RecordedRequest]:
+    """Yield the requests of a trace; `classes` are the classes that it may name.
+
+    Raises ConfigError for an unreadable file and for the first invalid line.
+    """
+    last_at, number = 0.0, 0
     for number, row in _rows(path):
-        if number > MOST:
-            raise ConfigError(f"{path}: more than {MOST} lines")
+        if number > MAX_LINES:
+            raise ConfigError(f"{path}: more than {MAX_LINES} lines")
         try:
-            found = Recorded(
+            record = RecordedRequest(
                 float(row["at"]),
                 str(row["class"]),
                 str(row.get("tenant") or ""),
                 str(row.get("key") or ""),
             )
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            raise ConfigError(f"{path}:{number}: at and class are needed: {error}") from None
-        if not last <= found.at < 1e9:  # not a number is neither
-            raise ConfigError(f"{path}:{number}: at: {row['at']} comes before the line above")
-        if found.cls not in classes:
-            raise ConfigError(f"{path}:{number}: class: {found.cls!r} is none of the scenario's")
-        last = found.at
-        yield found
+            raise ConfigError(f"{path}:{number}: at and class are required: {error}") from None
+        if not last_at <= record.at < 1e9:  # also false for NaN
+            raise ConfigError(
+                f"{path}:{number}: at: {row['at']} is not a time, or before that of the line above"
+            )
+        if record.cls not in classes:
+            raise ConfigError(
+                f"{path}:{number}: class: {record.cls!r} is not a class of the scenario"
+            )
+        last_at = record.at
+        yield record
     if not number:
-        raise ConfigError(f"{path}: has no requests")
+        raise ConfigError(f"{path}: the trace has no requests")
 
 
 def _rows(path: Path) -> Iterator[tuple[int, Any]]:
     names = [suffix for suffix in path.suffixes if suffix != ".zst"]
     try:
         with path.open("rb") as raw:
-            plain: Any = raw
+            stream: Any = raw
             if path.suffix == ".zst":
-                plain = zstandard.ZstdDecompressor(max_window_size=1 << 27).stream_reader(raw)
-            bounded = io.BufferedReader(_Bounded(plain))
-            text = io.TextIOWrapper(bounded, encoding="utf-8", newline="")
+                stream = zstandard.ZstdDecompressor(max_window_size=1 << 27).stream_reader(raw)
+            limited = io.BufferedReader(_LimitedReader(stream))
+            text = io.TextIOWrapper(limited, encoding="utf-8", newline="")
             if names[-1:] == [".csv"]:
                 yield from enumerate(csv.DictReader(text), 2)
             else:
@@ -83,19 +90,19 @@
         raise ConfigError(f"{path}: can't be read: {error}") from None
 
 
-class _Bounded(io.RawIOBase):
-    """No more than LARGEST bytes of another stream."""
+class _LimitedReader(io.RawIOBase):
+    """Reads another stream and raises OSError after MAX_BYTES bytes."""
 
-    def __init__(self, of: Any) -> None:
-        self._of, self._left = of, LARGEST
+    def __init__(self, stream: Any) -> None:
+        self._stream, self._remaining = stream, MAX_BYTES
 
     def readable(self) -> bool:
         return True
 
     def readinto(self, buffer: Any) -> int:
-        data: bytes = self._of.read(len(buffer))
-        self._left -= len(data)
-        if self._left < 0:
-            raise OSError(f"more than {LARGEST} bytes")
+        data: bytes = self._stream.read(len(buffer))
+        self._remaining -= len(data)
+        if self._remaining < 0:
+            raise OSError(f"more than {MAX_BYTES} bytes")
         buffer[: len(data)] = data
         return len(data)
--- a/tests/limebridge/experiments/test_experiments_shown.py
+++ b/tests/limebridge/experiments/test_experiments_shown.py
@@ -215,13 +215,13 @@
 
 
 def test_plans_that_are_asked_for_can_all_be_played(tmp_path: Path) -> None:
-    from limebridge.rehearsal.scenario import check
+    from limebridge.rehearsal.scenario import validate
 
     made, rng, archive = base(tmp_path), Random(1), search.Archive()
     for number in range(400):
         plan = search.ask(archive, rng, made, number < 50)
         assert 1 <= len(plan) <= search.MOST and plan not in archive.tried
-        check(search.scenario_of(made, plan, "x"), "x")
+        validate(search.scenario_of(made, plan, "x"), "x")
         archive.add(search.Found(plan, rng.random()))
     assert len(archive.best) > 60 and archive.worst_so_far == sorted(archive.worst_so_far)
 
--- a/tests/limebridge/rehearsal/test_vary_loss_attribution.py
+++ b/tests/limebridge/rehearsal/test_vary_loss_attribution.py
@@ -1,4 +1,4 @@
-"""A scenario with other figures, and what its losses are put down to."""
+"""Tests changes of scenarios and the attribution of losses."""
 
 from __future__ import annotations
 
@@ -10,17 +10,23 @@
 
 from limebridge.cli import app
 from limebridge.rehearsal import loss_attribution
-from limebridge.rehearsal.engine import Morning
-from limebridge.rehearsal.loss_attribution import Seen, Watch, costs, fate, totals
+from limebridge.rehearsal.engine import Rehearsal
+from limebridge.rehearsal.loss_attribution import (
+    Observations,
+    RunRecorder,
+    costs_by_second,
+    loss_cause,
+    loss_shares,
+)
 from limebridge.rehearsal.scenario import load
-from limebridge.rehearsal.score import Asked
-from limebridge.rehearsal.vary import at_size, varied
+from limebridge.rehearsal.score import RequestRecord
+from limebridge.rehearsal.vary import apply_changes, scale_to_target_size
 from violetroute.config import ConfigError
 
 
 # --- vary ---
-def test_a_key_is_named_as_a_person_would() -> None:
-    made = varied(
+def test_change_of_keys() -> None:
+    changed = apply_changes(
         load("site-lost"),
         {
             "proxies.count": 1,
@@ -30,14 +36,14 @@
             "class.lookup.aim_ms": 200.0,
         },
     )
-    assert made.proxies.count == 1 and made.event[0].lasts == 4.0
-    assert next(b.slots for b in made.box if b.name == "fast") == 3
-    assert made.load.curve[0].rate == 200.0 and made.classes[0].aim_ms == 200.0
+    assert changed.proxies.count == 1 and changed.event[0].lasts == 4.0
+    assert next(b.slots for b in changed.box if b.name == "fast") == 3
+    assert changed.load.curve[0].rate == 200.0 and changed.classes[0].aim_ms == 200.0
     assert load("site-lost").proxies.count == 6
 
 
 @pytest.mark.parametrize(
-    ("key", "value", "said"),
+    ("key", "value", "expected"),
     [
         ("proxies.cont", 1, "no 'cont'"),
         ("box.slow.slots", 1, "no 'slow'"),
@@ -48,122 +54,133 @@
         ("event.1.site", "z", "no site 'z'"),
     ],
 )
-def test_what_there_is_not_is_one_line_that_names_it(key: str, value: object, said: str) -> None:
+def test_invalid_change_is_one_line_that_names_the_key(
+    key: str, value: object, expected: str
+) -> None:
     with pytest.raises(ConfigError) as error:
-        varied(load("site-lost"), {key: value})
-    assert said in str(error.value) and "\n" not in str(error.value)
+        apply_changes(load("site-lost"), {key: value})
+    assert expected in str(error.value) and "\n" not in str(error.value)
 
 
-def test_the_operators_file_is_a_part_of_a_scenario(tmp_path: Path) -> None:
+def test_operator_settings_of_a_scenario(tmp_path: Path) -> None:
     path = tmp_path / "short.toml"
     path.write_text(
         "[run]\nseconds = 3.0\n[load]\ncurve = [{at = 0.0, rate = 40.0}]\n"
         "[operator.limits]\ndepth = 4\n"
     )
-    made = load(str(path))
-    assert made.operator.limits.depth == 4
-    other = varied(made, {"operator.limits.depth": 9, "operator.log.level": "error"})
-    morning = Morning(other, 1)
-    assert not morning.run().failed
-    assert [p.proxy_config.operator for p in morning.processes] == [other.operator] * 6
+    scenario = load(str(path))
+    assert scenario.operator.limits.depth == 4
+    changed = apply_changes(scenario, {"operator.limits.depth": 9, "operator.log.level": "error"})
+    rehearsal = Rehearsal(changed, 1)
+    assert not rehearsal.run().failed
+    assert [p.proxy_config.operator for p in rehearsal.processes] == [changed.operator] * 6
     with pytest.raises(ConfigError, match="depth"):
-        varied(made, {"operator.limits.depth": 0})
+        apply_changes(scenario, {"operator.limits.depth": 0})
 
 
-def test_the_size_to_come_keeps_what_a_node_sees() -> None:
+def test_target_size_keeps_the_load_per_node() -> None:
     small = load("site-lost")
-    large = at_size(small)
+    large = scale_to_target_size(small)
     assert (large.size, large.proxies.count) == (46, 710)
     assert large.load.curve[0].rate / large.capacity == pytest.approx(
         small.load.curve[0].rate / small.capacity
     )
     for site in ("catania-nord", "acireale", "paterno"):
-        part = [sum(b.at.get(site, 0) for b in made.box) / made.size for made in (small, large)]
-        assert abs(part[0] - part[1]) < 0.03
+        shares = [
+            sum(b.at.get(site, 0) for b in scenario.box) / scenario.size
+            for scenario in (small, large)
+        ]
+        assert abs(shares[0] - shares[1]) < 0.03
 
 
-def test_a_changed_run_at_the_keyboard(tmp_path: Path) -> None:
+def test_set_option_changes_the_run(tmp_path: Path) -> None:
     path = tmp_path / "short.toml"
     path.write_text("[run]\nseconds = 4.0\n[load]\ncurve = [{at = 0.0, rate = 40.0}]\n")
     runner = CliRunner()
-    told = runner.invoke(
+    with_changes = runner.invoke(
         app, ["rehearse", str(path), "--set", "proxies.count=2", "--set", "load.scale=2", "--json"]
     )
-    whole = runner.invoke(app, ["rehearse", str(path), "--json"])
-    asked = [json.loads(each.stdout)["runs"][0]["asked"] for each in (told, whole)]
-    assert asked[0] > 1.5 * asked[1]
-    wrong = runner.invoke(app, ["rehearse", str(path), "--set", "proxies.count"])
-    assert wrong.exit_code == 2 and "KEY=VALUE" in wrong.output
+    unchanged = runner.invoke(app, ["rehearse", str(path), "--json"])
+    requests = [
+        json.loads(result.stdout)["runs"][0]["asked"] for result in (with_changes, unchanged)
+    ]
+    assert requests[0] > 1.5 * requests[1]
+    invalid = runner.invoke(app, ["rehearse", str(path), "--set", "proxies.count"])
+    assert invalid.exit_code == 2 and "KEY=VALUE" in invalid.output
 
 
 # --- loss attribution ---
-def asked(how: str, answered: float | None = None, at: float = 10.2) -> Asked:
-    return Asked(at, "lookup", "t", "s", 2.0, 0.3, 0.5, answered, 1, [how], ["a"])
+def make_record(outcome: str, served_at: float | None = None, at: float = 10.2) -> RequestRecord:
+    return RequestRecord(at, "lookup", "t", "s", 2.0, 0.3, 0.5, served_at, 1, [outcome], ["a"])
 
 
-SEEN = Seen({"a": [(10.3, "n1")]}, {}, [0.5] * 20)
+OBSERVED = Observations({"a": [(10.3, "n1")]}, {}, [0.5] * 20)
 
 
 @pytest.mark.parametrize(
-    ("each", "seen", "what"),
+    ("record", "observations", "cause"),
     [
-        (asked("served", 10.4), SEEN, None),
-        (asked("refused"), Seen({}, {}, [0.5] * 20), loss_attribution.ROOM),
-        (asked("refused"), Seen({}, {}, [0.05] * 20), loss_attribution.FULL),
-        (asked("out of time"), Seen({}, {}, [0.5] * 20), loss_attribution.SILENT),
+        (make_record("served", 10.4), OBSERVED, None),
+        (
+            make_record("refused"),
+            Observations({}, {}, [0.5] * 20),
+            loss_attribution.REFUSED_WITH_CAPACITY,
+        ),
+        (make_record("refused"), Observations({}, {}, [0.05] * 20), loss_attribution.REFUSED_FULL),
+        (make_record("out of time"), Observations({}, {}, [0.5] * 20), loss_attribution.UNANSWERED),
         (
-            asked("out of time"),
-            Seen({"a": [(10.3, "n1")]}, {"n1": [(4.0, 12.0)]}, []),
-            loss_attribution.KNOWN,
+            make_record("out of time"),
+            Observations({"a": [(10.3, "n1")]}, {"n1": [(4.0, 12.0)]}, []),
+            loss_attribution.KNOWN_UNAVAILABLE,
         ),
         (
-            asked("out of time"),
-            Seen({"a": [(10.3, "n1")]}, {"n1": [(9.5, 12.0)]}, []),
-            loss_attribution.NEWS,
+            make_record("out of time"),
+            Observations({"a": [(10.3, "n1")]}, {"n1": [(9.5, 12.0)]}, []),
+            loss_attribution.NEWLY_UNAVAILABLE,
         ),
         (
-            asked("out of time"),
-            Seen({"a": [(10.3, "n1")]}, {"n1": [(4.0, 8.0)]}, []),
-            loss_attribution.ONCE,
+            make_record("out of time"),
+            Observations({"a": [(10.3, "n1")]}, {"n1": [(4.0, 8.0)]}, []),
+            loss_attribution.LATE_SINGLE_NODE,
         ),
-        (asked("served", 11.0), SEEN, loss_attribution.ONCE),
+        (make_record("served", 11.0), OBSERVED, loss_attribution.LATE_SINGLE_NODE),
         (
-            asked("served", 11.0),
-            Seen({"a": [(10.3, "n1"), (10.4, "n2")]}, {}, []),
-            loss_attribution.LATE,
+            make_record("served", 11.0),
+            Observations({"a": [(10.3, "n1"), (10.4, "n2")]}, {}, []),
+            loss_attribution.LATE_SEVERAL_NODES,
         ),
-        (asked("refused"), SEEN, loss_attribution.NODE),
+        (make_record("refused"), OBSERVED, loss_attribution.NODE_FAILURE),
     ],
 )
-def test_what_became_of_a_first_try(each: Asked, seen: Seen, what: str | None) -> None:
-    assert fate(each, seen) == what
+def test_loss_cause(record: RequestRecord, observations: Observations, cause: str | None) -> None:
+    assert loss_cause(record, observations) == cause
 
 
-def test_a_second_names_what_cost_it_most() -> None:
-    found = [
-        asked("refused"),
-        asked("out of time"),
-        asked("out of time"),
-        asked("served", 10.4),
-        asked("refused", at=12.1),
+def test_largest_cause_of_each_second() -> None:
+    requests = [
+        make_record("refused"),
+        make_record("out of time"),
+        make_record("out of time"),
+        make_record("served", 10.4),
+        make_record("refused", at=12.1),
     ]
-    seen = Seen({}, {}, [0.5] * 20)
-    told = costs(found, seen)
-    assert [(c.second, c.lost, c.by) for c in told] == [
-        (10, 6.0, loss_attribution.SILENT),
-        (12, 2.0, loss_attribution.ROOM),
+    observations = Observations({}, {}, [0.5] * 20)
+    losses = costs_by_second(requests, observations)
+    assert [(c.second, c.lost, c.cause) for c in losses] == [
+        (10, 6.0, loss_attribution.UNANSWERED),
+        (12, 2.0, loss_attribution.REFUSED_WITH_CAPACITY),
     ]
-    assert told[0].part == pytest.approx(2.0 / 3.0)
-    assert totals(found, seen) == pytest.approx(
-        {loss_attribution.SILENT: 0.4, loss_attribution.ROOM: 0.4}
+    assert losses[0].cause_share == pytest.approx(2.0 / 3.0)
+    assert loss_shares(requests, observations) == pytest.approx(
+        {loss_attribution.UNANSWERED: 0.4, loss_attribution.REFUSED_WITH_CAPACITY: 0.4}
     )
 
 
-def test_room_is_what_sound_nodes_leave_idle() -> None:
-    watch = Watch()
-    for tick in range(8):  # n1 can do nothing in second 1
-        watch.looked("n1", tick / 4, 0.0 if 4 <= tick < 8 else 6.0)
-        watch.looked("n2", tick / 4, 6.0)
-    seen = watch.seen({"n1": [3.0, 0.0], "n2": [6.0, 6.0]}, {"n1": 6, "n2": 6})
-    assert seen.bad["n1"] == [(1.0, 1.75)]
-    assert seen.idle == [pytest.approx(0.25), 0.0]
+def test_idle_share_is_that_of_available_nodes() -> None:
+    recorder = RunRecorder()
+    for tick in range(8):  # n1 is unavailable in second 1
+        recorder.record_capacity("n1", tick / 4, 0.0 if 4 <= tick < 8 else 6.0)
+        recorder.record_capacity("n2", tick / 4, 6.0)
+    observations = recorder.observations({"n1": [3.0, 0.0], "n2": [6.0, 6.0]}, {"n1": 6, "n2": 6})
+    assert observations.unavailable["n1"] == [(1.0, 1.75)]
+    assert observations.idle == [pytest.approx(0.25), 0.0]
