--- a/tests/limebridge/test_demo.py
+++ b/tests/limebridge/test_demo.py
@@ -17,7 +17,7 @@
 from limebridge.cli import app
 from limebridge.standins.database import CustomerDatabase
 from tests.support.paths import ROOT
-from tests.support.rig import get, read_answer, soon
+from tests.support.rig import get, read_answer, with_timeout
 
 
 @asynccontextmanager
@@ -37,7 +37,7 @@
     )
     assert process.stdout is not None
     try:
-        yield process, json.loads(await soon(process.stdout.readline()))
+        yield process, json.loads(await with_timeout(process.stdout.readline()))
     finally:
         if process.returncode is None:
             process.kill()
@@ -66,10 +66,10 @@
 
             assert await asyncio.to_thread(drive) == [True, b"template of k1", b"stored"]
             reader, writer = await asyncio.open_connection(host, int(port))
-            writer.write(get(5, key=b"k2", wait=500))  # a raw command
+            writer.write(get(5, key=b"k2", deadline_ms=500))  # a raw command
             assert await read_answer(reader) == b"template of k2"
             process.send_signal(signal.SIGTERM)
-            assert await soon(process.wait()) == 0
+            assert await with_timeout(process.wait()) == 0
             assert process.stderr is not None and await process.stderr.read() == b""
             with_proxy = await asyncio.gather(
                 asyncio.open_connection(host, int(port)), return_exceptions=True
@@ -111,9 +111,9 @@
                 while not served():
                     pass
 
-            await soon(asyncio.to_thread(drive))
+            await with_timeout(asyncio.to_thread(drive))
             process.send_signal(signal.SIGTERM)
-            assert await soon(process.wait()) == 0
+            assert await with_timeout(process.wait()) == 0
 
     asyncio.run(run())
 
@@ -154,6 +154,6 @@
                 2,
             ]
             process.send_signal(signal.SIGTERM)
-            assert await soon(process.wait()) == 0
+            assert await with_timeout(process.wait()) == 0
 
     asyncio.run(run())
--- a/tests/support/rig.py
+++ b/tests/support/rig.py
@@ -1,6 +1,6 @@
 """A proxy in this process, with cache nodes, discovery and clients on loopback sockets.
 
-Nothing here measures load: each part plays one peer that a test can make misbehave.
+The stand-ins are for correctness and not for load: a test can make each of them misbehave.
 """
 
 from __future__ import annotations
@@ -40,36 +40,43 @@
     "read_words",
     "reply",
     "serves",
-    "soon",
     "until",
+    "with_timeout",
 ]
 
 T = TypeVar("T")
-PATIENCE = 20.0  # s; a bound on waiting, far above what any step needs
+TIMEOUT_S = 20.0  # far above the time that any step needs
 
 
-async def soon(what: Awaitable[T]) -> T:
-    async with asyncio.timeout(PATIENCE):
-        return await what
+async def with_timeout(awaitable: Awaitable[T]) -> T:
+    """The result of an awaitable.  Raises TimeoutError after TIMEOUT_S."""
+    async with asyncio.timeout(TIMEOUT_S):
+        return await awaitable
 
 
-async def until(true: Callable[[], object]) -> None:
-    async with asyncio.timeout(PATIENCE):
-        while not true():
+async def until(condition: Callable[[], object]) -> None:
+    """Wait until a condition is true.  Raises TimeoutError after TIMEOUT_S."""
+    async with asyncio.timeout(TIMEOUT_S):
+        while not condition():
             await asyncio.sleep(0.005)
 
 
-def get(number: int, key: bytes = b"k", cls: bytes = b"lookup", wait: int = 8000) -> bytes:
-    return command(b"OBJ.GET", key, b"id%d" % number, b"c=%b,t=x,d=%d" % (cls, wait))
+def get(number: int, key: bytes = b"k", cls: bytes = b"lookup", deadline_ms: int = 8000) -> bytes:
+    """The bytes of an OBJ.GET with ID `id{number}` and class `cls`."""
+    return command(b"OBJ.GET", key, b"id%d" % number, b"c=%b,t=x,d=%d" % (cls, deadline_ms))
 
 
-def put(number: int, value: bytes = b"v", cls: bytes = b"optout", wait: int = 8000) -> bytes:
-    fields = b"c=%b,t=x,d=%d,k=key%d" % (cls, wait, number)
+def put(number: int, value: bytes = b"v", cls: bytes = b"optout", deadline_ms: int = 8000) -> bytes:
+    """The bytes of an OBJ.SET with ID `id{number}` and idempotency key `key{number}`."""
+    fields = b"c=%b,t=x,d=%d,k=key%d" % (cls, deadline_ms, number)
     return command(b"OBJ.SET", b"k", b"id%d" % number, fields, value)
 
 
 class Rig:
-    """The proxy between the parts, as __main__ puts it together."""
+    """A proxy with its listener, built as in __main__, and its discovery.
+
+    `limits`: more arguments of `configuration`.
+    """
 
     def __init__(
         self,
@@ -87,8 +94,8 @@
         for node in self.nodes:
             if not node.port:
                 await node.start()
-        known = [node.entry(f"s-{i}") for i, node in enumerate(self.nodes)]
-        self.config = self.load(configuration(self.discovery.port, known, **self.limits))
+        entries = [node.entry(f"s-{i}") for i, node in enumerate(self.nodes)]
+        self.config = self.load(configuration(self.discovery.port, entries, **self.limits))
         if self.operator is not None:
             self.config = replace(self.config, operator=self.operator)
         net = SocketNetwork(asyncio.get_running_loop(), self.turns)
@@ -101,19 +108,22 @@
 
     @staticmethod
     def load(raw: dict[str, Any]) -> config_module.Config:
+        """Load a configuration through a file, as the daemon does."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "config.json"
             path.write_text(json.dumps(raw))
             return config_module.load({"PROXY_CONFIG": str(path)})
 
-    async def watched(self) -> None:
+    async def wait_for_watch(self) -> None:
+        """Wait until the proxy has an open watch at the discovery."""
         await until(lambda: self.discovery.open)
 
     async def client(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        return await soon(asyncio.open_connection("127.0.0.1", self.port))
+        """Open a client connection to the proxy."""
+        return await with_timeout(asyncio.open_connection("127.0.0.1", self.port))
 
-    async def ask(self, *commands: bytes) -> list[bytes]:
-        """The answers on a connection of its own, values without their lengths."""
+    async def request(self, *commands: bytes) -> list[bytes]:
+        """Send commands on a new connection; the answers in order, values without their lengths."""
         reader, writer = await self.client()
         writer.write(b"".join(commands))
         answers = [await read_answer(reader) for _ in commands]
@@ -121,9 +131,10 @@
         return answers
 
     async def __aexit__(self, *_: object) -> None:
-        # A test's clients are all there by now.  One of the drain itself calls it, with its grace.
+        # All clients of a test are connected by now, so the drain need not accept late ones.  Tests
+        # of the drain call it themselves, with its grace period.
         with mock.patch.object(listener, "ACCEPT_AFTER_TERM", 0.0):
-            await soon(self.listener.drain(0.2))
+            await with_timeout(self.listener.drain(0.2))
         self.proxy.close()
         for node in self.nodes:
             await node.stop()
@@ -132,4 +143,5 @@
 
 
 async def read_answer(reader: asyncio.StreamReader) -> bytes:
-    return await soon(wire.read_answer(reader))
+    """Read one answer, as `wire.read_answer` returns it.  Raises TimeoutError after TIMEOUT_S."""
+    return await with_timeout(wire.read_answer(reader))
--- a/tests/violetroute/clients/test_clients.py
+++ b/tests/violetroute/clients/test_clients.py
@@ -23,8 +23,8 @@
     read_answer,
     reply,
     serves,
-    soon,
     until,
+    with_timeout,
 )
 from violetroute.clients.listener import ACCEPT_RETRY_INTERVAL, MIN_IDLE_TIME
 
@@ -53,7 +53,7 @@
     """All data until the proxy closes the connection, by FIN or reset."""
     data = b""
     try:
-        while piece := await soon(reader.read(4096)):
+        while piece := await with_timeout(reader.read(4096)):
             data += piece
     except ConnectionError:
         pass
@@ -72,7 +72,7 @@
                 first.set()
 
         node.behaviour = late_first
-        answers = await rig.ask(*map(get, range(10)), command(b"PING"), put(11))
+        answers = await rig.request(*map(get, range(10)), command(b"PING"), put(11))
         assert answers == [*(b"id%d" % n for n in range(10)), b"+PONG", b"id11"]
 
     run_case(part)
@@ -112,7 +112,7 @@
         release.set()
         await until(lambda: not node.open)
         node.behaviour = serves
-        assert await rig.ask(get(2)) == [b"value of id2"]
+        assert await rig.request(get(2)) == [b"value of id2"]
         assert [words[2] for words in node.commands] == [b"id1", b"id2"]
 
     run_case(part)
@@ -167,7 +167,7 @@
 @pytest.mark.parametrize("name", INVALID_COMMANDS)
 def test_invalid_commands_are_answered_and_reach_no_node(name: str) -> None:
     async def part(rig: Rig, node: CacheNode) -> None:
-        answers = await rig.ask(INVALID_COMMANDS[name], get(7))
+        answers = await rig.request(INVALID_COMMANDS[name], get(7))
         assert answers[0].startswith(b"-ERR ") and answers[1] == b"value of id7"
         assert [words[2] for words in node.commands] == [b"id7"]
 
@@ -197,10 +197,10 @@
         reader, writer = await rig.client()
         writer.write(get(1))
         await until(lambda: node.commands)
-        assert (await rig.ask(get(1)))[0].startswith(b"-ERR")
+        assert (await rig.request(get(1)))[0].startswith(b"-ERR")
         go.set()
         assert await read_answer(reader) == b"mine"
-        assert await rig.ask(get(1)) == [b"mine"]  # the id is free again
+        assert await rig.request(get(1)) == [b"mine"]  # the id is free again
         assert len(node.commands) == 2
         writer.close()
 
@@ -210,7 +210,7 @@
 def test_connections_without_data_at_the_limit_lock_nobody_out() -> None:
     async def part(rig: Rig, node: CacheNode) -> None:
         crowd = [await rig.client() for _ in range(2 * rig.config.client_sockets)]
-        assert await rig.ask(get(1)) == [b"value of id1"]
+        assert await rig.request(get(1)) == [b"value of id1"]
         for reader, writer in crowd:  # each is closed without further input
             assert await read_until_closed(reader) == b""
             writer.close()
@@ -246,7 +246,7 @@
     async def part(rig: Rig, node: CacheNode) -> None:
         async def send_requests(start: int) -> None:
             for number in range(start, start + 60):
-                await rig.ask(
+                await rig.request(
                     get(number, key=b"key%d" % (number % 60)),
                     put(number + 100_000),
                     INVALID_COMMANDS["class"],
@@ -381,7 +381,7 @@
         assert await read_answer(reader) == b"value of id1"
         if close == "drain":
             assert await read_until_closed(reader) == b""
-            await soon(drained)
+            await with_timeout(drained)
 
     run_case(part)
 
@@ -405,7 +405,7 @@
         assert rig.proxy.open_requests == 2
         served.set()
         assert [await read_answer(reader) for _ in range(2)] == [b"id1", b"id2"]
-        await soon(drained)
+        await with_timeout(drained)
 
     run_case(part)
 
@@ -467,7 +467,7 @@
     async def part(rig: Rig, node: CacheNode) -> None:
         answer, node.behaviour = delayed_answer()
         listener, loop = rig.listener, asyncio.get_running_loop()
-        asking = asyncio.create_task(rig.ask(get(1)))
+        asking = asyncio.create_task(rig.request(get(1)))
         await until(lambda: rig.proxy.open_requests)
         listener._slots, looks, gives = 1, [], listener._evict_one
 
@@ -476,11 +476,11 @@
             return gives()
 
         listener._evict_one = looked  # type: ignore[method-assign]
-        second = asyncio.create_task(rig.ask(command(b"PING")))
+        second = asyncio.create_task(rig.request(command(b"PING")))
         await until(lambda: len(looks) > 3)
         assert looks[3] - looks[0] > 2 * ACCEPT_RETRY_INTERVAL  # not at each poll
         answer.set()
-        assert await soon(asking) == [b"id1"] and await soon(second) == [b"+PONG"]
+        assert await with_timeout(asking) == [b"id1"] and await with_timeout(second) == [b"+PONG"]
 
     run_case(part)
 
--- a/tests/violetroute/clients/test_crossings.py
+++ b/tests/violetroute/clients/test_crossings.py
@@ -16,8 +16,8 @@
 
 from limebridge.standins.configuration import SETTINGS
 from tests.support.rig import CacheNode, Rig, until
-from tests.support.scene import NO_CANCEL, Scene, get, put, read_answer, scene
 from tests.support.send_times import SendTimes
+from tests.support.virtual_rig import NO_CANCEL, VirtualRig, get, put, read_answer, run_scenario
 from violetroute.clients.connection import ClientConnection
 from violetroute.upstream import Attempt
 
@@ -30,8 +30,8 @@
     """A node that takes commands and answers none."""
 
 
-def begun_late(here: Scene, left_at: float) -> list[tuple[float, int, bytes]]:
-    return [each for each in here.begun if each[0] > left_at + DEPARTURE_LIMIT]
+def begun_late(here: VirtualRig, left_at: float) -> list[tuple[float, int, bytes]]:
+    return [each for each in here.arrivals if each[0] > left_at + DEPARTURE_LIMIT]
 
 
 # --- a client's end ---------------------------------------------------------------------
@@ -40,7 +40,7 @@
 def test_a_request_waiting_for_a_connection_is_not_sent_once_its_client_has_left(
     caps: dict[str, Any], left_first: bool
 ) -> None:
-    async def part(here: Scene) -> None:
+    async def part(here: VirtualRig) -> None:
         here.kernel.link(here.nodes[0].port).latency = 0.2  # a connect takes 0.4 s
         _, writer = await here.client()
         writer.write(get(1))
@@ -48,13 +48,13 @@
         if left_first:
             writer.transport.abort()
             await asyncio.sleep(1.0)
-            assert here.begun == []
+            assert here.arrivals == []
         else:
-            await here.until(lambda: here.begun)
+            await here.until(lambda: here.arrivals)
             writer.transport.abort()
         await here.until(lambda: not here.proxy.open_requests)
 
-    scene(part, **caps)
+    run_scenario(part, **caps)
 
 
 @pytest.mark.parametrize("end", ["closes", "resets"])
@@ -62,7 +62,7 @@
 def test_a_departure_is_noticed_while_the_client_is_not_read(end: str, held_by: str) -> None:
     # Found by code review: the client's FIN is queued behind unread input and was not checked for.
     # Its requests were still sent, retried and counted until their deadlines.
-    async def part(here: Scene) -> None:
+    async def part(here: VirtualRig) -> None:
         here.nodes[0].behaviour = never
         # A connect takes 1 s, so that each request waits for one when the client leaves.
         here.kernel.link(here.nodes[0].port).latency = 0.45
@@ -93,7 +93,7 @@
             budget.release(budget._size)
         assert budget.used == 0 and here.listener._departure_timer is None
 
-    scene(part, sockets=1024)
+    run_scenario(part, sockets=1024)
 
 
 def test_a_departure_is_noticed_while_not_read_on_real_sockets() -> None:
@@ -114,7 +114,7 @@
 def test_after_a_pause_the_client_is_checked_before_sending(left: bool) -> None:
     # A turn handles nodes first.  A node connection that was established during the pause would be
     # written to before the client's end, which arrived in the same pause, is read.
-    async def part(here: Scene) -> None:
+    async def part(here: VirtualRig) -> None:
         here.kernel.link(here.nodes[0].port).latency = 0.2
         _, writer = await here.client()
         writer.write(get(1))
@@ -123,9 +123,9 @@
         if left:
             writer.close()
         await asyncio.sleep(4.0)
-        assert here.ids() == ([] if left else [b"id1"])
+        assert here.request_ids() == ([] if left else [b"id1"])
 
-    scene(part)
+    run_scenario(part)
 
 
 def test_an_ended_connection_is_freed_without_garbage_collection() -> None:
@@ -255,7 +255,7 @@
     # time that the retry waited is read from the proxy's clock.
     keyed = cls == b"optout"
     window_ms = 400.0 if keyed else 500.0
-    words = put(1) if keyed else get(1, wait=int(window_ms))
+    words = put(1) if keyed else get(1, deadline_ms=int(window_ms))
     for _ in range(MAX_TRIES):
         retry = asyncio.run(retry_after_a_stall(stall_s, words, keyed))
         if retry.is_forced(window_ms):
@@ -270,7 +270,7 @@
 def test_a_drain_answers_what_was_read_and_sends_nothing_else() -> None:
     # Found by code review: a drain answered none of the commands that were read but not started,
     # behind as many as a connection may have open at once.
-    async def part(here: Scene) -> None:
+    async def part(here: VirtualRig) -> None:
         here.kernel.link(
             here.nodes[0].port
         ).latency = 0.35  # answers arrive after the drain has begun
@@ -289,17 +289,19 @@
         assert await reader.read() == b""
         writer.close()
         assert await stopped
-        assert set(here.ids()) == set(served) and len(here.ids()) == len(served) >= 100
+        assert (
+            set(here.request_ids()) == set(served) and len(here.request_ids()) == len(served) >= 100
+        )
 
-    scene(part, sockets=1024)
+    run_scenario(part, sockets=1024)
 
 
 def test_a_departure_is_noticed_during_a_drain() -> None:
-    async def part(here: Scene) -> None:
+    async def part(here: VirtualRig) -> None:
         here.nodes[0].behaviour = never
         _, writer = await here.client()
         writer.write(get(1))
-        await here.until(lambda: here.begun)
+        await here.until(lambda: here.arrivals)
         connection = next(iter(here.listener._serving))
         stopped = asyncio.ensure_future(here.process.term())
         await here.until(lambda: connection.draining)
@@ -307,13 +309,13 @@
         await here.until(lambda: not here.proxy.open_requests, DEPARTURE_LIMIT)
         assert await stopped
 
-    scene(part)
+    run_scenario(part)
 
 
 def test_the_linger_time_starts_when_the_kernel_has_taken_the_answer() -> None:
     # The linger time counts from when the client can see the close, not from the decision to close:
     # behind a closed window that is much later, and an early reset would lose the answer.
-    async def part(here: Scene) -> None:
+    async def part(here: VirtualRig) -> None:
         async def large(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             value = b"v" * 60_000
             writer.write(b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % (len(value), value))
@@ -340,11 +342,11 @@
         writer.close()
         assert await stopped
 
-    scene(part)
+    run_scenario(part)
 
 
 def test_a_fault_of_one_paused_connection_leaves_the_others_checked() -> None:
-    async def part(here: Scene) -> None:
+    async def part(here: VirtualRig) -> None:
         here.nodes[0].behaviour = never
         here.loop.set_exception_handler(lambda loop, context: None)
         clients = [await here.client() for _ in range(2)]
@@ -364,4 +366,4 @@
         del first.client_left
         await here.until(lambda: not here.listener.connections, DEPARTURE_LIMIT)
 
-    scene(part, sockets=1024)
+    run_scenario(part, sockets=1024)
--- a/tests/violetroute/cluster/test_cluster.py
+++ b/tests/violetroute/cluster/test_cluster.py
@@ -17,7 +17,7 @@
 from redis.crc import key_slot as redis_slot
 
 from limebridge.standins.configuration import configuration
-from tests.support.rig import CacheNode, Rig, get, put, serves, soon
+from tests.support.rig import CacheNode, Rig, get, put, serves, with_timeout
 from violetroute.cluster import SLOTS, ClusterTable, Dialect, Topology, key_slot, topology
 from violetroute.cluster.encode import encode
 from violetroute.cluster.table import ClusterProxy
@@ -257,7 +257,7 @@
                     ) == b"value of id%d-%d" % (protocol, number)
                 client.close()
 
-        await soon(asyncio.to_thread(drive))
+        await with_timeout(asyncio.to_thread(drive))
 
     cluster(part, count=1)
 
@@ -288,7 +288,7 @@
     async def part(rigs: list[Rig]) -> None:
         keys = [b"k%d" % number for number in range(100)]
         here = [key_slot(key) < SLOTS // 2 for key in keys]
-        answers = await rigs[0].ask(*(get(number, key=key) for number, key in enumerate(keys)))
+        answers = await rigs[0].request(*(get(number, key=key) for number, key in enumerate(keys)))
         for number, (answer, mine) in enumerate(zip(answers, here, strict=True)):
             assert (
                 answer == b"value of id%d" % number
@@ -304,7 +304,7 @@
     async def part(rigs: list[Rig]) -> None:
         rig = rigs[key_slot(b"k") < SLOTS // 2]
         wrong = [b"*2\r\n$7\r\nCLUSTER\r\n$4\r\nNOPE\r\n"] * 20
-        *expected, moved, pong = await rig.ask(*wrong, put(1), b"*1\r\n$4\r\nPING\r\n")
+        *expected, moved, pong = await rig.request(*wrong, put(1), b"*1\r\n$4\r\nPING\r\n")
         assert all(answer.startswith(b"-ERR unknown subcommand") for answer in expected)
         assert moved.startswith(b"-MOVED") and pong == b"+PONG"
         assert not any(node.commands for node in rig.nodes)
@@ -315,7 +315,7 @@
 def test_cluster_commands_are_unknown_when_the_dialect_is_off() -> None:
     async def run() -> None:
         async with Rig(await CacheNode(serves).start()) as rig:
-            (answer,) = await rig.ask(b"*2\r\n$7\r\nCLUSTER\r\n$5\r\nSLOTS\r\n")
+            (answer,) = await rig.request(b"*2\r\n$7\r\nCLUSTER\r\n$5\r\nSLOTS\r\n")
             assert answer == b"-ERR unknown command"
 
     asyncio.run(run())
@@ -325,7 +325,7 @@
     async def part(rigs: list[Rig]) -> None:
         reader, writer = await rigs[0].client()
         writer.write(b"*1\r\n$4\r\nQUIT\r\n*1\r\n$4\r\nPING\r\n")
-        assert await soon(reader.read()) == b"+OK\r\n"
+        assert await with_timeout(reader.read()) == b"+OK\r\n"
         writer.close()
 
     cluster(part)
--- a/tests/violetroute/cluster/test_redirects.py
+++ b/tests/violetroute/cluster/test_redirects.py
@@ -181,7 +181,9 @@
     async def part(rig: Rig, cluster: SlotCluster) -> None:
         for round_ in range(3):
             keys = [b"k%d" % number for number in range(60)]
-            answers = await rig.ask(*(get(100 * round_ + n, key=key) for n, key in enumerate(keys)))
+            answers = await rig.request(
+                *(get(100 * round_ + n, key=key) for n, key in enumerate(keys))
+            )
             assert answers == [b"value of id%d" % (100 * round_ + n) for n in range(60)]
             if not round_:
                 first = cluster.redirected
@@ -196,14 +198,14 @@
         slot = key_slot(b"k")
         owner = cluster.owner(slot)
         target = next(node for node in cluster.nodes if node is not owner)
-        await rig.ask(get(1))
+        await rig.request(get(1))
         cluster.importing[slot] = target
-        assert await rig.ask(get(2), get(3)) == [b"value of id2", b"value of id3"]
+        assert await rig.request(get(2), get(3)) == [b"value of id2", b"value of id3"]
         assert sorted(target.executed) == [b"id2", b"id3"]  # each on its own connection
         assert [words for words in target.commands if words[0] == b"ASKING"] == [[b"ASKING"]] * 2
         del cluster.importing[slot]
         before = len(target.commands)
-        assert await rig.ask(get(4)) == [b"value of id4"]
+        assert await rig.request(get(4)) == [b"value of id4"]
         assert len(target.commands) == before
 
     clustered(part)
@@ -222,7 +224,7 @@
             await target._answer(words, writer)
 
         target.behaviour = slow
-        assert await rig.ask(put(1, cls=b"once")) == [b"value of id1"]
+        assert await rig.request(put(1, cls=b"once")) == [b"value of id1"]
 
     clustered(part)
 
@@ -230,7 +232,7 @@
 def test_an_unsafe_write_that_is_redirected_runs_once_and_a_lost_answer_is_no_refusal() -> None:
     async def part(rig: Rig, cluster: SlotCluster) -> None:
         owner = cluster.owner(key_slot(b"k"))
-        assert await rig.ask(put(1, cls=b"once")) == [b"value of id1"]
+        assert await rig.request(put(1, cls=b"once")) == [b"value of id1"]
         assert sum(node.executed.count(b"id1") for node in cluster.nodes) == 1
 
         async def fails(words: list[bytes], writer: asyncio.StreamWriter) -> None:
@@ -239,7 +241,7 @@
             raise ConnectionError
 
         owner.behaviour = fails
-        assert await rig.ask(put(2, cls=b"once")) == [b"-ERR failed"]
+        assert await rig.request(put(2, cls=b"once")) == [b"-ERR failed"]
         assert sum(node.executed.count(b"id2") for node in cluster.nodes) == 1
 
     clustered(part)
@@ -265,7 +267,7 @@
 
         for node in cluster.nodes:
             node.behaviour = redirects
-        (answer,) = await rig.ask(put(1, cls=b"once", wait=800))
+        (answer,) = await rig.request(put(1, cls=b"once", deadline_ms=800))
         assert answer.startswith(b"-BUSY")
 
     clustered(part)
@@ -276,7 +278,7 @@
         other = next(node for node in cluster.nodes if node is not cluster.owner(key_slot(b"k")))
         for node in cluster.nodes:
             node.behaviour = other._answer
-        assert await rig.ask(put(1, cls=b"once", wait=800)) == [b"-ERR failed"]
+        assert await rig.request(put(1, cls=b"once", deadline_ms=800)) == [b"-ERR failed"]
 
     clustered(part, Operator())
 
@@ -291,7 +293,7 @@
             while True:
                 picked = [rng.choice(keys) for _ in range(20)]
                 first = done * 20
-                answers = await rig.ask(
+                answers = await rig.request(
                     *(
                         get(first + n, key=key) if n % 4 else put_at(first + n, key)
                         for n, key in enumerate(picked)
@@ -332,9 +334,9 @@
         async def wrong(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             await serves(words if len(words) > 1 else [b"", b"", b"another"], writer)
 
-        await rig.ask(get(1))
+        await rig.request(get(1))
         target.behaviour = wrong
-        (answer,) = await rig.ask(put(2, cls=b"once", wait=800))
+        (answer,) = await rig.request(put(2, cls=b"once", deadline_ms=800))
         assert answer == b"-ERR failed"
 
     clustered(part)
--- a/tests/violetroute/distribution/test_distribution_http.py
+++ b/tests/violetroute/distribution/test_distribution_http.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.support.rig import soon, until
+from tests.support.rig import until, with_timeout
 from violetroute.distribution import http_client, http_server, signing
 from violetroute.distribution.control_choice import SubscriberSettings
 from violetroute.distribution.http_client import BusyError, HttpClient, HttpPool
@@ -86,13 +86,13 @@
 
 
 async def connect(server: HttpServer) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    return await soon(asyncio.open_connection(server.address.host, server.address.port))
+    return await with_timeout(asyncio.open_connection(server.address.host, server.address.port))
 
 
 async def read_to_end(reader: asyncio.StreamReader) -> bytes:
     """All that the server sends until it closes."""
     try:
-        return await soon(reader.read())
+        return await with_timeout(reader.read())
     except ConnectionError:
         return b""
 
@@ -319,7 +319,7 @@
         try:
             while not reader.at_eof() and sent < 4 * MESSAGE_BYTES:
                 writer.write(more)
-                await soon(writer.drain())
+                await with_timeout(writer.drain())
                 sent += len(more)
                 await asyncio.sleep(0)
         except ConnectionError:
--- a/tests/violetroute/distribution/test_distribution_unauthenticated.py
+++ b/tests/violetroute/distribution/test_distribution_unauthenticated.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.support.rig import soon, until
+from tests.support.rig import until, with_timeout
 from tests.violetroute.distribution.test_distribution_http import (
     client_of,
     connect,
@@ -111,7 +111,7 @@
                 client.close()
             for task in unauthenticated_clients:
                 task.cancel()
-            await soon(asyncio.gather(*unauthenticated_clients, return_exceptions=True))
+            await with_timeout(asyncio.gather(*unauthenticated_clients, return_exceptions=True))
 
     run(scenario)
 
--- a/tests/violetroute/ledger/test_ledger_daemon.py
+++ b/tests/violetroute/ledger/test_ledger_daemon.py
@@ -70,7 +70,7 @@
 
 async def ask(rig: Rig, first: int, count: int) -> None:
     for number in range(first, first + count):
-        assert await rig.ask(get(number)) == [b"value of id%d" % number]
+        assert await rig.request(get(number)) == [b"value of id%d" % number]
 
 
 def test_served_requests_are_billed_after_their_period_closes(tmp_path: Path) -> None:
--- a/tests/violetroute/membership/test_consul.py
+++ b/tests/violetroute/membership/test_consul.py
@@ -20,7 +20,7 @@
 from limebridge.standins.consul import Catalogue, Consul
 from snowstall import CacheState
 from tests.support import stall_free_loop
-from tests.support.rig import CacheNode, Rig, get, serves, soon, until
+from tests.support.rig import CacheNode, Rig, get, serves, until, with_timeout
 from violetroute.config import ConfigError, Operator
 from violetroute.config.operator import parse_operator
 from violetroute.membership import ConsulTable, Entry, Listing, stable_hash
@@ -434,7 +434,7 @@
             assert len(client.health.service("cache")[1]) == 1
             assert client.status.leader()
 
-        await soon(asyncio.to_thread(drive))
+        await with_timeout(asyncio.to_thread(drive))
         await agent.stop()
 
     asyncio.run(run())
@@ -497,7 +497,7 @@
 
 def test_drains_and_deregistrations_reach_the_proxy_and_requests_are_served() -> None:
     async def part(setting: Setting) -> None:
-        assert await setting.rig.ask(get(1)) == [b"value of id1"]
+        assert await setting.rig.request(get(1)) == [b"value of id1"]
         setting.catalogue.set_maintenance("c1", True)
         await setting.uses("s-0", "s-2", "s-3")
         setting.catalogue.deregister("c2")
@@ -507,7 +507,7 @@
         await setting.uses("s-1", "s-3")
         setting.catalogue.check("c0", "passing")
         await setting.uses("s-0", "s-1", "s-3")
-        assert await setting.rig.ask(get(2)) == [b"value of id2"]
+        assert await setting.rig.request(get(2)) == [b"value of id2"]
 
     follow(part)
 
@@ -563,9 +563,9 @@
         list_failed = setting.rig.proxy.list_failed
         setting.rig.proxy.list_failed = lambda silent=False: (failed.set(), list_failed(silent))  # type: ignore
         setting.catalogue.check("c3", "critical")  # not received, or not accepted
-        await soon(failed.wait())
+        await with_timeout(failed.wait())
         assert setting.used() == {"s-0", "s-1", "s-2", "s-3"}
-        assert await setting.rig.ask(get(7)) == [b"value of id7"]
+        assert await setting.rig.request(get(7)) == [b"value of id7"]
         setting.catalogue.set_maintenance("c0", True)
         if trouble == "refused":
             await agent.start(agent.port)
@@ -674,7 +674,7 @@
         refused = asyncio.Event()
         list_failed = setting.rig.proxy.list_failed
         setting.rig.proxy.list_failed = lambda silent=False: (refused.set(), list_failed(silent))  # type: ignore
-        await soon(refused.wait())
+        await with_timeout(refused.wait())
         began = loop.time()
         agent.status = 200
         await until(lambda: len(agent.requests) > count)
@@ -781,7 +781,7 @@
             catalogue.register(f"c{number}", node.port, address="127.0.0.1")
         async with Rig(*nodes) as rig:
             setting = Setting(rig, catalogue, [agent])
-            await rig.watched()
+            await rig.wait_for_watch()
             whole = {
                 "generation": 5,
                 "reset": True,
@@ -794,7 +794,7 @@
                 number = 0
                 while True:
                     number += 1
-                    answers.extend(await rig.ask(get(number)))
+                    answers.extend(await rig.request(get(number)))
 
             asking = asyncio.create_task(load())
             to_consul = replace(
@@ -810,7 +810,7 @@
             catalogue.set_maintenance("c0", True)
             await setting.uses("s-1", "s-2")
             rig.proxy.reload(rig.config)
-            await rig.watched()
+            await rig.wait_for_watch()
             await setting.uses("s-0", "s-1", "s-2")
             seen = len(answers)
             await until(lambda: len(answers) > seen + 20)
--- a/tests/violetroute/membership/test_crossings_lists.py
+++ b/tests/violetroute/membership/test_crossings_lists.py
@@ -11,17 +11,17 @@
 
 from limebridge.standins.configuration import SETTINGS
 from tests.support.rig import CacheNode, Rig, until
-from tests.support.scene import Scene, get, read_answer, scene
+from tests.support.virtual_rig import VirtualRig, get, read_answer, run_scenario
 from violetroute.membership.list_reader import LINE_LIMIT, ObjectSplitter, WatchError
 from violetroute.membership.native import CONNECT_TIMEOUT, LINE_TIMEOUT
 
 # s after which a change counts as notified, once discovery has it and is reachable.
 NOTIFIED_WITHIN = 6.0
 GRACE = 0.5  # s that a drain may take after that
-Trouble = Callable[[Scene], Awaitable[None]]
+Trouble = Callable[[VirtualRig], Awaitable[None]]
 
 
-async def refuses(here: Scene) -> None:
+async def refuses(here: VirtualRig) -> None:
     """Discovery answers 503 to each call."""
     here.discovery.unavailable = True
     for writer in list(here.discovery.open):
@@ -30,21 +30,21 @@
     here.discovery.unavailable = False
 
 
-async def unreachable(here: Scene) -> None:
+async def unreachable(here: VirtualRig) -> None:
     """Open watches receive nothing, and connects never succeed."""
     here.kernel.block(here.discovery.port)
     await asyncio.sleep(9.0)
     here.kernel.heal(here.discovery.port)
 
 
-async def silent(here: Scene) -> None:
+async def silent(here: VirtualRig) -> None:
     """Connections and calls are accepted, but all bytes from discovery are dropped."""
     here.kernel.block(here.discovery.port, to=False)
     await asyncio.sleep(9.0)
     here.kernel.heal(here.discovery.port)
 
 
-async def away(here: Scene) -> None:
+async def away(here: VirtualRig) -> None:
     """Connections are refused: there is no process."""
     port, requests = here.discovery.port, here.discovery.requests
     await here.discovery.stop()
@@ -53,7 +53,7 @@
     here.discovery.requests = requests
 
 
-async def paused(here: Scene) -> None:
+async def paused(here: VirtualRig) -> None:
     """The proxy's process is paused and receives nothing."""
     here.process.pause(9.0)
     await asyncio.sleep(9.0)
@@ -69,7 +69,7 @@
 ) -> None:
     """Covers the longest retry wait, the call's timeouts and calls in progress at that time."""
 
-    async def part(here: Scene) -> None:
+    async def part(here: VirtualRig) -> None:
         await here.until(lambda: here.discovery.open)
         here.discovery.publish(*here.entries(), reset=True)
         reader, writer = await here.client()
@@ -87,11 +87,13 @@
             await asyncio.sleep(0.01)
         drained = here.nodes[0].port
         broken = [
-            at - notified_at for at, port, _ in here.begun if port == drained and at > notified_at
+            at - notified_at
+            for at, port, _ in here.arrivals
+            if port == drained and at > notified_at
         ]
-        assert broken == [] and here.begun[-1][0] > notified_at + 2.0
+        assert broken == [] and here.arrivals[-1][0] > notified_at + 2.0
 
-    scene(
+    run_scenario(
         part,
         nodes=2,
         seed=seed,
@@ -106,7 +108,7 @@
 def test_a_drain_that_a_stalled_watch_misses_applies_6_s_after_its_last_line(
     mode: str, seed: int
 ) -> None:
-    async def part(here: Scene) -> None:
+    async def part(here: VirtualRig) -> None:
         await here.until(lambda: here.discovery.open)
         here.discovery.publish(*here.entries(), reset=True)
         mute, send = set(here.discovery.open), here.discovery.send
@@ -123,14 +125,14 @@
             writer.write(get(number))
             await read_answer(reader)
             await asyncio.sleep(0.01)
-        assert all(at <= notified_at for at, port, _ in here.begun if port == drained)
+        assert all(at <= notified_at for at, port, _ in here.arrivals if port == drained)
 
-    scene(part, nodes=2, seed=seed, membershipMode=mode, balancers=700)
+    run_scenario(part, nodes=2, seed=seed, membershipMode=mode, balancers=700)
 
 
 def test_lists_are_watched_from_the_start_and_a_drain_applies_at_once() -> None:
     # Guards against a fault with membershipMode `automatic`: no watch was ever opened.
-    async def part(here: Scene) -> None:
+    async def part(here: VirtualRig) -> None:
         await here.until(lambda: here.discovery.open, GRACE)
         reader, writer = await here.client()
         here.discovery.publish(*here.entries(), reset=True)
@@ -140,7 +142,7 @@
             writer.write(get(number))
             await read_answer(reader)
             await asyncio.sleep(0.01)
-        assert all(at <= notified_at + GRACE for at, port, _ in here.begun if port == drained)
+        assert all(at <= notified_at + GRACE for at, port, _ in here.arrivals if port == drained)
         for each in list(
             here.discovery.open
         ):  # a change counts once discovery has it, with or without a watch
@@ -148,7 +150,7 @@
         await here.until(lambda: not here.discovery.open)
         await here.until(lambda: here.discovery.open, GRACE)
 
-    scene(part, nodes=2, membershipMode="automatic", balancers=700)
+    run_scenario(part, nodes=2, membershipMode="automatic", balancers=700)
 
 
 # --- lines ---------------------------------------------------------------------------------
@@ -178,7 +180,7 @@
     async def part() -> None:
         nodes = [CacheNode(), CacheNode()]
         async with Rig(*nodes) as rig:
-            await rig.watched()
+            await rig.wait_for_watch()
             entries = [nodes[0].entry("s-0", "terminating"), nodes[1].entry("s-1")]
             text = json.dumps({"generation": 9, "reset": True, "instances": entries}, indent=1)
             for writer in list(rig.discovery.open):
@@ -191,7 +193,7 @@
 
 def test_a_line_that_never_ends_times_out() -> None:
     # Guards against a timeout that each byte restarted: one line could take up to 8 s.
-    async def part(here: Scene) -> None:
+    async def part(here: VirtualRig) -> None:
         await here.until(lambda: here.discovery.open)
         writer = next(iter(here.discovery.open))
         begun, request_count = here.loop.time(), len(here.discovery.requests)
@@ -200,11 +202,11 @@
             writer.write(b"1\r\n{\r\n")
             await asyncio.sleep(0.2)
 
-    scene(part)
+    run_scenario(part)
 
 
 def test_a_call_that_never_connects_times_out() -> None:
-    async def part(here: Scene) -> None:
+    async def part(here: VirtualRig) -> None:
         here.kernel.block(here.discovery.port)
         waits: list[float] = []
         watch = here.proxy._watch._watch
@@ -218,4 +220,4 @@
         await here.until(lambda: len(waits) == 4)
         assert max(b - a for a, b in pairwise(waits)) <= 3.0 == CONNECT_TIMEOUT + 1.5
 
-    scene(part)
+    run_scenario(part)
--- a/tests/violetroute/membership/test_sources.py
+++ b/tests/violetroute/membership/test_sources.py
@@ -380,7 +380,7 @@
 
             async def load() -> None:
                 while True:
-                    answers.extend(await rig.ask(get(len(answers))))
+                    answers.extend(await rig.request(get(len(answers))))
 
             def used() -> set[str]:
                 known = set(rig.proxy.nodes)
@@ -446,7 +446,7 @@
                 assert rig.proxy.nodes == [stable_hash(b"s-0")]
                 path.write_text(json.dumps({"instances": [nodes[0].entry("f0")]}))
                 await until(lambda: watch._timer is not None)  # type: ignore[attr-defined]
-            assert (await rig.ask(get(1)))[0].startswith(b"value of id1")
+            assert (await rig.request(get(1)))[0].startswith(b"value of id1")
 
     asyncio.run(run())
 
@@ -467,7 +467,7 @@
             watch = rig.proxy._watch._watch
             await until(lambda: watch._timer is not None)  # type: ignore[attr-defined]
             await until(lambda: watch._timer is None)  # type: ignore[attr-defined]
-            assert (await rig.ask(get(1)))[0].startswith(b"value of id1")
+            assert (await rig.request(get(1)))[0].startswith(b"value of id1")
 
     asyncio.run(run())
 
--- a/tests/violetroute/placement/test_placement.py
+++ b/tests/violetroute/placement/test_placement.py
@@ -277,12 +277,12 @@
             async def spread(first: int) -> list[int]:
                 before = [len(node.commands) for node in nodes]
                 for number in range(first, first + 60):
-                    await rig.ask(get(number, b"key%d" % number))
+                    await rig.request(get(number, b"key%d" % number))
                 return [
                     len(node.commands) - count for node, count in zip(nodes, before, strict=True)
                 ]
 
-            await rig.watched()
+            await rig.wait_for_watch()
             assert min(await spread(0)) > 5
             reload({"s-0": 0.0, "s-1": 1.0, "s-2": 0.0}, moved_per_s=1.0)
             await asyncio.wait_for(wait_for_sizes(rig, {"s-0": 0.0, "s-1": 1.0, "s-2": 0.0}), 20)
--- a/tests/violetroute/test_crossings_process.py
+++ b/tests/violetroute/test_crossings_process.py
@@ -13,7 +13,7 @@
 from limebridge.ports import free_ports
 from limebridge.standins.configuration import SETTINGS, configuration
 from tests.support.rig import CacheNode, Discovery, until
-from tests.support.scene import Scene, get, read_answer, scene
+from tests.support.virtual_rig import VirtualRig, get, read_answer, run_scenario
 from tests.violetroute.membership.test_crossings_lists import NOTIFIED_WITHIN, away
 from tests.violetroute.test_program import Program, launch
 from violetroute import __main__ as program
@@ -94,7 +94,7 @@
 
 def test_new_settings_apply_to_open_node_connections() -> None:
     # The pool and its limits kept the settings of the start-up.
-    async def scenario(here: Scene) -> None:
+    async def scenario(here: VirtualRig) -> None:
         reader, writer = await here.client()
         writer.write(get(1))
         await read_answer(reader)
@@ -110,11 +110,11 @@
         writer.write(get(3))
         assert (await read_answer(reader)).startswith(b"-") and here.loop.time() - begun < 0.5
 
-    scene(scenario)
+    run_scenario(scenario)
 
 
 def test_idle_clients_leave_descriptors_for_discovery_and_nodes_while_it_is_down() -> None:
-    async def scenario(here: Scene) -> None:
+    async def scenario(here: VirtualRig) -> None:
         trouble = asyncio.ensure_future(away(here))
         await here.until(lambda: not here.discovery.open)
         idle = [await here.client() for _ in range(200)]  # more than the descriptors available
@@ -130,4 +130,4 @@
             each.close()
         assert await stopped and here.process.leftovers()["descriptors"] == 0
 
-    scene(scenario, nodes=2, sockets=64)
+    run_scenario(scenario, nodes=2, sockets=64)
--- a/tests/violetroute/test_logs.py
+++ b/tests/violetroute/test_logs.py
@@ -19,7 +19,15 @@
 
 from limebridge.standins.configuration import environment
 from tests.support.paths import ROOT
-from tests.support.rig import CacheNode, Discovery, configuration, get, read_answer, soon, until
+from tests.support.rig import (
+    CacheNode,
+    Discovery,
+    configuration,
+    get,
+    read_answer,
+    until,
+    with_timeout,
+)
 from violetroute import logs
 from violetroute.config import LogTable
 from violetroute.logs import DROPPED, EVENTS, FOREIGN, Logs
@@ -241,7 +249,7 @@
             await until(listens)
             match = listens()
             assert match is not None
-            reader, writer = await soon(asyncio.open_connection("127.0.0.1", int(match[1])))
+            reader, writer = await with_timeout(asyncio.open_connection("127.0.0.1", int(match[1])))
             operator.write_text("[log]\nper_secnd = 1\n[limits]\ndepth = 1")
             for number in range(60):  # more lines than the pipe holds
                 process.send_signal(signal.SIGHUP)
@@ -252,7 +260,7 @@
             listens()
             assert b"per_secnd" in output and b"did you mean per_second?" in output
             process.terminate()
-            assert await soon(process.wait()) == 0
+            assert await with_timeout(process.wait()) == 0
         finally:
             if process.returncode is None:
                 process.kill()
--- a/tests/violetroute/test_own_load.py
+++ b/tests/violetroute/test_own_load.py
@@ -31,7 +31,17 @@
 )
 from snowstall.gate import LOOP_DELAY_INTERVAL_MS, LOOP_DELAY_TARGET_MS
 from tests.support import stall_free_loop
-from tests.support.rig import CacheNode, Discovery, Rig, get, put, read_answer, serves, soon, until
+from tests.support.rig import (
+    CacheNode,
+    Discovery,
+    Rig,
+    get,
+    put,
+    read_answer,
+    serves,
+    until,
+    with_timeout,
+)
 from tests.violetroute.test_program import program
 from violetroute.clients.connection import ClientConnection
 from violetroute.transport.loop_lag import Turns, TurnSelector
@@ -143,12 +153,12 @@
         async with program(tmp_path, discovery, node, classes=brisk) as one:
             reader, writer = await asyncio.open_connection("127.0.0.1", one.port)
             for number in range(50):
-                writer.write(get(number, wait=550))
+                writer.write(get(number, deadline_ms=550))
                 assert (await read_answer(reader)).startswith(b"value of")
             node.behaviour = hold
             late = [await asyncio.open_connection("127.0.0.1", one.port) for _ in range(20)]
             for place, (_, other) in enumerate(late):
-                other.write(get(1000 + place, wait=550))
+                other.write(get(1000 + place, deadline_ms=550))
             await until(lambda: len(held) == len(late))
             one.process.send_signal(signal.SIGSTOP)
             await asyncio.sleep(0.4)  # the pause itself
@@ -158,7 +168,7 @@
                 assert (await read_answer(other_reader)).startswith(b"-BUSY")
             node.behaviour = serves
             for number in range(2000, 2100):
-                writer.write(get(number, wait=550))
+                writer.write(get(number, deadline_ms=550))
                 assert (await read_answer(reader)).startswith(b"value of"), "nothing is shed"
             for _, other in [*late, (reader, writer)]:
                 other.close()
@@ -183,11 +193,11 @@
     async def scenario() -> None:
         node, turns = CacheNode(), Late(9.0)
         async with Rig(node, turns=turns) as rig:
-            for answer in await rig.ask(get(1, cls=b"once"), put(2)):
+            for answer in await rig.request(get(1, cls=b"once"), put(2)):
                 assert answer.startswith(b"-BUSY")
             assert not node.commands
             turns.seconds = 0.0
-            assert await rig.ask(get(3, cls=b"once")) == [b"value of id3"]
+            assert await rig.request(get(3, cls=b"once")) == [b"value of id3"]
 
     asyncio.run(scenario())
 
@@ -196,7 +206,7 @@
     async def scenario() -> None:
         node = CacheNode()
         async with Rig(node, turns=Late(5.0)) as rig:
-            assert await rig.ask(get(1, wait=8000)) == [b"value of id1"]
+            assert await rig.request(get(1, deadline_ms=8000)) == [b"value of id1"]
             left = int(node.commands[0][3].rpartition(b"d=")[2])
             assert left <= 3000
 
@@ -208,10 +218,10 @@
     async def scenario() -> None:
         node, turns = CacheNode(), Late(6.0)
         async with Rig(node, turns=turns) as rig:  # the deadline is 10 s
-            assert await rig.ask(get(1, wait=60_000)) == [b"value of id1"]
+            assert await rig.request(get(1, deadline_ms=60_000)) == [b"value of id1"]
             assert int(node.commands[0][3].rpartition(b"d=")[2]) <= 4000
             turns.seconds = 11.0
-            assert (await rig.ask(get(2, wait=60_000)))[0].startswith(b"-BUSY")
+            assert (await rig.request(get(2, deadline_ms=60_000)))[0].startswith(b"-BUSY")
             assert len(node.commands) == 1
 
     asyncio.run(scenario())
@@ -224,7 +234,7 @@
             numbers = iter(range(1, 10_000))
 
             async def burst(count: int) -> list[bytes]:
-                return await rig.ask(*(get(next(numbers)) for _ in range(count)))
+                return await rig.request(*(get(next(numbers)) for _ in range(count)))
 
             async with asyncio.timeout(20.0):
                 while not (await burst(MAX_PER_CONNECTION + 1))[-1].startswith(b"-BUSY"):
@@ -234,7 +244,7 @@
                 False
             ] * (128 - MAX_PER_CONNECTION), "in their order"
             assert all(a.startswith(b"-BUSY") for a in answers[MAX_PER_CONNECTION:])
-            others = await asyncio.gather(*(rig.ask(get(next(numbers))) for _ in range(60)))
+            others = await asyncio.gather(*(rig.request(get(next(numbers))) for _ in range(60)))
             assert all(a[0].startswith(b"value of") for a in others)
             turns.seconds = 0.0
             assert all(a.startswith(b"value of") for a in await burst(64)), "full service again"
@@ -391,7 +401,7 @@
             for place, (_, writer) in enumerate(peers):
                 for count in range(20):
                     writer.write(get(place * 100 + count))
-                await soon(writer.drain())
+                await with_timeout(writer.drain())
             if number is signal.SIGHUP:
                 one.path.write_text(json.dumps(one.raw))
             one.process.send_signal(number)
@@ -443,7 +453,7 @@
                 assert answer == b"value of id%d" % (client * 1000 + tries)
                 return tries
 
-            tries = await soon(asyncio.gather(*(returns(client) for client in range(20))))
+            tries = await with_timeout(asyncio.gather(*(returns(client) for client in range(20))))
             assert sum(tries) == refusals + 20 == len(node.commands) + refusals
             assert min(tries) >= 2, "each client was rejected and retried"
             await until(lambda: not rig.listener.connections)
--- a/tests/violetroute/test_program.py
+++ b/tests/violetroute/test_program.py
@@ -23,8 +23,8 @@
     get,
     read_answer,
     reply,
-    soon,
     until,
+    with_timeout,
 )
 
 WITHOUT_LAG = "tests.support.program_without_lag"  # admits each command, even without CPU time
@@ -54,8 +54,8 @@
         self.process.send_signal(signal.SIGHUP)
 
     async def ended(self) -> int:
-        code = await soon(self.process.wait())
-        await soon(self._reading)
+        code = await with_timeout(self.process.wait())
+        await with_timeout(self._reading)
         return code
 
 
@@ -116,7 +116,7 @@
             one.configure(json.dumps(one.raw | {"discovery": f"127.0.0.1:{new.port}"}))
             await until(lambda: new.open and not old.open)
             assert new.requests == ["/v1/servers?follow=1&since=0"]
-            reader, writer = await soon(asyncio.open_connection("127.0.0.1", one.port))
+            reader, writer = await with_timeout(asyncio.open_connection("127.0.0.1", one.port))
             writer.write(get(1))
             assert await read_answer(reader) == b"value of id1"
             writer.close()
@@ -156,7 +156,7 @@
         path = tmp_path / "config.json"
         path.write_text(text)
         process = await launch(path)
-        _, errors = await soon(process.communicate())
+        _, errors = await with_timeout(process.communicate())
         assert process.returncode == 2
         assert errors.startswith(b"violetroute: ") and errors.count(b"\n") == 1
 
@@ -175,14 +175,15 @@
         # The program rejects commands when its event loop lags, as on a busy machine.
         async with program(tmp_path, discovery, node, WITHOUT_LAG) as one:
             clients = [
-                await soon(asyncio.open_connection("127.0.0.1", one.port)) for _ in range(24)
+                await with_timeout(asyncio.open_connection("127.0.0.1", one.port))
+                for _ in range(24)
             ]
             for number, (_, writer) in enumerate(clients[:16]):
                 writer.write(get(number) + get(number + 100))
             await until(lambda: len(node.commands) == 32)
             one.process.terminate()
             await one.logged("drains")
-            late = await soon(asyncio.open_connection("127.0.0.1", one.port))
+            late = await with_timeout(asyncio.open_connection("127.0.0.1", one.port))
             late[1].write(get(500))  # new clients go on connecting for a short time
             await until(lambda: len(node.commands) == 33)
             one.process.send_signal(signal.SIGHUP)  # both have no effect during the drain
@@ -193,7 +194,7 @@
                 assert await read_answer(reader) == b"id%d" % (number + 100)
             assert await read_answer(late[0]) == b"id500"
             for reader, writer in [*clients, late]:
-                assert await soon(reader.read()) == b"", "closed, and not reset"
+                assert await with_timeout(reader.read()) == b"", "closed, and not reset"
                 writer.close()
             assert await one.ended() == 0
             assert "Traceback" not in "".join(one.log)
@@ -209,7 +210,7 @@
         path = tmp_path / "config.json"
         path.write_text(json.dumps(configuration(1, [], listen=taken.port)))
         process = await launch(path)
-        _, errors = await soon(process.communicate())
+        _, errors = await with_timeout(process.communicate())
         assert process.returncode == 1
         assert errors.startswith(b"violetroute: cannot listen") and errors.count(b"\n") == 1
         await taken.stop()
--- a/tests/violetroute/test_refusals.py
+++ b/tests/violetroute/test_refusals.py
@@ -41,7 +41,7 @@
 def test_a_request_without_an_eligible_node_is_logged_with_its_reason(events: Said) -> None:
     async def scenario() -> None:
         async with Rig() as rig:
-            answer = (await rig.ask(get(1, wait=200)))[0]
+            answer = (await rig.request(get(1, deadline_ms=200)))[0]
             assert answer.startswith(b"-")
         assert ("requests.refused", {"count": 1, "reasons": "no_node:1"}) in events
 
@@ -54,7 +54,7 @@
 
     async def scenario() -> None:
         async with Rig(await CacheNode(fails).start()) as rig:
-            await rig.ask(put(1, cls=b"once"))
+            await rig.request(put(1, cls=b"once"))
         assert ("requests.refused", {"count": 1, "reasons": "attempts:1"}) in events
 
     asyncio.run(scenario())
@@ -63,7 +63,7 @@
 def test_served_requests_are_not_logged(events: Said) -> None:
     async def scenario() -> None:
         async with Rig(await CacheNode(serves).start()) as rig:
-            await rig.ask(get(1))
+            await rig.request(get(1))
         assert not [name for name, _ in events if name == "requests.refused"]
 
     asyncio.run(scenario())
--- a/tests/violetroute/transport/test_tls.py
+++ b/tests/violetroute/transport/test_tls.py
@@ -13,7 +13,7 @@
 from cryptography.hazmat.primitives import serialization
 
 from limebridge.standins.consul import Catalogue, Consul
-from tests.support.rig import CacheNode, Rig, configuration, serves, soon, until
+from tests.support.rig import CacheNode, Rig, configuration, serves, until, with_timeout
 from tests.violetroute.config.test_configuration import loaded
 from violetroute.config import ConfigError, Operator
 from violetroute.membership import ConsulTable
@@ -296,7 +296,7 @@
         writer.close()
 
     async def part(stream: TlsStream, owner: Owner) -> None:
-        await soon(asyncio.sleep(0))
+        await with_timeout(asyncio.sleep(0))
         await until(lambda: owner.has("lost"))
 
     connected(tmp_path, part, serve, None, TlsFiles(ca_file(trustme.CA(), tmp_path)))
--- a/tests/violetroute/upstream/test_nodes.py
+++ b/tests/violetroute/upstream/test_nodes.py
@@ -21,8 +21,8 @@
     read_answer,
     reply,
     serves,
-    soon,
     until,
+    with_timeout,
 )
 from violetroute.upstream import Pool
 from violetroute.upstream.pool import MIN_QUIET_TIME
@@ -63,12 +63,12 @@
                 await serves(words, writer)
 
         node.behaviour = spoils_first
-        assert await rig.ask(get(0)) == [b"value of id0"]
+        assert await rig.request(get(0)) == [b"value of id0"]
         loop = asyncio.get_running_loop()
         before = loop.time()
-        assert await rig.ask(get(1)) == [b"value of id1"]
+        assert await rig.request(get(1)) == [b"value of id1"]
         assert loop.time() - before < 4.0, "not held to its deadline of 8 s"
-        assert await rig.ask(get(2)) == [b"value of id2"]
+        assert await rig.request(get(2)) == [b"value of id2"]
 
     run_scenario(scenario)
 
@@ -79,9 +79,9 @@
         async def spoils(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             writer.write(b"noise")
 
-        assert await rig.ask(get(0)) == [b"value of id0"]
+        assert await rig.request(get(0)) == [b"value of id0"]
         node.behaviour = spoils
-        (answer,) = await rig.ask(put(1, cls=cls))
+        (answer,) = await rig.request(put(1, cls=cls))
         sent = [words for words in node.commands if words[2] == b"id1"]
         if cls == b"once":
             assert answer == b"-ERR failed" and len(sent) == 1
@@ -102,7 +102,7 @@
 
         node.behaviour = brings_more
         for number in range(30):
-            assert await rig.ask(get(number)) == [b"value of id%d" % number]
+            assert await rig.request(get(number)) == [b"value of id%d" % number]
 
     run_scenario(scenario)
 
@@ -118,7 +118,7 @@
 
         node.behaviour = odd
         for number in range(5):
-            assert await rig.ask(get(number)) == [b"id%d" % number]
+            assert await rig.request(get(number)) == [b"id%d" % number]
 
     run_scenario(scenario)
 
@@ -134,24 +134,24 @@
                 await serves(words, writer)
 
         node.behaviour = holds_first
-        (answer,) = await rig.ask(get(0, wait=300))
+        (answer,) = await rig.request(get(0, deadline_ms=300))
         assert answer.startswith(b"-")
         for writer, name in held:
             writer.write(reply(b"late " + name))
         for number in range(1, 10):
-            assert await rig.ask(get(number)) == [b"value of id%d" % number]
+            assert await rig.request(get(number)) == [b"value of id%d" % number]
 
     run_scenario(scenario)
 
 
 def test_a_draining_node_gets_nothing_new() -> None:
     async def scenario(rig: Rig, one: CacheNode, two: CacheNode) -> None:
-        await rig.watched()
+        await rig.wait_for_watch()
         rig.discovery.publish(one.entry("s-0", "terminating"))
         await until(lambda: len(rig.proxy.nodes) == 1)
         before = len(one.commands)
         for number in range(40):
-            assert await rig.ask(get(number, key=b"%d" % number)) == [b"value of id%d" % number]
+            assert await rig.request(get(number, key=b"%d" % number)) == [b"value of id%d" % number]
         assert len(one.commands) == before and len(two.commands) >= 40
 
     run_scenario(scenario, count=2)
@@ -166,7 +166,7 @@
             await serves(words, writer)
 
         node.behaviour = waits
-        await rig.watched()
+        await rig.wait_for_watch()
         reader, writer = await rig.client()
         writer.write(get(1))
         await until(lambda: node.commands)
@@ -182,11 +182,11 @@
 def test_a_node_at_a_new_address_is_reached_there() -> None:
     async def scenario(rig: Rig, node: CacheNode) -> None:
         other = await CacheNode().start()
-        await rig.watched()
-        assert await rig.ask(get(1)) == [b"value of id1"]
+        await rig.wait_for_watch()
+        assert await rig.request(get(1)) == [b"value of id1"]
         rig.discovery.publish(other.entry("s-0"))
         await until(lambda: not node.open)
-        assert await rig.ask(get(2)) == [b"value of id2"]
+        assert await rig.request(get(2)) == [b"value of id2"]
         assert len(other.commands) == 1
         await other.stop()
 
@@ -196,28 +196,28 @@
 def test_a_node_with_a_new_id_at_the_same_address_replaces_the_old_one() -> None:
     # The old id, not yet reported gone, gave the new, cold node its full share of requests.
     async def scenario(rig: Rig, node: CacheNode) -> None:
-        await rig.watched()
+        await rig.wait_for_watch()
         rig.discovery.publish(node.entry("s-new", startedAtMs=5))
         await until(lambda: rig.proxy.generation == 100)
         assert len(rig.proxy.nodes) == 1
-        assert await rig.ask(get(1)) == [b"value of id1"]
+        assert await rig.request(get(1)) == [b"value of id1"]
         rig.discovery.publish(node.entry("s-0", "terminated"), node.entry("s-2", "terminated"))
         await until(lambda: rig.proxy.generation == 101)
-        assert await rig.ask(get(2)) == [b"value of id2"]
+        assert await rig.request(get(2)) == [b"value of id2"]
 
     run_scenario(scenario)
 
 
 def test_ever_new_node_ids_leave_no_state_behind() -> None:
     async def scenario(rig: Rig, node: CacheNode) -> None:
-        await rig.watched()
+        await rig.wait_for_watch()
         last = "s-0"
         for number in range(60):
             name = f"t-{number}"
             rig.discovery.publish(node.entry(last, "terminated"), node.entry(name))
             last = name
             await until(lambda number=number: rig.proxy.generation == 100 + number)
-            assert await rig.ask(get(number)) == [b"value of id%d" % number]
+            assert await rig.request(get(number)) == [b"value of id%d" % number]
         assert len(rig.proxy.nodes) == 1
         await until(lambda: len(node.open) <= 1)
 
@@ -227,21 +227,21 @@
 def test_discovery_that_ends_or_sends_invalid_data_is_requested_again() -> None:
     async def scenario(rig: Rig, node: CacheNode) -> None:
         for nonsense in (b'{"instances": 5}', b"[" * 50_000):
-            await rig.watched()
+            await rig.wait_for_watch()
             request_count = len(rig.discovery.requests)
             for writer in list(rig.discovery.open):
                 rig.discovery.send(writer, nonsense)
             await until(
                 lambda request_count=request_count: len(rig.discovery.requests) > request_count
             )
-        await rig.watched()
+        await rig.wait_for_watch()
         rig.discovery.publish(
             {"instanceId": "odd", "lifecycle": "in_service", "hostPort": "x"},
             node.entry("s-1", weight=float("nan")),
             node.entry("s-2"),
         )
         await until(lambda: rig.proxy.generation == 100)
-        assert await rig.ask(get(1)) == [b"value of id1"]
+        assert await rig.request(get(1)) == [b"value of id1"]
 
     run_scenario(scenario)
 
@@ -253,7 +253,7 @@
         node.behaviour = never
         clients = [await rig.client() for _ in range(rig.config.client_sockets)]
         for number, (_, writer) in enumerate(clients):
-            writer.write(get(number, wait=1500))
+            writer.write(get(number, deadline_ms=1500))
         answers = [await read_answer(reader) for reader, _ in clients]
         assert all(a.startswith((b"-BUSY", b"-ERR failed")) for a in answers)
         assert (
@@ -283,7 +283,7 @@
             node.behaviour = swallows_some
         pending = []
         for i in range(240):
-            pending.append(asyncio.ensure_future(rig.ask(get(i, b"k%d" % i, wait=400))))
+            pending.append(asyncio.ensure_future(rig.request(get(i, b"k%d" % i, deadline_ms=400))))
             await asyncio.sleep(0.008)
         answers = [answer for task in pending for answer in await task]
         reached = {words[2] for node in nodes for words in node.commands}
@@ -301,11 +301,11 @@
             writer.write(reply(b"v"))
 
         node.behaviour = takes_its_time
-        await asyncio.gather(*(rig.ask(get(i, wait=400)) for i in range(15)))
+        await asyncio.gather(*(rig.request(get(i, deadline_ms=400)) for i in range(15)))
         patient, hurried = [], []
         for i in range(100, 220):
             wait, pending = (100, hurried) if i % 3 else (400, patient)
-            pending.append(asyncio.ensure_future(rig.ask(get(i, b"k%d" % i, wait=wait))))
+            pending.append(asyncio.ensure_future(rig.request(get(i, b"k%d" % i, deadline_ms=wait))))
             await asyncio.sleep(0.008)
         answers = [answer for task in patient for answer in await task]
         assert answers.count(b"v") >= 38, "of 40"
@@ -329,7 +329,7 @@
             answers = []
             for i in range(first, first + count, 4):
                 answers += await asyncio.gather(
-                    *(rig.ask(get(j, b"key %d" % j)) for j in range(i, i + 4))
+                    *(rig.request(get(j, b"key %d" % j)) for j in range(i, i + 4))
                 )
             return [answer for (answer,) in answers]
 
@@ -353,7 +353,7 @@
         for node in nodes:
             node.behaviour = errs
         for i in range(40):
-            await rig.ask(get(i, b"key %d" % i))
+            await rig.request(get(i, b"key %d" % i))
         sent_ids = [words[2] for node in nodes for words in node.commands]
         assert len(sent_ids) == len(set(sent_ids)), "one attempt each"
 
@@ -394,17 +394,17 @@
         server = await asyncio.start_server(stuck, "127.0.0.1", 0, limit=1024)
         other = CacheNode()
         other.port = server.sockets[0].getsockname()[1]
-        await rig.watched()
+        await rig.wait_for_watch()
         rig.discovery.publish(other.entry("stuck"), reset=True)
         await until(lambda: len(rig.proxy.nodes) == 1 and rig.proxy.generation >= 100)
-        pending = asyncio.create_task(rig.ask(put(1, value=value)))
-        await soon(came.wait())
+        pending = asyncio.create_task(rig.request(put(1, value=value)))
+        await with_timeout(came.wait())
         rig.discovery.publish(node.entry("s-0"))
         await until(lambda: len(rig.proxy.nodes) == 2)
         rig.discovery.publish(other.entry("stuck", "terminating"))
         assert await pending == [b"value of id1"]
         reads_on.set()
-        await soon(done.wait())
+        await with_timeout(done.wait())
         server.close()
         assert 0 < len(got) < len(value)
         assert [words[2] for words in node.commands] == [b"id1"]
@@ -417,7 +417,7 @@
         node = CacheNode(serves)
         async with Rig(node) as rig:
             for number in range(10):
-                assert await rig.ask(get(number)) == [b"value of id%d" % number]
+                assert await rig.request(get(number)) == [b"value of id%d" % number]
                 await asyncio.sleep(2 * MIN_QUIET_TIME)  # stray data may follow until then
             assert node.connections < 4  # a late wake-up may cost one
 
@@ -435,7 +435,7 @@
 
     async def run() -> None:
         async with Rig(CacheNode(holds), CacheNode(holds)) as rig:
-            pending = asyncio.create_task(rig.ask(get(1)))
+            pending = asyncio.create_task(rig.request(get(1)))
             await until(lambda: rig.proxy.request_states() == ["1 in flight, attempt 1"])
             (request,) = rig.proxy._open.values()
             first = request.attempts[0]
@@ -467,8 +467,8 @@
     async def run() -> None:
         async with Rig(CacheNode(silent), classes=classes) as rig:
             asked_at = asyncio.get_running_loop().time()
-            assert (await rig.ask(put(1, wait=8000)))[0].startswith(b"-")
-            await soon(ended.wait())
+            assert (await rig.request(put(1, deadline_ms=8000)))[0].startswith(b"-")
+            await with_timeout(ended.wait())
             # The connection must not wait until its client gives up.
             assert asyncio.get_running_loop().time() - asked_at < 4.0
 
