--- a/limebridge/faults/command.py
+++ b/limebridge/faults/command.py
@@ -14,11 +14,10 @@
 
 from violetroute.config import ConfigError
 
-from . import explore
 from . import memory as virtual
 from . import plan as plans
+from . import real_runs
 from .distribution.command import app as distribution
-from .exploring import collect_outcomes, explore_seeds, print_shrunk
 from .history import format_trace
 from .interruption import interruptible
 from .model import Bounds, World
@@ -32,6 +31,7 @@
     print_summary,
     summary_values,
 )
+from .reporting import collect_outcomes, explore_seeds, print_shrunk
 from .runner import run_plan
 from .sharing.command import app as sharing
 from .soak_command import soak
@@ -72,7 +72,9 @@
         plans.generate(seed, _store(store), settles) for seed in range(first, first + seeds)
     ]
     started = time.monotonic()
-    results = collect_outcomes(explore.run_plans(selected, jobs, patch_path(patch)), seeds, as_json)
+    results = collect_outcomes(
+        real_runs.run_plans(selected, jobs, patch_path(patch)), seeds, as_json
+    )
     seconds = time.monotonic() - started
     failed = sorted((each for each in results if each.violations), key=lambda each: each.plan.seed)
     for result in failed[:MAX_REPORTED]:
@@ -104,9 +106,9 @@
             raise typer.Exit(2)
 
 
-def _report_shrunk(result: explore.PlanResult, store: str, keep: Path | None, patch: str) -> None:
+def _report_shrunk(result: real_runs.PlanResult, store: str, keep: Path | None, patch: str) -> None:
     """Print the trace of the shrunk plan, and the command line that replays it."""
-    small = explore.shrink(result, patch)
+    small = real_runs.shrink(result, patch)
     seed = result.plan.seed
     line = f"limebridge faults replay {seed}" + (f" --store {store}" if store else "")
     if keep is not None:
--- a/limebridge/faults/sharing/command.py
+++ b/limebridge/faults/sharing/command.py
@@ -10,7 +10,6 @@
 import typer
 
 from limebridge.faults.budgets import Bounds, World
-from limebridge.faults.exploring import collect_outcomes, explore_seeds, print_shrunk
 from limebridge.faults.interruption import interruptible
 from limebridge.faults.options import (
     MAX_REPORTED,
@@ -26,6 +25,7 @@
     worker_patch,
 )
 from limebridge.faults.pool import run_each
+from limebridge.faults.reporting import collect_outcomes, explore_seeds, print_shrunk
 from limebridge.faults.state_space import check
 from violetroute.config import ConfigError
 
--- a/limebridge/faults/sharing/summary.py
+++ b/limebridge/faults/sharing/summary.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from limebridge.faults.exploring import ExploreTotals
+from limebridge.faults.reporting import ExploreTotals
 from limebridge.faults.summary import FirstViolation, first_violations
 
 from .memory import Outcome
