--- a/limebridge/cli.py
+++ b/limebridge/cli.py
@@ -16,7 +16,7 @@
     LazyCommand(
         "rehearse",
         "limebridge.rehearsal.command:rehearse",
-        "Play a scenario on the virtual clock against the daemon's own code.",
+        "Run a scenario on the virtual clock against the daemon's own code.",
     ),
     LazyCommand(
         "demo",
@@ -61,7 +61,7 @@
     LazyCommand(
         "faults",
         "limebridge.faults.command:app",
-        "Several processes, and what breaks between them.",
+        "Test several daemon processes under faults.",
     ),
     LazyCommand(
         "fleet",
--- a/tests/limebridge/test_cli.py
+++ b/tests/limebridge/test_cli.py
@@ -50,7 +50,7 @@
         (["control", "nonesuch"], 2, "No such command 'nonesuch'"),
         (["replay"], 2, "Missing argument 'FILE_OR_SEED'"),
         (["rehearse", "--nonesuch"], 2, "No such option: --nonesuch"),
-        (["faults", "distribution", "--help"], 0, "Distribution of records, under faults."),
+        (["faults", "distribution", "--help"], 0, "Test the distribution of records under faults."),
     ],
 )
 def test_exit_codes_of_help_and_wrong_arguments(
