--- a/limebridge/faults/distribution/checker.py
+++ b/limebridge/faults/distribution/checker.py
@@ -1,6 +1,6 @@
 """Checks the guarantees of distribution against observations from outside the processes.
 
-The input is what publishers were replied, what proxies applied and whether they considered
+The input is the replies to publishers, the batches that proxies applied, whether proxies considered
 themselves fresh, and the status of leaders.  Nothing depends on the internals of control machines
 and proxies, so the simulated world and the rig of real processes share this module.  Times are
 seconds of the observer's clock.
@@ -23,10 +23,10 @@
 class Rule(StrEnum):
     """An invariant of every run; the values appear in reports."""
 
-    DURABLE = "durable"  # a publication replied with COMMITTED stays in the log and is applied
+    DURABLE = "durable"  # a publication whose reply was COMMITTED stays in the log and is applied
     ORDER = "order"  # a position has one entry; a proxy applies each once, in order, without gaps
     IN_FORCE = "in force"  # a fresh proxy has applied everything that was reported as in force
-    BOUND = "bound"  # a proxy lacks committed batches for at most the bound before it is stale
+    BOUND = "bound"  # a proxy that lacks a committed batch is stale after `staleness_bound_s`
     AGE = "age"  # an earlier leader's `as_of` never exceeds the bound that a later leader assumes
     PROGRESS = "progress"  # after all faults are undone, publications are committed and applied
     BOUNDED = "bounded"  # no queue grows beyond its limit
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class Publication:
-    """A publication that was replied with COMMITTED, at time `at`."""
+    """A publication whose reply was COMMITTED, received at time `at`."""
 
     at: float
     position: int
@@ -109,7 +109,7 @@
     def publication_committed(
         self, at: float, position: int, fence: int, keys: tuple[str, ...]
     ) -> None:
-        """Records that a publisher was replied with COMMITTED."""
+        """Records that a publisher received the reply COMMITTED."""
         self.publications.append(Publication(at, position, fence, keys))
         self.commit_observed(at, position)
 
@@ -179,7 +179,10 @@
 
     # --- observations of proxies ---
     def batch_applied(self, at: float, proxy: str, incarnation: str, entry: LogEntry) -> None:
-        """Checks a batch that a proxy applied: its position follows and its content is the same."""
+        """Checks a batch that a proxy applied.
+
+        It has to follow the last position of the proxy, and to equal what others have there.
+        """
         log = self._proxy_log(proxy, incarnation)
         self.applied_batches += 1
         if entry.position != log.last_position + 1:
@@ -191,7 +194,10 @@
         self.entry_observed(entry, f"at {at:.3f} {proxy}")
 
     def all_invalidated(self, at: float, proxy: str, incarnation: str, base: int) -> None:
-        """Checks that a proxy that invalidated its cache to follow from `base` does not go back."""
+        """Checks the position after which a proxy continues that has invalidated its whole cache.
+
+        `base` is the position of the snapshot; it must not be before the last applied batch.
+        """
         log = self._proxy_log(proxy, incarnation)
         self.invalidations += 1
         if base < log.last_position:
@@ -209,10 +215,10 @@
     def proxy_observed(
         self, at: float, proxy: str, incarnation: str, fresh: bool, position: int | None = None
     ) -> None:
-        """Checks that a proxy that considers itself fresh has applied what it has to.
+        """Checks that a fresh proxy has applied all batches in force, and those before the bound.
 
-        `position` is the proxy's own; None: the position of the last batch that it was seen to
-        apply.
+        `fresh` is whether the proxy considers itself fresh.  `position` is what it reports to have
+        applied; None: the last batch that it was observed to apply counts.
         """
         if not fresh:
             return
@@ -269,7 +275,7 @@
     def _check_snapshot(self, snapshot: AppliedSnapshot) -> None:
         """Checks that a snapshot has the last record of each key up to its position.
 
-        A record that no process was observed to apply has no known position, and is accepted.
+        A record without a known position, which no process was observed to have, is accepted.
         """
         positions = {
             name: entry.position
--- a/limebridge/faults/distribution/clone.py
+++ b/limebridge/faults/distribution/clone.py
@@ -111,7 +111,7 @@
         return clone
 
     def _object(self, names: tuple[str, ...]) -> Copier:
-        def copied(value: Any, memo: Memo) -> Any:
+        def copier(value: Any, memo: Memo) -> Any:
             clone = memo[id(value)] = object.__new__(type(value))
             for name in names:
                 object.__setattr__(clone, name, self.copy(getattr(value, name), memo))
@@ -119,13 +119,13 @@
                 clone.__dict__[name] = self.copy(item, memo)
             return clone
 
-        return copied
+        return copier
 
     def _frozen(self, names: tuple[str, ...]) -> Copier:
         """A copier of frozen dataclasses: an object is shared if all its attributes are."""
         get_values = operator.attrgetter(*names) if len(names) > 1 else None
 
-        def copied(value: Any, memo: Memo) -> Any:
+        def copier(value: Any, memo: Memo) -> Any:
             attribute_values = (
                 get_values(value) if get_values else tuple(getattr(value, name) for name in names)
             )
@@ -137,7 +137,7 @@
                 object.__setattr__(clone, name, item)
             return clone
 
-        return copied
+        return copier
 
 
 _SHARED_EXACT_TYPES = frozenset((int, float, str, bytes, bool, type(None)))
--- a/limebridge/faults/distribution/control.py
+++ b/limebridge/faults/distribution/control.py
@@ -127,7 +127,7 @@
         self._execute(self._machine.requested(self.now, ticket, request))
 
     def abandon(self, ticket: int) -> None:
-        """Handles that the requester has closed the connection of this request."""
+        """Handles a connection that the requester of this request has closed."""
         if self._incoming.pop(ticket, None) is not None:
             self.deliver(lambda: self._execute(self._machine.abandoned(ticket)))
 
@@ -198,8 +198,8 @@
     def _perform(self, action: Action) -> None:
         match action:
             case Persist():
-                done = self.for_current_process(lambda: self._persisted(action.ticket))
-                self.disk.write(action, done)
+                on_durable = self.for_current_process(lambda: self._persisted(action.ticket))
+                self.disk.write(action, on_durable)
             case Send():
                 self._send(action)
             case Answer(ticket, message):
--- a/limebridge/faults/distribution/explore.py
+++ b/limebridge/faults/distribution/explore.py
@@ -34,7 +34,7 @@
 
 
 def run_plan(plan: Plan, with_trace: bool = False) -> Outcome:
-    """Runs a plan; the outcome is the same on every run and every machine."""
+    """Runs a plan; the outcome is the same in every run on every computer."""
     world = World(plan)
     checker = world.checker
     try:
@@ -42,7 +42,7 @@
     except EventLimitExceeded as error:
         checker.report_violation(Rule.BOUNDED, str(error))
     except Exception as error:
-        checker.report_violation(Rule.CRASH, error_location(error))
+        checker.report_violation(Rule.CRASH, _error_location(error))
     return Outcome(
         plan,
         tuple(checker.violations),
@@ -55,7 +55,7 @@
     )
 
 
-def error_location(error: Exception) -> str:
+def _error_location(error: Exception) -> str:
     """The error with the file and the function that raised it."""
     frame = traceback.extract_tb(error.__traceback__)[-1]
     return f"{type(error).__name__}: {error} ({Path(frame.filename).name}, {frame.name})"
--- a/limebridge/faults/distribution/faults.py
+++ b/limebridge/faults/distribution/faults.py
@@ -119,6 +119,8 @@
             if not fault.kind.endswith("_out"):
                 links.append((other_name, isolated_name))
         machines = {process.name for process in world.controls}
+        # The isolated machines cannot reach the lease store, unless they are the majority: then the
+        # others cannot.
         cut_from_lease = (
             isolated if 2 * len(isolated & machines) <= len(machines) else names - isolated
         ) & machines
--- a/limebridge/faults/distribution/mixed_builds.py
+++ b/limebridge/faults/distribution/mixed_builds.py
@@ -1,4 +1,4 @@
-"""Two builds in one run: their assignment to processes, and a rollout to the other and back.
+"""Two builds in one run: their assignment to processes, and a rollout between them and back.
 
 A build is a folder with the packages of a commit (`limebridge.experiments.builds`).  A process runs
 it if it is started with that folder as its working directory.
--- a/limebridge/faults/distribution/network.py
+++ b/limebridge/faults/distribution/network.py
@@ -20,7 +20,7 @@
 LATENCY_S = (0.0005, 0.005)  # range, one way
 MAX_STORM_DELAY_S = 2.5  # one way, during a storm
 STORM_DUPLICATE_SHARE = 0.25  # share of the requests that are delivered twice during a storm
-LOSS_SHARE = 0.25  # share of the messages that are lost during loss
+LOSS_SHARE = 0.25  # share of the messages that are lost while the fault "loss" is active
 DELIVERED_AFTER_CUT_SHARE = 0.5  # share of the messages that are delivered after a cut
 MAX_QUEUED_PER_LINK = 64  # messages queued in one cut link; further ones are lost
 
--- a/limebridge/faults/distribution/nodes.py
+++ b/limebridge/faults/distribution/nodes.py
@@ -30,7 +30,7 @@
 
 
 class NoJitter:
-    """Replaces `random.Random` by constants, so that equal states have equal successors."""
+    """Replaces `random.Random` without randomness: each value is the middle of its range."""
 
     def __init__(self, number: int = 0) -> None:
         self._number = number
@@ -112,7 +112,10 @@
 
 @dataclass
 class Node:
-    """One control machine: its disk and its current process, number `incarnation`."""
+    """One control machine: its disk and its current process, number `incarnation`.
+
+    `pending` has the received requests by the ticket that they got here.
+    """
 
     name: str
     names: tuple[str, ...]
@@ -120,9 +123,7 @@
     machine: Machine
     incarnation: int = 0
     last_ticket: int = 0
-    pending: dict[int, Packet] = field(
-        default_factory=dict
-    )  # received requests without a reply, by ticket
+    pending: dict[int, Packet] = field(default_factory=dict)  # unanswered received requests
     open_requests: frozenset[int] = frozenset()  # tickets of own requests without a reply
     durability: Durability = Durability.ALL
 
@@ -203,7 +204,7 @@
     def in_force(self, now: float) -> int:
         """The in-force position that it would report as leader; 0 without a term of its own.
 
-        Only its own term counts, because between events nothing but time changes the value there.
+        Between the events of a term, nothing but time changes this value.
         """
         if not self.machine.leading:
             return 0
--- a/limebridge/faults/distribution/plan.py
+++ b/limebridge/faults/distribution/plan.py
@@ -38,7 +38,7 @@
     "loss",
     "storm",  # long delays and duplicate requests
     # the lease
-    "second_leader",  # another machine is granted the lease; the first is notified late
+    "second_leader",  # another machine is granted the lease; the first is notified after `seconds`
     "no_leader",  # no machine is granted the lease
     "forget_fences",  # the store restarts from fence 0
     # publications
--- a/limebridge/faults/distribution/proxy.py
+++ b/limebridge/faults/distribution/proxy.py
@@ -160,9 +160,8 @@
                     base = poll_reply.snapshot.base.position
                     self.world.on_invalidated(self, base)
                 case Apply(batch):
-                    if (
-                        batch.position != base
-                    ):  # a batch at the base has the snapshot's configuration
+                    # A batch at the base holds the snapshot's configuration.
+                    if batch.position != base:
                         self.world.on_batch_applied(self, log_entry(batch))
                 case SequenceGap(expected, received):
                     self.world.note(
--- a/limebridge/faults/distribution/real_faults.py
+++ b/limebridge/faults/distribution/real_faults.py
@@ -42,7 +42,7 @@
         self._lost_disks: set[str] = set()  # those of them that lose their disk
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def begin(self, fault: Fault) -> None:
+    def start(self, fault: Fault) -> None:
         """Starts the fault in a task, which undoes it after `fault.seconds`."""
         self._rig.note(f"{fault.kind} {fault.who} for {fault.seconds}")
         self.tasks.add(asyncio.create_task(self._fault(fault)))
--- a/limebridge/faults/distribution/real_proxy.py
+++ b/limebridge/faults/distribution/real_proxy.py
@@ -27,7 +27,7 @@
 
 
 class ProxyStartError(Exception):
-    """A recording proxy did not start within START_TIMEOUT_S; the message is one line."""
+    """A recording proxy ended or was silent for START_TIMEOUT_S at its start; one line."""
 
 
 class ProxyStatus(msgspec.Struct, frozen=True):
@@ -77,7 +77,7 @@
         self.name, self.socket = file.name, Path(file.socket)
         self._path = folder / f"{file.name}.json"
         self._path.write_bytes(msgspec.json.encode(file))
-        self._judge = checker
+        self._checker = checker
         self._process: asyncio.subprocess.Process | None = None
         self._reader_task: asyncio.Task[None] | None = None
         self._invalidated = False
@@ -110,22 +110,22 @@
         while (line := await stdout.readline()).endswith(b"\n"):
             self._handle_event(msgspec.json.decode(line, type=RecordedEvent))
 
-    def _handle_event(self, line: RecordedEvent) -> None:
+    def _handle_event(self, event: RecordedEvent) -> None:
         now = asyncio.get_running_loop().time()
-        if line.voided:
+        if event.voided:
             self._invalidated = True
             return
         # A snapshot without configuration reports no base, which then precedes the next batch.
         if self._invalidated:
             self._invalidated = False
-            base = line.base or line.position - 1
-            self._judge.all_invalidated(now, self.name, line.incarnation, base)
-            configuration = line.keys if line.base else ()
-            self._judge.snapshot_applied(now, self.name, base, configuration)
-        if line.base:
+            base = event.base or event.position - 1
+            self._checker.all_invalidated(now, self.name, event.incarnation, base)
+            configuration = event.keys if event.base else ()
+            self._checker.snapshot_applied(now, self.name, base, configuration)
+        if event.base:
             return
-        content = LogEntry(line.position, line.fence, line.keys)
-        self._judge.batch_applied(now, self.name, line.incarnation, content)
+        entry = LogEntry(event.position, event.fence, event.keys)
+        self._checker.batch_applied(now, self.name, event.incarnation, entry)
 
     def signal(self, number: int) -> None:
         """Sends a signal to the process, if it runs."""
--- a/limebridge/faults/distribution/real_publisher.py
+++ b/limebridge/faults/distribution/real_publisher.py
@@ -26,7 +26,7 @@
     def __init__(
         self, plan: Plan, machines: Machines, checker: RuleChecker, note: Callable[[str], None]
     ) -> None:
-        self._plan, self._judge, self._note = plan, checker, note
+        self._plan, self._checker, self._note = plan, checker, note
         self._machines = Machines(machines.addresses, machines.keys, PUBLISH_TIMEOUT_S)
         self._rng = random.Random(f"rig/{plan.seed}")
         self._count = 0
@@ -61,7 +61,7 @@
                 return 0
             if reply.status == PublishStatus.COMMITTED:
                 now = asyncio.get_running_loop().time()
-                self._judge.publication_committed(now, reply.position, reply.fence, (name,))
+                self._checker.publication_committed(now, reply.position, reply.fence, (name,))
                 self._note(f"{name} is committed at {reply.position}")
                 return reply.position
             if reply.status != PublishStatus.NOT_LEADER:
--- a/limebridge/faults/distribution/recording.py
+++ b/limebridge/faults/distribution/recording.py
@@ -90,8 +90,8 @@
         _write_event(RecordedEvent(self.incarnation, voided=True))
 
 
-def _write_event(line: RecordedEvent) -> None:
-    sys.stdout.write(msgspec.json.encode(line).decode() + "\n")
+def _write_event(event: RecordedEvent) -> None:
+    sys.stdout.write(msgspec.json.encode(event).decode() + "\n")
     sys.stdout.flush()
 
 
--- a/limebridge/faults/distribution/rig.py
+++ b/limebridge/faults/distribution/rig.py
@@ -54,10 +54,10 @@
     def table(self, number: int) -> dict[str, Any]:
         """The settings file of a machine, as a TOML table, with relay addresses of the others."""
         table = super().table(number)
-        own = f"c{number}"
+        own_name = f"c{number}"
         for machine in table["machine"]:
-            if machine["name"] != own:
-                machine["address"] = self.links.address(own, machine["name"])
+            if machine["name"] != own_name:
+                machine["address"] = self.links.address(own_name, machine["name"])
         table["timings"] = TIMINGS | {"stale_after_s": self.stale_after_s, "drift": DRIFT}
         return table
 
@@ -121,7 +121,7 @@
     # --- one run ---
     async def run(self) -> RealOutcome:
         """Starts all processes, runs the faults, waits for recovery and ends all processes."""
-        began = self._started_at = self.now
+        rig_started_at = self._started_at = self.now
         healed_after_s = 0.0
         await self._prepare()
         tasks: list[asyncio.Task[None]] = []
@@ -147,7 +147,7 @@
             len(checker.publications),
             checker.applied_batches,
             healed_after_s,
-            self.now - began,
+            self.now - rig_started_at,
             rollout.replaced if rollout else 0,
             rollout.leaders_replaced if rollout else 0,
             self.notes,
@@ -293,16 +293,16 @@
         """Runs all faults while the rollout runs to its end."""
         rollout = asyncio.create_task(self.rollout.run() if self.rollout else asyncio.sleep(0.0))
         try:
-            await self._begin_faults()
+            await self._start_faults()
             await rollout
         finally:
             rollout.cancel()
             await asyncio.gather(rollout, return_exceptions=True)
 
-    async def _begin_faults(self) -> None:
+    async def _start_faults(self) -> None:
         for fault in self.plan.fault:
             await asyncio.sleep(max(0.0, self._started_at + fault.at - self.now))
-            self.faults.begin(fault)
+            self.faults.start(fault)
         await asyncio.sleep(max(0.0, self._started_at + self.plan.seconds - self.now))
 
     # --- end of the run ---
@@ -310,13 +310,13 @@
         """Undoes all faults; returns the seconds until everything had caught up."""
         await self.faults.heal()
         self.note("healed")
-        began = self.now
+        healing_started_at = self.now
         await self._wait_until(self._publish_last, "the last publication is not committed")
         for proxy in self.proxies:
             await self._wait_until(lambda proxy=proxy: self._caught_up(proxy), proxy.name)  # type: ignore[misc]
         await self._wait_until(self._in_force, "the last publication is not in force")
         await self._wait_until(self._recovered, "a machine still recovers")
-        healed_after_s = self.now - began
+        healed_after_s = self.now - healing_started_at
         self._check_all_running()
         self.checker.finish(self._last_position, await self._fresh_proxies())
         return healed_after_s
@@ -328,17 +328,17 @@
 
     async def _fresh_proxies(self) -> list[tuple[str, str]]:
         """Name and incarnation of the recording proxies that consider themselves fresh."""
-        found = []
+        fresh_proxies = []
         for proxy in self.proxies:
             status = await status_of(proxy) if isinstance(proxy, RecordingProxy) else None
             if status is not None and status.fresh:
-                found.append((proxy.name, status.incarnation))
-        return found
+                fresh_proxies.append((proxy.name, status.incarnation))
+        return fresh_proxies
 
     async def _wait_until(self, condition: Callable[[], Awaitable[bool]], message: str) -> None:
-        end = self.now + HEAL_TIMEOUT_S
+        deadline = self.now + HEAL_TIMEOUT_S
         while not await condition():
-            if self.now > end:
+            if self.now > deadline:
                 self.checker.report_violation(
                     Rule.PROGRESS, f"no recovery within {HEAL_TIMEOUT_S:g} s: {message}"
                 )
--- a/limebridge/faults/distribution/simulation.py
+++ b/limebridge/faults/distribution/simulation.py
@@ -17,7 +17,7 @@
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.events = 0
+        self.processed_events = 0
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._last_number = 0
 
@@ -38,8 +38,8 @@
         while self._heap and self._heap[0][0] <= end:
             self.now, _, event = heapq.heappop(self._heap)
             event()
-            self.events += 1
-            if self.events > MAX_EVENTS:
+            self.processed_events += 1
+            if self.processed_events > MAX_EVENTS:
                 raise EventLimitExceeded(f"more than {MAX_EVENTS} events by {self.now:.3f} s")
             if is_done is not None and is_done():
                 return
--- a/limebridge/faults/distribution/state_space.py
+++ b/limebridge/faults/distribution/state_space.py
@@ -1,4 +1,4 @@
-"""The model of the control machines: every order of events within bounds, for a model checker.
+"""A model of the control machines, in which a checker explores every order of events within bounds.
 
 The model runs three real `Machine`s and one real `Subscriber`.  A request or reply stays in the
 network until it is delivered or its requester gives up, and a request may be delivered twice.  The
@@ -89,7 +89,7 @@
 
     # --- possible events ---
     def events(self) -> Iterator[Event]:
-        """The events that are possible in this state; each is a name with arguments of `step`."""
+        """The events that are possible in this state, each as the arguments of `step`."""
         remaining = self.remaining
         if remaining["times"]:
             yield ("time",)
@@ -267,9 +267,7 @@
     def _handle(self, name: str, event: Callable[[], Any]) -> None:
         sent = self.nodes[name].handle(event, self.now)
         if not self.bounds.polls:  # reports matter only to a proxy that polls
-            sent = tuple(
-                sent_packet for sent_packet in sent if not isinstance(sent_packet.message, Report)
-            )
+            sent = tuple(packet for packet in sent if not isinstance(packet.message, Report))
         self.packets += sent
 
     def _settle(self) -> None:
--- a/limebridge/faults/distribution/walk.py
+++ b/limebridge/faults/distribution/walk.py
@@ -55,7 +55,7 @@
 
     @property
     def violations(self) -> tuple[Violation, ...]:
-        """The violation in the form that runs in the simulated world have."""
+        """The violation in the form of an `Outcome` of the simulated world; empty if none."""
         return (Violation(self.rule, self.violation),) if self.violation else ()
 
 
@@ -94,7 +94,10 @@
 
 
 def shrink(found: Walk, bounds: Bounds = WALK) -> Walk:
-    """Removes events as long as the same rule is violated: runs of half the trace down to one."""
+    """Removes events from the trace as long as the rest violates the same rule.
+
+    Runs of half the trace are removed first, then shorter runs, down to single events.
+    """
     trace = list(found.trace)
     size = max(1, len(trace) // 2)
     while size:
--- a/limebridge/faults/distribution/world.py
+++ b/limebridge/faults/distribution/world.py
@@ -211,7 +211,7 @@
         self.checker.batch_applied(self.simulation.now, proxy.name, proxy.incarnation, entry)
 
     def on_invalidated(self, proxy: ProxyProcess, base: int) -> None:
-        """Notes and checks that a proxy invalidated its cache and continues after `base`."""
+        """Notes and checks that a proxy has invalidated its cache and continues after `base`."""
         self.note(f"  {proxy.name} voids everything and goes on behind {base}")
         self.checker.all_invalidated(self.simulation.now, proxy.name, proxy.incarnation, base)
 
