--- a/tests/support/virtual_rig.py
+++ b/tests/support/virtual_rig.py
@@ -92,7 +92,7 @@
         return await asyncio.open_connection("127.0.0.1", self.port)
 
     async def until(self, condition: Callable[[], object], limit_s: float = 60.0) -> None:
-        """Wait at most `limit_s` of virtual time for a condition, which is checked each millisecond."""
+        """Wait at most `limit_s` of virtual time for a condition, checked each millisecond."""
         end = self.loop.time() + limit_s
         while not condition():
             assert self.loop.time() < end, "the condition never became true"
