--- a/tests/support/distribution_checks.py
+++ b/tests/support/distribution_checks.py
@@ -1,4 +1,4 @@
-"""What has to hold for the control machines of a `distribution_cluster.Cluster` at any time."""
+"""Rules that hold at any time for the machines of a `distribution_cluster.Cluster`."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 
 @dataclass(frozen=True)
 class Committed:
-    """A batch that some leader has committed; `fence`: of the first who did."""
+    """A batch that a leader has committed; `at` and `fence`: of the first that did."""
 
     batch: Batch
     at: float
     fence: int
 
 
-class Broken(AssertionError):
-    """A rule does not hold."""
+class RuleViolated(AssertionError):
+    """A rule is violated; the message says which and how."""
 
 
 def batches_of(replica: Replica) -> list[Batch]:
-    """All that it keeps, committed or not."""
-    found: list[Batch] = []
-    while more := replica.batches_after(replica.base.position + len(found)):
-        found += more
-    return found
+    """All batches that a replica keeps, committed or not."""
+    batches: list[Batch] = []
+    while next_batches := replica.batches_after(replica.base.position + len(batches)):
+        batches += next_batches
+    return batches
 
 
 def check_all(cluster: Cluster) -> None:
-    """Broken names the rule that does not hold."""
+    """Check all rules; those of logs and disks only if these have changed.  Raises RuleViolated."""
     check_as_of(cluster)
     check_ages(cluster)
     state = state_of(cluster)
@@ -51,7 +51,7 @@
 
 
 def state_of(cluster: Cluster) -> tuple[object, ...]:
-    """What the checks of logs and disks look at; nothing changes a log and leaves this the same."""
+    """A value that changes with each change of a log, a disk or the answers."""
     logs = tuple(
         (each.replica.base, each.replica.last, each.replica.commit, each.leading, id(each))
         for each in cluster.machines()
@@ -61,92 +61,102 @@
 
 
 def check_committed(cluster: Cluster) -> None:
-    """A committed batch never changes; there is one at a position over all machines."""
+    """All machines have the same committed batch at a position, and it never changes."""
     for machine in cluster.machines():
         replica = machine.replica
         if replica.commit == 0:
             continue
         for batch in batches_of(replica)[: replica.commit - replica.base.position]:
-            known = cluster.committed.get(batch.position)
-            if known is None:
+            entry = cluster.committed.get(batch.position)
+            if entry is None:
                 cluster.committed[batch.position] = Committed(batch, cluster.now, replica.fence)
-            elif known.batch != batch:
-                raise Broken(f"{known.batch} is committed, and {batch} too")
+            elif entry.batch != batch:
+                raise RuleViolated(f"{entry.batch} is committed, and {batch} too")
 
 
 def check_publications(cluster: Cluster) -> None:
-    """What was acknowledged is in the log, and on the disks of a majority."""
+    """An acknowledged publication is in the log, and on the disks of a majority."""
     for ticket, publish in cluster.published.items():
         answer = cluster.answers.get(ticket)
         if not isinstance(answer, Published) or answer.status != PublishStatus.COMMITTED:
             continue
-        known = cluster.committed.get(answer.position)
-        if known is None or publish.records[0] not in known.batch.records:
-            raise Broken(f"{publish} was acknowledged and is not at {answer.position}")
+        entry = cluster.committed.get(answer.position)
+        if entry is None or publish.records[0] not in entry.batch.records:
+            raise RuleViolated(f"{publish} was acknowledged and is not at {answer.position}")
         if durable_at(cluster, answer.position) < len(cluster.names) // 2 + 1:
-            raise Broken(f"{publish} was acknowledged and is not on a majority of the disks")
+            raise RuleViolated(f"{publish} was acknowledged and is not on a majority of the disks")
 
 
 def durable_at(cluster: Cluster, position: int) -> int:
-    """Disks that hold this committed position; a disk that was lost meanwhile counts."""
-    known = cluster.committed[position].batch
+    """The number of disks that hold a committed position; a disk that was lost since counts too."""
+    batch = cluster.committed[position].batch
     disks = [node.stored for node in cluster.nodes.values()]
     return sum(
-        disk.recovering or known in disk.batches or disk.snapshot.base.position >= position
+        disk.recovering or batch in disk.batches or disk.snapshot.base.position >= position
         for disk in disks
     )
 
 
 def check_equal_points(cluster: Cluster) -> None:
-    """Logs that have one point in common are equal up to it."""
-    seen: dict[LogPoint, LogPoint] = {}
+    """Logs that have a point in common are equal up to it."""
+    predecessors: dict[LogPoint, LogPoint] = {}
     for machine in cluster.machines():
         replica = machine.replica
-        before = replica.base
+        previous = replica.base
         for batch in batches_of(replica):
-            if seen.setdefault(batch.point, before) != before:
-                raise Broken(f"{batch.point} follows {before} and {seen[batch.point]}")
-            before = batch.point
+            if predecessors.setdefault(batch.point, previous) != previous:
+                raise RuleViolated(
+                    f"{batch.point} follows {previous} and {predecessors[batch.point]}"
+                )
+            previous = batch.point
 
 
 def check_leaders(cluster: Cluster) -> None:
-    """A leader that appends has everything that was committed before its term."""
+    """A leader that appends has all batches that were committed before its term."""
     for machine in cluster.machines():
         leadership = machine._leadership
         if leadership is None or not leadership._followers.serving:
             continue
-        held = {batch.position: batch for batch in batches_of(machine.replica)}
-        for position, known in cluster.committed.items():
-            earlier = known.fence < leadership.fence
+        log = {batch.position: batch for batch in batches_of(machine.replica)}
+        for position, entry in cluster.committed.items():
+            earlier = entry.fence < leadership.fence
             kept = position > machine.replica.base.position
-            if earlier and kept and held.get(position) != known.batch:
-                raise Broken(f"{known.batch} has vanished from the leader's log")
+            if earlier and kept and log.get(position) != entry.batch:
+                raise RuleViolated(f"{entry.batch} is missing in the leader's log")
 
 
 def check_ages(cluster: Cluster) -> None:
-    """No earlier leader tells an age that counts from after what a later one allows for."""
-    opened: dict[int, float] = {}
+    """No leader reports an `as_of` after the leader contact that a later leader assumes for it.
+
+    A later leader relies on `latest_leader_contact_at` as an upper bound.
+    """
+    contact_times: dict[int, float] = {}
     for machine in cluster.machines():
         leadership = machine._leadership
         as_of = None if leadership is None else leadership.as_of(cluster.now)
         if leadership is None or as_of is None:
             continue
-        told = cluster.told.get(leadership.fence, as_of)
-        cluster.told[leadership.fence] = max(as_of, told)
-        opened[leadership.fence] = machine.latest_leader_contact_at
-    for fence, contact_at in opened.items():
-        for earlier, told in cluster.told.items():
-            if earlier < fence and told > contact_at + ROUNDING_S:
-                raise Broken(f"{earlier} tells {told}, leader {fence} allows for {contact_at}")
+        latest_as_of = cluster.latest_as_of.get(leadership.fence, as_of)
+        cluster.latest_as_of[leadership.fence] = max(as_of, latest_as_of)
+        contact_times[leadership.fence] = machine.latest_leader_contact_at
+    for fence, contact_at in contact_times.items():
+        for earlier, latest_as_of in cluster.latest_as_of.items():
+            if earlier < fence and latest_as_of > contact_at + ROUNDING_S:
+                raise RuleViolated(
+                    f"leader {earlier} reports as of {latest_as_of}, "
+                    f"leader {fence} assumes {contact_at} at most"
+                )
 
 
 def check_as_of(cluster: Cluster) -> None:
-    """What was committed by a leader's `as_of`, by whomever, is committed there."""
+    """A batch that any leader committed before a leader's `as_of` is committed at that leader."""
     for machine in cluster.machines():
         leadership = machine._leadership
         as_of = None if leadership is None else leadership.as_of(cluster.now)
         if as_of is None:
             continue
-        for position, known in cluster.committed.items():
-            if known.at < as_of and position > machine.replica.commit:
-                raise Broken(f"as of {as_of}: but {known.batch} was committed at {known.at}")
+        for position, entry in cluster.committed.items():
+            if entry.at < as_of and position > machine.replica.commit:
+                raise RuleViolated(
+                    f"as of {as_of}, but {entry.batch} was committed at {entry.at} elsewhere"
+                )
--- a/tests/violetroute/distribution/test_distribution_leader_contact.py
+++ b/tests/violetroute/distribution/test_distribution_leader_contact.py
@@ -104,10 +104,10 @@
     for name in ("m1", "m2", "m0", "m1"):
         cluster.lead(name)
         cluster.run(0.1)
-    assert len(cluster.told) >= 3
+    assert len(cluster.latest_as_of) >= 3
     last = cluster.machine("m1")
     assert last.latest_leader_contact_at >= max(
-        at for fence, at in cluster.told.items() if fence < 5
+        at for fence, at in cluster.latest_as_of.items() if fence < 5
     )
 
 
--- a/tests/violetroute/distribution/test_distribution_log.py
+++ b/tests/violetroute/distribution/test_distribution_log.py
@@ -318,9 +318,9 @@
     cluster = led()
     cluster.cut = frozenset(("m0",))
     cluster.run(9.0)
-    assert cluster.handed_on == []
+    assert cluster.released == []
     cluster.run(2.0)
-    assert cluster.handed_on == ["m0"]
+    assert cluster.released == ["m0"]
     assert not cluster.machine("m0").leading
 
 
@@ -328,9 +328,9 @@
     """A fetch shows that the replica follows, so `Prepare` is not repeated."""
     cluster = Cluster(3)
     cluster.lead("m0")
-    promise = cluster.hold_back("m0", Promise)
+    promise = cluster.intercept("m0", Promise)
     cluster.run(0.6)
-    cluster.arrive(replace(promise, message=None))
+    cluster.deliver_intercepted(replace(promise, message=None))
     cluster.run(1.0)
     assert [machine.replica.commit for machine in cluster.machines()] == [1, 1, 1]
 
--- a/tests/violetroute/distribution/test_distribution_log_faults.py
+++ b/tests/violetroute/distribution/test_distribution_log_faults.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.support.distribution_checks import Broken
+from tests.support.distribution_checks import RuleViolated
 from tests.support.distribution_cluster import Cluster
 from violetroute.distribution import followers as followers_module
 from violetroute.distribution import replica as replica_module
@@ -46,7 +46,7 @@
     for name in cluster.names:
         cluster.nodes[name].paused = False
         cluster.start(name)
-        cluster.give_up_all(name)
+        cluster.give_up_requests(name)
     cluster.run(8.0)
     cluster.lead("m1")
     ticket = cluster.publish("m1", "after all")
@@ -114,16 +114,16 @@
     cluster.cut = cut("m0")
     cluster.lead("m1")
     cluster.settle_until(lambda: cluster.machine("m1").replica.durable == 2)  # another batch at 2
-    cluster.flying.clear()
+    cluster.in_flight.clear()
     cluster.cut = cut("m1")
     cluster.lead("m0")
-    cluster.give_up_all("m2")
+    cluster.give_up_requests("m2")
     cluster.settle_until(lambda: cluster.machine("m2").replica.durable == 2)  # x is on m0 and m2
     cluster.settle_until(lambda: acknowledged_by("m2", cluster.machine("m0")) == 2)
     cluster.cut = cut("m0")
-    cluster.flying.clear()
+    cluster.in_flight.clear()
     cluster.lead("m1")
-    cluster.give_up_all("m2")
+    cluster.give_up_requests("m2")
     cluster.run(3.0)
     return cluster
 
@@ -138,18 +138,18 @@
     cluster.cut = cut("m0", "m1")
     cluster.lead("m2")
     cluster.settle_until(lambda: cluster.machine("m2").replica.durable == 2)  # another batch there
-    cluster.flying.clear()
+    cluster.in_flight.clear()
     cluster.cut = cut("m3", "m4")
     cluster.lead("m1")
-    cluster.arrive(cluster.hold_back("m0", Fetch))
+    cluster.deliver_intercepted(cluster.intercept("m0", Fetch))
     cluster.settle_until(lambda: cluster.machine("m1").replica.last.fence == 3)  # m2's log, copied
     cluster.cut = cut("m0", "m3", "m4")
     cluster.run(1.0)
     cluster.cut = cut("m1", "m2")
-    cluster.flying.clear()
+    cluster.in_flight.clear()
     cluster.lead("m0")
     for name in ("m3", "m4"):
-        cluster.give_up_all(name)
+        cluster.give_up_requests(name)
     cluster.run(3.0)
     return cluster
 
@@ -157,15 +157,15 @@
 def repeated_fetch_from_before_the_answer() -> Cluster:
     """Two delayed fetches of a replica arrive after it followed and acknowledged a new leader."""
     cluster = cluster_led_by_m0()
-    first = cluster.hold_back("m1", Fetch)
-    cluster.give_up_all("m1")
-    second = cluster.hold_back("m1", Fetch)
+    first = cluster.intercept("m1", Fetch)
+    cluster.give_up_requests("m1")
+    second = cluster.intercept("m1", Fetch)
     cluster.cut = cut("m0")
     cluster.lead("m2")
     cluster.run(1.0)  # m2 and m1 have committed under the next fence
-    cluster.arrive(first)
+    cluster.deliver_intercepted(first)
     cluster.pass_time(0.3)  # answered at the end of its hold time
-    cluster.arrive(second)
+    cluster.deliver_intercepted(second)
     return cluster
 
 
@@ -191,14 +191,14 @@
         cluster.publish("m0", key)
         cluster.run(0.5)
     cluster.lose_disk("m1")
-    cluster.flying.clear()
+    cluster.in_flight.clear()
     cluster.cut = frozenset()
     cluster.start("m1")
     cluster.settle_until(lambda: cluster.machine("m1").replica.durable == 2)
-    cluster.flying.clear()
+    cluster.in_flight.clear()
     cluster.cut = cut("m0")
-    cluster.give_up_all("m1")
-    cluster.give_up_all("m2")
+    cluster.give_up_requests("m1")
+    cluster.give_up_requests("m2")
     cluster.lead("m2")
     cluster.run(3.0)
     return cluster
@@ -209,16 +209,16 @@
     cluster = cluster_led_by_m0(size)
     candidate, promising = cluster.names[-1], cluster.names[-2 if size == 3 else 2]
     cluster.run(0.1)
-    cluster.flying.clear()
+    cluster.in_flight.clear()
     cluster.lead(candidate)
     cluster.sync(candidate)
-    request = next(each for each in cluster.flying if each.to == promising)
+    request = next(each for each in cluster.in_flight if each.to == promising)
     assert isinstance(request.message, Prepare)
-    cluster.flying.clear()
-    cluster.arrive(request)
+    cluster.in_flight.clear()
+    cluster.deliver_intercepted(request)
     cluster.sync(promising)
-    promise = cluster.hold_back(candidate, Promise)
-    cluster.flying.clear()
+    promise = cluster.intercept(candidate, Promise)
+    cluster.in_flight.clear()
     cluster.lose_disk(promising)
     cluster.cut = cut(candidate)
     cluster.start(promising)
@@ -227,8 +227,8 @@
     cluster.publish("m0", "x")
     cluster.run(2.0)
     cluster.cut = cut("m0", "m1")
-    cluster.arrive(promise)
-    cluster.give_up_all(candidate)
+    cluster.deliver_intercepted(promise)
+    cluster.give_up_requests(candidate)
     cluster.run(2.0)
     return cluster
 
@@ -361,5 +361,5 @@
 ) -> None:
     monkeypatch.setattr(replica_module, "BATCHES_PER_REPLY", case.batches_per_reply)
     case.fault(monkeypatch)
-    with pytest.raises(Broken):
+    with pytest.raises(RuleViolated):
         case.scenario()
--- a/tests/violetroute/distribution/test_distribution_schedules.py
+++ b/tests/violetroute/distribution/test_distribution_schedules.py
@@ -22,7 +22,7 @@
     for name in cluster.names:
         cluster.nodes[name].paused = False
         cluster.start(name)
-        cluster.give_up_all(name)
+        cluster.give_up_requests(name)
     cluster.run(4.0)
     cluster.lead(next(name for name in cluster.names if not recovering(cluster, name)))
     ticket = cluster.publish(leading(cluster), "after all")
