--- a/benchmarks/build_pair.py
+++ b/benchmarks/build_pair.py
@@ -29,10 +29,10 @@
 
 @contextlib.contextmanager
 def unpacked(base: str, build: str) -> Iterator[BuildPair]:
-    """Each a commit, or `.` for this checkout as it is now.  NoBuild where there is none."""
+    """Each a commit, or `.` for this checkout as it is now.  Raises BuildError if there is none."""
     with tempfile.TemporaryDirectory() as folder:
         under = Path(folder)
-        yield BuildPair(builds.folder(base, under), builds.folder(build, under))
+        yield BuildPair(builds.build_folder(base, under), builds.build_folder(build, under))
 
 
 def load_command(load: str, requests: int, count: bool) -> list[str]:
--- a/benchmarks/experiments.py
+++ b/benchmarks/experiments.py
@@ -30,8 +30,8 @@
 sys.path.insert(0, str(ROOT))
 
 from limebridge.experiments import runner, statistics  # noqa: E402
-from limebridge.experiments.parallel_search import Hunt  # noqa: E402
-from limebridge.experiments.plan import read  # noqa: E402
+from limebridge.experiments.parallel_search import ParallelSearch  # noqa: E402
+from limebridge.experiments.plan import load_experiment  # noqa: E402
 from limebridge.experiments.store import Store  # noqa: E402
 from limebridge.rehearsal.scenario import load  # noqa: E402
 
@@ -114,7 +114,7 @@
     for _ in range(repeats):  # four looks, at 5, 10, 20 and 40 pairs
         found = rng.normal(0.0, 1.0, 40)
         ps = [statistics.studentized(found[:n], 0.05, n)[2] for n in (5, 10, 20, 40)]
-        stopped += any(p <= statistics.spent(look) for look, p in enumerate(ps, 1))
+        stopped += any(p <= statistics.alpha_at_look(look) for look, p in enumerate(ps, 1))
         naive += any(p <= 0.05 for p in ps)
     tell(kind="four looks", stated=0.05, studentized=stopped / repeats, percentiles=naive / repeats)
 
@@ -145,7 +145,7 @@
                 child.send_signal(signal.SIGKILL if done % 2 else signal.SIGINT)
                 done += 1
         subprocess.run(command, cwd=ROOT, check=True, stdout=subprocess.DEVNULL)
-        made = read(str(sweep))
+        made = load_experiment(str(sweep))
         whole = Store(folder / "t.sqlite")
         asyncio.run(runner.run(made, whole))
         tables = [
@@ -165,18 +165,18 @@
 def overhead(seeds: int) -> None:
     """This process's CPU (queue, claims, store) against what the runs took."""
     with tempfile.TemporaryDirectory() as name:
-        made = read(str(_sweep(Path(name), seeds)))
+        made = load_experiment(str(_sweep(Path(name), seeds)))
         store = Store(Path(name) / "s.sqlite")
         began, before = time.monotonic(), _cpu()
         found = asyncio.run(runner.run(made, store))
         own, wall = _cpu() - before, time.monotonic() - began
         tell(
-            runs=found.played,
-            runs_s=round(found.spent, 2),
+            runs=found.executed,
+            runs_s=round(found.run_seconds, 2),
             own_s=round(own, 2),
-            share=round(own / found.spent, 4),
+            share=round(own / found.run_seconds, 4),
             wall_s=round(wall, 2),
-            beside_wall=round(1.0 - found.spent / (wall * runner.cores()), 4),
+            beside_wall=round(1.0 - found.run_seconds / (wall * runner.cores()), 4),
         )
 
 
@@ -190,16 +190,16 @@
     with tempfile.TemporaryDirectory() as name:
         path = Path(name) / "busy.toml"
         path.write_text(BUSY)
-        hunt = Hunt(load(str(path)), Path(name) / "builds", jobs)
+        hunt = ParallelSearch(load(str(path)), Path(name) / "builds", jobs)
         try:
             for seed in range(1, repeats + 1):
                 found = {}
                 for guided in (True, False):
-                    archive = await hunt.go(budget, seed, guided)
+                    archive = await hunt.run(budget, seed, guided)
                     found["guided" if guided else "random"] = round(archive.worst_so_far[-1], 4)
                 tell(seed=seed, budget=budget, **found)
         finally:
-            await hunt.end()
+            await hunt.stop()
 
 
 def main() -> None:
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -24,7 +24,7 @@
 from build_pair import unpacked
 from request_load import LOAD_NAMES
 
-from limebridge.experiments.builds import NoBuild
+from limebridge.experiments.builds import BuildError
 
 LIMIT = 1.02  # of the base's cost
 MEMORY_LIMIT = 32.0  # MB
@@ -96,7 +96,7 @@
     options = parser().parse_args()
     try:
         return 0 if MEASURES[options.measure](options) else 1
-    except (NoBuild, request_native.NoValgrind) as error:
+    except (BuildError, request_native.NoValgrind) as error:
         print(f"request_cost: {error}", file=sys.stderr)
         return 2
 
--- a/benchmarks/request_cpu.py
+++ b/benchmarks/request_cpu.py
@@ -18,7 +18,7 @@
 import harness
 from build_pair import BuildPair
 
-from limebridge.experiments.statistics import paired
+from limebridge.experiments.statistics import paired_difference
 from limebridge.standins.clients import LoadGenerator
 
 RATE, SECONDS = 540.0, 0.2  # requests a second, of a round
@@ -109,7 +109,7 @@
 
 def _judged(logarithms: list[float], base_us: float, build_us: float) -> CpuComparison:
     after = dict(enumerate(logarithms))
-    found = paired(dict.fromkeys(after, 0.0), after, more_is_better=False)
+    found = paired_difference(dict.fromkeys(after, 0.0), after, more_is_better=False)
     return CpuComparison(
         math.exp(found.mean),
         math.exp(found.low),
--- a/limebridge/experiments/builds.py
+++ b/limebridge/experiments/builds.py
@@ -1,7 +1,8 @@
-"""A build by its commit: the daemon of then under the kit of now.
+"""Builds of the daemon by commit, each combined with this checkout's test kit.
 
-`.` is this checkout as it is now.  Any other is unpacked from git into a folder beside the store,
-with this checkout's kit next to it, so that all builds are judged by one and the same stage.
+`.` is this checkout as it is now.  The daemon of any other commit is unpacked from git into a
+folder beside the store, with a copy of this checkout's kit, so that the same kit measures all
+builds.
 """
 
 from __future__ import annotations
@@ -17,25 +18,28 @@
 import time
 from pathlib import Path
 
-from .plan import HERE
+from .plan import THIS_CHECKOUT
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-THEIRS = ("snowstall", "violetroute")
-OURS = ("limebridge", "rehearsals", "experiments")
-NO_MATTER = ("experiments", "placement", "ledger")  # of the kit: what no run is played by
-COPIES = 8  # unpacked builds that are kept; older ones go
-DAY = 86_400.0  # s for which any is left alone: runs may be going on in it
+DAEMON_PACKAGES = ("snowstall", "violetroute")
+KIT_FOLDERS = ("limebridge", "rehearsals", "experiments")
+EXCLUDED_FROM_DIGEST = ("experiments", "placement", "ledger")  # kit packages that no run uses
+MAX_BUILDS = 8  # unpacked builds that are kept; older ones are removed
+MIN_AGE_S = 86_400.0  # a younger build is never removed, since runs may be using it
 
 
-class NoBuild(Exception):
-    """One line: why there is no such build."""
+class BuildError(Exception):
+    """A build can't be provided; the message is one line."""
 
 
-def commit(build: str) -> str:
-    """What tells builds apart: the daemon (a commit, or this checkout's sources) and the kit that
-    plays it.  An edit of either is another build; one of a page or an experiment is not."""
-    if build == HERE:
-        daemon = f"here-{_print(*(ROOT / room for room in THEIRS))}"
+def build_id(build: str) -> str:
+    """Identifies a build: the daemon (a commit, or a digest of this checkout) and a kit digest.
+
+    An edit of daemon or kit makes another build; an edit of documents or experiments does not.
+    Raises BuildError for an unknown commit.
+    """
+    if build == THIS_CHECKOUT:
+        daemon = f"here-{_source_digest(*(ROOT / package for package in DAEMON_PACKAGES))}"
     else:
         daemon = _git(
             "rev-parse",
@@ -43,89 +47,100 @@
             "--quiet",
             "--end-of-options",
             f"{build}^{{commit}}",
-            why=f"build {build}: no such commit",
+            message=f"build {build}: no such commit",
         )
     kit = [
         path
         for path in sorted((ROOT / "limebridge").iterdir())
-        if path.is_dir() and path.name not in NO_MATTER
+        if path.is_dir() and path.name not in EXCLUDED_FROM_DIGEST
     ]
-    return f"{daemon}.{_print(*kit, ROOT / 'limebridge' / 'experiments' / 'worker.py')}"
+    return f"{daemon}.{_source_digest(*kit, ROOT / 'limebridge' / 'experiments' / 'worker.py')}"
 
 
 @functools.cache
-def head() -> str:
-    """The commit that this checkout stands on; empty without a history."""
+def head_commit() -> str:
+    """The commit checked out here; empty if there is no git history."""
     try:
-        return _git("rev-parse", "HEAD", why="")
-    except NoBuild:
+        return _git("rev-parse", "HEAD", message="")
+    except BuildError:
         return ""
 
 
-def _print(*places: Path) -> str:
-    told = hashlib.blake2b(digest_size=4)
-    for place in places:
-        for path in sorted(place.rglob("*.py")) if place.is_dir() else [place]:
-            told.update(path.read_bytes())
-    return told.hexdigest()
-
-
-def folder(build: str, under: Path) -> Path:
-    """Where a worker of this build runs from.  NoBuild where it can't be had."""
-    place = under / commit(build)[:24]
-    if place.is_dir():
-        os.utime(place)
-        return place
-    under.mkdir(parents=True, exist_ok=True)
-    _tidy(under)
-    made = Path(tempfile.mkdtemp(dir=under))
-    if build == HERE:  # a copy: an edit while runs go on would mix two builds
-        for room in (*THEIRS, *OURS):
-            if (ROOT / room).is_dir():
+def _source_digest(*paths: Path) -> str:
+    digest = hashlib.blake2b(digest_size=4)
+    for entry in paths:
+        for path in sorted(entry.rglob("*.py")) if entry.is_dir() else [entry]:
+            digest.update(path.read_bytes())
+    return digest.hexdigest()
+
+
+def build_folder(build: str, parent: Path) -> Path:
+    """The folder from which a worker of this build runs; it is created below `parent` if needed.
+
+    Raises BuildError if the build can't be provided.
+    """
+    target = parent / build_id(build)[:24]
+    if target.is_dir():
+        os.utime(target)
+        return target
+    parent.mkdir(parents=True, exist_ok=True)
+    _remove_old_builds(parent)
+    temporary = Path(tempfile.mkdtemp(dir=parent))
+    if build == THIS_CHECKOUT:  # copied: an edit during the runs would mix two builds
+        for package in (*DAEMON_PACKAGES, *KIT_FOLDERS):
+            if (ROOT / package).is_dir():
                 shutil.copytree(
-                    ROOT / room, made / room, ignore=shutil.ignore_patterns("__pycache__")
+                    ROOT / package,
+                    temporary / package,
+                    ignore=shutil.ignore_patterns("__pycache__"),
                 )
     else:
-        _unpack(build, made)
+        _unpack_commit(build, temporary)
     try:
-        os.rename(made, place)
-    except OSError:  # another writer was quicker
-        shutil.rmtree(made, ignore_errors=True)
-        if not place.is_dir():
-            raise NoBuild(f"build {build}: can't be put into {place}") from None
-    return place
-
-
-def _tidy(under: Path) -> None:
-    """All but the newest, and those of the last day; what a kill left half made goes so too."""
-    found = sorted(((path.stat().st_mtime, path) for path in under.iterdir()), reverse=True)
-    for at, path in found[COPIES:]:
-        if at < time.time() - DAY:
+        os.rename(temporary, target)
+    except OSError:  # another process has created it meanwhile
+        shutil.rmtree(temporary, ignore_errors=True)
+        if not target.is_dir():
+            raise BuildError(f"build {build}: can't be moved to {target}") from None
+    return target
+
+
+def _remove_old_builds(parent: Path) -> None:
+    """Remove all but the newest builds, and half-made ones of killed processes, once a day old."""
+    builds_by_age = sorted(
+        ((path.stat().st_mtime, path) for path in parent.iterdir()), reverse=True
+    )
+    for modified_at, path in builds_by_age[MAX_BUILDS:]:
+        if modified_at < time.time() - MIN_AGE_S:
             shutil.rmtree(path, ignore_errors=True)
 
 
-def _unpack(build: str, made: Path) -> None:
-    """The daemon of a commit, beside this checkout's kit as it is now."""
-    whole = commit(build).partition(".")[0]
+def _unpack_commit(build: str, temporary: Path) -> None:
+    """Unpack the daemon of a commit and copy this checkout's kit to the same folder."""
+    commit_hash = build_id(build).partition(".")[0]
     archive = subprocess.run(
-        ["git", "-C", str(ROOT), "archive", whole, *THEIRS], capture_output=True, check=False
+        ["git", "-C", str(ROOT), "archive", commit_hash, *DAEMON_PACKAGES],
+        capture_output=True,
+        check=False,
     )
     if archive.returncode:
-        raise NoBuild(f"build {build}: {archive.stderr.decode().strip()}")
+        raise BuildError(f"build {build}: {archive.stderr.decode().strip()}")
     with tarfile.open(fileobj=io.BytesIO(archive.stdout)) as tar:
-        tar.extractall(made, filter="data")
-    for room in OURS:
-        if (ROOT / room).is_dir():
-            shutil.copytree(ROOT / room, made / room, ignore=shutil.ignore_patterns("__pycache__"))
+        tar.extractall(temporary, filter="data")
+    for package in KIT_FOLDERS:
+        if (ROOT / package).is_dir():
+            shutil.copytree(
+                ROOT / package, temporary / package, ignore=shutil.ignore_patterns("__pycache__")
+            )
 
 
-def _git(*words: str, why: str) -> str:
+def _git(*arguments: str, message: str) -> str:
     try:
-        done = subprocess.run(
-            ["git", "-C", str(ROOT), *words], capture_output=True, text=True, check=False
+        completed = subprocess.run(
+            ["git", "-C", str(ROOT), *arguments], capture_output=True, text=True, check=False
         )
     except OSError as error:
-        raise NoBuild(f"{why}: {error}") from None
-    if done.returncode:
-        raise NoBuild(why or done.stderr.strip())
-    return done.stdout.strip()
+        raise BuildError(f"{message}: {error}") from None
+    if completed.returncode:
+        raise BuildError(message or completed.stderr.strip())
+    return completed.stdout.strip()
--- a/limebridge/experiments/charts.py
+++ b/limebridge/experiments/charts.py
@@ -1,8 +1,8 @@
-"""An experiment as one HTML file that needs nothing else: pictures are SVG inside it.
+"""Renders an experiment as a self-contained HTML page with SVG charts.
 
-matplotlib draws; its ink becomes the page's own colour, so one picture serves light and dark.
-Lines have Okabe and Ito's colours, which colour-blind readers tell apart, and differ in dash and
-mark too.
+matplotlib draws the charts.  The colour of text and axes is replaced by the page's own, so that a
+chart suits the light and the dark theme.  Lines have the colours of Okabe and Ito, which
+colour-blind readers can tell apart, and also differ in dashes and markers.
 """
 
 from __future__ import annotations
@@ -18,29 +18,31 @@
 
 from .plan import BUILD, MEASURES, SCENARIO, Experiment
 from .store import Run
-from .tables import Cell, compare, front, grid, knee
+from .tables import Cell, compare, knee, mean_grid, pareto_front
 
 COLOURS = ("#0072B2", "#D55E00", "#009E73", "#CC79A7", "#E69F00", "#56B4E9")
 DASHES = ("-", "--", "-.", ":", (0, (5, 1)), (0, (1, 1)))
 MARKS = "osD^vP"
-INK = "#123456"  # drawn in this, shown in the page's own colour
+INK = "#123456"  # placeholder that is replaced by the text colour of the page
 SIZE = (7.2, 3.6)  # inches
-MOST_LINES = 6
-COMPARED = 60  # rows at most
+MAX_LINES = 6  # in a chart
+MAX_COMPARISONS = 60  # rows of the table
 
 
 @dataclass(frozen=True)
-class Picture:
-    said: str
+class Chart:
+    """An SVG chart and its caption."""
+
+    caption: str
     svg: str
 
 
-def _number(value: Any) -> bool:
+def _is_number(value: Any) -> bool:
     return isinstance(value, int | float) and not isinstance(value, bool)
 
 
-def drawn(paint: Callable[[Any], None]) -> str:
-    """What `paint` draws on axes, as SVG."""
+def render_svg(draw: Callable[[Any], None]) -> str:
+    """The SVG of what `draw` draws on the axes that it receives."""
     import matplotlib
 
     matplotlib.use("agg")
@@ -60,7 +62,7 @@
     with matplotlib.rc_context(style):
         figure, axes = pyplot.subplots(figsize=SIZE, layout="constrained")
         try:
-            paint(axes)
+            draw(axes)
             out = io.StringIO()
             figure.savefig(out, format="svg", transparent=True, metadata={"Date": None})
         finally:
@@ -82,17 +84,19 @@
     )
 
 
-def ribbons(found: Sequence[Cell], factor: str, measure: str) -> Picture:
-    """A measure over one factor of numbers, a line for each setting of the others, from the worst
-    to the best seed as a ribbon, and the knee marked."""
+def line_chart(cells: Sequence[Cell], factor: str, measure: str) -> Chart:
+    """A measure over a numeric factor: a line per combination of the other factors.
+
+    A ribbon spans the lowest to the highest seed; the knee is marked.
+    """
     lines: dict[str, list[Cell]] = {}
-    for cell in found:
+    for cell in cells:
         others = {k: v for k, v in cell.point.items() if k != factor}
         lines.setdefault(Cell(others, cell.commit).label if others else "", []).append(cell)
-    shown = list(lines.items())[:MOST_LINES]
+    shown_lines = list(lines.items())[:MAX_LINES]
 
-    def paint(axes: Any) -> None:
-        for n, (label, row) in enumerate(shown):
+    def draw(axes: Any) -> None:
+        for n, (label, row) in enumerate(shown_lines):
             row = sorted(
                 (c for c in row if c.mean(measure) is not None),
                 key=lambda c: float(c.point[factor]),
@@ -108,33 +112,33 @@
                 alpha=0.15,
                 linewidth=0,
             )
-            bend = knee(xs, ys)
-            if bend is not None:
+            knee_index = knee(xs, ys)
+            if knee_index is not None:
                 axes.annotate(
-                    f"knee at {xs[bend]:g}",
-                    (xs[bend], ys[bend]),
+                    f"knee at {xs[knee_index]:g}",
+                    (xs[knee_index], ys[knee_index]),
                     textcoords="offset points",
                     xytext=(6, 8),
                 )
         axes.set_xlabel(factor)
         axes.set_ylabel(measure)
-        if len(shown) > 1:
+        if len(shown_lines) > 1:
             axes.legend(fontsize=8)
 
-    more = f" (the first {MOST_LINES} of {len(lines)} lines)" if len(lines) > MOST_LINES else ""
-    return Picture(
-        f"{measure} over {factor}; ribbons from the worst seed to the best{more}", drawn(paint)
+    more = f" (the first {MAX_LINES} of {len(lines)} lines)" if len(lines) > MAX_LINES else ""
+    return Chart(
+        f"{measure} over {factor}; ribbons from lowest to highest seed{more}", render_svg(draw)
     )
 
 
-def interaction(found: Sequence[Cell], one: str, two: str, measure: str) -> Picture:
-    """Two factors' levels as a grid of means."""
-    cells = grid(found, one, two, measure)
-    rows = sorted({a for a, _ in cells}, key=lambda v: (not _number(v), v))
-    columns = sorted({b for _, b in cells}, key=lambda v: (not _number(v), v))
+def heat_map(cells: Sequence[Cell], one: str, two: str, measure: str) -> Chart:
+    """The mean of a measure by the levels of two factors, as a coloured grid."""
+    means = mean_grid(cells, one, two, measure)
+    rows = sorted({a for a, _ in means}, key=lambda v: (not _is_number(v), v))
+    columns = sorted({b for _, b in means}, key=lambda v: (not _is_number(v), v))
 
-    def paint(axes: Any) -> None:
-        table = [[cells.get((a, b), float("nan")) for b in columns] for a in rows]
+    def draw(axes: Any) -> None:
+        table = [[means.get((a, b), float("nan")) for b in columns] for a in rows]
         image = axes.imshow(table, cmap="cividis", aspect="auto")
         for y, row in enumerate(table):
             for x, value in enumerate(row):
@@ -153,27 +157,27 @@
         axes.set_xlabel(two)
         axes.set_ylabel(one)
 
-    return Picture(f"{measure} by {one} and {two}, mean over all else", drawn(paint))
+    return Chart(f"{measure} by {one} and {two}, mean over all other factors", render_svg(draw))
 
 
-def trade_off(found: Sequence[Cell], one: str, two: str) -> Picture:
-    """All points by two measures, and the front that nothing beats in both."""
-    best = front(found, one, two)
+def trade_off(cells: Sequence[Cell], one: str, two: str) -> Chart:
+    """All points by two measures, with their Pareto front."""
+    front = pareto_front(cells, one, two)
 
-    def paint(axes: Any) -> None:
-        there = [c for c in found if c.mean(one) is not None and c.mean(two) is not None]
+    def draw(axes: Any) -> None:
+        measured = [c for c in cells if c.mean(one) is not None and c.mean(two) is not None]
         axes.scatter(
-            [c.mean(one) for c in there], [c.mean(two) for c in there], color=COLOURS[0], s=22
+            [c.mean(one) for c in measured], [c.mean(two) for c in measured], color=COLOURS[0], s=22
         )
         axes.plot(
-            [c.mean(one) for c in best],
-            [c.mean(two) for c in best],
+            [c.mean(one) for c in front],
+            [c.mean(two) for c in front],
             color=COLOURS[1],
             linestyle="--",
             marker="D",
             markersize=6,
         )
-        for cell in best[:8]:
+        for cell in front[:8]:
             axes.annotate(
                 cell.label,
                 (cell.mean(one), cell.mean(two)),
@@ -184,24 +188,24 @@
         axes.set_xlabel(f"{one} ({'more' if MEASURES[one][0] else 'less'} is better)")
         axes.set_ylabel(f"{two} ({'more' if MEASURES[two][0] else 'less'} is better)")
 
-    return Picture(f"{one} against {two}; dashed: what no other point beats in both", drawn(paint))
+    return Chart(f"{one} against {two}; dashed: Pareto front", render_svg(draw))
 
 
-def builds(found: Sequence[Cell], measure: str, order: Sequence[Any]) -> Picture:
-    """A measure by build, in the file's order, each seed a thin line: before and after."""
-    by: dict[Any, list[Cell]] = {}
-    for cell in found:
-        by.setdefault(cell.point[BUILD], []).append(cell)
-    names = [name for name in order if name in by]
+def build_chart(cells: Sequence[Cell], measure: str, order: Sequence[Any]) -> Chart:
+    """A measure by build, in the order of the file; thin lines show the single seeds."""
+    cells_by_build: dict[Any, list[Cell]] = {}
+    for cell in cells:
+        cells_by_build.setdefault(cell.point[BUILD], []).append(cell)
+    names = [name for name in order if name in cells_by_build]
     means: list[dict[int, float]] = []
     for name in names:
         seeds: dict[int, list[float]] = {}
-        for cell in by[name]:
+        for cell in cells_by_build[name]:
             for seed, value in cell.known(measure).items():
                 seeds.setdefault(seed, []).append(value)
         means.append({seed: sum(v) / len(v) for seed, v in seeds.items()})
 
-    def paint(axes: Any) -> None:
+    def draw(axes: Any) -> None:
         for seed in sorted(set().union(*means)):
             axes.plot(
                 range(len(names)),
@@ -220,42 +224,46 @@
         axes.set_xticks(range(len(names)), [str(name)[:10] for name in names])
         axes.set_ylabel(measure)
 
-    return Picture(f"{measure} by build; thin: a seed each", drawn(paint))
+    return Chart(f"{measure} by build; thin lines: single seeds", render_svg(draw))
 
 
-def pictures(made: Experiment, found: Sequence[Cell]) -> list[Picture]:
-    """Whatever the factors and measures of this experiment can show."""
-    told: list[Picture] = []
+def make_charts(experiment: Experiment, cells: Sequence[Cell]) -> list[Chart]:
+    """The charts that suit the factors and measures of the experiment."""
+    charts: list[Chart] = []
     numbers = [
         name
-        for name in made.factors
+        for name in experiment.factors
         if name != BUILD
-        and all(_number(c.point.get(name)) for c in found)
-        and len({c.point.get(name) for c in found}) > 1
+        and all(_is_number(c.point.get(name)) for c in cells)
+        and len({c.point.get(name) for c in cells}) > 1
     ]
     factors = [
         name
-        for name in (SCENARIO, *made.factors)
-        if len({str(c.point.get(name)) for c in found}) > 1
+        for name in (SCENARIO, *experiment.factors)
+        if len({str(c.point.get(name)) for c in cells}) > 1
     ]
-    drawn_at_random = made.design.kind in ("latin", "sobol")
-    for measure in made.measures:
-        if not any(c.mean(measure) is not None for c in found):
+    is_sampled = experiment.design.kind in ("latin", "sobol")
+    for measure in experiment.measures:
+        if not any(c.mean(measure) is not None for c in cells):
             continue
         if BUILD in factors:
-            told.append(builds(found, measure, made.factors[BUILD]))
-        if not drawn_at_random:
-            told += [ribbons(found, name, measure) for name in numbers[:1]]
+            charts.append(build_chart(cells, measure, experiment.factors[BUILD]))
+        if not is_sampled:
+            charts += [line_chart(cells, name, measure) for name in numbers[:1]]
             plain = [name for name in factors if name != BUILD]
-            told += [interaction(found, plain[0], plain[1], measure)] if len(plain) > 1 else []
-    if len(made.measures) > 1 and len(found) > 2:
-        told.append(trade_off(found, made.measures[0], made.measures[1]))
-    return told
-
-
-def page(made: Experiment, found: Sequence[Cell], rows: Sequence[Run]) -> str:
-    """The whole page."""
-    compared = compare(found[0], found[1:], made.measures)[:COMPARED] if len(found) > 1 else []
+            charts += [heat_map(cells, plain[0], plain[1], measure)] if len(plain) > 1 else []
+    if len(experiment.measures) > 1 and len(cells) > 2:
+        charts.append(trade_off(cells, experiment.measures[0], experiment.measures[1]))
+    return charts
+
+
+def render_page(experiment: Experiment, cells: Sequence[Cell], rows: Sequence[Run]) -> str:
+    """The HTML page of an experiment."""
+    compared = (
+        compare(cells[0], cells[1:], experiment.measures)[:MAX_COMPARISONS]
+        if len(cells) > 1
+        else []
+    )
 
     def figure(value: float | None) -> str:
         return "" if value is None else f"{value:.4f}" if abs(value) < 100 else f"{value:.0f}"
@@ -264,24 +272,24 @@
         autoescape=True, trim_blocks=True, lstrip_blocks=True, undefined=jinja2.StrictUndefined
     )
     text = files(__package__).joinpath("chart.html").read_text()
-    commits = sorted({cell.commit[:10] for cell in found})
+    commits = sorted({cell.commit[:10] for cell in cells})
     return environment.from_string(text).render(
-        name=made.name,
-        question=made.question,
-        scenario=", ".join(made.scenarios),
+        name=experiment.name,
+        question=experiment.question,
+        scenario=", ".join(experiment.scenarios),
         runs=sum(row.state == "done" for row in rows),
         void=sum(row.state != "done" for row in rows),
         commits=f"commit {', '.join(commits)}",
-        pictures=pictures(made, found),
-        measures=made.measures,
-        against=found[0].label,
+        charts=make_charts(experiment, cells),
+        measures=experiment.measures,
+        against=cells[0].label,
         rows=[
             {
                 "label": c.label,
                 "seeds": c.seeds,
-                "figures": [figure(c.mean(m)) for m in made.measures],
+                "figures": [figure(c.mean(m)) for m in experiment.measures],
             }
-            for c in found
+            for c in cells
         ],
         compared=[
             {
--- a/limebridge/experiments/command.py
+++ b/limebridge/experiments/command.py
@@ -19,47 +19,67 @@
 from violetroute.config import ConfigError
 
 from . import runner
-from .builds import NoBuild
-from .options import HERE, NARROW, AsJson, Measures, StoreFile, What, opened, stop
-from .plan import BUILD, MEASURES, Experiment, key, named, points, read
+from .builds import BuildError
+from .options import (
+    DEFAULT_STORE,
+    NARROW,
+    AsJson,
+    ExperimentArgument,
+    Measures,
+    StoreFile,
+    fail,
+    open_store,
+)
+from .plan import (
+    BUILD,
+    MEASURES,
+    Experiment,
+    load_experiment,
+    point_key,
+    points,
+    shipped_experiments,
+)
 from .search_command import search
 from .store import Run, Store, StoreError
-from .tables import Cell, by_build, cells, compare, compare_pairs, newest
+from .tables import Cell, cells, compare, compare_pairs, newest_by_point, pair_with_first_build
 
-app = typer.Typer(no_args_is_help=True, help="Sweeps over rehearsals, kept as tables and charts.")
+app = typer.Typer(
+    no_args_is_help=True, help="Parameter sweeps over rehearsals, with tables and charts."
+)
 
 
-def known(what: str) -> Experiment:
+def load_or_fail(name_or_path: str) -> Experiment:
+    """Load an experiment; exit with a message of one line if it can't be used."""
     try:
-        return read(what)
+        return load_experiment(name_or_path)
     except ConfigError as error:
-        stop(error)
+        fail(error)
 
 
-def _measures(made: Experiment, told: list[str] | None) -> list[str]:
-    for name in told or []:
+def _chosen_measures(experiment: Experiment, names: list[str] | None) -> list[str]:
+    for name in names or []:
         if name not in MEASURES:
-            stop(f"--measure {name}: there are {', '.join(MEASURES)}")
-    return told or made.measures
+            fail(f"--measure {name}: there are {', '.join(MEASURES)}")
+    return names or experiment.measures
 
 
 @app.command()
 def run(
-    what: What,
-    store: StoreFile = HERE,
-    jobs: Annotated[int, typer.Option(min=0, help="Processes; 0 is one a core.")] = 0,
+    name_or_path: ExperimentArgument,
+    store: StoreFile = DEFAULT_STORE,
+    jobs: Annotated[int, typer.Option(min=0, help="Processes; 0: one per core.")] = 0,
     again: Annotated[
-        bool, typer.Option(help="Play those that came to nothing (overtime, crashed) once more.")
+        bool, typer.Option(help="Repeat the runs without a result (overtime, crashed).")
     ] = False,
     as_json: AsJson = False,
 ) -> None:
-    """Play what is not there yet; Ctrl-C keeps what is done, and the next call goes on.
+    """Execute the runs that have no result yet; after Ctrl-C the next call continues.
 
-    Exit status 1 when a run came to nothing, 2 when the file or the store can't be used.
+    Exit status 1 if a run gave no result, 2 if the file or the store can't be used.
     """
-    made, kept = known(what), opened(store, must_be=False)
+    experiment, results = load_or_fail(name_or_path), open_store(store, must_exist=False)
     if again:
-        kept.again(made.digest, ("overtime", "crashed"))
+        results.forget_runs(experiment.digest, ("overtime", "crashed"))
     columns = (
         TextColumn("{task.description}"),
         BarColumn(),
@@ -68,65 +88,69 @@
     )
     try:
         with Progress(*columns, console=Console(stderr=True), disable=as_json) as shown:
-            bar = shown.add_task(escape(made.name), total=None)
+            bar = shown.add_task(escape(experiment.name), total=None)
 
-            def told(found: runner.Progress) -> None:
-                failed = f", {found.failed} came to nothing" if found.failed else ""
+            def show_progress(progress: runner.Progress) -> None:
+                failed = f", {progress.failed} without a result" if progress.failed else ""
                 shown.update(
                     bar,
-                    total=found.total,
-                    completed=found.before + found.played - found.busy,
-                    description=escape(made.name) + failed,
+                    total=progress.total,
+                    completed=progress.already_stored + progress.executed - progress.running,
+                    description=escape(experiment.name) + failed,
                 )
 
-            found = asyncio.run(_run(made, kept, jobs, told))
-    except (ConfigError, NoBuild, StoreError) as error:
-        stop(error)
+            final = asyncio.run(_run(experiment, results, jobs, show_progress))
+    except (ConfigError, BuildError, StoreError) as error:
+        fail(error)
     except ExceptionGroup as group:
-        wrong, others = group.split((StoreError, NoBuild))
-        if wrong is None or others is not None:
+        expected, unexpected = group.split((StoreError, BuildError))
+        if expected is None or unexpected is not None:
             raise
-        stop(wrong.exceptions[0])
+        fail(expected.exceptions[0])
     if as_json:
         print(
             json.dumps(
                 {
-                    "total": found.total,
-                    "before": found.before,
-                    "played": found.played,
-                    "states": found.states,
-                    "spent": round(found.spent, 3),
-                    "ended": found.why or "whole",
+                    "total": final.total,
+                    "before": final.already_stored,
+                    "played": final.executed,
+                    "states": final.states,
+                    "spent": round(final.run_seconds, 3),
+                    "ended": final.stop_reason or "whole",
                 }
             )
         )
     else:
         print(
-            f"{found.played} runs played, {found.before} were there, of {found.total}"
-            + (f"; {found.why}" if found.why else "")
+            f"{final.executed} runs executed, {final.already_stored} stored before, "
+            f"of {final.total}" + (f"; {final.stop_reason}" if final.stop_reason else "")
         )
-        for state, count in sorted(found.states.items()):
+        for state, count in sorted(final.states.items()):
             if state != "done":
-                print(f"  {count} {state}: `limebridge experiment show` says why")
-    raise typer.Exit(1 if found.failed else 0)
+                print(f"  {count} {state}: see `limebridge experiment show`")
+    raise typer.Exit(1 if final.failed else 0)
 
 
-async def _run(made: Experiment, kept: Store, jobs: int, told: runner.Told) -> runner.Progress:
-    """Until it is over or Ctrl-C, which gives back what is under way."""
-    so_far = runner.Progress()
-    task = asyncio.ensure_future(runner.run(made, kept, jobs, told, progress=so_far))
+async def _run(
+    experiment: Experiment, results: Store, jobs: int, on_progress: runner.OnProgress
+) -> runner.Progress:
+    """Execute the runs; on SIGINT or SIGTERM release the unfinished ones and return."""
+    progress = runner.Progress()
+    task = asyncio.ensure_future(
+        runner.run(experiment, results, jobs, on_progress, progress=progress)
+    )
     for number in (signal.SIGINT, signal.SIGTERM):
         asyncio.get_running_loop().add_signal_handler(number, task.cancel)
     with contextlib.suppress(asyncio.CancelledError):
         return await task
-    so_far.why = "stopped; the next call goes on"
-    return so_far
+    progress.stop_reason = "stopped; the next call goes on"
+    return progress
 
 
 @app.command("list")
-def list_(store: StoreFile = HERE, as_json: AsJson = False) -> None:
-    """Experiments that are shipped, and what the store holds of any."""
-    found = opened(store).experiments() if store.exists() else []
+def list_(store: StoreFile = DEFAULT_STORE, as_json: AsJson = False) -> None:
+    """List the shipped experiments and those in the store, with their numbers of runs."""
+    found = open_store(store).experiments() if store.exists() else []
     if as_json:
         print(
             json.dumps(
@@ -154,29 +178,32 @@
             escape(question),
         )
     there = {name for _, name, *_ in found}
-    for name, path in named().items():
+    for name, path in shipped_experiments().items():
         if name not in there:
-            table.add_row(name, "0", "", "", escape(read(str(path)).question))
+            table.add_row(name, "0", "", "", escape(load_experiment(str(path)).question))
     Console().print(table)
 
 
-def played(made: Experiment, store: Store) -> tuple[list[Cell], list[Run]]:
-    """The newest cell of each point, and all rows."""
-    wanted = {key(point) for point in points(made)}  # of levels that were taken out no word
-    rows = [row for row in store.runs(made.digest) if row.point in wanted]
+def newest_cells(experiment: Experiment, store: Store) -> tuple[list[Cell], list[Run]]:
+    """The newest cell of each point, and all runs of these points; exits if there is none."""
+    wanted = {point_key(p) for p in points(experiment)}  # leaves out points of removed levels
+    rows = [row for row in store.runs(experiment.digest) if row.point in wanted]
     if not rows:
-        stop(f"{store.path}: holds no run of {made.name}", 1)
-    return newest(cells(rows), rows), rows
+        fail(f"{store.path}: no runs of {experiment.name}", 1)
+    return newest_by_point(cells(rows), rows), rows
 
 
 @app.command()
 def show(
-    what: What, store: StoreFile = HERE, measure: Measures = None, as_json: AsJson = False
+    name_or_path: ExperimentArgument,
+    store: StoreFile = DEFAULT_STORE,
+    measure: Measures = None,
+    as_json: AsJson = False,
 ) -> None:
-    """The mean of each measure by point, and why runs came to nothing."""
-    made = known(what)
-    found, rows = played(made, opened(store))
-    names = _measures(made, measure)
+    """Show the mean of each measure by point, and why runs have no result."""
+    experiment = load_or_fail(name_or_path)
+    found, rows = newest_cells(experiment, open_store(store))
+    names = _chosen_measures(experiment, measure)
     if as_json:
         print(
             json.dumps(
@@ -195,15 +222,15 @@
         return
     table = Table("point", "seeds", *names, **NARROW)
     for cell in found:
-        table.add_row(escape(cell.label), str(cell.seeds), *(_figure(cell, n) for n in names))
-    Console().print(escape(made.question))
+        table.add_row(escape(cell.label), str(cell.seeds), *(_format_mean(cell, n) for n in names))
+    Console().print(escape(experiment.question))
     Console().print(table)
     reasons = sorted({(row.state, row.why) for row in rows if row.state != "done"})
     for state, why in reasons[:10]:
         print(f"{state}: {why}")
 
 
-def _figure(cell: Cell, name: str) -> str:
+def _format_mean(cell: Cell, name: str) -> str:
     value = cell.mean(name)
     if value is None:
         return "never in one" if cell.values.get(name) else "not known"
@@ -212,35 +239,35 @@
 
 @app.command("compare")
 def compare_(
-    what: What,
-    store: StoreFile = HERE,
+    name_or_path: ExperimentArgument,
+    store: StoreFile = DEFAULT_STORE,
     measure: Measures = None,
     against: Annotated[
         int,
-        typer.Option(min=1, help="The point that the others are held against, as `show` lists."),
+        typer.Option(min=1, help="The point to compare with, by its position in `show`."),
     ] = 1,
     builds: Annotated[
-        bool, typer.Option(help="Each build against the first one, point by point.")
+        bool, typer.Option(help="Compare each build with the first one, by point.")
     ] = False,
     as_json: AsJson = False,
 ) -> None:
-    """Each point against one, in pairs of equal seeds; says "cannot tell" where it can't."""
-    made = known(what)
-    found, _ = played(made, opened(store))
+    """Compare each point with one, in pairs of equal seeds; "cannot tell" without significance."""
+    experiment = load_or_fail(name_or_path)
+    found, _ = newest_cells(experiment, open_store(store))
     if against > len(found):
-        stop(f"--against {against}: there are {len(found)} points")
+        fail(f"--against {against}: there are {len(found)} points")
     base = found[against - 1]
-    names = _measures(made, measure)
+    names = _chosen_measures(experiment, measure)
     if builds:
-        order = [str(name) for name in made.factors.get(BUILD, [])]
+        order = [str(name) for name in experiment.factors.get(BUILD, [])]
         if len(order) < 2:
-            stop(f"{made.name}: --builds: it has no two builds")
+            fail(f"{experiment.name}: --builds: fewer than two builds")
         found.sort(key=lambda cell: order.index(str(cell.point[BUILD])))
-        rows = compare_pairs(by_build(found), names)
+        rows = compare_pairs(pair_with_first_build(found), names)
     else:
         rows = compare(base, [cell for cell in found if cell is not base], names)
     if as_json:
-        told: list[dict[str, Any]] = [
+        output: list[dict[str, Any]] = [
             {
                 "point": row.after.point,
                 "commit": row.after.commit,
@@ -251,62 +278,62 @@
                 "pairs": row.difference.pairs,
                 "p": row.difference.p,
                 "verdict": row.verdict,
-                "more": row.difference.more,
+                "more": row.difference.more_seeds,
             }
             for row in rows
         ]
-        print(json.dumps(told).replace("-Infinity", "null").replace("Infinity", "null"))
+        print(json.dumps(output).replace("-Infinity", "null").replace("Infinity", "null"))
         return
     table = Table("point", "measure", "by", "95% from", "to", "pairs", "", "more seeds", **NARROW)
     for row in rows:
-        of = row.difference
+        difference = row.difference
         table.add_row(
             escape(row.after.label),
             row.measure,
-            f"{of.mean:+.4f}",
-            f"{of.low:+.4f}",
-            f"{of.high:+.4f}",
-            str(of.pairs),
+            f"{difference.mean:+.4f}",
+            f"{difference.low:+.4f}",
+            f"{difference.high:+.4f}",
+            str(difference.pairs),
             row.verdict,
-            "" if of.more is None else f"about {of.more}",
+            "" if difference.more_seeds is None else f"about {difference.more_seeds}",
         )
-    of_whom = "the first build" if builds else base.label
+    reference = "the first build" if builds else base.label
     Console().print(
-        f"against {escape(of_whom)}; all verdicts hold together, one time in twenty wrong at most"
+        f"compared with {escape(reference)}; at most 5% risk of a wrong verdict in the whole table"
     )
     Console().print(table)
 
 
 @app.command()
 def chart(
-    what: What,
-    out: Annotated[Path, typer.Option("--html", metavar="FILE")],
-    store: StoreFile = HERE,
+    name_or_path: ExperimentArgument,
+    path: Annotated[Path, typer.Option("--html", metavar="FILE")],
+    store: StoreFile = DEFAULT_STORE,
     measure: Measures = None,
 ) -> None:
-    """One HTML file that needs nothing else: curves, grids, fronts, all points."""
-    from .charts import page
+    """Write a self-contained HTML file with curves, grids, Pareto fronts and all points."""
+    from .charts import render_page
 
-    made = known(what)
-    found, rows = played(made, opened(store))
-    made = msgspec.structs.replace(made, measures=_measures(made, measure))
-    out.write_text(page(made, found, rows))
+    experiment = load_or_fail(name_or_path)
+    found, rows = newest_cells(experiment, open_store(store))
+    experiment = msgspec.structs.replace(experiment, measures=_chosen_measures(experiment, measure))
+    path.write_text(render_page(experiment, found, rows))
 
 
 @app.command()
 def export(
-    what: What,
-    out: Annotated[Path, typer.Argument(metavar="FILE.csv|FILE.parquet")],
-    store: StoreFile = HERE,
+    name_or_path: ExperimentArgument,
+    path: Annotated[Path, typer.Argument(metavar="FILE.csv|FILE.parquet")],
+    store: StoreFile = DEFAULT_STORE,
 ) -> None:
-    """All rows, a column a factor, a measure and a percentile of the answers' times."""
+    """Export all runs, with a column per factor, measure and latency percentile."""
     from .export import flat, write
 
-    made = known(what)
+    experiment = load_or_fail(name_or_path)
     try:
-        write(flat(opened(store).runs(made.digest, whole=True)), out)
+        write(flat(open_store(store).runs(experiment.digest, with_details=True)), path)
     except (OSError, ValueError) as error:
-        stop(f"{out}: {error}")
+        fail(f"{path}: {error}")
 
 
 app.command()(search)
@@ -314,21 +341,25 @@
 
 @app.command()
 def bench(
-    name: Annotated[str, typer.Argument(help="A program of benchmarks/, without .py.")],
-    arguments: Annotated[list[str] | None, typer.Argument(help="Its own, behind --.")] = None,
+    name: Annotated[str, typer.Argument(help="A file of benchmarks/, without .py.")],
+    arguments: Annotated[
+        list[str] | None, typer.Argument(help="Arguments of the benchmark, after --.")
+    ] = None,
     times: Annotated[int, typer.Option(min=1, max=1000)] = 1,
-    limit: Annotated[float, typer.Option("--limit-s", min=1.0, help="Of one run.")] = 1800.0,
-    store: StoreFile = HERE,
+    limit: Annotated[
+        float, typer.Option("--limit-s", min=1.0, help="Time limit of a run.")
+    ] = 1800.0,
+    store: StoreFile = DEFAULT_STORE,
     as_json: AsJson = False,
 ) -> None:
-    """Play a benchmark and keep its figures in the same store."""
-    from .bench import Failed, play
+    """Run a benchmark and keep its results in the store."""
+    from .bench import BenchmarkError, run_benchmark
 
-    kept = opened(store, must_be=False)
+    results = open_store(store, must_exist=False)
     try:
-        found = asyncio.run(play(name, arguments or [], times, kept, limit))
-    except (Failed, StoreError) as error:
-        stop(error, 1)
+        found = asyncio.run(run_benchmark(name, arguments or [], times, results, limit))
+    except (BenchmarkError, StoreError) as error:
+        fail(error, 1)
     if as_json:
         print(json.dumps(found))
         return
@@ -337,13 +368,13 @@
 
 
 @app.command()
-def watch(store: StoreFile = HERE) -> None:
-    """A terminal interface: experiments, points, runs, and a run's worst ten seconds."""
-    from .watch import Watch
+def watch(store: StoreFile = DEFAULT_STORE) -> None:
+    """Open a terminal interface: experiments, points, runs, a run's worst ten seconds."""
+    from .watch import WatchApp
 
     if not store.exists():
-        stop(f"{store}: no store; `limebridge experiment run` makes one")
+        fail(f"{store}: no store; `limebridge experiment run` makes one")
     try:
-        Watch(store).run()
+        WatchApp(store).run()
     except StoreError as error:
-        stop(error)
+        fail(error)
--- a/limebridge/experiments/export.py
+++ b/limebridge/experiments/export.py
@@ -1,4 +1,4 @@
-"""The rows of an experiment as CSV or Parquet: a column a factor, a measure, a percentile."""
+"""Exports the runs of an experiment as CSV or Parquet: a column per factor, measure, percentile."""
 
 from __future__ import annotations
 
@@ -15,36 +15,41 @@
 FIXED = ("experiment", "commit", "seed", "state", "why", "scenario", "machine", "seconds", "at")
 
 
-def percentiles(times: bytes, wanted: Sequence[float] = PERCENTILES) -> dict[str, float]:
-    """Of answers, in ms, from a row's histogram."""
+def percentiles(
+    times: bytes, percentiles_wanted: Sequence[float] = PERCENTILES
+) -> dict[str, float]:
+    """Percentiles of the latency in ms, from the histogram of a run."""
     from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-    found = HdrHistogram.decode(times)
-    return {f"p{share:g}_ms": found.get_value_at_percentile(share) / 1000.0 for share in wanted}
+    histogram = HdrHistogram.decode(times)
+    return {
+        f"p{percentile:g}_ms": histogram.get_value_at_percentile(percentile) / 1000.0
+        for percentile in percentiles_wanted
+    }
 
 
 def flat(rows: Iterable[Run]) -> list[dict[str, Any]]:
-    """All with the same columns, in the same order; what a row lacks is None."""
-    made, factors = [], dict[str, None]()
+    """The runs as dicts with the same columns in the same order; missing values are None."""
+    parsed, factors = [], dict[str, None]()
     for row in rows:
         point = json.loads(row.point)
         factors |= dict.fromkeys(point)
-        made.append((row, point))
-    names = [f"p{share:g}_ms" for share in PERCENTILES]
-    told = []
-    for row, point in made:
+        parsed.append((row, point))
+    names = [f"p{percentile:g}_ms" for percentile in PERCENTILES]
+    table = []
+    for row, point in parsed:
         times = percentiles(row.times) if row.times else {}
-        told.append(
+        table.append(
             {name: getattr(row, name) for name in FIXED}
             | {f"factor.{name}": point.get(name) for name in factors}
             | {name: row.measures.get(name) for name in MEASURES}
             | {f"answers.{name}": times.get(name) for name in names}
         )
-    return told
+    return table
 
 
 def write(rows: Sequence[dict[str, Any]], path: Path) -> None:
-    """By the file's ending: .csv or .parquet.  ValueError for another one, or no row."""
+    """Write rows to a .csv or .parquet file; ValueError for another suffix or without rows."""
     if not rows:
         raise ValueError("no rows")
     if path.suffix == ".csv":
@@ -55,13 +60,13 @@
     elif path.suffix == ".parquet":
         _parquet(rows, path)
     else:
-        raise ValueError("ends in .csv or .parquet")
+        raise ValueError("the file name must end in .csv or .parquet")
 
 
 def _parquet(rows: Sequence[dict[str, Any]], path: Path) -> None:
     import duckdb
 
-    def kind(name: str) -> str:
+    def column_type(name: str) -> str:
         values = [row[name] for row in rows if row[name] is not None]
         if values and all(isinstance(v, int) and not isinstance(v, bool) for v in values):
             return "BIGINT"
@@ -71,14 +76,17 @@
         return "DOUBLE" if numbers else "VARCHAR"
 
     names = list(rows[0])
-    kinds = {name: kind(name) for name in names}
+    column_types = {name: column_type(name) for name in names}
     with duckdb.connect() as db:
-        columns = ", ".join(f'"{name.replace(chr(34), "")}" {kinds[name]}' for name in names)
+        columns = ", ".join(f'"{name.replace(chr(34), "")}" {column_types[name]}' for name in names)
         db.execute(f"CREATE TABLE t ({columns})")
         db.executemany(
             f"INSERT INTO t VALUES ({', '.join('?' * len(names))})",
             [
-                [row[n] if kinds[n] != "VARCHAR" or row[n] is None else str(row[n]) for n in names]
+                [
+                    row[n] if column_types[n] != "VARCHAR" or row[n] is None else str(row[n])
+                    for n in names
+                ]
                 for row in rows
             ],
         )
--- a/limebridge/experiments/options.py
+++ b/limebridge/experiments/options.py
@@ -1,4 +1,4 @@
-"""Arguments, options and endings that the commands of `limebridge experiment` share."""
+"""Arguments, options and error handling shared by the commands of `limebridge experiment`."""
 
 from __future__ import annotations
 
@@ -10,25 +10,29 @@
 
 from .store import DEFAULT, Store, StoreError
 
-What = Annotated[str, typer.Argument(metavar="EXPERIMENT", help="A file, or one of `list`.")]
-StoreFile = Annotated[Path, typer.Option("--store", metavar="FILE", help="Where results last.")]
-AsJson = Annotated[bool, typer.Option("--json", help="JSON in place of a table.")]
-Measures = Annotated[list[str] | None, typer.Option("--measure", help="In place of the file's.")]
-HERE = Path(DEFAULT)
-NARROW: dict[str, Any] = {"box": box.SIMPLE_HEAD, "padding": (0, 1, 0, 0)}  # 80 columns
-
-
-def stop(text: object, status: int = 2) -> NoReturn:
-    """One line, and this exit status."""
-    typer.echo(f"limebridge: {' '.join(str(text).split())}", err=True)
+ExperimentArgument = Annotated[
+    str, typer.Argument(metavar="EXPERIMENT", help="A file, or a name from `list`.")
+]
+StoreFile = Annotated[Path, typer.Option("--store", metavar="FILE", help="File with the results.")]
+AsJson = Annotated[bool, typer.Option("--json", help="Print JSON instead of a table.")]
+Measures = Annotated[
+    list[str] | None, typer.Option("--measure", help="Instead of those in the file.")
+]
+DEFAULT_STORE = Path(DEFAULT)
+NARROW: dict[str, Any] = {"box": box.SIMPLE_HEAD, "padding": (0, 1, 0, 0)}  # to fit into 80 columns
+
+
+def fail(message: object, status: int = 2) -> NoReturn:
+    """Print the message as one line on standard error and exit with this status."""
+    typer.echo(f"limebridge: {' '.join(str(message).split())}", err=True)
     raise typer.Exit(status) from None
 
 
-def opened(path: Path, must_be: bool = True) -> Store:
-    """The store; a wrong path is one line."""
-    if must_be and not path.exists():
-        stop(f"{path}: no store; `limebridge experiment run` makes one")
+def open_store(path: Path, must_exist: bool = True) -> Store:
+    """Open the store; exit with a message of one line if it is missing or unusable."""
+    if must_exist and not path.exists():
+        fail(f"{path}: no store; `limebridge experiment run` makes one")
     try:
         return Store(path)
     except StoreError as error:
-        stop(error)
+        fail(error)
--- a/limebridge/experiments/parallel_search.py
+++ b/limebridge/experiments/parallel_search.py
@@ -1,4 +1,4 @@
-"""The search on all cores: plans to workers, what they cost back, the finds as scenario files."""
+"""Runs the search on all cores and writes the plans found as scenario files."""
 
 from __future__ import annotations
 
@@ -13,41 +13,52 @@
 from limebridge.rehearsal.scenario import Scenario
 
 from . import builds
-from .plan import HERE
+from .plan import THIS_CHECKOUT
 from .runner import Worker
-from .search import Archive, Found, Plan, batches, loss_of, novel, scenario_of, shrunk
+from .search import (
+    Archive,
+    Plan,
+    RatedPlan,
+    loss_of,
+    plan_batches,
+    scenario_of,
+    select_diverse,
+    shrink,
+)
 
 T = TypeVar("T")
-OTHERS = 3  # seeds by which a find is looked at again
+EXTRA_SEEDS = 3  # further seeds with which a find is run again
 
 
-class Hunt:
-    """One search; its workers are its own and end with it."""
+class ParallelSearch:
+    """A search with its own workers; call `stop` at the end."""
 
     def __init__(
         self,
         base: Scenario,
-        under: Path,
+        builds_folder: Path,
         jobs: int,
         limit_s: float = 300.0,
         memory_mb: float = 4000.0,
     ) -> None:
         self._base, self._limit = base, limit_s
-        folder = builds.folder(HERE, under)
+        folder = builds.build_folder(THIS_CHECKOUT, builds_folder)
         self._free = [Worker(folder, memory_mb) for _ in range(jobs)]
         self._all = list(self._free)
         self.runs = 0
-        self.broken: list[tuple[Plan, list[Any]]] = []  # plans that broke a rule
+        self.violating_plans: list[
+            tuple[Plan, list[Any]]
+        ] = []  # plans that violated a rule, with the violations
 
-    async def cost(self, plan: Plan, later: int = 0) -> float:
-        """Loss of a plan under the scenario's seed plus `later`; 0 if it can't be played."""
+    async def plan_loss(self, plan: Plan, seed_offset: int = 0) -> float:
+        """Loss of a plan with the scenario's seed plus `seed_offset`; 0 if it can't be run."""
         worker = self._free.pop()
         try:
             made = scenario_of(self._base, plan, self._base.name)
-            told = await worker.play(
+            result = await worker.run_job(
                 {
                     "scenario": msgspec.to_builtins(made),
-                    "seed": made.run.seed + later,
+                    "seed": made.run.seed + seed_offset,
                     "constants": {},
                 },
                 self._limit,
@@ -55,75 +66,81 @@
         finally:
             self._free.append(worker)
         self.runs += 1
-        if told["state"] != "done":
+        if result["state"] != "done":
             return 0.0
-        measures = told["measures"]
+        measures = result["measures"]
         if measures["broken"]:
-            self.broken.append((plan, told["detail"]["broken"]))
+            self.violating_plans.append((plan, result["detail"]["broken"]))
         return loss_of(measures["whole"], measures["service"])
 
-    async def go(
+    async def run(
         self,
         budget: int,
         seed: int,
         guided: bool = True,
-        told: Callable[[Archive], None] | None = None,
+        on_batch: Callable[[Archive], None] | None = None,
     ) -> Archive:
-        """Play `budget` plans; `told` gets the archive after each batch."""
+        """Run `budget` plans; `on_batch` receives the archive after each batch."""
         archive = Archive()
-        for plans in batches(self._base, archive, budget, len(self._all), seed, guided):
-            costs = await _all_of(map(self.cost, plans))
-            for plan, cost in zip(plans, costs, strict=True):
-                archive.add(Found(plan, cost))
-            if told is not None:
-                told(archive)
+        for plans in plan_batches(self._base, archive, budget, len(self._all), seed, guided):
+            losses = await _run_all(map(self.plan_loss, plans))
+            for plan, loss in zip(plans, losses, strict=True):
+                archive.add(RatedPlan(plan, loss))
+            if on_batch is not None:
+                on_batch(archive)
         return archive
 
-    async def finds(self, archive: Archive, count: int) -> list[Found]:
-        """Shrink the costliest plans, return `count` at most, with their loss under more seeds."""
-        room = asyncio.Semaphore(len(self._all))
+    async def best_plans(self, archive: Archive, count: int) -> list[RatedPlan]:
+        """Shrink the plans with the largest losses; return up to `count`, rated with more seeds."""
+        semaphore = asyncio.Semaphore(len(self._all))
 
-        async def one(found: Found) -> Found:
-            async with room:
-                steps = shrunk(found)
+        async def shrink_one(rated: RatedPlan) -> RatedPlan:
+            async with semaphore:
+                steps = shrink(rated)
                 try:
                     plan = next(steps)
                     while True:
-                        plan = steps.send(await self.cost(plan))
+                        plan = steps.send(await self.plan_loss(plan))
                 except StopIteration as end:
-                    least: Found = end.value
-                    return least
-
-        made = await _all_of(map(one, novel(archive.ranked(), 2 * count)))
-        kept = novel(sorted(made, key=lambda f: (-f.loss, f.kind)), count)
-        for found in kept:  # a plan may owe its loss to one seed's luck alone
-            costs = [await self.cost(found.plan, later) for later in range(1, OTHERS + 1)]
-            found.others = sum(costs) / OTHERS
+                    smallest: RatedPlan = end.value
+                    return smallest
+
+        shrunk = await _run_all(map(shrink_one, select_diverse(archive.ranked(), 2 * count)))
+        kept = select_diverse(sorted(shrunk, key=lambda f: (-f.loss, f.kind)), count)
+        for rated in kept:  # the loss may be due to chance in a single seed
+            losses = [
+                await self.plan_loss(rated.plan, seed_offset)
+                for seed_offset in range(1, EXTRA_SEEDS + 1)
+            ]
+            rated.other_seeds_loss = sum(losses) / EXTRA_SEEDS
         return kept
 
-    async def end(self) -> None:
-        """Stop every worker."""
+    async def stop(self) -> None:
+        """Stop all workers."""
         for worker in self._all:
-            await worker.end()
+            await worker.stop()
 
 
-async def _all_of(what: Iterable[Coroutine[Any, Any, T]]) -> list[T]:
-    """Side by side; once this ends, called off or not, all have ended (of gather some may not)."""
+async def _run_all(coroutines: Iterable[Coroutine[Any, Any, T]]) -> list[T]:
+    """Run coroutines concurrently; on return or cancellation all have ended.
+
+    After a cancelled `asyncio.gather` some may still run.
+    """
     async with asyncio.TaskGroup() as group:
-        tasks = [group.create_task(each) for each in what]
+        tasks = [group.create_task(rated) for rated in coroutines]
     return [task.result() for task in tasks]
 
 
-def written(base: Scenario, found: list[Found], folder: Path) -> list[Path]:
-    """Write each find as a scenario file of `limebridge rehearse`; return the paths."""
+def write_scenarios(base: Scenario, found: list[RatedPlan], folder: Path) -> list[Path]:
+    """Write each plan as a scenario file for `limebridge rehearse`; return the paths."""
     folder.mkdir(parents=True, exist_ok=True)
     paths = []
-    for number, each in enumerate(found, 1):
-        path = folder / f"worst-{number}-{each.kind}.toml"
-        made = scenario_of(base, each.plan, "")
+    for number, rated in enumerate(found, 1):
+        path = folder / f"worst-{number}-{rated.kind}.toml"
+        made = scenario_of(base, rated.plan, "")
         about = (
-            f"found by search on {base.name}: loses {each.loss:.3f} of the attainable, "
-            f"{each.others:.3f} under {OTHERS} other seeds"
+            f"found by search on {base.name}: loses {rated.loss:.3f} of the attainable, "
+            f"{rated.other_seeds_loss:.3f} under {EXTRA_SEEDS} other seeds"
         )
         raw = msgspec.to_builtins(
             msgspec.structs.replace(made, run=msgspec.structs.replace(made.run, about=about))
--- a/limebridge/experiments/search.py
+++ b/limebridge/experiments/search.py
@@ -1,12 +1,13 @@
-"""The worst morning: a search over plans of troubles for what costs a build most.
+"""Searches for the plans of events that cause the largest losses for a build.
 
-A plan is a few events on top of a scenario.  Its loss is what was attainable and not had, so that a
-plan which takes all nodes away is no find.  Pure: what plans cost
-is told by whoever plays them.
+A plan is a few events added to a scenario.  Its loss is the share of the attainable worth that the
+run did not earn, so a plan that stops all nodes does not count as a find.  Pure: the caller runs
+the plans and passes the losses back.
 
-Quality with diversity, as in MAP-Elites: an archive keeps the costliest plan of each kind of
-trouble (the set of its events' kinds); parents are drawn from it, the costlier the likelier, then
-mutated or crossed.  What is kept is shrunk: the shortest plan that still costs nearly as much.
+The search combines quality with diversity, as MAP-Elites does: an archive keeps the plan with the
+largest loss for each set of event kinds.  Parents are drawn from it, those with larger losses more
+often, and are mutated or crossed.  The final plans are shrunk: the shortest plan that keeps nearly
+the whole loss.
 """
 
 from __future__ import annotations
@@ -20,15 +21,15 @@
 
 from limebridge.rehearsal.scenario import Event, Scenario
 
-MOST = 3  # events of a plan
-WARM = 3.0  # s before the first event
-LEFT = 6.0  # s behind the last one
-FIRST = 0.25  # of the budget is drawn at random, so that mutation has something to begin with
-FRESH = 0.15  # of the rest
-CROSS = 0.25
-KEEPS = 0.85  # of its loss, in a plan that was shrunk
-KINDS: dict[str, tuple[float, float, float, float, float, float]] = {
-    # share from, to; amount from, to; lasts from, to.  Within what the user has recorded or fears
+MAX_EVENTS = 3  # of a plan
+FIRST_EVENT_S = 3.0  # no event starts earlier
+TAIL_S = 6.0  # between the end of the last event and the end of the run
+RANDOM_SHARE = 0.25  # of the budget goes to random plans, as a start for mutation
+FRESH_SHARE = 0.15  # of the later plans are random, too
+CROSSOVER_SHARE = 0.25  # of the other plans have two parents
+KEPT_LOSS_SHARE = 0.85  # share of the loss that a shrunk plan has to keep
+EVENT_RANGES: dict[str, tuple[float, float, float, float, float, float]] = {
+    # Ranges of share, amount and duration: what the user has recorded or considers possible.
     "slow": (0.05, 0.5, 2.0, 10.0, 2.0, 15.0),
     "stalls": (0.05, 0.5, 1.0, 1.0, 0.1, 10.0),
     "dies": (0.1, 0.3, 1.0, 1.0, 2.0, 15.0),
@@ -47,44 +48,46 @@
 
 
 @dataclass
-class Found:
-    """A plan with what it costs."""
+class RatedPlan:
+    """A plan and its loss."""
 
     plan: Plan
     loss: float
-    others: float = 0.0  # what it costs in the mean of seeds that the search has not seen
+    other_seeds_loss: float = 0.0  # mean loss with seeds that the search did not use
 
     @property
     def kind(self) -> str:
+        """The kinds of its events, sorted and joined by +."""
         return "+".join(sorted({event.kind for event in self.plan}))
 
 
 @dataclass
 class Archive:
-    """The costliest of each kind, and the way there."""
+    """The plan with the largest loss of each kind, and the history of the search."""
 
-    best: dict[str, Found] = field(default_factory=dict)
-    worst_so_far: list[float] = field(default_factory=list)  # by run
+    best: dict[str, RatedPlan] = field(default_factory=dict)
+    worst_so_far: list[float] = field(default_factory=list)  # largest loss after each run
     tried: dict[Plan, float] = field(default_factory=dict)
 
-    def add(self, found: Found) -> None:
-        self.tried[found.plan] = found.loss
-        self.worst_so_far.append(max([found.loss, *self.worst_so_far[-1:]]))
-        held = self.best.get(found.kind)
-        if held is None or found.loss > held.loss:
-            self.best[found.kind] = found
+    def add(self, rated: RatedPlan) -> None:
+        """Record a plan that was run; keep it if it has the largest loss of its kind."""
+        self.tried[rated.plan] = rated.loss
+        self.worst_so_far.append(max([rated.loss, *self.worst_so_far[-1:]]))
+        current = self.best.get(rated.kind)
+        if current is None or rated.loss > current.loss:
+            self.best[rated.kind] = rated
 
-    def ranked(self) -> list[Found]:
-        """The costliest first."""
+    def ranked(self) -> list[RatedPlan]:
+        """The best plan of each kind, the largest loss first."""
         return sorted(self.best.values(), key=lambda f: (-f.loss, f.kind))
 
 
-def event(rng: Random, scenario: Scenario) -> Event:
-    """One drawn anew."""
+def random_event(rng: Random, scenario: Scenario) -> Event:
+    """A random event within EVENT_RANGES; `site_lost` only if there are several sites."""
     sites = [site.name for site in scenario.site]
-    kinds = [kind for kind in KINDS if kind != "site_lost" or len(sites) > 1]
+    kinds = [kind for kind in EVENT_RANGES if kind != "site_lost" or len(sites) > 1]
     kind = rng.choice(kinds)
-    share, share_to, amount, amount_to, lasts, lasts_to = KINDS[kind]
+    share, share_to, amount, amount_to, lasts, lasts_to = EVENT_RANGES[kind]
     length = rng.uniform(lasts, min(lasts_to, scenario.run.seconds / 2))
     return Event(
         at=_at(rng.uniform(0.0, 1.0), scenario, length),
@@ -97,123 +100,125 @@
 
 
 def _at(part: float, scenario: Scenario, lasts: float) -> float:
-    last = max(WARM, scenario.run.seconds - LEFT - lasts)
-    return round(WARM + part * (last - WARM), 2)
+    last = max(FIRST_EVENT_S, scenario.run.seconds - TAIL_S - lasts)
+    return round(FIRST_EVENT_S + part * (last - FIRST_EVENT_S), 2)
 
 
 def _ordered(events: Sequence[Event]) -> Plan:
-    return tuple(sorted(events, key=lambda e: (e.at, e.kind))[:MOST])
+    return tuple(sorted(events, key=lambda e: (e.at, e.kind))[:MAX_EVENTS])
 
 
-def draw(rng: Random, scenario: Scenario) -> Plan:
-    """One to MOST events, at random."""
-    return _ordered([event(rng, scenario) for _ in range(rng.randint(1, MOST))])
+def random_plan(rng: Random, scenario: Scenario) -> Plan:
+    """A plan of 1 to MAX_EVENTS random events."""
+    return _ordered([random_event(rng, scenario) for _ in range(rng.randint(1, MAX_EVENTS))])
 
 
 def mutate(rng: Random, plan: Plan, scenario: Scenario) -> Plan:
-    """One thing changed: an event more, less or another, or a figure of one."""
+    """Change one thing: add, remove or replace an event, or perturb the values of one."""
     events = list(plan)
-    place = rng.randrange(len(events))
-    what = rng.random()
-    if what < 0.2 and len(events) < MOST:
-        events.append(event(rng, scenario))
-    elif what < 0.3 and len(events) > 1:
-        del events[place]
-    elif what < 0.4:
-        events[place] = event(rng, scenario)
+    index = rng.randrange(len(events))
+    choice = rng.random()
+    if choice < 0.2 and len(events) < MAX_EVENTS:
+        events.append(random_event(rng, scenario))
+    elif choice < 0.3 and len(events) > 1:
+        del events[index]
+    elif choice < 0.4:
+        events[index] = random_event(rng, scenario)
     else:
-        events[place] = _nudged(rng, events[place], scenario)
+        events[index] = _perturb(rng, events[index], scenario)
     return _ordered(events)
 
 
-def _nudged(rng: Random, old: Event, scenario: Scenario) -> Event:
-    share, share_to, amount, amount_to, lasts, lasts_to = KINDS[old.kind]
+def _perturb(rng: Random, old: Event, scenario: Scenario) -> Event:
+    share, share_to, amount, amount_to, lasts, lasts_to = EVENT_RANGES[old.kind]
 
-    def near(value: float, low: float, high: float) -> float:
+    def perturbed(value: float, low: float, high: float) -> float:
         return min(high, max(low, value + rng.gauss(0.0, 0.25) * (high - low)))
 
-    length = near(old.lasts, lasts, min(lasts_to, scenario.run.seconds / 2))
-    last = max(WARM, scenario.run.seconds - LEFT - length)
+    length = perturbed(old.lasts, lasts, min(lasts_to, scenario.run.seconds / 2))
+    last = max(FIRST_EVENT_S, scenario.run.seconds - TAIL_S - length)
     return msgspec.structs.replace(
         old,
         lasts=round(length, 2),
-        share=round(near(old.share, share, share_to), 3),
-        amount=round(near(old.amount, amount, amount_to), 2),
-        at=round(near(old.at, WARM, last), 2),
+        share=round(perturbed(old.share, share, share_to), 3),
+        amount=round(perturbed(old.amount, amount, amount_to), 2),
+        at=round(perturbed(old.at, FIRST_EVENT_S, last), 2),
     )
 
 
-def cross(rng: Random, one: Plan, two: Plan) -> Plan:
-    """Some events of each."""
+def crossover(rng: Random, one: Plan, two: Plan) -> Plan:
+    """A random half of the events of both plans, at least one."""
     events = [e for e in (*one, *two) if rng.random() < 0.5] or [rng.choice((*one, *two))]
     return _ordered(events)
 
 
-def ask(archive: Archive, rng: Random, scenario: Scenario, first: bool) -> Plan:
-    """The next plan to try; one that was tried is drawn anew."""
+def next_plan(archive: Archive, rng: Random, scenario: Scenario, first: bool) -> Plan:
+    """The next plan to try; plans tried before are avoided.  `first`: only random plans."""
     for _ in range(20):
-        plan = _asked(archive, rng, scenario, first)
+        plan = _propose(archive, rng, scenario, first)
         if plan not in archive.tried:
             return plan
-    return draw(rng, scenario)
+    return random_plan(rng, scenario)
 
 
-def _asked(archive: Archive, rng: Random, scenario: Scenario, first: bool) -> Plan:
+def _propose(archive: Archive, rng: Random, scenario: Scenario, first: bool) -> Plan:
     ranked = archive.ranked()
-    if first or not ranked or rng.random() < FRESH:
-        return draw(rng, scenario)
+    if first or not ranked or rng.random() < FRESH_SHARE:
+        return random_plan(rng, scenario)
 
-    def parent() -> Plan:  # by rank: half of the choices fall on the first fifth or so
+    def parent() -> Plan:  # by rank: more than half of the choices fall on the first fifth
         return ranked[int(len(ranked) * rng.random() ** 3)].plan
 
-    if rng.random() < CROSS:
-        return cross(rng, parent(), parent())
+    if rng.random() < CROSSOVER_SHARE:
+        return crossover(rng, parent(), parent())
     return mutate(rng, parent(), scenario)
 
 
-def batches(
+def plan_batches(
     scenario: Scenario, archive: Archive, budget: int, size: int, seed: int, guided: bool = True
 ) -> Iterator[list[Plan]]:
-    """Plans to try, `size` at a time (so many go side by side); the caller adds what they cost."""
+    """Yield plans in batches of `size`, to be run in parallel; the caller adds their losses."""
     rng = Random(f"search/{seed}")
-    asked = 0
-    while asked < budget:
-        count = min(size, budget - asked)
-        first = not guided or asked < FIRST * budget
-        yield [ask(archive, rng, scenario, first) for _ in range(count)]
-        asked += count
+    count_done = 0
+    while count_done < budget:
+        count = min(size, budget - count_done)
+        first = not guided or count_done < RANDOM_SHARE * budget
+        yield [next_plan(archive, rng, scenario, first) for _ in range(count)]
+        count_done += count
 
 
-def shrunk(found: Found, most: int = 30) -> Generator[Plan, float, Found]:
-    """The shortest and mildest plan that still costs KEEPS of it: yields plans, is sent what each
-    costs, and returns what is left; at most `most` plans are asked about."""
-    best, least, tries = found, KEEPS * found.loss, 0
+def shrink(rated: RatedPlan, max_tries: int = 30) -> Generator[Plan, float, RatedPlan]:
+    """Find a shorter and milder plan that keeps KEPT_LOSS_SHARE of the loss.
 
-    def holds(plan: Plan) -> Generator[Plan, float, bool]:
+    Yields plans, receives the loss of each, and returns the result after at most `max_tries` plans.
+    """
+    best, min_loss, tries = rated, KEPT_LOSS_SHARE * rated.loss, 0
+
+    def still_costly(plan: Plan) -> Generator[Plan, float, bool]:
         nonlocal best, tries
-        if tries >= most or not plan:
+        if tries >= max_tries or not plan:
             return False
         tries += 1
         cost = yield plan
-        if cost >= least:
-            best = Found(plan, cost)
-        return cost >= least
-
-    place = 0
-    while place < len(best.plan):  # events that it does not need
-        if not (yield from holds(best.plan[:place] + best.plan[place + 1 :])):
-            place += 1
-    for place in range(len(best.plan)):
+        if cost >= min_loss:
+            best = RatedPlan(plan, cost)
+        return cost >= min_loss
+
+    index = 0
+    while index < len(best.plan):  # drop events that are not needed
+        if not (yield from still_costly(best.plan[:index] + best.plan[index + 1 :])):
+            index += 1
+    for index in range(len(best.plan)):
         for name in ("lasts", "share"):
             for _ in range(3):
-                old = best.plan[place]
+                old = best.plan[index]
                 value = round(getattr(old, name) * 0.6, 3)
-                if value < KINDS[old.kind][4 if name == "lasts" else 0] or not (
-                    yield from holds(
+                if value < EVENT_RANGES[old.kind][4 if name == "lasts" else 0] or not (
+                    yield from still_costly(
                         (
-                            *best.plan[:place],
+                            *best.plan[:index],
                             msgspec.structs.replace(old, **{name: value}),
-                            *best.plan[place + 1 :],
+                            *best.plan[index + 1 :],
                         )
                     )
                 ):
@@ -221,18 +226,21 @@
     return best
 
 
-def novel(found: Sequence[Found], count: int) -> list[Found]:
-    """The costliest ones that are not much like one kept already: no kinds that include its."""
-    kept: list[Found] = []
-    for each in found:
-        kinds = set(each.kind.split("+"))
-        if not any(set(k.kind.split("+")) <= kinds and k.loss >= 0.9 * each.loss for k in kept):
-            kept.append(each)
+def select_diverse(rated_plans: Sequence[RatedPlan], count: int) -> list[RatedPlan]:
+    """The first `count` plans that are not similar to an earlier one.
+
+    A plan is similar if its kinds include all kinds of a kept plan with at least 0.9 of its loss.
+    """
+    kept: list[RatedPlan] = []
+    for rated in rated_plans:
+        kinds = set(rated.kind.split("+"))
+        if not any(set(k.kind.split("+")) <= kinds and k.loss >= 0.9 * rated.loss for k in kept):
+            kept.append(rated)
     return kept[:count]
 
 
 def scenario_of(base: Scenario, plan: Plan, name: str) -> Scenario:
-    """What `limebridge rehearse` plays; its bars are taken off, since they are another plan's."""
+    """The scenario with the events of a plan, and without requirements: they fit other events."""
     replace = msgspec.structs.replace
     return replace(
         base,
@@ -244,6 +252,9 @@
 
 
 def loss_of(whole: float | None, service: float) -> float:
-    """Of a run: what was attainable and was not had."""
+    """The loss of a run: the share of the attainable worth that was not earned.
+
+    Without that share (`whole` is None), the service is used instead.
+    """
     value = service if whole is None else whole
     return 0.0 if math.isnan(value) else max(0.0, 1.0 - value)
--- a/limebridge/experiments/search_command.py
+++ b/limebridge/experiments/search_command.py
@@ -1,4 +1,4 @@
-"""`limebridge experiment search`: looks for the troubles that cost most."""
+"""`limebridge experiment search`: looks for the events that cause the largest losses."""
 
 from __future__ import annotations
 
@@ -18,29 +18,31 @@
 from limebridge.rehearsal.vary import named_scenario
 from violetroute.config import ConfigError
 
-from .builds import NoBuild
-from .options import NARROW, AsJson, stop
-from .parallel_search import Hunt, written
+from .builds import BuildError
+from .options import NARROW, AsJson, fail
+from .parallel_search import ParallelSearch, write_scenarios
 from .search import Archive
 
 
 def search(
-    scenario: Annotated[str, typer.Argument(help="A scenario of `rehearse`, to put troubles on.")],
-    runs: Annotated[int, typer.Option(min=4, max=100_000, help="The budget.")] = 200,
-    seed: Annotated[int, typer.Option(min=0, help="Of the search.")] = 1,
-    finds: Annotated[int, typer.Option(min=1, max=100, help="Plans to end with.")] = 10,
+    scenario: Annotated[str, typer.Argument(help="A scenario of `rehearse`, to add events to.")],
+    runs: Annotated[int, typer.Option(min=4, max=100_000, help="Number of plans to try.")] = 200,
+    seed: Annotated[int, typer.Option(min=0, help="Seed of the search.")] = 1,
+    finds: Annotated[int, typer.Option(min=1, max=100, help="Number of plans to keep.")] = 10,
     folder: Annotated[Path, typer.Option("--out", metavar="DIR")] = Path("found"),
-    random: Annotated[bool, typer.Option("--random", help="Drawn at random, to compare.")] = False,
-    jobs: Annotated[int, typer.Option(min=0, help="Processes; 0 is one a core.")] = 0,
+    random: Annotated[
+        bool, typer.Option("--random", help="Random plans only, to compare.")
+    ] = False,
+    jobs: Annotated[int, typer.Option(min=0, help="Processes; 0: one per core.")] = 0,
     as_json: AsJson = False,
 ) -> None:
-    """Look for the troubles that cost this checkout most, and write them as scenarios.
+    """Search for the events that cause the largest losses for this checkout; write scenarios.
 
-    Exit status 1 when a plan broke a rule.
+    Exit status 1 if a plan violated a rule.
     """
     try:
         base = named_scenario(scenario)
-        told = asyncio.run(
+        output = asyncio.run(
             _search(
                 base,
                 runs,
@@ -52,20 +54,18 @@
                 as_json,
             )
         )
-    except (ConfigError, NoBuild, OSError) as error:
-        stop(error)
+    except (ConfigError, BuildError, OSError) as error:
+        fail(error)
     if as_json:
-        print(json.dumps(told))
+        print(json.dumps(output))
     else:
         table = Table("lost", "other seeds", "kinds", "scenario", **NARROW)
-        for each in told["finds"]:
-            table.add_row(
-                f"{each['loss']:.3f}", f"{each['others']:.3f}", each["kind"], each["file"]
-            )
+        for row in output["finds"]:
+            table.add_row(f"{row['loss']:.3f}", f"{row['others']:.3f}", row["kind"], row["file"])
         Console().print(table)
-        for plan in told["broken"]:
-            print(f"a rule broke: {plan}")
-    raise typer.Exit(1 if told["broken"] else 0)
+        for plan in output["broken"]:
+            print(f"rule violated: {plan}")
+    raise typer.Exit(1 if output["broken"] else 0)
 
 
 async def _search(
@@ -78,13 +78,13 @@
     jobs: int,
     quiet: bool,
 ) -> dict[str, Any]:
-    hunt = Hunt(base, Path(".builds"), jobs)
+    search_run = ParallelSearch(base, Path(".builds"), jobs)
     columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn())
     try:
         with Progress(*columns, console=Console(stderr=True), disable=quiet) as shown:
             bar = shown.add_task("searching", total=runs)
 
-            def told(archive: Archive) -> None:
+            def show_progress(archive: Archive) -> None:
                 shown.update(
                     bar,
                     completed=len(archive.tried),
@@ -93,28 +93,28 @@
                     ),
                 )
 
-            archive = await hunt.go(runs, seed, guided, told)
+            archive = await search_run.run(runs, seed, guided, show_progress)
             shown.update(bar, description="shrinking")
-            found = await hunt.finds(archive, finds)
+            found = await search_run.best_plans(archive, finds)
     finally:
-        await hunt.end()
-    paths = written(base, found, folder)
+        await search_run.stop()
+    paths = write_scenarios(base, found, folder)
     return {
         "scenario": base.name,
         "guided": guided,
         "seed": seed,
-        "runs": hunt.runs,
+        "runs": search_run.runs,
         "worst": archive.worst_so_far[-1],
         "kinds": len(archive.best),
         "finds": [
             {
-                "loss": f.loss,
-                "others": f.others,
-                "kind": f.kind,
+                "loss": rated.loss,
+                "others": rated.other_seeds_loss,
+                "kind": rated.kind,
                 "file": str(path),
-                "plan": msgspec.to_builtins(f.plan),
+                "plan": msgspec.to_builtins(rated.plan),
             }
-            for f, path in zip(found, paths, strict=True)
+            for rated, path in zip(found, paths, strict=True)
         ],
-        "broken": [msgspec.to_builtins(plan) for plan, _ in hunt.broken],
+        "broken": [msgspec.to_builtins(plan) for plan, _ in search_run.violating_plans],
     }
--- a/limebridge/experiments/statistics.py
+++ b/limebridge/experiments/statistics.py
@@ -1,8 +1,8 @@
-"""What may be said of two groups of runs.  Pure; randomness from the seed that is given.
+"""Statistical comparison of two groups of runs.  Pure; random numbers come from a given seed.
 
-Pairs (same seed, so the same load and troubles) and a studentized bootstrap of their mean
-difference: with the few seeds that there are, percentiles of resampled means are too narrow
-(measured in benchmarks/experiments.py).  Where the interval holds 0 the answer is "cannot tell".
+Runs are compared in pairs of equal seeds, which have the same load and events, by a studentized
+bootstrap of the mean difference.  With few seeds the percentiles of resampled means are too narrow
+(measured in benchmarks/experiments.py).  If the interval contains 0, the verdict is "cannot tell".
 """
 
 from __future__ import annotations
@@ -14,11 +14,13 @@
 import numpy as np
 from numpy.typing import NDArray
 
-ALPHA = 0.05  # of the statements made, so many may be wrong
+ALPHA = 0.05  # share of the statements that may be wrong
 RESAMPLES = 2_000
-LEAST = 4  # pairs; with fewer nothing is said
-POWER = 0.84  # deviations: four of five real differences of this size are to be found
-ENOUGH = 100_000  # seeds beyond which nobody will ever tell
+MIN_PAIRS = 4  # with fewer pairs there is no verdict
+POWER_QUANTILE = (
+    0.84  # of the normal distribution, for a power of 0.8: 4 of 5 differences are found
+)
+MAX_SEEDS_NEEDED = 100_000  # if more are needed, more seeds are no practical help
 CANNOT, BETTER, WORSE, SAME = "cannot tell", "better", "worse", "no difference at all"
 
 Floats = NDArray[np.float64]
@@ -26,7 +28,10 @@
 
 @dataclass(frozen=True)
 class Difference:
-    """Of the second group from the first, in the measure's own unit."""
+    """The mean difference of the second group from the first, in the unit of the measure.
+
+    `low` and `high` bound its interval, `p` is the probability of such a difference by chance.
+    """
 
     mean: float
     low: float
@@ -34,93 +39,105 @@
     pairs: int
     p: float
     verdict: str
-    more: int | None  # seeds that would likely tell them apart; None: none would, or it is told
+    more_seeds: int | None  # likely needed for a verdict; None: there is one, or no number helps
 
 
-def paired(
+def paired_difference(
     before: Mapping[int, float],
     after: Mapping[int, float],
     more_is_better: bool = True,
     alpha: float = ALPHA,
     seed: int = 1,
 ) -> Difference:
-    """By the seeds that both have."""
-    both = sorted(set(before) & set(after))
-    found = np.array([after[s] - before[s] for s in both], dtype=np.float64)
-    if not len(found):
-        return Difference(0.0, -math.inf, math.inf, 0, 1.0, CANNOT, LEAST)
-    mean = float(found.mean())
-    if len(found) < LEAST:
-        return Difference(mean, -math.inf, math.inf, len(found), 1.0, CANNOT, LEAST - len(found))
-    if float(np.ptp(found)) == 0.0:
-        told = SAME if mean == 0.0 else _word(mean, more_is_better)
-        return Difference(mean, mean, mean, len(found), 1.0 if mean == 0.0 else 0.0, told, None)
-    low, high, p = studentized(found, alpha, seed)
-    verdict = CANNOT if low <= 0.0 <= high else _word(mean, more_is_better)
-    more = None if verdict != CANNOT else seeds_needed(found, alpha)
-    return Difference(mean, low, high, len(found), p, verdict, more)
-
-
-def _word(mean: float, more_is_better: bool) -> str:
+    """Compare two groups, given as values by seed, over the seeds that both have."""
+    seeds = sorted(set(before) & set(after))
+    differences = np.array([after[s] - before[s] for s in seeds], dtype=np.float64)
+    if not len(differences):
+        return Difference(0.0, -math.inf, math.inf, 0, 1.0, CANNOT, MIN_PAIRS)
+    mean = float(differences.mean())
+    if len(differences) < MIN_PAIRS:
+        return Difference(
+            mean, -math.inf, math.inf, len(differences), 1.0, CANNOT, MIN_PAIRS - len(differences)
+        )
+    if float(np.ptp(differences)) == 0.0:
+        exact_verdict = SAME if mean == 0.0 else _verdict(mean, more_is_better)
+        return Difference(
+            mean, mean, mean, len(differences), 1.0 if mean == 0.0 else 0.0, exact_verdict, None
+        )
+    low, high, p = studentized(differences, alpha, seed)
+    verdict = CANNOT if low <= 0.0 <= high else _verdict(mean, more_is_better)
+    more_seeds = None if verdict != CANNOT else seeds_needed(differences, alpha)
+    return Difference(mean, low, high, len(differences), p, verdict, more_seeds)
+
+
+def _verdict(mean: float, more_is_better: bool) -> str:
     return BETTER if (mean > 0.0) is more_is_better else WORSE
 
 
-def studentized(found: Floats, alpha: float, seed: int) -> tuple[float, float, float]:
-    """The mean's interval and the probability of one this far from 0 by chance.
+def studentized(differences: Floats, alpha: float, seed: int) -> tuple[float, float, float]:
+    """The interval of the mean (low, high) and the probability of a mean this far from 0.
 
-    Bootstrap-t: resampled means in units of their own error.  A resample of one value again and
-    again has no error and says nothing; it counts as far out, which is on the safe side.
+    Bootstrap-t: resampled means in units of their own standard error.  A resample that repeats one
+    value has no error; it counts as far from the mean, which makes the test more cautious.
     """
     rng = np.random.default_rng(seed)
-    n = len(found)
-    drawn = found[rng.integers(0, n, (RESAMPLES, n))]
-    mean, error = found.mean(), found.std(ddof=1) / math.sqrt(n)
-    errors = drawn.std(axis=1, ddof=1) / math.sqrt(n)
-    # Resamples of few distinct values have errors near 0: a floor keeps them from ruling all.
-    t = (drawn.mean(axis=1) - mean) / np.maximum(errors, 1e-3 * error)
-    far = float(np.quantile(np.abs(t), 1.0 - alpha))
+    n = len(differences)
+    resampled = differences[rng.integers(0, n, (RESAMPLES, n))]
+    mean, error = differences.mean(), differences.std(ddof=1) / math.sqrt(n)
+    errors = resampled.std(axis=1, ddof=1) / math.sqrt(n)
+    # Resamples of few distinct values have errors near 0; the floor limits their influence.
+    t = (resampled.mean(axis=1) - mean) / np.maximum(errors, 1e-3 * error)
+    quantile = float(np.quantile(np.abs(t), 1.0 - alpha))
     p = (1.0 + float(np.sum(np.abs(t) >= abs(mean / error)))) / (RESAMPLES + 1.0)
-    return float(mean - far * error), float(mean + far * error), p
+    return float(mean - quantile * error), float(mean + quantile * error), p
 
 
-def seeds_needed(found: Floats, alpha: float = ALPHA) -> int | None:
-    """How many more would tell a difference of the size seen, four times of five."""
+def seeds_needed(differences: Floats, alpha: float = ALPHA) -> int | None:
+    """How many more pairs would show a difference of this size with a probability of 0.8.
+
+    None if the mean is 0 or more than MAX_SEEDS_NEEDED pairs would be needed.
+    """
     from statistics import NormalDist
 
-    mean, deviation = abs(float(found.mean())), float(found.std(ddof=1))
+    mean, deviation = abs(float(differences.mean())), float(differences.std(ddof=1))
     if mean == 0.0:
         return None
-    z = NormalDist().inv_cdf(1.0 - alpha / 2.0) + POWER
-    need = math.ceil((z * deviation / mean) ** 2) + 2  # 2: the deviation is an estimate as well
-    return max(1, need - len(found)) if need < ENOUGH else None
+    z = NormalDist().inv_cdf(1.0 - alpha / 2.0) + POWER_QUANTILE
+    needed = math.ceil((z * deviation / mean) ** 2) + 2  # 2 more, as the deviation is estimated
+    return max(1, needed - len(differences)) if needed < MAX_SEEDS_NEEDED else None
 
 
 def holm(ps: Sequence[float], alpha: float = ALPHA) -> list[bool]:
-    """Which of many comparisons hold together (Holm 1979): at most `alpha` to be wrong in any."""
-    told = [False] * len(ps)
-    for rank, place in enumerate(sorted(range(len(ps)), key=lambda n: ps[n])):
-        if ps[place] > alpha / (len(ps) - rank):
+    """Which comparisons are significant together (Holm 1979); one or more is wrong with `alpha`."""
+    significant = [False] * len(ps)
+    for rank, index in enumerate(sorted(range(len(ps)), key=lambda n: ps[n])):
+        if ps[index] > alpha / (len(ps) - rank):
             break
-        told[place] = True
-    return told
+        significant[index] = True
+    return significant
 
 
-def spent(look: int, alpha: float = ALPHA) -> float:
-    """What the look number `look` (from 1) may use of alpha: who looks again and again after some
-    more seeds, and stops at the first difference, is wrong no oftener than by alpha in all."""
+def alpha_at_look(look: int, alpha: float = ALPHA) -> float:
+    """The part of alpha that interim analysis number `look` (from 1) may use.
+
+    If the results are tested repeatedly as seeds are added, and testing stops at the first
+    difference, the probability of a wrong statement is at most alpha in total.
+    """
     return alpha * 0.5**look
 
 
-def warm_up(values: Sequence[float], batch: int = 5) -> int:
-    """How many of a run's first values to leave out (MSER, White 1997): the cut after which the
-    mean of the rest is known best; never more than half."""
+def warm_up_length(values: Sequence[float], batch: int = 5) -> int:
+    """How many of a run's first values to leave out (MSER, White 1997); never more than half.
+
+    The cut is where the mean of the remaining values has the smallest standard error.
+    """
     means = [sum(values[n : n + batch]) / batch for n in range(0, len(values) - batch + 1, batch)]
-    best, cut = math.inf, 0
+    best, best_cut = math.inf, 0
     for first in range(len(means) // 2 + 1):
-        rest = np.array(means[first:])
-        if len(rest) < 2:
+        remaining = np.array(means[first:])
+        if len(remaining) < 2:
             break
-        score = float(rest.var()) / len(rest)
+        score = float(remaining.var()) / len(remaining)
         if score < best:
-            best, cut = score, first
-    return cut * batch
+            best, best_cut = score, first
+    return best_cut * batch
--- a/limebridge/experiments/store.py
+++ b/limebridge/experiments/store.py
@@ -1,9 +1,10 @@
-"""Where results last: one SQLite file, many writers, nothing counted twice.
+"""The store of results: an SQLite file with many writers, in which no run is counted twice.
 
-A run is a row under (experiment, point, commit, seed), written once, whole, in one transaction, so
-a kill at any time costs the runs that were under way and nothing else.  Who works on a run holds
-a claim; a claim whose holder is gone is taken over.  Details are zstd, histograms are
-HdrHistogram's own coding (it is compressed), so that any percentile can be asked later.
+A run is a row with the key (experiment, point, commit, seed), written once, in one transaction, so
+a kill at any time loses only the runs in progress.  A process that works on a run holds a claim;
+the claim of a process that no longer exists is taken over.  Details are compressed with zstd.
+Latency histograms have HdrHistogram's own compressed encoding, so any percentile can be computed
+later.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 import zstandard
 
 VERSION = 2
-BUSY_S = 30.0  # s that one writer waits for another
+LOCK_TIMEOUT_S = 30.0  # that a writer waits for the lock of another
 DEFAULT = "experiments.sqlite"
 
 SCHEMA = """
@@ -38,16 +39,16 @@
     experiment TEXT NOT NULL, point TEXT NOT NULL, commit_ TEXT NOT NULL, seed INTEGER NOT NULL,
     holder TEXT NOT NULL, PRIMARY KEY (experiment, point, commit_, seed)) WITHOUT ROWID;
 """
-Name = tuple[str, str, str, int]  # experiment, point, commit, seed
+RunKey = tuple[str, str, str, int]  # experiment, point, commit, seed
 
 
 class StoreError(Exception):
-    """One line: what is wrong with the store."""
+    """The store can't be used; the message is one line."""
 
 
 @dataclass
 class Run:
-    """One row.  state: done, invalid, overtime, crashed."""
+    """A run and its result; `state` is done, invalid, overtime or crashed."""
 
     experiment: str
     point: str
@@ -56,66 +57,66 @@
     scenario: str = ""  # its digest
     machine: str = ""
     state: str = "done"
-    seconds: float = 0.0  # that it took
-    at: float = 0.0  # Unix s
+    seconds: float = 0.0  # duration
+    at: float = 0.0  # Unix time of the end
     measures: dict[str, float | None] = field(default_factory=dict)
-    why: str = ""
-    times: bytes | None = None
+    why: str = ""  # reason of a state other than done
+    times: bytes | None = None  # latency histogram
     detail: dict[str, Any] | None = None
 
     @property
-    def name(self) -> Name:
+    def key(self) -> RunKey:
         return (self.experiment, self.point, self.commit, self.seed)
 
 
 class Store:
-    """An open store.  StoreError where it can't be used."""
+    """An open store.  Methods raise StoreError if the file can't be used."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         try:
-            self._db = sqlite3.connect(path, timeout=BUSY_S, isolation_level=None)
+            self._db = sqlite3.connect(path, timeout=LOCK_TIMEOUT_S, isolation_level=None)
             self._db.execute("PRAGMA journal_mode = WAL")
-            self._db.execute("PRAGMA synchronous = NORMAL")  # a power cut: the last runs again
+            self._db.execute("PRAGMA synchronous = NORMAL")  # a power cut may lose the last runs
             self._prepare()
         except sqlite3.Error as error:
             raise StoreError(f"{path}: {error}") from None
-        self._holder = holder()
+        self._holder = own_holder_id()
 
     def _prepare(self) -> None:
-        with self._writing():
-            there = {
+        with self._transaction():
+            tables = {
                 row[0]
                 for row in self._db.execute("SELECT name FROM sqlite_master WHERE type = 'table'")
             }
-            if "meta" in there:
+            if "meta" in tables:
                 (version,) = self._db.execute("SELECT version FROM meta").fetchone()
                 if version > VERSION:
                     raise StoreError(
                         f"{self.path}: written by a later version ({version}; this "
-                        f"one knows {VERSION})"
+                        f"version supports {VERSION})"
                     )
-            elif there:
-                raise StoreError(f"{self.path}: a database, and not a store of experiments")
-            for line in SCHEMA.split(";\n"):
-                self._db.execute(line)
-            if "meta" not in there:
+            elif tables:
+                raise StoreError(f"{self.path}: a database, but not a store of experiments")
+            for statement in SCHEMA.split(";\n"):
+                self._db.execute(statement)
+            if "meta" not in tables:
                 self._db.execute("INSERT INTO meta VALUES (?)", (VERSION,))
-            elif version < VERSION:  # version 1 had no detail
+            elif version < VERSION:  # version 1 had no column `detail`
                 if "detail" not in {r[1] for r in self._db.execute("PRAGMA table_info(runs)")}:
                     self._db.execute("ALTER TABLE runs ADD COLUMN detail BLOB")
                 self._db.execute("UPDATE meta SET version = ?", (VERSION,))
 
-    def _writing(self) -> _Transaction:
+    def _transaction(self) -> _Transaction:
         return _Transaction(self._db, self.path)
 
     def close(self) -> None:
         self._db.close()
 
     # --- experiments ---
-    def note(self, id_: str, name: str, question: str, file: str) -> None:
-        """An experiment that is run here; its words may have changed."""
-        with self._writing():
+    def record_experiment(self, id_: str, name: str, question: str, file: str) -> None:
+        """Add an experiment, or update its name, question and file."""
+        with self._transaction():
             self._db.execute(
                 "INSERT INTO experiments VALUES (?, ?, ?, ?, ?) ON CONFLICT (id) DO UPDATE SET "
                 "name = excluded.name, question = excluded.question, file = excluded.file",
@@ -123,8 +124,8 @@
             )
 
     def experiments(self) -> list[tuple[str, str, str, dict[str, int], float]]:
-        """id, name, question, runs by state, seconds of work."""
-        found = []
+        """All experiments: id, name, question, number of runs by state, total seconds of runs."""
+        summaries = []
         for id_, name, question in self._db.execute(
             "SELECT id, name, question FROM experiments ORDER BY name"
         ).fetchall():
@@ -136,50 +137,50 @@
                 (id_,),
             ):
                 states[state], total = count, total + seconds
-            found.append((id_, name, question, states, total))
-        return found
+            summaries.append((id_, name, question, states, total))
+        return summaries
 
     # --- runs ---
-    def claim(self, name: Name) -> bool:
-        """Whether this process may work on a run: nobody has done it, nobody else does."""
-        with self._writing():
+    def claim(self, key: RunKey) -> bool:
+        """Claim a run; False if it has a result or another live process holds the claim."""
+        with self._transaction():
             if self._db.execute(
                 "SELECT 1 FROM runs WHERE experiment = ? AND point = ? AND "
                 "commit_ = ? AND seed = ?",
-                name,
+                key,
             ).fetchone():
                 return False
-            held = self._db.execute(
+            holder = self._db.execute(
                 "SELECT holder FROM claims WHERE experiment = ? AND point = ? "
                 "AND commit_ = ? AND seed = ?",
-                name,
+                key,
             ).fetchone()
-            if held is not None and held[0] != self._holder and alive(held[0]):
+            if holder is not None and holder[0] != self._holder and is_alive(holder[0]):
                 return False
             self._db.execute(
-                "INSERT OR REPLACE INTO claims VALUES (?, ?, ?, ?, ?)", (*name, self._holder)
+                "INSERT OR REPLACE INTO claims VALUES (?, ?, ?, ?, ?)", (*key, self._holder)
             )
             return True
 
-    def release(self, name: Name) -> None:
-        """It was not done after all."""
-        with self._writing():
-            self._drop(name)
+    def release(self, key: RunKey) -> None:
+        """Give up the claim of a run that was not completed."""
+        with self._transaction():
+            self._delete_claim(key)
 
-    def _drop(self, name: Name) -> None:
+    def _delete_claim(self, key: RunKey) -> None:
         self._db.execute(
             "DELETE FROM claims WHERE experiment = ? AND point = ? AND commit_ = ? AND seed = ?",
-            name,
+            key,
         )
 
-    def put(self, run: Run) -> bool:
-        """One result, once: False when there is one already."""
+    def add_run(self, run: Run) -> bool:
+        """Store a result and delete its claim; False, without a change, if there is one already."""
         detail = None if run.detail is None else zstandard.compress(json.dumps(run.detail).encode())
-        with self._writing():
-            done = self._db.execute(
+        with self._transaction():
+            inserted = self._db.execute(
                 "INSERT OR IGNORE INTO runs VALUES (?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?)",
                 (
-                    *run.name,
+                    *run.key,
                     run.scenario,
                     run.machine,
                     run.state,
@@ -191,13 +192,16 @@
                     detail,
                 ),
             )
-            self._drop(run.name)
-            return done.rowcount == 1
+            self._delete_claim(run.key)
+            return inserted.rowcount == 1
 
-    def again(self, experiment: str, states: Iterable[str]) -> int:
-        """Forget runs that came to nothing, so that they are played again, and all claims: also
-        those of machines that are gone.  A run played twice by that is counted once."""
-        with self._writing():
+    def forget_runs(self, experiment: str, states: Iterable[str]) -> int:
+        """Delete the runs in these states, so that they are executed again, and all claims.
+
+        Claims of other machines, which are never taken over, are deleted too.  If a run is executed
+        twice because of that, it still counts once.  Returns the number of deleted runs.
+        """
+        with self._transaction():
             self._db.execute("DELETE FROM claims WHERE experiment = ?", (experiment,))
             return sum(
                 self._db.execute(
@@ -206,7 +210,7 @@
                 for state in states
             )
 
-    def done(self, experiment: str) -> set[tuple[str, str, int]]:
+    def completed_runs(self, experiment: str) -> set[tuple[str, str, int]]:
         return set(
             self._db.execute(
                 "SELECT point, commit_, seed FROM runs WHERE experiment = ?", (experiment,)
@@ -214,28 +218,28 @@
         )
 
     def version(self) -> int:
-        """Another number once another process has written."""
+        """A number that changes when another connection has written to the store."""
         return int(self._db.execute("PRAGMA data_version").fetchone()[0])
 
-    def run(self, name: Name) -> Run | None:
-        """One row, whole."""
+    def run(self, key: RunKey) -> Run | None:
+        """One run with histogram and details, or None."""
         return next(
-            self._rows(
-                "times, detail", "experiment = ? AND point = ? AND commit_ = ? AND seed = ?", name
+            self._select(
+                "times, detail", "experiment = ? AND point = ? AND commit_ = ? AND seed = ?", key
             ),
             None,
         )
 
-    def runs(self, experiment: str, whole: bool = False) -> Iterator[Run]:
-        """In the order of their names.  `whole`: with histogram and detail."""
-        return self._rows(
-            "times, detail" if whole else "NULL, NULL", "experiment = ?", (experiment,)
+    def runs(self, experiment: str, with_details: bool = False) -> Iterator[Run]:
+        """The runs of an experiment in order of their keys; histogram and details on request."""
+        return self._select(
+            "times, detail" if with_details else "NULL, NULL", "experiment = ?", (experiment,)
         )
 
-    def _rows(self, more: str, where: str, values: tuple[object, ...]) -> Iterator[Run]:
+    def _select(self, columns: str, where: str, values: tuple[object, ...]) -> Iterator[Run]:
         for row in self._db.execute(
             f"SELECT experiment, point, commit_, seed, scenario, machine, state, seconds, at, "
-            f"measures, why, {more} FROM runs WHERE {where} ORDER BY point, commit_, seed",
+            f"measures, why, {columns} FROM runs WHERE {where} ORDER BY point, commit_, seed",
             values,
         ):
             detail = None if row[12] is None else json.loads(zstandard.decompress(row[12]))
@@ -257,7 +261,7 @@
 
 
 class _Transaction:
-    """BEGIN IMMEDIATE to COMMIT; a full disk or a lock is one line, and nothing half done stays."""
+    """BEGIN IMMEDIATE to COMMIT, or ROLLBACK after an error; SQLite errors become StoreError."""
 
     def __init__(self, db: sqlite3.Connection, path: Path) -> None:
         self._db, self._path = db, path
@@ -271,28 +275,28 @@
     def __exit__(self, kind: object, error: BaseException | None, trace: object) -> None:
         try:
             self._db.execute("ROLLBACK" if error is not None else "COMMIT")
-        except sqlite3.Error as failed:
+        except sqlite3.Error as failure:
             if self._db.in_transaction:
                 self._db.execute("ROLLBACK")
             if error is None:
-                raise StoreError(f"{self._path}: {failed}") from None
+                raise StoreError(f"{self._path}: {failure}") from None
         if isinstance(error, sqlite3.Error):
             raise StoreError(f"{self._path}: {error}") from None
 
 
-def holder() -> str:
-    """This process, told apart from a later one with the same number."""
-    return f"{os.uname().nodename}/{os.getpid()}/{_born(os.getpid())}"
+def own_holder_id() -> str:
+    """Identifies this process, also against a later one with the same pid."""
+    return f"{os.uname().nodename}/{os.getpid()}/{_start_ticks(os.getpid())}"
 
 
-def alive(told: str) -> bool:
-    """Whether a holder still runs; of another machine's nobody can say, so it does."""
-    node, pid, born = told.rsplit("/", 2)
-    return node != os.uname().nodename or _born(int(pid)) == born
+def is_alive(holder_id: str) -> bool:
+    """Whether a holder still runs; assumed for other machines, where it can't be checked."""
+    node, pid, started = holder_id.rsplit("/", 2)
+    return node != os.uname().nodename or _start_ticks(int(pid)) == started
 
 
-def _born(pid: int) -> str:
-    """When it started, in the kernel's ticks; empty when there is no such process."""
+def _start_ticks(pid: int) -> str:
+    """Start time of a process in clock ticks since boot; empty if there is no such process."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[19]
     except (OSError, IndexError):
--- a/limebridge/experiments/watch.py
+++ b/limebridge/experiments/watch.py
@@ -1,7 +1,8 @@
-"""A terminal interface over a store: experiments, their points, a point's runs, a run's story.
+"""A terminal interface for a store: experiments, their points, the runs of a point, a run.
 
-It only reads, so it stands beside whoever runs: over ssh, on a copy, on two screens.  It asks the
-store once a second and draws what has changed; 80 columns are enough.
+It only reads, so it can be used while runs are in progress, over ssh, on a copy of the store, or
+several times at once.  It polls the store once a second and draws what has changed.  80 columns are
+enough.
 """
 
 from __future__ import annotations
@@ -20,24 +21,24 @@
 from .store import Run, Store
 from .tables import Cell, cells
 
-EVERY = 1.0  # s between two looks
-ROWS = 500  # of a table at most
+POLL_INTERVAL_S = 1.0
+MAX_ROWS = 500  # of a table
 
 
-def fill(table: DataTable[Any], rows: Iterable[tuple[str, list[str]]]) -> None:
-    """Rows by key, in place: the cursor stays, and only cells that differ are sent."""
+def update_table(table: DataTable[Any], rows: Iterable[tuple[str, list[str]]]) -> None:
+    """Update rows by key in place: the cursor keeps its position, only changed cells are drawn."""
     known = {key.value: key for key in table.rows}
-    for key, cells_ in rows:
+    for key, texts in rows:
         if key not in known:
-            table.add_row(*map(Text, cells_), key=key)
+            table.add_row(*map(Text, texts), key=key)
             continue
-        for column, value in zip(table.ordered_columns, cells_, strict=True):
+        for column, value in zip(table.ordered_columns, texts, strict=True):
             if str(table.get_cell(key, column.key)) != value:
                 table.update_cell(key, column.key, Text(value))
 
 
-class Looking(Screen[None]):
-    """A screen that asks the store again and again."""
+class PollingScreen(Screen[None]):
+    """A screen that polls the store and updates itself."""
 
     BINDINGS: ClassVar[list[BindingType]] = [
         ("escape", "app.back", "Back"),
@@ -46,29 +47,31 @@
 
     @property
     def store(self) -> Store:
+        """The store of the application."""
         app = self.app
-        assert isinstance(app, Watch)
+        assert isinstance(app, WatchApp)
         return app.store
 
     _version = -1
 
     def on_mount(self) -> None:
-        self.glance()
-        self.set_interval(EVERY, self.glance)
+        self.poll()
+        self.set_interval(POLL_INTERVAL_S, self.poll)
 
-    def glance(self) -> None:
-        """Read the rows again only when somebody has written: a large store takes a while."""
+    def poll(self) -> None:
+        """Update the screen if the store has changed; reading a large store takes a while."""
         version = self.store.version()
         if version != self._version:
             self._version = version
-            self.look()
+            self.update_view()
 
-    def look(self) -> None:
+    def update_view(self) -> None:
+        """Read the store and update the widgets."""
         raise NotImplementedError
 
 
-class Experiments(Looking):
-    """All that the store holds."""
+class ExperimentsScreen(PollingScreen):
+    """All experiments of the store."""
 
     def compose(self) -> ComposeResult:
         table: DataTable[Any] = DataTable(cursor_type="row")
@@ -76,8 +79,8 @@
         yield table
         yield Footer()
 
-    def look(self) -> None:
-        fill(
+    def update_view(self) -> None:
+        update_table(
             self.query_one(DataTable),
             (
                 (
@@ -96,11 +99,14 @@
 
     def on_data_table_row_selected(self, event: DataTable.RowSelected) -> None:
         if event.row_key.value is not None:
-            self.app.push_screen(Points(event.row_key.value))
+            self.app.push_screen(PointsScreen(event.row_key.value))
 
 
-class Points(Looking):
-    """An experiment: the best and the worst point so far, each point's mean, a line by measure."""
+class PointsScreen(PollingScreen):
+    """An experiment: its best and worst point, the mean of each point, and a line of the values.
+
+    The key m selects the next measure.
+    """
 
     BINDINGS: ClassVar[list[BindingType]] = [("m", "measure", "Next measure")]
 
@@ -118,32 +124,32 @@
         yield table
         yield Footer()
 
-    def look(self) -> None:
+    def update_view(self) -> None:
         rows = list(self.store.runs(self._experiment))
-        found = cells(rows, sorted({name for row in rows for name in row.measures}))
-        self._names = sorted({n for c in found for n in c.values}) or ["service"]
+        cells_by_point = cells(rows, sorted({name for row in rows for name in row.measures}))
+        self._names = sorted({n for c in cells_by_point for n in c.values}) or ["service"]
         name = self._names[self._measure % len(self._names)]
-        more = MEASURES.get(name, (True, ""))[0]
+        more_is_better = MEASURES.get(name, (True, ""))[0]
         ranked = sorted(
-            (c for c in found if c.mean(name) is not None),
+            (c for c in cells_by_point if c.mean(name) is not None),
             key=lambda c: c.mean(name) or 0.0,
-            reverse=more,
+            reverse=more_is_better,
         )
-        told = f"{name}, {'more' if more else 'less'} is better; {len(rows)} runs."
+        summary = f"{name}, {'more' if more_is_better else 'less'} is better; {len(rows)} runs."
         if ranked:
-            told += (
+            summary += (
                 f"  Best {ranked[0].mean(name):.4g} {ranked[0].label}; "
                 f"worst {ranked[-1].mean(name):.4g} {ranked[-1].label}"
             )
-        self.query_one("#best", Static).update(Text(told))
+        self.query_one("#best", Static).update(Text(summary))
         values = [
             row.measures[name]
             for row in sorted(rows, key=lambda r: r.at)
             if row.measures.get(name) is not None
         ]
         self.query_one(Sparkline).data = [float(v or 0.0) for v in values[-200:]]
-        self._cells = {f"{n}": cell for n, cell in enumerate(found[:ROWS])}
-        fill(
+        self._cells = {f"{n}": cell for n, cell in enumerate(cells_by_point[:MAX_ROWS])}
+        update_table(
             self.query_one(DataTable),
             (
                 (
@@ -152,8 +158,8 @@
                         cell.label,
                         str(cell.seeds),
                         str(cell.failed),
-                        _four(cell.mean(name)),
-                        _four(_worst(cell, name, more)),
+                        _format_figure(cell.mean(name)),
+                        _format_figure(_worst_value(cell, name, more_is_better)),
                     ],
                 )
                 for key, cell in self._cells.items()
@@ -162,16 +168,16 @@
 
     def action_measure(self) -> None:
         self._measure += 1
-        self.look()
+        self.update_view()
 
     def on_data_table_row_selected(self, event: DataTable.RowSelected) -> None:
         cell = self._cells.get(str(event.row_key.value))
         if cell is not None:
-            self.app.push_screen(Runs(self._experiment, cell))
+            self.app.push_screen(RunsScreen(self._experiment, cell))
 
 
-class Runs(Looking):
-    """One point's runs, a row a seed."""
+class RunsScreen(PollingScreen):
+    """The runs of a point, a row per seed."""
 
     def __init__(self, experiment: str, cell: Cell) -> None:
         super().__init__()
@@ -181,11 +187,11 @@
     def compose(self) -> ComposeResult:
         yield Static(Text(f"{self._cell.label}, commit {self._cell.commit[:16]}"))
         table: DataTable[Any] = DataTable(cursor_type="row")
-        table.add_columns("seed", "state", "service", "worst 10 s", "p99 ms", "took s", "why")
+        table.add_columns("seed", "state", "service", "worst 10 s", "p99 ms", "seconds", "reason")
         yield table
         yield Footer()
 
-    def look(self) -> None:
+    def update_view(self) -> None:
         import json
 
         point = json.dumps(self._cell.point, sort_keys=True, separators=(",", ":"))
@@ -194,7 +200,7 @@
             for row in self.store.runs(self._experiment)
             if row.point == point and row.commit == self._cell.commit
         }
-        fill(
+        update_table(
             self.query_one(DataTable),
             (
                 (
@@ -202,25 +208,25 @@
                     [
                         key,
                         row.state,
-                        _four(row.measures.get("service")),
-                        _four(row.measures.get("worst")),
-                        _four(row.measures.get("p99_ms")),
+                        _format_figure(row.measures.get("service")),
+                        _format_figure(row.measures.get("worst")),
+                        _format_figure(row.measures.get("p99_ms")),
                         f"{row.seconds:.1f}",
                         row.why,
                     ],
                 )
-                for key, row in list(self._rows.items())[:ROWS]
+                for key, row in list(self._rows.items())[:MAX_ROWS]
             ),
         )
 
     def on_data_table_row_selected(self, event: DataTable.RowSelected) -> None:
         row = self._rows.get(str(event.row_key.value))
         if row is not None:
-            self.app.push_screen(Story(row))
+            self.app.push_screen(RunScreen(row))
 
 
-class Story(Looking):
-    """One run: its curve, what cost most, the requests that earned least."""
+class RunScreen(PollingScreen):
+    """One run: its service by second, the largest causes of loss, the worst requests."""
 
     def __init__(self, row: Run) -> None:
         super().__init__()
@@ -230,12 +236,12 @@
         yield Sparkline([], id="line")
         yield Static(id="words")
         table: DataTable[Any] = DataTable(cursor_type="row")
-        table.add_columns("asked at s", "class", "tenant", "site", "its tries")
+        table.add_columns("sent at s", "class", "tenant", "site", "outcomes of its attempts")
         yield table
         yield Footer()
 
-    def look(self) -> None:
-        row = self.store.run(self._row.name)
+    def update_view(self) -> None:
+        row = self.store.run(self._row.key)
         if row is not None:
             self._show(row)
 
@@ -256,7 +262,7 @@
             f"second {second}: {by} ({part:.0%} of {lost:.2f})" for second, lost, by, part in costs
         ]
         self.query_one("#words", Static).update(Text("\n".join(lines)))
-        fill(
+        update_table(
             self.query_one(DataTable),
             (
                 (str(n), [f"{at:.3f}", cls, tenant, site, ", ".join(ends)])
@@ -265,8 +271,8 @@
         )
 
 
-class Watch(App[None]):
-    """The whole program; the store is closed with it."""
+class WatchApp(App[None]):
+    """The application; it opens the store and closes it at the end."""
 
     TITLE = "limebridge experiment watch"
     CSS = "Sparkline { height: 3; margin: 0 1; } #best, #words { height: auto; margin: 0 1; }"
@@ -277,7 +283,7 @@
         self.store = Store(path)
 
     def on_mount(self) -> None:
-        self.push_screen(Experiments())
+        self.push_screen(ExperimentsScreen())
 
     def on_unmount(self) -> None:
         self.store.close()
@@ -287,10 +293,10 @@
             await self.pop_screen()
 
 
-def _four(value: float | None) -> str:
+def _format_figure(value: float | None) -> str:
     return "" if value is None else f"{value:.4g}"
 
 
-def _worst(cell: Cell, name: str, more: bool) -> float | None:
-    found = cell.known(name).values()
-    return (min if more else max)(found) if found else None
+def _worst_value(cell: Cell, name: str, more_is_better: bool) -> float | None:
+    values = cell.known(name).values()
+    return (min if more_is_better else max)(values) if values else None
--- a/limebridge/experiments/worker.py
+++ b/limebridge/experiments/worker.py
@@ -1,7 +1,7 @@
-"""A process that plays one run after another: jobs as lines of JSON in, results out.
+"""A worker process: reads jobs as lines of JSON, runs them one by one, and writes the results.
 
-`python -m limebridge.experiments.worker MEMORY_MB`.  It ends with its standard input, so it never
-outlives whoever started it; a job that can't be played is a result that says why.
+`python -m limebridge.experiments.worker MEMORY_MB`.  It exits at the end of its standard input, so
+it never outlives its parent.  A job that can't be run has a result with the reason.
 """
 
 from __future__ import annotations
@@ -25,31 +25,35 @@
 from violetroute.config import ConfigError
 from violetroute.config.tables import to_struct
 
-from .plan import digest
+from .plan import scenario_digest
 
-LEAST_US, MOST_US, DIGITS = 1, 60_000_000, 3  # of a histogram of answers
+MIN_US, MAX_US, SIGNIFICANT_DIGITS = (
+    1,
+    60_000_000,
+    3,
+)  # range and precision of the latency histogram
 
 
-def _ends(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Out of memory in a handler of the daemon's costs it a stream, and the run would go on so."""
+def _exit_on_memory_error(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    """Exit on MemoryError in a callback: otherwise it would only end a stream of the daemon."""
     if isinstance(context.get("exception"), MemoryError):
         raise SystemExit
     loop.default_exception_handler(context)
 
 
-def play(scenario: Scenario, seed: int) -> dict[str, Any]:
-    """Measures, the histogram of answers' times, and what explains them."""
+def run_scenario(scenario: Scenario, seed: int) -> dict[str, Any]:
+    """Run a scenario; return its measures, a latency histogram, and details that explain them."""
     rehearsal = Rehearsal(scenario, seed)
-    rehearsal.loop.set_exception_handler(_ends)
+    rehearsal.loop.set_exception_handler(_exit_on_memory_error)
     result = rehearsal.run()
-    told = to_dict(result)
-    times = HdrHistogram(LEAST_US, MOST_US, DIGITS)
-    for each in rehearsal.requests:
-        if each.served_at is not None:
-            times.record_value(max(LEAST_US, round((each.served_at - each.at) * 1e6)))
-    share = told["share"] or {}
+    report = to_dict(result)
+    times = HdrHistogram(MIN_US, MAX_US, SIGNIFICANT_DIGITS)
+    for record in rehearsal.requests:
+        if record.served_at is not None:
+            times.record_value(max(MIN_US, round((record.served_at - record.at) * 1e6)))
+    share = report["share"] or {}
     measures = {
-        name: told[name]
+        name: report[name]
         for name in (
             "service",
             "worst",
@@ -63,16 +67,16 @@
     measures |= {name: share.get(name) for name in ("whole", "trouble", "after", "back", "swing")}
     measures["broken"] = len(result.violations)
     detail = {
-        "failed": told["failed"],
-        "blame": told["blame"],
-        "costs": told["costs"],
-        "worst_at": told["worst_at"],
-        "ends": told["ends"],
+        "failed": report["failed"],
+        "blame": report["blame"],
+        "costs": report["costs"],
+        "worst_at": report["worst_at"],
+        "ends": report["ends"],
         "seconds": [[round(a, 4), round(e, 4)] for a, e in result.score.seconds],
         "unserved": [
             [round(a.at, 4), a.cls, a.tenant, a.site, a.outcomes] for a in result.unserved
         ],
-        "broken": told["broken"],
+        "broken": report["broken"],
     }
     return {
         "state": "done",
@@ -83,58 +87,61 @@
 
 
 @contextmanager
-def patched(constants: dict[str, float]) -> Iterator[None]:
-    """The decision module with other constants.  ConfigError for one that there is not.
+def patched_constants(constants: dict[str, float]) -> Iterator[None]:
+    """Replace constants of the package `snowstall`, by `MODULE.CONSTANT`, and restore them.
 
-    What is imported by name into another file of the module is changed there too.
+    A constant that another module has imported by name is replaced there too.  Raises ConfigError
+    for an unknown constant or a value that is not a number.
     """
 
-    rooms = [m for name, m in sys.modules.items() if name.startswith("snowstall.")]
-    undo: list[tuple[Any, str, Any]] = []
+    modules = [m for name, m in sys.modules.items() if name.startswith("snowstall.")]
+    replaced: list[tuple[Any, str, Any]] = []
     try:
         for name, value in constants.items():
-            file, _, constant = name.partition(".")
-            home = sys.modules.get(f"snowstall.{file}")
-            old = getattr(home, constant, None)
+            module_name, _, constant = name.partition(".")
+            defining_module = sys.modules.get(f"snowstall.{module_name}")
+            old = getattr(defining_module, constant, None)
             if not constant.isupper() or not isinstance(old, int | float):
                 raise ConfigError(f"policy.{name}: the decision module has no such constant")
             if isinstance(value, bool) or not isinstance(value, int | float):
                 raise ConfigError(f"policy.{name}: {value!r} is no number")
-            for room in rooms:
-                if room.__dict__.get(constant) is old or room is home:
-                    undo.append((room, constant, room.__dict__[constant]))
-                    setattr(room, constant, value)
+            for module in modules:
+                if module.__dict__.get(constant) is old or module is defining_module:
+                    replaced.append((module, constant, module.__dict__[constant]))
+                    setattr(module, constant, value)
         yield
     finally:
-        for room, constant, old in reversed(undo):
-            setattr(room, constant, old)
+        for module, constant, old in reversed(replaced):
+            setattr(module, constant, old)
 
 
-def one(job: dict[str, Any]) -> dict[str, Any]:
-    """What came of a job: never an exception."""
+def run_job(job: dict[str, Any]) -> dict[str, Any]:
+    """Run a job and return its result; every exception becomes a result with the reason."""
     began = time.monotonic()
     try:
         scenario = to_struct(job["scenario"], Scenario, "scenario")
         validate(scenario, "scenario")
-        with patched(job["constants"]):
-            told = play(scenario, job["seed"]) | {"scenario": digest(job["scenario"])}
+        with patched_constants(job["constants"]):
+            result = run_scenario(scenario, job["seed"]) | {
+                "scenario": scenario_digest(job["scenario"])
+            }
     except ConfigError as error:
-        told = {"state": "invalid", "why": str(error)}
+        result = {"state": "invalid", "why": str(error)}
     except (MemoryError, SystemExit):
-        told = {"state": "crashed", "why": "it needed more memory than it may have"}
+        result = {"state": "crashed", "why": "it needed more memory than it may have"}
     except Exception as error:
-        told = {"state": "crashed", "why": f"{type(error).__name__}: {error}"}
-    return told | {"seconds": time.monotonic() - began}
+        result = {"state": "crashed", "why": f"{type(error).__name__}: {error}"}
+    return result | {"seconds": time.monotonic() - began}
 
 
 def main() -> None:
-    """Until standard input ends."""
-    most = int(float(sys.argv[1]) * 1024 * 1024)
-    resource.setrlimit(resource.RLIMIT_AS, (most, most))
-    out, sys.stdout = sys.stdout, sys.stderr  # what a run prints is no result
+    """Run jobs until the end of standard input, within the memory limit of the command line."""
+    max_bytes = int(float(sys.argv[1]) * 1024 * 1024)
+    resource.setrlimit(resource.RLIMIT_AS, (max_bytes, max_bytes))
+    out, sys.stdout = sys.stdout, sys.stderr  # output of a run must not mix with the results
     for line in sys.stdin:
-        told = one(msgspec.json.decode(line))
-        out.write(json.dumps(told) + "\n")
+        result = run_job(msgspec.json.decode(line))
+        out.write(json.dumps(result) + "\n")
         out.flush()
 
 
--- a/limebridge/faults/distribution/command.py
+++ b/limebridge/faults/distribution/command.py
@@ -14,7 +14,7 @@
 import msgspec
 import typer
 
-from limebridge.experiments.builds import NoBuild
+from limebridge.experiments.builds import BuildError
 from limebridge.faults.interruption import interruptible
 from limebridge.faults.options import (
     MAX_REPORTED,
@@ -299,7 +299,7 @@
     with tempfile.TemporaryDirectory(prefix="lb-builds-") as folder:
         try:
             builds = unpack(older, Path(folder), rolling)
-        except NoBuild as error:
+        except BuildError as error:
             typer.echo(f"limebridge: {error}", err=True)
             raise typer.Exit(2) from None
         yield builds
--- a/limebridge/faults/distribution/mixed_builds.py
+++ b/limebridge/faults/distribution/mixed_builds.py
@@ -17,8 +17,8 @@
 from typing import Protocol
 
 from limebridge.control.process import ControlMachines, ControlProcess
-from limebridge.experiments.builds import NoBuild, folder
-from limebridge.experiments.plan import HERE
+from limebridge.experiments.builds import BuildError, build_folder
+from limebridge.experiments.plan import THIS_CHECKOUT
 from violetroute.distribution.messages import StatusReply
 
 from .checker import RuleChecker
@@ -84,16 +84,16 @@
 def unpack(older: str, under: Path, rolling: bool = False) -> Builds:
     """Unpacks the build of commit `older` and a copy of this checkout into folder `under`.
 
-    Raises NoBuild.
+    Raises BuildError.
     """
-    builds = Builds(folder(older, under), folder(HERE, under), rolling)
+    builds = Builds(build_folder(older, under), build_folder(THIS_CHECKOUT, under), rolling)
     for path in (builds.older, builds.newer):
         check_source(path)
     return builds
 
 
 def check_source(path: Path) -> None:
-    """Raises NoBuild unless a process that is started in folder `path` imports its packages."""
+    """Raises BuildError unless a process that is started in folder `path` imports its packages."""
     result = subprocess.run(
         [sys.executable, "-c", PRINT_PACKAGE_PATH],
         cwd=path,
@@ -102,9 +102,9 @@
         check=False,
     )
     if result.returncode:
-        raise NoBuild(f"{path}: {result.stderr.strip().splitlines()[-1]}")
+        raise BuildError(f"{path}: {result.stderr.strip().splitlines()[-1]}")
     if not Path(result.stdout.strip()).is_relative_to(path.resolve()):
-        raise NoBuild(f"{path}: a process started there imports {result.stdout.strip()}")
+        raise BuildError(f"{path}: a process started there imports {result.stdout.strip()}")
 
 
 def assign(builds: Builds, rig: RigProcesses) -> None:
--- a/limebridge/scale/slopes.py
+++ b/limebridge/scale/slopes.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from limebridge.experiments.builds import head
+from limebridge.experiments.builds import head_commit
 from violetroute.config import ConfigError
 
 from .child import run_child
@@ -93,7 +93,7 @@
     ]
     costs, unfitted = _fit_all(options, _values(jobs, answers))
     slopes = Slopes(
-        commit=head(),
+        commit=head_commit(),
         machine=describe_machine(load_before),
         quick=options.quick,
         taken_at=began.isoformat(timespec="seconds"),
--- a/tests/limebridge/experiments/test_experiments.py
+++ b/tests/limebridge/experiments/test_experiments.py
@@ -1,4 +1,4 @@
-"""Experiments: points, the store through kills, runs that end badly, what may be said."""
+"""Tests experiments: points, runs that fail, the store, statistics and tables."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 from limebridge.cli import app
 from limebridge.experiments import builds, command, plan, runner, statistics, tables, worker
-from limebridge.experiments.plan import Experiment, key, points, read
+from limebridge.experiments.plan import Experiment, load_experiment, point_key, points
 from limebridge.experiments.store import VERSION, Run, Store, StoreError
 from limebridge.rehearsal.scenario import load
 from tests.support.paths import ROOT
 from violetroute.config import ConfigError
 
-MORNING = "[run]\nseconds = 2.0\n[load]\ncurve = [{at = 0.0, rate = 40.0}]\n"
-FILE = """question = "how much more can be asked"
+SCENARIO = "[run]\nseconds = 2.0\n[load]\ncurve = [{at = 0.0, rate = 40.0}]\n"
+EXPERIMENT = """question = "how much more load can be served"
 scenario = "{folder}/mini.toml"
 seeds = 2
 measures = ["service", "p99_ms"]
@@ -39,155 +39,158 @@
 """
 
 
-def made(tmp_path: Path, text: str = FILE, morning: str = MORNING) -> Experiment:
+def load_text(tmp_path: Path, text: str = EXPERIMENT, morning: str = SCENARIO) -> Experiment:
     (tmp_path / "mini.toml").write_text(morning)
     path = tmp_path / "sweep.toml"
     path.write_text(text.replace("{folder}", str(tmp_path)))
-    return read(str(path))
+    return load_experiment(str(path))
 
 
-def play(experiment: Experiment, store: Store, workers: int = 2) -> runner.Progress:
+def run_experiment(experiment: Experiment, store: Store, workers: int = 2) -> runner.Progress:
     return asyncio.run(runner.run(experiment, store, workers))
 
 
 # --- points ---
-def test_a_grid_has_all_and_a_list_goes_in_step(tmp_path: Path) -> None:
-    grid = made(tmp_path)
-    assert len(points(grid)) == 4 and len({key(p) for p in points(grid)}) == 4
-    listed = made(tmp_path, FILE + '[design]\nkind = "list"\n')
+def test_points_of_grid_and_list(tmp_path: Path) -> None:
+    grid = load_text(tmp_path)
+    assert len(points(grid)) == 4 and len({point_key(p) for p in points(grid)}) == 4
+    listed = load_text(tmp_path, EXPERIMENT + '[design]\nkind = "list"\n')
     assert [list(p.values()) for p in points(listed)] == [[1.0, 2.5], [2.0, 5.0]]
 
 
 @pytest.mark.parametrize("kind", ["latin", "sobol"])
-def test_drawn_points_fill_each_factor_evenly_and_are_the_same_again(
-    tmp_path: Path, kind: str
-) -> None:
+def test_sampled_points_are_even_and_reproducible(tmp_path: Path, kind: str) -> None:
     text = (
-        FILE.partition("[factors]")[0]
+        EXPERIMENT.partition("[factors]")[0]
         + '[factors]\n"load.scale" = {from = 1.0, to = 3.0}\n"proxies.count" = '
         + '{from = 1.0, to = 8.0, whole = true}\n"box.standard.slots" = [2, 4]\n'
         + f'[design]\nkind = "{kind}"\npoints = 16\n'
     )
-    found = points(made(tmp_path, text))
-    assert found == points(made(tmp_path, text)) and len(found) == 16
-    for part in range(4):  # four of the sixteen in each quarter
-        inside = [p for p in found if 1.0 + 0.5 * part <= p["load.scale"] < 1.5 + 0.5 * part]
+    drawn_points = points(load_text(tmp_path, text))
+    assert drawn_points == points(load_text(tmp_path, text)) and len(drawn_points) == 16
+    for part in range(4):  # 4 of the 16 points are in each quarter of the range
+        inside = [p for p in drawn_points if 1.0 + 0.5 * part <= p["load.scale"] < 1.5 + 0.5 * part]
         assert len(inside) == 4
-    assert {p["box.standard.slots"] for p in found} == {2, 4}
-    assert all(isinstance(p["proxies.count"], int) for p in found)
+    assert {p["box.standard.slots"] for p in drawn_points} == {2, 4}
+    assert all(isinstance(p["proxies.count"], int) for p in drawn_points)
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected"),
     [
-        (FILE.replace("question", "queston"), "queston"),
-        (FILE.replace("/mini.toml", "/none.toml"), "scenario"),
-        (FILE.replace('"p99_ms"', '"p9"'), "measures"),
-        (FILE.replace("[1.0, 2.0]", "[]"), "load.scale"),
-        (FILE.replace("seeds = 2", "seeds = 0"), "seeds"),
-        (FILE.replace("seeds = 2", "seeds = [1, 1]"), "seeds"),
-        (FILE + '[design]\nkind = "latin"\n[factors.x]\nfrom = 2.0\nto = 1.0\n', "[factors] x"),
-        (FILE.replace("[1.0, 2.0]", "[1.0]") + '[design]\nkind = "list"\n', "as many levels"),
-        (FILE + "[budget]\nruns = 0\n", "runs"),
+        (EXPERIMENT.replace("question", "queston"), "queston"),
+        (EXPERIMENT.replace("/mini.toml", "/none.toml"), "scenario"),
+        (EXPERIMENT.replace('"p99_ms"', '"p9"'), "measures"),
+        (EXPERIMENT.replace("[1.0, 2.0]", "[]"), "load.scale"),
+        (EXPERIMENT.replace("seeds = 2", "seeds = 0"), "seeds"),
+        (EXPERIMENT.replace("seeds = 2", "seeds = [1, 1]"), "seeds"),
+        (
+            EXPERIMENT + '[design]\nkind = "latin"\n[factors.x]\nfrom = 2.0\nto = 1.0\n',
+            "[factors] x",
+        ),
+        (EXPERIMENT.replace("[1.0, 2.0]", "[1.0]") + '[design]\nkind = "list"\n', "as many levels"),
+        (EXPERIMENT + "[budget]\nruns = 0\n", "runs"),
     ],
 )
-def test_a_file_that_cannot_be_used_is_one_line_with_its_key(
-    tmp_path: Path, text: str, said: str
-) -> None:
+def test_invalid_file_is_one_line_with_its_key(tmp_path: Path, text: str, expected: str) -> None:
     with pytest.raises(ConfigError) as error:
-        made(tmp_path, text)
-    assert said in str(error.value) and "\n" not in str(error.value)
+        load_text(tmp_path, text)
+    assert expected in str(error.value) and "\n" not in str(error.value)
 
 
 # --- runs ---
-def test_runs_are_kept_and_not_played_again(tmp_path: Path) -> None:
-    experiment, store = made(tmp_path), Store(tmp_path / "s.sqlite")
-    first = play(experiment, store)
-    assert (first.total, first.played, first.failed) == (8, 8, 0)
-    rows = list(store.runs(experiment.digest, whole=True))
+def test_stored_runs_are_not_repeated(tmp_path: Path) -> None:
+    experiment, store = load_text(tmp_path), Store(tmp_path / "s.sqlite")
+    first = run_experiment(experiment, store)
+    assert (first.total, first.executed, first.failed) == (8, 8, 0)
+    rows = list(store.runs(experiment.digest, with_details=True))
     assert len(rows) == 8 and all(row.state == "done" and row.times for row in rows)
     assert all(row.detail is not None and row.detail["seconds"] for row in rows)
     by_load = {row.point: row.scenario for row in rows}
-    assert len(set(by_load.values())) == 2  # a constant of the policy is no part of the scenario
-    again = play(experiment, store)
-    assert (again.before, again.played) == (8, 0)
+    assert len(set(by_load.values())) == 2  # policy constants are not part of the scenario
+    again = run_experiment(experiment, store)
+    assert (again.already_stored, again.executed) == (8, 0)
 
 
-def test_a_point_that_makes_no_sense_and_a_constant_that_there_is_not_are_told(
+def test_inconsistent_points_and_unknown_constants_are_invalid_runs(
     tmp_path: Path,
 ) -> None:
-    text = FILE.replace(
+    text = EXPERIMENT.replace(
         '"load.scale" = [1.0, 2.0]', '"class.lookup.aim_ms" = [200.0, 900.0]'
     ).replace("GAIN", "GAINS")
-    experiment, store = made(tmp_path, text), Store(tmp_path / "s.sqlite")
-    assert play(experiment, store).states == {"invalid": 8}
+    experiment, store = load_text(tmp_path, text), Store(tmp_path / "s.sqlite")
+    assert run_experiment(experiment, store).states == {"invalid": 8}
     why = {row.why for row in store.runs(experiment.digest)}
     assert any("above its deadline" in each for each in why)
     assert any("policy.gate.GAINS" in each for each in why)
 
 
 @pytest.mark.long
-def test_a_run_that_never_ends_or_eats_memory_costs_only_itself(tmp_path: Path) -> None:
+def test_run_over_its_time_or_memory_limit_fails_alone(tmp_path: Path) -> None:
     text = (
-        FILE.partition("[factors]")[0]
+        EXPERIMENT.partition("[factors]")[0]
         + '[factors]\n"run.seconds" = [2.0, 90000.0]\n'
         + "[budget]\nlimit_s = 4.0\n"
     )
-    experiment, store = made(tmp_path, text), Store(tmp_path / "s.sqlite")
-    assert play(experiment, store).states == {"done": 2, "overtime": 2}
-    small = made(
+    experiment, store = load_text(tmp_path, text), Store(tmp_path / "s.sqlite")
+    assert run_experiment(experiment, store).states == {"done": 2, "overtime": 2}
+    small = load_text(
         tmp_path,
         text.replace("limit_s = 4.0", "memory_mb = 60.0").replace(
             '"run.seconds" = [2.0, 90000.0]', '"load.scale" = [60.0]'
         ),
     )
-    assert play(small, store).states == {"crashed": 2}
+    assert run_experiment(small, store).states == {"crashed": 2}
 
 
-def test_an_edited_scenario_is_played_anew_and_levels_taken_out_are_not_shown(
+def test_edited_scenario_runs_again_and_removed_levels_are_not_shown(
     tmp_path: Path,
 ) -> None:
     store = Store(tmp_path / "s.sqlite")
-    first = made(tmp_path)
-    assert play(first, store).played == 8
+    first = load_text(tmp_path)
+    assert run_experiment(first, store).executed == 8
     commits_before = {run.commit for run in store.runs(first.digest)}
-    edited = made(tmp_path, FILE.replace("[2.5, 5.0]", "[2.5]"), MORNING.replace("40.0", "50.0"))
-    assert play(edited, store).played == 4
-    found, rows = command.played(edited, store)
-    assert len(found) == 2 and len(rows) == 8  # old and new of the two that are left
-    assert {c.commit for c in found} == {r.commit for r in rows} - commits_before
-    assert all(c.seeds == 2 for c in found)
-
-
-def test_a_budget_ends_it_and_the_next_call_goes_on(tmp_path: Path) -> None:
-    quick = made(tmp_path, FILE + "[budget]\nminutes = 1e-9\n")
-    assert play(quick, Store(tmp_path / "q.sqlite")).played == 0
-    experiment = made(tmp_path, FILE + "[budget]\nruns = 3\n")
+    edited = load_text(
+        tmp_path, EXPERIMENT.replace("[2.5, 5.0]", "[2.5]"), SCENARIO.replace("40.0", "50.0")
+    )
+    assert run_experiment(edited, store).executed == 4
+    result, rows = command.newest_cells(edited, store)
+    assert (
+        len(result) == 2 and len(rows) == 8
+    )  # runs of the old and the new scenario, for the two remaining points
+    assert {c.commit for c in result} == {r.commit for r in rows} - commits_before
+    assert all(c.seeds == 2 for c in result)
+
+
+def test_budget_stops_a_call_and_the_next_one_continues(tmp_path: Path) -> None:
+    without_time = load_text(tmp_path, EXPERIMENT + "[budget]\nminutes = 1e-9\n")
+    assert run_experiment(without_time, Store(tmp_path / "q.sqlite")).executed == 0
+    experiment = load_text(tmp_path, EXPERIMENT + "[budget]\nruns = 3\n")
     store = Store(tmp_path / "s.sqlite")
-    found = play(experiment, store)
-    assert found.played == 3 and "budget" in found.why
-    assert play(experiment, store).before == 3
+    progress = run_experiment(experiment, store)
+    assert progress.executed == 3 and "budget" in progress.stop_reason
+    assert run_experiment(experiment, store).already_stored == 3
 
 
-def test_an_older_build_is_played_under_this_kit(tmp_path: Path) -> None:
+def test_older_build_runs_with_this_kit(tmp_path: Path) -> None:
     head = subprocess.run(
         ["git", "-C", str(ROOT), "rev-parse", "HEAD"], capture_output=True, text=True, check=False
     )
     if head.returncode:
         pytest.skip("no history here")
-    text = FILE.replace('"policy.gate.GAIN" = [2.5, 5.0]', 'build = [".", "HEAD"]')
-    experiment, store = made(tmp_path, text), Store(tmp_path / "s.sqlite")
-    assert play(experiment, store).states == {"done": 8}
+    text = EXPERIMENT.replace('"policy.gate.GAIN" = [2.5, 5.0]', 'build = [".", "HEAD"]')
+    experiment, store = load_text(tmp_path, text), Store(tmp_path / "s.sqlite")
+    assert run_experiment(experiment, store).states == {"done": 8}
     assert head.stdout.strip() in {
         row.commit.partition(".")[0] for row in store.runs(experiment.digest)
     }
-    assert builds.commit(".").startswith("here-") and builds.commit(".") == builds.commit(".")
-    with pytest.raises(builds.NoBuild, match="no such commit"):
-        builds.commit("no-such")
+    assert builds.build_id(".").startswith("here-") and builds.build_id(".") == builds.build_id(".")
+    with pytest.raises(builds.BuildError, match="no such commit"):
+        builds.build_id("no-such")
 
 
-def test_a_worker_that_is_called_off_gives_the_next_job_no_old_result(tmp_path: Path) -> None:
-    made(tmp_path)
+def test_cancelled_job_leaves_no_result_to_the_next_one(tmp_path: Path) -> None:
+    load_text(tmp_path)
     raw = msgspec.to_builtins(load(str(tmp_path / "mini.toml")))
 
     def job(seed: int, seconds: float) -> dict[str, Any]:
@@ -197,42 +200,47 @@
             "constants": {},
         }
 
-    async def play() -> None:
-        one = runner.Worker(ROOT, 4000.0)
-        first = await one.play(job(1, 2.0), 60.0)
-        long = asyncio.create_task(one.play(job(1, 60.0), 60.0))
-        await asyncio.sleep(0)  # it is written, and nothing has come back yet
-        long.cancel()
+    async def run_jobs() -> None:
+        worker_process = runner.Worker(ROOT, 4000.0)
+        expected = await worker_process.run_job(job(1, 2.0), 60.0)
+        cancelled = asyncio.create_task(worker_process.run_job(job(1, 60.0), 60.0))
+        await asyncio.sleep(0)  # the job is written, its result is still due
+        cancelled.cancel()
         with pytest.raises(asyncio.CancelledError):
-            await long
-        again = await one.play(job(1, 2.0), 60.0)
-        await one.end()
-        assert again["scenario"] == first["scenario"] and again["measures"] == first["measures"]
+            await cancelled
+        again = await worker_process.run_job(job(1, 2.0), 60.0)
+        await worker_process.stop()
+        assert (
+            again["scenario"] == expected["scenario"] and again["measures"] == expected["measures"]
+        )
 
-    asyncio.run(play())
+    asyncio.run(run_jobs())
 
 
-def test_unpacked_builds_do_not_pile_up(tmp_path: Path) -> None:
+def test_old_builds_are_removed(tmp_path: Path) -> None:
     for number in range(30):
         (tmp_path / f"old-{number}").mkdir()
         os.utime(tmp_path / f"old-{number}", (number, number))
-    place = builds.folder(".", tmp_path)
-    assert builds.folder(".", tmp_path) == place and (place / "snowstall").is_dir()
-    assert len(list(tmp_path.iterdir())) == builds.COPIES + 1
+    place = builds.build_folder(".", tmp_path)
+    assert builds.build_folder(".", tmp_path) == place and (place / "snowstall").is_dir()
+    assert len(list(tmp_path.iterdir())) == builds.MAX_BUILDS + 1
 
 
-def test_constants_are_changed_wherever_they_are_used_and_put_back() -> None:
+def test_patched_constants_change_in_all_modules_and_are_restored() -> None:
     from snowstall import balance, learning
 
-    with worker.patched({"learning.MIN_ANSWERS": 3}):
+    with worker.patched_constants({"learning.MIN_ANSWERS": 3}):
         assert learning.MIN_ANSWERS == balance.MIN_ANSWERS == 3
     assert learning.MIN_ANSWERS == balance.MIN_ANSWERS == 10
 
 
 @pytest.mark.long
-def test_killed_at_any_time_nothing_is_counted_twice(tmp_path: Path) -> None:
-    """Whole programs, killed outright while they work; the last one is left to end."""
-    experiment = made(tmp_path, FILE.replace("seeds = 2", "seeds = 6"))
+def test_runs_count_once_after_kills_at_any_time(tmp_path: Path) -> None:
+    """The program is interrupted or killed several times while it works, and then completes.
+
+    No run may be lost or counted twice: the results equal those of an uninterrupted experiment.
+    """
+    experiment = load_text(tmp_path, EXPERIMENT.replace("seeds = 2", "seeds = 6"))
     command = [
         sys.executable,
         "-m",
@@ -258,15 +266,17 @@
                 time.sleep(0.02)
             child.send_signal(signal.SIGKILL if kills % 2 else signal.SIGINT)
             kills += 1
-    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True)
-    assert json.loads(done.stdout)["ended"] == "whole"
-    broken = {
+    completed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True)
+    assert json.loads(completed.stdout)["ended"] == "whole"
+    interrupted_results = {
         (r.point, r.seed): r.measures for r in Store(tmp_path / "s.sqlite").runs(experiment.digest)
     }
-    whole = Store(tmp_path / "t.sqlite")
-    play(experiment, whole, 3)
-    assert broken == {(r.point, r.seed): r.measures for r in whole.runs(experiment.digest)}
-    assert len(broken) == 24
+    uninterrupted = Store(tmp_path / "t.sqlite")
+    run_experiment(experiment, uninterrupted, 3)
+    assert interrupted_results == {
+        (r.point, r.seed): r.measures for r in uninterrupted.runs(experiment.digest)
+    }
+    assert len(interrupted_results) == 24
 
 
 def _count(path: Path) -> int:
@@ -282,15 +292,17 @@
     return Run("e", point, "c", seed, measures={"service": seed / 10.0}, at=float(seed), **more)
 
 
-def test_two_writers_share_the_work_and_a_dead_ones_claim_is_taken_over(tmp_path: Path) -> None:
+def test_claims_exclude_each_other_and_those_of_dead_processes_are_taken_over(
+    tmp_path: Path,
+) -> None:
     one, two = Store(tmp_path / "s.sqlite"), Store(tmp_path / "s.sqlite")
     two._holder = f"{os.uname().nodename}/{os.getppid()}/{_born(os.getppid())}"
     name = ("e", "{}", "c", 1)
     assert one.claim(name) and not two.claim(name)
-    assert one.again("e", ()) == 0 and two.claim(name)  # claims are forgotten by hand
+    assert one.forget_runs("e", ()) == 0 and two.claim(name)  # forget_runs deletes all claims
     two.release(name)
     assert two.claim(name) and not one.claim(name)
-    assert one.put(row(1)) and not two.put(row(1)) and not one.claim(name)
+    assert one.add_run(row(1)) and not two.add_run(row(1)) and not one.claim(name)
     two._holder = f"{os.uname().nodename}/999999999/1"
     assert two.claim(("e", "{}", "c", 2)) and one.claim(("e", "{}", "c", 2))
 
@@ -306,8 +318,8 @@
         db.execute("ALTER TABLE runs DROP COLUMN detail")
         db.execute("UPDATE meta SET version = 1")
     store = Store(path)
-    assert store.put(row(1, detail={"a": 1}))
-    assert next(store.runs("e", whole=True)).detail == {"a": 1}
+    assert store.add_run(row(1, detail={"a": 1}))
+    assert next(store.runs("e", with_details=True)).detail == {"a": 1}
     with sqlite3.connect(path) as db:
         db.execute("UPDATE meta SET version = ?", (VERSION + 1,))
     with pytest.raises(StoreError, match="later version"):
@@ -322,22 +334,25 @@
         Store(tmp_path / "text")
 
 
-def test_a_full_disk_is_one_line_and_what_was_there_stays(tmp_path: Path) -> None:
+def test_full_disk_is_a_store_error_and_keeps_stored_runs(tmp_path: Path) -> None:
     store = Store(tmp_path / "s.sqlite")
-    assert store.put(row(1))
+    assert store.add_run(row(1))
     (pages,) = store._db.execute("PRAGMA page_count").fetchone()
     store._db.execute(f"PRAGMA max_page_count = {pages}")
     with pytest.raises(StoreError, match="full"):
         for seed in range(2, 500):
-            store.put(row(seed, times=os.urandom(4096)))
+            store.add_run(row(seed, times=os.urandom(4096)))
     store._db.execute("PRAGMA max_page_count = 100000")
-    assert store.put(row(1000)) and store.done("e") >= {("{}", "c", 1), ("{}", "c", 1000)}
+    assert store.add_run(row(1000)) and store.completed_runs("e") >= {
+        ("{}", "c", 1),
+        ("{}", "c", 1000),
+    }
 
 
-def test_many_rows_are_listed_quickly(tmp_path: Path) -> None:
+def test_listing_many_runs_is_fast(tmp_path: Path) -> None:
     store = Store(tmp_path / "s.sqlite")
-    store.note("e", "name", "question", "")
-    with store._writing():
+    store.record_experiment("e", "name", "question", "")
+    with store._transaction():
         store._db.executemany(
             "INSERT INTO runs VALUES ('e', ?, 'c', ?, '', '', 'done', 1.0, 0.0, '{}', '', NULL, "
             "NULL)",
@@ -348,44 +363,58 @@
     assert time.process_time() - began < 1.0
 
 
-# --- what may be said ---
-def test_what_is_told_of_pairs() -> None:
+# --- statistics ---
+def test_verdicts_of_paired_differences() -> None:
     same = {s: 0.5 + s / 100 for s in range(8)}
     better = {s: v + 0.1 + (s % 3) / 100 for s, v in same.items()}
-    told = statistics.paired(same, better)
-    assert told.verdict == "better" and told.low > 0.0 and told.pairs == 8 and told.more is None
-    assert statistics.paired(same, better, more_is_better=False).verdict == "worse"
-    assert statistics.paired(same, same).verdict == "no difference at all"
+    improved = statistics.paired_difference(same, better)
+    assert (
+        improved.verdict == "better"
+        and improved.low > 0.0
+        and improved.pairs == 8
+        and improved.more_seeds is None
+    )
+    assert statistics.paired_difference(same, better, more_is_better=False).verdict == "worse"
+    assert statistics.paired_difference(same, same).verdict == "no difference at all"
     noisy = {s: v + (-1) ** s * 0.2 + 0.02 for s, v in same.items()}
-    doubt = statistics.paired(same, noisy)
-    assert doubt.verdict == "cannot tell" and doubt.more is not None and doubt.more > 100
-    few = statistics.paired({1: 0.0, 2: 0.0}, {1: 1.0, 2: 1.1, 3: 5.0})
-    assert few.verdict == "cannot tell" and few.more == 2
+    unclear = statistics.paired_difference(same, noisy)
+    assert (
+        unclear.verdict == "cannot tell"
+        and unclear.more_seeds is not None
+        and unclear.more_seeds > 100
+    )
+    few = statistics.paired_difference({1: 0.0, 2: 0.0}, {1: 1.0, 2: 1.1, 3: 5.0})
+    assert few.verdict == "cannot tell" and few.more_seeds == 2
 
 
-def test_as_many_are_wrong_as_is_stated() -> None:
-    """1,000 repeats of no difference at six seeds: one in twenty and the luck of the draw."""
+def test_error_rate_is_as_stated() -> None:
+    """1,000 comparisons without a difference, of six seeds each: about 1 in 20 is significant."""
     rng = np.random.default_rng(5)
     wrong = sum(
         statistics.studentized(rng.normal(0.0, 1.0, 6), 0.05, n)[2] <= 0.05 for n in range(1000)
     )
-    assert wrong <= 70  # 50 are meant; 20 is three deviations of a binomial of 1,000
+    assert (
+        wrong <= 70
+    )  # 50 are expected; 20 is three standard deviations of the binomial distribution
 
 
 @given(st.lists(st.floats(0.0, 1.0), min_size=1, max_size=20))
-def test_holm_is_stricter_than_each_alone_and_looser_than_all_by_the_count(ps: list[float]) -> None:
-    told = statistics.holm(ps)
-    assert all(p <= 0.05 for p, t in zip(ps, told, strict=True) if t)
-    assert all(t for p, t in zip(ps, told, strict=True) if p <= 0.05 / len(ps))
+def test_holm_is_between_no_correction_and_bonferroni(ps: list[float]) -> None:
+    significant = statistics.holm(ps)
+    assert all(p <= 0.05 for p, t in zip(ps, significant, strict=True) if t)
+    assert all(t for p, t in zip(ps, significant, strict=True) if p <= 0.05 / len(ps))
 
 
-def test_looking_again_and_again_spends_no_more_than_there_is() -> None:
-    assert sum(statistics.spent(look) for look in range(1, 60)) <= statistics.ALPHA
+def test_interim_analyses_use_at_most_alpha() -> None:
+    assert sum(statistics.alpha_at_look(look) for look in range(1, 60)) <= statistics.ALPHA
 
 
-def test_a_warm_up_is_cut_where_it_ends() -> None:
+def test_warm_up_length() -> None:
     values = [0.2 + 0.08 * n for n in range(10)] + [1.0, 0.99] * 25
-    assert 5 <= statistics.warm_up(values) <= 15 and statistics.warm_up([1.0, 0.9] * 30) == 0
+    assert (
+        5 <= statistics.warm_up_length(values) <= 15
+        and statistics.warm_up_length([1.0, 0.9] * 30) == 0
+    )
 
 
 # --- tables ---
@@ -393,30 +422,34 @@
     return tables.Cell(point, "c", {name: {1: value, 2: value} for name, value in means.items()})
 
 
-def test_a_front_keeps_what_nothing_beats_and_a_knee_is_where_it_bends() -> None:
-    found = [
+def test_pareto_front_and_knee() -> None:
+    found_cells = [
         cell({"x": 1}, service=0.9, p99_ms=300.0),
         cell({"x": 2}, service=0.8, p99_ms=200.0),
         cell({"x": 3}, service=0.7, p99_ms=250.0),
     ]
-    assert [c.point["x"] for c in tables.front(found, "service", "p99_ms")] == [2, 1]
+    assert [c.point["x"] for c in tables.pareto_front(found_cells, "service", "p99_ms")] == [2, 1]
     assert tables.knee([1, 2, 3, 4, 5], [1.0, 1.0, 1.0, 0.5, 0.0]) == 2
     assert tables.knee([1, 2, 3], [1.0, 0.5, 0.0]) is None
 
 
-def test_of_several_edits_of_a_checkout_the_last_one_speaks() -> None:
+def test_newest_commit_of_a_point_is_used() -> None:
     rows = [
         Run("e", "{}", "old", 1, at=1.0, measures={"service": 0.1}),
         Run("e", "{}", "new", 1, at=2.0, measures={"service": 0.9}),
         Run("e", "{}", "new", 2, at=3.0, state="crashed"),
     ]
-    (found,) = tables.newest(tables.cells(rows), rows)
-    assert found.commit == "new" and found.mean("service") == 0.9 and found.failed == 1
-    assert found.mean("worst") is None  # a commit that lacks a measure
+    (found_cells,) = tables.newest_by_point(tables.cells(rows), rows)
+    assert (
+        found_cells.commit == "new"
+        and found_cells.mean("service") == 0.9
+        and found_cells.failed == 1
+    )
+    assert found_cells.mean("worst") is None  # the commit has no such measure
 
 
-def test_an_experiment_at_the_keyboard(tmp_path: Path) -> None:
-    made(tmp_path, FILE.replace("seeds = 2", "seeds = 4"))
+def test_command_line(tmp_path: Path) -> None:
+    load_text(tmp_path, EXPERIMENT.replace("seeds = 2", "seeds = 4"))
     files = [str(tmp_path / "sweep.toml"), "--store", str(tmp_path / "s.sqlite")]
     use = CliRunner()
     assert use.invoke(app, ["experiment", "show", *files]).exit_code == 2  # no store yet
@@ -426,29 +459,36 @@
     compared = json.loads(use.invoke(app, ["experiment", "compare", *files, "--json"]).stdout)
     assert len(compared) == 6 and {each["pairs"] for each in compared} == {4}
     listed = use.invoke(app, ["experiment", "list", "--store", files[2]])
-    assert "how much more can be asked" in " ".join(listed.stdout.split())
+    assert "how much more load can be served" in " ".join(listed.stdout.split())
     assert use.invoke(app, ["experiment", "compare", *files, "--against", "9"]).exit_code == 2
     assert "nothing" in use.invoke(app, ["experiment", "run", "nothing"]).output
 
 
-def test_experiments_that_are_shipped_can_be_used() -> None:
-    assert plan.named() and all(points(read(name)) for name in plan.named())
+def test_shipped_experiments_can_be_loaded() -> None:
+    assert plan.shipped_experiments() and all(
+        points(load_experiment(name)) for name in plan.shipped_experiments()
+    )
 
 
-def test_several_scenarios_and_builds_are_compared_point_by_point(tmp_path: Path) -> None:
-    (tmp_path / "other.toml").write_text(MORNING)
-    text = FILE.replace(
+def test_builds_are_compared_by_point_over_several_scenarios(tmp_path: Path) -> None:
+    (tmp_path / "other.toml").write_text(SCENARIO)
+    text = EXPERIMENT.replace(
         'scenario = "{folder}/mini.toml"',
         'scenario = ["{folder}/mini.toml", "{folder}/other.toml"]',
     ).replace('"policy.gate.GAIN" = [2.5, 5.0]', 'build = ["one", "two"]')
-    found = points(made(tmp_path, text))
-    assert len(found) == 8 and {Path(p["scenario"]).stem for p in found} == {"mini", "other"}
-    made_cells = [cell(point, service=0.5 + (point["build"] == "two") / 10) for point in found]
-    pairs = tables.by_build(made_cells)
+    drawn_points = points(load_text(tmp_path, text))
+    assert len(drawn_points) == 8 and {Path(p["scenario"]).stem for p in drawn_points} == {
+        "mini",
+        "other",
+    }
+    made_cells = [
+        cell(point, service=0.5 + (point["build"] == "two") / 10) for point in drawn_points
+    ]
+    pairs = tables.pair_with_first_build(made_cells)
     assert len(pairs) == 4
     for before, after in pairs:
         assert (before.point["build"], after.point["build"]) == ("one", "two")
         assert before.point | {"build": "two"} == after.point
     for wrong in ("scenario = []", 'scenario = ["{folder}/mini.toml", "no-such"]'):
         with pytest.raises(ConfigError, match="scenario"):
-            made(tmp_path, FILE.replace('scenario = "{folder}/mini.toml"', wrong))
+            load_text(tmp_path, EXPERIMENT.replace('scenario = "{folder}/mini.toml"', wrong))
--- a/tests/limebridge/experiments/test_experiments_shown.py
+++ b/tests/limebridge/experiments/test_experiments_shown.py
@@ -1,4 +1,4 @@
-"""Charts, exports, the terminal interface, the search, and benchmarks in the store."""
+"""Tests charts, exports, the terminal interface, the search, and stored benchmark results."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 from limebridge.cli import app
 from limebridge.experiments import bench, charts, export, runner, search, tables
-from limebridge.experiments.parallel_search import Hunt
-from limebridge.experiments.plan import Experiment, read
+from limebridge.experiments.parallel_search import ParallelSearch
+from limebridge.experiments.plan import Experiment, load_experiment
 from limebridge.experiments.store import Run, Store
-from limebridge.experiments.watch import Watch
+from limebridge.experiments.watch import WatchApp
 from limebridge.rehearsal.scenario import Event, Scenario, load
 from violetroute.config import ConfigError
 
-PATIENCE_S = 60.0  # a bound on waiting, far above what any step needs
-MORNING = """[run]
+TIMEOUT_S = 60.0  # bound on waiting, far above what any step needs
+SCENARIO = """[run]
 seconds = 12.0
 [load]
 curve = [{at = 0.0, rate = 40.0}]
@@ -40,7 +40,7 @@
 name = "standard"
 at = {a = 2, b = 2}
 """
-FILE = """question = "<b>how</b> much more"
+EXPERIMENT = """question = "<b>how</b> much more"
 scenario = "{folder}/mini.toml"
 seeds = 4
 measures = ["service", "p99_ms"]
@@ -52,50 +52,50 @@
 
 @pytest.fixture(scope="module")
 def played(tmp_path_factory: pytest.TempPathFactory) -> tuple[Experiment, Store]:
-    """One experiment, whole, that the tests only look at."""
+    """A complete experiment, which the tests only read."""
     folder = tmp_path_factory.mktemp("played")
-    (folder / "mini.toml").write_text(MORNING.replace("12.0", "2.0"))
+    (folder / "mini.toml").write_text(SCENARIO.replace("12.0", "2.0"))
     path = folder / "sweep.toml"
-    path.write_text(FILE.replace("{folder}", str(folder)))
-    made, store = read(str(path)), Store(folder / "s.sqlite")
-    found = asyncio.run(runner.run(made, store, 4))
+    path.write_text(EXPERIMENT.replace("{folder}", str(folder)))
+    experiment, store = load_experiment(str(path)), Store(folder / "s.sqlite")
+    found = asyncio.run(runner.run(experiment, store, 4))
     assert found.states == {"done": 24}
-    return made, store
+    return experiment, store
 
 
 # --- charts ---
-class Tags(HTMLParser):
-    """What a page would ask others for."""
+class PageParser(HTMLParser):
+    """Counts the tags of a page and collects its references to other resources."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.outside: list[str] = []
+        self.external_links: list[str] = []
         self.count: dict[str, int] = {}
 
     def handle_starttag(self, tag: str, attrs: list[tuple[str, str | None]]) -> None:
         self.count[tag] = self.count.get(tag, 0) + 1
-        self.outside += [
+        self.external_links += [
             v
             for k, v in attrs
             if k in ("src", "href", "xlink:href") and v and not v.startswith(("#", "data:"))
         ]
 
 
-def test_a_page_needs_nothing_else_and_shows_each_picture(played: tuple[Experiment, Store]) -> None:
-    made, store = played
-    rows = list(store.runs(made.digest))
-    text = charts.page(made, tables.cells(rows), rows)
-    tags = Tags()
+def test_page_is_self_contained_and_has_all_charts(played: tuple[Experiment, Store]) -> None:
+    experiment, store = played
+    rows = list(store.runs(experiment.digest))
+    text = charts.render_page(experiment, tables.cells(rows), rows)
+    tags = PageParser()
     tags.feed(text)
-    assert not tags.outside and "@import" not in text and "url(http" not in text
-    assert tags.count["svg"] == 5  # a ribbon and a grid for each measure, and the front
+    assert not tags.external_links and "@import" not in text and "url(http" not in text
+    assert tags.count["svg"] == 5  # a line chart and a heat map per measure, and the Pareto front
     assert "&lt;b&gt;how" in text and "<b>how" not in text
     assert charts.INK not in text and "currentColor" in text
-    assert text == charts.page(made, tables.cells(rows), rows)  # the same file again
+    assert text == charts.render_page(experiment, tables.cells(rows), rows)  # reproducible
 
 
-def test_before_and_after_by_build_and_a_front() -> None:
-    made = Experiment("q", "s", {"build": ["one", "two"]}, measures=["service", "back"])
+def test_charts_by_build() -> None:
+    experiment = Experiment("q", "s", {"build": ["one", "two"]}, measures=["service", "back"])
     found = [
         tables.Cell(
             {"build": name},
@@ -107,16 +107,17 @@
         )
         for name, value in (("one", 0.5), ("two", 0.7))
     ]
-    said = [picture.said for picture in charts.pictures(made, found)]
-    assert said == ["service by build; thin: a seed each", "back by build; thin: a seed each"]
+    captions = [chart.caption for chart in charts.make_charts(experiment, found)]
+    assert captions == [
+        "service by build; thin lines: single seeds",
+        "back by build; thin lines: single seeds",
+    ]
 
 
 # --- export ---
-def test_rows_go_out_whole_with_any_percentile(
-    played: tuple[Experiment, Store], tmp_path: Path
-) -> None:
-    made, store = played
-    rows = export.flat(store.runs(made.digest, whole=True))
+def test_export_of_rows_and_percentiles(played: tuple[Experiment, Store], tmp_path: Path) -> None:
+    experiment, store = played
+    rows = export.flat(store.runs(experiment.digest, with_details=True))
     export.write(rows, tmp_path / "x.csv")
     export.write(rows, tmp_path / "x.parquet")
     with (tmp_path / "x.csv").open() as file:
@@ -142,11 +143,11 @@
 
 
 # --- watching ---
-def test_from_an_experiment_to_a_request_in_four_steps(played: tuple[Experiment, Store]) -> None:
+def test_terminal_interface_from_experiment_to_request(played: tuple[Experiment, Store]) -> None:
     _, store = played
 
-    async def look() -> None:
-        watch = Watch(store.path)
+    async def navigate() -> None:
+        watch = WatchApp(store.path)
         async with watch.run_test(size=(80, 24)) as pilot:
             await pilot.pause()
             assert watch.screen.query_one(DataTable).row_count == 1
@@ -168,111 +169,118 @@
             for _ in range(5):
                 await pilot.press("escape")
                 await pilot.pause()
-            store.put(Run("other", "{}", "c", 1, measures={"service": 1.0}))
-            store.note("other", "new one", "comes while we look", "")
-            assert await settled(lambda: watch.screen.query_one(DataTable).row_count == 2)
+            store.add_run(Run("other", "{}", "c", 1, measures={"service": 1.0}))
+            store.record_experiment("other", "new one", "comes while we look", "")
+            assert await becomes_true(lambda: watch.screen.query_one(DataTable).row_count == 2)
 
-    asyncio.run(look())
+    asyncio.run(navigate())
 
 
-async def settled(what: Callable[[], bool]) -> bool:
-    """Once it is so; False after a time far above what any step needs."""
-    end = asyncio.get_running_loop().time() + PATIENCE_S
-    while not what():
+async def becomes_true(condition: Callable[[], bool]) -> bool:
+    """Wait for the condition; False after TIMEOUT_S."""
+    end = asyncio.get_running_loop().time() + TIMEOUT_S
+    while not condition():
         if asyncio.get_running_loop().time() > end:
             return False
         await asyncio.sleep(0.05)
     return True
 
 
-def test_a_search_that_is_called_off_leaves_no_worker_and_no_run(tmp_path: Path) -> None:
-    """While it shrinks, where it once waited for up to thirty runs in threads."""
+def test_cancelled_search_leaves_no_worker_and_no_run(tmp_path: Path) -> None:
+    """The search is cancelled while it shrinks plans.
+
+    It once waited for up to thirty runs in threads before it ended.
+    """
 
-    async def play() -> None:
-        made = base(tmp_path)
-        hunt = Hunt(made, tmp_path / "builds", 2)
+    async def run_search() -> None:
+        base = load_base(tmp_path)
+        search_run = ParallelSearch(base, tmp_path / "builds", 2)
         archive = search.Archive()
         for seed in range(4):
-            archive.add(search.Found(search.draw(Random(seed), made), 1.0 - seed / 100))
-        finding = asyncio.create_task(hunt.finds(archive, 3))
-        assert await settled(lambda: hunt.runs >= 1)
+            archive.add(search.RatedPlan(search.random_plan(Random(seed), base), 1.0 - seed / 100))
+        finding = asyncio.create_task(search_run.best_plans(archive, 3))
+        assert await becomes_true(lambda: search_run.runs >= 1)
         finding.cancel()
         with pytest.raises(asyncio.CancelledError):
             await finding
-        played = hunt.runs
-        await hunt.end()
-        assert all(worker._process is None for worker in hunt._all)
-        assert len(hunt._free) == 2 and hunt.runs == played
+        played = search_run.runs
+        await search_run.stop()
+        assert all(worker._process is None for worker in search_run._all)
+        assert len(search_run._free) == 2 and search_run.runs == played
 
-    asyncio.run(play())
+    asyncio.run(run_search())
 
 
 # --- the search ---
-def base(tmp_path: Path) -> Scenario:
+def load_base(tmp_path: Path) -> Scenario:
     path = tmp_path / "base.toml"
-    path.write_text(MORNING)
+    path.write_text(SCENARIO)
     return load(str(path))
 
 
-def test_plans_that_are_asked_for_can_all_be_played(tmp_path: Path) -> None:
+def test_proposed_plans_are_valid_and_new(tmp_path: Path) -> None:
     from limebridge.rehearsal.scenario import validate
 
-    made, rng, archive = base(tmp_path), Random(1), search.Archive()
+    base, rng, archive = load_base(tmp_path), Random(1), search.Archive()
     for number in range(400):
-        plan = search.ask(archive, rng, made, number < 50)
-        assert 1 <= len(plan) <= search.MOST and plan not in archive.tried
-        validate(search.scenario_of(made, plan, "x"), "x")
-        archive.add(search.Found(plan, rng.random()))
+        plan = search.next_plan(archive, rng, base, number < 50)
+        assert 1 <= len(plan) <= search.MAX_EVENTS and plan not in archive.tried
+        validate(search.scenario_of(base, plan, "x"), "x")
+        archive.add(search.RatedPlan(plan, rng.random()))
     assert len(archive.best) > 60 and archive.worst_so_far == sorted(archive.worst_so_far)
 
 
-def priced(plan: search.Plan) -> float:
-    """A landscape with one deep place: a long stall of much while the database is slow."""
+def loss_of_plan(plan: search.Plan) -> float:
+    """A made-up loss, largest for a long stall of many nodes while the database is slow."""
     kinds = {event.kind: event for event in plan}
-    cost = 0.05 * len(kinds)
+    loss = 0.05 * len(kinds)
     if "stalls" in kinds:
-        cost += 0.3 * kinds["stalls"].share + 0.02 * kinds["stalls"].lasts
+        loss += 0.3 * kinds["stalls"].share + 0.02 * kinds["stalls"].lasts
     if {"stalls", "database_slow"} <= set(kinds):
-        cost += 0.3
-    return min(1.0, cost)
+        loss += 0.3
+    return min(1.0, loss)
 
 
-def test_a_guided_search_finds_more_than_draws_of_the_same_budget(tmp_path: Path) -> None:
-    made = base(tmp_path)
+def test_guided_search_finds_larger_losses_than_random_plans(tmp_path: Path) -> None:
+    base = load_base(tmp_path)
 
     def worst(guided: bool, seed: int) -> float:
         archive = search.Archive()
-        for plans in search.batches(made, archive, 200, 8, seed, guided):
+        for plans in search.plan_batches(base, archive, 200, 8, seed, guided):
             for plan in plans:
-                archive.add(search.Found(plan, priced(plan)))
+                archive.add(search.RatedPlan(plan, loss_of_plan(plan)))
         return archive.worst_so_far[-1]
 
     gains = [worst(True, seed) - worst(False, seed) for seed in range(10)]
     assert sum(gain > 0.0 for gain in gains) >= 8
 
 
-def test_a_find_is_shrunk_to_what_it_needs() -> None:
+def test_shrinking_keeps_only_the_necessary_events() -> None:
     plan = (
         Event(at=1.0, kind="stalls", share=0.5, lasts=6.0),
         Event(at=2.0, kind="scan", share=0.2, lasts=6.0),
         Event(at=3.0, kind="database_slow", share=1.0, lasts=8.0),
     )
-    steps = search.shrunk(search.Found(plan, priced(plan)))
-    asked = [next(steps)]
+    steps = search.shrink(search.RatedPlan(plan, loss_of_plan(plan)))
+    tried = [next(steps)]
     with pytest.raises(StopIteration) as end:
         while True:
-            asked.append(steps.send(priced(asked[-1])))
+            tried.append(steps.send(loss_of_plan(tried[-1])))
     small = end.value.value
-    assert len(asked) <= 30 and all(asked)
-    assert small.kind == "database_slow+stalls" and small.loss >= 0.85 * priced(plan)
+    assert len(tried) <= 30 and all(tried)
+    assert small.kind == "database_slow+stalls" and small.loss >= 0.85 * loss_of_plan(plan)
     assert next(e.lasts for e in small.plan if e.kind == "database_slow") < 8.0
-    ranked = [search.Found(plan[:1], 0.9), search.Found(plan, 0.95), search.Found(plan[1:2], 0.1)]
-    assert [f.kind for f in search.novel(ranked, 5)] == ["stalls", "scan"]
+    ranked = [
+        search.RatedPlan(plan[:1], 0.9),
+        search.RatedPlan(plan, 0.95),
+        search.RatedPlan(plan[1:2], 0.1),
+    ]
+    assert [f.kind for f in search.select_diverse(ranked, 5)] == ["stalls", "scan"]
 
 
 @pytest.mark.long
-def test_what_is_found_is_a_scenario_that_rehearse_plays(tmp_path: Path) -> None:
-    (tmp_path / "base.toml").write_text(MORNING)
+def test_found_scenario_can_be_rehearsed(tmp_path: Path) -> None:
+    (tmp_path / "base.toml").write_text(SCENARIO)
     use = CliRunner()
     done = use.invoke(
         app,
@@ -301,8 +309,10 @@
 
 
 # --- benchmarks ---
-def test_a_benchmarks_figures_are_rows(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(bench, "FOLDER", tmp_path)
+def test_benchmark_results_are_stored_as_rows(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(bench, "BENCHMARKS_FOLDER", tmp_path)
     (tmp_path / "one.py").write_text(
         "import json\nprint('words')\nprint(json.dumps({'rate': 400, 'ratio': 2.5, 'loop': 'a',"
         " 'more': [1], 'ok': True}))\nprint(json.dumps([{'ratio': 3.0, 'loop': 'b'}]))\n"
@@ -310,19 +320,19 @@
     (tmp_path / "none.py").write_text("print('no figures here')\n")
     store = Store(tmp_path / "s.sqlite")
     for times in (1, 2):
-        asyncio.run(bench.play("one", ["--x"], times, store, 60.0))
+        asyncio.run(bench.run_benchmark("one", ["--x"], times, store, 60.0))
     rows = list(store.runs("bench:one"))
     points: dict[str, Any] = {}
     for row in rows:
         points.setdefault(row.point, []).append(row.measures["ratio"])
     assert sorted(points.values()) == [[2.5] * 3, [3.0] * 3]
     assert json.loads(rows[0].point) == {"arguments": "--x", "loop": "a", "ok": True, "rate": 400}
-    for name, said in (("none", "no JSON"), ("other", "there are")):
-        with pytest.raises(bench.Failed, match=said):
-            asyncio.run(bench.play(name, [], 1, store, 60.0))
+    for name, expected in (("none", "no JSON"), ("other", "there are")):
+        with pytest.raises(bench.BenchmarkError, match=expected):
+            asyncio.run(bench.run_benchmark(name, [], 1, store, 60.0))
 
 
-def test_each_command_is_told_of_in_the_help() -> None:
+def test_help_lists_all_commands() -> None:
     text = CliRunner().invoke(app, ["experiment", "--help"]).stdout
     for name in ("run", "list", "show", "compare", "chart", "search", "export", "bench", "watch"):
         assert re.search(rf"\b{name}\b", text)
--- a/tests/limebridge/faults/distribution/test_distribution_mixed_builds.py
+++ b/tests/limebridge/faults/distribution/test_distribution_mixed_builds.py
@@ -15,7 +15,7 @@
 from typer.testing import CliRunner
 
 from limebridge.cli import app
-from limebridge.experiments.builds import NoBuild
+from limebridge.experiments.builds import BuildError
 from limebridge.faults.distribution import rig
 from limebridge.faults.distribution.checker import LogEntry, Rule, RuleChecker
 from limebridge.faults.distribution.mixed_builds import Builds, check_source
@@ -88,7 +88,7 @@
 
 
 def test_folder_without_packages_is_rejected(tmp_path: Path) -> None:
-    with pytest.raises(NoBuild, match="No module named"):
+    with pytest.raises(BuildError, match="No module named"):
         check_source(tmp_path)
 
 
--- a/tests/support/distribution_next_build.py
+++ b/tests/support/distribution_next_build.py
@@ -5,8 +5,8 @@
 import ast
 from pathlib import Path
 
-from limebridge.experiments.builds import folder
-from limebridge.experiments.plan import HERE
+from limebridge.experiments.builds import build_folder
+from limebridge.experiments.plan import THIS_CHECKOUT
 
 ADDED = '    added: str = "a field of the next build"'
 MESSAGES = Path("violetroute/distribution/messages.py")
@@ -17,7 +17,7 @@
 
 def copy_of_this_build(under: Path) -> Path:
     """The folder of a copy."""
-    return folder(HERE, under)
+    return build_folder(THIS_CHECKOUT, under)
 
 
 def next_build(under: Path) -> Path:
