--- a/benchmarks/membership_return.py
+++ b/benchmarks/membership_return.py
@@ -18,7 +18,7 @@
 from functools import partial
 from typing import Any
 
-from limebridge.scale.virtual_members import DELAY, VirtualMembers
+from limebridge.scale.virtual_members import DATAGRAM_DELAY_S, VirtualMembers
 from violetroute.sharing.service import Sharing
 from violetroute.transport import Address
 
@@ -38,7 +38,9 @@
         draw = random.Random(seed)
         self.received: dict[str, int] = {}  # bytes, by name and life
         self._salt = seed
-        self.kernel.datagram_delays = lambda owner, port: [] if draw.random() < loss else [DELAY]
+        self.kernel.datagram_delays = lambda owner, port: (
+            [] if draw.random() < loss else [DATAGRAM_DELAY_S]
+        )
 
     def add(self) -> Sharing:
         """Start one more member, whose bytes are counted."""
--- a/limebridge/scale/capacity.py
+++ b/limebridge/scale/capacity.py
@@ -25,7 +25,7 @@
     DATABASE = "customer's database"
 
 
-class Kind(StrEnum):
+class ResourceKind(StrEnum):
     """What a need consists of."""
 
     STATE = "state"
@@ -49,7 +49,7 @@
         self._slopes = slopes
         self.sources: list[str] = []
 
-    def at(self, cost: str, size: float) -> float:
+    def cost(self, cost: str, size: float) -> float:
         """The cost at this size.  MissingFigureError when there is no figure for it."""
         self.sources.append(cost)
         try:
@@ -77,10 +77,10 @@
 
     identity: str
     role: Role
-    kind: Kind
-    what: str
+    kind: ResourceKind
+    label: str
     unit: str
-    need: Formula
+    formula: Formula
     mechanism: str  # the module that carries it; "none" where nothing does
     budget: Formula | None = None
 
@@ -103,22 +103,22 @@
         return self.need / self.budget
 
     @property
-    def over(self) -> bool:
+    def over_budget(self) -> bool:
         """Whether the need is greater than its budget."""
         return self.ratio is not None and self.ratio > 1.0
 
 
-def compute(rows: Iterable[Row], target: Target, slopes: Slopes) -> list[Need]:
+def compute_needs(rows: Iterable[Row], target: Target, slopes: Slopes) -> list[Need]:
     """Each row with its figures, in the order of the rows."""
-    return [_compute(row, target, slopes) for row in rows]
+    return [_compute_need(row, target, slopes) for row in rows]
 
 
-def _compute(row: Row, target: Target, slopes: Slopes) -> Need:
+def _compute_need(row: Row, target: Target, slopes: Slopes) -> Need:
     figures = Figures(target, slopes)
     budget = None if row.budget is None else row.budget(figures)
     figures.sources.clear()
     try:
-        need = row.need(figures)
+        need = row.formula(figures)
     except MissingFigureError as error:
         return Need(row, None, budget, tuple(dict.fromkeys(figures.sources)), str(error))
     return Need(row, need, budget, tuple(dict.fromkeys(figures.sources)))
--- a/limebridge/scale/capacity_command.py
+++ b/limebridge/scale/capacity_command.py
@@ -11,10 +11,10 @@
 from violetroute.config import ConfigError
 from violetroute.error_text import one_line
 
-from .capacity import compute
-from .capacity_page import has_table, problems, tables, written
+from .capacity import compute_needs
+from .capacity_page import fill_tables, find_problems, has_table, render_tables
 from .capacity_rows import ROWS
-from .results import Slopes, combined, read
+from .results import Slopes, combine_slopes, read_slopes
 from .target import Target, load_target
 
 PAGE = Path("docs/CAPACITY.md")
@@ -43,15 +43,15 @@
     the slopes and the target, or passes a budget without a line that says so.
     """
     try:
-        measured = combined([read(path) for path in slopes])
-        aim = load_target(target)
-        needs = compute(ROWS, aim, measured)
-        made = tables(needs, measured)
+        measured = combine_slopes([read_slopes(path) for path in slopes])
+        loaded_target = load_target(target)
+        needs = compute_needs(ROWS, loaded_target, measured)
+        rendered = render_tables(needs, measured)
         text = page.read_text(encoding="utf-8")
         if has_table(text, GROWTH_TABLE):
-            made[GROWTH_TABLE] = _growth_table(run or GROWTH_RUNS, aim, measured)
+            rendered[GROWTH_TABLE] = _growth_table(run or GROWTH_RUNS, loaded_target, measured)
         if not check:
-            text = written(text, made)
+            text = fill_tables(text, rendered)
             page.write_text(text, encoding="utf-8")
     except (ConfigError, OSError, ValueError) as error:
         typer.echo(f"limebridge scale capacity: {one_line(error)}", err=True)
@@ -59,10 +59,10 @@
     except KeyError as error:
         typer.echo(f"limebridge scale capacity: {page}: no such table: {error}", err=True)
         raise typer.Exit(2) from None
-    wrong = problems(text, needs, made)
-    for line in wrong:
+    differences = find_problems(text, needs, rendered)
+    for line in differences:
         typer.echo(f"{page}: {line}", err=True)
-    if wrong and check:
+    if differences and check:
         raise typer.Exit(1)
 
 
--- a/limebridge/scale/capacity_rows_others.py
+++ b/limebridge/scale/capacity_rows_others.py
@@ -2,61 +2,59 @@
 
 from __future__ import annotations
 
-from .capacity import Figures, Kind, MissingFigureError, Role, Row
+from .capacity import Figures, MissingFigureError, ResourceKind, Role, Row
 
 MEGABYTE = 1e6
-NOT_OURS = "not measured: another program's"
+OTHER_PROGRAM = "not measured: another program's"
 
 
-def _not_ours(figures: Figures) -> float:
-    raise MissingFigureError(NOT_OURS)
+def _other_program_need(figures: Figures) -> float:
+    raise MissingFigureError(OTHER_PROGRAM)
 
 
-def _no_bound_on_misses(figures: Figures) -> float:
+def _unbounded_misses(figures: Figures) -> float:
     raise MissingFigureError("not measured: nothing bounds the fleet's sum (issue 25)")
 
 
-def _at_each_node(figures: Figures, each_proxy: float) -> float:
+def _per_node(figures: Figures, each_proxy: float) -> float:
     """What a node has of something that each proxy spreads over all nodes."""
     return each_proxy * figures.target.proxies / figures.target.nodes
 
 
-def _other_programs(identity: str, role: Role, kind: Kind, what: str) -> Row:
+def _other_program_row(identity: str, role: Role, kind: ResourceKind, label: str) -> Row:
     """A need that only the other program's owner can state."""
-    return Row(identity, role, kind, what, "", _not_ours, "none: another program")
+    return Row(identity, role, kind, label, "", _other_program_need, "none: another program")
 
 
 OTHER_ROWS = (
     Row(
         "node-connections",
         Role.NODE,
-        Kind.STATE,
+        ResourceKind.STATE,
         "open connections from all proxies",
         "connections",
-        lambda figures: _at_each_node(
-            figures, figures.at("connections.open", figures.target.nodes)
-        ),
+        lambda figures: _per_node(figures, figures.cost("connections.open", figures.target.nodes)),
         "none: every proxy uses every node",
     ),
     Row(
         "discovery-change",
         Role.DISCOVERY,
-        Kind.MESSAGES,
+        ResourceKind.MESSAGES,
         "one changed node, told to all proxies as a whole list",
         "MB",
         lambda figures: (
-            figures.at("list.bytes", figures.target.nodes) * figures.target.proxies / MEGABYTE
+            figures.cost("list.bytes", figures.target.nodes) * figures.target.proxies / MEGABYTE
         ),
         "violetroute/membership/consul.py; changes alone: native.py",
     ),
     Row(
         "discovery-zone",
         Role.DISCOVERY,
-        Kind.MESSAGES,
+        ResourceKind.MESSAGES,
         "a lost zone, a change for each of its nodes",
         "MB",
         lambda figures: (
-            figures.at("list.bytes", figures.target.nodes)
+            figures.cost("list.bytes", figures.target.nodes)
             * figures.target.proxies
             * figures.target.nodes
             / figures.target.zones
@@ -67,16 +65,16 @@
     Row(
         "database-cold-zone",
         Role.DATABASE,
-        Kind.MESSAGES,
+        ResourceKind.MESSAGES,
         "misses while a zone's nodes come back cold, from all proxies",
         "/s",
-        _no_bound_on_misses,
+        _unbounded_misses,
         "none for the fleet; each proxy's fetches limit: snowstall/gate.py",
     ),
     Row(
         "node-requests",
         Role.NODE,
-        Kind.MESSAGES,
+        ResourceKind.MESSAGES,
         "requests, spread evenly, with no retries",
         "/s",
         lambda figures: figures.target.requests_per_s / figures.target.nodes,
@@ -85,37 +83,39 @@
     Row(
         "node-opens",
         Role.NODE,
-        Kind.MESSAGES,
+        ResourceKind.MESSAGES,
         "connections that all proxies open to it",
         "/s",
-        lambda figures: _at_each_node(
-            figures, figures.at("connections.opened_per_s", figures.target.nodes)
+        lambda figures: _per_node(
+            figures, figures.cost("connections.opened_per_s", figures.target.nodes)
         ),
         "none: every proxy uses every node",
     ),
-    _other_programs("node-cpu", Role.NODE, Kind.PROCESSOR_TIME, "its own work"),
-    _other_programs("node-memory", Role.NODE, Kind.MEMORY, "100,000 objects"),
+    _other_program_row("node-cpu", Role.NODE, ResourceKind.PROCESSOR_TIME, "its own work"),
+    _other_program_row("node-memory", Role.NODE, ResourceKind.MEMORY, "100,000 objects"),
     Row(
         "discovery-entries",
         Role.DISCOVERY,
-        Kind.STATE,
+        ResourceKind.STATE,
         "the list, one entry a node",
         "bytes",
-        lambda figures: figures.at("list.bytes", figures.target.nodes),
+        lambda figures: figures.cost("list.bytes", figures.target.nodes),
         "violetroute/membership",
     ),
     Row(
         "discovery-watches",
         Role.DISCOVERY,
-        Kind.STATE,
+        ResourceKind.STATE,
         "open watches, one a proxy",
         "watches",
         lambda figures: figures.target.proxies,
         "violetroute/membership/list_reader.py",
     ),
-    _other_programs("discovery-cpu", Role.DISCOVERY, Kind.PROCESSOR_TIME, "its own work"),
-    _other_programs("discovery-memory", Role.DISCOVERY, Kind.MEMORY, "its own"),
-    _other_programs("database-state", Role.DATABASE, Kind.STATE, "the customers' data"),
-    _other_programs("database-cpu", Role.DATABASE, Kind.PROCESSOR_TIME, "its own work"),
-    _other_programs("database-memory", Role.DATABASE, Kind.MEMORY, "its own"),
+    _other_program_row(
+        "discovery-cpu", Role.DISCOVERY, ResourceKind.PROCESSOR_TIME, "its own work"
+    ),
+    _other_program_row("discovery-memory", Role.DISCOVERY, ResourceKind.MEMORY, "its own"),
+    _other_program_row("database-state", Role.DATABASE, ResourceKind.STATE, "the customers' data"),
+    _other_program_row("database-cpu", Role.DATABASE, ResourceKind.PROCESSOR_TIME, "its own work"),
+    _other_program_row("database-memory", Role.DATABASE, ResourceKind.MEMORY, "its own"),
 )
--- a/limebridge/scale/capacity_rows_proxy.py
+++ b/limebridge/scale/capacity_rows_proxy.py
@@ -4,23 +4,25 @@
 
 from violetroute.distribution.messages import MAX_BODY_BYTES
 
-from .capacity import Figures, Kind, Role, Row
+from .capacity import Figures, ResourceKind, Role, Row
 from .target import SECONDS_PER_DAY
 
-BAD_NODES_OF_A_REGION = 120  # of 1,200 nodes in ten regions; a size that judgements are measured at
+UNHEALTHY_NODES_IN_REGION = (
+    120  # of 1,200 nodes in ten regions; a size that judgements are measured at
+)
 MEGABYTE = 1e6
-BOTH_WAYS = 2.0
+BOTH_DIRECTIONS = 2.0
 
 
 def _gossip_bytes(figures: Figures) -> float:
     """What is measured is sent; on average as much is received."""
-    return BOTH_WAYS * figures.at("gossip.bytes_per_s", figures.target.proxies)
+    return BOTH_DIRECTIONS * figures.cost("gossip.bytes_per_s", figures.target.proxies)
 
 
 def _report_bytes(figures: Figures) -> float:
     """Node health, load and heavy hitters, while a whole region's nodes are bad."""
-    cost = f"sharing.bytes_per_s_{BAD_NODES_OF_A_REGION}"
-    return BOTH_WAYS * figures.at(cost, figures.target.proxies)
+    cost = f"sharing.bytes_per_s_{UNHEALTHY_NODES_IN_REGION}"
+    return BOTH_DIRECTIONS * figures.cost(cost, figures.target.proxies)
 
 
 def _configuration_bytes(figures: Figures) -> float:
@@ -29,7 +31,7 @@
 
 
 def _purge_bytes(figures: Figures) -> float:
-    return figures.at("distribution.proxy_bytes_per_s", figures.target.purges_per_s)
+    return figures.cost("distribution.proxy_bytes_per_s", figures.target.purges_per_s)
 
 
 def _list_changes_per_s(figures: Figures) -> float:
@@ -42,7 +44,7 @@
 
 def _list_bytes(figures: Figures) -> float:
     """Where each change sends the whole list, as a blocking query does."""
-    return _list_changes_per_s(figures) * figures.at("list.bytes", figures.target.nodes)
+    return _list_changes_per_s(figures) * figures.cost("list.bytes", figures.target.nodes)
 
 
 def _proxy_bytes(figures: Figures) -> float:
@@ -57,25 +59,25 @@
 
 def _list_cpu(figures: Figures) -> float:
     milliseconds = sum(
-        figures.at(cost, figures.target.nodes) for cost in ("list.parse_ms", "list.change_ms")
+        figures.cost(cost, figures.target.nodes) for cost in ("list.parse_ms", "list.change_ms")
     )
     return _list_changes_per_s(figures) * milliseconds / 1000.0
 
 
 def _proxy_cpu(figures: Figures) -> float:
     return (
-        figures.at("gossip.cpu_share", figures.target.proxies)
-        + figures.at("distribution.proxy_cpu_share", figures.target.purges_per_s)
+        figures.cost("gossip.cpu_share", figures.target.proxies)
+        + figures.cost("distribution.proxy_cpu_share", figures.target.purges_per_s)
         + _list_cpu(figures)
     )
 
 
 def _datagrams(figures: Figures) -> float:
-    return BOTH_WAYS * figures.at("gossip.datagrams_per_s", figures.target.proxies)
+    return BOTH_DIRECTIONS * figures.cost("gossip.datagrams_per_s", figures.target.proxies)
 
 
 def _polls(figures: Figures) -> float:
-    return figures.at("distribution.proxy_polls_per_s", figures.target.purges_per_s)
+    return figures.cost("distribution.proxy_polls_per_s", figures.target.purges_per_s)
 
 
 def _proxy_memory(figures: Figures) -> float:
@@ -83,10 +85,10 @@
     return (
         figures.quoted("sharing.memory_mb")
         + figures.quoted("ownership.memory_mb")
-        + figures.at("gossip.memory_bytes", figures.target.proxies) / MEGABYTE
-        + figures.at("distribution.proxy_memory_mb", figures.target.purges_per_s)
-        + figures.at("judgements.memory_mb", figures.target.proxies)
-        + figures.at("list.memory_mb", figures.target.nodes)
+        + figures.cost("gossip.memory_bytes", figures.target.proxies) / MEGABYTE
+        + figures.cost("distribution.proxy_memory_mb", figures.target.purges_per_s)
+        + figures.cost("judgements.memory_mb", figures.target.proxies)
+        + figures.cost("list.memory_mb", figures.target.nodes)
     )
 
 
@@ -94,7 +96,7 @@
     Row(
         "proxy-gossip",
         Role.PROXY,
-        Kind.MESSAGES,
+        ResourceKind.MESSAGES,
         "membership of all proxies, sent and received",
         "bytes/s",
         _gossip_bytes,
@@ -103,7 +105,7 @@
     Row(
         "proxy-reports",
         Role.PROXY,
-        Kind.MESSAGES,
+        ResourceKind.MESSAGES,
         "reports of node health, load and heavy hitters while a region's nodes are bad",
         "bytes/s",
         _report_bytes,
@@ -112,7 +114,7 @@
     Row(
         "proxy-purges",
         Role.PROXY,
-        Kind.MESSAGES,
+        ResourceKind.MESSAGES,
         "purges, with polls and acknowledgements",
         "bytes/s",
         _purge_bytes,
@@ -121,7 +123,7 @@
     Row(
         "proxy-configuration",
         Role.PROXY,
-        Kind.MESSAGES,
+        ResourceKind.MESSAGES,
         "changes of configuration, each of 16 KiB at most",
         "bytes/s",
         _configuration_bytes,
@@ -130,7 +132,7 @@
     Row(
         "proxy-lists",
         Role.PROXY,
-        Kind.MESSAGES,
+        ResourceKind.MESSAGES,
         "whole node lists on an ordinary day",
         "bytes/s",
         _list_bytes,
@@ -139,7 +141,7 @@
     Row(
         "proxy-bytes",
         Role.PROXY,
-        Kind.MESSAGES,
+        ResourceKind.MESSAGES,
         "all of these",
         "bytes/s",
         _proxy_bytes,
@@ -149,7 +151,7 @@
     Row(
         "proxy-cpu",
         Role.PROXY,
-        Kind.PROCESSOR_TIME,
+        ResourceKind.PROCESSOR_TIME,
         "membership, purges and lists",
         "of a core",
         _proxy_cpu,
@@ -159,7 +161,7 @@
     Row(
         "proxy-memory",
         Role.PROXY,
-        Kind.MEMORY,
+        ResourceKind.MEMORY,
         "members, node health at its worst, purges, list, state of the nodes, and the code",
         "MB",
         _proxy_memory,
@@ -169,61 +171,61 @@
     Row(
         "proxy-first-list",
         Role.PROXY,
-        Kind.PROCESSOR_TIME,
+        ResourceKind.PROCESSOR_TIME,
         "the first list, in many turns of the loop",
         "ms",
-        lambda figures: figures.at("list.apply_ms", figures.target.nodes),
+        lambda figures: figures.cost("list.apply_ms", figures.target.nodes),
         "snowstall/balance.py",
     ),
     Row(
         "proxy-list-turn",
         Role.PROXY,
-        Kind.PROCESSOR_TIME,
+        ResourceKind.PROCESSOR_TIME,
         "the loop stands while a fifth of the nodes drains or comes back",
         "ms",
-        lambda figures: figures.at("list.batch_turn_ms", figures.target.nodes),
+        lambda figures: figures.cost("list.batch_turn_ms", figures.target.nodes),
         "violetroute/listing.py",
     ),
     Row(
         "proxy-request",
         Role.PROXY,
-        Kind.PROCESSOR_TIME,
+        ResourceKind.PROCESSOR_TIME,
         "the module's time for a request",
         "us",
-        lambda figures: figures.at("module.request_us", figures.target.nodes),
+        lambda figures: figures.cost("module.request_us", figures.target.nodes),
         "snowstall/balance.py",
     ),
     Row(
         "proxy-connections",
         Role.PROXY,
-        Kind.STATE,
+        ResourceKind.STATE,
         "open connections to nodes",
         "connections",
-        lambda figures: figures.at("connections.open", figures.target.nodes),
+        lambda figures: figures.cost("connections.open", figures.target.nodes),
         "violetroute/upstream/pool.py",
     ),
     Row(
         "proxy-opens",
         Role.PROXY,
-        Kind.MESSAGES,
+        ResourceKind.MESSAGES,
         "connections opened",
         "/s",
-        lambda figures: figures.at("connections.opened_per_s", figures.target.nodes),
+        lambda figures: figures.cost("connections.opened_per_s", figures.target.nodes),
         "violetroute/upstream/pool.py",
     ),
     Row(
         "proxy-waits",
         Role.PROXY,
-        Kind.MESSAGES,
+        ResourceKind.MESSAGES,
         "requests that wait for a connection to open",
         "of all",
-        lambda figures: figures.at("connections.waited_share", figures.target.nodes),
+        lambda figures: figures.cost("connections.waited_share", figures.target.nodes),
         "none: every proxy uses every node",
     ),
     Row(
         "proxy-members",
         Role.PROXY,
-        Kind.STATE,
+        ResourceKind.STATE,
         "members that it knows, each with address, process and state",
         "members",
         lambda figures: figures.target.proxies,
@@ -232,7 +234,7 @@
     Row(
         "proxy-nodes",
         Role.PROXY,
-        Kind.STATE,
+        ResourceKind.STATE,
         "nodes that it knows, each with speed, limit and health",
         "nodes",
         lambda figures: figures.target.nodes,
@@ -241,7 +243,7 @@
     Row(
         "proxy-position",
         Role.PROXY,
-        Kind.STATE,
+        ResourceKind.STATE,
         "position in the log; purges are applied and not kept",
         "position",
         lambda figures: 1.0,
@@ -250,7 +252,7 @@
     Row(
         "proxy-datagrams",
         Role.PROXY,
-        Kind.MESSAGES,
+        ResourceKind.MESSAGES,
         "datagrams of membership, sent and received",
         "/s",
         _datagrams,
@@ -259,7 +261,7 @@
     Row(
         "proxy-polls",
         Role.PROXY,
-        Kind.MESSAGES,
+        ResourceKind.MESSAGES,
         "polls of a control machine, each of which acknowledges",
         "/s",
         _polls,
@@ -268,7 +270,7 @@
     Row(
         "proxy-store",
         Role.PROXY,
-        Kind.MESSAGES,
+        ResourceKind.MESSAGES,
         "calls at the store of leases, ten jobs in the fleet, at rest",
         "/s",
         lambda figures: figures.quoted("ownership.calls_per_s_per_proxy"),
@@ -277,7 +279,7 @@
     Row(
         "proxy-request-extras",
         Role.PROXY,
-        Kind.PROCESSOR_TIME,
+        ResourceKind.PROCESSOR_TIME,
         "budgets and the ledger, for a request",
         "us",
         lambda figures: figures.quoted("budgets.request_us") + figures.quoted("ledger.request_us"),
@@ -286,7 +288,7 @@
     Row(
         "proxy-ledger-memory",
         Role.PROXY,
-        Kind.MEMORY,
+        ResourceKind.MEMORY,
         "the ledger, beside control",
         "MB",
         lambda figures: figures.quoted("ledger.memory_mb"),
--- a/limebridge/scale/command.py
+++ b/limebridge/scale/command.py
@@ -16,7 +16,7 @@
 from violetroute.config import ConfigError
 
 from .capacity_command import capacity
-from .results import Cost, Slopes, save
+from .results import Cost, Slopes, save_slopes
 from .return_command import region_return
 from .run_command import run
 
@@ -81,7 +81,7 @@
     except (KeyboardInterrupt, asyncio.CancelledError):
         typer.echo("limebridge: interrupted; nothing was written", err=True)
         raise typer.Exit(EXIT_INTERRUPTED) from None
-    save(result.slopes, path)
+    save_slopes(result.slopes, path)
     _show(result.slopes)
     raise typer.Exit(1 if result.failed else 0)
 
@@ -99,7 +99,7 @@
     """Run the measurements with a progress bar; SIGTERM cancels them, as Ctrl-C does."""
     from . import slopes as slopes_module
 
-    total = len(slopes_module.planned_jobs(options))
+    total = len(slopes_module.plan_jobs(options))
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
--- a/limebridge/scale/delay_names.py
+++ b/limebridge/scale/delay_names.py
@@ -11,6 +11,6 @@
 TOPIC_NAMES = {Topic.PURGE: "purge", Topic.CONFIGURATION: "change"}
 
 
-def delay_name(topic: Topic, what: str) -> str:
+def delay_name(topic: Topic, stage: str) -> str:
     """The name of a delay in a report."""
-    return f"{TOPIC_NAMES[topic]}: {what}"
+    return f"{TOPIC_NAMES[topic]}: {stage}"
--- a/limebridge/scale/growth.py
+++ b/limebridge/scale/growth.py
@@ -9,8 +9,8 @@
 
 from violetroute.distribution.messages import Topic
 
-from .capacity import Need, compute
-from .capacity_page import number
+from .capacity import Need, compute_needs
+from .capacity_page import format_number
 from .capacity_rows import ROWS
 from .delay_names import EVERYWHERE, IN_FORCE, delay_name
 from .results import Slopes
@@ -62,7 +62,7 @@
         control_machines=plan.controls,
         purges_per_s=plan.purges,
     )
-    return {need.row.identity: need for need in compute(ROWS, target_of_run, slopes)}
+    return {need.row.identity: need for need in compute_needs(ROWS, target_of_run, slopes)}
 
 
 def _cell(row: GrowthRow, report: RunReport, needs: dict[str, Need]) -> str:
@@ -71,8 +71,8 @@
         return NOT_MEASURED
     need = needs.get(row.predicted_by)
     if need is None or need.need is None:
-        return number(measured)
-    return f"{number(measured)} ({number(need.need)}, {measured / need.need:.2f})"
+        return format_number(measured)
+    return f"{format_number(measured)} ({format_number(need.need)}, {measured / need.need:.2f})"
 
 
 def _role_figure(
--- a/limebridge/scale/hollow_host.py
+++ b/limebridge/scale/hollow_host.py
@@ -25,7 +25,7 @@
 from .held_loop import HeldLoop
 from .hollow import GossipSetup, HeldWallClock, HollowProxy, initial_rumor, life_nonce
 from .links import LinkTable
-from .membership_looks import MEMBERSHIP_LOOK_S, MembershipLook, look
+from .membership_samples import MEMBERSHIP_SAMPLE_INTERVAL_S, MembershipSample, membership_sample
 from .process_usage import resident_bytes
 from .run_plan import SEEDS, ProxyLocation
 from .standard_input import input_lines, wait_for_line
@@ -70,7 +70,7 @@
     members_up: tuple[int, ...]  # members that each proxy lists as alive or suspected, and itself
     # Hollow proxies of which each proxy lists the present life; empty without restarts.
     members_current: tuple[int, ...] = ()
-    membership: tuple[MembershipLook, ...] = ()
+    membership: tuple[MembershipSample, ...] = ()
     loop_lag: tuple[float, ...]  # seconds by which a timer was late, one per LAG_INTERVAL_S
     applied: tuple[Applied, ...] = ()
 
@@ -111,7 +111,7 @@
             for number, location in enumerate(file.places)
         ]
         self._lags: list[float] = []
-        self._membership: list[MembershipLook] = []
+        self._membership: list[MembershipSample] = []
         self._restarts = 0
         self._gossip: GossipSetup | None = None
 
@@ -148,7 +148,7 @@
             proxy.start_gossip(setup, fleet)
         gc.enable()
         self._gossip = setup
-        self._loop.call_later(MEMBERSHIP_LOOK_S, self._sample_membership)
+        self._loop.call_later(MEMBERSHIP_SAMPLE_INTERVAL_S, self._sample_membership)
 
     def release(self) -> None:
         """Start the loop's and the wall clock, so that the proxies run."""
@@ -193,9 +193,11 @@
         self._loop.call_later(STALE_SAMPLE_INTERVAL_S, self._sample_staleness)
 
     def _sample_membership(self) -> None:
-        self._loop.call_later(MEMBERSHIP_LOOK_S, self._sample_membership)
+        self._loop.call_later(MEMBERSHIP_SAMPLE_INTERVAL_S, self._sample_membership)
         if sizes := self._member_counts():
-            self._membership.append(look(sizes, self._loop.time() + self._loop.behind_s))
+            self._membership.append(
+                membership_sample(sizes, self._loop.time() + self._loop.behind_s)
+            )
 
     def _member_counts(self) -> list[int]:
         return [proxy.sharing.members.size for proxy in self.proxies if proxy.sharing]
--- a/limebridge/scale/instrumented.py
+++ b/limebridge/scale/instrumented.py
@@ -42,22 +42,22 @@
     stamps: str = ""  # the file for the times at which a proxy applies positions
 
 
-def install(file: InstrumentFile) -> None:
+def instrument_sockets(file: InstrumentFile) -> None:
     """Let every `SocketNetwork` of this process count and shape."""
     links = LinkTable(Path(file.links), file.regions)
     counters = Counters(Path(file.counters), 1, create=True).block(0)
     shaper = DatagramShaper(links, file.region, f"{file.seed}/{file.counters}")
     ports = None if file.counted_ports is None else frozenset(file.counted_ports)
-    make = CountedSocket.socket_factory(counters, shaper, ports)
+    socket_factory = CountedSocket.socket_factory(counters, shaper, ports)
     original: Callable[..., None] = sockets.SocketNetwork.__init__
 
     def initialize(self: sockets.SocketNetwork, *arguments: Any, **options: Any) -> None:
-        original(self, *arguments, **({"make": make} | options))
+        original(self, *arguments, **({"make": socket_factory} | options))
 
     setattr(sockets.SocketNetwork, "__init__", initialize)  # noqa: B010
 
 
-def install_stamps(path: Path) -> None:
+def instrument_distribution(path: Path) -> None:
     """Let the `DistributionService` of this process write down when it applies what."""
     from violetroute.distribution import service  # nothing of it in a daemon without control
 
@@ -66,14 +66,14 @@
     def initialize(self: service.DistributionService, *arguments: Any, **options: Any) -> None:
         original(self, *arguments, **options)
         table: DistributionTable = arguments[0]
-        stamps = StampingReceiver(self.receiver, self, path, table.stale_after_s)
-        self.receiver = stamps
-        stamps.sample_staleness(asyncio.get_running_loop())
+        receiver = StampingReceiver(self.receiver, self, path, table.stale_after_s)
+        self.receiver = receiver
+        receiver.sample_staleness(asyncio.get_running_loop())
 
     setattr(service.DistributionService, "__init__", initialize)  # noqa: B010
 
 
-def end_with_input() -> None:
+def terminate_at_end_of_input() -> None:
     """SIGTERM to this process when its standard input ends.  Run in a thread."""
     while os.read(sys.stdin.fileno(), 4096):
         pass
@@ -83,10 +83,10 @@
 def main() -> None:
     """The process."""
     file = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=InstrumentFile)
-    install(file)
+    instrument_sockets(file)
     if file.stamps:
-        install_stamps(Path(file.stamps))
-    threading.Thread(target=end_with_input, daemon=True).start()
+        instrument_distribution(Path(file.stamps))
+    threading.Thread(target=terminate_at_end_of_input, daemon=True).start()
     module = sys.argv[2]
     sys.argv = [module, *sys.argv[3:]]
     runpy.run_module(module, run_name="__main__", alter_sys=True)
--- a/limebridge/scale/measure_config.py
+++ b/limebridge/scale/measure_config.py
@@ -14,7 +14,7 @@
 from .cost_definition import define_cost
 from .process_facts import least_cpu_seconds
 from .registry import Subject, Values
-from .sample_list import DISCOVERY_PORT, instance
+from .sample_list import DISCOVERY_PORT, node_entry
 
 TENANTS = 200
 ROUNDS = 11
@@ -41,7 +41,7 @@
         {"name": f"tenant-{number:04d}", "share": 0.001, "quotaPerS": 500.0}
         for number in range(TENANTS)
     ]
-    known = [instance(number) for number in range(nodes)]
+    known = [node_entry(number) for number in range(nodes)]
     return configuration(DISCOVERY_PORT, known, realms=tenants)
 
 
--- a/limebridge/scale/measure_connections.py
+++ b/limebridge/scale/measure_connections.py
@@ -29,20 +29,20 @@
 from violetroute.upstream import Attempt, Pool
 
 from .cost_definition import define_cost
-from .measure_module import KEY_EXPONENT, KEYS
+from .measure_module import KEYS, ZIPF_EXPONENT
 from .process_facts import allow_descriptors, resident_bytes
 from .registry import MeasurementError, Subject, Values
-from .sample_list import proxy_on
+from .sample_list import create_proxy
 from .target import load_target
 from .virtual_members import LOG_LEVEL
 
-SERVICE_S = 0.02  # s that a node takes for an answer
+SERVICE_TIME_S = 0.02  # s that a node takes for an answer
 WARM_UP_S, MEASURED_S = 10.0, 20.0  # s of virtual time; connections idle for 3 s are closed
-SAMPLE_S = 0.5  # s between two counts of open connections
-SOCKETS = 16_384  # that the proxy may use: its own bound must not be what is measured
-SERVED_LEAST = 0.99  # of the requests: where more fail, the figures say nothing
-CONNECTIONS_IN_ALL = 3000  # opened to learn the memory of one
-OPEN_WITHIN_S = 20.0
+SAMPLE_INTERVAL_S = 0.5  # s between two counts of open connections
+MAX_SOCKETS = 16_384  # that the proxy may use: its own bound must not be what is measured
+MIN_SERVED_SHARE = 0.99  # of the requests: where more fail, the figures say nothing
+MEMORY_CONNECTIONS = 3000  # opened to learn the memory of one
+OPEN_TIMEOUT_S = 20.0
 SPARE_DESCRIPTORS = 64
 IDLE_TIMEOUT_S = 600.0  # nothing is closed while memory is measured
 
@@ -51,14 +51,14 @@
     """All costs of connections to `size` nodes."""
     # First, while this process has no freed memory to use again.
     memory = asyncio.run(_memory_per_connection(size))
-    run = ProxyUnderLoad(size)
+    load = ProxyUnderLoad(size)
     with quiet(LOG_LEVEL):
-        run.loop.run_until_complete(run.play())
-    average_open = sum(run.open_samples) / len(run.open_samples)
+        load.loop.run_until_complete(load.run())
+    average_open = sum(load.open_samples) / len(load.open_samples)
     return {
         "connections.open": average_open,
-        "connections.opened_per_s": run.opened / MEASURED_S,
-        "connections.waited_share": len(run.waited) / run.requests,
+        "connections.opened_per_s": load.opened / MEASURED_S,
+        "connections.waited_share": len(load.delayed_requests) / load.requests,
         "connections.memory_mb": memory * average_open / 1e6,
     }
 
@@ -86,26 +86,26 @@
         self._kernel = Kernel(1)
         self.loop = VirtualLoop(self._kernel)
         self.requests = self.opened = 0
-        self.waited: set[int] = set()  # requests that waited for a connection
+        self.delayed_requests: set[int] = set()  # requests that waited for a connection
         self.open_samples: list[int] = []
         self._measuring = False
-        self._numbers = itertools.count(1)
-        self._random = random.Random(1)
-        weights = (1.0 / rank**KEY_EXPONENT for rank in range(1, KEYS + 1))
+        self._request_ids = itertools.count(1)
+        self._rng = random.Random(1)
+        weights = (1.0 / rank**ZIPF_EXPONENT for rank in range(1, KEYS + 1))
         self._weights = list(itertools.accumulate(weights))
 
-    async def play(self) -> None:
+    async def run(self) -> None:
         """Start all, warm up, measure, end all.  MeasurementError when requests fail."""
-        nodes = [await CacheNode(_answer).start() for _ in range(self._size)]
+        nodes = [await CacheNode(_serve).start() for _ in range(self._size)]
         discovery = await Discovery().start()
         known = [node.entry(f"cache-{number:05d}") for number, node in enumerate(nodes)]
         discovery.publish(*known, reset=True)
-        config = parse(configuration(discovery.port, known, sockets=SOCKETS))
-        proxy = proxy_on(self._kernel, self.loop, config)
+        config = parse(configuration(discovery.port, known, sockets=MAX_SOCKETS))
+        proxy = create_proxy(self._kernel, self.loop, config)
         self._watch_pool(proxy)
-        await self._ask(proxy, WARM_UP_S)
+        await self._send_requests(proxy, WARM_UP_S)
         self._measuring = True
-        answers = await self._ask(proxy, MEASURED_S)
+        answers = await self._send_requests(proxy, MEASURED_S)
         self._measuring = False
         await asyncio.sleep(1.0)
         proxy.close()
@@ -113,41 +113,41 @@
         for node in nodes:
             await node.stop()
         served = sum(answer.served for answer in answers)
-        if served < SERVED_LEAST * len(answers):
+        if served < MIN_SERVED_SHARE * len(answers):
             raise MeasurementError(f"{served} of {len(answers)} requests were served")
 
     def _watch_pool(self, proxy: Proxy) -> None:
         """Count the attempts for which the pool opens a connection."""
         pool, send = proxy._pool, proxy._pool.send
 
-        def counted(attempt: Attempt) -> None:
+        def send_counted(attempt: Attempt) -> None:
             send(attempt)
             node = pool._nodes.get(attempt.cache_id)
             if self._measuring and node is not None and attempt in node.waiting:
                 self.opened += 1
-                self.waited.add(attempt.request_id)
+                self.delayed_requests.add(attempt.request_id)
 
-        pool.send = counted  # type: ignore[method-assign]
+        pool.send = send_counted  # type: ignore[method-assign]
 
-    async def _ask(self, proxy: Proxy, seconds: float) -> list[DiscardedAnswer]:
+    async def _send_requests(self, proxy: Proxy, seconds: float) -> list[DiscardedAnswer]:
         """Requests at random moments for so long, and the answers to them."""
         loop, answers = self.loop, list[DiscardedAnswer]()
         rate = load_target().requests_per_proxy
-        until, sample_at = loop.time() + seconds, loop.time()
-        at = loop.time()
-        while (at := at + self._random.expovariate(rate)) < until:
-            await asyncio.sleep(max(0.0, at - loop.time()))
-            answers.append(self._request(proxy))
+        end, sample_at = loop.time() + seconds, loop.time()
+        next_at = loop.time()
+        while (next_at := next_at + self._rng.expovariate(rate)) < end:
+            await asyncio.sleep(max(0.0, next_at - loop.time()))
+            answers.append(self._send_request(proxy))
             if loop.time() >= sample_at:
-                sample_at += SAMPLE_S
+                sample_at += SAMPLE_INTERVAL_S
                 if self._measuring:
                     self.open_samples.append(len(proxy._pool._open))
         return answers
 
-    def _request(self, proxy: Proxy) -> DiscardedAnswer:
-        (key,) = self._random.choices(range(KEYS), cum_weights=self._weights)
+    def _send_request(self, proxy: Proxy) -> DiscardedAnswer:
+        (key,) = self._rng.choices(range(KEYS), cum_weights=self._weights)
         answer = DiscardedAnswer()
-        proxy.take(_command(next(self._numbers), key), answer)
+        proxy.take(_command(next(self._request_ids), key), answer)
         self.requests += self._measuring
         return answer
 
@@ -157,8 +157,8 @@
     return resp.parse_command(words)
 
 
-async def _answer(words: list[bytes], writer: asyncio.StreamWriter) -> None:
-    await asyncio.sleep(SERVICE_S)
+async def _serve(words: list[bytes], writer: asyncio.StreamWriter) -> None:
+    await asyncio.sleep(SERVICE_TIME_S)
     writer.write(reply(b"value of " + words[1]))
 
 
@@ -183,38 +183,38 @@
 
     Nobody accepts at the other end: the kernel completes the handshakes.
     """
-    allow_descriptors(CONNECTIONS_IN_ALL + nodes + SPARE_DESCRIPTORS)
+    allow_descriptors(MEMORY_CONNECTIONS + nodes + SPARE_DESCRIPTORS)
     listeners = [_listener() for _ in range(nodes)]
     sink = IdleSink()
     pool = Pool(
         sink,
         SocketNetwork(asyncio.get_running_loop()),
-        2 * CONNECTIONS_IN_ALL,
-        OPEN_WITHIN_S,
+        2 * MEMORY_CONNECTIONS,
+        OPEN_TIMEOUT_S,
         IDLE_TIMEOUT_S,
     )
     for number, listener in enumerate(listeners):
         pool.add(number, Address(*listener.getsockname()))
     before = resident_bytes()
-    for number in range(CONNECTIONS_IN_ALL):
+    for number in range(MEMORY_CONNECTIONS):
         pool.send(Attempt(number, 0, number % nodes, _command(number, 1), 0.0, 0.0))
-    async with asyncio.timeout(OPEN_WITHIN_S):
-        while sink.ended < CONNECTIONS_IN_ALL:
+    async with asyncio.timeout(OPEN_TIMEOUT_S):
+        while sink.ended < MEMORY_CONNECTIONS:
             await asyncio.sleep(0.05)
     opened = sum(connection.up for connection in pool._open)
     memory = resident_bytes() - before
     pool.close()
     for listener in listeners:
         listener.close()
-    if opened < CONNECTIONS_IN_ALL:
-        raise MeasurementError(f"{opened} of {CONNECTIONS_IN_ALL} connections were opened")
-    return memory / CONNECTIONS_IN_ALL
+    if opened < MEMORY_CONNECTIONS:
+        raise MeasurementError(f"{opened} of {MEMORY_CONNECTIONS} connections were opened")
+    return memory / MEMORY_CONNECTIONS
 
 
 def _listener() -> socket.socket:
     sock = socket.socket()
     sock.bind(("127.0.0.1", 0))
-    sock.listen(CONNECTIONS_IN_ALL)
+    sock.listen(MEMORY_CONNECTIONS)
     return sock
 
 
--- a/limebridge/scale/measure_gossip.py
+++ b/limebridge/scale/measure_gossip.py
@@ -17,15 +17,15 @@
 from .virtual_members import DEAD, LOG_LEVEL, VirtualMembers
 
 SETTLE_S, REST_S = 5.0, 30.0  # s of virtual time
-DEATH_STEP_S, DEATH_MOST_S = 1.0, 120.0
-DATAGRAM_EVERY_S = 0.02  # s between two datagrams when memory is measured
-MEMBERS_IN_ALL = 10_000  # of all copies together, so that small fleets show in memory
-MOST_COPIES = 20
+DETECTION_STEP_S, MAX_DETECTION_S = 1.0, 120.0
+DATAGRAM_INTERVAL_S = 0.02  # s between two datagrams when memory is measured
+TOTAL_MEMBERS = 10_000  # of all copies together, so that small fleets show in memory
+MAX_COPIES = 20
 
 
 def measure(size: int) -> Values:
     """All costs of the membership of `size` members."""
-    memory = _memory_of_one(size)
+    memory = _memory_per_member(size)
     fleet = settled_fleet(size, SharingTable().probe_s)
     datagrams, sent_bytes = total_sent(fleet)
     seconds = cpu_seconds(lambda: fleet.run(REST_S))
@@ -36,7 +36,7 @@
         "gossip.datagrams_per_s": (datagrams_later - datagrams) / member_seconds,
         "gossip.cpu_share": seconds / member_seconds,
         "gossip.memory_bytes": memory,
-        "gossip.death_known_s": death_known_s(fleet),
+        "gossip.death_known_s": failure_detection_s(fleet),
     }
 
 
@@ -56,42 +56,42 @@
     )
 
 
-def _memory_of_one(size: int) -> float:
+def _memory_per_member(size: int) -> float:
     """Bytes that one member holds once it has heard each of the others."""
-    copies = min(MOST_COPIES, max(1, MEMBERS_IN_ALL // size))
+    copies = min(MAX_COPIES, max(1, TOTAL_MEMBERS // size))
     with quiet(LOG_LEVEL):
-        _heard_all(VirtualMembers(size), 2)  # warms up
+        _receive_all(VirtualMembers(size), 2)  # warms up
         fleets = [VirtualMembers(size) for _ in range(copies)]
         before = resident_bytes()
         for fleet in fleets:
-            _heard_all(fleet, size)
+            _receive_all(fleet, size)
         return (resident_bytes() - before) / copies
 
 
-def _heard_all(fleet: VirtualMembers, size: int) -> None:
+def _receive_all(fleet: VirtualMembers, size: int) -> None:
     member = fleet.add()
     for number in range(1, size):
-        fleet.kernel.now += DATAGRAM_EVERY_S
+        fleet.kernel.now += DATAGRAM_INTERVAL_S
         fleet.introduce(member, number)
     if member.members.size != size:
         raise MeasurementError(f"{member.members.size} of {size} members are known")
 
 
-def death_known_s(fleet: VirtualMembers) -> float:
+def failure_detection_s(fleet: VirtualMembers) -> float:
     """Seconds from a member's silent end until all others hold it for dead."""
     victim = fleet.members[-1]
     fleet.kill(victim)
     killed_at = fleet.kernel.now
     fleet.changes.clear()
     others = len(fleet.members) - 1
-    while fleet.kernel.now - killed_at < DEATH_MOST_S:
-        fleet.run(DEATH_STEP_S)
+    while fleet.kernel.now - killed_at < MAX_DETECTION_S:
+        fleet.run(DETECTION_STEP_S)
         known = [
             each.at for each in fleet.changes if (each.name, each.state) == (victim.name, DEAD)
         ]
         if len(known) >= others:
             return max(known) - killed_at
-    raise MeasurementError(f"{len(known)} of {others} knew of a death after {DEATH_MOST_S:g} s")
+    raise MeasurementError(f"{len(known)} of {others} knew of a death after {MAX_DETECTION_S:g} s")
 
 
 _cost = partial(define_cost, "gossip", "violetroute/sharing/members.py")
--- a/limebridge/scale/measure_list.py
+++ b/limebridge/scale/measure_list.py
@@ -18,29 +18,29 @@
 from .cost_definition import define_cost
 from .process_facts import cpu_seconds, least_cpu_seconds, resident_bytes
 from .registry import Subject, Values
-from .sample_list import DRAINING, READY, ProxyOnVirtualNetwork, changed_nodes, whole_list
+from .sample_list import DRAINING, READY, ProxyOnVirtualNetwork, changes_list, full_list_line
 
 PARSE_ROUNDS = 15
 CHANGE_ROUNDS, CHANGES_PER_ROUND = 5, 8
-BATCH_SHARE = 5  # one of so many nodes changes in a batch
-NODES_IN_ALL = 9600  # of all copies of the proxy together, so that small lists show in memory
-LEAST_COPIES, MOST_COPIES = 3, 40
+BATCH_DIVISOR = 5  # one of so many nodes changes in a batch
+TOTAL_NODES = 9600  # of all copies of the proxy together, so that small lists show in memory
+MIN_COPIES, MAX_COPIES = 3, 40
 LOG_LEVEL = 50  # nothing of the daemon's log
 WARM_UP_NODES = 10
 
 
 def measure(size: int) -> Values:
     """All costs of the list with `size` nodes."""
-    line = whole_list(size)
+    line = full_list_line(size)
     with quiet(LOG_LEVEL):
-        _apply(ProxyOnVirtualNetwork(), _parse(whole_list(WARM_UP_NODES)))
-        copies = min(MOST_COPIES, max(LEAST_COPIES, NODES_IN_ALL // size))
+        _apply(ProxyOnVirtualNetwork(), _parse(full_list_line(WARM_UP_NODES)))
+        copies = min(MAX_COPIES, max(MIN_COPIES, TOTAL_NODES // size))
         proxies = [ProxyOnVirtualNetwork() for _ in range(copies)]
         before = resident_bytes()
         apply_seconds = [_apply(proxy, _parse(line)) for proxy in proxies]
         memory = (resident_bytes() - before) / copies
-        drain_seconds, join_seconds = _changes(proxies[0], size)
-        batch = _batches(proxies[0], size)
+        drain_seconds, join_seconds = _measure_changes(proxies[0], size)
+        batch = _measure_batches(proxies[0], size)
     return {
         "list.bytes": len(line),
         "list.parse_ms": least_cpu_seconds(lambda: _parse(line), PARSE_ROUNDS) * 1e3,
@@ -49,7 +49,7 @@
         "list.join_ms": join_seconds * 1e3,
         "list.batch_drain_ms": batch.drain * 1e3,
         "list.batch_join_ms": batch.join * 1e3,
-        "list.batch_turn_ms": batch.longest_turn * 1e3,
+        "list.batch_turn_ms": batch.longest_iteration * 1e3,
         "list.memory_mb": memory / 1e6,
     }
 
@@ -63,10 +63,10 @@
 
 def _apply(target: ProxyOnVirtualNetwork, listing: Listing) -> float:
     """CPU seconds until the proxy has taken the list, in all turns."""
-    return sum(_turns(target, listing))
+    return sum(_iteration_seconds(target, listing))
 
 
-def _turns(target: ProxyOnVirtualNetwork, listing: Listing) -> Iterator[float]:
+def _iteration_seconds(target: ProxyOnVirtualNetwork, listing: Listing) -> Iterator[float]:
     """CPU seconds of each turn of the event loop that takes the list."""
     proxy = target.proxy
     yield cpu_seconds(lambda: proxy.list_changed(listing))
@@ -75,46 +75,46 @@
 
 
 @dataclass(slots=True)
-class _Batch:
-    """CPU seconds, the least of some rounds."""
+class _BatchSeconds:
+    """CPU seconds, the smallest of some rounds."""
 
     drain: float = math.inf
     join: float = math.inf
-    longest_turn: float = math.inf
+    longest_iteration: float = math.inf
 
 
-def _batches(target: ProxyOnVirtualNetwork, size: int) -> _Batch:
+def _measure_batches(target: ProxyOnVirtualNetwork, size: int) -> _BatchSeconds:
     """A fifth of the nodes drains in one change and comes back in another."""
-    least = _Batch()
-    fifth = range(0, size, BATCH_SHARE)
+    smallest = _BatchSeconds()
+    fifth = range(0, size, BATCH_DIVISOR)
     for _ in range(CHANGE_ROUNDS):
         target.advance(1.0)
-        drain = list(_turns(target, changed_nodes(fifth, DRAINING)))
+        drain = list(_iteration_seconds(target, changes_list(fifth, DRAINING)))
         target.advance(1.0)
-        join = list(_turns(target, changed_nodes(fifth, READY)))
-        least.drain = min(least.drain, sum(drain))
-        least.join = min(least.join, sum(join))
-        least.longest_turn = min(least.longest_turn, max(drain + join))
-    return least
+        join = list(_iteration_seconds(target, changes_list(fifth, READY)))
+        smallest.drain = min(smallest.drain, sum(drain))
+        smallest.join = min(smallest.join, sum(join))
+        smallest.longest_iteration = min(smallest.longest_iteration, max(drain + join))
+    return smallest
 
 
-def _changes(target: ProxyOnVirtualNetwork, size: int) -> tuple[float, float]:
+def _measure_changes(target: ProxyOnVirtualNetwork, size: int) -> tuple[float, float]:
     """CPU seconds of one node that drains, and of one that comes back."""
     drains, joins = [], []
     for number in range(CHANGE_ROUNDS):
         first = number * CHANGES_PER_ROUND
         nodes = [node % size for node in range(first, first + CHANGES_PER_ROUND)]
-        drains.append(_change(target, nodes, DRAINING))
-        joins.append(_change(target, nodes, READY))
+        drains.append(_seconds_per_change(target, nodes, DRAINING))
+        joins.append(_seconds_per_change(target, nodes, READY))
     return min(drains), min(joins)
 
 
-def _change(target: ProxyOnVirtualNetwork, nodes: list[int], lifecycle: str) -> float:
+def _seconds_per_change(target: ProxyOnVirtualNetwork, nodes: list[int], lifecycle: str) -> float:
     """Mean CPU seconds of these nodes' changes, told one by one."""
     seconds = 0.0
     for node in nodes:
         target.advance(1.0)
-        seconds += _apply(target, changed_nodes([node], lifecycle))
+        seconds += _apply(target, changes_list([node], lifecycle))
     return seconds / len(nodes)
 
 
--- a/limebridge/scale/measure_module.py
+++ b/limebridge/scale/measure_module.py
@@ -25,11 +25,11 @@
 from .sample_list import DISCOVERY_PORT, ZONES
 from .target import load_target
 
-KEYS, KEY_EXPONENT = 20_000, 0.9  # popularity by rank: 1 / rank ** exponent
+KEYS, ZIPF_EXPONENT = 20_000, 0.9  # popularity by rank: 1 / rank ** exponent
 ROUNDS, REQUESTS_PER_ROUND = 7, 3000
 CHANGE_ROUNDS, CHANGES_PER_ROUND = 5, 8
 LATENCY_MS = 20.0
-WAIT_MS = 600.0
+REQUEST_TIMEOUT_MS = 600.0
 START_MS = 1e12  # Unix ms
 
 
@@ -41,30 +41,30 @@
         self.balancer = Balancer(settings, 1, START_MS)
         self.now = START_MS
         self._step = 1000.0 / load_target().requests_per_proxy  # ms between two requests
-        self._numbers = itertools.count(1)
+        self._request_ids = itertools.count(1)
         self.members = [_member(number) for number in range(nodes)]
         self.balancer.on_list(self.now, ListKind.FULL, self.members)
         rng = random.Random(1)
-        weights = [1.0 / rank**KEY_EXPONENT for rank in range(1, KEYS + 1)]
-        names = [rng.getrandbits(52) for _ in range(KEYS)]
-        self.keys = rng.choices(names, weights, k=REQUESTS_PER_ROUND)
+        weights = [1.0 / rank**ZIPF_EXPONENT for rank in range(1, KEYS + 1)]
+        key_hashes = [rng.getrandbits(52) for _ in range(KEYS)]
+        self.keys = rng.choices(key_hashes, weights, k=REQUESTS_PER_ROUND)
 
-    def requests(self) -> None:
+    def send_requests(self) -> None:
         """One round of requests.  MeasurementError when one is not sent."""
         for key in self.keys:
             self.now += self._step
-            self._request(next(self._numbers), key)
+            self._request(next(self._request_ids), key)
 
     def _request(self, number: int, key: int) -> None:
-        self.balancer.on_arrival(self.now, "lookup", 0.0, WAIT_MS, 0.0, 0)
-        request = Request(number, "lookup", self.now + WAIT_MS, key)
+        self.balancer.on_arrival(self.now, "lookup", 0.0, REQUEST_TIMEOUT_MS, 0.0, 0)
+        request = Request(number, "lookup", self.now + REQUEST_TIMEOUT_MS, key)
         actions = self.balancer.on_request(self.now, request)
         if not any(type(action) is Send for action in actions):
             raise MeasurementError("the module did not send a request at the target's rate")
         outcome = Outcome(number, 0, Result.OK, True, LATENCY_MS, True)
         self.balancer.on_outcome(self.now, outcome)
 
-    def change(self, nodes: list[int], state: CacheState) -> None:
+    def change_nodes(self, nodes: list[int], state: CacheState) -> None:
         """These nodes drain or come back, told one by one."""
         for node in nodes:
             self.now += 1000.0
@@ -74,14 +74,14 @@
 def measure(size: int) -> Values:
     """All costs of the module with `size` nodes."""
     module = ModuleUnderLoad(size)
-    module.requests()  # warms up
-    request_seconds = least_cpu_seconds(module.requests, ROUNDS)
+    module.send_requests()  # warms up
+    request_seconds = least_cpu_seconds(module.send_requests, ROUNDS)
     drains, joins = [], []
     for number in range(CHANGE_ROUNDS):
         first = number * CHANGES_PER_ROUND
         nodes = [node % size for node in range(first, first + CHANGES_PER_ROUND)]
-        drains.append(cpu_seconds(partial(module.change, nodes, CacheState.DRAINING)))
-        joins.append(cpu_seconds(partial(module.change, nodes, CacheState.READY)))
+        drains.append(cpu_seconds(partial(module.change_nodes, nodes, CacheState.DRAINING)))
+        joins.append(cpu_seconds(partial(module.change_nodes, nodes, CacheState.READY)))
     return {
         "module.request_us": request_seconds / REQUESTS_PER_ROUND * 1e6,
         "module.change_us": min(drains) / CHANGES_PER_ROUND * 1e6,
--- a/limebridge/scale/measure_slow_probe.py
+++ b/limebridge/scale/measure_slow_probe.py
@@ -9,7 +9,7 @@
 from functools import partial
 
 from .cost_definition import define_cost
-from .measure_gossip import REST_S, death_known_s, settled_fleet, total_sent
+from .measure_gossip import REST_S, failure_detection_s, settled_fleet, total_sent
 from .registry import Subject, Values
 
 SLOW_PROBE_S = 2.0  # between two members that a proxy asks
@@ -23,7 +23,7 @@
     _, sent_bytes_later = total_sent(fleet)
     return {
         "slow_probe.bytes_per_s": (sent_bytes_later - sent_bytes) / (REST_S * size),
-        "slow_probe.death_known_s": death_known_s(fleet),
+        "slow_probe.death_known_s": failure_detection_s(fleet),
     }
 
 
--- a/limebridge/scale/membership_looks.py
+++ b/limebridge/scale/membership_samples.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-MEMBERSHIP_LOOK_S = 1.0  # between two looks
+MEMBERSHIP_SAMPLE_INTERVAL_S = 1.0  # between two looks
 
 
-class MembershipLook(msgspec.Struct, frozen=True, kw_only=True):
+class MembershipSample(msgspec.Struct, frozen=True, kw_only=True):
     """The sizes of the fleet that the proxies of one process believe at one time."""
 
     at: float  # CLOCK_MONOTONIC
@@ -18,7 +18,7 @@
     total: int  # of all proxies' sizes
 
 
-class MembershipAt(msgspec.Struct, frozen=True, kw_only=True):
+class MembershipSummary(msgspec.Struct, frozen=True, kw_only=True):
     """The sizes of the fleet that all hollow proxies believe."""
 
     after_s: float  # since the measurement began
@@ -26,19 +26,21 @@
     mean: float
 
 
-def look(sizes: Sequence[int], at: float) -> MembershipLook:
+def membership_sample(sizes: Sequence[int], at: float) -> MembershipSample:
     """A look at the proxies of one process; there is at least one."""
-    return MembershipLook(at=at, proxies=len(sizes), fewest=min(sizes), total=sum(sizes))
+    return MembershipSample(at=at, proxies=len(sizes), fewest=min(sizes), total=sum(sizes))
 
 
-def over_time(looks: Iterable[MembershipLook], began: float) -> tuple[MembershipAt, ...]:
-    """The looks of all processes together, one entry for each MEMBERSHIP_LOOK_S since `began`."""
-    by_step: dict[int, list[MembershipLook]] = {}
+def summarize_membership(
+    looks: Iterable[MembershipSample], began: float
+) -> tuple[MembershipSummary, ...]:
+    """The looks of all processes together, one entry for each interval since `began`."""
+    by_step: dict[int, list[MembershipSample]] = {}
     for each in looks:
-        by_step.setdefault(int((each.at - began) // MEMBERSHIP_LOOK_S), []).append(each)
+        by_step.setdefault(int((each.at - began) // MEMBERSHIP_SAMPLE_INTERVAL_S), []).append(each)
     return tuple(
-        MembershipAt(
-            after_s=step * MEMBERSHIP_LOOK_S,
+        MembershipSummary(
+            after_s=step * MEMBERSHIP_SAMPLE_INTERVAL_S,
             fewest=min(each.fewest for each in seen),
             mean=sum(each.total for each in seen) / sum(each.proxies for each in seen),
         )
--- a/limebridge/scale/results.py
+++ b/limebridge/scale/results.py
@@ -15,7 +15,7 @@
 from violetroute.config import ConfigError
 from violetroute.error_text import one_line
 
-Text = Annotated[str, msgspec.Meta(min_length=1)]
+NonEmptyStr = Annotated[str, msgspec.Meta(min_length=1)]
 Point = tuple[float, float]
 
 
@@ -33,11 +33,11 @@
 class Cost(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """One measured cost over several sizes, and the line through them."""
 
-    name: Text
-    unit: Text
-    per: Text  # what a size counts: node, member, tenant
-    what: Text  # one sentence: what was measured
-    mechanism: Text  # the module that carries it
+    name: NonEmptyStr
+    unit: NonEmptyStr
+    per: NonEmptyStr  # what a size counts: node, member, tenant
+    what: NonEmptyStr  # one sentence: what was measured
+    mechanism: NonEmptyStr  # the module that carries it
     points: Annotated[tuple[Point, ...], msgspec.Meta(min_length=1)]  # (size, value), by size
     constant: float  # value = constant + slope * size
     slope: float
@@ -54,13 +54,13 @@
         return self.points[-1][0]
 
 
-class Quoted(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class QuotedFigure(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A figure that an earlier run measured, with that run."""
 
-    name: Text
+    name: NonEmptyStr
     value: float
-    unit: Text
-    source: Text  # the run, and where it is written down
+    unit: NonEmptyStr
+    source: NonEmptyStr  # the run, and where it is written down
 
 
 class Slopes(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -72,7 +72,7 @@
     quick: bool  # small sizes only: not for statements about the target
     taken_at: str  # ISO 8601, UTC
     costs: tuple[Cost, ...]
-    quoted: tuple[Quoted, ...]
+    quoted: tuple[QuotedFigure, ...]
     left_out: tuple[str, ...] = ()  # one line for each size or cost that has no figure, and why
 
     def cost(self, name: str) -> Cost:
@@ -96,23 +96,23 @@
     """
     if cost.straight:
         return cost.constant + cost.slope * size
-    for (left, left_value), (right, right_value) in pairwise(cost.points):
-        if left <= size <= right:
-            return left_value + (right_value - left_value) * (size - left) / (right - left)
+    for (lower, lower_value), (upper, upper_value) in pairwise(cost.points):
+        if lower <= size <= upper:
+            return lower_value + (upper_value - lower_value) * (size - lower) / (upper - lower)
     raise ExtrapolationError(
         f"{cost.name} is a curve, measured from {cost.points[0][0]:g} to {cost.largest_size:g}"
         f" {cost.per}s: no figure for {size:g}"
     )
 
 
-def save(slopes: Slopes, path: Path) -> None:
+def save_slopes(slopes: Slopes, path: Path) -> None:
     """Write a slopes file, readable and stable under `git diff`."""
     text = msgspec.json.format(msgspec.json.encode(slopes), indent=1)
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_bytes(text + b"\n")
 
 
-def read(path: Path) -> Slopes:
+def read_slopes(path: Path) -> Slopes:
     """A slopes file.  ConfigError with one line when it is none."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Slopes)
@@ -120,7 +120,7 @@
         raise ConfigError(f"{path}: {one_line(error)}") from error
 
 
-def combined(files: Sequence[Slopes]) -> Slopes:
+def combine_slopes(files: Sequence[Slopes]) -> Slopes:
     """All costs and quoted figures of several files; of a cost that stands twice the later one.
 
     What is said of the run is the first file's.
--- a/limebridge/scale/run.py
+++ b/limebridge/scale/run.py
@@ -19,7 +19,7 @@
 from .control_client import ControlClient
 from .hollow_host import HostObservations
 from .in_force_check import PublicationDelays
-from .membership_looks import over_time
+from .membership_samples import summarize_membership
 from .process_facts import describe_machine
 from .run_fleet import Fleet
 from .run_load import PublicationLoad
@@ -210,7 +210,7 @@
             in_force=None if publications is None else publications.check(),
             purges=measured.answers,
             machine_cpu_share=busy_s / (seconds * self.plan.slowdown) / (os.cpu_count() or 1),
-            membership=over_time(
+            membership=summarize_membership(
                 (sample for host in measured.seen for sample in host.membership), before.at
             ),
             notes=(
--- a/limebridge/scale/run_report.py
+++ b/limebridge/scale/run_report.py
@@ -11,7 +11,7 @@
 from violetroute.distribution.messages import Topic
 
 from .delay_names import EVERYWHERE, IN_FORCE, delay_name
-from .membership_looks import MembershipAt
+from .membership_samples import MembershipSummary
 from .results import Machine
 from .run_plan import RunPlan
 from .target import Target
@@ -117,7 +117,7 @@
     in_force: InForceCheck | None  # None without distribution
     purges: dict[str, int]  # number of publications, of purges and changes, by outcome
     machine_cpu_share: float  # share of all cores that was busy in the measured time
-    membership: tuple[MembershipAt, ...] = ()  # empty without gossip
+    membership: tuple[MembershipSummary, ...] = ()  # empty without gossip
     notes: tuple[str, ...]  # what was not measured, and what is needed to interpret the figures
 
 
--- a/limebridge/scale/sample_list.py
+++ b/limebridge/scale/sample_list.py
@@ -21,7 +21,7 @@
 READY, DRAINING = "in_service", "terminating"
 
 
-def instance(number: int, lifecycle: str = READY) -> dict[str, Any]:
+def node_entry(number: int, lifecycle: str = READY) -> dict[str, Any]:
     """One node in discovery's form."""
     return {
         "instanceId": f"cache-{number:05d}",
@@ -34,19 +34,19 @@
     }
 
 
-def whole_list(count: int) -> bytes:
+def full_list_line(count: int) -> bytes:
     """One line of discovery's watch with so many nodes."""
-    instances = [instance(number) for number in range(count)]
+    instances = [node_entry(number) for number in range(count)]
     return json.dumps({"generation": 1, "reset": True, "instances": instances}).encode()
 
 
-def changed_nodes(numbers: Iterable[int], lifecycle: str) -> Listing:
+def changes_list(numbers: Iterable[int], lifecycle: str) -> Listing:
     """A list of changes that names these nodes."""
-    instances = [instance(number, lifecycle) for number in numbers]
+    instances = [node_entry(number, lifecycle) for number in numbers]
     return parse_listing({"generation": 2, "reset": False, "instances": instances})
 
 
-def proxy_on(kernel: Kernel, loop: VirtualLoop, config: Config) -> Proxy:
+def create_proxy(kernel: Kernel, loop: VirtualLoop, config: Config) -> Proxy:
     """The daemon's proxy on a network in memory."""
     net = network(kernel, "proxy", loop, lambda: WALL_CLOCK + kernel.now, VirtualTurns(loop))
     return Proxy(config, net)
@@ -58,7 +58,7 @@
     def __init__(self) -> None:
         self.kernel = Kernel(1)
         loop = VirtualLoop(self.kernel)
-        self.proxy = proxy_on(self.kernel, loop, parse(configuration(DISCOVERY_PORT, [])))
+        self.proxy = create_proxy(self.kernel, loop, parse(configuration(DISCOVERY_PORT, [])))
 
     def advance(self, seconds: float) -> None:
         """Move the clock; what is due by then is not done."""
--- a/limebridge/scale/slopes.py
+++ b/limebridge/scale/slopes.py
@@ -14,10 +14,10 @@
 from violetroute.config import ConfigError
 
 from .child import run_child
-from .fit import FitError, fit
+from .fit import FitError, fit_line
 from .measure import Failed, Measured
 from .process_facts import describe_machine, load_average
-from .quoted import QUOTED
+from .quoted import QUOTED_FIGURES
 from .registry import CostDefinition, Subject, subjects
 from .results import Cost, Point, Slopes
 
@@ -51,7 +51,7 @@
 Progress = Callable[[str], None]  # told of each measurement that has ended
 
 
-def chosen_subjects(only: str) -> list[Subject]:
+def select_subjects(only: str) -> list[Subject]:
     """The subjects to measure.  ConfigError when `only` names none."""
     every = subjects()
     if not only:
@@ -66,11 +66,11 @@
     return found
 
 
-def planned_jobs(options: Options) -> list[Job]:
+def plan_jobs(options: Options) -> list[Job]:
     """All measurements by subject; runs of one size are apart, as a busy minute would hit all."""
     return [
         Job(subject, size)
-        for subject in chosen_subjects(options.only)
+        for subject in select_subjects(options.only)
         for _ in range(1 if options.quick else subject.runs)
         for size in _sizes(subject, options)
     ]
@@ -84,7 +84,7 @@
 async def run(options: Options, progress: Progress) -> Result:
     """Measure and fit all.  Called off, it ends its children before it returns."""
     began, load_before = datetime.now(UTC), load_average()
-    jobs = planned_jobs(options)
+    jobs = plan_jobs(options)
     answers = await _measure_all(jobs, options, progress)
     failures = [
         f"{job.subject.name} at {job.size}: {answer.reason}"
@@ -98,7 +98,7 @@
         quick=options.quick,
         taken_at=began.isoformat(timespec="seconds"),
         costs=tuple(costs),
-        quoted=QUOTED,
+        quoted=QUOTED_FIGURES,
         left_out=(*_skipped(options), *failures, *unfitted),
     )
     return Result(slopes, len(failures))
@@ -108,13 +108,13 @@
     """The costs that have a line, and a line of text for each that has none."""
     costs: list[Cost] = []
     unfitted: list[str] = []
-    for subject in chosen_subjects(options.only):
+    for subject in select_subjects(options.only):
         for definition in subject.costs:
             if options.only not in ("", subject.name, definition.name):
                 continue
-            points = combined(definition, values.get(definition.name, {}))
+            points = combine_runs(definition, values.get(definition.name, {}))
             try:
-                costs.append(fitted(definition, subject, points, options))
+                costs.append(fit_cost(definition, subject, points, options))
             except FitError as error:
                 unfitted.append(f"{definition.name}: {error}")
     return costs, unfitted
@@ -144,7 +144,7 @@
     return [
         f"{subject.name} at {(subject.quick_sizes if options.quick else subject.sizes)[-1]}:"
         " --skip-largest"
-        for subject in chosen_subjects(options.only)
+        for subject in select_subjects(options.only)
     ]
 
 
@@ -157,17 +157,17 @@
     return found
 
 
-def combined(definition: CostDefinition, runs: dict[int, list[float]]) -> list[Point]:
+def combine_runs(definition: CostDefinition, runs: dict[int, list[float]]) -> list[Point]:
     """One point for each size."""
     choose = min if definition.least else median
     return [(float(size), choose(values)) for size, values in sorted(runs.items())]
 
 
-def fitted(
+def fit_cost(
     definition: CostDefinition, subject: Subject, points: Sequence[Point], options: Options
 ) -> Cost:
     """A measured cost with its line.  FitError when there are too few points."""
-    line = fit(points)
+    line = fit_line(points)
     return Cost(
         name=definition.name,
         unit=definition.unit,
--- a/limebridge/scale/virtual_members.py
+++ b/limebridge/scale/virtual_members.py
@@ -21,10 +21,10 @@
 from violetroute.transport import Address
 from violetroute.transport.sockets import SocketNetwork
 
-START = 1000.0  # s of the virtual clock
+START_S = 1000.0  # s of the virtual clock
 WALL_CLOCK = 1.7e9  # Unix s at the virtual clock's 0
 FIRST_PORT = 20_000
-DELAY = 0.0005  # s from one member to another
+DATAGRAM_DELAY_S = 0.0005  # s from one member to another
 MAX_BACKOFF_MS = 1000.0
 LOG_LEVEL = 50  # nothing of the daemon's log
 KEYS = wire.Keys([b"a key of a measurement"])
@@ -55,8 +55,8 @@
 
     def __init__(self, fleet_size: int, probe_s: float = SharingTable().probe_s) -> None:
         self._probe_s = probe_s
-        self.kernel = Kernel(1, start=START)
-        self.kernel.datagram_delays = lambda owner, port: [DELAY]
+        self.kernel = Kernel(1, start=START_S)
+        self.kernel.datagram_delays = lambda owner, port: [DATAGRAM_DELAY_S]
         self.loop = VirtualLoop(self.kernel)
         self.fleet_size = fleet_size
         self.members: list[Sharing] = []
@@ -69,17 +69,17 @@
         host = IdleProxy()
         network = SocketNetwork(
             self.loop,
-            make=self.kernel.maker(name(number)),
+            make=self.kernel.maker(member_name(number)),
             clock=lambda: WALL_CLOCK + self.kernel.now,
         )
         table = SharingTable(
-            listen=str_address(number),
+            listen=member_address(number),
             proxies=self.fleet_size,
-            seeds=(str_address(0),),
+            seeds=(member_address(0),),
             probe_s=self._probe_s,
         )
         sharing = Sharing(
-            table, KEYS, name(number), "a", MAX_BACKOFF_MS, network, host, incarnation(number)
+            table, KEYS, member_name(number), "a", MAX_BACKOFF_MS, network, host, life_nonce(number)
         )
         self._watch_changes(sharing)
         self.members.append(sharing)
@@ -100,7 +100,7 @@
         """What a member that is only played would say of itself."""
         started_ms = round(WALL_CLOCK * 1000.0)
         return wire.Rumor(
-            name(number), incarnation(number), started_ms, "a", str_address(number), "a"
+            member_name(number), life_nonce(number), started_ms, "a", member_address(number), "a"
         )
 
     def introduce(self, to: Sharing, number: int) -> None:
@@ -131,25 +131,25 @@
         member._socket.close()
 
     def _watch_changes(self, sharing: Sharing) -> None:
-        before = sharing.members._changed
+        original = sharing.members._changed
 
-        def changed(who: str, state: str, was: str) -> None:
-            self.changes.append(Change(self.kernel.now, who, state))
-            before(who, state, was)
+        def record_change(member: str, state: str, previous: str) -> None:
+            self.changes.append(Change(self.kernel.now, member, state))
+            original(member, state, previous)
 
-        sharing.members._changed = changed
+        sharing.members._changed = record_change
 
 
-def name(number: int) -> str:
+def member_name(number: int) -> str:
     """A member's name, about as long as a host's."""
     return f"proxy-{number:05d}"
 
 
-def incarnation(number: int) -> str:
+def life_nonce(number: int) -> str:
     """What tells one process of a member from the next."""
     return random.Random(number).randbytes(6).hex()
 
 
-def str_address(number: int) -> str:
+def member_address(number: int) -> str:
     """Where a member is reached."""
     return f"127.0.0.1:{FIRST_PORT + number}"
--- a/tests/limebridge/scale/test_scale_capacity.py
+++ b/tests/limebridge/scale/test_scale_capacity.py
@@ -9,21 +9,28 @@
 from typer.testing import CliRunner
 
 from limebridge.cli import app
-from limebridge.scale.capacity import Figures, Kind, MissingFigureError, Role, Row, compute
+from limebridge.scale.capacity import (
+    Figures,
+    MissingFigureError,
+    ResourceKind,
+    Role,
+    Row,
+    compute_needs,
+)
 from limebridge.scale.capacity_command import GROWTH_RUNS
 from limebridge.scale.capacity_page import (
     COSTS_TABLE,
     QUOTED_TABLE,
-    number,
-    problems,
-    tables,
-    written,
+    fill_tables,
+    find_problems,
+    format_number,
+    render_tables,
 )
 from limebridge.scale.capacity_rows import ROWS
-from limebridge.scale.capacity_rows_others import NOT_OURS
+from limebridge.scale.capacity_rows_others import OTHER_PROGRAM
 from limebridge.scale.growth import DuplicateSizeError, growth_table
-from limebridge.scale.quoted import QUOTED
-from limebridge.scale.results import Cost, Machine, Slopes, combined, save
+from limebridge.scale.quoted import QUOTED_FIGURES
+from limebridge.scale.results import Cost, Machine, Slopes, combine_slopes, save_slopes
 from limebridge.scale.run_report import RunReport
 from limebridge.scale.run_report import read as read_run
 from limebridge.scale.run_sample import HOLLOW
@@ -62,10 +69,10 @@
     return Row(
         identity,
         Role.PROXY,
-        Kind.MESSAGES,
+        ResourceKind.MESSAGES,
         "made up",
         "bytes/s",
-        lambda figures: figures.at(name, figures.target.proxies),
+        lambda figures: figures.cost(name, figures.target.proxies),
         "violetroute/sharing",
         None if budget is None else lambda figures: budget,
     )
@@ -78,16 +85,16 @@
 
 
 def test_a_need_is_its_line_at_the_target_and_a_ratio_to_its_budget() -> None:
-    [need] = compute([row("a", "x", 1000.0)], TARGET, slopes_of(cost("x", 100.0, 0.5)))
+    [need] = compute_needs([row("a", "x", 1000.0)], TARGET, slopes_of(cost("x", 100.0, 0.5)))
     assert need.need == 100.0 + 0.5 * TARGET.proxies and need.sources == ("x",)
-    assert need.ratio == need.need / 1000.0 and need.over
+    assert need.ratio == need.need / 1000.0 and need.over_budget
 
 
 def test_what_is_not_measured_has_no_figure_and_says_why() -> None:
     curve = cost("curve", 0.0, 1.0, straight=False)
-    needs = compute([row("a", "x", 1.0), row("b", "curve")], TARGET, slopes_of(curve))
+    needs = compute_needs([row("a", "x", 1.0), row("b", "curve")], TARGET, slopes_of(curve))
     assert [need.need for need in needs] == [None, None]
-    assert needs[0].missing == "x is not measured" and not needs[0].over
+    assert needs[0].missing == "x is not measured" and not needs[0].over_budget
     assert "curve" in needs[1].missing and "2600" in needs[1].missing
     with pytest.raises(MissingFigureError):
         Figures(TARGET, slopes_of()).quoted("x")
@@ -95,72 +102,76 @@
 
 def test_a_page_agrees_until_a_figure_or_the_slopes_are_edited() -> None:
     slopes = slopes_of(cost("x", 100.0, 0.5))
-    needs = compute([row("a", "x", 5000.0)], TARGET, slopes)
-    page = written(PAGE, tables(needs, slopes))
-    assert problems(page, needs, tables(needs, slopes)) == []
-    assert written(page, tables(needs, slopes)) == page
+    needs = compute_needs([row("a", "x", 5000.0)], TARGET, slopes)
+    page = fill_tables(PAGE, render_tables(needs, slopes))
+    assert find_problems(page, needs, render_tables(needs, slopes)) == []
+    assert fill_tables(page, render_tables(needs, slopes)) == page
     edited = page.replace("1,400 bytes/s", "1,300 bytes/s")
     assert edited != page
-    [wrong] = problems(edited, needs, tables(needs, slopes))
+    [wrong] = find_problems(edited, needs, render_tables(needs, slopes))
     assert "table proxy" in wrong and "1,300" in wrong and "1,400" in wrong
     others = slopes_of(cost("x", 200.0, 0.5))
-    other_needs = compute([row("a", "x", 5000.0)], TARGET, others)
-    assert problems(page, other_needs, tables(other_needs, others))
-    made = tables(needs, slopes)
-    assert problems(page.replace("<!-- table: discovery -->", ""), needs, made) == [
+    other_needs = compute_needs([row("a", "x", 5000.0)], TARGET, others)
+    assert find_problems(page, other_needs, render_tables(other_needs, others))
+    made = render_tables(needs, slopes)
+    assert find_problems(page.replace("<!-- table: discovery -->", ""), needs, made) == [
         "no table: discovery"
     ]
 
 
 def test_a_passed_budget_is_named_in_the_prose_and_only_that() -> None:
     slopes = slopes_of(cost("x", 100.0, 0.5))
-    needs = compute([row("a", "x", 1000.0), row("b", "x", 9000.0)], TARGET, slopes)
-    made = tables(needs, slopes)
-    page = written(PAGE, made)
+    needs = compute_needs([row("a", "x", 1000.0), row("b", "x", 9000.0)], TARGET, slopes)
+    made = render_tables(needs, slopes)
+    page = fill_tables(PAGE, made)
     assert "**1.40**" in page
-    assert problems(page, needs, made) == ["over budget and no line says so: a"]
-    assert problems(page + "\n- Over budget: a, since it is made up.\n", needs, made) == []
-    assert problems(page + "\n- Over budget: a\n- Over budget: b\n", needs, made) == [
+    assert find_problems(page, needs, made) == ["over budget and no line says so: a"]
+    assert find_problems(page + "\n- Over budget: a, since it is made up.\n", needs, made) == []
+    assert find_problems(page + "\n- Over budget: a\n- Over budget: b\n", needs, made) == [
         "a line says over budget, and it is not: b"
     ]
 
 
 def test_each_role_has_a_row_of_each_kind() -> None:
     there = {(row.role, row.kind) for row in ROWS}
-    assert there == {(role, kind) for role in Role for kind in Kind}
+    assert there == {(role, kind) for role in Role for kind in ResourceKind}
     assert len({row.identity for row in ROWS}) == len(ROWS)
 
 
 def test_a_need_of_another_program_has_no_figure_and_says_so() -> None:
-    [need] = compute([row for row in ROWS if row.identity == "node-memory"], TARGET, slopes_of())
-    assert need.need is None and need.missing == NOT_OURS
-    assert NOT_OURS in tables([need], slopes_of())[str(Role.NODE)]
+    [need] = compute_needs(
+        [row for row in ROWS if row.identity == "node-memory"], TARGET, slopes_of()
+    )
+    assert need.need is None and need.missing == OTHER_PROGRAM
+    assert OTHER_PROGRAM in render_tables([need], slopes_of())[str(Role.NODE)]
 
 
 def test_a_role_s_table_has_its_kinds_in_order() -> None:
     slopes = slopes_of(cost("x", 100.0, 0.5))
     made_up = row("b", "x")
-    state = Row("a", Role.PROXY, Kind.STATE, "made up", "", lambda figures: 1.0, "made up")
-    table = tables(compute([made_up, state], TARGET, slopes), slopes)[str(Role.PROXY)]
+    state = Row("a", Role.PROXY, ResourceKind.STATE, "made up", "", lambda figures: 1.0, "made up")
+    table = render_tables(compute_needs([made_up, state], TARGET, slopes), slopes)[str(Role.PROXY)]
     assert [line.split(" | ")[0] for line in table.splitlines()[2:]] == ["| state", "| messages"]
 
 
 def test_each_quoted_figure_stands_on_the_page_with_its_run() -> None:
-    made = tables([], msgspec.structs.replace(slopes_of(), quoted=QUOTED))[QUOTED_TABLE]
+    made = render_tables([], msgspec.structs.replace(slopes_of(), quoted=QUOTED_FIGURES))[
+        QUOTED_TABLE
+    ]
     lines = made.splitlines()[2:]
-    assert len(lines) == len(QUOTED)
-    for figure, line in zip(QUOTED, lines, strict=True):
+    assert len(lines) == len(QUOTED_FIGURES)
+    for figure, line in zip(QUOTED_FIGURES, lines, strict=True):
         assert line.startswith(f"| {figure.name} | ") and line.endswith(f" | {figure.source} |")
 
 
 def test_numbers_have_three_digits() -> None:
-    shown = [number(value) for value in (0.0, 0.00123456, 1.0, 9.999, 123.4, 1234567.0)]
+    shown = [format_number(value) for value in (0.0, 0.00123456, 1.0, 9.999, 123.4, 1234567.0)]
     assert shown == ["0", "0.00123", "1.00", "10.0", "123", "1,230,000"]
 
 
 def test_the_command_writes_and_checks(tmp_path: Path) -> None:
     file, page = tmp_path / "slopes.json", tmp_path / "CAPACITY.md"
-    save(slopes_of(cost("gossip.bytes_per_s", 100.0, 0.5)), file)
+    save_slopes(slopes_of(cost("gossip.bytes_per_s", 100.0, 0.5)), file)
     page.write_text(PAGE)
     run = ["scale", "capacity", str(file), "--page", str(page)]
     assert CliRunner().invoke(app, run).exit_code == 0
@@ -194,13 +205,13 @@
         slopes_of(cost("x", 1.0, 2.0), cost("y", 1.0, 1.0)),
         slopes_of(cost("x", 5.0, 0.0)),
     )
-    both = combined([first, second])
+    both = combine_slopes([first, second])
     assert both.cost("x").constant == 5.0 and both.cost("y").constant == 1.0
 
 
 def test_a_slopes_file_is_read_back(tmp_path: Path) -> None:
     slopes = slopes_of(cost("x", 1.0, 2.0))
-    save(slopes, tmp_path / "a.json")
+    save_slopes(slopes, tmp_path / "a.json")
     assert msgspec.json.decode((tmp_path / "a.json").read_bytes(), type=Slopes) == slopes
 
 
@@ -239,14 +250,14 @@
 
 def test_an_edited_table_of_growth_is_found(tmp_path: Path) -> None:
     file, page = tmp_path / "slopes.json", tmp_path / "CAPACITY.md"
-    save(slopes_of(cost("distribution.proxy_bytes_per_s", 100.0, 10.0)), file)
+    save_slopes(slopes_of(cost("distribution.proxy_bytes_per_s", 100.0, 10.0)), file)
     page.write_text(PAGE + "\n<!-- table: growth -->\n<!-- end of table -->\n")
     run = ["scale", "capacity", str(file), "--page", str(page)]
     run += ["--run", str(ROOT / RUN)]
     assert CliRunner().invoke(app, run).exit_code == 0
     assert CliRunner().invoke(app, [*run, "--check"]).exit_code == 0
     [hollow] = [role for role in read_run(ROOT / RUN).roles if role.role == HOLLOW]
-    figure = number(hollow.wire_bytes.mean)
+    figure = format_number(hollow.wire_bytes.mean)
     assert page.read_text().count(figure) == 1
     page.write_text(page.read_text().replace(figure, "1,234"))
     edited = CliRunner().invoke(app, [*run, "--check"])
--- a/tests/limebridge/scale/test_scale_membership.py
+++ b/tests/limebridge/scale/test_scale_membership.py
@@ -12,7 +12,12 @@
 from limebridge.scale.held_loop import HeldLoop
 from limebridge.scale.hollow import GossipSetup, HeldWallClock, HollowProxy
 from limebridge.scale.links import LinkTable
-from limebridge.scale.membership_looks import MembershipAt, MembershipLook, look, over_time
+from limebridge.scale.membership_samples import (
+    MembershipSample,
+    MembershipSummary,
+    membership_sample,
+    summarize_membership,
+)
 from limebridge.scale.run import ScaleRun
 from limebridge.scale.run_fleet import Fleet
 from limebridge.scale.run_plan import RunPlan
@@ -31,15 +36,15 @@
 
 def test_looks_of_all_processes_are_put_together_by_second() -> None:
     looks = [
-        look([4, 2], 100.2),
-        MembershipLook(at=100.9, proxies=1, fewest=3, total=3),
-        look([1], 101.0),
+        membership_sample([4, 2], 100.2),
+        MembershipSample(at=100.9, proxies=1, fewest=3, total=3),
+        membership_sample([1], 101.0),
     ]
-    assert over_time(looks, 100.0) == (
-        MembershipAt(after_s=0.0, fewest=2, mean=3.0),
-        MembershipAt(after_s=1.0, fewest=1, mean=1.0),
+    assert summarize_membership(looks, 100.0) == (
+        MembershipSummary(after_s=0.0, fewest=2, mean=3.0),
+        MembershipSummary(after_s=1.0, fewest=1, mean=1.0),
     )
-    assert over_time([], 100.0) == ()
+    assert summarize_membership([], 100.0) == ()
 
 
 def test_a_restart_of_all_is_seen_in_the_membership() -> None:
--- a/tests/limebridge/scale/test_scale_slopes.py
+++ b/tests/limebridge/scale/test_scale_slopes.py
@@ -18,9 +18,9 @@
 
 from limebridge.scale import measure_connections, measure_judgements, measure_module, slopes
 from limebridge.scale.child import run_child
-from limebridge.scale.fit import STRAIGHT_BOUND, FitError, fit
+from limebridge.scale.fit import STRAIGHT_RESIDUAL_LIMIT, FitError, fit_line
 from limebridge.scale.measure import Failed, Measured, measure
-from limebridge.scale.quoted import QUOTED
+from limebridge.scale.quoted import QUOTED_FIGURES
 from limebridge.scale.registry import CostDefinition, subjects
 from limebridge.scale.results import (
     Cost,
@@ -28,8 +28,8 @@
     Machine,
     Slopes,
     predict,
-    read,
-    save,
+    read_slopes,
+    save_slopes,
 )
 from limebridge.scale.target import TARGET_FILE, load_target
 from tests.support.paths import ROOT
@@ -77,7 +77,7 @@
     noise = (1.02, 0.98, 1.01, 0.99, 1.02)
     sizes = (46.0, 200.0, 600.0, 1200.0, 2400.0)
     points = [(s, (5.0 + 0.25 * s) * n) for s, n in zip(sizes, noise, strict=True)]
-    found = fit(points)
+    found = fit_line(points)
     assert found.straight and found.residual < 0.05
     assert found.slope_low < 0.25 < found.slope_high
     assert found.slope == pytest.approx(0.25, rel=0.03)
@@ -85,26 +85,26 @@
 
 
 def test_fit_calls_a_planted_curve_a_curve() -> None:
-    found = fit([(s, 0.01 * s**2) for s in (46.0, 200.0, 600.0, 1200.0, 2400.0)])
-    assert not found.straight and found.residual >= STRAIGHT_BOUND
+    found = fit_line([(s, 0.01 * s**2) for s in (46.0, 200.0, 600.0, 1200.0, 2400.0)])
+    assert not found.straight and found.residual >= STRAIGHT_RESIDUAL_LIMIT
     assert found.exponent == pytest.approx(2.0)
 
 
 def test_fit_takes_a_cost_that_does_not_grow_and_one_that_is_zero() -> None:
-    assert fit([(1.0, 7.0), (2.0, 7.0), (3.0, 7.0)]).slope == pytest.approx(0.0)
-    nothing = fit([(1.0, 0.0), (2.0, 0.0), (3.0, 0.0)])
+    assert fit_line([(1.0, 7.0), (2.0, 7.0), (3.0, 7.0)]).slope == pytest.approx(0.0)
+    nothing = fit_line([(1.0, 0.0), (2.0, 0.0), (3.0, 0.0)])
     assert nothing.straight and nothing.exponent is None
 
 
 def test_fit_refuses_points_that_are_always_on_a_line() -> None:
     with pytest.raises(FitError, match="3 different sizes"):
-        fit([(1.0, 1.0), (2.0, 2.0), (2.0, 3.0)])
+        fit_line([(1.0, 1.0), (2.0, 2.0), (2.0, 3.0)])
 
 
 def test_a_line_is_followed_and_a_curve_is_not() -> None:
-    line = planted([(s, 2.0 * s) for s in (10.0, 20.0, 30.0, 40.0)])
+    line = cost_of([(s, 2.0 * s) for s in (10.0, 20.0, 30.0, 40.0)])
     assert predict(line, 1000.0) == pytest.approx(2000.0)
-    curve = planted([(s, s**2) for s in (10.0, 20.0, 30.0, 40.0)])
+    curve = cost_of([(s, s**2) for s in (10.0, 20.0, 30.0, 40.0)])
     assert predict(curve, 40.0) == pytest.approx(1600.0)
     assert predict(curve, 15.0) == pytest.approx(250.0)  # between 100 and 400
     for outside in (41.0, 9.0):
@@ -114,9 +114,9 @@
 
 def test_a_slopes_file_is_read_as_it_was_written(tmp_path: Path) -> None:
     path = tmp_path / "folder" / "slopes.json"
-    made = slopes_of(planted([(s, 2.0 * s) for s in (1.0, 2.0, 3.0)]))
-    save(made, path)
-    assert read(path) == made
+    made = slopes_of(cost_of([(s, 2.0 * s) for s in (1.0, 2.0, 3.0)]))
+    save_slopes(made, path)
+    assert read_slopes(path) == made
     assert made.cost("test.cost").largest_size == 3.0
     with pytest.raises(KeyError):
         made.cost("test.other")
@@ -127,19 +127,19 @@
     tmp_path: Path, change: tuple[str, object]
 ) -> None:
     path = tmp_path / "slopes.json"
-    save(slopes_of(planted([(s, 2.0 * s) for s in (1.0, 2.0, 3.0)])), path)
+    save_slopes(slopes_of(cost_of([(s, 2.0 * s) for s in (1.0, 2.0, 3.0)])), path)
     raw = json.loads(path.read_text()) | {change[0]: change[1]}
     path.write_text(json.dumps(raw))
     with pytest.raises(ConfigError) as refused:
-        read(path)
+        read_slopes(path)
     assert change[0] in str(refused.value) and "\n" not in str(refused.value)
 
 
 def test_what_is_quoted_names_its_run() -> None:
     roadmap = (ROOT / "docs" / "ROADMAP.md").read_text()
     titles = [line[3:] for line in roadmap.splitlines() if line.startswith("## ")]
-    assert len({quoted.name for quoted in QUOTED}) == len(QUOTED)
-    for quoted in QUOTED:
+    assert len({quoted.name for quoted in QUOTED_FIGURES}) == len(QUOTED_FIGURES)
+    for quoted in QUOTED_FIGURES:
         file, _, place = quoted.source.partition(", ")
         assert file == "docs/ROADMAP.md"
         assert any(place.startswith(title) for title in titles), quoted.source
@@ -198,7 +198,7 @@
     """At 538 requests a second 8 nodes need few connections, and nearly none is opened anew."""
     monkeypatch.setattr(measure_connections, "WARM_UP_S", 1.0)
     monkeypatch.setattr(measure_connections, "MEASURED_S", 1.0)
-    monkeypatch.setattr(measure_connections, "CONNECTIONS_IN_ALL", 64)
+    monkeypatch.setattr(measure_connections, "MEMORY_CONNECTIONS", 64)
     answer = measure("connections", TINY)
     assert isinstance(answer, Measured), answer
     assert TINY <= answer.values["connections.open"] < 100.0
@@ -211,8 +211,8 @@
 
     monkeypatch.setattr(measure_connections, "WARM_UP_S", 0.5)
     monkeypatch.setattr(measure_connections, "MEASURED_S", 0.5)
-    monkeypatch.setattr(measure_connections, "CONNECTIONS_IN_ALL", 64)
-    monkeypatch.setattr(measure_connections, "_answer", refuses)
+    monkeypatch.setattr(measure_connections, "MEMORY_CONNECTIONS", 64)
+    monkeypatch.setattr(measure_connections, "_serve", refuses)
     answer = measure("connections", TINY)
     assert isinstance(answer, Failed) and "requests were served" in answer.reason
 
@@ -274,9 +274,9 @@
 def test_of_several_runs_the_least_cpu_time_counts_and_the_median_of_the_rest() -> None:
     costs = {cost.name: cost for cost in subjects()["list"].costs}
     runs = {20: [3.0, 1.0, 2.0], 10: [9.0, 8.0, 4.0]}
-    assert slopes.combined(costs["list.parse_ms"], runs) == [(10.0, 4.0), (20.0, 1.0)]
-    assert slopes.combined(costs["list.memory_mb"], runs) == [(10.0, 8.0), (20.0, 2.0)]
-    full = slopes.planned_jobs(slopes.Options(only="list"))
+    assert slopes.combine_runs(costs["list.parse_ms"], runs) == [(10.0, 4.0), (20.0, 1.0)]
+    assert slopes.combine_runs(costs["list.memory_mb"], runs) == [(10.0, 8.0), (20.0, 2.0)]
+    full = slopes.plan_jobs(slopes.Options(only="list"))
     assert [job.size for job in full[:6]] == [46, 200, 600, 1200, 3200, 46]
 
 
@@ -324,10 +324,10 @@
     assert [child for child in children if Path(f"/proc/{child}").exists()] == []
 
 
-def planted(points: list[tuple[float, float]]) -> Cost:
+def cost_of(points: list[tuple[float, float]]) -> Cost:
     """A cost with these points, fitted as the command does."""
     definition = CostDefinition(name="test.cost", unit="ms", what="Planted.", mechanism="tests")
-    return slopes.fitted(definition, subjects()["list"], points, slopes.Options())
+    return slopes.fit_cost(definition, subjects()["list"], points, slopes.Options())
 
 
 def slopes_of(*costs: Cost) -> Slopes:
@@ -338,7 +338,7 @@
         quick=True,
         taken_at="2026-12-02T05:00:00+00:00",
         costs=costs,
-        quoted=QUOTED,
+        quoted=QUOTED_FIGURES,
     )
 
 
--- a/tests/violetroute/sharing/test_sharing_reports.py
+++ b/tests/violetroute/sharing/test_sharing_reports.py
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("bad", [0, 1, 120])
 def test_a_proxy_at_target_size_stays_within_the_rate_left_for_reports(bad: int) -> None:
-    assert _bytes_per_second(2600, bad, everything=True) < TARGET_RATE
+    assert _bytes_per_second(2600, bad, all_reports=True) < TARGET_RATE
 
 
 @pytest.mark.parametrize("rate", [300.0, 600.0, 5000.0])
--- a/tests/violetroute/test_turns_of_lists.py
+++ b/tests/violetroute/test_turns_of_lists.py
@@ -14,7 +14,7 @@
 import pytest
 
 from limebridge.scale.process_facts import cpu_seconds
-from limebridge.scale.sample_list import DRAINING, READY, ProxyOnVirtualNetwork, instance
+from limebridge.scale.sample_list import DRAINING, READY, ProxyOnVirtualNetwork, node_entry
 from limebridge.standins.configuration import configuration
 from limebridge.standins.large_list import LargeList
 from limebridge.virtual.session import quiet
@@ -31,12 +31,12 @@
 
 
 def text(numbers: Iterable[int], lifecycle: str = READY, whole: bool = False) -> bytes:
-    instances = [instance(number, lifecycle) for number in numbers]
+    instances = [node_entry(number, lifecycle) for number in numbers]
     return json.dumps({"generation": 2, "reset": whole, "instances": instances}).encode()
 
 
 def restarts(numbers: Iterable[int], started_at_ms: int) -> bytes:
-    instances = [instance(number) | {"startedAtMs": started_at_ms} for number in numbers]
+    instances = [node_entry(number) | {"startedAtMs": started_at_ms} for number in numbers]
     return json.dumps({"generation": 2, "reset": False, "instances": instances}).encode()
 
 
