--- a/limebridge/cli.py
+++ b/limebridge/cli.py
@@ -56,7 +56,7 @@
     LazyCommand(
         "experiment",
         "limebridge.experiments.command:app",
-        "Sweeps over rehearsals, kept as tables and charts.",
+        "Parameter sweeps over rehearsals, with tables and charts.",
     ),
     LazyCommand(
         "faults",
