--- a/tests/support/distribution_cluster.py
+++ b/tests/support/distribution_cluster.py
@@ -338,7 +338,7 @@
             self.in_flight[index] = replace(envelope, message=None, reply=True)
 
     def intercept(self, sender: str, kind: type[Message]) -> Envelope:
-        """Run until a message of this kind, of or to `sender`, is in flight; remove and return it."""
+        """Run until a message of this kind, from or to `sender`, is in flight, and remove it."""
 
         def matching() -> list[Envelope]:
             own = [each for each in self.in_flight if each.sender == sender]
