--- a/limebridge/faults/sharing/daemon.py
+++ b/limebridge/faults/sharing/daemon.py
@@ -36,7 +36,7 @@
     discovery: Discovery
     node_entries: list[NodeEntry]  # the nodes in the configuration
 
-    def add_violation(self, rule: str, text: str) -> None:
+    def report_violation(self, rule: str, text: str) -> None:
         """Record a violation."""
 
     def note(self, text: str) -> None:
@@ -117,4 +117,4 @@
             child.state = ChildState.DOWN
             await child.kill()
         elif not await child.term():
-            self.rig.add_violation("ends", f"{self.name} did not drain: {child.last_line}")
+            self.rig.report_violation("ends", f"{self.name} did not drain: {child.last_line}")
--- a/limebridge/faults/sharing/rig.py
+++ b/limebridge/faults/sharing/rig.py
@@ -82,7 +82,7 @@
         """Current time in s of the event loop."""
         return asyncio.get_running_loop().time()
 
-    def add_violation(self, rule: str, text: str) -> None:
+    def report_violation(self, rule: str, text: str) -> None:
         """Record a violation."""
         self.violations.append(Violation(rule, text))
 
@@ -106,7 +106,7 @@
             await asyncio.gather(*tasks)
             await asyncio.gather(*(daemon.terminate(hard=False) for daemon in self.daemons))
         except DaemonStartError as error:
-            self.add_violation("starts", str(error))
+            self.report_violation("starts", str(error))
             end = self.now
         finally:
             await run_cleanup(self._end_all(tasks))
@@ -162,18 +162,18 @@
         self.violations += checker.find_violations(plan, observed, real=True)
         final_share = checker.budget_share(plan, observed, end - 2.0, end)
         if final_share < MIN_FINAL_SHARE:
-            self.add_violation(
+            self.report_violation(
                 "goes on", f"only {final_share:.3f} of the budget is spent at the end"
             )
         repeated = [id_ for id_, times in self.set_counts.items() if times > 1]
         if repeated:
-            self.add_violation(
+            self.report_violation(
                 "no effect twice",
                 f"{repeated[0].decode()} arrived {self.set_counts[repeated[0]]} times",
             )
         for daemon, client in zip(self.daemons, self.clients, strict=True):
             if client.answered != client.sent:
-                self.add_violation(
+                self.report_violation(
                     "no request lost",
                     f"{daemon.name}: {client.sent} requests, {client.answered} answers",
                 )
@@ -279,13 +279,13 @@
         self._set_paths()
         for duplicate in self.duplicates:
             if not await duplicate.term():
-                self.add_violation(
+                self.report_violation(
                     "ends", f"a duplicate process did not drain: {duplicate.last_line}"
                 )
         for daemon in self.daemons:
             if daemon.child is None or daemon.child.ended:
                 last = daemon.child.last_line if daemon.child else ""
-                self.add_violation("ends", f"{daemon.name} crashed: {last}")
+                self.report_violation("ends", f"{daemon.name} crashed: {last}")
         self.observed.healed_at = self.now
 
 
--- a/tests/limebridge/faults/test_faults.py
+++ b/tests/limebridge/faults/test_faults.py
@@ -20,7 +20,7 @@
 from limebridge.faults.relay import DatagramRelay, Impairment, Relay
 from limebridge.faults.runner import run_plan
 from limebridge.standins.effects import Effect
-from tests.support import bounded, crossing
+from tests.support import bounded, late_write
 from tests.support.paths import ROOT
 from violetroute.config import ConfigError
 from violetroute.fleet.log import Record, decode, encode
@@ -149,13 +149,13 @@
 
 @pytest.mark.parametrize("bug", ["position_overwritten", "fence_not_checked"])
 def test_an_injected_bug_is_found_by_real_daemons(bug: str) -> None:
-    outcome = crossing.play(str(ROOT / "tests" / "planted_fleet" / f"{bug}.py"))
+    outcome = late_write.run_plan(str(ROOT / "tests" / "planted_fleet" / f"{bug}.py"))
     found = {violation.rule for violation in outcome.violations}
-    assert "none late" in found and crossing.NOT_FORCED not in found, outcome.violations
+    assert "none late" in found and late_write.NOT_FORCED not in found, outcome.violations
 
 
-def test_the_unchanged_build_violates_nothing_in_the_same_crossing() -> None:
-    outcome = crossing.play()
+def test_the_unchanged_build_violates_nothing_with_the_same_late_write() -> None:
+    outcome = late_write.run_plan()
     assert outcome.violations == [], histories.format_trace(outcome.history, outcome.violations)
     records = [decode(data, "beat-0") for data in outcome.history.logs["beat-0"]]
     owners = {each.nonce for each in records if each is not None and each.kind == "claim"}
--- a/tests/support/pause_before_put.py
+++ b/tests/support/pause_before_put.py
@@ -1,11 +1,11 @@
 """A patch for a daemon of the fault rig: it stops itself between a log's check and its write.
 
-While the file ARMED stands in the rig's folder, the first process that is about to put an entry
-takes the file away, says where it stands in STOPPED, and sends SIGSTOP to the thread that writes.
-The log has been read and the entry decided by then; its file is linked after SIGCONT.  WRITTEN
-appears once the interrupted write is over, whatever came of it.
+If the file ARMED exists in the rig's folder, the first process that is about to put an entry
+removes the file, describes itself and the write in STOPPED, and sends SIGSTOP to the writing
+thread.  At that time it has read the log and decided the entry; the file of the entry is linked
+after SIGCONT.  WRITTEN is created when the interrupted write has ended, whatever its result.
 
-`os.unlink` succeeds for one process alone, so one write is interrupted for each ARMED.
+`os.unlink` succeeds in one process only, so each ARMED interrupts one write.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class Stopped(msgspec.Struct, frozen=True):
-    """Who stands before which write."""
+    """The stopped process, and the write that it is about to do."""
 
     pid: int
     log: str
@@ -33,7 +33,7 @@
 
 
 def plant() -> None:
-    """Put the pause point into this process's folder store."""
+    """Install the pause point in the folder store of this process."""
     put, run = FolderStore.put, FolderStore.run
     interrupted = threading.Event()
 
@@ -44,7 +44,7 @@
             _stop(_folder(store), Stopped(os.getpid(), log, position, record.nonce))
         return put(store, log, position, data)
 
-    def run_and_tell(store: FolderStore, steps: Steps) -> Result:
+    def run_and_report(store: FolderStore, steps: Steps) -> Result:
         try:
             return run(store, steps)
         finally:
@@ -52,16 +52,16 @@
                 interrupted.clear()
                 (_folder(store) / WRITTEN).touch()
 
-    FolderStore.put, FolderStore.run = put_after_pause, run_and_tell
+    FolderStore.put, FolderStore.run = put_after_pause, run_and_report
 
 
 def _folder(store: FolderStore) -> Path:
-    """The rig's folder, beside the one that the daemons share."""
+    """The rig's folder, which contains the one that the daemons share."""
     return store._path.parent
 
 
 def _disarm(store: FolderStore) -> bool:
-    """Whether this process is the one that stops."""
+    """Remove ARMED; returns whether this process did, and so must stop."""
     try:
         os.unlink(_folder(store) / ARMED)
     except FileNotFoundError:
@@ -69,13 +69,13 @@
     return True
 
 
-def _stop(folder: Path, where: Stopped) -> None:
-    """Returns after SIGCONT.
+def _stop(folder: Path, stopped: Stopped) -> None:
+    """Write STOPPED and stop this process; returns after SIGCONT.
 
-    A signal to the process could be taken by another thread while this one writes on; a signal to
-    this thread is taken before `pthread_kill` returns, and stops the whole process.
+    A signal to the process might be handled by another thread while this one goes on and writes.  A
+    signal to this thread is handled before `pthread_kill` returns, and stops the whole process.
     """
-    aside = folder / f"{STOPPED}.part"
-    aside.write_bytes(msgspec.json.encode(where))
-    os.replace(aside, folder / STOPPED)
+    temporary = folder / f"{STOPPED}.part"
+    temporary.write_bytes(msgspec.json.encode(stopped))
+    os.replace(temporary, folder / STOPPED)
     signal.pthread_kill(threading.get_ident(), signal.SIGSTOP)
--- a/tests/violetroute/distribution/test_distribution_freshness.py
+++ b/tests/violetroute/distribution/test_distribution_freshness.py
@@ -90,7 +90,7 @@
 
 
 def test_without_faults_batches_are_in_force_early_and_proxies_fresh() -> None:
-    world = World(Plan(seed=1, lasts=20.0, loss=0.0), notes_fresh_share=True)
+    world = World(Plan(seed=1, lasts=20.0, loss=0.0), record_fresh_share=True)
     world.run()
     leader = world.leaders[1]
     later = leader.in_force_s[len(leader.in_force_s) // 2 :]
@@ -100,7 +100,7 @@
 
 
 def test_after_a_change_of_leader_batches_come_in_force_early_again() -> None:
-    world = World(Plan(seed=2, lasts=20.0, change_at=6.0, loss=0.0), notes_fresh_share=True)
+    world = World(Plan(seed=2, lasts=20.0, change_at=6.0, loss=0.0), record_fresh_share=True)
     world.run()
     second = world.leaders[2]
     assert second.commit - second.in_force.in_force < 40
