--- a/limebridge/experiments/charts.py
+++ b/limebridge/experiments/charts.py
@@ -55,7 +55,7 @@
         "axes.spines.top": False,
         "axes.spines.right": False,
         "legend.frameon": False,
-        **{f"{part}.color": INK for part in ("text", "xtick", "ytick")},
+        **{f"{element}.color": INK for element in ("text", "xtick", "ytick")},
         "axes.edgecolor": INK,
         "axes.labelcolor": INK,
     }
--- a/limebridge/experiments/command.py
+++ b/limebridge/experiments/command.py
@@ -150,7 +150,7 @@
 @app.command("list")
 def list_(store: StoreFile = DEFAULT_STORE, as_json: AsJson = False) -> None:
     """List the shipped experiments and those in the store, with their numbers of runs."""
-    found = open_store(store).experiments() if store.exists() else []
+    stored = open_store(store).experiments() if store.exists() else []
     if as_json:
         print(
             json.dumps(
@@ -162,13 +162,13 @@
                         "states": states,
                         "seconds": round(seconds, 1),
                     }
-                    for id_, name, question, states, seconds in found
+                    for id_, name, question, states, seconds in stored
                 ]
             )
         )
         return
     table = Table("experiment", "runs", "void", "CPU min", "question", **NARROW)
-    for _, name, question, states, seconds in found:
+    for _, name, question, states, seconds in stored:
         done = states.get("done", 0)
         table.add_row(
             escape(name),
@@ -177,9 +177,9 @@
             f"{seconds / 60:.1f}",
             escape(question),
         )
-    there = {name for _, name, *_ in found}
+    stored_names = {name for _, name, *_ in stored}
     for name, path in shipped_experiments().items():
-        if name not in there:
+        if name not in stored_names:
             table.add_row(name, "0", "", "", escape(load_experiment(str(path)).question))
     Console().print(table)
 
@@ -202,7 +202,7 @@
 ) -> None:
     """Show the mean of each measure by point, and why runs have no result."""
     experiment = load_or_fail(name_or_path)
-    found, rows = newest_cells(experiment, open_store(store))
+    cells_shown, rows = newest_cells(experiment, open_store(store))
     names = _chosen_measures(experiment, measure)
     if as_json:
         print(
@@ -215,19 +215,19 @@
                         "failed": cell.failed,
                     }
                     | {n: cell.mean(n) for n in names}
-                    for cell in found
+                    for cell in cells_shown
                 ]
             )
         )
         return
     table = Table("point", "seeds", *names, **NARROW)
-    for cell in found:
+    for cell in cells_shown:
         table.add_row(escape(cell.label), str(cell.seeds), *(_format_mean(cell, n) for n in names))
     Console().print(escape(experiment.question))
     Console().print(table)
     reasons = sorted({(row.state, row.why) for row in rows if row.state != "done"})
-    for state, why in reasons[:10]:
-        print(f"{state}: {why}")
+    for state, reason in reasons[:10]:
+        print(f"{state}: {reason}")
 
 
 def _format_mean(cell: Cell, name: str) -> str:
@@ -253,19 +253,19 @@
 ) -> None:
     """Compare each point with one, in pairs of equal seeds; "cannot tell" without significance."""
     experiment = load_or_fail(name_or_path)
-    found, _ = newest_cells(experiment, open_store(store))
-    if against > len(found):
-        fail(f"--against {against}: there are {len(found)} points")
-    base = found[against - 1]
+    cells_compared, _ = newest_cells(experiment, open_store(store))
+    if against > len(cells_compared):
+        fail(f"--against {against}: there are {len(cells_compared)} points")
+    base = cells_compared[against - 1]
     names = _chosen_measures(experiment, measure)
     if builds:
         order = [str(name) for name in experiment.factors.get(BUILD, [])]
         if len(order) < 2:
             fail(f"{experiment.name}: --builds: fewer than two builds")
-        found.sort(key=lambda cell: order.index(str(cell.point[BUILD])))
-        rows = compare_pairs(pair_with_first_build(found), names)
+        cells_compared.sort(key=lambda cell: order.index(str(cell.point[BUILD])))
+        rows = compare_pairs(pair_with_first_build(cells_compared), names)
     else:
-        rows = compare(base, [cell for cell in found if cell is not base], names)
+        rows = compare(base, [cell for cell in cells_compared if cell is not base], names)
     if as_json:
         output: list[dict[str, Any]] = [
             {
@@ -315,9 +315,9 @@
     from .charts import render_page
 
     experiment = load_or_fail(name_or_path)
-    found, rows = newest_cells(experiment, open_store(store))
+    cells_charted, rows = newest_cells(experiment, open_store(store))
     experiment = msgspec.structs.replace(experiment, measures=_chosen_measures(experiment, measure))
-    path.write_text(render_page(experiment, found, rows))
+    path.write_text(render_page(experiment, cells_charted, rows))
 
 
 @app.command()
@@ -357,13 +357,13 @@
 
     results = open_store(store, must_exist=False)
     try:
-        found = asyncio.run(run_benchmark(name, arguments or [], times, results, limit))
+        rows = asyncio.run(run_benchmark(name, arguments or [], times, results, limit))
     except (BenchmarkError, StoreError) as error:
         fail(error, 1)
     if as_json:
-        print(json.dumps(found))
+        print(json.dumps(rows))
         return
-    for row in found:
+    for row in rows:
         print(", ".join(f"{key} {value}" for key, value in row.items()))
 
 
--- a/limebridge/experiments/parallel_search.py
+++ b/limebridge/experiments/parallel_search.py
@@ -54,11 +54,11 @@
         """Loss of a plan with the scenario's seed plus `seed_offset`; 0 if it can't be run."""
         worker = self._free.pop()
         try:
-            made = scenario_of(self._base, plan, self._base.name)
+            scenario = scenario_of(self._base, plan, self._base.name)
             result = await worker.run_job(
                 {
-                    "scenario": msgspec.to_builtins(made),
-                    "seed": made.run.seed + seed_offset,
+                    "scenario": msgspec.to_builtins(scenario),
+                    "seed": scenario.run.seed + seed_offset,
                     "constants": {},
                 },
                 self._limit,
@@ -131,19 +131,21 @@
     return [task.result() for task in tasks]
 
 
-def write_scenarios(base: Scenario, found: list[RatedPlan], folder: Path) -> list[Path]:
+def write_scenarios(base: Scenario, plans: list[RatedPlan], folder: Path) -> list[Path]:
     """Write each plan as a scenario file for `limebridge rehearse`; return the paths."""
     folder.mkdir(parents=True, exist_ok=True)
     paths = []
-    for number, rated in enumerate(found, 1):
+    for number, rated in enumerate(plans, 1):
         path = folder / f"worst-{number}-{rated.kind}.toml"
-        made = scenario_of(base, rated.plan, "")
+        scenario = scenario_of(base, rated.plan, "")
         about = (
             f"found by search on {base.name}: loses {rated.loss:.3f} of the attainable, "
             f"{rated.other_seeds_loss:.3f} under {EXTRA_SEEDS} other seeds"
         )
         raw = msgspec.to_builtins(
-            msgspec.structs.replace(made, run=msgspec.structs.replace(made.run, about=about))
+            msgspec.structs.replace(
+                scenario, run=msgspec.structs.replace(scenario.run, about=about)
+            )
         )
         del raw["name"]
         path.write_text(tomli_w.dumps(raw))
--- a/limebridge/experiments/search.py
+++ b/limebridge/experiments/search.py
@@ -29,7 +29,7 @@
 CROSSOVER_SHARE = 0.25  # of the other plans have two parents
 KEPT_LOSS_SHARE = 0.85  # share of the loss that a shrunk plan has to keep
 EVENT_RANGES: dict[str, tuple[float, float, float, float, float, float]] = {
-    # Ranges of share, amount and duration: what the user has recorded or considers possible.
+    # low and high of share, amount and duration; within what the user has recorded or expects
     "slow": (0.05, 0.5, 2.0, 10.0, 2.0, 15.0),
     "stalls": (0.05, 0.5, 1.0, 1.0, 0.1, 10.0),
     "dies": (0.1, 0.3, 1.0, 1.0, 2.0, 15.0),
@@ -152,18 +152,18 @@
     return _ordered(events)
 
 
-def next_plan(archive: Archive, rng: Random, scenario: Scenario, first: bool) -> Plan:
-    """The next plan to try; plans tried before are avoided.  `first`: only random plans."""
+def next_plan(archive: Archive, rng: Random, scenario: Scenario, random_only: bool) -> Plan:
+    """The next plan to try; plans tried before are avoided.  `random_only`: unguided."""
     for _ in range(20):
-        plan = _propose(archive, rng, scenario, first)
+        plan = _propose(archive, rng, scenario, random_only)
         if plan not in archive.tried:
             return plan
     return random_plan(rng, scenario)
 
 
-def _propose(archive: Archive, rng: Random, scenario: Scenario, first: bool) -> Plan:
+def _propose(archive: Archive, rng: Random, scenario: Scenario, random_only: bool) -> Plan:
     ranked = archive.ranked()
-    if first or not ranked or rng.random() < FRESH_SHARE:
+    if random_only or not ranked or rng.random() < FRESH_SHARE:
         return random_plan(rng, scenario)
 
     def parent() -> Plan:  # by rank: more than half of the choices fall on the first fifth
@@ -179,12 +179,12 @@
 ) -> Iterator[list[Plan]]:
     """Yield plans in batches of `size`, to be run in parallel; the caller adds their losses."""
     rng = Random(f"search/{seed}")
-    count_done = 0
-    while count_done < budget:
-        count = min(size, budget - count_done)
-        first = not guided or count_done < RANDOM_SHARE * budget
-        yield [next_plan(archive, rng, scenario, first) for _ in range(count)]
-        count_done += count
+    proposed = 0
+    while proposed < budget:
+        count = min(size, budget - proposed)
+        random_only = not guided or proposed < RANDOM_SHARE * budget
+        yield [next_plan(archive, rng, scenario, random_only) for _ in range(count)]
+        proposed += count
 
 
 def shrink(rated: RatedPlan, max_tries: int = 30) -> Generator[Plan, float, RatedPlan]:
@@ -199,10 +199,10 @@
         if tries >= max_tries or not plan:
             return False
         tries += 1
-        cost = yield plan
-        if cost >= min_loss:
-            best = RatedPlan(plan, cost)
-        return cost >= min_loss
+        loss = yield plan
+        if loss >= min_loss:
+            best = RatedPlan(plan, loss)
+        return loss >= min_loss
 
     index = 0
     while index < len(best.plan):  # drop events that are not needed
--- a/limebridge/experiments/search_command.py
+++ b/limebridge/experiments/search_command.py
@@ -95,10 +95,10 @@
 
             archive = await search_run.run(runs, seed, guided, show_progress)
             shown.update(bar, description="shrinking")
-            found = await search_run.best_plans(archive, finds)
+            plans = await search_run.best_plans(archive, finds)
     finally:
         await search_run.stop()
-    paths = write_scenarios(base, found, folder)
+    paths = write_scenarios(base, plans, folder)
     return {
         "scenario": base.name,
         "guided": guided,
@@ -114,7 +114,7 @@
                 "file": str(path),
                 "plan": msgspec.to_builtins(rated.plan),
             }
-            for rated, path in zip(found, paths, strict=True)
+            for rated, path in zip(plans, paths, strict=True)
         ],
         "broken": [msgspec.to_builtins(plan) for plan, _ in search_run.violating_plans],
     }
--- a/limebridge/experiments/watch.py
+++ b/limebridge/experiments/watch.py
@@ -248,18 +248,21 @@
     def _show(self, row: Run) -> None:
         detail = row.detail or {}
         self.query_one(Sparkline).data = [
-            earned / asked if asked else 1.0 for asked, earned in detail.get("seconds", [])
+            earned / requested if requested else 1.0
+            for requested, earned in detail.get("seconds", [])
         ]
         lines = [
             f"seed {row.seed}, {row.state} {row.why}",
             f"worst ten seconds from {detail.get('worst_at', 0):g} s on",
         ]
         lines += [
-            f"lost {part:.4f}: {what}" for what, part in list(detail.get("blame", {}).items())[:5]
+            f"lost {loss_share:.4f}: {cause}"
+            for cause, loss_share in list(detail.get("blame", {}).items())[:5]
         ]
         costs = sorted(detail.get("costs", []), key=lambda c: -c[1])[:3]
         lines += [
-            f"second {second}: {by} ({part:.0%} of {lost:.2f})" for second, lost, by, part in costs
+            f"second {second}: {cause} ({loss_share:.0%} of {lost:.2f})"
+            for second, lost, cause, loss_share in costs
         ]
         self.query_one("#words", Static).update(Text("\n".join(lines)))
         update_table(
