--- a/limebridge/scale/growth.py
+++ b/limebridge/scale/growth.py
@@ -12,7 +12,7 @@
 from .capacity import Need, compute_needs
 from .capacity_page import format_number
 from .capacity_rows import ROWS
-from .delay_names import EVERYWHERE, IN_FORCE, delay_name
+from .delay_names import APPLIED_AT_EVERY_PROXY, IN_FORCE, delay_name
 from .results import Slopes
 from .run_report import Percentiles, RoleUse, RunReport
 from .run_sample import FOLLOWER, HOLLOW, LEADER
@@ -101,7 +101,7 @@
     return use.bytes_in.mean + use.bytes_out.mean
 
 
-PURGE_EVERYWHERE = delay_name(Topic.PURGE, EVERYWHERE)
+PURGE_EVERYWHERE = delay_name(Topic.PURGE, APPLIED_AT_EVERY_PROXY)
 PURGE_IN_FORCE = delay_name(Topic.PURGE, IN_FORCE)
 
 GROWTH_ROWS = (
--- a/limebridge/scale/in_force_check.py
+++ b/limebridge/scale/in_force_check.py
@@ -9,7 +9,14 @@
 from numpy.typing import NDArray
 
 from .applied import NEVER, STALE_SAMPLE_INTERVAL_S, Applied
-from .delay_names import AT_A_PROXY, COMMITTED, EVERYWHERE, IN_FORCE, TOPIC_NAMES, delay_name
+from .delay_names import (
+    APPLIED_AT_A_PROXY,
+    APPLIED_AT_EVERY_PROXY,
+    COMMITTED,
+    IN_FORCE,
+    TOPIC_NAMES,
+    delay_name,
+)
 from .run_load import Publication, StatusSample
 from .run_report import EarlyReport, InForceCheck, Percentiles, delay_percentiles
 
@@ -49,8 +56,10 @@
                 continue
             committed = (each.answered_at - each.published_at for each in records)
             delays[delay_name(topic, COMMITTED)] = delay_percentiles(committed)
-            delays[delay_name(topic, AT_A_PROXY)] = self._delays_per_proxy(records)
-            delays[delay_name(topic, EVERYWHERE)] = self._delays_until(records, everywhere)
+            delays[delay_name(topic, APPLIED_AT_A_PROXY)] = self._delays_per_proxy(records)
+            delays[delay_name(topic, APPLIED_AT_EVERY_PROXY)] = self._delays_until(
+                records, everywhere
+            )
             delays[delay_name(topic, IN_FORCE)] = self._delays_until(records, self._reported_at)
         return delays
 
--- a/limebridge/scale/run_report.py
+++ b/limebridge/scale/run_report.py
@@ -10,7 +10,7 @@
 
 from violetroute.distribution.messages import Topic
 
-from .delay_names import EVERYWHERE, IN_FORCE, delay_name
+from .delay_names import APPLIED_AT_EVERY_PROXY, IN_FORCE, delay_name
 from .membership_samples import MembershipSummary
 from .results import Machine
 from .run_plan import RunPlan
@@ -228,9 +228,9 @@
         "as the leader's status shows it",
     )
     return (
-        delay_bound(delays, Topic.PURGE, EVERYWHERE, purge_s),
+        delay_bound(delays, Topic.PURGE, APPLIED_AT_EVERY_PROXY, purge_s),
         delay_bound(delays, Topic.PURGE, IN_FORCE, purge_s, seen),
-        delay_bound(delays, Topic.CONFIGURATION, EVERYWHERE, change_s),
+        delay_bound(delays, Topic.CONFIGURATION, APPLIED_AT_EVERY_PROXY, change_s),
         delay_bound(delays, Topic.CONFIGURATION, IN_FORCE, change_s, seen),
         Bound(
             name="bytes a second of a proxy, payload both ways, mean",
--- a/tests/limebridge/scale/test_scale_run.py
+++ b/tests/limebridge/scale/test_scale_run.py
@@ -28,7 +28,7 @@
     StalePeriods,
     read_stamps,
 )
-from limebridge.scale.delay_names import EVERYWHERE, IN_FORCE, delay_name
+from limebridge.scale.delay_names import APPLIED_AT_EVERY_PROXY, IN_FORCE, delay_name
 from limebridge.scale.in_force_check import PublicationDelays
 from limebridge.scale.links import (
     INTRA_REGION_DELAY_S,
@@ -104,7 +104,7 @@
     assert report.in_force.early == 0, report.in_force
     counts = 0
     for topic in (Topic.PURGE, Topic.CONFIGURATION):
-        everywhere = report.delays[delay_name(topic, EVERYWHERE)]
+        everywhere = report.delays[delay_name(topic, APPLIED_AT_EVERY_PROXY)]
         assert everywhere.p50 <= report.delays[delay_name(topic, IN_FORCE)].p50
         assert everywhere.count > 0, topic
         counts += everywhere.count
@@ -410,7 +410,7 @@
         purges, samples, [applied("a", 4, 9.0, 11.0, 12.0), applied("b", 5, 12.0, 12.5)]
     )
     delays_by_name = delays.delays()
-    everywhere = delays_by_name[delay_name(Topic.PURGE, EVERYWHERE)]
+    everywhere = delays_by_name[delay_name(Topic.PURGE, APPLIED_AT_EVERY_PROXY)]
     assert everywhere.count == 3 and everywhere.largest == 2.0
     assert delays_by_name[delay_name(Topic.PURGE, IN_FORCE)].largest == 3.0
     check_result = delays.check()
@@ -421,8 +421,8 @@
     records = [purge(10.0, 5), purge(10.0, 6, Topic.CONFIGURATION)]
     samples = [StatusSample(12.0, 6, 5, 5, 1, 0), StatusSample(40.0, 6, 6, 6, 1, 0)]
     delays_by_name = PublicationDelays(records, samples, [applied("a", 5, 11.0, 39.5)]).delays()
-    assert delays_by_name[delay_name(Topic.PURGE, EVERYWHERE)].largest == 1.0
-    assert delays_by_name[delay_name(Topic.CONFIGURATION, EVERYWHERE)].largest == 29.5
+    assert delays_by_name[delay_name(Topic.PURGE, APPLIED_AT_EVERY_PROXY)].largest == 1.0
+    assert delays_by_name[delay_name(Topic.CONFIGURATION, APPLIED_AT_EVERY_PROXY)].largest == 29.5
     met = {
         bound.name: bound.met
         for bound in target_bounds(load_target(), None, delays_by_name)
