--- a/limebridge/scale/capacity.py
+++ b/limebridge/scale/capacity.py
@@ -1,8 +1,8 @@
-"""What each role needs at the target, computed from measured costs and set against its budget.
+"""Computes what each role needs at the target size, and compares it with the role's budget.
 
-A row states one need of one role: the formula over the measured costs, the budget, the mechanism.
-Costs that are missing, or that can't be predicted at the target's size, leave the row without a
-figure and with the reason; nothing is guessed.
+A row describes one need of one role: the formula over measured costs, the budget, and the module
+that implements it.  If a cost was not measured, or cannot be predicted for the target size, the row
+has the reason in place of a value; no value is ever estimated without a measurement.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Role(StrEnum):
-    """Who bears a cost."""
+    """The kinds of programs and machines that bear a cost; the values name their tables."""
 
     PROXY = "proxy"
     CONTROL = "control machine"
@@ -26,7 +26,7 @@
 
 
 class ResourceKind(StrEnum):
-    """What a need consists of."""
+    """The kinds of resources that a role needs, in the order of a table's rows."""
 
     STATE = "state"
     MESSAGES = "messages"
@@ -35,13 +35,13 @@
 
 
 class MissingFigureError(Exception):
-    """A row can't be computed; one line that says why."""
+    """A row cannot be computed; a one-line message with the reason."""
 
 
 class Figures:
-    """The measured costs and the target, as the formulas of the rows read them.
+    """The measured costs and the target: the input of the rows' formulas.
 
-    Remembers which costs were read, so that a row can name its sources.
+    `sources` lists the names of the costs that were read, for the "from" column of a row.
     """
 
     def __init__(self, target: Target, slopes: Slopes) -> None:
@@ -49,18 +49,22 @@
         self._slopes = slopes
         self.sources: list[str] = []
 
-    def cost(self, cost: str, size: float) -> float:
-        """The cost at this size.  MissingFigureError when there is no figure for it."""
-        self.sources.append(cost)
+    def cost(self, name: str, size: float) -> float:
+        """The predicted value of the cost `name` at `size`, in the cost's unit.
+
+        Raises MissingFigureError if the cost was not measured, or if it is a curve and `size` is
+        outside the measured sizes.
+        """
+        self.sources.append(name)
         try:
-            return predict(self._slopes.cost(cost), size)
+            return predict(self._slopes.cost(name), size)
         except KeyError:
-            raise MissingFigureError(f"{cost} is not measured") from None
+            raise MissingFigureError(f"{name} is not measured") from None
         except ExtrapolationError as error:
             raise MissingFigureError(str(error)) from None
 
     def quoted(self, name: str) -> float:
-        """A figure of an earlier run.  MissingFigureError when it is not quoted."""
+        """The quoted figure `name` of an earlier run.  MissingFigureError if there is none."""
         self.sources.append(name)
         for quoted in self._slopes.quoted:
             if quoted.name == name:
@@ -73,7 +77,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One need of one role.  `budget` is None where nobody has set one."""
+    """One need of one role; `formula` and `budget` give values in `unit`.
+
+    `budget` is None if none is set.
+    """
 
     identity: str
     role: Role
@@ -81,13 +88,16 @@
     label: str
     unit: str
     formula: Formula
-    mechanism: str  # the module that carries it; "none" where nothing does
+    mechanism: str  # the module that implements it; "none" if no module does
     budget: Formula | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Need:
-    """A row with its figures.  `need` is None where `missing` says why there is none."""
+    """A row with its computed values, in the row's unit.
+
+    `need` is None if it cannot be computed; `missing` is then the reason.
+    """
 
     row: Row
     need: float | None
@@ -97,19 +107,19 @@
 
     @property
     def ratio(self) -> float | None:
-        """Need to budget; None without both."""
+        """The need divided by the budget; None if either is missing."""
         if self.need is None or not self.budget:
             return None
         return self.need / self.budget
 
     @property
     def over_budget(self) -> bool:
-        """Whether the need is greater than its budget."""
+        """Whether the need exceeds the budget; False if either is missing."""
         return self.ratio is not None and self.ratio > 1.0
 
 
 def compute_needs(rows: Iterable[Row], target: Target, slopes: Slopes) -> list[Need]:
-    """Each row with its figures, in the order of the rows."""
+    """Compute need and budget of each row at the target size; keeps the order of the rows."""
     return [_compute_need(row, target, slopes) for row in rows]
 
 
--- a/limebridge/scale/capacity_command.py
+++ b/limebridge/scale/capacity_command.py
@@ -1,4 +1,4 @@
-"""`limebridge scale capacity`: writes the tables of docs/CAPACITY.md, or checks them."""
+"""`limebridge scale capacity`: writes the tables of docs/CAPACITY.md, or compares them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from .target import Target, load_target
 
 PAGE = Path("docs/CAPACITY.md")
-GROWTH_TABLE = "growth"  # of the page that has it
+GROWTH_TABLE = "growth"  # optional: written only if the page has its markers
 GROWTH_RUNS = tuple(Path(f"docs/capacity/run-{proxies}-all.json") for proxies in (200, 800, 2600))
 
 
@@ -26,21 +26,23 @@
     slopes: Annotated[
         list[Path],
         typer.Argument(
-            help="Files of `limebridge scale slopes --json`; of a cost the last counts."
+            help="Files of `limebridge scale slopes --json`; the last file with a cost counts."
         ),
     ],
     run: Annotated[
         list[Path] | None,
-        typer.Option(help="Runs for the table of growth, one a size; default: the committed ones."),
+        typer.Option(help="Runs for the growth table, one per size; default: the committed ones."),
     ] = None,
-    page: Annotated[Path, typer.Option(help="The page whose tables are written.")] = PAGE,
-    target: Annotated[Path | None, typer.Option(help="A target file; default: ours.")] = None,
-    check: Annotated[bool, typer.Option("--check", help="Write nothing: compare.")] = False,
+    page: Annotated[Path, typer.Option(help="The page to update.")] = PAGE,
+    target: Annotated[
+        Path | None, typer.Option(help="A target file; default: the built-in one.")
+    ] = None,
+    check: Annotated[bool, typer.Option("--check", help="Compare; write nothing.")] = False,
 ) -> None:
     """Write the page's tables from measured slopes.
 
-    With --check: exit status 1, and a line for each difference, when the page does not agree with
-    the slopes and the target, or passes a budget without a line that says so.
+    With --check: exit status 1 and one line per problem if the page differs from the slopes and
+    the target, or if its list of exceeded budgets is wrong.  Exit status 2 for invalid input.
     """
     try:
         measured = combine_slopes([read_slopes(path) for path in slopes])
@@ -67,8 +69,12 @@
 
 
 def _growth_table(paths: Sequence[Path], target: Target, slopes: Slopes) -> str:
-    """OSError, ValueError where a run can't be read or two have the same size."""
-    from .growth import growth_table  # numpy and histograms are nothing to the other commands
+    """The growth table of these runs.
+
+    Raises OSError or ValueError if a run can't be read, or two runs have the same size.
+    """
+    # Not at the top: these load numpy and histograms, which the other commands do not need.
+    from .growth import growth_table
     from .run_report import read as read_run
 
     return growth_table([read_run(path) for path in paths], target, slopes)
--- a/limebridge/scale/capacity_page.py
+++ b/limebridge/scale/capacity_page.py
@@ -1,11 +1,12 @@
-"""The tables of docs/CAPACITY.md: written between markers, the prose around them left alone.
+"""Renders the tables of docs/CAPACITY.md, writes them between markers, and checks a page.
 
     <!-- table: proxy -->
     ...written by `limebridge scale capacity`...
     <!-- end of table -->
 
-`problems` compares a page with what its figures give. A budget that is passed has to be named in
-the prose by a line that begins with `- Over budget: IDENTITY`, and no other row may be.
+Text outside the markers is never changed.  `find_problems` compares a page with the tables that the
+figures give.  For each row over its budget, the text needs a line that starts with
+`- Over budget: IDENTITY`; other rows must not have such a line.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 
 def render_tables(needs: Sequence[Need], slopes: Slopes) -> dict[str, str]:
-    """Each table's text by its name: one a role, the measured costs, and quoted figures."""
+    """The Markdown of each table by its name: one per role, the measured costs, quoted figures."""
     rendered = {
         str(role): NEEDS_HEAD
         + "".join(
@@ -47,20 +48,26 @@
 
 
 def has_table(page: str, name: str) -> bool:
-    """Whether the page has this table."""
+    """Whether the page has markers for the table `name`."""
     return any(found[2] == name for found in TABLE.finditer(page))
 
 
 def fill_tables(page: str, rendered: Mapping[str, str]) -> str:
-    """The page with all of its tables written anew.  KeyError for a table that there is not."""
+    """The page with the content of all its tables replaced.
+
+    Raises KeyError if the page has a table that is not in `rendered`.
+    """
     return TABLE.sub(lambda found: f"{found[1]}{rendered[found[2]]}{found[3]}", page)
 
 
 def find_problems(page: str, needs: Sequence[Need], rendered: Mapping[str, str]) -> list[str]:
-    """What is wrong with the page, a line each; empty when it agrees with its tables' figures."""
+    """The differences between the page and the rendered tables, and missing or wrong budget lines.
+
+    One line per problem; empty if there is none.
+    """
     found = {match[2]: match[0] for match in TABLE.finditer(page)}
     wrong = [f"no table: {name}" for name in rendered if name not in found]
-    wrong += [f"a table that there is not: {name}" for name in found if name not in rendered]
+    wrong += [f"unknown table: {name}" for name in found if name not in rendered]
     for name in rendered.keys() & found.keys():
         if rendered[name] not in found[name]:
             wrong.append(f"table {name}: {_first_difference(found[name], rendered[name])}")
@@ -68,25 +75,25 @@
 
 
 def _first_difference(actual: str, expected: str) -> str:
-    """The first line of a table that is not as its figures give it."""
+    """Describe the first line of a table that is not as expected, or the number of lines."""
     lines = actual.splitlines()[1:-1]
     for line, expected_line in zip(lines, expected.splitlines(), strict=False):
         if line != expected_line:
             return f"{line!r} should be {expected_line!r}"
-    return f"{len(lines)} lines in place of {len(expected.splitlines())}"
+    return f"{len(lines)} lines instead of {len(expected.splitlines())}"
 
 
 def _budget_problems(page: str, needs: Sequence[Need]) -> list[str]:
     named = set(OVER_BUDGET.findall(page))
     over = {need.row.identity for need in needs if need.over_budget}
     return [
-        *(f"over budget and no line says so: {name}" for name in sorted(over - named)),
-        *(f"a line says over budget, and it is not: {name}" for name in sorted(named - over)),
+        *(f"over budget, but no line says so: {name}" for name in sorted(over - named)),
+        *(f"not over budget, but a line says so: {name}" for name in sorted(named - over)),
     ]
 
 
 def format_number(value: float) -> str:
-    """Three significant digits, with thousands apart."""
+    """Three significant digits, with commas between thousands."""
     if value == 0.0:
         return "0"
     rounded = float(f"{value:.3g}")
--- a/limebridge/scale/capacity_rows.py
+++ b/limebridge/scale/capacity_rows.py
@@ -1,4 +1,4 @@
-"""The rows of docs/CAPACITY.md: every need of every role, as a formula over measured costs."""
+"""All rows of docs/CAPACITY.md: the needs of each role, as formulas over measured costs."""
 
 from __future__ import annotations
 
--- a/limebridge/scale/capacity_rows_control.py
+++ b/limebridge/scale/capacity_rows_control.py
@@ -6,7 +6,7 @@
 
 from .capacity import Figures, ResourceKind, Role, Row
 
-HALF_LOST_FACTOR = 2.0  # times as many proxies for a machine when half of the machines are lost
+HALF_LOST_FACTOR = 2.0  # growth of proxies per machine when half of the machines are lost
 
 
 def _proxies_per_machine(figures: Figures) -> float:
@@ -18,7 +18,7 @@
 
 
 def _retained_batches(figures: Figures) -> float:
-    """Batches of the time for which a machine keeps them, one a batching window."""
+    """Number of batches that a machine retains, at one batch per batching window."""
     timings = Timings()
     return timings.keep_s / timings.batch_s
 
--- a/limebridge/scale/capacity_rows_others.py
+++ b/limebridge/scale/capacity_rows_others.py
@@ -1,4 +1,4 @@
-"""The rows of docs/CAPACITY.md for other programs: cache nodes, discovery, database."""
+"""The rows of docs/CAPACITY.md for cache nodes, discovery and the customer's database."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     raise MissingFigureError("not measured: nothing bounds the fleet's sum (issue 25)")
 
 
-def _per_node(figures: Figures, each_proxy: float) -> float:
-    """What a node has of something that each proxy spreads over all nodes."""
-    return each_proxy * figures.target.proxies / figures.target.nodes
+def _per_node(figures: Figures, per_proxy: float) -> float:
+    """The share of one node in a quantity that each proxy spreads evenly over all nodes."""
+    return per_proxy * figures.target.proxies / figures.target.nodes
 
 
 def _other_program_row(identity: str, role: Role, kind: ResourceKind, label: str) -> Row:
-    """A need that only the other program's owner can state."""
+    """A row without a value: the resource use of a program that is not part of this project."""
     return Row(identity, role, kind, label, "", _other_program_need, "none: another program")
 
 
--- a/limebridge/scale/capacity_rows_proxy.py
+++ b/limebridge/scale/capacity_rows_proxy.py
@@ -7,26 +7,25 @@
 from .capacity import Figures, ResourceKind, Role, Row
 from .target import SECONDS_PER_DAY
 
-UNHEALTHY_NODES_IN_REGION = (
-    120  # of 1,200 nodes in ten regions; a size that judgements are measured at
-)
+# Nodes of one region, of 1,200 in ten regions; measure_judgements.py measures with this number.
+UNHEALTHY_NODES_IN_REGION = 120
 MEGABYTE = 1e6
-BOTH_DIRECTIONS = 2.0
+BOTH_DIRECTIONS = 2.0  # sent and received
 
 
 def _gossip_bytes(figures: Figures) -> float:
-    """What is measured is sent; on average as much is received."""
+    """Twice the measured bytes, which are those sent: on average a proxy receives as many."""
     return BOTH_DIRECTIONS * figures.cost("gossip.bytes_per_s", figures.target.proxies)
 
 
 def _report_bytes(figures: Figures) -> float:
-    """Node health, load and heavy hitters, while a whole region's nodes are bad."""
+    """Bytes of reports on node health, load and heavy hitters, with a whole region unhealthy."""
     cost = f"sharing.bytes_per_s_{UNHEALTHY_NODES_IN_REGION}"
     return BOTH_DIRECTIONS * figures.cost(cost, figures.target.proxies)
 
 
 def _configuration_bytes(figures: Figures) -> float:
-    """Every change a record of the largest size: an upper bound."""
+    """An upper bound: assumes that each change is a record of the maximum size."""
     return figures.target.config_changes_per_s * MAX_BODY_BYTES
 
 
@@ -35,7 +34,7 @@
 
 
 def _list_changes_per_s(figures: Figures) -> float:
-    """A machine that fails or is restarted leaves the list and comes back."""
+    """Two changes, leaving the list and returning, for each node that fails or restarts."""
     target = figures.target
     share = target.nodes / (target.nodes + target.proxies)
     machines = target.machines_fail_per_day + target.machines_restart_per_day
@@ -43,7 +42,7 @@
 
 
 def _list_bytes(figures: Figures) -> float:
-    """Where each change sends the whole list, as a blocking query does."""
+    """Bytes if each change transfers the whole list, as a blocking query does."""
     return _list_changes_per_s(figures) * figures.cost("list.bytes", figures.target.nodes)
 
 
@@ -81,7 +80,7 @@
 
 
 def _proxy_memory(figures: Figures) -> float:
-    """With the code of membership and of ownership, as one daemon had them on and off."""
+    """Includes the code of sharing and of ownership: a daemon's memory with, minus without it."""
     return (
         figures.quoted("sharing.memory_mb")
         + figures.quoted("ownership.memory_mb")
--- a/limebridge/scale/fit.py
+++ b/limebridge/scale/fit.py
@@ -1,8 +1,9 @@
-"""A line through a cost's points, how sure its slope is, and whether a line holds at all.
+"""Fits a straight line to the points of a cost, and decides whether the cost is linear at all.
 
-Least squares with each point weighted by the inverse of its value: noise of a measurement grows
-with its value, and a line that misses a small size by half is no line. Sources: numpy.linalg.lstsq;
-the interval of the slope is Student's t with n - 2 degrees of freedom.
+The line minimizes the squares of the relative residuals, that is, of the residuals divided by the
+measured values (numpy.linalg.lstsq): the noise of a measurement grows with its value, and a line
+that is wrong by half at a small size does not describe the cost.  The confidence interval of the
+slope uses Student's t distribution with n - 2 degrees of freedom.
 """
 
 from __future__ import annotations
@@ -16,31 +17,31 @@
 
 from .results import Point
 
-STRAIGHT_RESIDUAL_LIMIT = 0.15  # largest relative residual up to which a line is said to hold
-MIN_SIZES = 3  # two points are always on a line
+STRAIGHT_RESIDUAL_LIMIT = 0.15  # a cost is linear if all relative residuals are below this
+MIN_SIZES = 3  # two points always lie on a line
 CONFIDENCE = 0.95
-FLOOR_SHARE = 0.01  # of the largest value: smaller values count as this in relative residuals
+FLOOR_SHARE = 0.01  # of the largest value; lower bound of the divisor of a relative residual
 FloatArray = NDArray[np.float64]
 
 
 class FitError(ValueError):
-    """Points that no line can be fitted to; one line."""
+    """No line can be fitted to the points; a one-line message."""
 
 
 class LineFit(msgspec.Struct, frozen=True):
-    """value = constant + slope * size."""
+    """A fitted line: value = constant + slope * size."""
 
     constant: float
     slope: float
     slope_low: float
     slope_high: float
-    residual: float  # the largest distance from the line, as a share of the measured value
+    residual: float  # largest absolute relative residual
     straight: bool
-    exponent: float | None  # of value = factor * size ** exponent; None where a value is 0
+    exponent: float | None  # of value = factor * size ** exponent; None unless all values are > 0
 
 
 def fit_line(points: Sequence[Point]) -> LineFit:
-    """The line through the points.  FitError for fewer than three different sizes."""
+    """Fit a line to (size, value) points.  FitError for fewer than three different sizes."""
     if len({size for size, _ in points}) < MIN_SIZES:
         raise FitError(f"{len(points)} points: a fit needs {MIN_SIZES} different sizes")
     sizes = np.array([size for size, _ in points], dtype=float)
@@ -64,7 +65,7 @@
 
 
 def _residual_scale(values: FloatArray) -> FloatArray:
-    """What each residual is divided by."""
+    """The divisors of the residuals: the values, with a lower bound that also prevents zero."""
     largest = float(np.max(np.abs(values)))
     scale: FloatArray = np.maximum(np.abs(values), largest * FLOOR_SHARE or 1.0)
     return scale
@@ -80,7 +81,7 @@
 
 
 def _exponent(sizes: FloatArray, values: FloatArray) -> float | None:
-    """The slope of the points on logarithmic axes."""
+    """The slope of a line fitted on logarithmic axes; None unless all numbers are positive."""
     if np.any(values <= 0.0) or np.any(sizes <= 0.0):
         return None
     return float(np.polyfit(np.log(sizes), np.log(values), 1)[0])
--- a/limebridge/scale/instrumented.py
+++ b/limebridge/scale/instrumented.py
@@ -1,11 +1,10 @@
-"""Runs a daemon's module as it is, with counted and shaped sockets.
+"""Runs an unmodified daemon module with sockets that count traffic and delay or drop datagrams.
 
     python -m limebridge.scale.instrumented FILE MODULE [ARGUMENT...]
 
-FILE is an `InstrumentFile` as JSON. MODULE (`violetroute`, `violetroute.distribution`) is run as
-`python -m MODULE ARGUMENT...` would, except that `SocketNetwork` makes `CountedSocket`s. The
-process also ends itself with SIGTERM when its standard input ends, so that it cannot outlive the
-run.
+FILE is an `InstrumentFile` as JSON.  MODULE (`violetroute`, `violetroute.distribution`) runs as by
+`python -m MODULE ARGUMENT...`, except that `SocketNetwork` creates `CountedSocket`s.  The process
+sends itself SIGTERM when its standard input ends, so that it cannot outlive the run.
 """
 
 from __future__ import annotations
@@ -31,19 +30,19 @@
 
 
 class InstrumentFile(msgspec.Struct, frozen=True):
-    """What an instrumented process is told."""
+    """The settings of an instrumented process."""
 
-    counters: str  # the file for its counters, which it makes
-    links: str
+    counters: str  # path of the counters file, which the process creates
+    links: str  # path of the link table
     regions: int
     region: int
     seed: int
-    counted_ports: tuple[int, ...] | None  # connections to others are not counted; None: all are
-    stamps: str = ""  # the file for the times at which a proxy applies positions
+    counted_ports: tuple[int, ...] | None  # only connections to these ports are counted; None: all
+    stamps: str = ""  # path of the file for the times at which positions are applied; "": none
 
 
 def instrument_sockets(file: InstrumentFile) -> None:
-    """Let every `SocketNetwork` of this process count and shape."""
+    """Make every `SocketNetwork` of this process create counting, shaping sockets by default."""
     links = LinkTable(Path(file.links), file.regions)
     counters = Counters(Path(file.counters), 1, create=True).block(0)
     shaper = DatagramShaper(links, file.region, f"{file.seed}/{file.counters}")
@@ -58,8 +57,9 @@
 
 
 def instrument_distribution(path: Path) -> None:
-    """Let the `DistributionService` of this process write down when it applies what."""
-    from violetroute.distribution import service  # nothing of it in a daemon without control
+    """Make the `DistributionService` of this process record when it applies which positions."""
+    # Not at the top: a daemon without distribution does not load this module.
+    from violetroute.distribution import service
 
     original: Callable[..., None] = service.DistributionService.__init__
 
@@ -74,14 +74,14 @@
 
 
 def terminate_at_end_of_input() -> None:
-    """SIGTERM to this process when its standard input ends.  Run in a thread."""
+    """Send SIGTERM to this process when its standard input ends.  Blocks; run in a thread."""
     while os.read(sys.stdin.fileno(), 4096):
         pass
     os.kill(os.getpid(), signal.SIGTERM)
 
 
 def main() -> None:
-    """The process."""
+    """Instrument this process, and run the module given on the command line in it."""
     file = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=InstrumentFile)
     instrument_sockets(file)
     if file.stamps:
--- a/limebridge/scale/measure.py
+++ b/limebridge/scale/measure.py
@@ -1,7 +1,7 @@
-"""One measurement in a process of its own: `python -m limebridge.scale.measure SUBJECT SIZE`.
+"""Runs one measurement in this process: `python -m limebridge.scale.measure SUBJECT SIZE`.
 
-Prints one JSON line: the values by cost, or why there are none. The process ends itself after the
-time limit, so it never outlives whoever started it for long.
+Prints one line of JSON: the values by cost, or the reason for a failure.  The process ends itself
+after its time limit, so it cannot outlive its parent for long.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class Failed(msgspec.Struct, frozen=True, tag="failed"):
-    """Why there are no values; one line."""
+    """The measurement failed; `reason` is one line."""
 
     reason: str
 
@@ -34,13 +34,13 @@
 
 
 def main() -> int:
-    """Measure, and print the answer as one line of JSON."""
+    """Measure, print the answer as one line of JSON, and return the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("subject", choices=sorted(subjects()))
     parser.add_argument("size", type=int)
     parser.add_argument("--time-limit", type=float, default=DEFAULT_TIME_LIMIT, metavar="S")
     given = parser.parse_args()
-    signal.setitimer(signal.ITIMER_REAL, given.time_limit)  # SIGALRM ends a process
+    signal.setitimer(signal.ITIMER_REAL, given.time_limit)  # SIGALRM ends the process
     answer = measure(given.subject, given.size)
     print(msgspec.json.encode(answer).decode(), flush=True)
     return EXIT_STATUS[type(answer)]
@@ -50,7 +50,7 @@
 
 
 def measure(subject: str, size: int) -> Answer:
-    """The values of that subject at that size, or why there are none."""
+    """Measure `subject` at `size`; `Failed` if that fails or the values are not those expected."""
     chosen = subjects()[subject]
     try:
         values = chosen.measure(size)
--- a/limebridge/scale/measure_config.py
+++ b/limebridge/scale/measure_config.py
@@ -1,4 +1,4 @@
-"""Costs of a proxy's whole configuration: bytes, reading and checking it, checking alone."""
+"""Costs of a proxy's platform configuration: size, time to load it, time to check it."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def measure(size: int) -> Values:
-    """All costs of a configuration that names `size` nodes and 200 tenants."""
+    """Measure all costs of a configuration with `size` nodes and 200 tenants."""
     raw = _configuration(size)
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "proxy.json"
@@ -51,9 +51,13 @@
     name="config",
     per="node",
     costs=(
-        _cost("bytes", "bytes", "The platform's file, with a list of known nodes, 200 tenants."),
-        _cost("load_ms", "ms", "CPU time of reading that file and checking it, as at SIGHUP."),
-        _cost("check_ms", "ms", "CPU time of the check alone, with the JSON already decoded."),
+        _cost(
+            "bytes",
+            "bytes",
+            "Size of the platform's file, with known nodes and 200 tenants.",
+        ),
+        _cost("load_ms", "ms", "CPU time to read and check that file, as on SIGHUP."),
+        _cost("check_ms", "ms", "CPU time of the check alone, without decoding the JSON."),
     ),
     sizes=(46, 200, 600, 1200, 2400),
     quick_sizes=(20, 46, 80, 140, 200),
--- a/limebridge/scale/measure_connections.py
+++ b/limebridge/scale/measure_connections.py
@@ -1,7 +1,7 @@
-"""Connections of one proxy to its cache nodes at the target's rate of requests.
+"""Costs of one proxy's connections to its cache nodes, at the target's rate of requests.
 
-The proxy and its pool are the daemon's own; nodes and discovery are stand-ins on a virtual network.
-Memory is measured with real sockets: so many connections are opened by the daemon's own pool.
+The proxy and its connection pool are those of the daemon; nodes and discovery are stand-ins on a
+virtual network.  Memory per connection is measured with real sockets, opened by the daemon's pool.
 """
 
 from __future__ import annotations
@@ -36,20 +36,21 @@
 from .target import load_target
 from .virtual_members import LOG_LEVEL
 
-SERVICE_TIME_S = 0.02  # s that a node takes for an answer
-WARM_UP_S, MEASURED_S = 10.0, 20.0  # s of virtual time; connections idle for 3 s are closed
-SAMPLE_INTERVAL_S = 0.5  # s between two counts of open connections
-MAX_SOCKETS = 16_384  # that the proxy may use: its own bound must not be what is measured
-MIN_SERVED_SHARE = 0.99  # of the requests: where more fail, the figures say nothing
-MEMORY_CONNECTIONS = 3000  # opened to learn the memory of one
+SERVICE_TIME_S = 0.02  # time that a node takes to answer a request
+# Virtual time, several times the 3 s after which idle connections are closed.
+WARM_UP_S, MEASURED_S = 10.0, 20.0
+SAMPLE_INTERVAL_S = 0.5  # between two counts of open connections
+MAX_SOCKETS = 16_384  # the proxy's limit, so high that it does not affect the measurement
+MIN_SERVED_SHARE = 0.99  # if a smaller share of the requests is served, the values are invalid
+MEMORY_CONNECTIONS = 3000  # connections opened to measure the memory per connection
 OPEN_TIMEOUT_S = 20.0
 SPARE_DESCRIPTORS = 64
-IDLE_TIMEOUT_S = 600.0  # nothing is closed while memory is measured
+IDLE_TIMEOUT_S = 600.0  # so long that no connection is closed while memory is measured
 
 
 def measure(size: int) -> Values:
-    """All costs of connections to `size` nodes."""
-    # First, while this process has no freed memory to use again.
+    """Measure all costs of connections to `size` nodes."""
+    # Memory is measured first: later, connections could reuse memory that this process has freed.
     memory = asyncio.run(_memory_per_connection(size))
     load = ProxyUnderLoad(size)
     with quiet(LOG_LEVEL):
@@ -64,22 +65,24 @@
 
 
 class DiscardedAnswer(Answer):
-    """The answer to a request that no client connection waits for."""
+    """The answer to a request without a client connection; only records whether it was served."""
 
     def __init__(self) -> None:
         self.charge, self.done, self.request = 0, False, None
         self.served = False
 
     def client_left(self) -> bool:
+        """False: there is no client that could close its connection."""
         return False
 
     def finish(self, *parts: bytes | bytearray) -> None:
+        """Record the end of the request; it is served if the reply is a bulk string."""
         self.done, self.request = True, None
         self.served = parts[0].startswith(b"$")
 
 
 class ProxyUnderLoad:
-    """The daemon's proxy before stand-in nodes, asked at the target's rate."""
+    """The daemon's proxy with stand-in nodes, which receives requests at the target's rate."""
 
     def __init__(self, size: int) -> None:
         self._size = size
@@ -95,7 +98,10 @@
         self._weights = list(itertools.accumulate(weights))
 
     async def run(self) -> None:
-        """Start all, warm up, measure, end all.  MeasurementError when requests fail."""
+        """Start the nodes, discovery and the proxy; warm up, measure, and stop all of them.
+
+        Raises MeasurementError if fewer than MIN_SERVED_SHARE of the requests were served.
+        """
         nodes = [await CacheNode(_serve).start() for _ in range(self._size)]
         discovery = await Discovery().start()
         known = [node.entry(f"cache-{number:05d}") for number, node in enumerate(nodes)]
@@ -117,7 +123,7 @@
             raise MeasurementError(f"{served} of {len(answers)} requests were served")
 
     def _watch_pool(self, proxy: Proxy) -> None:
-        """Count the attempts for which the pool opens a connection."""
+        """Count attempts for which the pool opens a connection: those that wait after `send`."""
         pool, send = proxy._pool, proxy._pool.send
 
         def send_counted(attempt: Attempt) -> None:
@@ -130,7 +136,7 @@
         pool.send = send_counted  # type: ignore[method-assign]
 
     async def _send_requests(self, proxy: Proxy, seconds: float) -> list[DiscardedAnswer]:
-        """Requests at random moments for so long, and the answers to them."""
+        """Send requests as a Poisson process for `seconds`; return their answers."""
         loop, answers = self.loop, list[DiscardedAnswer]()
         rate = load_target().requests_per_proxy
         end, sample_at = loop.time() + seconds, loop.time()
@@ -163,25 +169,28 @@
 
 
 class IdleSink:
-    """Lets connections be opened and sends nothing on them."""
+    """Lets the pool open connections, and rejects each attempt before it is sent."""
 
     def __init__(self) -> None:
         self.ended = 0
 
     def clock(self) -> float:
+        """A constant time: no attempt expires."""
         return 0.0
 
     def may_send(self, attempt: Attempt) -> bool:
+        """False: no request is sent on the new connection."""
         return False
 
     def attempt_ended(self, attempt: Attempt, result: Result, *details: Any, **more: Any) -> None:
+        """Count the ended attempts."""
         self.ended += 1
 
 
 async def _memory_per_connection(nodes: int) -> float:
-    """Resident bytes of one open connection in the process that opened it.
+    """Resident bytes of one open connection, in the process that opened it.
 
-    Nobody accepts at the other end: the kernel completes the handshakes.
+    The listeners do not accept the connections; the kernel completes the handshakes.
     """
     allow_descriptors(MEMORY_CONNECTIONS + nodes + SPARE_DESCRIPTORS)
     listeners = [_listener() for _ in range(nodes)]
@@ -224,7 +233,7 @@
     name="connections",
     per="node",
     costs=(
-        _cost("open", "connections", "Connections that one proxy has open to all its nodes."),
+        _cost("open", "connections", "Open connections of one proxy to all its nodes."),
         _cost("opened_per_s", "1/s", "Connections that one proxy opens."),
         _cost("waited_share", "of requests", "Requests that waited for a connection to be opened."),
         _cost("memory_mb", "MB", "Resident memory of the open connections in the proxy."),
--- a/limebridge/scale/measure_control.py
+++ b/limebridge/scale/measure_control.py
@@ -1,4 +1,4 @@
-"""Costs of a control machine, by the proxies that poll it, at the target's rate of purges."""
+"""Costs of a control machine by the number of proxies, at the target's rate of purges."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def measure(size: int) -> Values:
-    """What a control machine uses that serves `size` proxies; it leads, with no followers."""
+    """Measure the only control machine of `size` proxies, a leader without followers."""
     machine = role_of(run_small(size, load_target().purges_per_s), LEADER)
     return {
         "control.cpu_share": machine.cpu_share,
--- a/limebridge/scale/measure_control_log.py
+++ b/limebridge/scale/measure_control_log.py
@@ -1,4 +1,4 @@
-"""Memory of the log that a control machine keeps, by the batches that it holds."""
+"""Memory of the log of a control machine, by the number of retained batches."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def measure(size: int) -> Values:
-    """Resident memory that so many batches take, each with a batching window's purges."""
+    """Measure the memory of `size` batches with as many purges as one batching window has."""
     replica = Replica(Stored(log="measured"))
     replica.promise(FENCE, "leader")
     purges = round(load_target().purges_per_s * BATCH_S)
@@ -42,7 +42,7 @@
 SUBJECT = Subject(
     name="control_log",
     per="batch",
-    costs=(_cost("memory_mb", "MB", "Resident memory of the batches that are kept."),),
+    costs=(_cost("memory_mb", "MB", "Resident memory of the retained batches."),),
     sizes=(4500, 9000, 18000, 36000, 72000),
     quick_sizes=(1000, 2000, 3000, 4000, 5000),
     measure=measure,
--- a/limebridge/scale/measure_distribution.py
+++ b/limebridge/scale/measure_distribution.py
@@ -1,4 +1,4 @@
-"""Costs of the distribution at a proxy, by purges a second."""
+"""Costs of the distribution in a proxy, by purges per second."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def measure(size: int) -> Values:
-    """What one of 60 hollow proxies uses with `size` purges a second."""
+    """Measure one of 60 hollow proxies at `size` purges per second."""
     hollow = role_of(run_small(PROXIES, float(size)), HOLLOW)
     return {
         "distribution.proxy_bytes_per_s": hollow.bytes_in.mean + hollow.bytes_out.mean,
--- a/limebridge/scale/measure_gossip.py
+++ b/limebridge/scale/measure_gossip.py
@@ -1,7 +1,8 @@
-"""Costs of the gossip membership by the number of members, at rest and when one dies.
+"""Costs of gossip membership by the number of members, at rest and after a member crashes.
 
-All members run in one process on a virtual clock, so CPU time includes the network in memory:
-it is an upper bound. Bytes are those of the datagrams, without the headers of UDP and IP.
+All members run in one process on a virtual clock and an in-memory network.  The CPU time includes
+that of the network, so it is an upper bound.  Bytes are those of the datagrams, without UDP and IP
+headers.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
 from .registry import MeasurementError, Subject, Values
 from .virtual_members import DEAD, LOG_LEVEL, VirtualMembers
 
-SETTLE_S, REST_S = 5.0, 30.0  # s of virtual time
+SETTLE_S, REST_S = 5.0, 30.0  # virtual time before and during the measurement at rest
 DETECTION_STEP_S, MAX_DETECTION_S = 1.0, 120.0
-DATAGRAM_INTERVAL_S = 0.02  # s between two datagrams when memory is measured
-TOTAL_MEMBERS = 10_000  # of all copies together, so that small fleets show in memory
+DATAGRAM_INTERVAL_S = 0.02  # between two received datagrams when memory is measured
+TOTAL_MEMBERS = 10_000  # in the lists of all copies: makes the memory of small fleets measurable
 MAX_COPIES = 20
 
 
 def measure(size: int) -> Values:
-    """All costs of the membership of `size` members."""
+    """Measure all costs of membership in a fleet of `size` members."""
     memory = _memory_per_member(size)
     fleet = settled_fleet(size, SharingTable().probe_s)
     datagrams, sent_bytes = total_sent(fleet)
@@ -41,7 +42,7 @@
 
 
 def settled_fleet(size: int, probe_s: float) -> VirtualMembers:
-    """Members that have known each other for a while."""
+    """Create members that all know each other, and run them for SETTLE_S."""
     fleet = VirtualMembers(size, probe_s)
     fleet.add_all()
     fleet.run(SETTLE_S)
@@ -49,7 +50,7 @@
 
 
 def total_sent(fleet: VirtualMembers) -> tuple[int, int]:
-    """Datagrams and bytes that all members have sent so far."""
+    """The number of datagrams and of bytes that all members have sent so far."""
     return (
         sum(member.sent for member in fleet.members),
         sum(member.bytes_sent for member in fleet.members),
@@ -57,7 +58,10 @@
 
 
 def _memory_per_member(size: int) -> float:
-    """Bytes that one member holds once it has heard each of the others."""
+    """Resident bytes of one member that has received a datagram of each other member.
+
+    The mean of several copies.
+    """
     copies = min(MAX_COPIES, max(1, TOTAL_MEMBERS // size))
     with quiet(LOG_LEVEL):
         _receive_all(VirtualMembers(size), 2)  # warms up
@@ -69,6 +73,7 @@
 
 
 def _receive_all(fleet: VirtualMembers, size: int) -> None:
+    """Start one member, and deliver to it a datagram of each of `size` - 1 other members."""
     member = fleet.add()
     for number in range(1, size):
         fleet.kernel.now += DATAGRAM_INTERVAL_S
@@ -78,7 +83,10 @@
 
 
 def failure_detection_s(fleet: VirtualMembers) -> float:
-    """Seconds from a member's silent end until all others hold it for dead."""
+    """Seconds from a member's crash until all others consider it dead.
+
+    Raises MeasurementError if that takes longer than MAX_DETECTION_S.
+    """
     victim = fleet.members[-1]
     fleet.kill(victim)
     killed_at = fleet.kernel.now
@@ -86,12 +94,14 @@
     others = len(fleet.members) - 1
     while fleet.kernel.now - killed_at < MAX_DETECTION_S:
         fleet.run(DETECTION_STEP_S)
-        known = [
+        detected_at = [
             each.at for each in fleet.changes if (each.name, each.state) == (victim.name, DEAD)
         ]
-        if len(known) >= others:
-            return max(known) - killed_at
-    raise MeasurementError(f"{len(known)} of {others} knew of a death after {MAX_DETECTION_S:g} s")
+        if len(detected_at) >= others:
+            return max(detected_at) - killed_at
+    raise MeasurementError(
+        f"{len(detected_at)} of {others} members detected the crash within {MAX_DETECTION_S:g} s"
+    )
 
 
 _cost = partial(define_cost, "gossip", "violetroute/sharing/members.py")
@@ -102,9 +112,13 @@
     costs=(
         _cost("bytes_per_s", "bytes/s", "Bytes that a member sends at rest."),
         _cost("datagrams_per_s", "1/s", "Datagrams that a member sends at rest."),
-        _cost("cpu_share", "cores", "Share of a core that a member takes at rest, at most."),
+        _cost("cpu_share", "cores", "Share of a core that a member uses at rest: an upper bound."),
         _cost("memory_bytes", "bytes", "Resident memory of one member that knows all others."),
-        _cost("death_known_s", "s", "From a member's silent end until the last other knows."),
+        _cost(
+            "death_known_s",
+            "s",
+            "From a crash until the last other member considers it dead.",
+        ),
     ),
     sizes=(170, 350, 710, 1300, 2600),
     quick_sizes=(10, 20, 30, 45, 60),
--- a/limebridge/scale/measure_judgements.py
+++ b/limebridge/scale/measure_judgements.py
@@ -1,8 +1,8 @@
-"""Bytes that proxies spend on telling each other of cache nodes, with some of the nodes bad.
+"""Costs of the reports that proxies gossip about cache nodes, with some of the nodes unhealthy.
 
-`judgements.*` counts the node health reports alone. `sharing.*` counts all that a round of the
-gossip tells: node health, load and heavy hitters. One member tells; the others only have names, so
-the bytes are those that this member sends. Each receives as much on average.
+`judgements.*` covers the node health reports alone.  `sharing.*` covers all reports of a gossip
+round: node health, load and heavy hitters.  Only one member runs, and the others exist only in its
+member list.  The measured bytes are those that it sends; on average a member receives as many.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 from .target import load_target
 from .virtual_members import LOG_LEVEL, IdleProxy, VirtualMembers, member_name
 
-UNHEALTHY_NODES = (0, 1, 43, 120)  # none, one, a zone, a region of the target
-WARM_UP_S, MEASURED_S = 15.0, 20.0  # s of virtual time
-BATCH_INTERVAL_S = 0.05  # s between two batches of requests
+UNHEALTHY_NODES = (0, 1, 43, 120)  # none, one, a zone and a region of the target
+WARM_UP_S, MEASURED_S = 15.0, 20.0  # virtual time
+BATCH_INTERVAL_S = 0.05  # between two batches of requests
 TENANTS = 50
-OUTCOME_WEIGHT = 2.6  # outcomes at a node that have not faded, at the target's rate
+OUTCOME_WEIGHT = 2.6  # decayed number of outcomes of a node, at the target's rate of requests
 LATENCY_MS, LATENCY_TARGET_MS = 20.0, 300.0
 
 
 def measure(size: int) -> Values:
-    """Bytes a second that one of `size` members sends, by kind and number of bad nodes."""
+    """Measure one of `size` members: memory, a round, and bytes by number of unhealthy nodes."""
     memory, round_seconds = _after_healthy_period(size)
     values: Values = {
         "judgements.memory_mb": memory / 1e6,
@@ -50,9 +50,10 @@
 
 
 def _after_healthy_period(size: int) -> tuple[float, float]:
-    """Bytes that node health takes after a long calm, and CPU seconds of the next round.
+    """Resident bytes of node health, and CPU seconds of the first round with an unhealthy node.
 
-    Every member has told of every node, no request has failed until the last report.
+    Every member has reported every node, without a failed request.  After the memory is measured,
+    one further report says that a node is unhealthy, and the next round is measured.
     """
     fleet = _fleet_with_one_member(size)
     member, rounds = fleet.members[0], fleet.members[0].rounds
@@ -71,7 +72,7 @@
 
 
 def _fleet_with_one_member(size: int) -> VirtualMembers:
-    """One member that knows all others."""
+    """A fleet in which only one member runs; its member list has all others."""
     fleet = VirtualMembers(size)
     with quiet(LOG_LEVEL):
         member = fleet.add()
@@ -81,9 +82,13 @@
 
 
 def _bytes_per_second(size: int, unhealthy: int, all_reports: bool) -> float:
+    """Bytes per second that one of `size` members sends in reports, under load.
+
+    Without `all_reports` it sends only node health reports.
+    """
     fleet = _fleet_with_one_member(size)
     member = fleet.members[0]
-    # The others do not answer: without this they would be probed, suspected and dead.
+    # The others do not run and cannot answer probes: with probes they would be declared dead.
     member.members.tick = lambda now: []  # type: ignore[method-assign]
     load = RequestLoad(fleet, member, fleet.hosts[0], unhealthy, all_reports)
     load.run(WARM_UP_S)
@@ -93,9 +98,10 @@
 
 
 class RequestLoad:
-    """Requests of one proxy at the target's rate, spread evenly over the target's nodes.
+    """Records requests of one proxy at the target's rate, spread evenly over the target's nodes.
 
-    Every request to a bad node fails, and the proxy goes on sending there: an upper bound.
+    The first `unhealthy` nodes fail all requests.  The proxy continues to send requests to them,
+    so the measured bytes are an upper bound.
     """
 
     def __init__(
@@ -113,24 +119,24 @@
         self._rng = random.Random(1)
         weights = (1.0 / rank**ZIPF_EXPONENT for rank in range(1, KEYS + 1))
         self._weights = list(itertools.accumulate(weights))
-        self._due_requests = 0.0  # requests that are due, with a fraction
+        self._due_requests = 0.0  # requests to record; the fraction is carried to the next batch
         nodes = range(1, self._nodes + 1)
         member.update_nodes([Member(node, CacheState.READY, started_at=1.0) for node in nodes])
 
     def run(self, seconds: float) -> None:
-        """So much virtual time under load."""
+        """Run the fleet for `seconds` of virtual time under load."""
         with quiet(LOG_LEVEL):
-            self._fleet.loop.run_until_complete(self._send(seconds))
+            self._fleet.loop.run_until_complete(self._record_requests(seconds))
 
-    async def _send(self, seconds: float) -> None:
+    async def _record_requests(self, seconds: float) -> None:
         for _ in range(round(seconds / BATCH_INTERVAL_S)):
             await asyncio.sleep(BATCH_INTERVAL_S)
             self._due_requests += self._per_batch
             while self._due_requests >= 1.0:
                 self._due_requests -= 1.0
-                self._request()
+                self._record_request()
 
-    def _request(self) -> None:
+    def _record_request(self) -> None:
         node = self._rng.randrange(1, self._nodes + 1)
         fails = node <= self._unhealthy
         self._member.record_attempt(node, Result.LATE if fails else Result.OK)
@@ -149,12 +155,12 @@
     _health_cost(
         "memory_mb",
         "MB",
-        "Resident memory of node health, after each member has told of each node and none failed.",
+        "Resident memory of node health, after each member reported each node without failures.",
     ),
     _health_cost(
         "round_ms",
         "ms",
-        "CPU time of the first round with a bad node after such a calm.",
+        "CPU time of the first round with an unhealthy node after that.",
     ),
 )
 
@@ -170,12 +176,12 @@
             _health_cost(
                 f"bytes_per_s_{unhealthy}",
                 "bytes/s",
-                f"Bytes that a member sends in node health reports with {unhealthy} bad nodes.",
+                f"Bytes that a member sends in node health reports, {unhealthy} nodes unhealthy.",
             ),
             _sharing_cost(
                 f"bytes_per_s_{unhealthy}",
                 "bytes/s",
-                f"The same with its reports of load and heavy hitters, with {unhealthy} bad nodes.",
+                f"The same with reports of load and heavy hitters, {unhealthy} nodes unhealthy.",
             ),
         )
     ),
--- a/limebridge/scale/measure_list.py
+++ b/limebridge/scale/measure_list.py
@@ -1,7 +1,7 @@
-"""Costs of the list of cache nodes in a proxy: bytes, parsing, applying, changes, memory.
+"""Costs of the node list in a proxy: size, parsing, applying it, changes, memory.
 
-A change is measured of one node and of a fifth of all nodes at once: a batch that is applied as
-single steps shows in the second and not in the first.
+Changes are measured for one node, and for a fifth of all nodes at once.  Only the latter shows the
+cost of a batch that is applied as one change per node.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 
 PARSE_ROUNDS = 15
 CHANGE_ROUNDS, CHANGES_PER_ROUND = 5, 8
-BATCH_DIVISOR = 5  # one of so many nodes changes in a batch
-TOTAL_NODES = 9600  # of all copies of the proxy together, so that small lists show in memory
+BATCH_DIVISOR = 5  # a batch changes one of this many nodes
+TOTAL_NODES = 9600  # in the lists of all proxies: makes the memory of small lists measurable
 MIN_COPIES, MAX_COPIES = 3, 40
-LOG_LEVEL = 50  # nothing of the daemon's log
+LOG_LEVEL = 50  # CRITICAL: suppresses the daemon's log
 WARM_UP_NODES = 10
 
 
 def measure(size: int) -> Values:
-    """All costs of the list with `size` nodes."""
+    """Measure all costs of a list of `size` nodes."""
     line = full_list_line(size)
     with quiet(LOG_LEVEL):
         _apply(ProxyOnVirtualNetwork(), _parse(full_list_line(WARM_UP_NODES)))
@@ -55,19 +55,19 @@
 
 
 def _parse(line: bytes) -> Listing:
-    """What a watch does with a line of discovery's answer."""
+    """Parse a line of discovery's response, as a watch does."""
     text = ObjectSplitter().feed(line)
     assert text is not None
     return ListReader().read(text)
 
 
 def _apply(target: ProxyOnVirtualNetwork, listing: Listing) -> float:
-    """CPU seconds until the proxy has taken the list, in all turns."""
+    """CPU seconds of all event loop iterations in which the proxy applies the list."""
     return sum(_iteration_seconds(target, listing))
 
 
 def _iteration_seconds(target: ProxyOnVirtualNetwork, listing: Listing) -> Iterator[float]:
-    """CPU seconds of each turn of the event loop that takes the list."""
+    """Apply the list; yield the CPU seconds of each event loop iteration that applies a part."""
     proxy = target.proxy
     yield cpu_seconds(lambda: proxy.list_changed(listing))
     while proxy._lists.waiting:
@@ -76,7 +76,7 @@
 
 @dataclass(slots=True)
 class _BatchSeconds:
-    """CPU seconds, the smallest of some rounds."""
+    """CPU seconds of a batch of changes, each the smallest of several rounds."""
 
     drain: float = math.inf
     join: float = math.inf
@@ -84,7 +84,7 @@
 
 
 def _measure_batches(target: ProxyOnVirtualNetwork, size: int) -> _BatchSeconds:
-    """A fifth of the nodes drains in one change and comes back in another."""
+    """Measure a change in which a fifth of the nodes drains, and one in which they return."""
     smallest = _BatchSeconds()
     fifth = range(0, size, BATCH_DIVISOR)
     for _ in range(CHANGE_ROUNDS):
@@ -99,7 +99,7 @@
 
 
 def _measure_changes(target: ProxyOnVirtualNetwork, size: int) -> tuple[float, float]:
-    """CPU seconds of one node that drains, and of one that comes back."""
+    """CPU seconds of a change of one node: when it drains, and when it returns."""
     drains, joins = [], []
     for number in range(CHANGE_ROUNDS):
         first = number * CHANGES_PER_ROUND
@@ -110,7 +110,7 @@
 
 
 def _seconds_per_change(target: ProxyOnVirtualNetwork, nodes: list[int], lifecycle: str) -> float:
-    """Mean CPU seconds of these nodes' changes, told one by one."""
+    """Mean CPU seconds of the changes of these nodes, applied one by one."""
     seconds = 0.0
     for node in nodes:
         target.advance(1.0)
@@ -124,17 +124,19 @@
     name="list",
     per="node",
     costs=(
-        _cost("bytes", "bytes", "The whole list as discovery sends it in one line."),
-        _cost("parse_ms", "ms", "CPU time from the line's bytes to typed entries."),
-        _cost("apply_ms", "ms", "CPU time of a first whole list, in all turns."),
-        _cost("change_ms", "ms", "CPU time of a proxy that is told of one node that drains."),
-        _cost("join_ms", "ms", "CPU time of a proxy that is told of one node that comes back."),
+        _cost("bytes", "bytes", "Size of the whole list as discovery sends it in one line."),
+        _cost("parse_ms", "ms", "CPU time to parse the line into entries."),
+        _cost("apply_ms", "ms", "CPU time to apply the first list, in all event loop iterations."),
+        _cost("change_ms", "ms", "CPU time to apply a change in which one node drains."),
+        _cost("join_ms", "ms", "CPU time to apply a change in which one node returns."),
         _cost(
-            "batch_drain_ms", "ms", "CPU time of a fifth of the nodes that drains, in all turns."
+            "batch_drain_ms",
+            "ms",
+            "CPU time to apply a change in which a fifth of the nodes drains.",
         ),
-        _cost("batch_join_ms", "ms", "CPU time of a fifth that comes back, in all turns."),
-        _cost("batch_turn_ms", "ms", "CPU time of the longest turn of these two."),
-        _cost("memory_mb", "MB", "Resident memory that the list takes in a proxy."),
+        _cost("batch_join_ms", "ms", "CPU time to apply a change in which that fifth returns."),
+        _cost("batch_turn_ms", "ms", "CPU time of the longest event loop iteration of these two."),
+        _cost("memory_mb", "MB", "Resident memory of the list in a proxy."),
     ),
     sizes=(46, 200, 600, 1200, 3200),
     quick_sizes=(20, 46, 80, 140, 200),
--- a/limebridge/scale/measure_module.py
+++ b/limebridge/scale/measure_module.py
@@ -1,4 +1,4 @@
-"""Costs of the decision module by the number of cache nodes: a request, a changed node."""
+"""CPU time of the decision module per request and per changed node, by number of nodes."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class ModuleUnderLoad:
-    """A balancer whose requests are answered at once, at the target's rate for one proxy."""
+    """A balancer with the target's rate of requests of one proxy; each succeeds immediately."""
 
     def __init__(self, nodes: int) -> None:
         settings = parse(configuration(DISCOVERY_PORT, [])).settings
@@ -50,12 +50,12 @@
         self.keys = rng.choices(key_hashes, weights, k=REQUESTS_PER_ROUND)
 
     def send_requests(self) -> None:
-        """One round of requests.  MeasurementError when one is not sent."""
+        """Run one round of requests.  MeasurementError if the module does not send one of them."""
         for key in self.keys:
             self.now += self._step
-            self._request(next(self._request_ids), key)
+            self._send_request(next(self._request_ids), key)
 
-    def _request(self, number: int, key: int) -> None:
+    def _send_request(self, number: int, key: int) -> None:
         self.balancer.on_arrival(self.now, "lookup", 0.0, REQUEST_TIMEOUT_MS, 0.0, 0)
         request = Request(number, "lookup", self.now + REQUEST_TIMEOUT_MS, key)
         actions = self.balancer.on_request(self.now, request)
@@ -65,14 +65,14 @@
         self.balancer.on_outcome(self.now, outcome)
 
     def change_nodes(self, nodes: list[int], state: CacheState) -> None:
-        """These nodes drain or come back, told one by one."""
+        """Change the state of these nodes, in one list change per node."""
         for node in nodes:
             self.now += 1000.0
             self.balancer.on_list(self.now, ListKind.CHANGES, [_member(node, state)])
 
 
 def measure(size: int) -> Values:
-    """All costs of the module with `size` nodes."""
+    """Measure all costs of the module with `size` nodes."""
     module = ModuleUnderLoad(size)
     module.send_requests()  # warms up
     request_seconds = least_cpu_seconds(module.send_requests, ROUNDS)
@@ -102,8 +102,8 @@
         _cost(
             "request_us", "us", "CPU time of the module for one request, from arrival to outcome."
         ),
-        _cost("change_us", "us", "CPU time of the module that is told of one node that drains."),
-        _cost("join_us", "us", "CPU time of the module that is told of one node that comes back."),
+        _cost("change_us", "us", "CPU time of the module for a change in which one node drains."),
+        _cost("join_us", "us", "CPU time of the module for a change in which one node returns."),
     ),
     sizes=(46, 200, 600, 1200, 2400),
     quick_sizes=(20, 46, 80, 140, 200),
--- a/limebridge/scale/measure_slow_probe.py
+++ b/limebridge/scale/measure_slow_probe.py
@@ -1,7 +1,7 @@
-"""What membership costs, and how late a death is known, where members are asked half as often.
+"""Cost of membership and time to detect a crash, with probes half as frequent.
 
-With `[sharing] probe_s = 2` in place of 1. Both are of virtual time, so a busy machine changes
-neither.
+Measures with `[sharing] probe_s = 2` instead of 1.  Both values are in virtual time, so other load
+on the machine does not affect them.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from .measure_gossip import REST_S, failure_detection_s, settled_fleet, total_sent
 from .registry import Subject, Values
 
-SLOW_PROBE_S = 2.0  # between two members that a proxy asks
+SLOW_PROBE_S = 2.0  # between two probes that a proxy sends
 
 
 def measure(size: int) -> Values:
-    """Bytes and the time until a death is known, of `size` members."""
+    """Measure bytes sent at rest, and the time to detect a crash, among `size` members."""
     fleet = settled_fleet(size, SLOW_PROBE_S)
     _, sent_bytes = total_sent(fleet)
     fleet.run(REST_S)
@@ -37,7 +37,7 @@
         _cost(
             "death_known_s",
             "s",
-            "From a member's silent end until the last other knows, with probe_s = 2.",
+            "From a crash until the last other member considers it dead, with probe_s = 2.",
         ),
     ),
     sizes=(170, 350, 710, 1300, 2600),
--- a/limebridge/scale/membership_samples.py
+++ b/limebridge/scale/membership_samples.py
@@ -1,4 +1,4 @@
-"""How many members the hollow proxies know of, over the time of a run."""
+"""Samples of the fleet size that the hollow proxies know of, and their summary over a run."""
 
 from __future__ import annotations
 
@@ -6,43 +6,49 @@
 
 import msgspec
 
-MEMBERSHIP_SAMPLE_INTERVAL_S = 1.0  # between two looks
+MEMBERSHIP_SAMPLE_INTERVAL_S = 1.0
 
 
 class MembershipSample(msgspec.Struct, frozen=True, kw_only=True):
-    """The sizes of the fleet that the proxies of one process believe at one time."""
+    """The fleet sizes that the proxies of one process know of at one time."""
 
     at: float  # CLOCK_MONOTONIC
     proxies: int
-    fewest: int
-    total: int  # of all proxies' sizes
+    fewest: int  # smallest fleet size that one of the proxies knows of
+    total: int  # sum of the fleet sizes of all proxies
 
 
 class MembershipSummary(msgspec.Struct, frozen=True, kw_only=True):
-    """The sizes of the fleet that all hollow proxies believe."""
+    """The fleet sizes that all hollow proxies know of, in one sampling interval."""
 
-    after_s: float  # since the measurement began
-    fewest: int
-    mean: float
+    after_s: float  # start of the interval, since the start of the measurement
+    fewest: int  # smallest fleet size that one of the proxies knows of
+    mean: float  # over all proxies
 
 
 def membership_sample(sizes: Sequence[int], at: float) -> MembershipSample:
-    """A look at the proxies of one process; there is at least one."""
+    """Sample the proxies of one process; `sizes` has the fleet size of each and is not empty."""
     return MembershipSample(at=at, proxies=len(sizes), fewest=min(sizes), total=sum(sizes))
 
 
 def summarize_membership(
-    looks: Iterable[MembershipSample], began: float
+    samples: Iterable[MembershipSample], began: float
 ) -> tuple[MembershipSummary, ...]:
-    """The looks of all processes together, one entry for each interval since `began`."""
+    """Combine the samples of all processes, by sampling interval since `began`.
+
+    Intervals without a sample are missing.
+    """
     by_step: dict[int, list[MembershipSample]] = {}
-    for each in looks:
-        by_step.setdefault(int((each.at - began) // MEMBERSHIP_SAMPLE_INTERVAL_S), []).append(each)
+    for sample in samples:
+        by_step.setdefault(int((sample.at - began) // MEMBERSHIP_SAMPLE_INTERVAL_S), []).append(
+            sample
+        )
     return tuple(
         MembershipSummary(
             after_s=step * MEMBERSHIP_SAMPLE_INTERVAL_S,
-            fewest=min(each.fewest for each in seen),
-            mean=sum(each.total for each in seen) / sum(each.proxies for each in seen),
+            fewest=min(sample.fewest for sample in in_step),
+            mean=sum(sample.total for sample in in_step)
+            / sum(sample.proxies for sample in in_step),
         )
-        for step, seen in sorted(by_step.items())
+        for step, in_step in sorted(by_step.items())
     )
--- a/limebridge/scale/quoted.py
+++ b/limebridge/scale/quoted.py
@@ -1,4 +1,4 @@
-"""Figures that earlier runs measured, each with its run as docs/ROADMAP.md names it."""
+"""Figures measured by earlier runs, each with the section of docs/ROADMAP.md that has the run."""
 
 from __future__ import annotations
 
--- a/limebridge/scale/results.py
+++ b/limebridge/scale/results.py
@@ -1,6 +1,7 @@
-"""The records of a slopes file: measured costs, how each grows with its size, figures quoted.
+"""The format of a slopes file: measured costs, a fitted line for each, and quoted figures.
 
-`limebridge scale slopes` writes the file; the tables of docs/CAPACITY.md are made from it.
+`limebridge scale slopes` writes the file; `limebridge scale capacity` renders the tables of
+docs/CAPACITY.md from it.
 """
 
 from __future__ import annotations
@@ -20,32 +21,32 @@
 
 
 class Machine(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where and beside how much other work a file was measured."""
+    """The machine of a measurement, with its load before and after."""
 
     processor: str
     cores: int
     memory_mb: int
     python: str
-    load_average_before: float  # of one minute: processes that wanted a core
+    load_average_before: float  # over one minute: number of processes that run or wait for a core
     load_average_after: float
 
 
 class Cost(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One measured cost over several sizes, and the line through them."""
+    """One cost, measured at several sizes, and the line fitted to the values."""
 
     name: NonEmptyStr
     unit: NonEmptyStr
-    per: NonEmptyStr  # what a size counts: node, member, tenant
-    what: NonEmptyStr  # one sentence: what was measured
-    mechanism: NonEmptyStr  # the module that carries it
-    points: Annotated[tuple[Point, ...], msgspec.Meta(min_length=1)]  # (size, value), by size
+    per: NonEmptyStr  # the unit of a size, in the singular: node, member, tenant
+    what: NonEmptyStr  # one sentence that describes what was measured
+    mechanism: NonEmptyStr  # the module whose cost it is
+    points: Annotated[tuple[Point, ...], msgspec.Meta(min_length=1)]  # (size, value), ascending
     constant: float  # value = constant + slope * size
     slope: float
     slope_low: float  # 95% confidence interval of the slope
     slope_high: float
-    residual: float  # the largest distance from the line, as a share of the measured value
-    straight: bool  # False: the line must not be used beyond or between the points
-    exponent: float | None = None  # of value = factor * size ** exponent, where it can be fitted
+    residual: float  # the largest residual, relative to the measured value
+    straight: bool  # False: a curve, for which the line must not be used
+    exponent: float | None = None  # of value = factor * size ** exponent; None if not fitted
     run: str  # the command that measured it
 
     @property
@@ -55,28 +56,28 @@
 
 
 class QuotedFigure(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A figure that an earlier run measured, with that run."""
+    """A figure measured by an earlier run, and the reference to that run."""
 
     name: NonEmptyStr
     value: float
     unit: NonEmptyStr
-    source: NonEmptyStr  # the run, and where it is written down
+    source: NonEmptyStr  # the run, and the document that describes it
 
 
 class Slopes(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A whole slopes file."""
+    """The contents of a slopes file."""
 
     version: Literal[1] = 1
     commit: str
     machine: Machine
-    quick: bool  # small sizes only: not for statements about the target
+    quick: bool  # measured at small sizes only, so not valid for the target size
     taken_at: str  # ISO 8601, UTC
     costs: tuple[Cost, ...]
     quoted: tuple[QuotedFigure, ...]
-    left_out: tuple[str, ...] = ()  # one line for each size or cost that has no figure, and why
+    left_out: tuple[str, ...] = ()  # one line with the reason for each size or cost without a value
 
     def cost(self, name: str) -> Cost:
-        """The cost of that name.  KeyError when it was not measured."""
+        """The cost `name`.  KeyError if it was not measured."""
         for cost in self.costs:
             if cost.name == name:
                 return cost
@@ -84,15 +85,14 @@
 
 
 class ExtrapolationError(ValueError):
-    """A prediction that the measurement does not support; one line."""
+    """The cost cannot be predicted for a size; a one-line message."""
 
 
 def predict(cost: Cost, size: float) -> float:
     """The cost at `size`, in the cost's unit.
 
-    A straight line is followed to any size. A curve has no line to follow: within the measured
-    sizes its value is interpolated between the two neighbouring points; outside them,
-    ExtrapolationError.
+    The line of a linear cost is used for any size.  A curve is interpolated between the two
+    neighbouring points; outside the measured sizes, ExtrapolationError is raised.
     """
     if cost.straight:
         return cost.constant + cost.slope * size
@@ -106,14 +106,17 @@
 
 
 def save_slopes(slopes: Slopes, path: Path) -> None:
-    """Write a slopes file, readable and stable under `git diff`."""
+    """Write a slopes file as indented JSON with one value per line, for readable diffs.
+
+    Creates the folder.  Raises OSError.
+    """
     text = msgspec.json.format(msgspec.json.encode(slopes), indent=1)
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_bytes(text + b"\n")
 
 
 def read_slopes(path: Path) -> Slopes:
-    """A slopes file.  ConfigError with one line when it is none."""
+    """Read a slopes file.  ConfigError with a one-line message if it is missing or invalid."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Slopes)
     except (OSError, ValueError) as error:
@@ -121,9 +124,10 @@
 
 
 def combine_slopes(files: Sequence[Slopes]) -> Slopes:
-    """All costs and quoted figures of several files; of a cost that stands twice the later one.
+    """Merge the costs and quoted figures of one or more files.
 
-    What is said of the run is the first file's.
+    If several files have the same cost or figure, the last one counts.  All other fields, such as
+    the machine and the commit, are those of the first file.
     """
     costs = {cost.name: cost for slopes in files for cost in slopes.costs}
     quoted = {figure.name: figure for slopes in files for figure in slopes.quoted}
--- a/limebridge/scale/sample_list.py
+++ b/limebridge/scale/sample_list.py
@@ -1,4 +1,4 @@
-"""Made-up cache nodes as discovery names them, and a proxy on a virtual network to tell them to."""
+"""Node lists with generated nodes in discovery's format, and a proxy that applies them."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 ZONES = 28
 DISCOVERY_PORT = 9
-WALL_CLOCK = 1.7e9  # Unix s at the virtual clock's 0
-STARTED_AT_MS = 1_690_000_000_000  # long ago: every node is warm
+WALL_CLOCK = 1.7e9  # Unix time in s at the virtual clock's 0
+STARTED_AT_MS = 1_690_000_000_000  # so long ago that every node counts as warm
 READY, DRAINING = "in_service", "terminating"
 
 
 def node_entry(number: int, lifecycle: str = READY) -> dict[str, Any]:
-    """One node in discovery's form."""
+    """The entry of node `number` in discovery's JSON format."""
     return {
         "instanceId": f"cache-{number:05d}",
         "hostPort": f"10.{number // 62_500}.{number // 250 % 250}.{1 + number % 250}:6379",
@@ -35,25 +35,25 @@
 
 
 def full_list_line(count: int) -> bytes:
-    """One line of discovery's watch with so many nodes."""
+    """The line of discovery's watch that has the whole list of `count` nodes."""
     instances = [node_entry(number) for number in range(count)]
     return json.dumps({"generation": 1, "reset": True, "instances": instances}).encode()
 
 
 def changes_list(numbers: Iterable[int], lifecycle: str) -> Listing:
-    """A list of changes that names these nodes."""
+    """A list of changes, in which these nodes have the state `lifecycle`."""
     instances = [node_entry(number, lifecycle) for number in numbers]
     return parse_listing({"generation": 2, "reset": False, "instances": instances})
 
 
 def create_proxy(kernel: Kernel, loop: VirtualLoop, config: Config) -> Proxy:
-    """The daemon's proxy on a network in memory."""
+    """The daemon's proxy on an in-memory network."""
     net = network(kernel, "proxy", loop, lambda: WALL_CLOCK + kernel.now, VirtualTurns(loop))
     return Proxy(config, net)
 
 
 class ProxyOnVirtualNetwork:
-    """The daemon's proxy, told of lists directly; its loop does not run."""
+    """The daemon's proxy without a running event loop; lists are passed directly to it."""
 
     def __init__(self) -> None:
         self.kernel = Kernel(1)
@@ -61,5 +61,5 @@
         self.proxy = create_proxy(self.kernel, loop, parse(configuration(DISCOVERY_PORT, [])))
 
     def advance(self, seconds: float) -> None:
-        """Move the clock; what is due by then is not done."""
+        """Advance the clock; timers that expire do not run."""
         self.kernel.now += seconds
--- a/limebridge/scale/slopes.py
+++ b/limebridge/scale/slopes.py
@@ -1,4 +1,4 @@
-"""Runs the measurements in fresh processes and fits each cost (`limebridge scale slopes`)."""
+"""`limebridge scale slopes`: runs measurements in new processes and fits a line to each cost."""
 
 from __future__ import annotations
 
@@ -23,36 +23,36 @@
 
 
 class Job(msgspec.Struct, frozen=True):
-    """One measurement to be made."""
+    """One run of a measurement."""
 
     subject: Subject
     size: int
 
 
 class Options(msgspec.Struct, frozen=True, kw_only=True):
-    """What is measured, and how."""
+    """The options of `limebridge scale slopes`."""
 
-    quick: bool = False  # small sizes
-    only: str = ""  # a subject or a cost; "" is all
-    skip_largest: bool = False  # leave the largest size of each subject out
-    jobs: int = 1  # processes at a time
-    time_limit: float | None = None  # s for one measurement, in place of the subject's own
+    quick: bool = False  # measure small sizes, once each
+    only: str = ""  # a subject or a cost; "" for all
+    skip_largest: bool = False  # leave out the largest size of each subject
+    jobs: int = 1  # number of concurrent processes
+    time_limit: float | None = None  # s for one run; None: the subject's limit
 
 
 class Result(msgspec.Struct, frozen=True):
-    """The whole file, and how many measurements failed."""
+    """The contents of the slopes file, and the number of failed runs."""
 
     slopes: Slopes
     failed: int
 
 
-# The values of all runs by the cost's name and the size.
+# The values of all runs, by the name of the cost and the size.
 RunValues = dict[str, dict[int, list[float]]]
-Progress = Callable[[str], None]  # told of each measurement that has ended
+Progress = Callable[[str], None]  # called after each run with its subject and size
 
 
 def select_subjects(only: str) -> list[Subject]:
-    """The subjects to measure.  ConfigError when `only` names none."""
+    """The subjects to measure.  ConfigError if `only` is neither a subject nor a cost."""
     every = subjects()
     if not only:
         return list(every.values())
@@ -67,7 +67,11 @@
 
 
 def plan_jobs(options: Options) -> list[Job]:
-    """All measurements by subject; runs of one size are apart, as a busy minute would hit all."""
+    """All runs, by subject.
+
+    Each size is run once before any is repeated, so that temporary load on the machine does not
+    affect all runs of one size.
+    """
     return [
         Job(subject, size)
         for subject in select_subjects(options.only)
@@ -82,7 +86,7 @@
 
 
 async def run(options: Options, progress: Progress) -> Result:
-    """Measure and fit all.  Called off, it ends its children before it returns."""
+    """Measure and fit all costs.  If cancelled, it ends its child processes before it returns."""
     began, load_before = datetime.now(UTC), load_average()
     jobs = plan_jobs(options)
     answers = await _measure_all(jobs, options, progress)
@@ -105,7 +109,7 @@
 
 
 def _fit_all(options: Options, values: RunValues) -> tuple[list[Cost], list[str]]:
-    """The costs that have a line, and a line of text for each that has none."""
+    """The costs with a fitted line, and a message for each cost that has too few sizes."""
     costs: list[Cost] = []
     unfitted: list[str] = []
     for subject in select_subjects(options.only):
@@ -123,18 +127,18 @@
 async def _measure_all(
     jobs: Sequence[Job], options: Options, progress: Progress
 ) -> list[Measured | Failed]:
-    """The answers in the order of the jobs."""
-    free = asyncio.Semaphore(options.jobs)
+    """Run the jobs, `options.jobs` at a time; returns the answers in the order of the jobs."""
+    slots = asyncio.Semaphore(options.jobs)
 
-    async def one(job: Job) -> Measured | Failed:
-        async with free:
+    async def run_job(job: Job) -> Measured | Failed:
+        async with slots:
             limit = options.time_limit or job.subject.time_limit
             answer = await run_child(job.subject.name, job.size, limit)
         progress(f"{job.subject.name} at {job.size}")
         return answer
 
     async with asyncio.TaskGroup() as group:
-        tasks = [group.create_task(one(job)) for job in jobs]
+        tasks = [group.create_task(run_job(job)) for job in jobs]
     return [task.result() for task in tasks]
 
 
@@ -158,7 +162,7 @@
 
 
 def combine_runs(definition: CostDefinition, runs: dict[int, list[float]]) -> list[Point]:
-    """One point for each size."""
+    """One point per size: the smallest value of its runs or the median, as the cost defines."""
     choose = min if definition.least else median
     return [(float(size), choose(values)) for size, values in sorted(runs.items())]
 
@@ -166,7 +170,7 @@
 def fit_cost(
     definition: CostDefinition, subject: Subject, points: Sequence[Point], options: Options
 ) -> Cost:
-    """A measured cost with its line.  FitError when there are too few points."""
+    """Fit a line to the points of a cost.  FitError for fewer than three sizes."""
     line = fit_line(points)
     return Cost(
         name=definition.name,
@@ -187,7 +191,7 @@
 
 
 def command_line(subject: str, options: Options) -> str:
-    """The command that measures this subject so."""
+    """The command that repeats the measurement of `subject` with these options."""
     words = ["limebridge", "scale", "slopes", "--only", subject]
     words += ["--quick"] if options.quick else []
     words += ["--skip-largest"] if options.skip_largest else []
--- a/limebridge/scale/standard_input.py
+++ b/limebridge/scale/standard_input.py
@@ -1,4 +1,4 @@
-"""Child processes of a run read their standard input: it ends when the parent does."""
+"""Standard input of child processes: a pipe that is closed when the parent exits."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 async def input_lines() -> AsyncIterator[bytes]:
-    """The lines that the parent sends, until it closes the pipe or ends."""
+    """Yield the lines that the parent writes, until it closes the pipe or exits."""
     reader = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -18,7 +18,10 @@
 
 
 def wait_for_line() -> bool:
-    """Block until the parent has sent one line, and read no byte more.  False at the end."""
+    """Block until the parent has written one line; False at the end of input.
+
+    Reads no byte after the line, so that `input_lines` can read the following lines.
+    """
     while byte := os.read(sys.stdin.fileno(), 1):
         if byte == b"\n":
             return True
@@ -26,6 +29,6 @@
 
 
 async def until_end_of_input() -> None:
-    """Wait until the parent closes the pipe or ends."""
+    """Wait until the parent closes the pipe or exits; lines are ignored."""
     async for _ in input_lines():
         pass
--- a/limebridge/scale/virtual_members.py
+++ b/limebridge/scale/virtual_members.py
@@ -1,6 +1,6 @@
-"""Many members of the gossip on one virtual clock and one network in memory.
+"""Many gossip members on one virtual clock and one in-memory network.
 
-Every member is the daemon's own code with the daemon's own datagrams; there are no clients.
+Each member runs the daemon's code and sends the daemon's datagrams.  There are no client requests.
 """
 
 from __future__ import annotations
@@ -21,37 +21,37 @@
 from violetroute.transport import Address
 from violetroute.transport.sockets import SocketNetwork
 
-START_S = 1000.0  # s of the virtual clock
-WALL_CLOCK = 1.7e9  # Unix s at the virtual clock's 0
+START_S = 1000.0  # initial value of the virtual clock
+WALL_CLOCK = 1.7e9  # Unix time in s at the virtual clock's 0
 FIRST_PORT = 20_000
-DATAGRAM_DELAY_S = 0.0005  # s from one member to another
+DATAGRAM_DELAY_S = 0.0005  # from one member to another
 MAX_BACKOFF_MS = 1000.0
-LOG_LEVEL = 50  # nothing of the daemon's log
+LOG_LEVEL = 50  # CRITICAL: suppresses the daemon's log
 KEYS = wire.Keys([b"a key of a measurement"])
-DEAD = "d"  # the state of a member, as `wire.Rumor` has it
+DEAD = "d"  # `state` of a `wire.Rumor` of a dead member
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One member's view of another has changed."""
+    """A change of state of a member, in the view of another member."""
 
-    at: float  # s of the virtual clock
-    name: str
-    state: str
+    at: float  # virtual time
+    name: str  # the member whose state has changed
+    state: str  # as in `wire.Rumor`
 
 
 class IdleProxy:
-    """A proxy without requests, as `violetroute.sharing` sees it."""
+    """A proxy without requests, with the interface that `violetroute.sharing` uses."""
 
     def __init__(self) -> None:
         self.places = NodeAddresses()
         self.load_samples: deque[LoadSample] = deque()
 
     def apply_peer_reports(self, bad: list[int], outcomes: list[LoadSample]) -> None:
-        """What others met is not used here."""
+        """Ignore the reports of peers."""
 
 
 class VirtualMembers:
-    """So many members that know of each other, or none of them yet."""
+    """Simulates the members of a fleet, which `add` and `add_all` start."""
 
     def __init__(self, fleet_size: int, probe_s: float = SharingTable().probe_s) -> None:
         self._probe_s = probe_s
@@ -64,7 +64,7 @@
         self.changes: list[Change] = []
 
     def add(self) -> Sharing:
-        """Start one more member."""
+        """Start one more member, with the first member as its only seed."""
         number = len(self.members)
         host = IdleProxy()
         network = SocketNetwork(
@@ -87,7 +87,7 @@
         return sharing
 
     def add_all(self) -> None:
-        """Start the whole fleet, each member knowing all others, as after a long time."""
+        """Start the whole fleet; each member knows all others, as in a long-running fleet."""
         for _ in range(self.fleet_size):
             self.add()
         own = [member.members.own_rumor() for member in self.members]
@@ -97,14 +97,14 @@
                     member.members.add_member(rumor, self.kernel.now)
 
     def rumor(self, number: int) -> wire.Rumor:
-        """What a member that is only played would say of itself."""
+        """The rumor that member `number` sends about itself; the member need not run."""
         started_ms = round(WALL_CLOCK * 1000.0)
         return wire.Rumor(
             member_name(number), life_nonce(number), started_ms, "a", member_address(number), "a"
         )
 
     def introduce(self, to: Sharing, number: int) -> None:
-        """A datagram of a member that is only played: `to` hears of it as of any other."""
+        """Pass to member `to` a first datagram of member `number`, which need not run."""
         rumor = self.rumor(number)
         items = [wire.raw(wire.encode_item(item)) for item in (wire.Ping(number + 1), rumor)]
         envelope = wire.Envelope(
@@ -121,16 +121,17 @@
         to.datagram(KEYS.seal(envelope), Address("127.0.0.1", FIRST_PORT + number))
 
     def run(self, seconds: float) -> None:
-        """Let so much virtual time pass."""
+        """Run all members for `seconds` of virtual time."""
         with quiet(LOG_LEVEL):
             self.loop.run_until_complete(asyncio.sleep(seconds))
 
     def kill(self, member: Sharing) -> None:
-        """End a member without a word to the others."""
+        """Stop a member as a crash does: the others are not notified."""
         member._timer.cancel()
         member._socket.close()
 
     def _watch_changes(self, sharing: Sharing) -> None:
+        """Record in `changes` each change of state that this member sees."""
         original = sharing.members._changed
 
         def record_change(member: str, state: str, previous: str) -> None:
@@ -141,15 +142,15 @@
 
 
 def member_name(number: int) -> str:
-    """A member's name, about as long as a host's."""
+    """The name of member `number`, about as long as a host name."""
     return f"proxy-{number:05d}"
 
 
 def life_nonce(number: int) -> str:
-    """What tells one process of a member from the next."""
+    """The nonce that distinguishes this process of member `number` from later ones."""
     return random.Random(number).randbytes(6).hex()
 
 
 def member_address(number: int) -> str:
-    """Where a member is reached."""
+    """The address of member `number` as host:port."""
     return f"127.0.0.1:{FIRST_PORT + number}"
--- a/tests/limebridge/scale/test_scale_capacity.py
+++ b/tests/limebridge/scale/test_scale_capacity.py
@@ -1,4 +1,4 @@
-"""The tables of docs/CAPACITY.md: from the slopes, and seen to differ when somebody edits them."""
+"""The tables of docs/CAPACITY.md: rendered from the slopes, and checked for manual edits."""
 
 from __future__ import annotations
 
@@ -39,7 +39,9 @@
 
 TARGET = load_target()
 RUN = Path("docs/capacity/run-2600-all.json")
-EARLIER_RUN = Path("docs/capacity/run-2600-all-walks.json")  # is not played anew
+EARLIER_RUN = Path(
+    "docs/capacity/run-2600-all-walks.json"
+)  # never measured again, so that the expected values stay
 
 
 def cost(name: str, constant: float, slope: float, *, straight: bool = True) -> Cost:
@@ -84,13 +86,13 @@
 )
 
 
-def test_a_need_is_its_line_at_the_target_and_a_ratio_to_its_budget() -> None:
+def test_a_need_is_the_line_at_the_target_size_and_over_budget_if_larger() -> None:
     [need] = compute_needs([row("a", "x", 1000.0)], TARGET, slopes_of(cost("x", 100.0, 0.5)))
     assert need.need == 100.0 + 0.5 * TARGET.proxies and need.sources == ("x",)
     assert need.ratio == need.need / 1000.0 and need.over_budget
 
 
-def test_what_is_not_measured_has_no_figure_and_says_why() -> None:
+def test_a_need_without_a_measurement_has_the_reason_in_place_of_a_value() -> None:
     curve = cost("curve", 0.0, 1.0, straight=False)
     needs = compute_needs([row("a", "x", 1.0), row("b", "curve")], TARGET, slopes_of(curve))
     assert [need.need for need in needs] == [None, None]
@@ -100,7 +102,7 @@
         Figures(TARGET, slopes_of()).quoted("x")
 
 
-def test_a_page_agrees_until_a_figure_or_the_slopes_are_edited() -> None:
+def test_edited_figures_and_other_slopes_are_found() -> None:
     slopes = slopes_of(cost("x", 100.0, 0.5))
     needs = compute_needs([row("a", "x", 5000.0)], TARGET, slopes)
     page = fill_tables(PAGE, render_tables(needs, slopes))
@@ -110,35 +112,35 @@
     assert edited != page
     [wrong] = find_problems(edited, needs, render_tables(needs, slopes))
     assert "table proxy" in wrong and "1,300" in wrong and "1,400" in wrong
-    others = slopes_of(cost("x", 200.0, 0.5))
-    other_needs = compute_needs([row("a", "x", 5000.0)], TARGET, others)
-    assert find_problems(page, other_needs, render_tables(other_needs, others))
-    made = render_tables(needs, slopes)
-    assert find_problems(page.replace("<!-- table: discovery -->", ""), needs, made) == [
+    other_slopes = slopes_of(cost("x", 200.0, 0.5))
+    other_needs = compute_needs([row("a", "x", 5000.0)], TARGET, other_slopes)
+    assert find_problems(page, other_needs, render_tables(other_needs, other_slopes))
+    rendered = render_tables(needs, slopes)
+    assert find_problems(page.replace("<!-- table: discovery -->", ""), needs, rendered) == [
         "no table: discovery"
     ]
 
 
-def test_a_passed_budget_is_named_in_the_prose_and_only_that() -> None:
+def test_exactly_the_exceeded_budgets_need_a_line_in_the_text() -> None:
     slopes = slopes_of(cost("x", 100.0, 0.5))
     needs = compute_needs([row("a", "x", 1000.0), row("b", "x", 9000.0)], TARGET, slopes)
-    made = render_tables(needs, slopes)
-    page = fill_tables(PAGE, made)
+    rendered = render_tables(needs, slopes)
+    page = fill_tables(PAGE, rendered)
     assert "**1.40**" in page
-    assert find_problems(page, needs, made) == ["over budget and no line says so: a"]
-    assert find_problems(page + "\n- Over budget: a, since it is made up.\n", needs, made) == []
-    assert find_problems(page + "\n- Over budget: a\n- Over budget: b\n", needs, made) == [
-        "a line says over budget, and it is not: b"
+    assert find_problems(page, needs, rendered) == ["over budget, but no line says so: a"]
+    assert find_problems(page + "\n- Over budget: a, since it is made up.\n", needs, rendered) == []
+    assert find_problems(page + "\n- Over budget: a\n- Over budget: b\n", needs, rendered) == [
+        "not over budget, but a line says so: b"
     ]
 
 
 def test_each_role_has_a_row_of_each_kind() -> None:
-    there = {(row.role, row.kind) for row in ROWS}
-    assert there == {(role, kind) for role in Role for kind in ResourceKind}
+    present = {(row.role, row.kind) for row in ROWS}
+    assert present == {(role, kind) for role in Role for kind in ResourceKind}
     assert len({row.identity for row in ROWS}) == len(ROWS)
 
 
-def test_a_need_of_another_program_has_no_figure_and_says_so() -> None:
+def test_a_need_of_another_program_has_no_value_and_says_so() -> None:
     [need] = compute_needs(
         [row for row in ROWS if row.identity == "node-memory"], TARGET, slopes_of()
     )
@@ -146,7 +148,7 @@
     assert OTHER_PROGRAM in render_tables([need], slopes_of())[str(Role.NODE)]
 
 
-def test_a_role_s_table_has_its_kinds_in_order() -> None:
+def test_the_table_of_a_role_is_ordered_by_kind() -> None:
     slopes = slopes_of(cost("x", 100.0, 0.5))
     made_up = row("b", "x")
     state = Row("a", Role.PROXY, ResourceKind.STATE, "made up", "", lambda figures: 1.0, "made up")
@@ -154,17 +156,17 @@
     assert [line.split(" | ")[0] for line in table.splitlines()[2:]] == ["| state", "| messages"]
 
 
-def test_each_quoted_figure_stands_on_the_page_with_its_run() -> None:
-    made = render_tables([], msgspec.structs.replace(slopes_of(), quoted=QUOTED_FIGURES))[
+def test_the_table_of_quoted_figures_has_each_with_its_run() -> None:
+    rendered = render_tables([], msgspec.structs.replace(slopes_of(), quoted=QUOTED_FIGURES))[
         QUOTED_TABLE
     ]
-    lines = made.splitlines()[2:]
+    lines = rendered.splitlines()[2:]
     assert len(lines) == len(QUOTED_FIGURES)
     for figure, line in zip(QUOTED_FIGURES, lines, strict=True):
         assert line.startswith(f"| {figure.name} | ") and line.endswith(f" | {figure.source} |")
 
 
-def test_numbers_have_three_digits() -> None:
+def test_numbers_have_three_significant_digits() -> None:
     shown = [format_number(value) for value in (0.0, 0.00123456, 1.0, 9.999, 123.4, 1234567.0)]
     assert shown == ["0", "0.00123", "1.00", "10.0", "123", "1,230,000"]
 
@@ -200,7 +202,7 @@
     assert refused.exit_code == 0, refused.stderr
 
 
-def test_of_a_cost_in_two_files_the_later_one_counts() -> None:
+def test_a_cost_of_a_later_file_replaces_that_of_an_earlier_one() -> None:
     first, second = (
         slopes_of(cost("x", 1.0, 2.0), cost("y", 1.0, 1.0)),
         slopes_of(cost("x", 5.0, 0.0)),
@@ -216,7 +218,7 @@
 
 
 def run_of(proxies: int, wire_bytes: float) -> RunReport:
-    """A committed run, as if it had had so many proxies that spent so much."""
+    """A committed run, changed to `proxies` proxies that each use `wire_bytes` on average."""
     report = read_run(ROOT / EARLIER_RUN)
     replace = msgspec.structs.replace
     roles = tuple(
@@ -225,7 +227,7 @@
     return replace(report, plan=replace(report.plan, proxies=proxies), roles=roles)
 
 
-def test_growth_sets_each_run_against_the_prediction_for_its_size() -> None:
+def test_growth_compares_each_run_with_the_prediction_for_its_size() -> None:
     costs = (
         cost("distribution.proxy_bytes_per_s", 100.0, 10.0),
         cost("control.cpu_share", 0.0, 0.01),
@@ -235,20 +237,20 @@
     assert heads.endswith("| 200 proxies | 800 proxies |")
     by_name = {line.split("|")[1].strip(): line for line in lines}
     assert by_name["with headers, bytes/s"].endswith("| 4,000 | 5,000 |")
-    # 71 purges a second, whatever the number of proxies; a control machine has its share of them.
+    # 71 purges per second at any number of proxies; a control machine has its share of the proxies.
     assert by_name["of these distribution, bytes/s"].count("(810, 5.54)") == 2
     follows = by_name["a control machine that follows, of a core"]
     assert "(0.250, 2.01)" in follows and "(1.00, 0.50)" in follows
-    # Without a measured slope there is no prediction, and none is made up.
+    # Without a measured slope there is no prediction.
     assert "(" not in by_name["a control machine, MB"]
 
 
-def test_growth_over_one_size_is_refused() -> None:
+def test_two_runs_of_the_same_size_are_rejected() -> None:
     with pytest.raises(DuplicateSizeError, match="two runs of the same size"):
         growth_table([run_of(200, 1.0), run_of(200, 2.0)], TARGET, slopes_of())
 
 
-def test_an_edited_table_of_growth_is_found(tmp_path: Path) -> None:
+def test_an_edited_growth_table_is_found(tmp_path: Path) -> None:
     file, page = tmp_path / "slopes.json", tmp_path / "CAPACITY.md"
     save_slopes(slopes_of(cost("distribution.proxy_bytes_per_s", 100.0, 10.0)), file)
     page.write_text(PAGE + "\n<!-- table: growth -->\n<!-- end of table -->\n")
--- a/tests/limebridge/scale/test_scale_membership.py
+++ b/tests/limebridge/scale/test_scale_membership.py
@@ -1,4 +1,4 @@
-"""Membership in a scale run: its size over time, its restarts, the time between two probes."""
+"""Membership in a scale run: fleet size over time, restarts, probe interval, list comparisons."""
 
 from __future__ import annotations
 
@@ -28,53 +28,54 @@
 from violetroute.sharing.outgoing import Send
 from violetroute.sharing.wire import Digests, Keys
 
-Compared = Callable[[float, str, Digests], list[Send]]
+HandleDigests = Callable[[float, str, Digests], list[Send]]
 SMALL = RunPlan(
     proxies=10, sites=4, regions=2, nodes=5, real=1, controls=3, seconds=4.0, warm_seconds=0.5
 )
 
 
-def test_looks_of_all_processes_are_put_together_by_second() -> None:
-    looks = [
+def test_samples_of_all_processes_are_combined_by_second() -> None:
+    samples = [
         membership_sample([4, 2], 100.2),
         MembershipSample(at=100.9, proxies=1, fewest=3, total=3),
         membership_sample([1], 101.0),
     ]
-    assert summarize_membership(looks, 100.0) == (
+    assert summarize_membership(samples, 100.0) == (
         MembershipSummary(after_s=0.0, fewest=2, mean=3.0),
         MembershipSummary(after_s=1.0, fewest=1, mean=1.0),
     )
     assert summarize_membership([], 100.0) == ()
 
 
-def test_a_restart_of_all_is_seen_in_the_membership() -> None:
+def test_a_restart_of_all_proxies_is_reported_in_the_membership() -> None:
     plan = msgspec.structs.replace(SMALL, restart_within_s=0.5)
     report = asyncio.run(ScaleRun(plan, lambda activity, share: None).run())
     before = [each for each in report.membership if each.after_s < plan.seconds / 3.0 - 1.0]
     assert before and all(each.fewest >= plan.proxies for each in before)
-    # A look comes each second and may miss the restart itself; the lives at the end can't lie.
+    # A sample is taken each second and may miss the restart; the lives that the proxies list at
+    # the end prove it.
     assert any("as their present process: mean" in note for note in report.notes)
     assert any(f"of {plan.members}" in note for note in report.notes)
     assert report.in_force is not None and report.in_force.never_applied == 0
 
 
-def test_without_restarts_nothing_is_said_of_them() -> None:
+def test_without_restarts_the_notes_do_not_mention_them() -> None:
     plan = msgspec.structs.replace(SMALL, real=0, distribution=False, seconds=1.5)
     report = asyncio.run(ScaleRun(plan, lambda activity, share: None).run())
     assert not any("present process" in note for note in report.notes)
     assert report.membership[0].fewest == report.membership[0].mean == plan.proxies
 
 
-def test_all_proxies_ask_as_often_as_the_plan_says(tmp_path: Path) -> None:
+def test_all_proxies_have_the_probe_interval_of_the_plan(tmp_path: Path) -> None:
     plan = msgspec.structs.replace(SMALL, probe_s=2.5, distribution=False)
-    fleet = Fleet(plan, tmp_path, lambda what: None)
+    fleet = Fleet(plan, tmp_path, lambda activity: None)
     fleet.gossip_port = 1
     locations = tuple(plan.hollow_locations())
     assert fleet._host_file(0, locations, locations).probe_s == 2.5
     assert fleet._operator_tables(plan.real_locations()[0])["sharing"]["probe_s"] == 2.5
 
 
-def test_a_hollow_proxy_asks_as_often_as_its_host_is_told(tmp_path: Path) -> None:
+def test_a_hollow_proxy_has_the_probe_interval_of_its_setup(tmp_path: Path) -> None:
     links = LinkTable.create(tmp_path / "links", 2, 1, 0.0)
     counters = Counters(tmp_path / "counters", 1, create=True)
     location = SMALL.hollow_locations()[0]
@@ -92,35 +93,35 @@
         loop.close()
 
 
-def test_a_fleet_that_was_just_made_compares_its_lists_as_often_as_at_rest() -> None:
-    """The first check must be neither sooner nor later than those of a fleet that ran for long."""
+def test_a_new_fleet_compares_its_lists_at_the_rate_of_a_long_running_one() -> None:
+    """First comparisons are neither more nor less frequent than those of a long-running fleet."""
     count = 2000
     members = [
         Members(f"p{number}", "x", 1, "at", "", 1.0, (), Random(number), 0.0)
         for number in range(count)
     ]
-    waits = [member._anti_entropy.compare_at for member in members]
-    # Waits are 0.5 to 1.5 COMPARE_INTERVAL_S: a renewal process of 1 / COMPARE_INTERVAL_S events a
-    # second.
-    share = sum(wait < COMPARE_INTERVAL_S / 2.0 for wait in waits) / count
+    delays = [member._anti_entropy.compare_at for member in members]
+    # In a long-running fleet, intervals are 0.5 to 1.5 COMPARE_INTERVAL_S: a renewal process with
+    # 1 / COMPARE_INTERVAL_S events per second.
+    share = sum(delay < COMPARE_INTERVAL_S / 2.0 for delay in delays) / count
     assert 0.46 < share < 0.54
-    assert min(waits) >= 0.0 and max(waits) <= COMPARE_INTERVAL_S
+    assert min(delays) >= 0.0 and max(delays) <= COMPARE_INTERVAL_S
 
 
-def test_a_fleet_at_rest_sends_no_lists() -> None:
+def test_a_fleet_at_rest_sends_no_bucket_digests() -> None:
     fleet = VirtualMembers(20)
     fleet.add_all()
-    checks = [0]
+    comparisons = [0]
     for member in fleet.members:
-        compared = member.members._anti_entropy._handle_digests
+        handle = member.members._anti_entropy._handle_digests
 
-        def counted(
-            now: float, name: str, item: Digests, compared: Compared = compared
+        def handle_counted(
+            now: float, name: str, item: Digests, handle: HandleDigests = handle
         ) -> list[Send]:
-            checks[0] += 1
+            comparisons[0] += 1
             assert not item.digests
-            return compared(now, name, item)
+            return handle(now, name, item)
 
-        member.members._anti_entropy._handle_digests = counted  # type: ignore[method-assign]
+        member.members._anti_entropy._handle_digests = handle_counted  # type: ignore[method-assign]
     fleet.run(60.0)
-    assert 0.8 < checks[0] / (20 * 60.0 / COMPARE_INTERVAL_S) < 1.2
+    assert 0.8 < comparisons[0] / (20 * 60.0 / COMPARE_INTERVAL_S) < 1.2
--- a/tests/limebridge/scale/test_scale_slopes.py
+++ b/tests/limebridge/scale/test_scale_slopes.py
@@ -1,4 +1,4 @@
-"""`limebridge scale slopes`: target, measurements, fits."""
+"""`limebridge scale slopes`: the target, the measurements, the fits and the command."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 from violetroute.config import ConfigError
 
 
-def test_the_target_is_the_one_asked_for() -> None:
+def test_the_target_has_the_required_size() -> None:
     target = load_target()
     assert (target.proxies, target.sites, target.nodes, target.regions) == (2600, 170, 1200, 10)
     assert target.requests_per_proxy == pytest.approx(538.46, abs=0.01)
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "replacement", "named"),
+    ("line", "replacement", "message"),
     [
         ("proxies = 2600", "proxys = 2600", "[target] proxys: unknown key; did you mean proxies"),
         ("proxies = 2600", "", "[target] proxies: missing"),
@@ -60,8 +60,8 @@
         ("[target]", "[goal]", "[goal]: unknown table"),
     ],
 )
-def test_a_senseless_target_is_refused_with_its_key(
-    tmp_path: Path, line: str, replacement: str, named: str
+def test_an_invalid_target_is_rejected_and_its_key_named(
+    tmp_path: Path, line: str, replacement: str, message: str
 ) -> None:
     text = TARGET_FILE.read_text()
     assert line in text
@@ -69,11 +69,11 @@
     path.write_text(text.replace(line, replacement, 1))
     with pytest.raises(ConfigError) as refused:
         load_target(path)
-    assert named in str(refused.value)
+    assert message in str(refused.value)
     assert "\n" not in str(refused.value)
 
 
-def test_fit_finds_a_planted_line() -> None:
+def test_fit_of_points_near_a_line_finds_the_line() -> None:
     noise = (1.02, 0.98, 1.01, 0.99, 1.02)
     sizes = (46.0, 200.0, 600.0, 1200.0, 2400.0)
     points = [(s, (5.0 + 0.25 * s) * n) for s, n in zip(sizes, noise, strict=True)]
@@ -84,24 +84,24 @@
     assert found.constant == pytest.approx(5.0, rel=0.2)
 
 
-def test_fit_calls_a_planted_curve_a_curve() -> None:
+def test_fit_of_a_square_is_not_straight() -> None:
     found = fit_line([(s, 0.01 * s**2) for s in (46.0, 200.0, 600.0, 1200.0, 2400.0)])
     assert not found.straight and found.residual >= STRAIGHT_RESIDUAL_LIMIT
     assert found.exponent == pytest.approx(2.0)
 
 
-def test_fit_takes_a_cost_that_does_not_grow_and_one_that_is_zero() -> None:
+def test_fit_accepts_a_constant_cost_and_a_cost_of_zero() -> None:
     assert fit_line([(1.0, 7.0), (2.0, 7.0), (3.0, 7.0)]).slope == pytest.approx(0.0)
-    nothing = fit_line([(1.0, 0.0), (2.0, 0.0), (3.0, 0.0)])
-    assert nothing.straight and nothing.exponent is None
+    zero = fit_line([(1.0, 0.0), (2.0, 0.0), (3.0, 0.0)])
+    assert zero.straight and zero.exponent is None
 
 
-def test_fit_refuses_points_that_are_always_on_a_line() -> None:
+def test_fit_rejects_fewer_than_three_sizes() -> None:
     with pytest.raises(FitError, match="3 different sizes"):
         fit_line([(1.0, 1.0), (2.0, 2.0), (2.0, 3.0)])
 
 
-def test_a_line_is_followed_and_a_curve_is_not() -> None:
+def test_a_line_is_extrapolated_and_a_curve_is_not() -> None:
     line = cost_of([(s, 2.0 * s) for s in (10.0, 20.0, 30.0, 40.0)])
     assert predict(line, 1000.0) == pytest.approx(2000.0)
     curve = cost_of([(s, s**2) for s in (10.0, 20.0, 30.0, 40.0)])
@@ -112,18 +112,18 @@
             predict(curve, outside)
 
 
-def test_a_slopes_file_is_read_as_it_was_written(tmp_path: Path) -> None:
+def test_a_slopes_file_is_read_back_unchanged(tmp_path: Path) -> None:
     path = tmp_path / "folder" / "slopes.json"
-    made = slopes_of(cost_of([(s, 2.0 * s) for s in (1.0, 2.0, 3.0)]))
-    save_slopes(made, path)
-    assert read_slopes(path) == made
-    assert made.cost("test.cost").largest_size == 3.0
+    slopes_file = slopes_of(cost_of([(s, 2.0 * s) for s in (1.0, 2.0, 3.0)]))
+    save_slopes(slopes_file, path)
+    assert read_slopes(path) == slopes_file
+    assert slopes_file.cost("test.cost").largest_size == 3.0
     with pytest.raises(KeyError):
-        made.cost("test.other")
+        slopes_file.cost("test.other")
 
 
 @pytest.mark.parametrize("change", [("version", 2), ("costs", [{}]), ("more", 1)])
-def test_a_file_that_is_none_is_refused_in_one_line(
+def test_an_invalid_slopes_file_is_rejected_with_a_one_line_message(
     tmp_path: Path, change: tuple[str, object]
 ) -> None:
     path = tmp_path / "slopes.json"
@@ -135,14 +135,14 @@
     assert change[0] in str(refused.value) and "\n" not in str(refused.value)
 
 
-def test_what_is_quoted_names_its_run() -> None:
+def test_each_quoted_figure_names_an_existing_section_of_the_roadmap() -> None:
     roadmap = (ROOT / "docs" / "ROADMAP.md").read_text()
     titles = [line[3:] for line in roadmap.splitlines() if line.startswith("## ")]
     assert len({quoted.name for quoted in QUOTED_FIGURES}) == len(QUOTED_FIGURES)
     for quoted in QUOTED_FIGURES:
-        file, _, place = quoted.source.partition(", ")
+        file, _, section = quoted.source.partition(", ")
         assert file == "docs/ROADMAP.md"
-        assert any(place.startswith(title) for title in titles), quoted.source
+        assert any(section.startswith(title) for title in titles), quoted.source
 
 
 EXPECTED_COSTS = {
@@ -158,13 +158,13 @@
     },
     "module": {"request_us", "change_us"},
     "gossip": {"bytes_per_s", "datagrams_per_s", "cpu_share", "memory_bytes", "death_known_s"},
-    "judgements": {f"bytes_per_s_{bad}" for bad in (0, 1, 43, 120)},
+    "judgements": {f"bytes_per_s_{unhealthy}" for unhealthy in (0, 1, 43, 120)},
     "config": {"load_ms", "check_ms", "bytes"},
     "connections": {"open", "opened_per_s", "memory_mb", "waited_share"},
 }
 
 
-def test_every_cost_that_was_asked_for_is_measured_up_to_the_target() -> None:
+def test_all_required_costs_are_measured_up_to_the_target_size() -> None:
     target, found = load_target(), subjects()
     names = {cost.name for subject in found.values() for cost in subject.costs}
     for subject, costs in EXPECTED_COSTS.items():
@@ -181,7 +181,7 @@
 
 
 @pytest.mark.parametrize("name", ["list", "module", "config", "gossip", "judgements"])
-def test_each_measurement_gives_a_figure_for_each_of_its_costs(
+def test_each_measurement_returns_a_value_for_each_of_its_costs(
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(measure_judgements, "WARM_UP_S", 1.0)
@@ -194,8 +194,8 @@
         assert math.isfinite(value) and (value > 0.0 or "memory" in cost), (cost, value)
 
 
-def test_connections_are_counted(monkeypatch: pytest.MonkeyPatch) -> None:
-    """At 538 requests a second 8 nodes need few connections, and nearly none is opened anew."""
+def test_a_small_fleet_needs_few_connections_and_few_waits(monkeypatch: pytest.MonkeyPatch) -> None:
+    """538 requests/s to 8 nodes need under 100 connections, and few requests wait for a new one."""
     monkeypatch.setattr(measure_connections, "WARM_UP_S", 1.0)
     monkeypatch.setattr(measure_connections, "MEASURED_S", 1.0)
     monkeypatch.setattr(measure_connections, "MEMORY_CONNECTIONS", 64)
@@ -205,19 +205,21 @@
     assert answer.values["connections.waited_share"] < 0.1
 
 
-def test_connections_tell_when_requests_are_not_served(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def refuses(words: list[bytes], writer: asyncio.StreamWriter) -> None:
+def test_the_connections_measurement_fails_if_requests_are_not_served(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async def reply_error(words: list[bytes], writer: asyncio.StreamWriter) -> None:
         writer.write(b"-ERR broken\r\n")
 
     monkeypatch.setattr(measure_connections, "WARM_UP_S", 0.5)
     monkeypatch.setattr(measure_connections, "MEASURED_S", 0.5)
     monkeypatch.setattr(measure_connections, "MEMORY_CONNECTIONS", 64)
-    monkeypatch.setattr(measure_connections, "_serve", refuses)
+    monkeypatch.setattr(measure_connections, "_serve", reply_error)
     answer = measure("connections", TINY)
     assert isinstance(answer, Failed) and "requests were served" in answer.reason
 
 
-def test_a_subject_that_forgets_a_cost_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_measurement_without_one_of_its_costs_fails(monkeypatch: pytest.MonkeyPatch) -> None:
     broken = msgspec.structs.replace(subjects()["config"], measure=lambda size: {"config.bytes": 1})
     monkeypatch.setattr("limebridge.scale.measure.subjects", lambda: {"config": broken})
     answer = measure("config", TINY)
@@ -229,7 +231,7 @@
     "fails": "raise RuntimeError('no figure')",
     "is_silent": "raise SystemExit(3)",
     "prints_noise": "print('no JSON')",
-    "says_why": """print('{"type": "failed", "reason": "too few"}')""",
+    "reports_failure": """print('{"type": "failed", "reason": "too few"}')""",
 }
 
 
@@ -240,10 +242,10 @@
         ("fails", "its process ended with status 1: RuntimeError: no figure"),
         ("is_silent", "its process ended with status 3: it said nothing"),
         ("prints_noise", "its process ended with status 0: it said nothing"),
-        ("says_why", "too few"),
+        ("reports_failure", "too few"),
     ],
 )
-def test_a_child_without_a_figure_is_reported_and_gone(
+def test_a_failed_child_is_reported_and_has_exited(
     child: str, reason: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     (tmp_path / f"child_that_{child}.py").write_text(CHILDREN[child])
@@ -254,24 +256,24 @@
     assert children_of(os.getpid(), f"child_that_{child}") == []
 
 
-def test_a_failed_size_is_left_out_and_told(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def played(subject: str, size: int, time_limit: float) -> Measured | Failed:
+def test_a_failed_size_is_left_out_and_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def fake_run_child(subject: str, size: int, time_limit: float) -> Measured | Failed:
         if size == subjects()[subject].quick_sizes[1]:
             return Failed("no result after 1 s")
         return Measured({cost.name: 2.0 * size for cost in subjects()[subject].costs})
 
-    monkeypatch.setattr(slopes, "run_child", played)
-    told: list[str] = []
+    monkeypatch.setattr(slopes, "run_child", fake_run_child)
+    progress: list[str] = []
     options = slopes.Options(quick=True, only="config", jobs=2)
-    result = asyncio.run(slopes.run(options, told.append))
-    assert result.failed == 1 and len(told) == 5
+    result = asyncio.run(slopes.run(options, progress.append))
+    assert result.failed == 1 and len(progress) == 5
     assert [line for line in result.slopes.left_out if "no result after 1 s" in line]
     assert len(result.slopes.costs) == 3
     assert all(len(cost.points) == 4 and cost.straight for cost in result.slopes.costs)
     assert result.slopes.quick and result.slopes.machine.cores > 0
 
 
-def test_of_several_runs_the_least_cpu_time_counts_and_the_median_of_the_rest() -> None:
+def test_the_smallest_cpu_time_of_several_runs_counts_and_the_median_of_other_costs() -> None:
     costs = {cost.name: cost for cost in subjects()["list"].costs}
     runs = {20: [3.0, 1.0, 2.0], 10: [9.0, 8.0, 4.0]}
     assert slopes.combine_runs(costs["list.parse_ms"], runs) == [(10.0, 4.0), (20.0, 1.0)]
@@ -280,19 +282,19 @@
     assert [job.size for job in full[:6]] == [46, 200, 600, 1200, 3200, 46]
 
 
-def test_a_cost_with_too_few_sizes_has_no_figure(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def played(subject: str, size: int, time_limit: float) -> Measured | Failed:
+def test_a_cost_with_too_few_sizes_is_left_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def fake_run_child(subject: str, size: int, time_limit: float) -> Measured | Failed:
         return Failed("ended")
 
-    monkeypatch.setattr(slopes, "run_child", played)
+    monkeypatch.setattr(slopes, "run_child", fake_run_child)
     options = slopes.Options(quick=True, only="list.bytes", skip_largest=True)
-    result = asyncio.run(slopes.run(options, lambda what: None))
+    result = asyncio.run(slopes.run(options, lambda measured: None))
     assert result.failed == 4 and result.slopes.costs == ()
     assert any("--skip-largest" in line for line in result.slopes.left_out)
     assert any(line.startswith("list.bytes: 0 points") for line in result.slopes.left_out)
 
 
-def test_an_unknown_name_is_refused_with_those_that_there_are(tmp_path: Path) -> None:
+def test_an_unknown_subject_is_rejected_and_the_known_ones_listed(tmp_path: Path) -> None:
     run = command_line("--only", "lists", "--json", str(tmp_path / "slopes.json"))
     done = subprocess.run(run, capture_output=True, text=True, timeout=30.0, check=False)
     assert done.returncode == 2
@@ -300,7 +302,7 @@
     assert done.stderr.count("\n") == 1
 
 
-def test_a_file_that_cant_be_written_is_refused_before_measuring(tmp_path: Path) -> None:
+def test_an_unwritable_file_is_rejected_before_measuring(tmp_path: Path) -> None:
     run = command_line("--quick", "--json", str(tmp_path))
     done = subprocess.run(run, capture_output=True, text=True, timeout=30.0, check=False)
     assert done.returncode == 2
@@ -308,12 +310,12 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
-def test_a_command_that_is_ended_leaves_no_child(number: signal.Signals, tmp_path: Path) -> None:
+def test_an_interrupted_command_leaves_no_child(number: signal.Signals, tmp_path: Path) -> None:
     path = tmp_path / "slopes.json"
     run = command_line("--quick", "--jobs", "2", "--json", str(path))
     with subprocess.Popen(run, stderr=subprocess.PIPE, text=True) as process:
         try:
-            children = until_two_measure(process.pid)
+            children = wait_for_two_children(process.pid)
             process.send_signal(number)
             assert process.wait(10.0) == 130
             assert process.stderr is not None
@@ -325,8 +327,10 @@
 
 
 def cost_of(points: list[tuple[float, float]]) -> Cost:
-    """A cost with these points, fitted as the command does."""
-    definition = CostDefinition(name="test.cost", unit="ms", what="Planted.", mechanism="tests")
+    """A cost with these (size, value) points, fitted as the command does."""
+    definition = CostDefinition(
+        name="test.cost", unit="ms", what="Points of a test.", mechanism="tests"
+    )
     return slopes.fit_cost(definition, subjects()["list"], points, slopes.Options())
 
 
@@ -347,20 +351,20 @@
 
 
 def children_of(parent: int, word: str) -> list[int]:
-    """Processes whose parent this is and whose command line has that word."""
+    """IDs of child processes of `parent` whose command line contains `word`."""
     found = []
     for path in Path("/proc").glob("[0-9]*"):
         with contextlib.suppress(OSError):
-            its_parent = int((path / "stat").read_text().rpartition(")")[2].split()[1])
-            if its_parent == parent and word.encode() in (path / "cmdline").read_bytes():
+            parent_id = int((path / "stat").read_text().rpartition(")")[2].split()[1])
+            if parent_id == parent and word.encode() in (path / "cmdline").read_bytes():
                 found.append(int(path.name))
     return found
 
 
-def until_two_measure(parent: int) -> list[int]:
-    """The command's children, once both are there."""
-    until = time.monotonic() + 30.0
-    while time.monotonic() < until:
+def wait_for_two_children(parent: int) -> list[int]:
+    """Wait until the command has two child processes; return their IDs."""
+    deadline = time.monotonic() + 30.0
+    while time.monotonic() < deadline:
         children = children_of(parent, "limebridge.scale.measure")
         if len(children) == 2:
             return children
