--- a/limebridge/experiments/watch.py
+++ b/limebridge/experiments/watch.py
@@ -261,8 +261,8 @@
         ]
         costs = sorted(detail.get("costs", []), key=lambda c: -c[1])[:3]
         lines += [
-            f"second {second}: {cause} ({loss_share:.0%} of {lost:.2f})"
-            for second, lost, cause, loss_share in costs
+            f"second {second}: {main_cause} ({loss_share:.0%} of {lost:.2f})"
+            for second, lost, main_cause, loss_share in costs
         ]
         self.query_one("#words", Static).update(Text("\n".join(lines)))
         update_table(
