--- a/benchmarks/build_pair.py
+++ b/benchmarks/build_pair.py
@@ -28,7 +28,7 @@
 
 
 @contextlib.contextmanager
-def unpacked(base: str, build: str) -> Iterator[BuildPair]:
+def unpack_builds(base: str, build: str) -> Iterator[BuildPair]:
     """Each a commit, or `.` for this checkout as it is now.  Raises BuildError if there is none."""
     with tempfile.TemporaryDirectory() as folder:
         under = Path(folder)
@@ -46,6 +46,6 @@
     return os.environ | {"PYTHONPATH": str(folder), "PYTHONHASHSEED": "0"}
 
 
-def played(line: bytes) -> Played:
+def decode_result(line: bytes) -> Played:
     """What a load has printed."""
     return msgspec.json.decode(line, type=Played)
--- a/benchmarks/calibrate.py
+++ b/benchmarks/calibrate.py
@@ -87,9 +87,9 @@
     """Seconds of CPU a question."""
     async with harness.nodes(4, size) as ports, harness.daemon(ports, sockets=2048) as daemon:
         await asyncio.to_thread(work, daemon.port, told, deep, count // 4)
-        before = harness.cpu(daemon.pid)
+        before = harness.cpu_seconds(daemon.pid)
         await asyncio.to_thread(work, daemon.port, told, deep, count)
-        return (harness.cpu(daemon.pid) - before) / count
+        return (harness.cpu_seconds(daemon.pid) - before) / count
 
 
 async def terms() -> dict[str, float]:
--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -36,13 +36,13 @@
 async def repeated(port: int, pid: int, words: bytes, count: int = 5000) -> float:
     """Microseconds of CPU of one command that is answered from memory."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    before = harness.cpu(pid)
+    before = harness.cpu_seconds(pid)
     for _ in range(count):
         writer.write(words)
         await read_answer(reader) if not words.startswith(
             b"*2\r\n$7\r\nCLUSTER"
         ) else await reader.readuntil(b"*0\r\n")
-    used = harness.cpu(pid) - before
+    used = harness.cpu_seconds(pid) - before
     writer.close()
     return used / count * 1e6
 
@@ -51,11 +51,11 @@
     """Microseconds of CPU a question when about half are answered with -MOVED."""
     crowd = LoadGenerator(port, clients=40)
     await crowd.connect()
-    before = harness.cpu(pid)
+    before = harness.cpu_seconds(pid)
     await crowd.run(rate, seconds)
     await crowd.wait_for_answers()
     crowd.close()
-    return (harness.cpu(pid) - before) / crowd.sent * 1e6
+    return (harness.cpu_seconds(pid) - before) / crowd.sent * 1e6
 
 
 async def main() -> int:
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -25,17 +25,17 @@
 
 
 async def measure(
-    target: harness.Running, rate: float, seconds: float
+    target: harness.RunningProcess, rate: float, seconds: float
 ) -> tuple[float, LoadGenerator]:
     """Microseconds of CPU a question."""
     crowd = LoadGenerator(target.port, clients=40)
     await crowd.connect()
     await crowd.run(rate, WARM_UP)
     await crowd.wait_for_answers()
-    before, asked = harness.cpu(target.pid), crowd.sent
+    before, asked = harness.cpu_seconds(target.pid), crowd.sent
     await crowd.run(rate, seconds)
     await crowd.wait_for_answers()
-    used = harness.cpu(target.pid) - before
+    used = harness.cpu_seconds(target.pid) - before
     crowd.close()
     return used / (crowd.sent - asked) * 1e6, crowd
 
--- a/benchmarks/emulated_fleet.py
+++ b/benchmarks/emulated_fleet.py
@@ -19,18 +19,18 @@
 KEYS = wire.Keys([b"a key of a measurement"])
 
 
-class Quiet:
+class RecordingProxy:
     """A proxy that remembers which nodes it was told to leave alone."""
 
     def __init__(self) -> None:
         self.places, self.load_samples = NodeAddresses(), deque[LoadSample]()
-        self.bad: list[int] = []
+        self.unhealthy: list[int] = []
 
     def apply_peer_reports(self, bad: list[int], outcomes: list[LoadSample]) -> None:
-        self.bad = bad
+        self.unhealthy = bad
 
 
-class Emulated:
+class EmulatedFleet:
     """So many members on one virtual clock, in a fleet that has stood for long."""
 
     def __init__(self, count: int, loss: float = 0.0, settled: bool = True) -> None:
@@ -40,14 +40,14 @@
         self.kernel.datagram_delays = lambda owner, port: (
             [] if self.random.random() < loss else [0.0005]
         )
-        self.proxies = [Quiet() for _ in range(count)]
-        self.told: list[tuple[float, str, str]] = []
-        self.here: list[Sharing] = []
+        self.proxies = [RecordingProxy() for _ in range(count)]
+        self.state_changes: list[tuple[float, str, str]] = []
+        self.sharings: list[Sharing] = []
         for number in range(count):
             self.start(number)
         if settled:
-            own = [sharing.members.own_rumor() for sharing in self.here]
-            for sharing in self.here:
+            own = [sharing.members.own_rumor() for sharing in self.sharings]
+            for sharing in self.sharings:
                 for rumor in own:
                     if rumor.name != sharing.name:
                         sharing.members.add_member(rumor, self.kernel.now)
@@ -67,11 +67,11 @@
         before = sharing.members._changed
 
         def changed(name: str, state: str, was: str) -> None:
-            self.told.append((self.kernel.now, name, state))
+            self.state_changes.append((self.kernel.now, name, state))
             before(name, state, was)
 
         sharing.members._changed = changed
-        self.here.append(sharing)
+        self.sharings.append(sharing)
 
     def run(self, seconds: float) -> None:
         with quiet(50):
--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -33,7 +33,7 @@
 PATIENCE = 30.0  # s for a process to say that it is ready
 
 
-def cpu(pid: int) -> float:
+def cpu_seconds(pid: int) -> float:
     """Seconds of CPU that this process has had, to the nanosecond where the kernel tells."""
     total = 0.0
     for task in Path(f"/proc/{pid}/task").iterdir():
@@ -49,7 +49,7 @@
 
 
 @dataclass
-class Running:
+class RunningProcess:
     process: asyncio.subprocess.Process | Child
     port: int
 
@@ -87,13 +87,13 @@
 
 
 @asynccontextmanager
-async def relay(ports: list[int], loop: str) -> AsyncIterator[Running]:
+async def relay(ports: list[int], loop: str) -> AsyncIterator[RunningProcess]:
     flags = ["--uvloop"] if loop == "uvloop" else []
     process = await spawn(
         "benchmarks/relay.py", *map(str, ports), *flags, stdout=asyncio.subprocess.PIPE
     )
     try:
-        yield Running(process, int(await first_line(process)))
+        yield RunningProcess(process, int(await first_line(process)))
     finally:
         await stop(process)
 
@@ -105,7 +105,7 @@
     sockets: int = 1024,
     operator: Path | None = None,
     **settings: Any,
-) -> AsyncIterator[Running]:
+) -> AsyncIterator[RunningProcess]:
     """The daemon of `build` in front of nodes on these ports, ready to be asked."""
     discovery = await Discovery().start()
     entries = [
@@ -134,7 +134,7 @@
         child = Child(Path(folder), "config", build=build, on_log_line=print_warnings)
         try:
             await child.start(raw, listen, operator)
-            yield Running(child, listen)
+            yield RunningProcess(child, listen)
         finally:
             await child.kill()
             await discovery.stop()
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -63,7 +63,7 @@
             while not any("index" in asked for asked in agent.requests):
                 await asyncio.sleep(0.05)
             await asyncio.sleep(2.0)
-            before = harness.cpu(daemon.pid)
+            before = harness.cpu_seconds(daemon.pid)
             for number in range(round(seconds)):
                 if changes:
                     name = f"cache-{number * 7 % instances}"
@@ -73,7 +73,7 @@
             return {
                 "instances": instances,
                 "changes": changes,
-                "share_of_a_core": round((harness.cpu(daemon.pid) - before) / seconds, 4),
+                "share_of_a_core": round((harness.cpu_seconds(daemon.pid) - before) / seconds, 4),
                 "resident_mb": round(harness.resident_mb(daemon.pid), 1),
             }
 
--- a/benchmarks/mixed.py
+++ b/benchmarks/mixed.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True)
-class Result:
+class LoadResult:
     in_time: float  # share of what was asked, within 300 ms
     p99: float  # s, of what was served
     busiest: float  # arrivals at the node with most for its capacity, as a share of it
@@ -73,7 +73,7 @@
     return RATE * len(SITES) * sum(cores * speed / WORK for cores, speed in KINDS.values())
 
 
-def planned() -> Plan:
+def solve_plan() -> Plan:
     found = solve(fleet())
     assert found is not None
     return make_plan(found.model.fleet, found.shares, 0.0)
@@ -95,13 +95,13 @@
     def started(self, at: float, node: str, capacity: float) -> None: ...
 
 
-def play(seed: int, seconds: float, plan: Plan | None, lost: bool) -> Result:
+def run_load(seed: int, seconds: float, plan: Plan | None, lost: bool) -> LoadResult:
     """One run of `seconds` after the warm-up; with `lost` a site dies when it begins."""
     kernel = Kernel(seed)
     loop = VirtualLoop(kernel)
     logging.getLogger("violetroute").setLevel(logging.CRITICAL)
     try:
-        return loop.run_until_complete(_play(kernel, loop, seed, seconds, plan, lost))
+        return loop.run_until_complete(_run_load(kernel, loop, seed, seconds, plan, lost))
     finally:
         for task in asyncio.all_tasks(loop):
             task.cancel()
@@ -110,9 +110,9 @@
         loop.close()
 
 
-async def _play(
+async def _run_load(
     kernel: Kernel, loop: VirtualLoop, seed: int, seconds: float, plan: Plan | None, lost: bool
-) -> Result:
+) -> LoadResult:
     seen = Seen(loop)
     database = CustomerDatabase(concurrency=64, latency=0.05, queue_limit=1024, seed=seed)
     nodes: list[FleetNode] = []
@@ -189,14 +189,14 @@
     database: CustomerDatabase,
     seconds: float,
     lost: bool,
-) -> Result:
+) -> LoadResult:
     asks = [ask for crowd in crowds for ask in crowd.finished if ask.sent_at >= seen.counts_from]
     served = sorted(ask.ended_at - ask.sent_at for ask in asks if ask.outcome == "served")
     here = [node for node in nodes if not (lost and node.name.startswith(SITES[-1]))]
     whole = sum(node.capacity for node in here)
     busy = [seen.arrivals[node.name] / seconds / node.capacity for node in here]
     total = sum(seen.arrivals[node.name] for node in here)
-    return Result(
+    return LoadResult(
         in_time=sum(time <= 0.3 for time in served) / max(1, len(asks)),
         p99=served[int(0.99 * len(served))] if served else 0.0,
         busiest=max(busy),
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -114,7 +114,7 @@
 
 
 async def standing(
-    daemon: harness.Running, clients: int, deep: int, seconds: float
+    daemon: harness.RunningProcess, clients: int, deep: int, seconds: float
 ) -> dict[str, Any]:
     """Each client holds `deep` commands at any time: what is answered, it asks again."""
     crowd = LoadGenerator(daemon.port, clients, seed=3)
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -72,11 +72,11 @@
 
 def service(seconds: float, pairs: int, lost: bool) -> dict[str, object]:
     """Means over the seeds, even shares against planned ones."""
-    shares = mixed.planned()
-    rows: dict[str, list[mixed.Result]] = {"even": [], "planned": []}
+    shares = mixed.solve_plan()
+    rows: dict[str, list[mixed.LoadResult]] = {"even": [], "planned": []}
     for seed in range(pairs):
         for name, plan in (("even", None), ("planned", shares)):
-            rows[name].append(mixed.play(seed, seconds, plan, lost))
+            rows[name].append(mixed.run_load(seed, seconds, plan, lost))
     told: dict[str, object] = {"site_lost": lost, "pairs": pairs}
     for name, each in rows.items():
         told[name] = {
--- a/benchmarks/refusal.py
+++ b/benchmarks/refusal.py
@@ -21,7 +21,7 @@
 
 
 async def measure(
-    target: harness.Running, rate: float, seconds: float, deep: int, told: bytes
+    target: harness.RunningProcess, rate: float, seconds: float, deep: int, told: bytes
 ) -> tuple[float, float]:
     """Microseconds of CPU a question, and the share that was refused."""
     crowd = LoadGenerator(target.port, clients=200, wait_field=told)
@@ -32,11 +32,11 @@
 
     await crowd.run(rate, 0.5, pick, deep)
     await crowd.wait_for_answers()
-    used, asked = harness.cpu(target.pid), crowd.sent
+    used, asked = harness.cpu_seconds(target.pid), crowd.sent
     await crowd.run(rate, seconds, pick, deep)
     await crowd.wait_for_answers()
     crowd.close()
-    cost = (harness.cpu(target.pid) - used) / (crowd.sent - asked) * 1e6
+    cost = (harness.cpu_seconds(target.pid) - used) / (crowd.sent - asked) * 1e6
     return cost, crowd.count_outcomes()["refused"] / crowd.sent
 
 
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -21,7 +21,7 @@
 import request_counts
 import request_cpu
 import request_native
-from build_pair import unpacked
+from build_pair import unpack_builds
 from request_load import LOAD_NAMES
 
 from limebridge.experiments.builds import BuildError
@@ -55,21 +55,21 @@
 
 
 def count(options: argparse.Namespace) -> bool:
-    with unpacked(options.base, options.build) as pair:
+    with unpack_builds(options.base, options.build) as pair:
         rows = request_counts.compare(pair, options.load or LOAD_NAMES, options.requests)
     request_counts.show(rows, options.functions)
     return all(row.same_traffic and row.ratio <= options.limit for row in rows)
 
 
 def native(options: argparse.Namespace) -> bool:
-    with unpacked(options.base, options.build) as pair:
+    with unpack_builds(options.base, options.build) as pair:
         rows = request_native.compare(pair, options.load or ["target"], options.requests)
     request_native.show(rows)
     return all(row.same_traffic and row.ratio <= options.limit for row in rows)
 
 
 def cpu(options: argparse.Namespace) -> bool:
-    with unpacked(options.base, options.build) as pair:
+    with unpack_builds(options.base, options.build) as pair:
         found = asyncio.run(request_cpu.compare(pair, options.pairs, options.blocks))
     limit: float = options.limit
     request_cpu.show(found, limit)
@@ -77,7 +77,7 @@
 
 
 def memory(options: argparse.Namespace) -> bool:
-    with unpacked(options.base, options.build) as pair:
+    with unpack_builds(options.base, options.build) as pair:
         found = asyncio.run(request_cpu.memory(pair, options.starts))
     request_cpu.show_memory(found)
     limit: float = options.limit
--- a/benchmarks/request_counts.py
+++ b/benchmarks/request_counts.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from build_pair import BuildPair, load_command, load_environment, played
+from build_pair import BuildPair, decode_result, load_command, load_environment
 from instruction_count import EVENT_LOOP, Counts
 from request_load import Played
 
@@ -73,7 +73,7 @@
         process.kill()
     if process.returncode:
         raise RuntimeError(f"the load ended with status {process.returncode}")
-    return played(line)
+    return decode_result(line)
 
 
 def compare(pair: BuildPair, loads: Iterable[str], requests: int) -> list[Comparison]:
--- a/benchmarks/request_cpu.py
+++ b/benchmarks/request_cpu.py
@@ -50,7 +50,7 @@
 class Asked:
     """One daemon and the clients that ask it."""
 
-    def __init__(self, daemon: harness.Running) -> None:
+    def __init__(self, daemon: harness.RunningProcess) -> None:
         self._daemon = daemon
         self._crowd = LoadGenerator(daemon.port, CLIENTS)
         self.total = 0.0  # s of CPU in all rounds
@@ -63,10 +63,10 @@
 
     async def round(self) -> float:
         """Seconds of CPU a request."""
-        before, asked = harness.cpu(self._daemon.pid), self._crowd.sent
+        before, asked = harness.cpu_seconds(self._daemon.pid), self._crowd.sent
         await self._crowd.run(RATE, SECONDS)
         await self._crowd.wait_for_answers()
-        used = harness.cpu(self._daemon.pid) - before
+        used = harness.cpu_seconds(self._daemon.pid) - before
         requests = self._crowd.sent - asked
         self.total += used
         self.requests += requests
--- a/benchmarks/request_native.py
+++ b/benchmarks/request_native.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 import request_counts
-from build_pair import BuildPair, load_command, load_environment, played
+from build_pair import BuildPair, decode_result, load_command, load_environment
 
 FEW = 100  # requests of the run that is taken off
 SHARE_REQUESTS = 200  # to learn the daemon's part
@@ -104,7 +104,7 @@
     total = TOTAL.search(told)
     if process.returncode or total is None:
         raise RuntimeError(f"valgrind ended with status {process.returncode}: {told[-300:]!r}")
-    run = played(line)
+    run = decode_result(line)
     return _Run(int(total[1].replace(b",", b"")), run.asked, run.digest)
 
 
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -28,7 +28,7 @@
 from typing import Any
 
 import msgspec
-from emulated_fleet import KEYS, Emulated, Quiet
+from emulated_fleet import KEYS, EmulatedFleet, RecordingProxy
 
 from limebridge.faults.budgets import Bounds, World
 from limebridge.faults.sharing import checker, rig
@@ -76,26 +76,26 @@
 
 def members(count: int, loss: float) -> dict[str, Any]:
     """Traffic at rest, time until a death is known to all, false suspicions."""
-    fleet = Emulated(count, loss)
+    fleet = EmulatedFleet(count, loss)
     fleet.run(5.0)
-    sent, size = sum(s.sent for s in fleet.here), sum(s.bytes_sent for s in fleet.here)
-    fleet.told.clear()
+    sent, size = sum(s.sent for s in fleet.sharings), sum(s.bytes_sent for s in fleet.sharings)
+    fleet.state_changes.clear()
     began = time.process_time()
     fleet.run(30.0)
     cpu = time.process_time() - began
-    found = Counter(state for _, _, state in fleet.told)
+    found = Counter(state for _, _, state in fleet.state_changes)
     sent, size = (
-        sum(s.sent for s in fleet.here) - sent,
-        sum(s.bytes_sent for s in fleet.here) - size,
+        sum(s.sent for s in fleet.sharings) - sent,
+        sum(s.bytes_sent for s in fleet.sharings) - size,
     )
-    gone = fleet.here[3]
+    gone = fleet.sharings[3]
     gone._timer.cancel()
     gone._socket.close()
     at = fleet.kernel.now
-    fleet.told.clear()
+    fleet.state_changes.clear()
     fleet.run(40.0 + 20.0 * math.log10(count))
     heard = sorted(
-        when - at for when, name, state in fleet.told if name == gone.name and state == "d"
+        when - at for when, name, state in fleet.state_changes if name == gone.name and state == "d"
     )
     return {
         "members": count,
@@ -114,9 +114,9 @@
 
 def judged(count: int, calm: float) -> dict[str, Any]:
     """Each member judges a request in EVERY s; from some time on one node fails all."""
-    fleet = Emulated(count)
+    fleet = EmulatedFleet(count)
     nodes = [Member(number, CacheState.READY, started_at=1.0) for number in range(1, NODES + 1)]
-    for sharing in fleet.here:
+    for sharing in fleet.sharings:
         sharing.update_nodes(nodes)
     bad_from, rng = fleet.kernel.now + calm, random.Random(2)
     false = 0
@@ -124,14 +124,14 @@
 
     def request(place: int) -> None:
         nonlocal false
-        sharing, proxy, now = fleet.here[place], fleet.proxies[place], fleet.kernel.now
+        sharing, proxy, now = fleet.sharings[place], fleet.proxies[place], fleet.kernel.now
         node = rng.randrange(1, NODES + 1)
-        if node not in proxy.bad:
+        if node not in proxy.unhealthy:
             # One in a hundred fails anywhere.
             fails = (node == 1 and now >= bad_from) or rng.random() < 0.01
             sharing.record_attempt(node, Result.LATE if fails else Result.OK)
-        false += sum(bad != 1 or now < bad_from for bad in proxy.bad)
-        if 1 in proxy.bad and now >= bad_from:
+        false += sum(bad != 1 or now < bad_from for bad in proxy.unhealthy)
+        if 1 in proxy.unhealthy and now >= bad_from:
             avoided.setdefault(place, now - bad_from)
         fleet.kernel.at(now + rng.expovariate(1.0 / EVERY), lambda: request(place))
 
@@ -204,7 +204,7 @@
     loop = VirtualLoop(Kernel(1))
     net = SocketNetwork(loop, make=loop.kernel.maker("p"), clock=lambda: 1.7e9)
     table = SharingTable(listen="127.0.0.1:20000", proxies=1, budget=(BudgetTable("all", 1e6),))
-    sharing = Sharing(table, KEYS, "p", "a", 1000.0, net, Quiet())
+    sharing = Sharing(table, KEYS, "p", "a", 1000.0, net, RecordingProxy())
     sharing.update_nodes([Member(number, CacheState.READY) for number in range(NODES)])
     rng = random.Random(1)
     keys = [rng.getrandbits(52) for _ in range(10_000)]
@@ -268,9 +268,9 @@
 
 def fuzz(datagrams: int) -> dict[str, Any]:
     """Noise, spoilt ones, and noise within a good seal; what is left afterwards."""
-    fleet = Emulated(3)
+    fleet = EmulatedFleet(3)
     fleet.run(3.0)
-    target, rng = fleet.here[0], random.Random(3)
+    target, rng = fleet.sharings[0], random.Random(3)
     good = KEYS.seal(
         wire.Envelope(
             "p1", "l1", 1, 10**6, "p0", "l0", 0, 0, [wire.raw(wire.encode_item(wire.Ping(1)))]
