--- a/limebridge/faults/distribution/command.py
+++ b/limebridge/faults/distribution/command.py
@@ -151,7 +151,7 @@
 def run(
     seeds: PlanCount = 50,
     first: FirstSeed = 0,
-    jobs: Annotated[int, typer.Option(min=1, max=64, help="Plans at once.")] = 2,
+    jobs: Annotated[int, typer.Option(min=1, max=64, help="Plans that run at the same time.")] = 2,
     older: Older = "",
     rolling: Rolling = False,
     as_json: Json = False,
@@ -199,7 +199,7 @@
     rolling: Rolling = False,
     patch: PatchFile = None,
 ) -> None:
-    """Run one plan again and print its trace; or replay the events of a .story file, one a line.
+    """Run one plan again and print its trace; or replay the events of a .story file, one per line.
 
     Exit status 1 on a violation.
     """
@@ -229,7 +229,7 @@
 @app.command()
 @interruptible
 def walk(
-    seeds: Annotated[int, typer.Option(min=1, max=10_000_000, help="How many.")] = 1000,
+    seeds: Annotated[int, typer.Option(min=1, max=10_000_000, help="Number of walks.")] = 1000,
     first: FirstSeed = 0,
     jobs: Jobs = 0,
     patch: PatchFile = None,
--- a/limebridge/faults/distribution/explore.py
+++ b/limebridge/faults/distribution/explore.py
@@ -69,7 +69,7 @@
 def explore(
     first: int, seeds: int, jobs: int, prepare: Callable[[], None] | None = None
 ) -> Iterator[list[Outcome]]:
-    """Yields chunks of outcomes in the order of their seeds, from `jobs` processes; 0: one a core.
+    """Yields chunks of outcomes in the order of their seeds, from `jobs` processes (0: all cores).
 
     Each process calls `prepare` first.
     """
--- a/limebridge/faults/distribution/rig.py
+++ b/limebridge/faults/distribution/rig.py
@@ -82,7 +82,7 @@
 
     @property
     def trace(self) -> str:
-        """The notes of the run, and the violations, one a line."""
+        """The notes of the run, and the violations, one per line."""
         return format_trace(self.notes, self.violations)
 
 
--- a/limebridge/faults/distribution/walk.py
+++ b/limebridge/faults/distribution/walk.py
@@ -115,7 +115,7 @@
 def explore(
     first: int, seeds: int, jobs: int, prepare: Callable[[], None] | None = None
 ) -> Iterator[list[Walk]]:
-    """Yields chunks of walks in the order of their seeds, from `jobs` processes; 0: one a core.
+    """Yields chunks of walks in the order of their seeds, from `jobs` processes (0: all cores).
 
     Each process calls `prepare` first.
     """
--- a/tests/limebridge/faults/distribution/test_distribution_faults.py
+++ b/tests/limebridge/faults/distribution/test_distribution_faults.py
@@ -202,7 +202,5 @@
 def test_real_proxy_that_acknowledges_without_applying_is_detected() -> None:
     """Leaders and its own status report no problem; only the batches that it applied show it."""
     outcome = rig.run_plan(msgspec.structs.replace(REAL, seed=3, fault=[]), drops_every=5)
-    assert {violation.rule for violation in outcome.violations} == {Rule.ORDER}, outcome.trace[
-        -4000:
-    ]
+    assert {each.rule for each in outcome.violations} == {Rule.ORDER}, outcome.trace[-4000:]
     assert all(" p0 applies " in violation.text for violation in outcome.violations)
--- a/tests/limebridge/faults/distribution/test_distribution_hard_cases.py
+++ b/tests/limebridge/faults/distribution/test_distribution_hard_cases.py
@@ -24,9 +24,7 @@
 from violetroute.distribution.subscriber import Subscriber
 
 FAULTS_START_S = 4.0  # by then the first leader has reported a position in force
-WHOLE_RUN_S = (
-    40.0  # longer than the runs with it: the first leader is not notified of its lost lease
-)
+WHOLE_RUN_S = 40.0  # longer than the runs with it, so that no notice of a lost lease arrives
 TEN_MINUTES_S = 600.0
 QUIET = Plan(seed=0, seconds=4.0, machines=3, proxies=3, stale_after_s=2.0, publications_per_s=4.0)
 
@@ -200,9 +198,7 @@
 ) -> None:
     case.remove_rule(monkeypatch)
     outcome = explore.run_plan(case.plan(), with_trace=True)
-    assert Rule.IN_FORCE in {violation.rule for violation in outcome.violations}, outcome.trace[
-        -4000:
-    ]
+    assert Rule.IN_FORCE in {each.rule for each in outcome.violations}, outcome.trace[-4000:]
 
 
 # --- wall clocks ---
--- a/tests/limebridge/faults/distribution/test_distribution_hard_cases_real.py
+++ b/tests/limebridge/faults/distribution/test_distribution_hard_cases_real.py
@@ -58,9 +58,7 @@
         },
     )
     outcome = rig.run_plan(DUPLICATE_PLAN, builds=Builds(build, build))
-    assert Rule.IN_FORCE in {violation.rule for violation in outcome.violations}, outcome.trace[
-        -4000:
-    ]
+    assert Rule.IN_FORCE in {each.rule for each in outcome.violations}, outcome.trace[-4000:]
 
 
 def test_snapshot_with_outdated_configuration_is_detected(tmp_path: Path) -> None:
@@ -74,9 +72,7 @@
         DUPLICATE_PLAN, seconds=3.5, publications_per_s=20.0, fault=restarts
     )
     outcome = rig.run_plan(plan, builds=Builds(build, build))
-    assert {violation.rule for violation in outcome.violations} == {Rule.ORDER}, outcome.trace[
-        -4000:
-    ]
+    assert {each.rule for each in outcome.violations} == {Rule.ORDER}, outcome.trace[-4000:]
     assert all("from a snapshot at" in violation.text for violation in outcome.violations)
 
 
--- a/tests/limebridge/faults/distribution/test_distribution_mixed_builds.py
+++ b/tests/limebridge/faults/distribution/test_distribution_mixed_builds.py
@@ -46,9 +46,8 @@
     outcome = rig.run_plan(SMALL_PLAN, builds=builds)
     (violation,) = outcome.violations
     assert violation.rule == Rule.CRASH and "a frame that cannot be read" in violation.text
-    assert (
-        outcome.replaced >= SMALL_PLAN.machines + SMALL_PLAN.proxies
-    )  # the rollout to the newer one succeeded
+    # The rollout to the newer build succeeded.
+    assert outcome.replaced >= SMALL_PLAN.machines + SMALL_PLAN.proxies
 
 
 def test_messages_that_the_older_build_cannot_read_are_detected(
@@ -58,9 +57,7 @@
     old, new = copy_of_this_build(tmp_path / "old"), build_with_other_messages(tmp_path)
     monkeypatch.setattr(rig, "assign", split_by_role)
     outcome = rig.run_plan(SMALL_PLAN, builds=Builds(old, new))
-    assert Rule.PROGRESS in {violation.rule for violation in outcome.violations}, outcome.trace[
-        -4000:
-    ]
+    assert Rule.PROGRESS in {each.rule for each in outcome.violations}, outcome.trace[-4000:]
 
 
 def split_by_role(builds: Builds, prepared_rig: rig.Rig) -> None:
