--- a/limebridge/faults/distribution/plan.py
+++ b/limebridge/faults/distribution/plan.py
@@ -85,7 +85,8 @@
     """A fault `at` s after the start, of machine or proxy number `who`, that lasts `seconds`.
 
     "split" separates the first `who` + 1 machines and every second proxy from the rest; "split_out"
-    and "split_in" do so in one direction.
+    and "split_in" do so in one direction.  The rig of real processes separates only machine `who`
+    and every second proxy.
     """
 
     at: Seconds
