--- a/limebridge/cli.py
+++ b/limebridge/cli.py
@@ -16,7 +16,7 @@
     LazyCommand(
         "rehearse",
         "limebridge.rehearsal.command:rehearse",
-        "Play a scenario on the virtual clock against the daemon's own code.",
+        "Run a scenario on the virtual clock against the daemon's own code.",
     ),
     LazyCommand(
         "demo",
@@ -56,12 +56,12 @@
     LazyCommand(
         "experiment",
         "limebridge.experiments.command:app",
-        "Sweeps over rehearsals, kept as tables and charts.",
+        "Parameter sweeps over rehearsals, with tables and charts.",
     ),
     LazyCommand(
         "faults",
         "limebridge.faults.command:app",
-        "Several processes, and what breaks between them.",
+        "Test several daemon processes under faults.",
     ),
     LazyCommand(
         "fleet",
--- a/limebridge/scale/instrumented.py
+++ b/limebridge/scale/instrumented.py
@@ -1,11 +1,10 @@
-"""Runs a daemon's module as it is, with counted and shaped sockets.
+"""Runs an unmodified daemon module with sockets that count traffic and delay or drop datagrams.
 
     python -m limebridge.scale.instrumented FILE MODULE [ARGUMENT...]
 
-FILE is an `InstrumentFile` as JSON. MODULE (`violetroute`, `violetroute.distribution`) is run as
-`python -m MODULE ARGUMENT...` would, except that `SocketNetwork` makes `CountedSocket`s. The
-process also ends itself with SIGTERM when its standard input ends, so that it cannot outlive the
-run.
+FILE is an `InstrumentFile` as JSON.  MODULE (`violetroute`, `violetroute.distribution`) runs as by
+`python -m MODULE ARGUMENT...`, except that `SocketNetwork` creates `CountedSocket`s.  The process
+sends itself SIGTERM when its standard input ends, so that it cannot outlive the run.
 """
 
 from __future__ import annotations
@@ -31,62 +30,63 @@
 
 
 class InstrumentFile(msgspec.Struct, frozen=True):
-    """What an instrumented process is told."""
+    """The settings of an instrumented process."""
 
-    counters: str  # the file for its counters, which it makes
-    links: str
+    counters: str  # path of the counters file, which the process creates
+    links: str  # path of the link table
     regions: int
     region: int
     seed: int
-    counted_ports: tuple[int, ...] | None  # connections to others are not counted; None: all are
-    stamps: str = ""  # the file for the times at which a proxy applies positions
+    counted_ports: tuple[int, ...] | None  # only connections to these ports are counted; None: all
+    stamps: str = ""  # path of the file for the times at which positions are applied; "": none
 
 
-def install(file: InstrumentFile) -> None:
-    """Let every `SocketNetwork` of this process count and shape."""
+def instrument_sockets(file: InstrumentFile) -> None:
+    """Make every `SocketNetwork` of this process create counting, shaping sockets by default."""
     links = LinkTable(Path(file.links), file.regions)
     counters = Counters(Path(file.counters), 1, create=True).block(0)
     shaper = DatagramShaper(links, file.region, f"{file.seed}/{file.counters}")
     ports = None if file.counted_ports is None else frozenset(file.counted_ports)
-    make = CountedSocket.socket_factory(counters, shaper, ports)
+    socket_factory = CountedSocket.socket_factory(counters, shaper, ports)
     original: Callable[..., None] = sockets.SocketNetwork.__init__
 
     def initialize(self: sockets.SocketNetwork, *arguments: Any, **options: Any) -> None:
-        original(self, *arguments, **({"make": make} | options))
+        original(self, *arguments, **({"make": socket_factory} | options))
 
     setattr(sockets.SocketNetwork, "__init__", initialize)  # noqa: B010
 
 
-def install_stamps(path: Path) -> None:
-    """Let the `DistributionService` of this process write down when it applies what."""
-    from violetroute.distribution import service  # nothing of it in a daemon without control
+def instrument_distribution(path: Path) -> None:
+    """Make the `DistributionService` of this process record when it applies which positions."""
+    # Not at the top: a daemon without distribution does not load this module.
+    from violetroute.distribution import service
 
     original: Callable[..., None] = service.DistributionService.__init__
 
     def initialize(self: service.DistributionService, *arguments: Any, **options: Any) -> None:
         original(self, *arguments, **options)
         table: DistributionTable = arguments[0]
-        stamps = StampingReceiver(self.receiver, self, path, table.stale_after_s)
-        self.receiver = stamps
-        stamps.sample_staleness(asyncio.get_running_loop())
+        receiver = StampingReceiver(self.receiver, self, path, table.stale_after_s)
+        self.receiver = receiver
+        receiver.sample_staleness(asyncio.get_running_loop())
 
     setattr(service.DistributionService, "__init__", initialize)  # noqa: B010
 
 
-def end_with_input() -> None:
-    """SIGTERM to this process when its standard input ends.  Run in a thread."""
+def terminate_at_end_of_input() -> None:
+    """Send SIGTERM to this process when its standard input ends.  Blocks; run in a thread."""
     while os.read(sys.stdin.fileno(), 4096):
         pass
     os.kill(os.getpid(), signal.SIGTERM)
 
 
 def main() -> None:
-    """The process."""
+    """Instrument this process, and run the module given on the command line in it."""
     file = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=InstrumentFile)
-    install(file)
+    instrument_sockets(file)
     if file.stamps:
-        install_stamps(Path(file.stamps))
-    threading.Thread(target=end_with_input, daemon=True).start()
+        instrument_distribution(Path(file.stamps))
+    threading.Thread(target=terminate_at_end_of_input, daemon=True).start()
     module = sys.argv[2]
     sys.argv = [module, *sys.argv[3:]]
     runpy.run_module(module, run_name="__main__", alter_sys=True)
--- a/limebridge/scale/measure_gossip.py
+++ b/limebridge/scale/measure_gossip.py
@@ -1,7 +1,8 @@
-"""Costs of the gossip membership by the number of members, at rest and when one dies.
+"""Costs of gossip membership by the number of members, at rest and after a member crashes.
 
-All members run in one process on a virtual clock, so CPU time includes the network in memory:
-it is an upper bound. Bytes are those of the datagrams, without the headers of UDP and IP.
+All members run in one process on a virtual clock and an in-memory network.  The CPU time includes
+that of the network, so it is an upper bound.  Bytes are those of the datagrams, without UDP and IP
+headers.
 """
 
 from __future__ import annotations
@@ -16,16 +17,16 @@
 from .registry import MeasurementError, Subject, Values
 from .virtual_members import DEAD, LOG_LEVEL, VirtualMembers
 
-SETTLE_S, REST_S = 5.0, 30.0  # s of virtual time
-DEATH_STEP_S, DEATH_MOST_S = 1.0, 120.0
-DATAGRAM_EVERY_S = 0.02  # s between two datagrams when memory is measured
-MEMBERS_IN_ALL = 10_000  # of all copies together, so that small fleets show in memory
-MOST_COPIES = 20
+SETTLE_S, REST_S = 5.0, 30.0  # virtual time before and during the measurement at rest
+DETECTION_STEP_S, MAX_DETECTION_S = 1.0, 120.0
+DATAGRAM_INTERVAL_S = 0.02  # between two received datagrams when memory is measured
+TOTAL_MEMBERS = 10_000  # in the lists of all copies: makes the memory of small fleets measurable
+MAX_COPIES = 20
 
 
 def measure(size: int) -> Values:
-    """All costs of the membership of `size` members."""
-    memory = _memory_of_one(size)
+    """Measure all costs of membership in a fleet of `size` members."""
+    memory = _memory_per_member(size)
     fleet = settled_fleet(size, SharingTable().probe_s)
     datagrams, sent_bytes = total_sent(fleet)
     seconds = cpu_seconds(lambda: fleet.run(REST_S))
@@ -36,12 +37,12 @@
         "gossip.datagrams_per_s": (datagrams_later - datagrams) / member_seconds,
         "gossip.cpu_share": seconds / member_seconds,
         "gossip.memory_bytes": memory,
-        "gossip.death_known_s": death_known_s(fleet),
+        "gossip.death_known_s": failure_detection_s(fleet),
     }
 
 
 def settled_fleet(size: int, probe_s: float) -> VirtualMembers:
-    """Members that have known each other for a while."""
+    """Create members that all know each other, and run them for SETTLE_S."""
     fleet = VirtualMembers(size, probe_s)
     fleet.add_all()
     fleet.run(SETTLE_S)
@@ -49,49 +50,58 @@
 
 
 def total_sent(fleet: VirtualMembers) -> tuple[int, int]:
-    """Datagrams and bytes that all members have sent so far."""
+    """The number of datagrams and of bytes that all members have sent so far."""
     return (
         sum(member.sent for member in fleet.members),
         sum(member.bytes_sent for member in fleet.members),
     )
 
 
-def _memory_of_one(size: int) -> float:
-    """Bytes that one member holds once it has heard each of the others."""
-    copies = min(MOST_COPIES, max(1, MEMBERS_IN_ALL // size))
+def _memory_per_member(size: int) -> float:
+    """Resident bytes of one member that has received a datagram of each other member.
+
+    The mean of several copies.
+    """
+    copies = min(MAX_COPIES, max(1, TOTAL_MEMBERS // size))
     with quiet(LOG_LEVEL):
-        _heard_all(VirtualMembers(size), 2)  # warms up
+        _receive_all(VirtualMembers(size), 2)  # warms up
         fleets = [VirtualMembers(size) for _ in range(copies)]
         before = resident_bytes()
         for fleet in fleets:
-            _heard_all(fleet, size)
+            _receive_all(fleet, size)
         return (resident_bytes() - before) / copies
 
 
-def _heard_all(fleet: VirtualMembers, size: int) -> None:
+def _receive_all(fleet: VirtualMembers, size: int) -> None:
+    """Start one member, and deliver to it a datagram of each of `size` - 1 other members."""
     member = fleet.add()
     for number in range(1, size):
-        fleet.kernel.now += DATAGRAM_EVERY_S
+        fleet.kernel.now += DATAGRAM_INTERVAL_S
         fleet.introduce(member, number)
     if member.members.size != size:
         raise MeasurementError(f"{member.members.size} of {size} members are known")
 
 
-def death_known_s(fleet: VirtualMembers) -> float:
-    """Seconds from a member's silent end until all others hold it for dead."""
+def failure_detection_s(fleet: VirtualMembers) -> float:
+    """Seconds from a member's crash until all others consider it dead.
+
+    Raises MeasurementError if that takes longer than MAX_DETECTION_S.
+    """
     victim = fleet.members[-1]
     fleet.kill(victim)
     killed_at = fleet.kernel.now
     fleet.changes.clear()
     others = len(fleet.members) - 1
-    while fleet.kernel.now - killed_at < DEATH_MOST_S:
-        fleet.run(DEATH_STEP_S)
-        known = [
+    while fleet.kernel.now - killed_at < MAX_DETECTION_S:
+        fleet.run(DETECTION_STEP_S)
+        detected_at = [
             each.at for each in fleet.changes if (each.name, each.state) == (victim.name, DEAD)
         ]
-        if len(known) >= others:
-            return max(known) - killed_at
-    raise MeasurementError(f"{len(known)} of {others} knew of a death after {DEATH_MOST_S:g} s")
+        if len(detected_at) >= others:
+            return max(detected_at) - killed_at
+    raise MeasurementError(
+        f"{len(detected_at)} of {others} members detected the crash within {MAX_DETECTION_S:g} s"
+    )
 
 
 _cost = partial(define_cost, "gossip", "violetroute/sharing/members.py")
@@ -102,9 +112,13 @@
     costs=(
         _cost("bytes_per_s", "bytes/s", "Bytes that a member sends at rest."),
         _cost("datagrams_per_s", "1/s", "Datagrams that a member sends at rest."),
-        _cost("cpu_share", "cores", "Share of a core that a member takes at rest, at most."),
+        _cost("cpu_share", "cores", "Share of a core that a member uses at rest: an upper bound."),
         _cost("memory_bytes", "bytes", "Resident memory of one member that knows all others."),
-        _cost("death_known_s", "s", "From a member's silent end until the last other knows."),
+        _cost(
+            "death_known_s",
+            "s",
+            "From a crash until the last other member considers it dead.",
+        ),
     ),
     sizes=(170, 350, 710, 1300, 2600),
     quick_sizes=(10, 20, 30, 45, 60),
--- a/limebridge/scale/measure_list.py
+++ b/limebridge/scale/measure_list.py
@@ -1,7 +1,7 @@
-"""Costs of the list of cache nodes in a proxy: bytes, parsing, applying, changes, memory.
+"""Costs of the node list in a proxy: size, parsing, applying it, changes, memory.
 
-A change is measured of one node and of a fifth of all nodes at once: a batch that is applied as
-single steps shows in the second and not in the first.
+Changes are measured for one node, and for a fifth of all nodes at once.  Only the latter shows the
+cost of a batch that is applied as one change per node.
 """
 
 from __future__ import annotations
@@ -18,29 +18,29 @@
 from .cost_definition import define_cost
 from .process_facts import cpu_seconds, least_cpu_seconds, resident_bytes
 from .registry import Subject, Values
-from .sample_list import DRAINING, READY, ProxyOnVirtualNetwork, changed_nodes, whole_list
+from .sample_list import DRAINING, READY, ProxyOnVirtualNetwork, changes_list, full_list_line
 
 PARSE_ROUNDS = 15
 CHANGE_ROUNDS, CHANGES_PER_ROUND = 5, 8
-BATCH_SHARE = 5  # one of so many nodes changes in a batch
-NODES_IN_ALL = 9600  # of all copies of the proxy together, so that small lists show in memory
-LEAST_COPIES, MOST_COPIES = 3, 40
-LOG_LEVEL = 50  # nothing of the daemon's log
+BATCH_DIVISOR = 5  # a batch changes one of this many nodes
+TOTAL_NODES = 9600  # in the lists of all proxies: makes the memory of small lists measurable
+MIN_COPIES, MAX_COPIES = 3, 40
+LOG_LEVEL = 50  # CRITICAL: suppresses the daemon's log
 WARM_UP_NODES = 10
 
 
 def measure(size: int) -> Values:
-    """All costs of the list with `size` nodes."""
-    line = whole_list(size)
+    """Measure all costs of a list of `size` nodes."""
+    line = full_list_line(size)
     with quiet(LOG_LEVEL):
-        _apply(ProxyOnVirtualNetwork(), _parse(whole_list(WARM_UP_NODES)))
-        copies = min(MOST_COPIES, max(LEAST_COPIES, NODES_IN_ALL // size))
+        _apply(ProxyOnVirtualNetwork(), _parse(full_list_line(WARM_UP_NODES)))
+        copies = min(MAX_COPIES, max(MIN_COPIES, TOTAL_NODES // size))
         proxies = [ProxyOnVirtualNetwork() for _ in range(copies)]
         before = resident_bytes()
         apply_seconds = [_apply(proxy, _parse(line)) for proxy in proxies]
         memory = (resident_bytes() - before) / copies
-        drain_seconds, join_seconds = _changes(proxies[0], size)
-        batch = _batches(proxies[0], size)
+        drain_seconds, join_seconds = _measure_changes(proxies[0], size)
+        batch = _measure_batches(proxies[0], size)
     return {
         "list.bytes": len(line),
         "list.parse_ms": least_cpu_seconds(lambda: _parse(line), PARSE_ROUNDS) * 1e3,
@@ -49,25 +49,25 @@
         "list.join_ms": join_seconds * 1e3,
         "list.batch_drain_ms": batch.drain * 1e3,
         "list.batch_join_ms": batch.join * 1e3,
-        "list.batch_turn_ms": batch.longest_turn * 1e3,
+        "list.batch_turn_ms": batch.longest_iteration * 1e3,
         "list.memory_mb": memory / 1e6,
     }
 
 
 def _parse(line: bytes) -> Listing:
-    """What a watch does with a line of discovery's answer."""
+    """Parse a line of discovery's response, as a watch does."""
     text = ObjectSplitter().feed(line)
     assert text is not None
     return ListReader().read(text)
 
 
 def _apply(target: ProxyOnVirtualNetwork, listing: Listing) -> float:
-    """CPU seconds until the proxy has taken the list, in all turns."""
-    return sum(_turns(target, listing))
+    """CPU seconds of all event loop iterations in which the proxy applies the list."""
+    return sum(_iteration_seconds(target, listing))
 
 
-def _turns(target: ProxyOnVirtualNetwork, listing: Listing) -> Iterator[float]:
-    """CPU seconds of each turn of the event loop that takes the list."""
+def _iteration_seconds(target: ProxyOnVirtualNetwork, listing: Listing) -> Iterator[float]:
+    """Apply the list; yield the CPU seconds of each event loop iteration that applies a part."""
     proxy = target.proxy
     yield cpu_seconds(lambda: proxy.list_changed(listing))
     while proxy._lists.waiting:
@@ -75,46 +75,46 @@
 
 
 @dataclass(slots=True)
-class _Batch:
-    """CPU seconds, the least of some rounds."""
+class _BatchSeconds:
+    """CPU seconds of a batch of changes, each the smallest of several rounds."""
 
     drain: float = math.inf
     join: float = math.inf
-    longest_turn: float = math.inf
+    longest_iteration: float = math.inf
 
 
-def _batches(target: ProxyOnVirtualNetwork, size: int) -> _Batch:
-    """A fifth of the nodes drains in one change and comes back in another."""
-    least = _Batch()
-    fifth = range(0, size, BATCH_SHARE)
+def _measure_batches(target: ProxyOnVirtualNetwork, size: int) -> _BatchSeconds:
+    """Measure a change in which a fifth of the nodes drains, and one in which they return."""
+    smallest = _BatchSeconds()
+    fifth = range(0, size, BATCH_DIVISOR)
     for _ in range(CHANGE_ROUNDS):
         target.advance(1.0)
-        drain = list(_turns(target, changed_nodes(fifth, DRAINING)))
+        drain = list(_iteration_seconds(target, changes_list(fifth, DRAINING)))
         target.advance(1.0)
-        join = list(_turns(target, changed_nodes(fifth, READY)))
-        least.drain = min(least.drain, sum(drain))
-        least.join = min(least.join, sum(join))
-        least.longest_turn = min(least.longest_turn, max(drain + join))
-    return least
+        join = list(_iteration_seconds(target, changes_list(fifth, READY)))
+        smallest.drain = min(smallest.drain, sum(drain))
+        smallest.join = min(smallest.join, sum(join))
+        smallest.longest_iteration = min(smallest.longest_iteration, max(drain + join))
+    return smallest
 
 
-def _changes(target: ProxyOnVirtualNetwork, size: int) -> tuple[float, float]:
-    """CPU seconds of one node that drains, and of one that comes back."""
+def _measure_changes(target: ProxyOnVirtualNetwork, size: int) -> tuple[float, float]:
+    """CPU seconds of a change of one node: when it drains, and when it returns."""
     drains, joins = [], []
     for number in range(CHANGE_ROUNDS):
         first = number * CHANGES_PER_ROUND
         nodes = [node % size for node in range(first, first + CHANGES_PER_ROUND)]
-        drains.append(_change(target, nodes, DRAINING))
-        joins.append(_change(target, nodes, READY))
+        drains.append(_seconds_per_change(target, nodes, DRAINING))
+        joins.append(_seconds_per_change(target, nodes, READY))
     return min(drains), min(joins)
 
 
-def _change(target: ProxyOnVirtualNetwork, nodes: list[int], lifecycle: str) -> float:
-    """Mean CPU seconds of these nodes' changes, told one by one."""
+def _seconds_per_change(target: ProxyOnVirtualNetwork, nodes: list[int], lifecycle: str) -> float:
+    """Mean CPU seconds of the changes of these nodes, applied one by one."""
     seconds = 0.0
     for node in nodes:
         target.advance(1.0)
-        seconds += _apply(target, changed_nodes([node], lifecycle))
+        seconds += _apply(target, changes_list([node], lifecycle))
     return seconds / len(nodes)
 
 
@@ -124,17 +124,19 @@
     name="list",
     per="node",
     costs=(
-        _cost("bytes", "bytes", "The whole list as discovery sends it in one line."),
-        _cost("parse_ms", "ms", "CPU time from the line's bytes to typed entries."),
-        _cost("apply_ms", "ms", "CPU time of a first whole list, in all turns."),
-        _cost("change_ms", "ms", "CPU time of a proxy that is told of one node that drains."),
-        _cost("join_ms", "ms", "CPU time of a proxy that is told of one node that comes back."),
+        _cost("bytes", "bytes", "Size of the whole list as discovery sends it in one line."),
+        _cost("parse_ms", "ms", "CPU time to parse the line into entries."),
+        _cost("apply_ms", "ms", "CPU time to apply the first list, in all event loop iterations."),
+        _cost("change_ms", "ms", "CPU time to apply a change in which one node drains."),
+        _cost("join_ms", "ms", "CPU time to apply a change in which one node returns."),
         _cost(
-            "batch_drain_ms", "ms", "CPU time of a fifth of the nodes that drains, in all turns."
+            "batch_drain_ms",
+            "ms",
+            "CPU time to apply a change in which a fifth of the nodes drains.",
         ),
-        _cost("batch_join_ms", "ms", "CPU time of a fifth that comes back, in all turns."),
-        _cost("batch_turn_ms", "ms", "CPU time of the longest turn of these two."),
-        _cost("memory_mb", "MB", "Resident memory that the list takes in a proxy."),
+        _cost("batch_join_ms", "ms", "CPU time to apply a change in which that fifth returns."),
+        _cost("batch_turn_ms", "ms", "CPU time of the longest event loop iteration of these two."),
+        _cost("memory_mb", "MB", "Resident memory of the list in a proxy."),
     ),
     sizes=(46, 200, 600, 1200, 3200),
     quick_sizes=(20, 46, 80, 140, 200),
--- a/limebridge/scale/slopes.py
+++ b/limebridge/scale/slopes.py
@@ -1,4 +1,4 @@
-"""Runs the measurements in fresh processes and fits each cost (`limebridge scale slopes`)."""
+"""`limebridge scale slopes`: runs measurements in new processes and fits a line to each cost."""
 
 from __future__ import annotations
 
@@ -10,49 +10,49 @@
 
 import msgspec
 
-from limebridge.experiments.builds import head
+from limebridge.experiments.builds import head_commit
 from violetroute.config import ConfigError
 
 from .child import run_child
-from .fit import FitError, fit
+from .fit import FitError, fit_line
 from .measure import Failed, Measured
 from .process_facts import describe_machine, load_average
-from .quoted import QUOTED
+from .quoted import QUOTED_FIGURES
 from .registry import CostDefinition, Subject, subjects
 from .results import Cost, Point, Slopes
 
 
 class Job(msgspec.Struct, frozen=True):
-    """One measurement to be made."""
+    """One run of a measurement."""
 
     subject: Subject
     size: int
 
 
 class Options(msgspec.Struct, frozen=True, kw_only=True):
-    """What is measured, and how."""
+    """The options of `limebridge scale slopes`."""
 
-    quick: bool = False  # small sizes
-    only: str = ""  # a subject or a cost; "" is all
-    skip_largest: bool = False  # leave the largest size of each subject out
-    jobs: int = 1  # processes at a time
-    time_limit: float | None = None  # s for one measurement, in place of the subject's own
+    quick: bool = False  # measure small sizes, once each
+    only: str = ""  # a subject or a cost; "" for all
+    skip_largest: bool = False  # leave out the largest size of each subject
+    jobs: int = 1  # number of concurrent processes
+    time_limit: float | None = None  # s for one run; None: the subject's limit
 
 
 class Result(msgspec.Struct, frozen=True):
-    """The whole file, and how many measurements failed."""
+    """The contents of the slopes file, and the number of failed runs."""
 
     slopes: Slopes
     failed: int
 
 
-# The values of all runs by the cost's name and the size.
+# The values of all runs, by the name of the cost and the size.
 RunValues = dict[str, dict[int, list[float]]]
-Progress = Callable[[str], None]  # told of each measurement that has ended
+Progress = Callable[[str], None]  # called after each run with its subject and size
 
 
-def chosen_subjects(only: str) -> list[Subject]:
-    """The subjects to measure.  ConfigError when `only` names none."""
+def select_subjects(only: str) -> list[Subject]:
+    """The subjects to measure.  ConfigError if `only` is neither a subject nor a cost."""
     every = subjects()
     if not only:
         return list(every.values())
@@ -66,11 +66,15 @@
     return found
 
 
-def planned_jobs(options: Options) -> list[Job]:
-    """All measurements by subject; runs of one size are apart, as a busy minute would hit all."""
+def plan_jobs(options: Options) -> list[Job]:
+    """All runs, by subject.
+
+    Each size is run once before any is repeated, so that temporary load on the machine does not
+    affect all runs of one size.
+    """
     return [
         Job(subject, size)
-        for subject in chosen_subjects(options.only)
+        for subject in select_subjects(options.only)
         for _ in range(1 if options.quick else subject.runs)
         for size in _sizes(subject, options)
     ]
@@ -82,9 +86,9 @@
 
 
 async def run(options: Options, progress: Progress) -> Result:
-    """Measure and fit all.  Called off, it ends its children before it returns."""
+    """Measure and fit all costs.  If cancelled, it ends its child processes before it returns."""
     began, load_before = datetime.now(UTC), load_average()
-    jobs = planned_jobs(options)
+    jobs = plan_jobs(options)
     answers = await _measure_all(jobs, options, progress)
     failures = [
         f"{job.subject.name} at {job.size}: {answer.reason}"
@@ -93,28 +97,28 @@
     ]
     costs, unfitted = _fit_all(options, _values(jobs, answers))
     slopes = Slopes(
-        commit=head(),
+        commit=head_commit(),
         machine=describe_machine(load_before),
         quick=options.quick,
         taken_at=began.isoformat(timespec="seconds"),
         costs=tuple(costs),
-        quoted=QUOTED,
+        quoted=QUOTED_FIGURES,
         left_out=(*_skipped(options), *failures, *unfitted),
     )
     return Result(slopes, len(failures))
 
 
 def _fit_all(options: Options, values: RunValues) -> tuple[list[Cost], list[str]]:
-    """The costs that have a line, and a line of text for each that has none."""
+    """The costs with a fitted line, and a message for each cost that has too few sizes."""
     costs: list[Cost] = []
     unfitted: list[str] = []
-    for subject in chosen_subjects(options.only):
+    for subject in select_subjects(options.only):
         for definition in subject.costs:
             if options.only not in ("", subject.name, definition.name):
                 continue
-            points = combined(definition, values.get(definition.name, {}))
+            points = combine_runs(definition, values.get(definition.name, {}))
             try:
-                costs.append(fitted(definition, subject, points, options))
+                costs.append(fit_cost(definition, subject, points, options))
             except FitError as error:
                 unfitted.append(f"{definition.name}: {error}")
     return costs, unfitted
@@ -123,18 +127,18 @@
 async def _measure_all(
     jobs: Sequence[Job], options: Options, progress: Progress
 ) -> list[Measured | Failed]:
-    """The answers in the order of the jobs."""
-    free = asyncio.Semaphore(options.jobs)
+    """Run the jobs, `options.jobs` at a time; returns the answers in the order of the jobs."""
+    slots = asyncio.Semaphore(options.jobs)
 
-    async def one(job: Job) -> Measured | Failed:
-        async with free:
+    async def run_job(job: Job) -> Measured | Failed:
+        async with slots:
             limit = options.time_limit or job.subject.time_limit
             answer = await run_child(job.subject.name, job.size, limit)
         progress(f"{job.subject.name} at {job.size}")
         return answer
 
     async with asyncio.TaskGroup() as group:
-        tasks = [group.create_task(one(job)) for job in jobs]
+        tasks = [group.create_task(run_job(job)) for job in jobs]
     return [task.result() for task in tasks]
 
 
@@ -144,7 +148,7 @@
     return [
         f"{subject.name} at {(subject.quick_sizes if options.quick else subject.sizes)[-1]}:"
         " --skip-largest"
-        for subject in chosen_subjects(options.only)
+        for subject in select_subjects(options.only)
     ]
 
 
@@ -157,17 +161,17 @@
     return found
 
 
-def combined(definition: CostDefinition, runs: dict[int, list[float]]) -> list[Point]:
-    """One point for each size."""
+def combine_runs(definition: CostDefinition, runs: dict[int, list[float]]) -> list[Point]:
+    """One point per size: the smallest value of its runs or the median, as the cost defines."""
     choose = min if definition.least else median
     return [(float(size), choose(values)) for size, values in sorted(runs.items())]
 
 
-def fitted(
+def fit_cost(
     definition: CostDefinition, subject: Subject, points: Sequence[Point], options: Options
 ) -> Cost:
-    """A measured cost with its line.  FitError when there are too few points."""
-    line = fit(points)
+    """Fit a line to the points of a cost.  FitError for fewer than three sizes."""
+    line = fit_line(points)
     return Cost(
         name=definition.name,
         unit=definition.unit,
@@ -187,7 +191,7 @@
 
 
 def command_line(subject: str, options: Options) -> str:
-    """The command that measures this subject so."""
+    """The command that repeats the measurement of `subject` with these options."""
     words = ["limebridge", "scale", "slopes", "--only", subject]
     words += ["--quick"] if options.quick else []
     words += ["--skip-largest"] if options.skip_largest else []
