--- a/limebridge/faults/distribution/explore.py
+++ b/limebridge/faults/distribution/explore.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from limebridge.faults import many
+from limebridge.faults import seed_runs
 from limebridge.faults.violation import Violation
 
 from .checker import Rule, format_trace
@@ -73,9 +73,9 @@
 
     Each process calls `prepare` first.
     """
-    return many.explore(run_seed, first, seeds, jobs, prepare)
+    return seed_runs.explore(run_seed, first, seeds, jobs, prepare)
 
 
 def shrink(found: Outcome) -> Outcome:
     """Removes faults as long as the same rule is violated; returns the outcome with its trace."""
-    return run_plan(many.shrink(found, run_plan, without_fault).plan, with_trace=True)
+    return run_plan(seed_runs.shrink(found, run_plan, without_fault).plan, with_trace=True)
--- a/limebridge/faults/distribution/walk.py
+++ b/limebridge/faults/distribution/walk.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass
 
-from limebridge.faults import many
+from limebridge.faults import seed_runs
 from limebridge.faults.violation import Violation
 
 from .state_space import Bounds, Event, World
@@ -119,4 +119,4 @@
 
     Each process calls `prepare` first.
     """
-    return many.explore(walk, first, seeds, jobs, prepare)
+    return seed_runs.explore(walk, first, seeds, jobs, prepare)
--- a/limebridge/faults/memory.py
+++ b/limebridge/faults/memory.py
@@ -36,7 +36,7 @@
 from limebridge.virtual.session import quiet
 
 from . import history as histories
-from . import many
+from . import seed_runs
 from .endpoint import fail_endpoint
 from .history import History
 from .plan import DATA_LOSS_FAULTS, Fault, Plan, generate, without_fault
@@ -47,7 +47,7 @@
 LEASE_LOSS_FAULTS = (*DATA_LOSS_FAULTS, "leader", "torn")
 MEAN_STEP_S = (0.002, 0.02, 0.08)  # mean times of a step at the folder store; one per plan
 RECOVERY_TIMEOUT_S = 30.0  # for progress of every work after the healing
-MEMORY_FOLDER = Path("/dev/shm")  # for files in memory, where the system has it
+MEMORY_FOLDER = Path("/dev/shm")  # if it exists, since files there need no disk access
 
 
 class World:
@@ -308,10 +308,10 @@
 def explore(
     first: int, seeds: int, jobs: int, daemons: int, prepare: Callable[[], None] | None = None
 ) -> Iterator[list[Outcome]]:
-    """Yield the outcomes in chunks, in seed order; see `many.explore`."""
-    return many.explore(partial(run_seed, daemons=daemons), first, seeds, jobs, prepare)
+    """Yield the outcomes in chunks, in seed order; see `seed_runs.explore`."""
+    return seed_runs.explore(partial(run_seed, daemons=daemons), first, seeds, jobs, prepare)
 
 
 def shrink(found: Outcome) -> Outcome:
     """Remove the faults that the violation does not need; the outcome has its trace."""
-    return run_plan(many.shrink(found, run_plan, without_fault).plan, with_trace=True)
+    return run_plan(seed_runs.shrink(found, run_plan, without_fault).plan, with_trace=True)
--- a/limebridge/faults/reporting.py
+++ b/limebridge/faults/reporting.py
@@ -8,8 +8,8 @@
 
 import typer
 
-from .many import RunOutcome
 from .options import MAX_REPORTED, seed_progress
+from .seed_runs import RunOutcome
 
 
 class RunOutcomeWithTrace(RunOutcome, Protocol):
--- a/limebridge/faults/rig.py
+++ b/limebridge/faults/rig.py
@@ -215,9 +215,8 @@
                 with contextlib.suppress(OSError, shutil.Error):
                     shutil.copytree(self.shared, copy)
                 await asyncio.sleep(fault.seconds)
-                while (
-                    copy.exists()
-                ):  # retried, since daemons may create the folder again in between
+                # Retried, since daemons may create the folder again in between.
+                while copy.exists():
                     with contextlib.suppress(OSError):
                         os.rename(self.shared, self.folder / f"gone-{self.rng.random()}")
                         os.rename(copy, self.shared)
--- a/limebridge/faults/many.py
+++ b/limebridge/faults/seed_runs.py
@@ -45,9 +45,9 @@
     `jobs`: worker processes, 0 for one per core.  `run_seed` and `prepare` are pickled and sent to
     the workers; `prepare` is called there before each chunk.
     """
-    many = jobs or os.cpu_count() or 1
-    size = max(1, min(MAX_CHUNK_SEEDS, seeds // (4 * many) or 1))
-    with worker_pool(many) as pool:
+    workers = jobs or os.cpu_count() or 1
+    size = max(1, min(MAX_CHUNK_SEEDS, seeds // (4 * workers) or 1))
+    with worker_pool(workers) as pool:
         futures = [
             submit(pool, run_chunk, run_seed, at, min(size, first + seeds - at), prepare)
             for at in range(first, first + seeds, size)
--- a/limebridge/faults/sharing/memory.py
+++ b/limebridge/faults/sharing/memory.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from limebridge.faults import many
+from limebridge.faults import seed_runs
 from limebridge.faults.process import DRIFT, START_UNIX_S, ProcessClock
 from limebridge.faults.violation import Violation
 from limebridge.virtual.kernel import Kernel
@@ -370,12 +370,12 @@
 
     `prepare`: called first in each process.
     """
-    return many.explore(run_seed, first, seeds, jobs, prepare)
+    return seed_runs.explore(run_seed, first, seeds, jobs, prepare)
 
 
 def shrink(found: Outcome) -> Outcome:
     """Leave out faults while the same rule is still violated; the outcome with its trace."""
-    return run_plan(many.shrink(found, run_plan, without_fault).plan, with_trace=True)
+    return run_plan(seed_runs.shrink(found, run_plan, without_fault).plan, with_trace=True)
 
 
 def run_seed(seed: int, **changes: object) -> Outcome:
--- a/limebridge/faults/soak_command.py
+++ b/limebridge/faults/soak_command.py
@@ -1,4 +1,4 @@
-"""`limebridge faults soak`: real daemons, each through a soak that is drawn from a seed."""
+"""`limebridge faults soak`: runs soaks of real daemons, each generated from a seed."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 import typer
 
 from .launch import daemon_command
-from .many import explore
 from .options import FirstSeed, Jobs, Json, PatchFile, SeedCount, patch_path
-from .soak import play
+from .seed_runs import explore
+from .soak import run_seed
 from .soak_plan import SoakResult
 
 
-class PlaySeed:
-    """Plays the plan of a seed; can be sent to another process."""
+class RunSeed:
+    """Runs the plan of a seed.  It can be pickled for a worker process."""
 
     def __init__(self, patch: str) -> None:
         self._patch = patch
 
     def __call__(self, seed: int) -> SoakResult:
-        return play(seed, daemon_command(self._patch))
+        return run_seed(seed, daemon_command(self._patch))
 
 
 def soak(
@@ -31,12 +31,12 @@
     patch: PatchFile = None,
     as_json: Json = False,
 ) -> None:
-    """Real daemons: lists and signals in series, clients that go on until the kill.
+    """Run real daemons under list changes and signals, with clients until the daemon ends.
 
-    Exit status 1 when a rule was broken.
+    Exit status 1 after a violation.
     """
     totals = {"seeds": 0, "asked": 0, "served": 0, "refused": 0, "crossed": 0, "broken": 0}
-    for results in explore(PlaySeed(patch_path(patch)), first, seeds, jobs):
+    for results in explore(RunSeed(patch_path(patch)), first, seeds, jobs):
         for result in results:
             _add(totals, result)
             if result.broken:
@@ -53,7 +53,7 @@
 
 
 def _report(result: SoakResult) -> None:
-    """The plan, what it broke, and the line that plays it again."""
+    """Print the command line that replays a failed plan, the plan, and its violations."""
     seed = result.plan.seed
     typer.echo(f"limebridge faults soak --seeds 1 --from {seed}", err=True)
     typer.echo(msgspec.json.encode(result.plan).decode(), err=True)
--- a/limebridge/faults/summary.py
+++ b/limebridge/faults/summary.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from .many import RunOutcome
 from .memory import Outcome
 from .real_runs import GAP_AT_END, PlanResult
 from .reporting import ExploreTotals
+from .seed_runs import RunOutcome
 
 QUANTILES = (0.5, 0.9, 0.99, 1.0)
 
--- a/tests/limebridge/faults/test_fleet_whole.py
+++ b/tests/limebridge/faults/test_fleet_whole.py
@@ -67,8 +67,9 @@
             log_: log.FencedLog, fence: int, nonce: str, name: str, *more: Any
         ) -> log.Steps:
             yield from log.read_to_end(log_)
-            data = log.encode(log.Record(log.VERSION, log_.name, fence, nonce, kind))  # type:
-            #   ignore[arg-type]
+            data = log.encode(
+                log.Record(log.VERSION, log_.name, fence, nonce, kind)  # type: ignore[arg-type]
+            )
             yield log.Put(log_.name, log_.next_position, data)
             return log.Done(log_.next_position)
 
--- a/tests/limebridge/faults/test_soak.py
+++ b/tests/limebridge/faults/test_soak.py
@@ -1,4 +1,4 @@
-"""Soaks of real daemons: fixed seeds stay clean, and planted faults are found by some of them.
+"""Soaks of real daemons: fixed seeds violate no rule, and injected bugs are found.
 
 The long run is `limebridge faults soak --seeds 50`.
 """
@@ -10,38 +10,38 @@
 import pytest
 
 from limebridge.faults.launch import daemon_command
-from limebridge.faults.soak import play
-from limebridge.faults.soak_clients import LATE, Question, SoakClients
-from limebridge.faults.soak_plan import SoakPlan, SoakResult, draw
+from limebridge.faults.soak import run_seed
+from limebridge.faults.soak_clients import MAX_LATENESS_S, Request, SoakClients
+from limebridge.faults.soak_plan import SoakPlan, SoakResult, generate
 
-PLANTED = Path(__file__).parent.parent.parent / "planted_in_soaks"
+INJECTED_BUGS = Path(__file__).parent.parent.parent / "planted_in_soaks"
 SEEDS = range(100, 114)
 
 
 @pytest.mark.long
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_soak_breaks_nothing(seed: int) -> None:
-    result = play(seed)
+def test_a_soak_violates_no_rule(seed: int) -> None:
+    result = run_seed(seed)
     assert result.asked > 20
     assert not result.broken, [violation.line() for violation in result.broken]
 
 
 @pytest.mark.long
 @pytest.mark.parametrize(
-    ("plant", "seed", "rule"),
+    ("bug", "seed", "rule"),
     [
-        ("drain_ignored", 1, "drain"),  # what leaves service waits
-        ("long_turn", 0, "lost"),  # incident 65d06d
-        ("drain_cuts", 0, "lost"),  # a drain that drops what was read
+        ("drain_ignored", 1, "drain"),  # the removal of a node from service is delayed
+        ("long_turn", 0, "lost"),  # incident 65d06d: one update blocks the event loop for seconds
+        ("drain_cuts", 0, "lost"),  # a drain drops requests that were read
     ],
 )
-def test_a_planted_fault_is_found(plant: str, seed: int, rule: str) -> None:
-    result = play(seed, daemon_command(str(PLANTED / f"{plant}.py")))
+def test_an_injected_bug_is_found(bug: str, seed: int, rule: str) -> None:
+    result = run_seed(seed, daemon_command(str(INJECTED_BUGS / f"{bug}.py")))
     assert rule in {violation.rule for violation in result.broken}
 
 
-def test_the_plans_draw_every_kind_of_thing() -> None:
-    plans = [draw(seed) for seed in range(300)]
+def test_the_plans_contain_every_kind_of_event() -> None:
+    plans = [generate(seed) for seed in range(300)]
     assert {event.kind for plan in plans for event in plan.lists} == {
         "drain",
         "gone",
@@ -52,8 +52,10 @@
         "watch_ends",
     }
     assert max(plan.nodes for plan in plans) == 3200
-    assert sum(plan.idle_clients > 0 for plan in plans) > 60, "some with a crowd"
-    assert sum(len(plan.signals) > 3 for plan in plans) > 60, "series of signals"
+    assert sum(plan.idle_clients > 0 for plan in plans) > 60, "too few plans have idle clients"
+    assert sum(len(plan.signals) > 3 for plan in plans) > 60, (
+        "too few plans have a series of signals"
+    )
     assert all(_killed_as_early_as_allowed(plan) for plan in plans)
 
 
@@ -61,37 +63,38 @@
     return plan.killed_at == plan.ends_at + min(3.0, plan.deadline) + 0.7
 
 
-def test_waiting_for_the_answer_before_it_makes_no_answer_late() -> None:
-    first, second = Question(b"1", 0.0, 1.0), Question(b"2", 0.1, 0.2)
-    first.answered_at, second.answered_at = 1.0, 1.0 + LATE / 2
-    assert second.late_by > LATE
-    second.before = first
-    assert second.late_by == pytest.approx(LATE / 2)
+def test_waiting_for_the_previous_answer_makes_no_answer_late() -> None:
+    first, second = Request(b"1", 0.0, 1.0), Request(b"2", 0.1, 0.2)
+    first.answered_at, second.answered_at = 1.0, 1.0 + MAX_LATENESS_S / 2
+    assert second.late_by > MAX_LATENESS_S
+    second.previous = first
+    assert second.late_by == pytest.approx(MAX_LATENESS_S / 2)
 
 
 @pytest.mark.parametrize("unread_between", [0, 1, 3])
 @pytest.mark.parametrize(
-    ("before_answered_at", "at_a_node", "broken"),
+    ("previous_answered_at", "at_a_node", "broken"),
     [(None, False, True), (1.3, False, False), (0.9, False, True), (1.3, True, True)],
 )
-def test_only_what_was_never_read_behind_the_last_answer_may_cross_a_close(
-    before_answered_at: float | None, at_a_node: bool, broken: bool, unread_between: int
+def test_only_requests_never_read_after_the_last_answer_may_cross_a_close(
+    previous_answered_at: float | None, at_a_node: bool, broken: bool, unread_between: int
 ) -> None:
-    """Seed 105: unread behind one in service, the connection ended with that one's answer.
+    """A request that the daemon never read is no violation if the connection closed soon after.
 
-    Up to three others, unread too, were written between the two.
+    Found by seed 105: a request was sent after one in service, and the daemon closed the connection
+    with the answer to that one.  Up to three more unread requests were sent between the two.
     """
-    question = Question(b"2", 1.0, 3.0)
-    question.closed_at = 1.301
-    last = question
+    request = Request(b"2", 1.0, 3.0)
+    request.closed_at = 1.301
+    last = request
     for _ in range(unread_between):
-        last.before = Question(b"3", 0.9, 3.0)
-        last = last.before
+        last.previous = Request(b"3", 0.9, 3.0)
+        last = last.previous
         last.closed_at = 1.301
-    if before_answered_at is not None:
-        last.before = Question(b"1", 0.5, 3.0)
-        last.before.answered_at = before_answered_at
-    clients = SoakClients(draw(105), 0, {b"2": 1} if at_a_node else {})
-    result = SoakResult(draw(105))
-    clients._judge_unanswered(result, question, 1.0, ended_at=5.0)
+    if previous_answered_at is not None:
+        last.previous = Request(b"1", 0.5, 3.0)
+        last.previous.answered_at = previous_answered_at
+    clients = SoakClients(generate(105), 0, {b"2": 1} if at_a_node else {})
+    result = SoakResult(generate(105))
+    clients._check_unanswered(result, request, 1.0, ended_at=5.0)
     assert bool(result.broken) is broken and result.crossed == (not broken)
