--- a/benchmarks/bad_nodes.py
+++ b/benchmarks/bad_nodes.py
@@ -1,12 +1,14 @@
-"""Thousands of connections to each kind of bad cache node: what is left of them afterwards.
+"""Whether the daemon leaks descriptors or memory on thousands of connections to faulty nodes.
 
     python benchmarks/bad_nodes.py [--count 10000] [--most 45] [--build CHECKOUT]
 
-All four nodes misbehave alike while 100 clients ask, until the nodes have seen `count`
-connections or `most` seconds are over.  A row a kind: how many there were, what became of the
-requests, the daemon's descriptors at its start and after, its resident set before and after.
-Exit status 1 when a descriptor is left, a request got no answer in time, or the nodes, good
-again, don't serve.
+For each fault, all four nodes have it while 100 clients send requests, until the nodes have
+accepted `count` connections or `most` seconds have passed.  Then all nodes serve again.  One row is
+printed for each fault: the number of connections, the outcomes of the requests, the daemon's
+descriptors before all faults and after this one, and its resident set before and after this fault.
+
+The exit status is 1 if descriptors remain open, a request expired without an answer, or fewer than
+950 of the last 1000 requests are served once the nodes serve again.
 """
 
 from __future__ import annotations
@@ -24,59 +26,71 @@
 from limebridge.standins.nodes import Behaviour, CacheNode, serves
 from limebridge.standins.wire import reply
 
-RATE = 2500.0  # requests a second: with all nodes bad few get as far as a node
-EASY = 400.0  # the same once they are good
-SETTLES = 10.0  # s for the daemon to be rid of what it opened, idle connections too
+RATE = 2500.0  # requests per second; few of them reach a node while all nodes are faulty
+HEALTHY_RATE = 400.0  # requests per second while all nodes serve
+SETTLE_S = 10.0  # within which the daemon must close what it opened, idle connections included
 
 
 class Node(CacheNode):
+    """A node that stores no commands, since a run sends too many to keep."""
+
     def record(self, words: list[bytes]) -> None:
+        """Ignore the command."""
         pass
 
 
 async def closes(words: list[bytes], writer: asyncio.StreamWriter) -> None:
+    """Close the connection without an answer."""
     writer.close()
     raise ConnectionError
 
 
 async def resets(words: list[bytes], writer: asyncio.StreamWriter) -> None:
+    """Abort the connection without an answer."""
     writer.transport.abort()
     raise ConnectionError
 
 
 async def noise(words: list[bytes], writer: asyncio.StreamWriter) -> None:
+    """Answer with bytes that are not RESP."""
     writer.write(b"\x00\xff\x17" * 50)
 
 
 async def endless_line(words: list[bytes], writer: asyncio.StreamWriter) -> None:
+    """Answer with the first 20 kB of a line that never ends."""
     writer.write(b"+" + b"x" * 20_000)
 
 
 async def endless_value(words: list[bytes], writer: asyncio.StreamWriter) -> None:
+    """Announce a value of 60 MB and send 10 kB of it."""
     writer.write(b"*3\r\n$60000000\r\n" + b"x" * 10_000)
 
 
 async def half_an_answer(words: list[bytes], writer: asyncio.StreamWriter) -> None:
+    """Send the first 50 bytes of an answer and keep the connection open."""
     writer.write(reply(b"v" * 100)[:50])
 
 
 async def answers_twice(words: list[bytes], writer: asyncio.StreamWriter) -> None:
+    """Send two answers to one command."""
     writer.write(reply(b"v") * 2)
 
 
 async def answers_and_closes(words: list[bytes], writer: asyncio.StreamWriter) -> None:
+    """Answer and then close the connection."""
     writer.write(reply(b"v"))
     writer.close()
     raise ConnectionError
 
 
 async def says_nothing(words: list[bytes], writer: asyncio.StreamWriter) -> None:
+    """Never answer."""
     pass
 
 
-KINDS: dict[str, Behaviour] = {
-    kind.__name__: kind
-    for kind in (
+FAULTS: dict[str, Behaviour] = {
+    fault.__name__: fault
+    for fault in (
         closes,
         resets,
         noise,
@@ -90,27 +104,38 @@
 }
 
 
-async def settled(pid: int, most: int) -> int:
-    """Descriptors, once they are no more than that or SETTLES has passed."""
+async def wait_for_descriptors(pid: int, maximum: int) -> int:
+    """Wait until a process has at most `maximum` open descriptors; returns the last count.
+
+    Gives up after SETTLE_S.
+    """
     loop = asyncio.get_running_loop()
-    end = loop.time() + SETTLES
-    while (count := descriptors(pid)) > most and loop.time() < end:
+    end = loop.time() + SETTLE_S
+    while (count := descriptors(pid)) > maximum and loop.time() < end:
         await asyncio.sleep(0.1)
     return count
 
 
-async def played(
-    nodes: list[Node], port: int, rate: float, count: int, most: float
+async def run_load(
+    nodes: list[Node], port: int, rate: float, count: int, max_seconds: float
 ) -> LoadGenerator:
-    crowd = LoadGenerator(port, clients=100)
-    await crowd.connect()
-    first = sum(node.connections for node in nodes)
-    end = crowd.loop.time() + most
-    while sum(node.connections for node in nodes) - first < count and crowd.loop.time() < end:
-        await crowd.run(rate, 1.0)
-    await crowd.wait_for_answers()
-    crowd.close()
-    return crowd
+    """Send `rate` requests per second to the daemon on `port`, and wait for all answers.
+
+    Sending ends after the second in which the nodes have accepted `count` connections, or after
+    `max_seconds`.
+    """
+    generator = LoadGenerator(port, clients=100)
+    await generator.connect()
+    connections_before = sum(node.connections for node in nodes)
+    end = generator.loop.time() + max_seconds
+    while (
+        sum(node.connections for node in nodes) - connections_before < count
+        and generator.loop.time() < end
+    ):
+        await generator.run(rate, 1.0)
+    await generator.wait_for_answers()
+    generator.close()
+    return generator
 
 
 async def main() -> int:
@@ -118,41 +143,44 @@
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("--count", type=int, default=10_000)
-    parser.add_argument("--most", type=float, default=45.0, help="seconds of a kind")
+    parser.add_argument("--most", type=float, default=45.0, help="maximum seconds per fault")
     parser.add_argument("--build", type=Path, default=harness.ROOT, help="another checkout")
     options = parser.parse_args()
-    bad = False
+    failed = False
     nodes = [await Node(serves).start() for _ in range(4)]
     async with harness.daemon(
         [node.port for node in nodes], options.build.resolve(), sockets=512
     ) as daemon:
-        await played(nodes, daemon.port, EASY, 1_000_000, 1.0)
-        await asyncio.sleep(SETTLES)
+        await run_load(nodes, daemon.port, HEALTHY_RATE, 1_000_000, 1.0)
+        await asyncio.sleep(SETTLE_S)
         before = descriptors(daemon.pid)
-        for name, kind in KINDS.items():
-            memory = harness.resident_mb(daemon.pid)
+        for name, fault in FAULTS.items():
+            memory_before = harness.resident_mb(daemon.pid)
             for node in nodes:
-                node.behaviour, node.connections = kind, 0
-            crowd = await played(nodes, daemon.port, RATE, options.count, options.most)
-            seen = sum(node.connections for node in nodes)
+                node.behaviour, node.connections = fault, 0
+            generator = await run_load(nodes, daemon.port, RATE, options.count, options.most)
+            connections = sum(node.connections for node in nodes)
             for node in nodes:
                 node.behaviour = serves
-            good = await played(nodes, daemon.port, EASY, 1_000_000, 4.0)
-            served = sum(ask.outcome == "served" for ask in good.finished[-1000:])
-            after, kinds = await settled(daemon.pid, before), crowd.count_outcomes()
-            wrong = after > before or bool(kinds["expired"]) or served < 950
-            bad |= wrong
+            recovered = await run_load(nodes, daemon.port, HEALTHY_RATE, 1_000_000, 4.0)
+            served = sum(request.outcome == "served" for request in recovered.finished[-1000:])
+            after, outcomes = (
+                await wait_for_descriptors(daemon.pid, before),
+                generator.count_outcomes(),
+            )
+            wrong = after > before or bool(outcomes["expired"]) or served < 950
+            failed |= wrong
             print(
                 json.dumps(
                     {
                         "kind": name,
-                        "connections": seen,
-                        "answers": dict(kinds),
+                        "connections": connections,
+                        "answers": dict(outcomes),
                         "descriptors": [before, after],
                         "served_of_last_1000_when_good": served,
                         "passes": not wrong,
                         "resident_mb": [
-                            round(memory, 1),
+                            round(memory_before, 1),
                             round(harness.resident_mb(daemon.pid), 1),
                         ],
                     }
@@ -161,7 +189,7 @@
             )
     for node in nodes:
         await node.stop()
-    return int(bad)
+    return int(failed)
 
 
 if __name__ == "__main__":
--- a/benchmarks/build_pair.py
+++ b/benchmarks/build_pair.py
@@ -1,4 +1,4 @@
-"""Two builds of the daemon side by side, both under this checkout's kit."""
+"""Two builds of the daemon for a comparison; the same load script of this checkout runs on both."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class BuildPair:
-    """Folders with the packages of each build."""
+    """The folders that hold the packages of the two builds."""
 
     base: Path
     build: Path
@@ -29,23 +29,33 @@
 
 @contextlib.contextmanager
 def unpack_builds(base: str, build: str) -> Iterator[BuildPair]:
-    """Each a commit, or `.` for this checkout as it is now.  Raises BuildError if there is none."""
+    """Unpack two builds into a temporary folder, which is removed at the end of the context.
+
+    Each is named by a commit, or by `.` for this checkout with its uncommitted changes.  Raises
+    BuildError for an unknown commit.
+    """
     with tempfile.TemporaryDirectory() as folder:
-        under = Path(folder)
-        yield BuildPair(builds.build_folder(base, under), builds.build_folder(build, under))
+        parent = Path(folder)
+        yield BuildPair(builds.build_folder(base, parent), builds.build_folder(build, parent))
 
 
 def load_command(load: str, requests: int, count: bool) -> list[str]:
-    """Plays the load; to be run in the environment of a build."""
-    more = ["--count"] if count else []
-    return [sys.executable, str(LOAD_SCRIPT), load, str(requests), *more]
+    """The command line that runs a load, for the environment of `load_environment`.
+
+    `count`: also count bytecode instructions.
+    """
+    flags = ["--count"] if count else []
+    return [sys.executable, str(LOAD_SCRIPT), load, str(requests), *flags]
 
 
 def load_environment(folder: Path) -> dict[str, str]:
-    """Of a process that plays the build in this folder, the same way each time."""
+    """Environment of a process that runs a load on the build in `folder`.
+
+    The hash seed is fixed, so that each run executes the same.
+    """
     return os.environ | {"PYTHONPATH": str(folder), "PYTHONHASHSEED": "0"}
 
 
 def decode_result(line: bytes) -> Played:
-    """What a load has printed."""
+    """Decode the line that a load process has printed.  Raises msgspec.DecodeError."""
     return msgspec.json.decode(line, type=Played)
--- a/benchmarks/calibrate.py
+++ b/benchmarks/calibrate.py
@@ -1,10 +1,10 @@
-"""What the daemon's own time costs on this machine, for the virtual clock.
+"""Measures the CPU costs of the daemon on this machine, for the simulation on the virtual clock.
 
     python benchmarks/calibrate.py [--write]
 
-Runs the real daemon on loopback under loads that differ by one thing each, and solves for the
+Runs the real daemon on loopback under loads that differ in one respect each, and solves for the
 terms of `limebridge/virtual/costs.py`; --write stores them with today's date.  Each load is run
-three times, the middle counts, and what comes out negative by noise is set to next to nothing.
+three times and the median counts.  A term that noise makes negative is set to almost 0.
 """
 
 from __future__ import annotations
@@ -25,100 +25,108 @@
 from limebridge.standins.wire import command
 
 STORED = harness.ROOT / "limebridge" / "virtual" / "costs.json"
-LEAST = 1e-7  # s
-LARGE, SMALL = 32 * 1024, 200
-NO_TIME = b"0.001"  # ms that such a client waits: refused when it is read
+MIN_COST_S = 1e-7  # of every term but `byte`
+LARGE, SMALL = 32 * 1024, 200  # bytes of an answer
+NO_WAIT = b"0.001"  # ms; a request with this wait is refused as soon as it is read
 
 
-def calls(count: int = 20_000) -> tuple[float, float]:
-    """Seconds of a send and of a read of 100 B on a TCP connection over loopback."""
+def socket_call_costs(count: int = 20_000) -> tuple[float, float]:
+    """Mean time in s of a send and of a read of 100 B on a TCP connection over loopback."""
     with (
-        socket.create_server(("127.0.0.1", 0)) as door,
-        socket.create_connection(door.getsockname()) as one,
-        door.accept()[0] as other,
+        socket.create_server(("127.0.0.1", 0)) as listener,
+        socket.create_connection(listener.getsockname()) as sender,
+        listener.accept()[0] as receiver,
     ):
-        data, sent, read = bytes(100), 0.0, 0.0
+        data, send_s, read_s = bytes(100), 0.0, 0.0
         for _ in range(count):
-            began = time.perf_counter()
-            one.send(data)
+            started = time.perf_counter()
+            sender.send(data)
             between = time.perf_counter()
-            other.recv(65536)
-            sent, read = sent + between - began, read + time.perf_counter() - between
-    return sent / count, read / count
+            receiver.recv(65536)
+            send_s, read_s = (
+                send_s + between - started,
+                read_s + time.perf_counter() - between,
+            )
+    return send_s / count, read_s / count
 
 
-def ask(port: int, told: bytes, deep: int, count: int) -> None:
-    """So many questions one behind the other, `deep` at once, each when the one before is over.
+def send_requests(port: int, wait_field: bytes, depth: int, count: int) -> None:
+    """Send `count` requests on one connection, in pipelined batches of `depth`.
 
-    The process is never idle for long: what sleeping costs a loop would count for its work.
+    Each batch is sent as soon as the one before it is answered.  So the daemon is never idle for
+    long: the cost of a sleep of its event loop would be taken for a cost of its work.
     """
     with socket.create_connection(("127.0.0.1", port)) as sock, sock.makefile("rb") as answers:
         number = 0
-        for _ in range(count // deep):
-            words = b""
-            for _ in range(deep):
+        for _ in range(count // depth):
+            data = b""
+            for _ in range(depth):
                 number += 1
-                words += command(
+                data += command(
                     b"OBJ.GET",
                     b"k%d" % (number % 500),
                     b"%016x" % number,
-                    b"c=lookup,t=x,d=" + told,
+                    b"c=lookup,t=x,d=" + wait_field,
                 )
-            sock.sendall(words)
-            for _ in range(deep):
+            sock.sendall(data)
+            for _ in range(depth):
                 line = answers.readline()
                 if line.startswith(b"$"):
                     answers.read(int(line[1:]) + 2)
 
 
-def connect(port: int, told: bytes, deep: int, count: int) -> None:
-    """A connection for each question."""
+def send_on_new_connections(port: int, wait_field: bytes, depth: int, count: int) -> None:
+    """Send `count` requests, each on a connection of its own; `depth` is ignored."""
     for _ in range(count):
-        ask(port, told, deep, 1)
+        send_requests(port, wait_field, depth, 1)
 
 
-async def cost(
-    work: Callable[[int, bytes, int, int], None],
+async def measure(
+    load: Callable[[int, bytes, int, int], None],
     size: int = SMALL,
-    told: bytes = NO_TIME,
-    deep: int = 1,
+    wait_field: bytes = NO_WAIT,
+    depth: int = 1,
     count: int = 4000,
 ) -> float:
-    """Seconds of CPU a question."""
+    """CPU time in s of the daemon per request of a load, after a warm-up with a quarter of it."""
     async with harness.nodes(4, size) as ports, harness.daemon(ports, sockets=2048) as daemon:
-        await asyncio.to_thread(work, daemon.port, told, deep, count // 4)
+        await asyncio.to_thread(load, daemon.port, wait_field, depth, count // 4)
         before = harness.cpu_seconds(daemon.pid)
-        await asyncio.to_thread(work, daemon.port, told, deep, count)
+        await asyncio.to_thread(load, daemon.port, wait_field, depth, count)
         return (harness.cpu_seconds(daemon.pid) - before) / count
 
 
-async def terms() -> dict[str, float]:
-    found: dict[str, list[float]] = {}
+async def solve_terms() -> dict[str, float]:
+    """Measure the loads and solve for the terms, in s; prints the CPU time per request in us."""
+    samples: dict[str, list[float]] = {}
     for _ in range(3):
-        for name, work in (
-            ("refused", cost(ask)),
-            ("together", cost(ask, deep=16, count=32_000)),
-            ("served", cost(ask, told=b"600")),
-            ("large", cost(ask, LARGE, b"600")),
-            ("connect", cost(connect)),
+        for name, measurement in (
+            ("refused", measure(send_requests)),
+            ("together", measure(send_requests, depth=16, count=32_000)),
+            ("served", measure(send_requests, wait_field=b"600")),
+            ("large", measure(send_requests, LARGE, b"600")),
+            ("connect", measure(send_on_new_connections)),
         ):
-            found.setdefault(name, []).append(await work)
-    mean = {name: statistics.median(each) for name, each in found.items()}
-    write, read = calls()
-    parsed = (16.0 * mean["together"] - mean["refused"]) / 15.0
-    turn = mean["refused"] - parsed  # a wake, a read and a write
-    decided = (mean["served"] - parsed - 2.0 * turn) / 2.0
+            samples.setdefault(name, []).append(await measurement)
+    medians = {name: statistics.median(each) for name, each in samples.items()}
+    write, read = socket_call_costs()
+    parsing = (16.0 * medians["together"] - medians["refused"]) / 15.0
+    iteration = medians["refused"] - parsing  # a wake, a read and a write
+    # A served request takes two iterations and two decisions: on its arrival and on its outcome.
+    decision = (medians["served"] - parsing - 2.0 * iteration) / 2.0
     solved = {
-        "wake": turn - read - write,
+        "wake": iteration - read - write,
         "read": read,
         "write": write,
-        "command": parsed,
-        "decision": decided,
-        "byte": (mean["large"] - mean["served"]) / 2.0 / (LARGE - SMALL),
-        "connect": mean["connect"] - mean["refused"],
+        "command": parsing,
+        "decision": decision,
+        "byte": (medians["large"] - medians["served"]) / 2.0 / (LARGE - SMALL),
+        "connect": medians["connect"] - medians["refused"],
+    }
+    print(json.dumps({name: round(each * 1e6, 2) for name, each in medians.items()}))
+    return {
+        name: max(MIN_COST_S if name != "byte" else 1e-11, value) for name, value in solved.items()
     }
-    print(json.dumps({name: round(each * 1e6, 2) for name, each in mean.items()}))
-    return {name: max(LEAST if name != "byte" else 1e-11, value) for name, value in solved.items()}
 
 
 async def main() -> int:
@@ -127,7 +135,7 @@
     )
     parser.add_argument("--write", action="store_true")
     options = parser.parse_args()
-    solved = {name: float(f"{value:.3g}") for name, value in (await terms()).items()}
+    solved = {name: float(f"{value:.3g}") for name, value in (await solve_terms()).items()}
     text = (
         json.dumps({"measured": datetime.date.today().isoformat(), "seconds": solved}, indent=1)
         + "\n"
--- a/benchmarks/choices.py
+++ b/benchmarks/choices.py
@@ -1,13 +1,16 @@
-"""The paper's claim with the module's own choice: imbalance of one, two, d and all choices.
+"""Compares the load imbalance of the balancer with that of the strategies it is derived from.
 
     python benchmarks/choices.py [--keys 10000] [--messages 200000] [--sources 5] [--json]
 
-As "When Two Choices Are not Enough" measures it: messages with Zipf keys from several sources that
-do not speak with each other, no work, no time; imbalance is the highest load of a cache less the
-mean, over all messages.  `d` is `Balancer` itself, each request answered before the next; `one` and
-`two` are its own hashed candidates without the head, `shuffle` is round robin and `w` sends head
-keys anywhere.  What the module adds to the paper (stickiness, decay, sent counts that fade) is in
-`d` alone, so a deviation between `d` and `w` or `two` is those rules' price.
+The setup is that of the paper "When Two Choices Are not Enough": several sources, which do not
+communicate, send messages with Zipf-distributed keys; a message causes no work and takes no time.
+The imbalance is the highest load of a cache minus the mean load, as a share of all messages.
+
+`d` is `Balancer` itself; each of its requests is answered before the next one is sent.  `one` and
+`two` choose among one or two candidates of a key, hashed as in the balancer, and ignore the head,
+the set of hot keys.  `shuffle` is round robin, and `w` sends head keys to any cache.  `Balancer`
+adds to the paper stickiness, and decay of its key counts and of its counts of sent requests.  Only
+`d` has these, so a difference between `d` and `w` or `two` is their price.
 """
 
 from __future__ import annotations
@@ -19,7 +22,7 @@
 import random
 import sys
 
-import harness  # noqa: F401  (finds the packages of this checkout)
+import harness  # noqa: F401  (makes the packages of this checkout importable)
 
 from snowstall import (
     Balancer,
@@ -37,40 +40,52 @@
 from snowstall.head import SpaceSaving
 
 LOOKUP = RequestClass("lookup", latency_target=300.0, deadline=600.0, effect=Effect.PURE)
-STEP = 2.0  # ms between a source's messages
+STEP_MS = 2.0  # between the messages of one source
+
 
+def draw_keys(skew: float, keys: int, messages: int, seed: int) -> list[int]:
+    """The keys of `messages` messages, Zipf-distributed over `keys` keys with exponent `skew`.
 
-def drawn(skew: float, keys: int, messages: int, seed: int) -> list[int]:
-    """Keys by Zipf's law, as numbers that say nothing of their rank."""
+    Ranks are hashed, so a key does not reveal its popularity.
+    """
     rng = random.Random(f"{skew}/{seed}")
-    total = list(itertools.accumulate(1.0 / rank**skew for rank in range(1, keys + 1)))
+    cumulative = list(itertools.accumulate(1.0 / rank**skew for rank in range(1, keys + 1)))
     return [
-        mix(bisect.bisect_left(total, rng.random() * total[-1]), 7) >> 12 for _ in range(messages)
+        mix(bisect.bisect_left(cumulative, rng.random() * cumulative[-1]), 7) >> 12
+        for _ in range(messages)
     ]
 
 
 def imbalance(loads: list[int]) -> float:
+    """The highest load minus the mean, as a share of the total."""
     return (max(loads) - sum(loads) / len(loads)) / sum(loads)
 
 
-def hashed(keys: list[int], nodes: int, sources: int, choices: int) -> float:
-    """`choices` candidates of each key, the one with the least load that its source has sent."""
-    loads, own = [0] * nodes, [[0] * nodes for _ in range(sources)]
+def d_choices_imbalance(keys: list[int], nodes: int, sources: int, choices: int) -> float:
+    """Imbalance if each key has `choices` hashed candidates.
+
+    A source sends each message to the candidate to which it has sent the fewest so far.
+    """
+    loads, sent_by_source = [0] * nodes, [[0] * nodes for _ in range(sources)]
     for number, key in enumerate(keys):
-        sent = own[number % sources]
+        sent = sent_by_source[number % sources]
         best = min((mix(key, salt) % nodes for salt in range(choices)), key=sent.__getitem__)
         sent[best] += 1
         loads[best] += 1
     return imbalance(loads)
 
 
-def anywhere(keys: list[int], nodes: int, sources: int) -> float:
-    """W-Choices: head keys (share above 1/5n, as SpaceSaving sees it) go to the least loaded."""
-    loads, own = [0] * nodes, [[0] * nodes for _ in range(sources)]
+def w_choices_imbalance(keys: list[int], nodes: int, sources: int) -> float:
+    """Imbalance of W-Choices: head keys may go to any node, other keys have two candidates.
+
+    A head key has a share above 1/(5 * nodes), by the lower bound of its count in `SpaceSaving`.
+    A source sends each message to the allowed node to which it has sent the fewest so far.
+    """
+    loads, sent_by_source = [0] * nodes, [[0] * nodes for _ in range(sources)]
     tables = [SpaceSaving() for _ in range(sources)]
     for number, key in enumerate(keys):
         source = number % sources
-        table, sent = tables[source], own[source]
+        table, sent = tables[source], sent_by_source[source]
         table.add(key, 0.0)
         count, error = table.estimate(key)
         if count - error > table.decayed_total() / (5.0 * nodes):
@@ -82,8 +97,8 @@
     return imbalance(loads)
 
 
-def module(keys: list[int], nodes: int, sources: int, seed: int) -> tuple[float, int]:
-    """`Balancer` as it is; also the d that it came to."""
+def balancer_imbalance(keys: list[int], nodes: int, sources: int, seed: int) -> tuple[float, int]:
+    """Imbalance of `Balancer`, and the highest number of choices at the end among the sources."""
     loads, now = [0] * nodes, 0.0
     settings = Settings(classes=(LOOKUP,), max_attempts=1)
     balancers = [Balancer(settings, seed * 1000 + source, 0.0) for source in range(sources)]
@@ -91,7 +106,7 @@
         balancer.on_list(0.0, ListKind.FULL, [Member(node) for node in range(nodes)])
     for number, key in enumerate(keys):
         balancer = balancers[number % sources]
-        now += STEP / sources
+        now += STEP_MS / sources
         for action in balancer.on_request(now, Request(number, "lookup", now + 600.0, key)):
             if isinstance(action, Send):
                 loads[action.cache_id] += 1
@@ -113,18 +128,18 @@
     if not options.json:
         print(" zipf nodes      one      two        d        w  shuffle  choices")
     for skew in options.skew:
-        keys = drawn(skew, options.keys, options.messages, 1)
+        keys = draw_keys(skew, options.keys, options.messages, 1)
         for nodes in options.nodes:
-            of_module, choices = module(keys, nodes, options.sources, 1)
+            balancer, choices = balancer_imbalance(keys, nodes, options.sources, 1)
             row = {
                 "zipf": skew,
                 "nodes": nodes,
-                "one": hashed(keys, nodes, options.sources, 1),
-                "two": hashed(keys, nodes, options.sources, 2),
-                "d": of_module,
-                "w": anywhere(keys, nodes, options.sources),
+                "one": d_choices_imbalance(keys, nodes, options.sources, 1),
+                "two": d_choices_imbalance(keys, nodes, options.sources, 2),
+                "d": balancer,
+                "w": w_choices_imbalance(keys, nodes, options.sources),
                 "shuffle": imbalance(
-                    [len(keys) // nodes + (place < len(keys) % nodes) for place in range(nodes)]
+                    [len(keys) // nodes + (node < len(keys) % nodes) for node in range(nodes)]
                 ),
                 "choices": choices,
             }
--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -1,10 +1,11 @@
-"""What the cluster dialect costs a request: the daemon with it and without, in turn in one run.
+"""CPU cost of the cluster dialect per request: the daemon with and without it, by turns in one run.
 
     python benchmarks/cluster.py [--seconds 4] [--rate 2000] [--limit 1.10]
 
-`one`: a node that owns all slots.  `several`: one of two that serves what is the other's, so that
-each key's slot is looked up and nothing is redirected.  Also what a redirection costs, and CLUSTER
-SLOTS, in CPU of the daemon.  Exit status 1 when a ratio is over --limit.
+`one`: the daemon appears as a single node that owns all slots.  `several`: it appears as one of two
+and serves the other's slots as well, so each key's slot is looked up and nothing is redirected.
+Also measured: the daemon's CPU time per request if about half are redirected, and per CLUSTER
+SLOTS.  The exit status is 1 if a ratio exceeds --limit.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from pathlib import Path
 
 import harness
-from cost import measure
+from cost import measure_cpu
 
 from limebridge.standins.clients import LoadGenerator
 from limebridge.standins.wire import bulk, read_answer
@@ -29,17 +30,20 @@
     '[[cluster.proxies]]\nname = "n1"\naddress = "127.0.0.1:7001"\n'
     'slots = ["8192-16383"]\n'
 )
-TABLES = {"off": "", "one": ONE, "several": SEVERAL.format("serve")}
-TURNS = 3
+OPERATOR_FILES = {"off": "", "one": ONE, "several": SEVERAL.format("serve")}
+ROUNDS = 3  # measurements of each variant, by turns
 
 
-async def repeated(port: int, pid: int, words: bytes, count: int = 5000) -> float:
-    """Microseconds of CPU of one command that is answered from memory."""
+async def command_cost(port: int, pid: int, command: bytes, count: int = 5000) -> float:
+    """CPU time in us of an encoded command that the daemon answers without a cache node.
+
+    The answer of CLUSTER SLOTS is read until the empty array at its end.
+    """
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     before = harness.cpu_seconds(pid)
     for _ in range(count):
-        writer.write(words)
-        await read_answer(reader) if not words.startswith(
+        writer.write(command)
+        await read_answer(reader) if not command.startswith(
             b"*2\r\n$7\r\nCLUSTER"
         ) else await reader.readuntil(b"*0\r\n")
     used = harness.cpu_seconds(pid) - before
@@ -47,51 +51,53 @@
     return used / count * 1e6
 
 
-async def redirected(port: int, pid: int, rate: float, seconds: float) -> float:
-    """Microseconds of CPU a question when about half are answered with -MOVED."""
-    crowd = LoadGenerator(port, clients=40)
-    await crowd.connect()
+async def redirection_cost(port: int, pid: int, rate: float, seconds: float) -> float:
+    """CPU time in us per request if about half of the requests are answered with -MOVED."""
+    generator = LoadGenerator(port, clients=40)
+    await generator.connect()
     before = harness.cpu_seconds(pid)
-    await crowd.run(rate, seconds)
-    await crowd.wait_for_answers()
-    crowd.close()
-    return (harness.cpu_seconds(pid) - before) / crowd.sent * 1e6
+    await generator.run(rate, seconds)
+    await generator.wait_for_answers()
+    generator.close()
+    return (harness.cpu_seconds(pid) - before) / generator.sent * 1e6
 
 
 async def main() -> int:
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("--seconds", type=float, default=4.0, help="a turn and side")
+    parser.add_argument("--seconds", type=float, default=4.0, help="per measurement")
     parser.add_argument("--rate", type=float, default=2000.0)
     parser.add_argument("--limit", type=float)
     options = parser.parse_args()
-    costs: dict[str, list[float]] = {name: [] for name in TABLES}
+    costs: dict[str, list[float]] = {name: [] for name in OPERATOR_FILES}
     served = 1.0
     with tempfile.TemporaryDirectory() as folder:
         paths = {}
-        for name, text in [*TABLES.items(), ("moved", SEVERAL.format("moved"))]:
+        for name, text in [*OPERATOR_FILES.items(), ("moved", SEVERAL.format("moved"))]:
             paths[name] = Path(folder) / f"{name}.toml"
             paths[name].write_text(text)
         async with harness.nodes(4, 200) as ports:
-            for _ in range(TURNS):
-                for name in TABLES:
+            for _ in range(ROUNDS):
+                for name in OPERATOR_FILES:
                     async with harness.daemon(ports, operator=paths[name]) as daemon:
-                        cost, crowd = await measure(daemon, options.rate, options.seconds)
+                        cost, generator = await measure_cpu(daemon, options.rate, options.seconds)
                         costs[name].append(cost)
-                        served = min(served, crowd.count_outcomes()["served"] / crowd.sent)
+                        served = min(served, generator.count_outcomes()["served"] / generator.sent)
             async with harness.daemon(ports, operator=paths["moved"]) as daemon:
-                moved = await redirected(daemon.port, daemon.pid, options.rate, options.seconds)
-                slots = await repeated(
+                moved = await redirection_cost(
+                    daemon.port, daemon.pid, options.rate, options.seconds
+                )
+                slots = await command_cost(
                     daemon.port, daemon.pid, b"*2\r\n" + bulk(b"CLUSTER") + bulk(b"SLOTS")
                 )
-    means = {name: sum(found) / TURNS for name, found in costs.items()}
+    means = {name: sum(samples) / ROUNDS for name, samples in costs.items()}
     ratios = {name: round(means[name] / means["off"], 3) for name in ("one", "several")}
     print(
         json.dumps(
             {
                 "rate": options.rate,
-                "us": {n: [round(c, 1) for c in found] for n, found in costs.items()},
+                "us": {n: [round(c, 1) for c in samples] for n, samples in costs.items()},
                 "ratio": ratios,
                 "served_share": round(served, 4),
                 "half_moved_us": round(moved, 1),
--- a/benchmarks/emulated_fleet.py
+++ b/benchmarks/emulated_fleet.py
@@ -1,4 +1,4 @@
-"""So many proxies that talk to each other, in memory on one virtual clock."""
+"""A fleet of proxies that gossip over an in-memory network, on one virtual clock."""
 
 from __future__ import annotations
 
@@ -20,20 +20,24 @@
 
 
 class RecordingProxy:
-    """A proxy that remembers which nodes it was told to leave alone."""
+    """A proxy without requests that stores which nodes its peers report as unhealthy."""
 
     def __init__(self) -> None:
         self.places, self.load_samples = NodeAddresses(), deque[LoadSample]()
         self.unhealthy: list[int] = []
 
     def apply_peer_reports(self, bad: list[int], outcomes: list[LoadSample]) -> None:
+        """Store the nodes; the outcomes of the peers' requests are ignored."""
         self.unhealthy = bad
 
 
 class EmulatedFleet:
-    """So many members on one virtual clock, in a fleet that has stood for long."""
+    """A fleet of `count` members whose network loses each datagram with probability `loss`.
 
-    def __init__(self, count: int, loss: float = 0.0, settled: bool = True) -> None:
+    With `all_known`, each member knows all others from the start, as in a long-running fleet.
+    """
+
+    def __init__(self, count: int, loss: float = 0.0, all_known: bool = True) -> None:
         self.kernel = Kernel(1, start=1000.0)
         self.loop = VirtualLoop(self.kernel)
         self.random = random.Random(1)
@@ -41,11 +45,11 @@
             [] if self.random.random() < loss else [0.0005]
         )
         self.proxies = [RecordingProxy() for _ in range(count)]
-        self.state_changes: list[tuple[float, str, str]] = []
+        self.state_changes: list[tuple[float, str, str]] = []  # time, member and new state
         self.sharings: list[Sharing] = []
         for number in range(count):
             self.start(number)
-        if settled:
+        if all_known:
             own = [sharing.members.own_rumor() for sharing in self.sharings]
             for sharing in self.sharings:
                 for rumor in own:
@@ -53,6 +57,7 @@
                         sharing.members.add_member(rumor, self.kernel.now)
 
     def start(self, number: int) -> None:
+        """Start member `number`, whose view of the others' states is recorded."""
         net = SocketNetwork(
             self.loop, make=self.kernel.maker(f"p{number}"), clock=lambda: 1.7e9 + self.kernel.now
         )
@@ -64,15 +69,16 @@
         sharing = Sharing(
             table, KEYS, f"p{number}", "a", 1000.0, net, self.proxies[number], life=f"l{number}"
         )
-        before = sharing.members._changed
+        original = sharing.members._changed
 
-        def changed(name: str, state: str, was: str) -> None:
+        def record_change(name: str, state: str, previous: str) -> None:
             self.state_changes.append((self.kernel.now, name, state))
-            before(name, state, was)
+            original(name, state, previous)
 
-        sharing.members._changed = changed
+        sharing.members._changed = record_change
         self.sharings.append(sharing)
 
     def run(self, seconds: float) -> None:
+        """Run all members for `seconds` of virtual time, without the daemon's log."""
         with quiet(50):
             self.loop.run_until_complete(asyncio.sleep(seconds))
--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -1,4 +1,8 @@
-"""What the benchmarks share: processes and their CPU, the daemon with stand-ins round it."""
+"""Shared parts of the benchmarks: child processes, their CPU and memory, and a daemon to measure.
+
+The cache nodes, the relay and the daemon run as processes of their own, so that the CPU of each can
+be read from /proc.  Discovery runs in the process of the benchmark.
+"""
 
 from __future__ import annotations
 
@@ -30,11 +34,11 @@
         "lateValue": 0.3,
     }
 ]
-PATIENCE = 30.0  # s for a process to say that it is ready
+START_TIMEOUT_S = 30.0  # until a child process prints that it is ready
 
 
 def cpu_seconds(pid: int) -> float:
-    """Seconds of CPU that this process has had, to the nanosecond where the kernel tells."""
+    """CPU time in s of all current threads of a process, which the kernel counts in nanoseconds."""
     total = 0.0
     for task in Path(f"/proc/{pid}/task").iterdir():
         total += int((task / "schedstat").read_text().split()[0]) / 1e9
@@ -42,6 +46,7 @@
 
 
 def resident_mb(pid: int) -> float:
+    """Resident set of a process in MiB.  Raises ValueError for one without memory, a zombie."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS"):
             return int(line.split()[1]) / 1024.0
@@ -50,6 +55,8 @@
 
 @dataclass
 class RunningProcess:
+    """A process under load and the port on which it serves clients."""
+
     process: asyncio.subprocess.Process | Child
     port: int
 
@@ -58,25 +65,34 @@
         return self.process.pid
 
 
-async def spawn(*args: str, **more: Any) -> asyncio.subprocess.Process:
-    return await asyncio.create_subprocess_exec(sys.executable, *args, cwd=ROOT, **more)
+async def spawn(*args: str, **options: Any) -> asyncio.subprocess.Process:
+    """Start this Python interpreter with `args` in the root folder of the checkout.
+
+    `options` are those of `asyncio.create_subprocess_exec`.
+    """
+    return await asyncio.create_subprocess_exec(sys.executable, *args, cwd=ROOT, **options)
 
 
 async def stop(process: asyncio.subprocess.Process) -> None:
+    """Kill a process, if it still runs, and wait for its exit."""
     if process.returncode is None:
         process.kill()
     await process.wait()
 
 
 async def first_line(process: asyncio.subprocess.Process) -> bytes:
+    """The first line of a process's standard output; TimeoutError after START_TIMEOUT_S."""
     assert process.stdout is not None
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(START_TIMEOUT_S):
         return await process.stdout.readline()
 
 
 @asynccontextmanager
 async def nodes(count: int, size: int, delay: float = 0.0) -> AsyncIterator[list[int]]:
-    """Cache nodes that answer `size` bytes after `delay` ms."""
+    """Run `count` cache nodes; yields their ports.
+
+    Each answer has `size` bytes and is sent `delay` ms after the command.
+    """
     process = await spawn(
         "benchmarks/nodes.py", str(count), str(size), str(delay), stdout=asyncio.subprocess.PIPE
     )
@@ -88,6 +104,7 @@
 
 @asynccontextmanager
 async def relay(ports: list[int], loop: str) -> AsyncIterator[RunningProcess]:
+    """Run a relay in front of nodes on these ports.  `loop`: asyncio or uvloop, its event loop."""
     flags = ["--uvloop"] if loop == "uvloop" else []
     process = await spawn(
         "benchmarks/relay.py", *map(str, ports), *flags, stdout=asyncio.subprocess.PIPE
@@ -106,7 +123,11 @@
     operator: Path | None = None,
     **settings: Any,
 ) -> AsyncIterator[RunningProcess]:
-    """The daemon of `build` in front of nodes on these ports, ready to be asked."""
+    """Run the daemon of the checkout `build` in front of nodes on these ports; yields it listening.
+
+    `sockets` limits its sockets, `operator` is its operator's file, and `settings` override those
+    of `configuration`.  Raises DaemonStartError.
+    """
     discovery = await Discovery().start()
     entries = [
         {
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -32,7 +32,7 @@
 import harness
 import numpy as np
 import zstandard
-from cost import measure
+from cost import measure_cpu
 
 from limebridge.ledger.kills import run_kills
 from limebridge.ledger.sketch import STRATA, STRATUM, Sketch, Strata, mix
@@ -64,7 +64,7 @@
                 for name, path in (("off", off), ("on", on)):
                     async with harness.daemon(ports, operator=path) as daemon:
                         rest[name] = harness.resident_mb(daemon.pid)
-                        used, crowd = await measure(daemon, rate, seconds)
+                        used, crowd = await measure_cpu(daemon, rate, seconds)
                         found[name].append(used)
                         times = sorted(
                             (ask.ended_at - ask.sent_at) * 1000.0
