--- a/limebridge/faults/sharing/pool_run.py
+++ b/limebridge/faults/sharing/pool_run.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlayedPlan:
+class PlanResult:
     """The result of one plan that ran on real processes."""
 
     plan: Plan
@@ -21,10 +21,10 @@
     admitted: int = 0  # requests
     sent: int = 0  # requests
     max_lag_s: float = 0.0  # longest delay of the rig's own timer
-    trace: str = ""  # the trace; empty without a violation
+    trace: str = ""  # empty without a violation
 
 
-def run_in_worker(plan: Plan, patch: str = "") -> PlayedPlan:
+def run_in_worker(plan: Plan, patch: str = "") -> PlanResult:
     """Run one plan; report an exception of the rig as a violation, so that other plans go on.
 
     `patch`: path of a file whose plant() every daemon calls first, "" for none.
@@ -32,8 +32,8 @@
     try:
         outcome = run_plan(plan, patch)
     except Exception as error:
-        return PlayedPlan(plan, [Violation("rig", f"{type(error).__name__}: {error}")])
-    return PlayedPlan(
+        return PlanResult(plan, [Violation("rig", f"{type(error).__name__}: {error}")])
+    return PlanResult(
         plan,
         outcome.violations,
         outcome.final_share,
--- a/limebridge/faults/sharing/summary.py
+++ b/limebridge/faults/sharing/summary.py
@@ -10,7 +10,7 @@
 from limebridge.faults.summary import FirstViolation, first_violations
 
 from .memory import Outcome
-from .pool_run import PlayedPlan
+from .pool_run import PlanResult
 
 
 class Spread(msgspec.Struct):
@@ -52,7 +52,7 @@
 
 
 def summary_of_run(
-    played: Sequence[PlayedPlan], broken: Sequence[PlayedPlan], seconds: float
+    played: Sequence[PlanResult], broken: Sequence[PlanResult], seconds: float
 ) -> RunSummary:
     """Summarize `played` plans, which took `seconds` in all; `broken`: those with violations."""
     return RunSummary(
--- a/tests/limebridge/faults/distribution/test_distribution_hard_cases_real.py
+++ b/tests/limebridge/faults/distribution/test_distribution_hard_cases_real.py
@@ -17,7 +17,7 @@
 from limebridge.faults.distribution.mixed_builds import Builds
 from limebridge.faults.distribution.plan import Fault, Plan
 from tests.support.distribution_next_build import SESSIONS, copy_of_this_build, replace_text
-from tests.support.rig import until
+from tests.support.rig import wait_until
 from tests.violetroute.distribution.test_distribution_daemon import Deployment
 from violetroute.distribution.configuration_change import ConfigurationChange
 from violetroute.distribution.messages import Publish, Published, Record, Topic
@@ -106,7 +106,7 @@
                 for number, receiver in enumerate(receivers)
             ]
             try:
-                await until(lambda: all(service.status().fresh for service in services))
+                await wait_until(lambda: all(service.status().fresh for service in services))
                 position = await configure(deployment, b'level = "warning"')
                 status = await deployment.in_force(position)
                 assert status.sessions == PROXIES and status.stale == 0
--- a/tests/limebridge/faults/distribution/test_distribution_real_faults.py
+++ b/tests/limebridge/faults/distribution/test_distribution_real_faults.py
@@ -8,7 +8,7 @@
 
 from limebridge.faults.distribution.plan import Fault
 from limebridge.faults.distribution.real_faults import RealFaults
-from tests.support.rig import until
+from tests.support.rig import wait_until
 
 
 class SlowProcess:
@@ -72,7 +72,7 @@
             faults = FaultsWithoutCommand(cast(Any, fake_rig))
             process = fake_rig.machines.processes[0] if kind == "kill" else fake_rig.proxies[0]
             faults.start(Fault(0.0, cast(Any, kind), 0, 5.0))
-            await until(lambda process=process: process.kills == 1)
+            await wait_until(lambda process=process: process.kills == 1)
             faults.start(Fault(0.1, cast(Any, kind), 0, 5.0))  # the process has not ended yet
             await asyncio.sleep(0)
             process.end_allowed.set()
@@ -94,10 +94,10 @@
         marker = fake_rig.machines.data_folder(1) / "kept"
         marker.touch()
         faults.start(Fault(0.0, "lose_disk", 0, 5.0))
-        await until(lambda: first.kills == 1)
+        await wait_until(lambda: first.kills == 1)
         fake_rig.recovering.discard("c0")  # its old process still reports that it is not recovering
         faults.start(Fault(0.1, "lose_disk", 1, 5.0))
-        await until(lambda: second.kills == 1)
+        await wait_until(lambda: second.kills == 1)
         first.end_allowed.set()
         second.end_allowed.set()
         await faults.heal()
--- a/tests/support/rig.py
+++ b/tests/support/rig.py
@@ -40,7 +40,7 @@
     "read_words",
     "reply",
     "serves",
-    "until",
+    "wait_until",
     "with_timeout",
 ]
 
@@ -54,7 +54,7 @@
         return await awaitable
 
 
-async def until(condition: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     """Wait until a condition is true.  Raises TimeoutError after TIMEOUT_S."""
     async with asyncio.timeout(TIMEOUT_S):
         while not condition():
@@ -116,7 +116,7 @@
 
     async def wait_for_watch(self) -> None:
         """Wait until the proxy has an open watch at the discovery."""
-        await until(lambda: self.discovery.open)
+        await wait_until(lambda: self.discovery.open)
 
     async def client(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         """Open a client connection to the proxy."""
--- a/tests/support/virtual_rig.py
+++ b/tests/support/virtual_rig.py
@@ -91,7 +91,7 @@
         """Open a client connection to the daemon."""
         return await asyncio.open_connection("127.0.0.1", self.port)
 
-    async def until(self, condition: Callable[[], object], limit_s: float = 60.0) -> None:
+    async def wait_until(self, condition: Callable[[], object], limit_s: float = 60.0) -> None:
         """Wait at most `limit_s` of virtual time for a condition, checked each millisecond."""
         end = self.loop.time() + limit_s
         while not condition():
--- a/tests/violetroute/clients/test_clients.py
+++ b/tests/violetroute/clients/test_clients.py
@@ -23,7 +23,7 @@
     read_answer,
     reply,
     serves,
-    until,
+    wait_until,
     with_timeout,
 )
 from violetroute.clients.listener import ACCEPT_RETRY_INTERVAL, MIN_IDLE_TIME
@@ -85,9 +85,9 @@
         node.behaviour = never
         _, writer = await rig.client()
         writer.write(get(1))
-        await until(lambda: node.commands)
+        await wait_until(lambda: node.commands)
         writer.write_eof()  # the protocol has no half-open clients: it has left
-        await until(lambda: not node.open and not rig.proxy.open_requests)
+        await wait_until(lambda: not node.open and not rig.proxy.open_requests)
 
     run_case(part)
 
@@ -105,12 +105,12 @@
         node.behaviour = breaks
         _, writer = await rig.client()
         writer.write(get(1))
-        await until(lambda: node.commands)
+        await wait_until(lambda: node.commands)
         writer.close()
-        await until(lambda: not rig.listener.connections)
+        await wait_until(lambda: not rig.listener.connections)
         assert not rig.proxy.open_requests, "the request must end at once, not at its deadline"
         release.set()
-        await until(lambda: not node.open)
+        await wait_until(lambda: not node.open)
         node.behaviour = serves
         assert await rig.request(get(2)) == [b"value of id2"]
         assert [words[2] for words in node.commands] == [b"id1", b"id2"]
@@ -196,7 +196,7 @@
         node.behaviour = waits
         reader, writer = await rig.client()
         writer.write(get(1))
-        await until(lambda: node.commands)
+        await wait_until(lambda: node.commands)
         assert (await rig.request(get(1)))[0].startswith(b"-ERR")
         go.set()
         assert await read_answer(reader) == b"mine"
@@ -251,11 +251,11 @@
                     put(number + 100_000),
                     INVALID_COMMANDS["class"],
                 )
-            await until(lambda: not rig.listener.connections and not rig.proxy.open_requests)
+            await wait_until(lambda: not rig.listener.connections and not rig.proxy.open_requests)
             node.commands.clear()
             for writer in list(node.open):  # connections kept for reuse are no leak
                 writer.close()
-            await until(lambda: not node.open)
+            await wait_until(lambda: not node.open)
 
         def objects() -> int:
             gc.collect()
@@ -271,7 +271,7 @@
         before = objects()
         await send_requests(2_000)
         # Fewer than one object per two of the 120 requests, once the connections have ended.
-        await until(lambda: objects() < before + 60)
+        await wait_until(lambda: objects() < before + 60)
 
     run_case(part)
 
@@ -284,7 +284,7 @@
             reader, writer = await rig.client()
             writer.write(put(number, value)[:-10])
             clients.append((reader, writer, put(number, value)[-10:]))
-        await until(lambda: rig.listener.budget.used > 800_000)
+        await wait_until(lambda: rig.listener.budget.used > 800_000)
         assert rig.listener.budget.used <= 1024 * 1024
         for _, writer, rest in clients:
             writer.write(rest)
@@ -308,7 +308,7 @@
             reader._transport.pause_reading()  # type: ignore[attr-defined]
             writer.write(b"".join(get(number * 1000 + n) for n in range(300)))
             clients.append(writer)
-        await until(lambda: rig.listener.budget.full)
+        await wait_until(lambda: rig.listener.budget.full)
         quiet = len(node.commands)
         await asyncio.sleep(0.5)
         # Independent of admission: one value per node connection (45% of the sockets that are not
@@ -317,7 +317,7 @@
         assert len(node.commands) < 20 * 300 and len(node.commands) - quiet < 300
         for writer in clients:
             writer.transport.abort()
-        await until(lambda: rig.listener.budget.used == 0)
+        await wait_until(lambda: rig.listener.budget.used == 0)
 
     run_case(part, memory_mb=20)
 
@@ -333,7 +333,7 @@
             await read_answer(reader)
             stay.append((reader, writer))
         assert await read_until_closed(stay[0][0]) == b""
-        await until(lambda: rig.listener.connections <= rig.config.client_sockets // 4)
+        await wait_until(lambda: rig.listener.connections <= rig.config.client_sockets // 4)
         for _, writer in stay:
             writer.close()
 
@@ -348,7 +348,7 @@
     reader, writer = await rig.client()
     writer.write(command(b"PING"))
     assert await read_answer(reader) == b"+PONG"
-    await until(
+    await wait_until(
         lambda: (
             list(rig.listener._idle)
             and rig.listener.loop.time() - next(iter(rig.listener._idle)).since > MIN_IDLE_TIME
@@ -391,7 +391,7 @@
         served, node.behaviour = delayed_answer()
         reader, writer = await rig.client()
         writer.write(get(1))
-        await until(lambda: rig.proxy.open_requests)
+        await wait_until(lambda: rig.proxy.open_requests)
         connection = next(iter(rig.listener._serving))
         ends = rig.listener._accept_backlog
 
@@ -401,7 +401,7 @@
 
         rig.listener._accept_backlog = cut  # type: ignore[method-assign]
         drained = asyncio.create_task(rig.listener.drain(5.0))
-        await until(lambda: connection.draining)
+        await wait_until(lambda: connection.draining)
         assert rig.proxy.open_requests == 2
         served.set()
         assert [await read_answer(reader) for _ in range(2)] == [b"id1", b"id2"]
@@ -433,7 +433,7 @@
     async def part(rig: Rig, node: CacheNode) -> None:
         reader, writer = await rig.client()
         writer.write(b"*4\r\n$7\r\nOBJ")
-        await until(lambda: rig.listener._partial)
+        await wait_until(lambda: rig.listener._partial)
         connection = next(iter(rig.listener._partial))
         connection.since -= rig.listener.limits.command_s
         writer.write(b".")
@@ -453,11 +453,11 @@
         _, writer = await rig.client()
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         writer.write(b"".join(map(get, range(120))))
-        await until(
+        await wait_until(
             lambda: any(c._stream is not None and c._stream.unsent for c in rig.listener._serving)
         )
         stuck = rig.listener.loop.time()
-        await until(lambda: not rig.listener.connections)
+        await wait_until(lambda: not rig.listener.connections)
         assert rig.listener.loop.time() - stuck > 0.7  # not at the first check
 
     run_case(part)
@@ -468,7 +468,7 @@
         answer, node.behaviour = delayed_answer()
         listener, loop = rig.listener, asyncio.get_running_loop()
         asking = asyncio.create_task(rig.request(get(1)))
-        await until(lambda: rig.proxy.open_requests)
+        await wait_until(lambda: rig.proxy.open_requests)
         listener._slots, looks, gives = 1, [], listener._evict_one
 
         def looked() -> bool:
@@ -477,7 +477,7 @@
 
         listener._evict_one = looked  # type: ignore[method-assign]
         second = asyncio.create_task(rig.request(command(b"PING")))
-        await until(lambda: len(looks) > 3)
+        await wait_until(lambda: len(looks) > 3)
         assert looks[3] - looks[0] > 2 * ACCEPT_RETRY_INTERVAL  # not at each poll
         answer.set()
         assert await with_timeout(asking) == [b"id1"] and await with_timeout(second) == [b"+PONG"]
--- a/tests/violetroute/clients/test_crossings.py
+++ b/tests/violetroute/clients/test_crossings.py
@@ -15,7 +15,7 @@
 import pytest
 
 from limebridge.standins.configuration import SETTINGS
-from tests.support.rig import CacheNode, Rig, until
+from tests.support.rig import CacheNode, Rig, wait_until
 from tests.support.send_times import SendTimes
 from tests.support.virtual_rig import NO_CANCEL, VirtualRig, get, put, read_answer, run_scenario
 from violetroute.clients.connection import ClientConnection
@@ -44,15 +44,15 @@
         here.kernel.link(here.nodes[0].port).latency = 0.2  # a connect takes 0.4 s
         _, writer = await here.client()
         writer.write(get(1))
-        await here.until(lambda: here.proxy.open_requests)
+        await here.wait_until(lambda: here.proxy.open_requests)
         if left_first:
             writer.transport.abort()
             await asyncio.sleep(1.0)
             assert here.arrivals == []
         else:
-            await here.until(lambda: here.arrivals)
+            await here.wait_until(lambda: here.arrivals)
             writer.transport.abort()
-        await here.until(lambda: not here.proxy.open_requests)
+        await here.wait_until(lambda: not here.proxy.open_requests)
 
     run_scenario(part, **caps)
 
@@ -77,16 +77,16 @@
             writer.write(get(1) + get(2))
         else:
             writer.write(put(1, value=b"v" * 60_000)[:30_000])
-        await here.until(lambda: here.listener._paused)
+        await here.wait_until(lambda: here.listener._paused)
         assert here.proxy.open_requests == (128 if held_by == "depth" else 0)
         if end == "closes":
             writer.close()
         else:
             writer.transport.abort()
         left_at = here.loop.time()
-        await here.until(lambda: not here.listener.connections)
+        await here.wait_until(lambda: not here.listener.connections)
         assert here.loop.time() - left_at <= DEPARTURE_LIMIT / 2
-        await here.until(lambda: not here.proxy.open_requests, DEPARTURE_LIMIT / 2)
+        await here.wait_until(lambda: not here.proxy.open_requests, DEPARTURE_LIMIT / 2)
         await asyncio.sleep(3.0)
         assert begun_late(here, left_at) == [] and not here.listener._paused
         if held_by != "depth":
@@ -102,9 +102,9 @@
             _, writer = await rig.client()
             for number in range(300):
                 writer.write(get(number))
-            await until(lambda: rig.listener._paused and rig.proxy.open_requests == 128)
+            await wait_until(lambda: rig.listener._paused and rig.proxy.open_requests == 128)
             writer.close()
-            await until(lambda: not rig.listener.connections and not rig.proxy.open_requests)
+            await wait_until(lambda: not rig.listener.connections and not rig.proxy.open_requests)
             assert not rig.listener._paused and rig.listener.budget.used == 0
 
     asyncio.run(run())
@@ -118,7 +118,7 @@
         here.kernel.link(here.nodes[0].port).latency = 0.2
         _, writer = await here.client()
         writer.write(get(1))
-        await here.until(lambda: here.proxy.open_requests)
+        await here.wait_until(lambda: here.proxy.open_requests)
         here.process.pause(2.0)
         if left:
             writer.close()
@@ -146,9 +146,9 @@
                     writer.write(get(number) + put(9, value=b"v" * 9000)[:5000])
                     await read_answer(reader)
                     writer.close()
-                await until(lambda: not rig.listener.connections)
+                await wait_until(lambda: not rig.listener.connections)
                 # Connection objects of accepts without a client are freed too.
-                await until(lambda: held() == before)
+                await wait_until(lambda: held() == before)
             finally:
                 gc.enable()
 
@@ -277,11 +277,11 @@
         reader, writer = await here.client()
         for number in range(170):  # 128 of them are started; all arrive in one read of 16 KiB
             writer.write(get(number))
-        await here.until(lambda: here.proxy.open_requests == 128)
+        await here.wait_until(lambda: here.proxy.open_requests == 128)
         connection = next(iter(here.listener._serving))
         assert connection._decoder.unread
         stopped = asyncio.ensure_future(here.process.term())
-        await here.until(lambda: connection.draining)
+        await here.wait_until(lambda: connection.draining)
         writer.write(get(1000))  # races with the close: its client retries elsewhere
         answers = [await read_answer(reader) for _ in range(170)]  # some requests are refused
         served = [b"id%d" % n for n in range(170) if answers[n] == b"value of id%d" % n]
@@ -301,12 +301,12 @@
         here.nodes[0].behaviour = never
         _, writer = await here.client()
         writer.write(get(1))
-        await here.until(lambda: here.arrivals)
+        await here.wait_until(lambda: here.arrivals)
         connection = next(iter(here.listener._serving))
         stopped = asyncio.ensure_future(here.process.term())
-        await here.until(lambda: connection.draining)
+        await here.wait_until(lambda: connection.draining)
         writer.close()
-        await here.until(lambda: not here.proxy.open_requests, DEPARTURE_LIMIT)
+        await here.wait_until(lambda: not here.proxy.open_requests, DEPARTURE_LIMIT)
         assert await stopped
 
     run_scenario(part)
@@ -324,16 +324,16 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", here.port, limit=1024)
         for number in range(8):
             writer.write(get(number))
-        await here.until(lambda: any(c._stream.unsent for c in here.listener._serving))
+        await here.wait_until(lambda: any(c._stream.unsent for c in here.listener._serving))
         connection = next(iter(here.listener._serving))
         stopped = asyncio.ensure_future(here.process.term())
         for _ in range(5):
             assert len(await read_answer(reader)) == 60_000
-        await here.until(lambda: connection.lingering_since)
+        await here.wait_until(lambda: connection.lingering_since)
         assert connection._stream.unsent
         await asyncio.sleep(2.0)  # the client takes its time
         assert len(await read_answer(reader)) == 60_000
-        await here.until(lambda: not connection._stream.unsent)  # the kernels have the rest
+        await here.wait_until(lambda: not connection._stream.unsent)  # the kernels have the rest
         await asyncio.sleep(0.3)
         writer.write(b"x" * 100)  # a closed socket would answer this with a reset
         for _ in range(2):
@@ -353,7 +353,7 @@
         for place, (_, writer) in enumerate(clients):
             for number in range(200):
                 writer.write(get(1000 * place + number))
-        await here.until(lambda: len(here.listener._paused) == 2)
+        await here.wait_until(lambda: len(here.listener._paused) == 2)
 
         def fault() -> bool:
             raise RuntimeError("a fault of ours")
@@ -364,6 +364,6 @@
         clients[1][1].close()
         clients[0][1].close()
         del first.client_left
-        await here.until(lambda: not here.listener.connections, DEPARTURE_LIMIT)
+        await here.wait_until(lambda: not here.listener.connections, DEPARTURE_LIMIT)
 
     run_scenario(part, sockets=1024)
--- a/tests/violetroute/cluster/test_redirects.py
+++ b/tests/violetroute/cluster/test_redirects.py
@@ -27,7 +27,7 @@
     Settings,
 )
 from tests.support import stall_free_loop
-from tests.support.rig import Rig, get, put, serves, until
+from tests.support.rig import Rig, get, put, serves, wait_until
 from violetroute.cluster import ClusterTable, SlotMap, key_slot
 from violetroute.cluster.redirects import Redirect, parse_redirect
 from violetroute.config import Operator
@@ -309,9 +309,9 @@
                 cluster.importing[slot] = rng.choice(
                     [node for node in cluster.nodes if node is not cluster.owner(slot)]
                 )
-                await until(lambda seen=seen: done > seen or asking.done())
+                await wait_until(lambda seen=seen: done > seen or asking.done())
             cluster.move(slot, cluster.importing.get(slot) or rng.choice(cluster.nodes))
-            await until(lambda seen=seen: done > seen or asking.done())
+            await wait_until(lambda seen=seen: done > seen or asking.done())
         assert not asking.done(), asking.exception()
         asking.cancel()
         ran = [id_ for node in cluster.nodes for id_ in node.executed]
--- a/tests/violetroute/distribution/test_distribution_builds.py
+++ b/tests/violetroute/distribution/test_distribution_builds.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from tests.support.rig import until
+from tests.support.rig import wait_until
 from tests.violetroute.distribution.test_distribution_service import (
     ScriptedControl,
     ok,
@@ -135,7 +135,7 @@
     async def scenario() -> None:
         control = ScriptedControl(encode(next_build(later_reply)), ok(purges(2, "b")))
         async with subscribed(control) as (service, receiver):
-            await until(lambda: len(control.polls) == 3)
+            await wait_until(lambda: len(control.polls) == 3)
             assert receiver.keys == ["a", "b"]
             assert service.subscriber.position == 2
             assert control.polls[-1].position == 2
--- a/tests/violetroute/distribution/test_distribution_http.py
+++ b/tests/violetroute/distribution/test_distribution_http.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.support.rig import until, with_timeout
+from tests.support.rig import wait_until, with_timeout
 from violetroute.distribution import http_client, http_server, signing
 from violetroute.distribution.control_choice import SubscriberSettings
 from violetroute.distribution.http_client import BusyError, HttpClient, HttpPool
@@ -79,7 +79,7 @@
     recorded_responses = ResponseRecorder()
     client.request(path, body, timeout_s, recorded_responses)
     assert not recorded_responses.calls  # the callback is never called from within `request`
-    await until(lambda: recorded_responses.calls)
+    await wait_until(lambda: recorded_responses.calls)
     await asyncio.sleep(0)
     assert len(recorded_responses.calls) == 1
     return recorded_responses.calls[0]
@@ -129,7 +129,7 @@
             assert (sent.bytes_in, sent.bytes_out) == (received.bytes_out, received.bytes_in)
             assert sent.requests == received.requests == 20 and sent.bytes_out > 20 * 60
             client.close()
-            await until(lambda: server.connections == 0)
+            await wait_until(lambda: server.connections == 0)
 
     run(scenario)
 
@@ -173,19 +173,19 @@
                 pool.request(server.address, "/fetch", b"%d" % number, 10.0, each)
             with pytest.raises(BusyError):
                 pool.request(server.address, "/fetch", b"", 10.0, ResponseRecorder())
-            await until(lambda: len(recorder.requests) == len(recorded_responses))
+            await wait_until(lambda: len(recorder.requests) == len(recorded_responses))
             assert server.connections == len(recorded_responses)
             for ticket, _, body in reversed(recorder.requests):
                 server.answer(ticket, body)
-            await until(lambda: all(each.calls for each in recorded_responses))
+            await wait_until(lambda: all(each.calls for each in recorded_responses))
             assert [each.calls for each in recorded_responses] == [
                 [(b"%d" % number, "")] for number in range(len(recorded_responses))
             ]
             pool.request(server.address, "/fetch", b"again", 10.0, again := ResponseRecorder())
-            await until(lambda: len(recorder.requests) == len(recorded_responses) + 1)
+            await wait_until(lambda: len(recorder.requests) == len(recorded_responses) + 1)
             assert server.connections == len(recorded_responses)
             pool.close()
-            await until(lambda: recorder.abandoned_tickets == [recorder.requests[-1][0]])
+            await wait_until(lambda: recorder.abandoned_tickets == [recorder.requests[-1][0]])
             assert not again.calls
 
     run(scenario)
@@ -202,7 +202,7 @@
             assert server.connections == len(recorder.requests) == 300
             for client in clients:
                 client.close()
-            await until(lambda: server.connections == 0)
+            await wait_until(lambda: server.connections == 0)
 
     run(scenario)
 
@@ -213,13 +213,13 @@
             recorder.hold = True
             client = client_of(server.address)
             client.request("/poll", b"x", 10.0, recorded_responses := ResponseRecorder())
-            await until(lambda: recorder.requests)
+            await wait_until(lambda: recorder.requests)
             ticket = recorder.requests[0][0]
             client.close()
-            await until(lambda: recorder.abandoned_tickets)
+            await wait_until(lambda: recorder.abandoned_tickets)
             server.answer(ticket, b"too late")
             server.refuse(ticket, 400)
-            await until(lambda: server.connections == 0)
+            await wait_until(lambda: server.connections == 0)
             assert recorder.abandoned_tickets == [ticket] and not recorded_responses.calls
 
     run(scenario)
@@ -231,9 +231,9 @@
             recorder.hold = True
             client = client_of(server.address)
             client.request("/poll", b"x", 10.0, recorded_responses := ResponseRecorder())
-            await until(lambda: recorder.requests)
+            await wait_until(lambda: recorder.requests)
             server.close()
-            await until(lambda: recorded_responses.calls)
+            await wait_until(lambda: recorded_responses.calls)
             assert recorded_responses.calls[0][0] is None and not recorder.abandoned_tickets
             assert (await post(client))[0] is None  # the port is closed
             again = Recorder()
@@ -255,7 +255,7 @@
                 client = client_of(server.address, OTHER_KEY)
                 assert await post(client) == (None, "status 403")
                 client.close()
-            await until(lambda: server.connections == 0)
+            await wait_until(lambda: server.connections == 0)
             assert not recorder.requests and server.traffic.failures == 5
 
     with caplog.at_level(logging.INFO, "violetroute"):
@@ -293,7 +293,7 @@
             assert not recorder.requests
             reader, writer = await connect(server)
             writer.write(good + b"abc")
-            await until(lambda: recorder.requests)
+            await wait_until(lambda: recorder.requests)
             writer.close()
 
     run(scenario)
@@ -339,7 +339,7 @@
             await flood(server, b"POST /poll HTTP/1.1\r\n", b"X: " + b"y" * 8000 + b"\r\n")
             await flood(server, b"POST /" + b"y" * 5000, b"y" * 65536)
             await flood(server, b"", b"\x00\xff" * 4000)
-            await until(lambda: server.connections == 0)
+            await wait_until(lambda: server.connections == 0)
             assert server.long_body_bytes == 0 and not recorder.requests
 
     run(scenario)
@@ -352,7 +352,7 @@
         async with running_server() as (server, _):
             first = await connect(server)
             first[1].write(request_head("/poll", b"", length=400_000) + b"x" * 200_000)
-            await until(lambda: server.long_body_bytes > 150_000)
+            await wait_until(lambda: server.long_body_bytes > 150_000)
             second = await connect(server)
             second[1].write(request_head("/poll", b"", length=400_000) + b"x" * 200_000)
             assert (await read_to_end(second[0]))[:12] in (b"HTTP/1.1 503", b"")
@@ -361,7 +361,7 @@
             client.close()
             for _, writer in (first, second):
                 writer.close()
-            await until(lambda: server.connections == 0)
+            await wait_until(lambda: server.connections == 0)
             assert server.long_body_bytes == 0
 
     run(scenario)
@@ -398,8 +398,8 @@
             assert not recorder.requests
             client = client_of(server.address)
             assert await post(client) == (b"cba", "")
-            await until(lambda: server.connections == 0)  # idle: closed without an answer
-            await until(lambda: client._connection is None)  # the client has seen the close
+            await wait_until(lambda: server.connections == 0)  # idle: closed without an answer
+            await wait_until(lambda: client._connection is None)  # the client has seen the close
             assert await post(client) == (b"cba", "")
             client.close()
 
@@ -429,7 +429,7 @@
                     client.request("/poll", b"xyz", 10.0, recorded_responses)
 
             monkeypatch.setattr(server, "forget", send_before_the_close_is_read)
-            await until(lambda: recorded_responses.calls)
+            await wait_until(lambda: recorded_responses.calls)
             (body, reason) = recorded_responses.calls[0]
             assert body is None and reason
             assert len(recorder.requests) == 1  # the server has not received the second request
@@ -456,11 +456,11 @@
             recorder.hold = True
             _, writer = await connect(server)
             writer.write(request_head("/poll", b"x") + b"x")
-            await until(lambda: recorder.requests)
+            await wait_until(lambda: recorder.requests)
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             server.answer(recorder.requests[0][0], b"y" * 64 * 1024 * 1024)
             assert server.connections == 1
-            await until(lambda: server.connections == 0)
+            await wait_until(lambda: server.connections == 0)
             writer.close()
 
     run(scenario)
@@ -473,7 +473,7 @@
             one = request_head("/poll", b"x") + b"x"
             reader, writer = await connect(server)
             writer.write(one)
-            await until(lambda: recorder.requests)
+            await wait_until(lambda: recorder.requests)
             writer.write(one)
             assert await read_to_end(reader) == b""
             writer.close()
@@ -481,7 +481,7 @@
             writer.write(one + one)  # both in one write
             assert await read_to_end(reader) == b""
             writer.close()
-            await until(lambda: len(recorder.abandoned_tickets) == 2)
+            await wait_until(lambda: len(recorder.abandoned_tickets) == 2)
             assert len(recorder.requests) == 2 and server.connections == 0
 
     run(scenario)
@@ -502,7 +502,7 @@
                 assert await post(client) == (b"cba", "")  # on its existing connection
             assert sum(client.traffic.failures for client in inside) == 0
             inside[0].close()
-            await until(lambda: server.connections == 3)
+            await wait_until(lambda: server.connections == 3)
             another = client_of(server.address)
             assert await post(another) == (b"cba", "")
             for client in (another, *inside):
--- a/tests/violetroute/distribution/test_distribution_service.py
+++ b/tests/violetroute/distribution/test_distribution_service.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 
-from tests.support.rig import until
+from tests.support.rig import wait_until
 from violetroute.distribution import service as service_module
 from violetroute.distribution.control_choice import SubscriberSettings
 from violetroute.distribution.factory import HooksReceiver
@@ -138,7 +138,7 @@
     async def scenario() -> None:
         control = ScriptedControl(ok(purges(1, "a", "b"), purges(2), purges(3, "c")))
         async with subscribed(control) as (service, receiver):
-            await until(lambda: len(control.polls) == 2)
+            await wait_until(lambda: len(control.polls) == 2)
             assert receiver.keys == ["a", "b", "c"]
             first, second = control.polls
             assert (first.position, first.log, first.region) == (0, "", "north")
@@ -147,7 +147,7 @@
             status = service.status()
             assert status.fresh and status.position == 3 and status.asks
             control.reply(ok(commit=3))
-            await until(lambda: len(control.polls) == 3)
+            await wait_until(lambda: len(control.polls) == 3)
             assert control.server.connections == 1
 
     run(scenario)
@@ -163,7 +163,7 @@
 
         control = ScriptedControl(ok(batch(1), batch(2)), ok(batch(3)))
         async with subscribed(control) as (service, receiver):
-            await until(lambda: len(control.polls) == 3)
+            await wait_until(lambda: len(control.polls) == 3)
             assert receiver.keys == ["k1", "k2", "k3"] and service.subscriber.position == 3
             assert not control.polls[-1].refused
 
@@ -181,7 +181,7 @@
     async def scenario() -> None:
         control = ScriptedControl(ok(purges(1, "a", "bad", "b"), purges(2, "c")))
         async with subscribed(control) as (_, receiver):
-            await until(lambda: len(control.polls) == 2)
+            await wait_until(lambda: len(control.polls) == 2)
             assert receiver.keys == ["a", "b", "c"] and receiver.purges == 4
             assert control.polls[1].position == 2
             assert control.polls[1].refused == ((1, "RuntimeError: no such shard"),)
@@ -201,7 +201,7 @@
             ok(Batch(51, 2, 0, (Record(Topic.PURGE, "k"),))),
         )
         async with subscribed(control) as (service, receiver):
-            await until(lambda: len(control.polls) == 3)
+            await wait_until(lambda: len(control.polls) == 3)
             assert receiver.voids == 1 and receiver.keys == ["k"]
             assert control.polls[1].position == 50 and service.subscriber.position == 51
 
@@ -217,9 +217,9 @@
         gap = ok(purges(1, "a"), purges(3, "c"))
         controls = [ScriptedControl(gap, b"\xc1", b"", ok(purges(2, "b"))) for _ in range(2)]
         async with subscribed(*controls) as (service, receiver):
-            await until(lambda: sum(len(control.polls) for control in controls) >= 2)
+            await wait_until(lambda: sum(len(control.polls) for control in controls) >= 2)
             assert all(control.polls for control in controls)
-            await until(lambda: service.subscriber.position == 2)
+            await wait_until(lambda: service.subscriber.position == 2)
             assert receiver.keys == ["a", "b"]
 
     with caplog.at_level(logging.INFO, "violetroute"):
@@ -270,8 +270,8 @@
             each.replies = replies  # shared: only the machine that is polled first answers
         async with subscribed(*controls) as (service, receiver):
             services.append(service)
-            await until(lambda: events.count("requested") >= 3)
-            await until(lambda: sum(len(each.polls) for each in controls) == 2)
+            await wait_until(lambda: events.count("requested") >= 3)
+            await wait_until(lambda: sum(len(each.polls) for each in controls) == 2)
             positions = [poll.position for each in controls for poll in each.polls]
             assert sorted(positions) == [0, 1]  # the second poll acknowledges the batch
             assert receiver.keys == ["a"]
@@ -289,7 +289,7 @@
         unreachable, reachable = ScriptedControl(), ScriptedControl()
         unreachable.server.close()
         async with subscribed(unreachable) as (service, _):
-            await until(lambda: service.traffic.failures >= 4)
+            await wait_until(lambda: service.traffic.failures >= 4)
             assert not service.subscriber.fresh(asyncio.get_running_loop().time())
         reachable.server.close()
 
@@ -307,12 +307,12 @@
         table = DistributionTable(controls=(control.address,), stale_after_s=0.5)
         net = SocketNetwork(asyncio.get_running_loop())
         service = DistributionService(table, KEYS, "p0", "", net, CountingReceiver())
-        await until(lambda: logged(caplog, "distribution.fresh"))
-        await until(lambda: logged(caplog, "distribution.stale"))
+        await wait_until(lambda: logged(caplog, "distribution.fresh"))
+        await wait_until(lambda: logged(caplog, "distribution.stale"))
         assert not service.status().fresh and service.status().purges == 1
         for _ in range(4):  # the held poll was sent too long ago: its answer makes nothing fresh
             control.reply(ok(commit=1))
-        await until(lambda: len(logged(caplog, "distribution.fresh")) == 2)
+        await wait_until(lambda: len(logged(caplog, "distribution.fresh")) == 2)
         service.close()
         control.server.close()
 
@@ -338,7 +338,7 @@
                 return real(now)
 
             monkeypatch.setattr(service.subscriber, "next", next_poll)
-            await until(lambda: len(control.polls) >= 2)
+            await wait_until(lambda: len(control.polls) >= 2)
             assert receiver.keys == ["a"]
 
     with caplog.at_level(logging.INFO, "violetroute"):
@@ -358,8 +358,8 @@
                     service.close()
 
             service.receiver = Closing()
-            await until(lambda: receiver.keys == ["a", "b"])
-            await until(lambda: control.server.connections == 0)
+            await wait_until(lambda: receiver.keys == ["a", "b"])
+            await wait_until(lambda: control.server.connections == 0)
             assert len(control.polls) == 1
 
     run(scenario)
@@ -370,7 +370,7 @@
     async def scenario() -> None:
         control = ScriptedControl()
         async with subscribed(control, name=name):
-            await until(lambda: control.polls)
+            await wait_until(lambda: control.polls)
 
     run(scenario)
 
@@ -399,14 +399,14 @@
             DistributionService(table, KEYS, f"p{number}", "", net, CountingReceiver())
             for number in range(200)
         ]
-        await until(lambda: len(control.held) == 200)
+        await wait_until(lambda: len(control.held) == 200)
         for _ in range(200):
             control.reply(ok(purges(1, "a")))
-        await until(lambda: all(service.status().purges == 1 for service in services))
-        await until(lambda: sum(poll.position == 1 for poll in control.polls) == 200)
+        await wait_until(lambda: all(service.status().purges == 1 for service in services))
+        await wait_until(lambda: sum(poll.position == 1 for poll in control.polls) == 200)
         for service in services:
             service.close()
-        await until(lambda: control.server.connections == 0)
+        await wait_until(lambda: control.server.connections == 0)
         control.server.close()
 
     run(scenario)
--- a/tests/violetroute/distribution/test_distribution_storage.py
+++ b/tests/violetroute/distribution/test_distribution_storage.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.support.rig import until
+from tests.support.rig import wait_until
 from violetroute.distribution import storage as storage_module
 from violetroute.distribution.actions import (
     AppendBatches,
@@ -403,7 +403,7 @@
         for number in range(1, 101):
             persister.submit(Persist(number, (AppendBatches((batch(number),)),)))
         assert not persisted
-        await until(lambda: len(persisted) == 100)
+        await wait_until(lambda: len(persisted) == 100)
         assert persisted == list(range(1, 101)) and not failed
         persister.close()
         storage.close()
--- a/tests/violetroute/distribution/test_distribution_unauthenticated.py
+++ b/tests/violetroute/distribution/test_distribution_unauthenticated.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.support.rig import until, with_timeout
+from tests.support.rig import wait_until, with_timeout
 from tests.violetroute.distribution.test_distribution_http import (
     client_of,
     connect,
@@ -43,8 +43,8 @@
         _, writer = await connect(server)
         writer.write(partial_request)
         writers.append(writer)
-    await until(lambda: server.connections == CONNECTION_LIMIT)
-    await until(lambda: server.traffic.bytes_in == CONNECTION_LIMIT * len(partial_request))
+    await wait_until(lambda: server.connections == CONNECTION_LIMIT)
+    await wait_until(lambda: server.traffic.bytes_in == CONNECTION_LIMIT * len(partial_request))
     return writers
 
 
@@ -73,7 +73,7 @@
             first = client_of(server.address)
             assert await post(first) == (b"cba", "")
             silent = [await connect(server) for _ in range(3)]
-            await until(lambda: server.connections == 4)
+            await wait_until(lambda: server.connections == 4)
             for reader, writer in silent:
                 newest = client_of(server.address)
                 assert await post(newest) == (b"cba", "")
@@ -104,7 +104,7 @@
                 for _ in range(UNAUTHENTICATED_CLIENTS)
             ]
             # Each failure is an eviction.
-            await until(lambda: server.traffic.failures > 2 * UNAUTHENTICATED_CLIENTS)
+            await wait_until(lambda: server.traffic.failures > 2 * UNAUTHENTICATED_CLIENTS)
             for _ in range(10):
                 client = client_of(server.address)
                 assert await post(client) == (b"cba", "")
@@ -133,13 +133,13 @@
             for number in range(3):
                 writer.write(bytes(PROGRESS_BYTES))
                 arrived = len(partial_request) + (number + 1) * PROGRESS_BYTES
-                await until(lambda: server.traffic.bytes_in == arrived)  # noqa: B023
+                await wait_until(lambda: server.traffic.bytes_in == arrived)  # noqa: B023
                 if number == 2:
                     break
                 for _ in range(CONNECTION_LIMIT - 1):
                     unauthenticated_clients.append(await connect(server))
                 evicted = number * (CONNECTION_LIMIT - 1)
-                await until(lambda: server.traffic.failures == evicted)  # noqa: B023
+                await wait_until(lambda: server.traffic.failures == evicted)  # noqa: B023
             assert [path for _, path, _ in recorder.requests] == ["/poll"]
             for each in (writer, *(writer for _, writer in unauthenticated_clients)):
                 each.close()
--- a/tests/violetroute/distribution/test_distribution_unauthenticated_bodies.py
+++ b/tests/violetroute/distribution/test_distribution_unauthenticated_bodies.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.support.rig import until
+from tests.support.rig import wait_until
 from tests.violetroute.distribution.test_distribution_http import (
     client_of,
     connect,
@@ -37,14 +37,14 @@
     partial_request = request_head("/publish", b"", length=MESSAGE_BYTES) + bytes(size)
     arrived = server.traffic.bytes_in + len(partial_request)
     opened[1].write(partial_request)
-    await until(lambda: server.traffic.bytes_in >= arrived)
+    await wait_until(lambda: server.traffic.bytes_in >= arrived)
     return opened
 
 
 async def close_all(server: HttpServer, unauthenticated_clients: list[Opened]) -> None:
     for _, writer in unauthenticated_clients:
         writer.close()
-    await until(lambda: server.connections == 0)
+    await wait_until(lambda: server.connections == 0)
     assert server.unauthenticated.body_bytes == 0 == server.long_body_bytes
 
 
@@ -117,7 +117,7 @@
             for start in range(0, len(data), part):
                 arrived = server.traffic.bytes_in + len(data[start : start + part])
                 writer.write(data[start : start + part])
-                await until(lambda: server.traffic.bytes_in >= arrived)  # noqa: B023
+                await wait_until(lambda: server.traffic.bytes_in >= arrived)  # noqa: B023
                 if start + part < len(data):
                     unauthenticated_clients.append(await send_partial_body(server))
                 assert server.unauthenticated.body_bytes <= MAX_UNAUTHENTICATED_BYTES
@@ -133,16 +133,16 @@
         async with running_server() as (server, recorder):
             _, writer = await connect(server)
             writer.write(request_head("/poll", b"abc") + b"abc")
-            await until(lambda: len(recorder.requests) == 1)
+            await wait_until(lambda: len(recorder.requests) == 1)
             longest = bytes(MESSAGE_BYTES)
             writer.write(request_head("/fetch", longest) + longest[:-1])
-            await until(lambda: server.traffic.bytes_in > MESSAGE_BYTES)
+            await wait_until(lambda: server.traffic.bytes_in > MESSAGE_BYTES)
             assert server.unauthenticated.body_bytes == 0
             unauthenticated_clients = [
                 await send_partial_body(server) for _ in range(UNAUTHENTICATED_CLIENTS)
             ]
             writer.write(longest[-1:])
-            await until(lambda: len(recorder.requests) == 2)
+            await wait_until(lambda: len(recorder.requests) == 2)
             assert recorder.requests[1][1:] == ("/fetch", longest)
             writer.close()
             await close_all(server, unauthenticated_clients)
--- a/tests/violetroute/ledger/test_ledger_daemon.py
+++ b/tests/violetroute/ledger/test_ledger_daemon.py
@@ -15,7 +15,7 @@
 
 from limebridge.ledger.kills import run_kills
 from limebridge.standins.billing import BillingEndpoint
-from tests.support.rig import CacheNode, Rig, get, serves, until
+from tests.support.rig import CacheNode, Rig, get, serves, wait_until
 from violetroute.ledger import LedgerTable
 from violetroute.ledger.files import Folder, folder_name
 from violetroute.ledger.service import Ledger
@@ -77,7 +77,7 @@
     async def part(rig: Rig, ledger: Ledger, billing: BillingEndpoint, clock: Clock) -> None:
         await ask(rig, 0, 5)
         clock.now += 400.0
-        await until(lambda: sum(billing.billed.values()) == 5)
+        await wait_until(lambda: sum(billing.billed.values()) == 5)
         assert billing.billed == {("p1", int(START), "x", "lookup"): 5}
 
     run(part, tmp_path)
@@ -91,13 +91,15 @@
         billing.fault = lambda: "lost before" if endpoint_down[0] else ""
         for number in range(30):
             ledger.served(f"t{number}", "lookup", b"")
-            await until(lambda: not ledger._counters.units)
+            await wait_until(lambda: not ledger._counters.units)
             clock.now += 400.0
-        await until(lambda: sum(not each.lines for each in ledger._book.batches.values()) == 22)
+        await wait_until(
+            lambda: sum(not each.lines for each in ledger._book.batches.values()) == 22
+        )
         assert ledger._book.total_units(int(START)) == 1
         (tmp_path / "ledgers" / "p1" / "batch-30").write_bytes(b"noise")
         endpoint_down[0] = False
-        await until(lambda: [b.state for b in ledger._book.batches.values()] == ["held"])
+        await wait_until(lambda: [b.state for b in ledger._book.batches.values()] == ["held"])
         assert sum(billing.billed.values()) == 29
         (held,) = ledger._book.batches.values()
         assert "batch-30" in held.reason
@@ -119,7 +121,7 @@
         billing.fault = lambda: faults_left.pop() if faults_left else ""
         await ask(rig, 0, 3)
         clock.now += 400.0
-        await until(lambda: ledger._book.last_key)
+        await wait_until(lambda: ledger._book.last_key)
         assert sum(billing.billed.values()) == 3 and billing.posts == 11
 
     run(part, tmp_path, retry_most_s=0.02)
@@ -143,35 +145,35 @@
         put(self, name, data)
 
     async def part(rig: Rig, ledger: Ledger, billing: BillingEndpoint, clock: Clock) -> None:
-        await until(lambda: ledger.state == "open")
+        await wait_until(lambda: ledger.state == "open")
         monkeypatch.setattr(Folder, "append", hangs)
         monkeypatch.setattr(Folder, "put", refuses)
         await ask(rig, 0, 1)
-        await until(lambda: ledger._busy)
+        await wait_until(lambda: ledger._busy)
         await ask(rig, 1, 20)  # all are answered while the write hangs
         assert ledger._busy
         resume.set()
-        await until(lambda: ledger.state == "failed")
+        await wait_until(lambda: ledger.state == "failed")
         await ask(rig, 30, 5)
         full[0] = False
         clock.now += 400.0
-        await until(lambda: sum(billing.billed.values()) == 26)
+        await wait_until(lambda: sum(billing.billed.values()) == 26)
 
     run(part, tmp_path)
 
 
 def test_a_second_process_of_the_same_name_waits_and_takes_over(tmp_path: Path) -> None:
     async def part(rig: Rig, ledger: Ledger, billing: BillingEndpoint, clock: Clock) -> None:
-        await until(lambda: ledger.state == "open")
+        await wait_until(lambda: ledger.state == "open")
         other = Ledger(ledger.table, "p1", SocketNetwork(asyncio.get_running_loop(), clock=clock))
-        await until(lambda: other.state == "elsewhere")
+        await wait_until(lambda: other.state == "elsewhere")
         other.served("x", "lookup", b"id")
         await ask(rig, 0, 2)
         await ledger.close()
-        await until(lambda: other.state == "open")
+        await wait_until(lambda: other.state == "open")
         assert other._book.incarnation == 2 and not other._book.gaps
         clock.now += 400.0
-        await until(lambda: sum(billing.billed.values()) == 3)
+        await wait_until(lambda: sum(billing.billed.values()) == 3)
         await other.close()
 
     run(part, tmp_path)
@@ -179,7 +181,7 @@
 
 def test_another_proxys_files_are_renamed_and_kept(tmp_path: Path) -> None:
     async def part(rig: Rig, ledger: Ledger, billing: BillingEndpoint, clock: Clock) -> None:
-        await until(lambda: ledger.state == "open")
+        await wait_until(lambda: ledger.state == "open")
         await ask(rig, 0, 1)
         assert (ledger._book.incarnation, ledger._book.name) == (1, ledger.name)
 
@@ -213,10 +215,10 @@
     async def part(rig: Rig, ledger: Ledger, billing: BillingEndpoint, clock: Clock) -> None:
         await ask(rig, 0, 2)
         clock.now += 400.0
-        await until(lambda: ledger._backoff.failures > 1)
+        await wait_until(lambda: ledger._backoff.failures > 1)
         assert not billing.billed
         key(ours)
-        await until(lambda: sum(billing.billed.values()) == 2)
+        await wait_until(lambda: sum(billing.billed.values()) == 2)
 
     run(
         part,
@@ -234,7 +236,7 @@
         ledger.served("../../x", "lookup", b"1")
         ledger.served("=1+1", "lookup", b"2")
         clock.now += 400.0
-        await until(lambda: len(list(out.glob("p1_*.csv"))) == 1 and ledger._book.last_key)
+        await wait_until(lambda: len(list(out.glob("p1_*.csv"))) == 1 and ledger._book.last_key)
         assert not billing.posts
 
     run(part, tmp_path, export="files", export_folder=str(out), formats=("csv", "jsonl"))
--- a/tests/violetroute/membership/test_consul.py
+++ b/tests/violetroute/membership/test_consul.py
@@ -20,7 +20,7 @@
 from limebridge.standins.consul import Catalogue, Consul
 from snowstall import CacheState
 from tests.support import stall_free_loop
-from tests.support.rig import CacheNode, Rig, get, serves, until, with_timeout
+from tests.support.rig import CacheNode, Rig, get, serves, wait_until, with_timeout
 from violetroute.config import ConfigError, Operator
 from violetroute.config.operator import parse_operator
 from violetroute.membership import ConsulTable, Entry, Listing, stable_hash
@@ -461,11 +461,11 @@
         }
 
     async def uses(self, *wanted: str) -> None:
-        await until(lambda: self.used() == set(wanted))
+        await wait_until(lambda: self.used() == set(wanted))
 
     async def asks_again(self) -> None:
         count = sum(len(agent.requests) for agent in self.agents)
-        await until(lambda: sum(len(agent.requests) for agent in self.agents) > count + 1)
+        await wait_until(lambda: sum(len(agent.requests) for agent in self.agents) > count + 1)
 
 
 def follow(part: Callable[[Setting], Awaitable[None]], agents: int = 1, **table: Any) -> None:
@@ -484,9 +484,11 @@
         async with Rig(*nodes, operator=operator) as rig:
             setting = Setting(rig, catalogue, started)
             # The platform's names stay: the initial list had the nodes under them.
-            await until(lambda: started[0].requests or agents > 1)
+            await wait_until(lambda: started[0].requests or agents > 1)
             await setting.uses("s-0", "s-1", "s-2", "s-3")
-            await until(lambda: any("index" in request for a in started for request in a.requests))
+            await wait_until(
+                lambda: any("index" in request for a in started for request in a.requests)
+            )
             await part(setting)
             assert not rig.discovery.requests  # the platform's list is not requested too
         for agent in started:
@@ -600,7 +602,7 @@
 def test_an_index_that_goes_backwards_is_reset() -> None:
     async def part(setting: Setting) -> None:
         setting.catalogue.restore_snapshot()
-        await until(lambda: any("index=1&" in request for request in setting.agent.requests))
+        await wait_until(lambda: any("index=1&" in request for request in setting.agent.requests))
         setting.catalogue.set_maintenance("c0", True)
         await setting.uses("s-1", "s-2", "s-3")
 
@@ -612,7 +614,7 @@
         catalogue = setting.catalogue
         kept = dict(catalogue.services)
         catalogue.deregister(*kept)
-        await until(
+        await wait_until(
             lambda: any(request.endswith("consistent") for request in setting.agent.requests)
         )
         await setting.asks_again()
@@ -625,7 +627,7 @@
         setting.agent.freeze()
         catalogue.services.update(kept)
         count = len(setting.agent.requests)
-        await until(
+        await wait_until(
             lambda: any(
                 request.endswith("consistent") for request in setting.agent.requests[count:]
             )
@@ -647,7 +649,7 @@
         await setting.asks_again()
         loop = asyncio.get_running_loop()
         count, began = len(setting.agent.requests), loop.time()
-        await until(lambda: len(setting.agent.requests) >= count + 5)
+        await wait_until(lambda: len(setting.agent.requests) >= count + 5)
         assert loop.time() - began >= 4 * 0.2 * 0.9
 
     follow(part, least_interval_s=0.2)
@@ -677,7 +679,7 @@
         await with_timeout(refused.wait())
         began = loop.time()
         agent.status = 200
-        await until(lambda: len(agent.requests) > count)
+        await wait_until(lambda: len(agent.requests) > count)
         assert loop.time() - began > 1.5  # the balancer's own retry wait is half a second at most
 
     follow(part)
@@ -698,7 +700,7 @@
         else:
             setting.agent.canned_answers = [b"HTTP/1.1 200 X\r\nContent-Length: 10\r\n\r\n["]
         setting.catalogue.raise_index()
-        await until(lambda: said)
+        await wait_until(lambda: said)
         assert said[0] == ("the answer takes too long" if slow == "drips" else "no answer in time")
         setting.agent.byte_interval = 0.0
         setting.catalogue.set_maintenance("c0", True)
@@ -804,8 +806,8 @@
                 ),
             )
             rig.proxy.reload(to_consul)
-            await until(lambda: any("index" in request for request in agent.requests))
-            await until(lambda: not rig.discovery.open)
+            await wait_until(lambda: any("index" in request for request in agent.requests))
+            await wait_until(lambda: not rig.discovery.open)
             assert setting.used() == {"s-0", "s-1", "s-2"}
             catalogue.set_maintenance("c0", True)
             await setting.uses("s-1", "s-2")
@@ -813,7 +815,7 @@
             await rig.wait_for_watch()
             await setting.uses("s-0", "s-1", "s-2")
             seen = len(answers)
-            await until(lambda: len(answers) > seen + 20)
+            await wait_until(lambda: len(answers) > seen + 20)
             asking.cancel()
             assert answers and all(answer.startswith(b"value of id") for answer in answers)
         await agent.stop()
@@ -857,6 +859,6 @@
         await setting.asks_again()  # expired waits
         assert reported == []
         setting.catalogue.raise_index()
-        await until(lambda: reported == ["s-1"])
+        await wait_until(lambda: reported == ["s-1"])
 
     follow(part)
--- a/tests/violetroute/membership/test_consul_morning.py
+++ b/tests/violetroute/membership/test_consul_morning.py
@@ -15,7 +15,7 @@
 from limebridge.standins.database import CustomerDatabase
 from limebridge.standins.fleet import FleetNode, IdempotencyKeys
 from tests.support import stall_free_loop
-from tests.support.rig import Rig, until
+from tests.support.rig import Rig, wait_until
 from tests.support.send_times import SendTimes
 from violetroute.config import Operator
 from violetroute.membership import ConsulTable
@@ -119,7 +119,7 @@
             seen.times.watch(rig.proxy, {node.port for node in nodes})
             crowd = LoadGenerator(rig.port, 12)
             await crowd.connect()
-            await until(lambda: len(rig.proxy.nodes) == 6)
+            await wait_until(lambda: len(rig.proxy.nodes) == 6)
 
             def both(change: Callable[[Consul], None]) -> None:
                 for agent in agents:
@@ -131,13 +131,13 @@
                 catalogue.check("c0", "critical")
                 await asyncio.sleep(0.2)
                 catalogue.set_maintenance("c1", True)  # a drain, reported late
-                await until(lambda: len(rig.proxy.nodes) == 4)
+                await wait_until(lambda: len(rig.proxy.nodes) == 4)
                 both(lambda agent: setattr(agent, "delay", 0.0))
                 for status in ("passing", "critical") * 4:  # flapping
                     catalogue.check("c2", status)
                     await asyncio.sleep(0.05)
                 catalogue.check("c2", "passing")
-                await until(lambda: len(rig.proxy.nodes) == 4)
+                await wait_until(lambda: len(rig.proxy.nodes) == 4)
                 for agent in agents:  # agents stop under load, while a node dies
                     await agent.stop()
                 await nodes[3].crash()
@@ -151,7 +151,7 @@
                 both(lambda agent: setattr(agent, "truncate_after", 0))
                 catalogue.deregister("c3")
                 catalogue.check("c0", "passing")
-                await until(lambda: len(rig.proxy.nodes) == 4)
+                await wait_until(lambda: len(rig.proxy.nodes) == 4)
 
             troubles = asyncio.create_task(morning())
             for rate in (80.0, 160.0, 240.0):  # increasing load
@@ -226,7 +226,7 @@
             await crowd.connect()
             await crowd.run(200.0, 0.1)
             await crowd.wait_for_answers()
-            await until(lambda: seen.sent_late)
+            await wait_until(lambda: seen.sent_late)
             crowd.close()
         seen.clients(crowd)
         assert len(seen.sent_late) == 1 and seen.sent_late[0][2] >= after_s
--- a/tests/violetroute/membership/test_crossings_lists.py
+++ b/tests/violetroute/membership/test_crossings_lists.py
@@ -10,7 +10,7 @@
 import pytest
 
 from limebridge.standins.configuration import SETTINGS
-from tests.support.rig import CacheNode, Rig, until
+from tests.support.rig import CacheNode, Rig, wait_until
 from tests.support.virtual_rig import VirtualRig, get, read_answer, run_scenario
 from violetroute.membership.list_reader import LINE_LIMIT, ObjectSplitter, WatchError
 from violetroute.membership.native import CONNECT_TIMEOUT, LINE_TIMEOUT
@@ -70,7 +70,7 @@
     """Covers the longest retry wait, the call's timeouts and calls in progress at that time."""
 
     async def part(here: VirtualRig) -> None:
-        await here.until(lambda: here.discovery.open)
+        await here.wait_until(lambda: here.discovery.open)
         here.discovery.publish(*here.entries(), reset=True)
         reader, writer = await here.client()
         for number in range(30):  # half a second of normal service before the fault
@@ -109,7 +109,7 @@
     mode: str, seed: int
 ) -> None:
     async def part(here: VirtualRig) -> None:
-        await here.until(lambda: here.discovery.open)
+        await here.wait_until(lambda: here.discovery.open)
         here.discovery.publish(*here.entries(), reset=True)
         mute, send = set(here.discovery.open), here.discovery.send
         here.discovery.send = lambda writer, text: (  # type: ignore[method-assign]
@@ -133,7 +133,7 @@
 def test_lists_are_watched_from_the_start_and_a_drain_applies_at_once() -> None:
     # Guards against a fault with membershipMode `automatic`: no watch was ever opened.
     async def part(here: VirtualRig) -> None:
-        await here.until(lambda: here.discovery.open, GRACE)
+        await here.wait_until(lambda: here.discovery.open, GRACE)
         reader, writer = await here.client()
         here.discovery.publish(*here.entries(), reset=True)
         here.discovery.publish(here.nodes[0].entry("s-0", "terminating"))
@@ -147,8 +147,8 @@
             here.discovery.open
         ):  # a change counts once discovery has it, with or without a watch
             each.transport.abort()
-        await here.until(lambda: not here.discovery.open)
-        await here.until(lambda: here.discovery.open, GRACE)
+        await here.wait_until(lambda: not here.discovery.open)
+        await here.wait_until(lambda: here.discovery.open, GRACE)
 
     run_scenario(part, nodes=2, membershipMode="automatic", balancers=700)
 
@@ -186,7 +186,7 @@
             for writer in list(rig.discovery.open):
                 for line in text.encode().split(b"\n"):
                     rig.discovery.send(writer, line)
-            await until(lambda: len(rig.proxy.nodes) == 1)
+            await wait_until(lambda: len(rig.proxy.nodes) == 1)
 
     asyncio.run(part())
 
@@ -194,7 +194,7 @@
 def test_a_line_that_never_ends_times_out() -> None:
     # Guards against a timeout that each byte restarted: one line could take up to 8 s.
     async def part(here: VirtualRig) -> None:
-        await here.until(lambda: here.discovery.open)
+        await here.wait_until(lambda: here.discovery.open)
         writer = next(iter(here.discovery.open))
         begun, request_count = here.loop.time(), len(here.discovery.requests)
         while len(here.discovery.requests) == request_count:
@@ -217,7 +217,7 @@
             start(since)
 
         watch.start = started
-        await here.until(lambda: len(waits) == 4)
+        await here.wait_until(lambda: len(waits) == 4)
         assert max(b - a for a, b in pairwise(waits)) <= 3.0 == CONNECT_TIMEOUT + 1.5
 
     run_scenario(part)
--- a/tests/violetroute/membership/test_sources.py
+++ b/tests/violetroute/membership/test_sources.py
@@ -16,7 +16,7 @@
 
 from limebridge.standins.consul import Catalogue, Consul
 from snowstall import CacheState, Member
-from tests.support.rig import CacheNode, Rig, get, serves, until
+from tests.support.rig import CacheNode, Rig, get, serves, wait_until
 from violetroute.config import ConfigError, Operator
 from violetroute.config.operator import parse_operator
 from violetroute.membership import (
@@ -393,27 +393,27 @@
 
             asking = asyncio.create_task(load())
             rig.proxy.reload(replace(rig.config, operator=operator))
-            await until(lambda: current_source() == "consul")
+            await wait_until(lambda: current_source() == "consul")
             write(0)  # the lowest source reports a drain
-            await until(lambda: used() == {"s-1", "s-2"})
+            await wait_until(lambda: used() == {"s-1", "s-2"})
             await agent.stop()
-            await until(lambda: current_source() == "platform")
+            await wait_until(lambda: current_source() == "platform")
             rig.discovery.unavailable = True
             for writer in list(rig.discovery.open):
                 writer.transport.abort()
-            await until(lambda: current_source() == "file")
+            await wait_until(lambda: current_source() == "file")
             write(1)
-            await until(lambda: used() == {"s-0", "s-2"})
+            await wait_until(lambda: used() == {"s-0", "s-2"})
             path.write_text("{")  # half written: the last list stays, and the file is read again
-            await until(lambda: rig.proxy._watch._watch._running.get("file", 1))  # type: ignore[attr-defined]
+            await wait_until(lambda: rig.proxy._watch._watch._running.get("file", 1))  # type: ignore[attr-defined]
             write()
-            await until(lambda: used() == {"s-0", "s-1", "s-2"})
+            await wait_until(lambda: used() == {"s-0", "s-1", "s-2"})
             await agent.start(agent.port)
-            await until(lambda: current_source() == "consul")
+            await wait_until(lambda: current_source() == "consul")
             catalogue.set_maintenance("c2", True)
-            await until(lambda: used() == {"s-0", "s-1"})
+            await wait_until(lambda: used() == {"s-0", "s-1"})
             seen = len(answers)
-            await until(lambda: len(answers) > seen + 10)
+            await wait_until(lambda: len(answers) > seen + 10)
             asking.cancel()
             assert all(answer.startswith(b"value of id") for answer in answers)
         await agent.stop()
@@ -438,14 +438,14 @@
                 )
             )
             # At a known address the node keeps its name.
-            await until(lambda: rig.proxy.nodes == [stable_hash(b"s-0")])
+            await wait_until(lambda: rig.proxy.nodes == [stable_hash(b"s-0")])
             watch = rig.proxy._watch._watch
             for wrong in ("[]", "{", '{"instances": 3}', "x" * (4 * 1024 * 1024 + 1)):
                 path.write_text(wrong)
-                await until(lambda: watch._timer is None)  # type: ignore[attr-defined]
+                await wait_until(lambda: watch._timer is None)  # type: ignore[attr-defined]
                 assert rig.proxy.nodes == [stable_hash(b"s-0")]
                 path.write_text(json.dumps({"instances": [nodes[0].entry("f0")]}))
-                await until(lambda: watch._timer is not None)  # type: ignore[attr-defined]
+                await wait_until(lambda: watch._timer is not None)  # type: ignore[attr-defined]
             assert (await rig.request(get(1)))[0].startswith(b"value of id1")
 
     asyncio.run(run())
@@ -465,8 +465,8 @@
                 )
             )
             watch = rig.proxy._watch._watch
-            await until(lambda: watch._timer is not None)  # type: ignore[attr-defined]
-            await until(lambda: watch._timer is None)  # type: ignore[attr-defined]
+            await wait_until(lambda: watch._timer is not None)  # type: ignore[attr-defined]
+            await wait_until(lambda: watch._timer is None)  # type: ignore[attr-defined]
             assert (await rig.request(get(1)))[0].startswith(b"value of id1")
 
     asyncio.run(run())
--- a/tests/violetroute/test_crossings_process.py
+++ b/tests/violetroute/test_crossings_process.py
@@ -12,7 +12,7 @@
 
 from limebridge.ports import free_ports
 from limebridge.standins.configuration import SETTINGS, configuration
-from tests.support.rig import CacheNode, Discovery, until
+from tests.support.rig import CacheNode, Discovery, wait_until
 from tests.support.virtual_rig import VirtualRig, get, read_answer, run_scenario
 from tests.violetroute.membership.test_crossings_lists import NOTIFIED_WITHIN, away
 from tests.violetroute.test_program import Program, launch
@@ -40,7 +40,7 @@
         with pipe:
             pipe.write(json.dumps(raw))
         try:
-            await until(lambda: after.open)
+            await wait_until(lambda: after.open)
             assert not before.open
         finally:
             one.process.send_signal(signal.SIGTERM)
@@ -74,15 +74,15 @@
         _, writer = await asyncio.open_connection("127.0.0.1", port)
         if not longer:  # accepted before the reload, with the longer deadline
             writer.write(get(1))
-            await until(lambda: node.commands)
+            await wait_until(lambda: node.commands)
         monkeypatch.setattr(program, "load", lambda operator, merge_tables, read_known: second)
         daemon.reload()
         if longer:
             writer.write(get(1))
-            await until(lambda: node.commands)
+            await wait_until(lambda: node.commands)
         assert 7.0 < daemon.drain_time() <= 10.0 + program.DRAIN_SLACK
         writer.close()
-        await until(lambda: not daemon.proxy.open_requests)
+        await wait_until(lambda: not daemon.proxy.open_requests)
         assert daemon.drain_time() == (10.0 if longer else 0.2) + program.DRAIN_SLACK
         await daemon.listener.drain(0.1)
         daemon.proxy.close()
@@ -116,11 +116,11 @@
 def test_idle_clients_leave_descriptors_for_discovery_and_nodes_while_it_is_down() -> None:
     async def scenario(here: VirtualRig) -> None:
         trouble = asyncio.ensure_future(away(here))
-        await here.until(lambda: not here.discovery.open)
+        await here.wait_until(lambda: not here.discovery.open)
         idle = [await here.client() for _ in range(200)]  # more than the descriptors available
         await trouble
         back = here.loop.time()
-        await here.until(lambda: here.discovery.open)
+        await here.wait_until(lambda: here.discovery.open)
         assert here.loop.time() - back <= NOTIFIED_WITHIN
         reader, writer = await here.client()
         writer.write(get(1))
--- a/tests/violetroute/test_large_lists.py
+++ b/tests/violetroute/test_large_lists.py
@@ -17,7 +17,7 @@
 from limebridge.standins.clients import ClientRequest, LoadGenerator
 from limebridge.standins.configuration import SETTINGS
 from limebridge.standins.large_list import LargeList
-from tests.support.rig import Discovery, configuration, until
+from tests.support.rig import Discovery, configuration, wait_until
 from tests.violetroute.test_program import Program, launch
 
 NODES = 3200
@@ -77,7 +77,7 @@
     )
     try:
         await daemon.logged("listens on")
-        await until(lambda: discovery.open)
+        await wait_until(lambda: discovery.open)
         await crowd.connect()
         yield LargeFleet(daemon, discovery, nodes, crowd)
     finally:
--- a/tests/violetroute/test_logs.py
+++ b/tests/violetroute/test_logs.py
@@ -25,7 +25,7 @@
     configuration,
     get,
     read_answer,
-    until,
+    wait_until,
     with_timeout,
 )
 from violetroute import logs
@@ -246,7 +246,7 @@
             return re.search(rb"listens on: address=[\d.]+:(\d+)", output)
 
         try:
-            await until(listens)
+            await wait_until(listens)
             match = listens()
             assert match is not None
             reader, writer = await with_timeout(asyncio.open_connection("127.0.0.1", int(match[1])))
--- a/tests/violetroute/test_own_load.py
+++ b/tests/violetroute/test_own_load.py
@@ -39,7 +39,7 @@
     put,
     read_answer,
     serves,
-    until,
+    wait_until,
     with_timeout,
 )
 from tests.violetroute.test_program import program
@@ -159,7 +159,7 @@
             late = [await asyncio.open_connection("127.0.0.1", one.port) for _ in range(20)]
             for place, (_, other) in enumerate(late):
                 other.write(get(1000 + place, deadline_ms=550))
-            await until(lambda: len(held) == len(late))
+            await wait_until(lambda: len(held) == len(late))
             one.process.send_signal(signal.SIGSTOP)
             await asyncio.sleep(0.4)  # the pause itself
             one.process.send_signal(signal.SIGCONT)
@@ -456,7 +456,7 @@
             tries = await with_timeout(asyncio.gather(*(returns(client) for client in range(20))))
             assert sum(tries) == refusals + 20 == len(node.commands) + refusals
             assert min(tries) >= 2, "each client was rejected and retried"
-            await until(lambda: not rig.listener.connections)
+            await wait_until(lambda: not rig.listener.connections)
             assert not rig.proxy.open_requests and rig.listener.budget.used == 0
 
     asyncio.run(scenario())
--- a/tests/violetroute/test_program.py
+++ b/tests/violetroute/test_program.py
@@ -23,7 +23,7 @@
     get,
     read_answer,
     reply,
-    until,
+    wait_until,
     with_timeout,
 )
 
@@ -45,7 +45,7 @@
             self.log.append(line.decode())
 
     async def logged(self, text: str) -> None:
-        await until(lambda: any(text in line for line in self.log))
+        await wait_until(lambda: any(text in line for line in self.log))
 
     def configure(self, text: str) -> None:
         new = self.path.with_suffix(".new")
@@ -101,7 +101,7 @@
         node = await CacheNode().start()
         old, new = await Discovery().start(), await Discovery().start()
         async with program(tmp_path, old, node) as one:
-            await until(lambda: old.open)
+            await wait_until(lambda: old.open)
             for bad in (
                 "{",
                 "[]",
@@ -110,11 +110,11 @@
             ):
                 count = len(one.log)
                 one.configure(bad)
-                await until(lambda count=count: len(one.log) > count)
+                await wait_until(lambda count=count: len(one.log) > count)
                 assert "not reloaded" in one.log[-1] and len(one.log) == count + 1
             assert old.open, "the old watch is still open"
             one.configure(json.dumps(one.raw | {"discovery": f"127.0.0.1:{new.port}"}))
-            await until(lambda: new.open and not old.open)
+            await wait_until(lambda: new.open and not old.open)
             assert new.requests == ["/v1/servers?follow=1&since=0"]
             reader, writer = await with_timeout(asyncio.open_connection("127.0.0.1", one.port))
             writer.write(get(1))
@@ -135,11 +135,11 @@
         old, new = await Discovery().start(), await Discovery().start()
         new.unavailable = True
         async with program(tmp_path, old, node) as one:
-            await until(lambda: old.open)
+            await wait_until(lambda: old.open)
             one.configure(json.dumps(one.raw | {"discovery": f"127.0.0.1:{new.port}"}))
-            await until(lambda: len(new.requests) >= 2)
+            await wait_until(lambda: len(new.requests) >= 2)
             new.unavailable = False
-            await until(lambda: new.open)
+            await wait_until(lambda: new.open)
         for part in (node, old, new):
             await part.stop()
 
@@ -180,12 +180,12 @@
             ]
             for number, (_, writer) in enumerate(clients[:16]):
                 writer.write(get(number) + get(number + 100))
-            await until(lambda: len(node.commands) == 32)
+            await wait_until(lambda: len(node.commands) == 32)
             one.process.terminate()
             await one.logged("drains")
             late = await with_timeout(asyncio.open_connection("127.0.0.1", one.port))
             late[1].write(get(500))  # new clients go on connecting for a short time
-            await until(lambda: len(node.commands) == 33)
+            await wait_until(lambda: len(node.commands) == 33)
             one.process.send_signal(signal.SIGHUP)  # both have no effect during the drain
             one.process.terminate()
             go.set()
--- a/tests/violetroute/test_refusals.py
+++ b/tests/violetroute/test_refusals.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.support.rig import CacheNode, Rig, get, put, serves, until
+from tests.support.rig import CacheNode, Rig, get, put, serves, wait_until
 from violetroute import logs
 from violetroute.refusals import RefusalCounter
 from violetroute.transport.loop_lag import LONG_TURN, Turns, TurnSelector
@@ -32,7 +32,7 @@
         refusals.close()
         assert events == [("requests.refused", {"count": 3, "reasons": "admission:2 no_node:1"})]
         refusals.count("budget")
-        await until(lambda: len(events) == 2)
+        await wait_until(lambda: len(events) == 2)
         assert events[1] == ("requests.refused", {"count": 1, "reasons": "budget:1"})
 
     asyncio.run(scenario())
--- a/tests/violetroute/transport/test_tls.py
+++ b/tests/violetroute/transport/test_tls.py
@@ -13,7 +13,7 @@
 from cryptography.hazmat.primitives import serialization
 
 from limebridge.standins.consul import Catalogue, Consul
-from tests.support.rig import CacheNode, Rig, configuration, serves, until, with_timeout
+from tests.support.rig import CacheNode, Rig, configuration, serves, wait_until, with_timeout
 from tests.violetroute.config.test_configuration import loaded
 from violetroute.config import ConfigError, Operator
 from violetroute.membership import ConsulTable
@@ -85,7 +85,7 @@
         )
         await part(stream, owner)
         stream.abort()
-        await until(lambda: owner.callbacks and owner.callbacks[-1][0] == "lost")
+        await wait_until(lambda: owner.callbacks and owner.callbacks[-1][0] == "lost")
         assert sum(callbacks[0] == "lost" for callbacks in owner.callbacks) == 1
         listening.close()
 
@@ -103,19 +103,19 @@
 
     async def part(stream: TlsStream, owner: Owner) -> None:
         stream.write(b"early ")  # written before the handshake
-        await until(lambda: owner.data == b"early ")
+        await wait_until(lambda: owner.data == b"early ")
         sent = bytes(range(256)) * 4096
         stream.write_all([sent[:1000], sent[1000:]])
-        await until(lambda: len(owner.data) > 200_000)
+        await wait_until(lambda: len(owner.data) > 200_000)
         stream.pause()
         received = len(owner.data)
         await asyncio.sleep(0)
         assert len(owner.data) == received
         stream.resume()
-        await until(lambda: len(owner.data) == 6 + len(sent))
+        await wait_until(lambda: len(owner.data) == 6 + len(sent))
         assert owner.data[6:] == sent and stream.no_pending_input()
         stream.end()
-        await until(lambda: owner.has("opened", "ended"))
+        await wait_until(lambda: owner.has("opened", "ended"))
 
     connected(tmp_path, part, echoes, server(authority), TlsFiles(ca_file(authority, tmp_path)))
 
@@ -125,12 +125,12 @@
 
     async def part(stream: TlsStream, owner: Owner) -> None:
         stream.write(b"x" * 50_000)
-        await until(lambda: owner.data)
+        await wait_until(lambda: owner.data)
         stream.pause()
         stream.ended()
         assert "ended" not in owner.callbacks
         stream.resume()
-        await until(lambda: "ended" in owner.callbacks)
+        await wait_until(lambda: "ended" in owner.callbacks)
 
     connected(tmp_path, part, echoes, server(authority), TlsFiles(ca_file(authority, tmp_path)))
 
@@ -139,7 +139,7 @@
     async def part(stream: TlsStream, owner: Owner) -> None:
         for _ in range(MAX_PENDING_WRITES // 1000 + 1):
             stream.write(b"x" * 1000)
-        await until(lambda: owner.has("lost"))
+        await wait_until(lambda: owner.has("lost"))
         assert "before the handshake" in owner.callbacks[0][1]
 
     connected(tmp_path, part, echoes, None, TlsFiles(ca_file(trustme.CA(), tmp_path)))
@@ -165,9 +165,9 @@
         if (
             wrong == "no certificate"
         ):  # TLS 1.3: the server rejects it after the client's handshake is done
-            await until(lambda: owner.has("opened", "ended") or owner.has("opened", "lost"))
+            await wait_until(lambda: owner.has("opened", "ended") or owner.has("opened", "lost"))
         else:
-            await until(lambda: owner.has("lost"))
+            await wait_until(lambda: owner.has("lost"))
             assert owner.callbacks[-1][1]
         assert not owner.data
 
@@ -183,7 +183,7 @@
 
 def test_a_stream_without_usable_files_is_lost_with_the_reason(tmp_path: Path) -> None:
     async def part(stream: TlsStream, owner: Owner) -> None:
-        await until(lambda: owner.has("lost"))
+        await wait_until(lambda: owner.has("lost"))
         assert "none.pem" in owner.callbacks[0][1]
 
     connected(tmp_path, part, echoes, None, TlsFiles(str(tmp_path / "none.pem")))
@@ -234,9 +234,9 @@
     mine.private_key_and_cert_chain_pem.write_to_path(str(tmp_path / "mine.pem"))
 
     async def part(rig: Rig, agent: Consul, catalogue: Catalogue) -> None:
-        await until(lambda: any("index" in request for request in agent.requests))
+        await wait_until(lambda: any("index" in request for request in agent.requests))
         catalogue.set_maintenance("c0", True)
-        await until(lambda: not rig.proxy.nodes)
+        await wait_until(lambda: not rig.proxy.nodes)
 
     follow(
         tmp_path,
@@ -252,14 +252,14 @@
     old, new = trustme.CA(), trustme.CA()
 
     async def part(rig: Rig, agent: Consul, catalogue: Catalogue) -> None:
-        await until(lambda: any("index" in request for request in agent.requests))
+        await wait_until(lambda: any("index" in request for request in agent.requests))
         await agent.stop()
         request_count = len(agent.requests)
         await agent.start(agent.port, server(new))
         ca_file(new, tmp_path)  # without a signal
-        await until(lambda: len(agent.requests) > request_count)
+        await wait_until(lambda: len(agent.requests) > request_count)
         catalogue.set_maintenance("c0", True)
-        await until(lambda: not rig.proxy.nodes)
+        await wait_until(lambda: not rig.proxy.nodes)
 
     follow(tmp_path, part, server(old), tls_ca_file=ca_file(old, tmp_path))
 
@@ -297,6 +297,6 @@
 
     async def part(stream: TlsStream, owner: Owner) -> None:
         await with_timeout(asyncio.sleep(0))
-        await until(lambda: owner.has("lost"))
+        await wait_until(lambda: owner.has("lost"))
 
     connected(tmp_path, part, serve, None, TlsFiles(ca_file(trustme.CA(), tmp_path)))
--- a/tests/violetroute/transport/test_transport.py
+++ b/tests/violetroute/transport/test_transport.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from tests.support.rig import until
+from tests.support.rig import wait_until
 from violetroute.transport import Address, Stream
 from violetroute.transport.sockets import SocketNetwork
 
@@ -84,7 +84,7 @@
     """Connect `peer` to a plain socket, which is returned."""
     with listening() as listener:
         peer.stream = net.connect(Address(LOOPBACK, listener.getsockname()[1]), peer, 5.0)
-        await until(lambda: "opened" in peer.callbacks)
+        await wait_until(lambda: "opened" in peer.callbacks)
         remote, _ = listener.accept()
     return remote
 
@@ -117,11 +117,11 @@
         while len(got) < len(big) + 8:
             got += await loop.sock_recv(remote, 1 << 20)
         assert got == b"head" + big + b"tail"
-        await until(lambda: "drained" in peer.callbacks)
+        await wait_until(lambda: "drained" in peer.callbacks)
         assert peer.callbacks == ["opened", "drained"] and not peer.stream.unsent
         assert peer.stream.write(b"small"), "the kernel has taken it"
         peer.stream.abort()
-        await until(lambda: "lost" in peer.callbacks)
+        await wait_until(lambda: "lost" in peer.callbacks)
         remote.close()
 
     run_scenario(part)
@@ -141,7 +141,7 @@
         while peer.stream.write(b"x"):  # writes until the reset is detected
             pass
         assert "lost" not in peer.callbacks and peer.stream.unsent
-        await until(lambda: "lost" in peer.callbacks)
+        await wait_until(lambda: "lost" in peer.callbacks)
         assert peer.data == b"answer" and peer.error is not None
 
     run_scenario(part)
@@ -156,7 +156,7 @@
         reset(remote)
         while peer.stream.write(b"x"):
             pass
-        await until(lambda: "lost" in peer.callbacks)
+        await wait_until(lambda: "lost" in peer.callbacks)
         assert peer.callbacks == ["opened", "lost"]
 
     run_scenario(part)
@@ -174,10 +174,10 @@
         assert await count_received(remote) == len(big)
         await asyncio.get_running_loop().sock_sendall(remote, b"late")
         remote.shutdown(socket.SHUT_WR)
-        await until(lambda: "ended" in peer.callbacks)
+        await wait_until(lambda: "ended" in peer.callbacks)
         assert peer.data == b"late"
         peer.stream.close()
-        await until(lambda: "lost" in peer.callbacks)
+        await wait_until(lambda: "lost" in peer.callbacks)
         remote.close()
 
     run_scenario(part)
@@ -192,11 +192,11 @@
         big = b"x" * (8 * 1024 * 1024)
         peer.stream.write(big)
         remote.shutdown(socket.SHUT_WR)
-        await until(lambda: "ended" in peer.callbacks)
+        await wait_until(lambda: "ended" in peer.callbacks)
         peer.stream.close()
         assert "lost" not in peer.callbacks
         assert await count_received(remote) == len(big)
-        await until(lambda: "lost" in peer.callbacks)
+        await wait_until(lambda: "lost" in peer.callbacks)
         assert peer.error is None
         remote.close()
 
@@ -218,7 +218,7 @@
             fars.append(await pair(net, streams[-1]))
         for remote in fars:
             remote.sendall(b"x")  # both become ready in one poll
-        await until(lambda: all("lost" in peer.callbacks for peer in streams))
+        await wait_until(lambda: all("lost" in peer.callbacks for peer in streams))
         assert sorted(peer.callbacks.count("received") for peer in streams) == [0, 1]
         for remote in fars:
             remote.close()
@@ -248,16 +248,16 @@
         for _ in range(2):
             victim = Peer(received=swap)
             victim.stream = net.connect(address, victim, 5.0)
-            await until(lambda victim=victim: "opened" in victim.callbacks)  # type: ignore[misc]
+            await wait_until(lambda victim=victim: "opened" in victim.callbacks)  # type: ignore[misc]
             fars.append(listener.accept()[0])
             victims.append(victim)
         for remote in fars:
             remote.sendall(b"old")
-        await until(lambda: "opened" in fresh.callbacks)
+        await wait_until(lambda: "opened" in fresh.callbacks)
         assert not fresh.data and fresh.callbacks == ["opened"]
         assert fresh.stream is not None
         fresh.stream.abort()
-        await until(lambda: "lost" in fresh.callbacks)
+        await wait_until(lambda: "lost" in fresh.callbacks)
         for sock in (*fars, listener):
             sock.close()
 
@@ -291,13 +291,13 @@
             peers = [Peer() for _ in range(4)]  # more than the backlog, so some are not answered
             for peer in peers:
                 peer.stream = net.connect(address, peer, 0.2)
-            await until(lambda: all(peer.callbacks for peer in peers))
+            await wait_until(lambda: all(peer.callbacks for peer in peers))
             late = [peer for peer in peers if peer.callbacks == ["lost"]]
             assert late and all(p.error and p.error.errno == errno.ETIMEDOUT for p in late)
             for peer in peers:
                 assert peer.stream is not None
                 peer.stream.abort()
-            await until(lambda: all("lost" in peer.callbacks for peer in peers))
+            await wait_until(lambda: all("lost" in peer.callbacks for peer in peers))
 
     run_scenario(part)
 
@@ -309,7 +309,7 @@
         peer = Peer()
         peer.stream = net.connect(address, peer, 5.0)
         assert not peer.callbacks, "no callback during the call"
-        await until(lambda: peer.callbacks)
+        await wait_until(lambda: peer.callbacks)
         assert peer.callbacks == ["lost"] and isinstance(peer.error, ConnectionRefusedError)
 
     run_scenario(part)
@@ -321,7 +321,7 @@
         listener = net.listen(Address(LOOPBACK, 0), 16, lambda: waits.append(1))
         listener.watch(True)
         with socket.create_connection((LOOPBACK, listener.address.port)) as remote:
-            await until(lambda: waits)
+            await wait_until(lambda: waits)
             soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
             used = max(int(name) for name in os.listdir("/proc/self/fd")) + 1
             filler = []
@@ -340,16 +340,16 @@
                 resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
                 for number in filler:
                     os.close(number)
-            await until(lambda: peer.callbacks)
+            await wait_until(lambda: peer.callbacks)
             assert peer.callbacks == ["lost"]
             assert peer.error is not None and peer.error.errno == errno.EMFILE
             accepted_peer = Peer()
             stream = listener.accept(accepted_peer)  # the waiting connection stays queued
             assert stream is not None
             remote.sendall(b"hello")
-            await until(lambda: accepted_peer.data == b"hello")
+            await wait_until(lambda: accepted_peer.data == b"hello")
             stream.abort()
-            await until(lambda: "lost" in accepted_peer.callbacks)
+            await wait_until(lambda: "lost" in accepted_peer.callbacks)
         listener.close()
 
     run_scenario(part)
@@ -361,7 +361,7 @@
         reset(socket.create_connection((LOOPBACK, listener.address.port)))
         peer = Peer()
         assert listener.accept(peer) is not None
-        await until(lambda: "lost" in peer.callbacks)
+        await wait_until(lambda: "lost" in peer.callbacks)
         assert peer.callbacks == ["lost"] and isinstance(peer.error, ConnectionResetError)
         listener.close()
 
@@ -382,11 +382,11 @@
         fars = [await pair(net, one), await pair(net, other)]
         for remote in fars:
             remote.sendall(b"x")
-        await until(lambda: "lost" in one.callbacks and other.data)
+        await wait_until(lambda: "lost" in one.callbacks and other.data)
         assert len(faults) == 1 and "lost" not in other.callbacks
         assert other.stream is not None
         other.stream.abort()
-        await until(lambda: "lost" in other.callbacks)
+        await wait_until(lambda: "lost" in other.callbacks)
         for remote in fars:
             remote.close()
 
@@ -400,14 +400,14 @@
         assert peer.stream is not None and peer.stream.no_pending_input()
         remote.sendall(b"x")
         assert not peer.stream.no_pending_input()
-        await until(lambda: peer.data)
+        await wait_until(lambda: peer.data)
         assert peer.stream.no_pending_input()
         remote.close()
         assert not peer.stream.no_pending_input()
-        await until(lambda: "ended" in peer.callbacks)
+        await wait_until(lambda: "ended" in peer.callbacks)
         peer.stream.abort()
         assert not peer.stream.no_pending_input()
-        await until(lambda: "lost" in peer.callbacks)
+        await wait_until(lambda: "lost" in peer.callbacks)
 
     run_scenario(part)
 
@@ -424,7 +424,7 @@
         assert stream.unsent == 9002, "never taken"
         for call in (stream.pause, stream.resume, stream.end, stream.close, stream.abort):
             call()
-        await until(lambda: "lost" in peer.callbacks)
+        await wait_until(lambda: "lost" in peer.callbacks)
         assert peer.callbacks == ["opened", "lost"]
         assert await asyncio.get_running_loop().run_in_executor(None, remote.recv, 10) == b""
         remote.close()
@@ -445,7 +445,7 @@
         # Reset, since input was unread at the close.
         with contextlib.suppress(ConnectionResetError):
             await count_received(remote)
-        await until(lambda: "lost" in peer.callbacks)
+        await wait_until(lambda: "lost" in peer.callbacks)
         assert peer.callbacks == ["opened", "lost"] and not peer.data
         remote.close()
 
@@ -464,7 +464,7 @@
             assert not getattr(peer.stream, write)(data), "the reset has come"
             assert peer.stream.unsent == 10_000
             peer.stream.end()
-            await until(lambda peer=peer: "lost" in peer.callbacks)  # type: ignore[misc]
+            await wait_until(lambda peer=peer: "lost" in peer.callbacks)  # type: ignore[misc]
             assert peer.error is not None
 
     run_scenario(part)
@@ -478,7 +478,7 @@
         peer.stream.pause()
         reset(remote)
         peer.stream.end()
-        await until(lambda: "lost" in peer.callbacks)
+        await wait_until(lambda: "lost" in peer.callbacks)
         assert isinstance(peer.error, OSError)
 
     run_scenario(part)
@@ -494,7 +494,7 @@
         with pytest.raises(ConnectionResetError):
             while remote.recv(1 << 20):
                 pass
-        await until(lambda: "lost" in peer.callbacks)
+        await wait_until(lambda: "lost" in peer.callbacks)
         remote.close()
 
     run_scenario(part)
@@ -509,13 +509,13 @@
         first.stream = net.connect(listener.address, first, 5.0, first=True)
         number = first.stream.descriptor
         usual.stream = net.connect(listener.address, usual, 5.0)
-        await until(lambda: "opened" in first.callbacks and "opened" in usual.callbacks)
+        await wait_until(lambda: "opened" in first.callbacks and "opened" in usual.callbacks)
         accepted = listener.accept(accepted_peer)
         assert accepted is not None and prefers == {number: True}
         for stream in (first.stream, usual.stream, accepted):
             stream.abort()
         assert prefers == {number: False}
-        await until(lambda: "lost" in accepted_peer.callbacks)
+        await wait_until(lambda: "lost" in accepted_peer.callbacks)
         listener.close()
 
     run_scenario(part)
@@ -535,13 +535,13 @@
         with listening() as listener:
             peer.stream = net.connect(Address(LOOPBACK, listener.getsockname()[1]), peer, 5.0)
             peer.stream.resume()
-            await until(lambda: peer.callbacks)
+            await wait_until(lambda: peer.callbacks)
             assert peer.callbacks == ["opened"]
             remote, _ = listener.accept()
         remote.sendall(b"x")
-        await until(lambda: peer.data)
+        await wait_until(lambda: peer.data)
         peer.stream.abort()
-        await until(lambda: "lost" in peer.callbacks)
+        await wait_until(lambda: "lost" in peer.callbacks)
         remote.close()
 
     run_scenario(part)
--- a/tests/violetroute/upstream/test_nodes.py
+++ b/tests/violetroute/upstream/test_nodes.py
@@ -21,7 +21,7 @@
     read_answer,
     reply,
     serves,
-    until,
+    wait_until,
     with_timeout,
 )
 from violetroute.upstream import Pool
@@ -148,7 +148,7 @@
     async def scenario(rig: Rig, one: CacheNode, two: CacheNode) -> None:
         await rig.wait_for_watch()
         rig.discovery.publish(one.entry("s-0", "terminating"))
-        await until(lambda: len(rig.proxy.nodes) == 1)
+        await wait_until(lambda: len(rig.proxy.nodes) == 1)
         before = len(one.commands)
         for number in range(40):
             assert await rig.request(get(number, key=b"%d" % number)) == [b"value of id%d" % number]
@@ -169,9 +169,9 @@
         await rig.wait_for_watch()
         reader, writer = await rig.client()
         writer.write(get(1))
-        await until(lambda: node.commands)
+        await wait_until(lambda: node.commands)
         rig.discovery.publish(node.entry("s-0", "terminating"))
-        await until(lambda: not rig.proxy.nodes)
+        await wait_until(lambda: not rig.proxy.nodes)
         go.set()
         assert await read_answer(reader) == b"value of id1"
         writer.close()
@@ -185,7 +185,7 @@
         await rig.wait_for_watch()
         assert await rig.request(get(1)) == [b"value of id1"]
         rig.discovery.publish(other.entry("s-0"))
-        await until(lambda: not node.open)
+        await wait_until(lambda: not node.open)
         assert await rig.request(get(2)) == [b"value of id2"]
         assert len(other.commands) == 1
         await other.stop()
@@ -198,11 +198,11 @@
     async def scenario(rig: Rig, node: CacheNode) -> None:
         await rig.wait_for_watch()
         rig.discovery.publish(node.entry("s-new", startedAtMs=5))
-        await until(lambda: rig.proxy.generation == 100)
+        await wait_until(lambda: rig.proxy.generation == 100)
         assert len(rig.proxy.nodes) == 1
         assert await rig.request(get(1)) == [b"value of id1"]
         rig.discovery.publish(node.entry("s-0", "terminated"), node.entry("s-2", "terminated"))
-        await until(lambda: rig.proxy.generation == 101)
+        await wait_until(lambda: rig.proxy.generation == 101)
         assert await rig.request(get(2)) == [b"value of id2"]
 
     run_scenario(scenario)
@@ -216,10 +216,10 @@
             name = f"t-{number}"
             rig.discovery.publish(node.entry(last, "terminated"), node.entry(name))
             last = name
-            await until(lambda number=number: rig.proxy.generation == 100 + number)
+            await wait_until(lambda number=number: rig.proxy.generation == 100 + number)
             assert await rig.request(get(number)) == [b"value of id%d" % number]
         assert len(rig.proxy.nodes) == 1
-        await until(lambda: len(node.open) <= 1)
+        await wait_until(lambda: len(node.open) <= 1)
 
     run_scenario(scenario)
 
@@ -231,7 +231,7 @@
             request_count = len(rig.discovery.requests)
             for writer in list(rig.discovery.open):
                 rig.discovery.send(writer, nonsense)
-            await until(
+            await wait_until(
                 lambda request_count=request_count: len(rig.discovery.requests) > request_count
             )
         await rig.wait_for_watch()
@@ -240,7 +240,7 @@
             node.entry("s-1", weight=float("nan")),
             node.entry("s-2"),
         )
-        await until(lambda: rig.proxy.generation == 100)
+        await wait_until(lambda: rig.proxy.generation == 100)
         assert await rig.request(get(1)) == [b"value of id1"]
 
     run_scenario(scenario)
@@ -260,7 +260,7 @@
             sum(a.startswith(b"-BUSY ") for a in answers)
             >= len(clients) - rig.config.upstream_sockets
         ), "what no socket was left for"
-        await until(lambda: not node.open and not rig.proxy.open_requests)
+        await wait_until(lambda: not node.open and not rig.proxy.open_requests)
         for _, writer in clients:
             writer.close()
 
@@ -396,11 +396,11 @@
         other.port = server.sockets[0].getsockname()[1]
         await rig.wait_for_watch()
         rig.discovery.publish(other.entry("stuck"), reset=True)
-        await until(lambda: len(rig.proxy.nodes) == 1 and rig.proxy.generation >= 100)
+        await wait_until(lambda: len(rig.proxy.nodes) == 1 and rig.proxy.generation >= 100)
         pending = asyncio.create_task(rig.request(put(1, value=value)))
         await with_timeout(came.wait())
         rig.discovery.publish(node.entry("s-0"))
-        await until(lambda: len(rig.proxy.nodes) == 2)
+        await wait_until(lambda: len(rig.proxy.nodes) == 2)
         rig.discovery.publish(other.entry("stuck", "terminating"))
         assert await pending == [b"value of id1"]
         reads_on.set()
@@ -436,7 +436,7 @@
     async def run() -> None:
         async with Rig(CacheNode(holds), CacheNode(holds)) as rig:
             pending = asyncio.create_task(rig.request(get(1)))
-            await until(lambda: rig.proxy.request_states() == ["1 in flight, attempt 1"])
+            await wait_until(lambda: rig.proxy.request_states() == ["1 in flight, attempt 1"])
             (request,) = rig.proxy._open.values()
             first = request.attempts[0]
             rig.proxy._give_up(first, Result.RESET)
