--- a/limebridge/experiments/builds.py
+++ b/limebridge/experiments/builds.py
@@ -106,7 +106,10 @@
 
 
 def _remove_old_builds(parent: Path) -> None:
-    """Remove all but the newest builds, and half-made ones of killed processes, once a day old."""
+    """Remove builds older than MIN_AGE_S except the newest MAX_BUILDS.
+
+    This includes unfinished builds of processes that were killed.
+    """
     builds_by_age = sorted(
         ((path.stat().st_mtime, path) for path in parent.iterdir()), reverse=True
     )
--- a/limebridge/experiments/statistics.py
+++ b/limebridge/experiments/statistics.py
@@ -106,7 +106,10 @@
 
 
 def holm(ps: Sequence[float], alpha: float = ALPHA) -> list[bool]:
-    """Which comparisons are significant together (Holm 1979); one or more is wrong with `alpha`."""
+    """Which comparisons are significant together (Holm 1979).
+
+    The probability that any of them is wrong is at most `alpha`.
+    """
     significant = [False] * len(ps)
     for rank, index in enumerate(sorted(range(len(ps)), key=lambda n: ps[n])):
         if ps[index] > alpha / (len(ps) - rank):
--- a/limebridge/rehearsal/loss_attribution.py
+++ b/limebridge/rehearsal/loss_attribution.py
@@ -18,6 +18,7 @@
 IDLE_SHARE = 0.1  # the nodes had capacity if this share of the available nodes' slots was idle
 TRANSIT_SLACK_S = 0.05  # between the sending of an attempt and its arrival at the node
 
+# Causes of a loss; the texts are keys of the JSON output and of stored results.
 REFUSED_WITH_CAPACITY = "refused while nodes had room"
 REFUSED_FULL = "refused, nodes were full"
 UNANSWERED = "sent where nobody answers"
--- a/tests/limebridge/experiments/test_experiments.py
+++ b/tests/limebridge/experiments/test_experiments.py
@@ -154,12 +154,11 @@
         tmp_path, EXPERIMENT.replace("[2.5, 5.0]", "[2.5]"), SCENARIO.replace("40.0", "50.0")
     )
     assert run_experiment(edited, store).executed == 4
-    result, rows = command.newest_cells(edited, store)
-    assert (
-        len(result) == 2 and len(rows) == 8
-    )  # runs of the old and the new scenario, for the two remaining points
-    assert {c.commit for c in result} == {r.commit for r in rows} - commits_before
-    assert all(c.seeds == 2 for c in result)
+    newest, rows = command.newest_cells(edited, store)
+    # The rows are runs of the old and the new scenario, for the two remaining points.
+    assert len(newest) == 2 and len(rows) == 8
+    assert {c.commit for c in newest} == {r.commit for r in rows} - commits_before
+    assert all(c.seeds == 2 for c in newest)
 
 
 def test_budget_stops_a_call_and_the_next_one_continues(tmp_path: Path) -> None:
@@ -221,8 +220,8 @@
     for number in range(30):
         (tmp_path / f"old-{number}").mkdir()
         os.utime(tmp_path / f"old-{number}", (number, number))
-    place = builds.build_folder(".", tmp_path)
-    assert builds.build_folder(".", tmp_path) == place and (place / "snowstall").is_dir()
+    folder = builds.build_folder(".", tmp_path)
+    assert builds.build_folder(".", tmp_path) == folder and (folder / "snowstall").is_dir()
     assert len(list(tmp_path.iterdir())) == builds.MAX_BUILDS + 1
 
 
