--- a/limebridge/experiments/command.py
+++ b/limebridge/experiments/command.py
@@ -122,7 +122,7 @@
         )
     else:
         print(
-            f"{final.executed} runs executed, {final.already_stored} stored before, "
+            f"{final.executed} runs played, {final.already_stored} stored before, "
             f"of {final.total}" + (f"; {final.stop_reason}" if final.stop_reason else "")
         )
         for state, count in sorted(final.states.items()):
