--- a/benchmarks/build_pair.py
+++ b/benchmarks/build_pair.py
@@ -12,7 +12,7 @@
 
 import harness
 import msgspec
-from request_load import Played
+from request_load import RunResult
 
 from limebridge.experiments import builds
 
@@ -46,6 +46,6 @@
     return os.environ | {"PYTHONPATH": str(folder), "PYTHONHASHSEED": "0"}
 
 
-def decode_result(line: bytes) -> Played:
+def decode_result(line: bytes) -> RunResult:
     """What a load has printed."""
-    return msgspec.json.decode(line, type=Played)
+    return msgspec.json.decode(line, type=RunResult)
--- a/benchmarks/nodes.py
+++ b/benchmarks/nodes.py
@@ -15,7 +15,7 @@
 from limebridge.standins.wire import reply
 
 
-class Answering(CacheNode):
+class FixedAnswerNode(CacheNode):
     def record(self, words: list[bytes]) -> None:
         pass
 
@@ -28,7 +28,7 @@
             await asyncio.sleep(delay / 1000.0)
         writer.write(answer)
 
-    nodes = [await Answering(serve).start() for _ in range(count)]
+    nodes = [await FixedAnswerNode(serve).start() for _ in range(count)]
     print(json.dumps([node.port for node in nodes]), flush=True)
     await asyncio.Event().wait()
 
--- a/benchmarks/own_time.py
+++ b/benchmarks/own_time.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 import harness
-from nodes import Answering
+from nodes import FixedAnswerNode
 from overload import capacity, overload
 
 from limebridge.standins.configuration import configuration
@@ -57,7 +57,7 @@
     start: float,
 ) -> list[dict[str, Any]]:
     discovery = await Discovery().start()
-    nodes = [await Answering(_answer).start() for _ in range(4)]
+    nodes = [await FixedAnswerNode(_answer).start() for _ in range(4)]
     entries = [node.entry(f"s-{n}") for n, node in enumerate(nodes)]
     raw = configuration(
         discovery.port, entries, sockets=2048, memory_mb=192, caps=CAPS, classes=harness.CLASSES
--- a/benchmarks/request_counts.py
+++ b/benchmarks/request_counts.py
@@ -10,7 +10,7 @@
 
 from build_pair import BuildPair, decode_result, load_command, load_environment
 from instruction_count import EVENT_LOOP, Counts
-from request_load import Played
+from request_load import RunResult
 
 KIT = "limebridge"
 TIME_LIMIT = 900.0  # s for one load; counting takes about a hundred times as long as playing
@@ -65,7 +65,7 @@
     )
 
 
-def result(process: subprocess.Popen[bytes]) -> Played:
+def result(process: subprocess.Popen[bytes]) -> RunResult:
     """Waits for its end.  RuntimeError when it failed."""
     try:
         line, _ = process.communicate(timeout=TIME_LIMIT)
@@ -90,12 +90,12 @@
     return rows
 
 
-def comparison(load: str, base: Played, build: Played) -> Comparison:
+def comparison(load: str, base: RunResult, build: RunResult) -> Comparison:
     same = (base.digest, base.requests) == (build.digest, build.requests)
     return Comparison(load, build.requests, build.served, same, cost(base), cost(build))
 
 
-def cost(run: Played) -> Cost:
+def cost(run: RunResult) -> Cost:
     """Of one request of a run that was counted."""
     if run.counts is None:
         raise ValueError("the run was not counted")
--- a/benchmarks/request_load.py
+++ b/benchmarks/request_load.py
@@ -74,7 +74,7 @@
 LOAD_NAMES = (*LOADS, EXPLORED)
 
 
-class Played(msgspec.Struct, frozen=True):
+class RunResult(msgspec.Struct, frozen=True):
     """What came of a run."""
 
     asked: int  # requests, with those of the warm-up
@@ -107,10 +107,10 @@
         self._digest = hashlib.sha256()
         self._kernel = Kernel(SEED)
         self._loop = VirtualLoop(self._kernel)
-        self._played: Played | None = None
+        self._played: RunResult | None = None
         self._problems: list[str] = []
 
-    def play(self, requests: int, counter: InstructionCounter | None) -> Played:
+    def play(self, requests: int, counter: InstructionCounter | None) -> RunResult:
         """RuntimeError when the run does not come to its end."""
         with quiet(logging.ERROR, logging.StreamHandler(sys.stderr)):
             run(self._loop, self._play(requests, counter), self._problems.append)
@@ -152,16 +152,16 @@
             discovery.port, entries, sockets=1024, memory_mb=192, caps=caps, classes=CLASSES
         )
 
-    def _result(self, crowd: LoadGenerator, requests: int, counts: Counts | None) -> Played:
+    def _result(self, crowd: LoadGenerator, requests: int, counts: Counts | None) -> RunResult:
         for ask in crowd.finished:
             self._digest.update(
                 b"%d %r %r %s\n" % (ask.client, ask.sent_at, ask.ended_at, ask.outcome.encode())
             )
         served = sum(ask.outcome == "served" for ask in crowd.finished[-requests:])
-        return Played(crowd.sent, requests, served, self._digest.hexdigest(), counts)
+        return RunResult(crowd.sent, requests, served, self._digest.hexdigest(), counts)
 
 
-def play_explored(requests: int, counter: InstructionCounter | None) -> Played:
+def play_explored(requests: int, counter: InstructionCounter | None) -> RunResult:
     """At least so many requests of explored plans, from start to end of each.
 
     RuntimeError where the build breaks a rule of the judge.
@@ -179,7 +179,7 @@
         asked += outcome.requests
         served += outcome.answers.get("served", 0)
     counts = None if counter is None else counter.stop()
-    return Played(asked, asked, served, digest.hexdigest(), counts)
+    return RunResult(asked, asked, served, digest.hexdigest(), counts)
 
 
 def main() -> int:
--- a/tests/benchmarks/test_request_cost.py
+++ b/tests/benchmarks/test_request_cost.py
@@ -13,7 +13,7 @@
 sys.path.insert(0, str(ROOT / "benchmarks"))
 
 import request_counts
-from request_load import Played
+from request_load import RunResult
 
 LOAD, REQUESTS = "target", 24
 ITERATIONS = 30  # of a loop that does nothing
@@ -46,7 +46,7 @@
     path.write_text(path.read_text() + text)
 
 
-def play(folders: list[Path]) -> list[Played]:
+def play(folders: list[Path]) -> list[RunResult]:
     """All at once."""
     running = [request_counts.start(folder, LOAD, REQUESTS) for folder in folders]
     try:
