--- a/tests/limebridge/rehearsal/test_rehearsal.py
+++ b/tests/limebridge/rehearsal/test_rehearsal.py
@@ -35,6 +35,7 @@
     shipped_scenarios,
 )
 from limebridge.rehearsal.score import RequestRecord, score
+from limebridge.rules import Violation
 from limebridge.virtual import Kernel, VirtualLoop
 from limebridge.virtual.costs import Costs, Meter, ProcessLoop
 from tests.support import bounded
@@ -204,6 +205,14 @@
     assert all(0.0 <= each.at - result.score.worst_at < 10.0 for each in result.unserved)
 
 
+def test_the_report_names_the_violations(tmp_path: Path) -> None:
+    """The page could not be rendered once a run had one: the template read a renamed field."""
+    result = run_scenario(load_text(tmp_path, SHORT_SCENARIO))
+    result.violations.append(Violation(2, 1003.5, "<sent> twice", "id-7", ("first", "second")))
+    page = render_html([result])
+    assert "Rule violations" in page and "&lt;sent&gt; twice id-7" in page
+
+
 BAD_BUILDS = {  # by name: a scenario that the build fails, and part of the reason given
     "drains_ignored": ("deploy-at-half-past-seven", "rule broken: drains kept"),
     "no_shedding": ("database-crawls", "worst ten seconds 0."),
