--- a/benchmarks/emulated_fleet.py
+++ b/benchmarks/emulated_fleet.py
@@ -8,7 +8,7 @@
 
 from limebridge.virtual.kernel import Kernel
 from limebridge.virtual.loop import VirtualLoop
-from limebridge.virtual.session import quiet
+from limebridge.virtual.session import isolated_run
 from snowstall import LoadSample
 from violetroute.membership import NodeAddresses
 from violetroute.sharing import wire
@@ -80,5 +80,5 @@
 
     def run(self, seconds: float) -> None:
         """Run all members for `seconds` of virtual time, without the daemon's log."""
-        with quiet(50):
+        with isolated_run(50):
             self.loop.run_until_complete(asyncio.sleep(seconds))
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -32,7 +32,7 @@
 from limebridge.faults.state_space import check
 from limebridge.standins.consul import Consul
 from limebridge.standins.wire import command, read_answer
-from limebridge.virtual.session import quiet
+from limebridge.virtual.session import isolated_run
 from violetroute.fleet.assignment import MAX_RANK
 from violetroute.fleet.lease import Lease
 
@@ -222,7 +222,7 @@
         world = Quiet(plan, Path(folder))
         world.beat_s, world.poll_s = 1e6, 1.0
         world.works = [f"beat-{number}" for number in range(10)]
-        with quiet(50):
+        with isolated_run(50):
             told = world.loop.run_until_complete(world.measure(lives))
         world.loop._ready.clear()  # type: ignore[attr-defined]  # nobody hears them any more
     print(json.dumps(told | {"wall_s": round(time.perf_counter() - began, 1)}))
--- a/benchmarks/request_load.py
+++ b/benchmarks/request_load.py
@@ -32,7 +32,7 @@
 from limebridge.standins.wire import reply
 from limebridge.virtual import Kernel, VirtualLoop, plan, runner
 from limebridge.virtual.process import Process
-from limebridge.virtual.session import quiet, run
+from limebridge.virtual.session import isolated_run, run
 from violetroute.config import parse
 
 FOLDER = Path(limebridge.__file__).resolve().parent.parent
@@ -112,7 +112,7 @@
 
     def play(self, requests: int, counter: InstructionCounter | None) -> RunResult:
         """RuntimeError when the run does not come to its end."""
-        with quiet(logging.ERROR, logging.StreamHandler(sys.stderr)):
+        with isolated_run(logging.ERROR, logging.StreamHandler(sys.stderr)):
             run(self._loop, self._play(requests, counter), self._problems.append)
         if self._played is None or self._problems:
             raise RuntimeError(f"the load was not played: {self._problems}")
--- a/limebridge/faults/memory.py
+++ b/limebridge/faults/memory.py
@@ -33,7 +33,7 @@
 from limebridge.standins.effects import EffectEndpoint
 from limebridge.virtual.kernel import Kernel
 from limebridge.virtual.loop import VirtualLoop
-from limebridge.virtual.session import quiet
+from limebridge.virtual.session import isolated_run
 
 from . import history as histories
 from . import seed_runs
@@ -272,7 +272,9 @@
     with tempfile.TemporaryDirectory(prefix="fleet-", dir=root) as folder:
         world = World(plan, Path(folder))
         try:
-            with quiet(logging.INFO if with_trace else logging.CRITICAL, EventHandler(world)):
+            with isolated_run(
+                logging.INFO if with_trace else logging.CRITICAL, EventHandler(world)
+            ):
                 world.loop.run_until_complete(world.run())
         finally:
             for process in getattr(world, "processes", []):
--- a/limebridge/faults/sharing/memory.py
+++ b/limebridge/faults/sharing/memory.py
@@ -23,7 +23,7 @@
 from limebridge.faults.violation import Violation
 from limebridge.virtual.kernel import Kernel
 from limebridge.virtual.loop import VirtualLoop
-from limebridge.virtual.session import quiet
+from limebridge.virtual.session import isolated_run
 from snowstall.messages import LoadSample
 from violetroute.membership import NodeAddresses
 from violetroute.sharing.service import Sharing
@@ -335,7 +335,7 @@
     """Run one plan; a plan has the same outcome each time and on every machine."""
     world = World(plan)
     try:
-        with quiet(logging.CRITICAL, logging.NullHandler()):
+        with isolated_run(logging.CRITICAL, logging.NullHandler()):
             world.loop.run_until_complete(world.run())
     finally:
         for process in (*getattr(world, "processes", []), *world.duplicates):
--- a/limebridge/rehearsal/engine.py
+++ b/limebridge/rehearsal/engine.py
@@ -23,7 +23,7 @@
 from limebridge.virtual.costs import measured
 from limebridge.virtual.process import Process
 from limebridge.virtual.received import SourceObserver
-from limebridge.virtual.session import quiet, run, sent_at
+from limebridge.virtual.session import isolated_run, run, sent_at
 from violetroute.config import parse
 
 from .attainable import BIN_S, Capacity, attainable_worth, attained_share, fault_span
@@ -118,7 +118,7 @@
     def run(self) -> Result:
         """Run to the end, or until Ctrl-C: then the result is partial."""
         try:
-            with quiet(logging.CRITICAL):
+            with isolated_run(logging.CRITICAL):
                 run(
                     self.loop,
                     self._run_scenario(),
--- a/limebridge/scale/measure_connections.py
+++ b/limebridge/scale/measure_connections.py
@@ -18,7 +18,7 @@
 from limebridge.standins.nodes import CacheNode
 from limebridge.standins.wire import reply
 from limebridge.virtual import Kernel, VirtualLoop
-from limebridge.virtual.session import quiet
+from limebridge.virtual.session import isolated_run
 from snowstall import Result
 from violetroute import resp
 from violetroute.clients import Answer
@@ -53,7 +53,7 @@
     # Memory is measured first: later, connections could reuse memory that this process has freed.
     memory = asyncio.run(_memory_per_connection(size))
     load = ProxyUnderLoad(size)
-    with quiet(LOG_LEVEL):
+    with isolated_run(LOG_LEVEL):
         load.loop.run_until_complete(load.run())
     average_open = sum(load.open_samples) / len(load.open_samples)
     return {
--- a/limebridge/scale/measure_gossip.py
+++ b/limebridge/scale/measure_gossip.py
@@ -9,7 +9,7 @@
 
 from functools import partial
 
-from limebridge.virtual.session import quiet
+from limebridge.virtual.session import isolated_run
 from violetroute.sharing.table import SharingTable
 
 from .cost_definition import define_cost
@@ -63,7 +63,7 @@
     The mean of several copies.
     """
     copies = min(MAX_COPIES, max(1, TOTAL_MEMBERS // size))
-    with quiet(LOG_LEVEL):
+    with isolated_run(LOG_LEVEL):
         _receive_all(VirtualMembers(size), 2)  # warms up
         fleets = [VirtualMembers(size) for _ in range(copies)]
         before = resident_bytes()
--- a/limebridge/scale/measure_judgements.py
+++ b/limebridge/scale/measure_judgements.py
@@ -12,7 +12,7 @@
 import random
 from functools import partial
 
-from limebridge.virtual.session import quiet
+from limebridge.virtual.session import isolated_run
 from snowstall import CacheState, Member, Result
 from violetroute.sharing import wire
 from violetroute.sharing.service import Sharing
@@ -74,7 +74,7 @@
 def _fleet_with_one_member(size: int) -> VirtualMembers:
     """A fleet in which only one member runs; its member list has all others."""
     fleet = VirtualMembers(size)
-    with quiet(LOG_LEVEL):
+    with isolated_run(LOG_LEVEL):
         member = fleet.add()
         for number in range(1, size):
             member.members.add_member(fleet.rumor(number), fleet.kernel.now)
@@ -125,7 +125,7 @@
 
     def run(self, seconds: float) -> None:
         """Run the fleet for `seconds` of virtual time under load."""
-        with quiet(LOG_LEVEL):
+        with isolated_run(LOG_LEVEL):
             self._fleet.loop.run_until_complete(self._record_requests(seconds))
 
     async def _record_requests(self, seconds: float) -> None:
--- a/limebridge/scale/measure_list.py
+++ b/limebridge/scale/measure_list.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from limebridge.virtual.session import quiet
+from limebridge.virtual.session import isolated_run
 from violetroute.membership import Listing
 from violetroute.membership.list_reader import ListReader, ObjectSplitter
 
@@ -32,7 +32,7 @@
 def measure(size: int) -> Values:
     """Measure all costs of a list of `size` nodes."""
     line = full_list_line(size)
-    with quiet(LOG_LEVEL):
+    with isolated_run(LOG_LEVEL):
         _apply(ProxyOnVirtualNetwork(), _parse(full_list_line(WARM_UP_NODES)))
         copies = min(MAX_COPIES, max(MIN_COPIES, TOTAL_NODES // size))
         proxies = [ProxyOnVirtualNetwork() for _ in range(copies)]
--- a/limebridge/scale/virtual_members.py
+++ b/limebridge/scale/virtual_members.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from limebridge.virtual import Kernel, VirtualLoop
-from limebridge.virtual.session import quiet
+from limebridge.virtual.session import isolated_run
 from snowstall import LoadSample
 from violetroute.membership import NodeAddresses
 from violetroute.sharing import wire
@@ -122,7 +122,7 @@
 
     def run(self, seconds: float) -> None:
         """Run all members for `seconds` of virtual time."""
-        with quiet(LOG_LEVEL):
+        with isolated_run(LOG_LEVEL):
             self.loop.run_until_complete(asyncio.sleep(seconds))
 
     def kill(self, member: Sharing) -> None:
--- a/limebridge/virtual/session.py
+++ b/limebridge/virtual/session.py
@@ -16,7 +16,7 @@
 
 
 @contextlib.contextmanager
-def quiet(level: int, *handlers: logging.Handler) -> Iterator[None]:
+def isolated_run(level: int, *handlers: logging.Handler) -> Iterator[None]:
     """Send the daemon's log to these handlers only, and disable garbage collection.
 
     The times of collections depend on earlier allocations and would make runs non-deterministic.
--- a/limebridge/virtual/world.py
+++ b/limebridge/virtual/world.py
@@ -30,7 +30,7 @@
 from .plan import Fault, Plan
 from .process import OWNER, Process
 from .received import SourceObserver
-from .session import quiet, run, sent_at
+from .session import isolated_run, run, sent_at
 
 CAPS = SETTINGS["caps"] | {"connectTimeoutMs": 120.0, "secondCopies": True}
 # s for which nodes remember an idempotency key; shorter than the deadline of a request.
@@ -139,7 +139,7 @@
     # --- the run ---
     def run(self) -> Outcome:
         self.loop.set_exception_handler(self._on_loop_error)
-        with quiet(logging.ERROR, DefectHandler(self)):
+        with isolated_run(logging.ERROR, DefectHandler(self)):
             run(
                 self.loop,
                 self._run_plan(),
--- a/tests/violetroute/membership/test_list_reader.py
+++ b/tests/violetroute/membership/test_list_reader.py
@@ -9,7 +9,7 @@
 import pytest
 
 from limebridge.scale.process_facts import cpu_seconds
-from limebridge.virtual.session import quiet
+from limebridge.virtual.session import isolated_run
 from violetroute.membership import parse_listing
 from violetroute.membership.list_reader import LINE_LIMIT, ListReader, ObjectSplitter, WatchError
 from violetroute.transport import Address, parse_address
@@ -66,7 +66,7 @@
     cases = [[one] for one in BAD + ODD] + [BAD + ODD]
     for entries in cases:
         text = line(instance(0), *entries, instance(9), generation="41")
-        with quiet(50):
+        with isolated_run(50):
             assert ListReader().read(text) == parse_listing(json.loads(text))
 
 
--- a/tests/violetroute/test_turns_of_lists.py
+++ b/tests/violetroute/test_turns_of_lists.py
@@ -17,7 +17,7 @@
 from limebridge.scale.sample_list import DRAINING, READY, ProxyOnVirtualNetwork, node_entry
 from limebridge.standins.configuration import configuration
 from limebridge.standins.large_list import LargeList
-from limebridge.virtual.session import quiet
+from limebridge.virtual.session import isolated_run
 from violetroute.config import load
 from violetroute.membership.list_reader import ListReader, ObjectSplitter
 
@@ -65,7 +65,7 @@
 
 @pytest.fixture(scope="module")
 def large() -> Iterator[Large]:
-    with quiet(50):
+    with isolated_run(50):
         made = Large()
         made.take(text(range(NODES), whole=True))
         list(made.slices())
@@ -107,7 +107,7 @@
 
 
 def test_the_first_list_takes_at_most_100_ms_of_cpu_in_its_turn_and_10_in_the_others() -> None:
-    with quiet(50):
+    with isolated_run(50):
         line = text(range(NODES), whole=True)
         targets = [Large() for _ in range(ROUNDS)]
         took = [target.take(line) for target in targets]
@@ -136,7 +136,7 @@
             costs.append(cost / len(numbers))
         return min(costs)
 
-    with quiet(50):
+    with isolated_run(50):
         small = Large()
         small.take(text(range(200), whole=True))
         list(small.slices())
