--- a/benchmarks/nodes.py
+++ b/benchmarks/nodes.py
@@ -1,6 +1,8 @@
-"""Cache nodes for the benchmarks: `python benchmarks/nodes.py COUNT BYTES [MS]` prints their ports.
+"""Cache nodes for the benchmarks, in a process of their own.
 
-MS: how long each answer takes.
+`python benchmarks/nodes.py COUNT BYTES [MS]` starts COUNT nodes that answer every command with a
+value of BYTES bytes, MS milliseconds (default 0) after it has arrived.  It prints the nodes' ports
+as one JSON list and then runs until it is killed.
 """
 
 from __future__ import annotations
@@ -9,13 +11,15 @@
 import json
 import sys
 
-import harness  # noqa: F401  (finds the packages of this checkout)
+import harness  # noqa: F401  (adds this checkout to sys.path)
 
 from limebridge.standins.nodes import CacheNode
 from limebridge.standins.wire import reply
 
 
 class FixedAnswerNode(CacheNode):
+    """A cache node that does not store the commands it receives, so its memory stays constant."""
+
     def record(self, words: list[bytes]) -> None:
         pass
 
--- a/benchmarks/own_time.py
+++ b/benchmarks/own_time.py
@@ -1,10 +1,11 @@
-"""Overload at the proxy's own CPU limit, played on the virtual clock, next to the real one.
+"""Overload at the proxy's own CPU limit, simulated on the virtual clock.
 
     python benchmarks/own_time.py [--times 1.5 2.5] [--seconds 5] [--cores 0.25] [--real]
 
-Loads and figures are overload.py's own, run against the daemon's code on the virtual clock, where
-its time is charged by `limebridge/virtual/costs.json`.  --real runs overload.py behind
-it, to be compared.  --patch plants a build, as `limebridge rehearse` does.
+The loads and the figures are those of overload.py.  The daemon's code runs on the virtual clock,
+where its CPU time is charged with the costs in `limebridge/virtual/costs.json`, divided by --cores.
+--real runs overload.py afterwards with the same loads, on the real daemon.  --patch FILE first
+calls plant() of this Python file, which changes the simulated daemon, as in `limebridge rehearse`.
 """
 
 from __future__ import annotations
@@ -43,11 +44,11 @@
 }
 
 
-async def _answer(words: list[bytes], writer: asyncio.StreamWriter) -> None:
+async def _serve(words: list[bytes], writer: asyncio.StreamWriter) -> None:
     writer.write(reply(b"v" * 200))
 
 
-async def _play(
+async def _run_overloads(
     kernel: Kernel,
     loop: VirtualLoop,
     costs: Costs,
@@ -57,7 +58,7 @@
     start: float,
 ) -> list[dict[str, Any]]:
     discovery = await Discovery().start()
-    nodes = [await FixedAnswerNode(_answer).start() for _ in range(4)]
+    nodes = [await FixedAnswerNode(_serve).start() for _ in range(4)]
     entries = [node.entry(f"s-{n}") for n, node in enumerate(nodes)]
     raw = configuration(
         discovery.port, entries, sockets=2048, memory_mb=192, caps=CAPS, classes=harness.CLASSES
@@ -68,12 +69,12 @@
     await asyncio.sleep(1.0)
     rows = []
     for multiple in times:
-        able = await capacity(port, clients, start)
-        rows.append(await overload(port, clients, able, multiple, seconds))
+        estimate = await capacity(port, clients, start)
+        rows.append(await overload(port, clients, estimate, multiple, seconds))
     return rows
 
 
-def virtual(
+def simulate(
     costs: Costs,
     clients: int,
     times: list[float],
@@ -81,12 +82,18 @@
     start: float = 500.0,
     seed: int = 1,
 ) -> list[dict[str, Any]]:
-    """overload.py's rows; the same for the same arguments, on any machine."""
+    """The rows of overload.py, one for each of `times`, from a daemon on the virtual clock.
+
+    `start`: the first load of the search for the capacity, in requests a second.  The rows depend
+    on the arguments only, not on the machine.
+    """
     kernel = Kernel(seed)
     loop = VirtualLoop(kernel)
     gc.disable()
     try:
-        return loop.run_until_complete(_play(kernel, loop, costs, clients, times, seconds, start))
+        return loop.run_until_complete(
+            _run_overloads(kernel, loop, costs, clients, times, seconds, start)
+        )
     finally:
         for task in asyncio.all_tasks(loop):
             task.cancel()
@@ -110,13 +117,13 @@
     options = parser.parse_args()
     if options.patch is not None:
         runpy.run_path(str(options.patch))["plant"]()
-    for row in virtual(
+    for row in simulate(
         measured().over(options.cores), options.clients, options.times, options.seconds
     ):
         print(json.dumps({"clock": "virtual"} | row), flush=True)
     if options.real:
         here = Path(__file__).parent
-        asked = [
+        command = [
             sys.executable,
             str(here / "overload.py"),
             "--times",
@@ -127,7 +134,7 @@
             str(options.clients),
         ]
         for line in subprocess.run(
-            asked, check=True, capture_output=True, text=True
+            command, check=True, capture_output=True, text=True
         ).stdout.splitlines():
             print(json.dumps({"clock": "real"} | json.loads(line)), flush=True)
     return 0
--- a/benchmarks/refusal.py
+++ b/benchmarks/refusal.py
@@ -1,10 +1,11 @@
-"""What a refusal costs: CPU of a run of refusals alone against a run of answers alone, in turn.
+"""CPU cost of a refusal: runs that consist of refusals alternate with runs of answers.
 
     python benchmarks/refusal.py [--seconds 4] [--rate 2000] [--build CHECKOUT]
 
-A client that says that it waits a microsecond has no time left when its command is read, so
-the module turns it away in any state; that is the refusal of an overload, with no overload
-needed.  `deep` is how many commands a client sends at once.
+A command that announces a wait of one microsecond has no time left when it is read, so the
+balancer refuses it in any state.  This is the same refusal as in an overload, but it needs no
+overload.  In the printed rows `deep` is the number of commands that a client sends at once, and
+`ratio` the CPU time of a refusal divided by that of an answer.
 """
 
 from __future__ import annotations
@@ -21,34 +22,39 @@
 
 
 async def measure(
-    target: harness.RunningProcess, rate: float, seconds: float, deep: int, told: bytes
+    target: harness.RunningProcess, rate: float, seconds: float, burst: int, wait_field: bytes
 ) -> tuple[float, float]:
-    """Microseconds of CPU a question, and the share that was refused."""
-    crowd = LoadGenerator(target.port, clients=200, wait_field=told)
-    await crowd.connect()
+    """CPU time of a request in microseconds, and the share of the requests that was refused.
+
+    `wait_field`: the wait that commands announce, in milliseconds; empty for the clients' own.
+    """
+    generator = LoadGenerator(target.port, clients=200, wait_field=wait_field)
+    await generator.connect()
 
     def pick(number: int) -> Client | None:
-        return crowd.clients[number // deep % len(crowd.clients)] if deep > 1 else None
+        return generator.clients[number // burst % len(generator.clients)] if burst > 1 else None
 
-    await crowd.run(rate, 0.5, pick, deep)
-    await crowd.wait_for_answers()
-    used, asked = harness.cpu_seconds(target.pid), crowd.sent
-    await crowd.run(rate, seconds, pick, deep)
-    await crowd.wait_for_answers()
-    crowd.close()
-    cost = (harness.cpu_seconds(target.pid) - used) / (crowd.sent - asked) * 1e6
-    return cost, crowd.count_outcomes()["refused"] / crowd.sent
+    await generator.run(rate, 0.5, pick, burst)
+    await generator.wait_for_answers()
+    cpu_before, sent_before = harness.cpu_seconds(target.pid), generator.sent
+    await generator.run(rate, seconds, pick, burst)
+    await generator.wait_for_answers()
+    generator.close()
+    cost = (harness.cpu_seconds(target.pid) - cpu_before) / (generator.sent - sent_before) * 1e6
+    return cost, generator.count_outcomes()["refused"] / generator.sent
 
 
 async def main() -> int:
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("--seconds", type=float, default=4.0, help="a row and side")
+    parser.add_argument(
+        "--seconds", type=float, default=4.0, help="per row, of answers and refusals each"
+    )
     parser.add_argument("--rate", type=float, default=2000.0)
     parser.add_argument("--build", type=Path, default=harness.ROOT, help="another checkout")
     options = parser.parse_args()
-    for deep in (1, 16):
+    for burst in (1, 16):
         async with (
             harness.nodes(4, 200) as ports,
             harness.daemon(ports, options.build.resolve(), sockets=2048) as daemon,
@@ -56,16 +62,16 @@
             costs: dict[bytes, list[float]] = {b"": [], b"0.001": []}
             refused = 0.0
             for _ in range(2):
-                for told, found in costs.items():
+                for wait_field, measured in costs.items():
                     cost, refused = await measure(
-                        daemon, options.rate, options.seconds / 2, deep, told
+                        daemon, options.rate, options.seconds / 2, burst, wait_field
                     )
-                    found.append(cost)
-        answer, refusal = (sum(found) / 2 for found in costs.values())
+                    measured.append(cost)
+        answer, refusal = (sum(measured) / 2 for measured in costs.values())
         print(
             json.dumps(
                 {
-                    "deep": deep,
+                    "deep": burst,
                     "answer_us": round(answer, 1),
                     "refusal_us": round(refusal, 1),
                     "refused": round(refused, 3),
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,6 +1,8 @@
-"""The floor: a relay that passes bytes between a client and one node, and reads nothing.
+"""A TCP relay: the lower bound for the CPU cost of a proxy on the same event loop.
 
-`python benchmarks/relay.py PORT [PORT ...]` prints the port it listens on.
+Each client connection is joined to a connection to one node, and bytes are copied between the two
+without being parsed.  `python benchmarks/relay.py PORT [PORT ...] [--uvloop]` relays to nodes on
+these ports, round robin, and prints the port it listens on.
 """
 
 from __future__ import annotations
@@ -11,51 +13,59 @@
 import sys
 
 
-class Half(asyncio.Protocol):
+class RelaySide(asyncio.Protocol):
+    """One of the two connections of a relay; data that arrives on it is written to its peer.
+
+    Until `join` is called, received data is buffered.
+    """
+
     def __init__(self) -> None:
-        self.other: Half | None = None
+        self.peer: RelaySide | None = None
         self.transport: asyncio.Transport | None = None
-        self._early = bytearray()
+        self._buffer = bytearray()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        if self.other is None or self.other.transport is None:
-            self._early += data
+        if self.peer is None or self.peer.transport is None:
+            self._buffer += data
         else:
-            self.other.transport.write(data)
+            self.peer.transport.write(data)
 
-    def pair(self, other: Half) -> None:
-        self.other = other
-        if self._early and other.transport is not None:
-            other.transport.write(bytes(self._early))
+    def join(self, peer: RelaySide) -> None:
+        """Set the peer and write it the data that arrived before."""
+        self.peer = peer
+        if self._buffer and peer.transport is not None:
+            peer.transport.write(bytes(self._buffer))
 
     def connection_lost(self, error: Exception | None) -> None:
         self.transport = None
-        if self.other is not None and self.other.transport is not None:
-            self.other.transport.close()
+        if self.peer is not None and self.peer.transport is not None:
+            self.peer.transport.close()
 
 
 async def main(ports: list[int]) -> None:
     loop = asyncio.get_running_loop()
-    turn = itertools.cycle(ports)
+    next_port = itertools.cycle(ports)
     tasks = set()
 
-    class Front(Half):
+    class ClientSide(RelaySide):
+        """A client's connection; it opens the connection to a node."""
+
         def connection_made(self, transport: asyncio.BaseTransport) -> None:
             super().connection_made(transport)
-            task = loop.create_task(self._reach())
+            task = loop.create_task(self._connect_to_node())
             tasks.add(task)
             task.add_done_callback(tasks.discard)
 
-        async def _reach(self) -> None:
-            _, back = await loop.create_connection(Half, "127.0.0.1", next(turn))
-            back.pair(self)
-            self.pair(back)
+        async def _connect_to_node(self) -> None:
+            _, node_side = await loop.create_connection(RelaySide, "127.0.0.1", next(next_port))
+            node_side.join(self)
+            self.join(node_side)
 
-    server = await loop.create_server(Front, "127.0.0.1", 0)
+    server = await loop.create_server(ClientSide, "127.0.0.1", 0)
     print(server.sockets[0].getsockname()[1], flush=True)
     await server.serve_forever()
 
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -1,14 +1,15 @@
-"""What a request costs in one build of the daemon, as a ratio to another build.
+"""Cost of a request in one build of the daemon, as a ratio to another build.
 
     python benchmarks/request_cost.py count  BASE [BUILD]   # bytecode instructions, exact
     python benchmarks/request_cost.py native BASE [BUILD]   # machine instructions, exact; valgrind
-    python benchmarks/request_cost.py cpu    BASE [BUILD]   # CPU time of real daemons, in turns
+    python benchmarks/request_cost.py cpu    BASE [BUILD]   # CPU time of real daemons, alternating
     python benchmarks/request_cost.py memory BASE [BUILD]   # resident set before the first request
 
-BASE and BUILD are commits; BUILD is this checkout as it is now if none is given.  Exit status 1
-when a ratio is over --limit, when the two builds were not asked and did not answer the same, or,
-for `cpu`, when the interval says that the ratio is over.  `docs/design/own-load.md` says what each
-of the measures can and can't tell.
+BASE and BUILD are commits; without BUILD this checkout as it is now is measured.  Exit status 1
+for `count` and `native`: a ratio is above --limit, or the requests or answers of the two builds
+differ; for `cpu`: the confidence interval of the ratio lies above --limit; for `memory`: a start of
+BUILD uses more than --limit MB.  Exit status 2: a build or valgrind is missing.
+`docs/design/own-load.md` says what each of the measures can and can't show.
 """
 
 from __future__ import annotations
@@ -26,35 +27,44 @@
 
 from limebridge.experiments.builds import BuildError
 
-LIMIT = 1.02  # of the base's cost
-MEMORY_LIMIT = 32.0  # MB
+LIMIT = 1.02  # highest ratio of the build's cost to the base's
+MEMORY_LIMIT = 32.0  # MB of resident memory
 
 
-def parser() -> argparse.ArgumentParser:
-    made = argparse.ArgumentParser(
+def build_parser() -> argparse.ArgumentParser:
+    """The parser of the command line, with one subcommand for each measure."""
+    parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    kinds = made.add_subparsers(dest="measure", required=True)
+    subparsers = parser.add_subparsers(dest="measure", required=True)
     for name in MEASURES:
-        kind = kinds.add_parser(name)
-        kind.add_argument("base")
-        kind.add_argument("build", nargs="?", default=".")
+        subparser = subparsers.add_parser(name)
+        subparser.add_argument("base")
+        subparser.add_argument("build", nargs="?", default=".")
         if name in ("count", "native"):
-            kind.add_argument("--requests", type=int, default=1000)
-            kind.add_argument("--load", nargs="+", choices=LOAD_NAMES)
+            subparser.add_argument("--requests", type=int, default=1000)
+            subparser.add_argument("--load", nargs="+", choices=LOAD_NAMES)
         if name == "count":
-            kind.add_argument("--functions", type=int, default=8, help="rows of the worst load")
+            subparser.add_argument(
+                "--functions",
+                type=int,
+                default=8,
+                help="functions shown of the load with the highest ratio",
+            )
         if name == "cpu":
-            kind.add_argument("--pairs", type=int, default=12, help="of processes")
-            kind.add_argument("--blocks", type=int, default=16, help="of four rounds, a pair")
+            subparser.add_argument("--pairs", type=int, default=12, help="pairs of processes")
+            subparser.add_argument(
+                "--blocks", type=int, default=16, help="blocks of four rounds per pair"
+            )
         if name == "memory":
-            kind.add_argument("--starts", type=int, default=5, help="of each build")
+            subparser.add_argument("--starts", type=int, default=5, help="starts of each build")
         default = MEMORY_LIMIT if name == "memory" else LIMIT
-        kind.add_argument("--limit", type=float, default=default)
-    return made
+        subparser.add_argument("--limit", type=float, default=default)
+    return parser
 
 
 def count(options: argparse.Namespace) -> bool:
+    """Compare bytecode instructions.  True if all loads are within the limit."""
     with unpack_builds(options.base, options.build) as pair:
         rows = request_counts.compare(pair, options.load or LOAD_NAMES, options.requests)
     request_counts.show(rows, options.functions)
@@ -62,6 +72,7 @@
 
 
 def native(options: argparse.Namespace) -> bool:
+    """Compare machine instructions.  True if all loads are within the limit."""
     with unpack_builds(options.base, options.build) as pair:
         rows = request_native.compare(pair, options.load or ["target"], options.requests)
     request_native.show(rows)
@@ -69,6 +80,7 @@
 
 
 def cpu(options: argparse.Namespace) -> bool:
+    """Compare CPU time.  True unless the whole confidence interval is above the limit."""
     with unpack_builds(options.base, options.build) as pair:
         found = asyncio.run(request_cpu.compare(pair, options.pairs, options.blocks))
     limit: float = options.limit
@@ -77,6 +89,7 @@
 
 
 def memory(options: argparse.Namespace) -> bool:
+    """Compare resident memory.  True if every start of the build is within the limit in MB."""
     with unpack_builds(options.base, options.build) as pair:
         found = asyncio.run(request_cpu.memory(pair, options.starts))
     request_cpu.show_memory(found)
@@ -93,10 +106,10 @@
 
 
 def main() -> int:
-    options = parser().parse_args()
+    options = build_parser().parse_args()
     try:
         return 0 if MEASURES[options.measure](options) else 1
-    except (BuildError, request_native.NoValgrind) as error:
+    except (BuildError, request_native.ValgrindMissingError) as error:
         print(f"request_cost: {error}", file=sys.stderr)
         return 2
 
--- a/benchmarks/request_counts.py
+++ b/benchmarks/request_counts.py
@@ -1,4 +1,4 @@
-"""Bytecode instructions of a request in two builds that are asked the same."""
+"""Bytecode instructions of a request in two builds that receive the same requests."""
 
 from __future__ import annotations
 
@@ -12,31 +12,32 @@
 from instruction_count import EVENT_LOOP, Counts
 from request_load import RunResult
 
-KIT = "limebridge"
-TIME_LIMIT = 900.0  # s for one load; counting takes about a hundred times as long as playing
+KIT = "limebridge"  # package of the test kit: clients, nodes, simulated network and clock
+TIME_LIMIT = 900.0  # s for one load; counting takes about a hundred times as long as the load alone
 
 
 @dataclass(frozen=True)
 class Cost:
-    """Of a request, by what has executed it; the kit and the loop around it stand apart."""
+    """Cost of one request.  Instructions of the test kit and of the event loop are kept apart."""
 
-    packages: dict[str, float]  # instructions
+    packages: dict[str, float]  # instructions by package
     functions: dict[tuple[str, str], float]  # instructions, by package and function
-    c_calls: float
-    socket_calls: float  # into the kit's network and clock: system calls, for a real daemon
-    around: float  # instructions of the kit and of the loop's own turns
+    c_calls: float  # calls of C functions
+    socket_calls: float  # calls of the kit's network and clock; a real daemon makes system calls
+    kit_and_loop: float  # instructions of the test kit and of the event loop itself
 
     @property
     def instructions(self) -> float:
+        """Instructions of all the daemon's packages."""
         return sum(self.packages.values())
 
 
 @dataclass(frozen=True)
 class Comparison:
-    """Of the two builds under one load."""
+    """The costs of the two builds under one load."""
 
     load: str
-    requests: int
+    requests: int  # of the build
     served: int
     same_traffic: bool  # all requests, answers, their times, and commands at the nodes
     base: Cost
@@ -44,20 +45,21 @@
 
     @property
     def ratio(self) -> float:
+        """Ratio of the daemon's instructions, build to base."""
         return self.build.instructions / self.base.instructions
 
 
 @dataclass(frozen=True)
 class Change:
-    """Of one function, from the base to the build."""
+    """Change of the cost of one function, from the base to the build."""
 
     package: str
     function: str
-    instructions: float  # a request
+    instructions: float  # per request
 
 
-def start(folder: Path, load: str, requests: int) -> subprocess.Popen[bytes]:
-    """Plays the load on the build in this folder and counts."""
+def start_load(folder: Path, load: str, requests: int) -> subprocess.Popen[bytes]:
+    """Start a process that runs a load on the build in this folder and counts instructions."""
     return subprocess.Popen(
         load_command(load, requests, count=True),
         env=load_environment(folder),
@@ -65,8 +67,8 @@
     )
 
 
-def result(process: subprocess.Popen[bytes]) -> RunResult:
-    """Waits for its end.  RuntimeError when it failed."""
+def wait_for_result(process: subprocess.Popen[bytes]) -> RunResult:
+    """Wait for a process of `start_load` to end.  RuntimeError if it failed."""
     try:
         line, _ = process.communicate(timeout=TIME_LIMIT)
     finally:
@@ -77,38 +79,44 @@
 
 
 def compare(pair: BuildPair, loads: Iterable[str], requests: int) -> list[Comparison]:
-    """Both builds at once: a neighbour does not change a count."""
+    """Compare the builds under each load.
+
+    Both run in parallel, since other processes on the machine don't affect the counts.
+    """
     rows = []
     for load in loads:
-        running = [start(folder, load, requests) for folder in (pair.base, pair.build)]
+        running = [start_load(folder, load, requests) for folder in (pair.base, pair.build)]
         try:
-            base, build = [result(process) for process in running]
+            base, build = [wait_for_result(process) for process in running]
         finally:
             for process in running:
                 process.kill()
-        rows.append(comparison(load, base, build))
+        rows.append(compare_runs(load, base, build))
     return rows
 
 
-def comparison(load: str, base: RunResult, build: RunResult) -> Comparison:
+def compare_runs(load: str, base: RunResult, build: RunResult) -> Comparison:
+    """Compare a run of the base with one of the build under the same load."""
     same = (base.digest, base.requests) == (build.digest, build.requests)
-    return Comparison(load, build.requests, build.served, same, cost(base), cost(build))
+    return Comparison(
+        load, build.requests, build.served, same, cost_per_request(base), cost_per_request(build)
+    )
 
 
-def cost(run: RunResult) -> Cost:
-    """Of one request of a run that was counted."""
+def cost_per_request(run: RunResult) -> Cost:
+    """Average cost of a request.  ValueError if instructions were not counted in this run."""
     if run.counts is None:
-        raise ValueError("the run was not counted")
-    return _cost(run.counts, run.requests)
+        raise ValueError("instructions were not counted in this run")
+    return _cost_from_counts(run.counts, run.requests)
 
 
-def _cost(counts: Counts, requests: int) -> Cost:
+def _cost_from_counts(counts: Counts, requests: int) -> Cost:
     packages: Counter[str] = Counter()
     functions: Counter[tuple[str, str]] = Counter()
-    c_calls = around = 0
+    c_calls = kit_and_loop = 0
     for each in counts.functions:
         if each.package == EVENT_LOOP or each.package.startswith(KIT):
-            around += each.instructions
+            kit_and_loop += each.instructions
             continue
         packages[each.package] += each.instructions
         functions[each.package, each.function] += each.instructions
@@ -119,41 +127,45 @@
         {name: total / requests for name, total in functions.items()},
         c_calls / requests,
         crossings / requests,
-        around / requests,
+        kit_and_loop / requests,
     )
 
 
 def changes(row: Comparison) -> list[Change]:
-    """Functions that differ, the largest difference first.
+    """Functions whose cost differs, largest difference first.
 
-    Where one is gone and another of the same cost is new, it was renamed or moved: left out.
+    A function that was removed and one of the same cost that was added are taken to be one function
+    that was renamed or moved, and are left out.
     """
     base, build = row.base.functions, row.build.functions
-    gone = {name: count for name, count in base.items() if name not in build}
+    removed = {name: count for name, count in base.items() if name not in build}
     found = []
     for name, count in sorted(build.items()):
-        moved_from = next((old for old, other in gone.items() if other == count), None)
+        moved_from = next((old for old, other in removed.items() if other == count), None)
         if name not in base and moved_from is not None:
-            del gone[moved_from]
+            del removed[moved_from]
         elif count != base.get(name):
             found.append(Change(*name, count - base.get(name, 0.0)))
-    found += [Change(*name, -count) for name, count in gone.items()]
+    found += [Change(*name, -count) for name, count in removed.items()]
     return sorted(found, key=lambda each: (-abs(each.instructions), each.package, each.function))
 
 
 def show(rows: list[Comparison], functions: int) -> None:
-    """The ratios, and of the load with the largest one the packages and functions."""
+    """Print the ratios, and the packages of the load with the highest ratio.
+
+    `functions`: how many functions of that load to print, those that differ most.
+    """
     for row in rows:
-        traffic = "same traffic" if row.same_traffic else "OTHER TRAFFIC"
+        traffic = "same traffic" if row.same_traffic else "DIFFERENT TRAFFIC"
         print(
             f"{row.load:8s} {row.requests:5d} requests, {row.served} served, {traffic}: "
             f"{row.base.instructions:8.1f} -> {row.build.instructions:8.1f} instructions, "
             f"{row.ratio:.4f}; C calls {row.base.c_calls:.1f} -> {row.build.c_calls:.1f}; "
             f"socket and clock calls {row.base.socket_calls:.1f} -> {row.build.socket_calls:.1f}; "
-            f"kit and loop {row.build.around / row.base.around:.4f}"
+            f"kit and loop {row.build.kit_and_loop / row.base.kit_and_loop:.4f}"
         )
     worst = max(rows, key=lambda row: row.ratio)
-    print(f"\npackages under {worst.load}, instructions a request")
+    print(f"\npackages under {worst.load}, instructions per request")
     for name in sorted(worst.base.packages.keys() | worst.build.packages.keys()):
         before, after = worst.base.packages.get(name, 0.0), worst.build.packages.get(name, 0.0)
         ratio = f"{after / before:.4f}" if before else "new"
--- a/benchmarks/request_native.py
+++ b/benchmarks/request_native.py
@@ -1,9 +1,10 @@
-"""Machine instructions of a request in two builds, exact: the virtual load under valgrind.
+"""Exact number of machine instructions of a request in two builds: a simulated load in valgrind.
 
-The whole process is counted, kit and daemon.  The kit does the same for both builds, so the
-difference is the daemon's; a run with fewer requests is taken off, and with it the start-up.  The
-daemon's part of the process is taken from the bytecode that it executes, which is an estimate: the
-difference is exact, the ratio is as good as this part.
+valgrind counts the whole process, test kit and daemon.  The kit does the same work for both builds,
+so the difference between them is the daemon's.  The count of a run with fewer requests is
+subtracted, which removes the start-up.  The ratio also needs the daemon's share of the process,
+which is estimated from the share of bytecode instructions that the daemon executes.  So the
+difference is exact, and the ratio is as accurate as this estimate.
 """
 
 from __future__ import annotations
@@ -18,30 +19,30 @@
 import request_counts
 from build_pair import BuildPair, decode_result, load_command, load_environment
 
-FEW = 100  # requests of the run that is taken off
-SHARE_REQUESTS = 200  # to learn the daemon's part
+BASELINE_REQUESTS = 100  # requests of the run whose count is subtracted
+SHARE_REQUESTS = 200  # requests of the run that estimates the daemon's share
 TIME_LIMIT = 1800.0  # s for one run
-TOTAL = re.compile(rb"I\s+refs:\s+([\d,]+)")
+TOTAL_PATTERN = re.compile(rb"I\s+refs:\s+([\d,]+)")
 
 
-class NoValgrind(Exception):
-    """One line: it is not installed."""
+class ValgrindMissingError(Exception):
+    """valgrind is not installed; the message is one line."""
 
 
 @dataclass(frozen=True)
 class NativeComparison:
-    """Of the two builds under one load."""
+    """The cost of a request in the two builds under one load."""
 
     load: str
-    same_traffic: bool
+    same_traffic: bool  # requests, answers and commands at the nodes were the same
     base: float  # machine instructions of the whole process for a request
     build: float
-    daemon_part: float  # of the base's instructions
+    daemon_share: float  # share of the base's instructions that the daemon executes (estimate)
 
     @property
     def ratio(self) -> float:
-        """Of the daemon's own instructions."""
-        return 1.0 + (self.build - self.base) / (self.base * self.daemon_part)
+        """Ratio of the daemon's own instructions, build to base."""
+        return 1.0 + (self.build - self.base) / (self.base * self.daemon_share)
 
 
 @dataclass(frozen=True)
@@ -52,29 +53,29 @@
 
 
 def compare(pair: BuildPair, loads: Iterable[str], requests: int) -> list[NativeComparison]:
-    """NoValgrind where there is none."""
+    """Compare the builds under each load.  Raises ValgrindMissingError if it is not installed."""
     valgrind = shutil.which("valgrind")
     if valgrind is None:
-        raise NoValgrind("`native` needs valgrind, which is not installed")
+        raise ValgrindMissingError("`native` needs valgrind, which is not installed")
     return [_compare(valgrind, pair, load, requests) for load in loads]
 
 
 def _compare(valgrind: str, pair: BuildPair, load: str, requests: int) -> NativeComparison:
-    few_base, few_build = _both(valgrind, pair, load, FEW)
-    base, build = _both(valgrind, pair, load, requests)
+    baseline_base, baseline_build = _run_both(valgrind, pair, load, BASELINE_REQUESTS)
+    base, build = _run_both(valgrind, pair, load, requests)
     (shares,) = request_counts.compare(pair, [load], SHARE_REQUESTS)
-    own, around = shares.base.instructions, shares.base.around
+    own, kit_and_loop = shares.base.instructions, shares.base.kit_and_loop
     return NativeComparison(
         load,
-        base.digest == build.digest and few_base.digest == few_build.digest,
-        _slope(few_base, base),
-        _slope(few_build, build),
-        own / (own + around),
+        base.digest == build.digest and baseline_base.digest == baseline_build.digest,
+        _instructions_per_request(baseline_base, base),
+        _instructions_per_request(baseline_build, build),
+        own / (own + kit_and_loop),
     )
 
 
-def _both(valgrind: str, pair: BuildPair, load: str, requests: int) -> tuple[_Run, _Run]:
-    """The base and the build, at once."""
+def _run_both(valgrind: str, pair: BuildPair, load: str, requests: int) -> tuple[_Run, _Run]:
+    """Runs of the base and of the build, in parallel."""
     running = [_start(valgrind, folder, load, requests) for folder in (pair.base, pair.build)]
     try:
         base, build = (_result(process) for process in running)
@@ -84,8 +85,8 @@
             process.kill()
 
 
-def _slope(few: _Run, many: _Run) -> float:
-    return (many.instructions - few.instructions) / (many.requests - few.requests)
+def _instructions_per_request(fewer: _Run, more: _Run) -> float:
+    return (more.instructions - fewer.instructions) / (more.requests - fewer.requests)
 
 
 def _start(valgrind: str, folder: Path, load: str, requests: int) -> subprocess.Popen[bytes]:
@@ -99,20 +100,21 @@
 
 
 def _result(process: subprocess.Popen[bytes]) -> _Run:
-    """RuntimeError when it failed."""
-    line, told = process.communicate(timeout=TIME_LIMIT)
-    total = TOTAL.search(told)
+    """Wait for a run to end and parse its result.  RuntimeError if it failed."""
+    line, log = process.communicate(timeout=TIME_LIMIT)
+    total = TOTAL_PATTERN.search(log)
     if process.returncode or total is None:
-        raise RuntimeError(f"valgrind ended with status {process.returncode}: {told[-300:]!r}")
+        raise RuntimeError(f"valgrind ended with status {process.returncode}: {log[-300:]!r}")
     run = decode_result(line)
     return _Run(int(total[1].replace(b",", b"")), run.asked, run.digest)
 
 
 def show(rows: list[NativeComparison]) -> None:
+    """Print one line for each load."""
     for row in rows:
-        traffic = "same traffic" if row.same_traffic else "OTHER TRAFFIC"
+        traffic = "same traffic" if row.same_traffic else "DIFFERENT TRAFFIC"
         print(
             f"{row.load:8s} {traffic}: {row.base:9.0f} -> {row.build:9.0f} machine instructions "
-            f"a request of kit and daemon ({row.build - row.base:+.0f}); the daemon is "
-            f"{row.daemon_part:.0%} of it: {row.ratio:.4f}"
+            f"per request of kit and daemon ({row.build - row.base:+.0f}); the daemon is "
+            f"{row.daemon_share:.0%} of it: {row.ratio:.4f}"
         )
--- a/tests/benchmarks/test_request_cost.py
+++ b/tests/benchmarks/test_request_cost.py
@@ -48,9 +48,9 @@
 
 def play(folders: list[Path]) -> list[RunResult]:
     """All at once."""
-    running = [request_counts.start(folder, LOAD, REQUESTS) for folder in folders]
+    running = [request_counts.start_load(folder, LOAD, REQUESTS) for folder in folders]
     try:
-        return [request_counts.result(process) for process in running]
+        return [request_counts.wait_for_result(process) for process in running]
     finally:
         for process in running:
             process.kill()
@@ -63,14 +63,14 @@
     append(planted / "snowstall" / "balance.py", DEARER)
     base, same, dearer = play([ROOT, copied, planted])
 
-    row = request_counts.comparison(LOAD, base, same)
+    row = request_counts.compare_runs(LOAD, base, same)
     assert row.same_traffic and row.served == row.requests > 0
     assert row.ratio == 1.0
     assert row.base == row.build  # by package, function, C calls, and what stands around
     assert not request_counts.changes(row)
 
-    row = request_counts.comparison(LOAD, base, dearer)
-    assert row.same_traffic and row.base.around == row.build.around
+    row = request_counts.compare_runs(LOAD, base, dearer)
+    assert row.same_traffic and row.base.kit_and_loop == row.build.kit_and_loop
     assert row.ratio == pytest.approx(1.02, abs=0.001)
     (change,) = request_counts.changes(row)
     assert (change.package, change.function) == ("snowstall", "balance.py:_dearer")
@@ -83,6 +83,6 @@
     other = copy_of_build(tmp_path)
     margin = "ANSWER_MARGIN_MS = 11.0  # not 10: nodes are given 1 ms less to answer\n"
     append(other / "violetroute" / "requests.py", margin)
-    row = request_counts.comparison(LOAD, *play([ROOT, other]))
+    row = request_counts.compare_runs(LOAD, *play([ROOT, other]))
     assert row.served == row.requests > 0
     assert not row.same_traffic
