--- a/tests/planted_in_soaks/drain_cuts.py
+++ b/tests/planted_in_soaks/drain_cuts.py
@@ -4,8 +4,8 @@
 
 
 def plant():
-    async def cut(self, within):
+    async def abort_all(self, within):
         for connection in [*self._serving, *self._idle, *self._partial, *self._awaiting_first_byte]:
             connection.abort()
 
-    Listener.drain = cut
+    Listener.drain = abort_all
--- a/tests/planted_in_soaks/long_turn.py
+++ b/tests/planted_in_soaks/long_turn.py
@@ -1,4 +1,4 @@
-"""Injected bug of incident 65d06d: an update of many nodes blocks the loop for seconds."""
+"""Injected bug of incident 65d06d: an update of many nodes blocks the event loop for seconds."""
 
 import time
 
@@ -8,9 +8,9 @@
 def plant():
     apply = ListApplier.apply
 
-    def slow(self, listing, whole, at_once=False):
+    def apply_slowly(self, listing, whole, at_once=False):
         if not at_once and len(listing.entries) > 1:
             time.sleep(2.5)
         return apply(self, listing, whole, at_once)
 
-    ListApplier.apply = slow
+    ListApplier.apply = apply_slowly
