--- a/limebridge/rehearsal/events.py
+++ b/limebridge/rehearsal/events.py
@@ -13,7 +13,7 @@
 from limebridge.standins.discovery import Discovery
 from limebridge.standins.fleet import FleetNode
 from limebridge.standins.node_list import Lifecycle, NodeEntry
-from limebridge.virtual.session import during, refused, stalled
+from limebridge.virtual.session import refuse_watches, set_temporarily, stall_nodes
 
 from .clients import ClientPool
 from .keys import KeyChooser
@@ -82,13 +82,17 @@
         )
 
     async def _slow(self, event: Event) -> None:
-        await during(event.lasts, self._affected_nodes(event), "slowness", event.amount, 1.0)
+        await set_temporarily(
+            event.lasts, self._affected_nodes(event), "slowness", event.amount, 1.0
+        )
 
     async def _stalls(self, event: Event) -> None:
-        await stalled(event.lasts, self._affected_nodes(event))
+        await stall_nodes(event.lasts, self._affected_nodes(event))
 
     async def _loses_answers(self, event: Event) -> None:
-        await during(event.lasts, self._affected_nodes(event), "reset_after", event.amount, None)
+        await set_temporarily(
+            event.lasts, self._affected_nodes(event), "reset_after", event.amount, None
+        )
 
     async def _dies(self, event: Event) -> None:
         affected = self._affected_nodes(event)
@@ -152,7 +156,7 @@
         self.database.running.set()
 
     async def _discovery_down(self, event: Event) -> None:
-        await refused(event.lasts, self.discovery)
+        await refuse_watches(event.lasts, self.discovery)
 
     async def _proxies_restart(self, event: Event) -> None:
         """Restart the proxies one by one, as a deployment does."""
--- a/limebridge/virtual/fault_actions.py
+++ b/limebridge/virtual/fault_actions.py
@@ -21,7 +21,7 @@
 from .plan import Fault, Plan
 from .process import OWNER, Process
 from .received import SourceObserver
-from .session import during, refused, stalled
+from .session import refuse_watches, set_temporarily, stall_nodes
 
 MALFORMED_INPUTS = (
     b"\x00\xff noise",
@@ -81,19 +81,19 @@
 
     # --- nodes ---
     async def _node_slow(self, fault: Fault, node: FleetNode) -> None:
-        await during(fault.lasts, [node], "slowness", max(1.0, fault.amount), 1.0)
+        await set_temporarily(fault.lasts, [node], "slowness", max(1.0, fault.amount), 1.0)
 
     async def _node_stalls(self, fault: Fault, node: FleetNode) -> None:
-        await stalled(fault.lasts, [node])
+        await stall_nodes(fault.lasts, [node])
 
     async def _node_swallows(self, fault: Fault, node: FleetNode) -> None:
-        await during(fault.lasts, [node], "no_answer_share", fault.amount, 0.0)
+        await set_temporarily(fault.lasts, [node], "no_answer_share", fault.amount, 0.0)
 
     async def _node_spoils(self, fault: Fault, node: FleetNode) -> None:
-        await during(fault.lasts, [node], "malformed_share", fault.amount, 0.0)
+        await set_temporarily(fault.lasts, [node], "malformed_share", fault.amount, 0.0)
 
     async def _node_errors(self, fault: Fault, node: FleetNode) -> None:
-        await during(fault.lasts, [node], "error_share", fault.amount, 0.0)
+        await set_temporarily(fault.lasts, [node], "error_share", fault.amount, 0.0)
 
     async def _node_resets(self, fault: Fault, node: FleetNode) -> None:
         for writer in list(node.open):
@@ -155,7 +155,7 @@
         await self._block_path(fault, self.discovery.port, True, True)
 
     async def _discovery_ends(self, fault: Fault, node: FleetNode) -> None:
-        await refused(fault.lasts, self.discovery)
+        await refuse_watches(fault.lasts, self.discovery)
 
     async def _discovery_lies(self, fault: Fault, node: FleetNode) -> None:
         """Discovery reports a healthy node as terminated, later as in service again."""
--- a/limebridge/virtual/session.py
+++ b/limebridge/virtual/session.py
@@ -1,4 +1,4 @@
-"""Helpers of all simulated runs: log capture, shutdown, and temporary faults."""
+"""Helpers of all simulated runs: isolation of the run, its shutdown, and temporary faults."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 
 @contextlib.contextmanager
 def isolated_run(level: int, *handlers: logging.Handler) -> Iterator[None]:
-    """Send the daemon's log to these handlers only, and disable garbage collection.
+    """Context manager around a run: captures the daemon's log and disables garbage collection.
 
-    The times of collections depend on earlier allocations and would make runs non-deterministic.
+    Records of `level` and above go to `handlers` only.  Garbage collection is disabled because its
+    times depend on earlier allocations, which would make runs non-deterministic.
     """
     ours, collects = logging.getLogger("violetroute"), gc.isenabled()
     before = ours.level, ours.propagate
@@ -55,30 +56,30 @@
         loop.close()
 
 
-async def during(
-    seconds: float, nodes: Iterable[FleetNode], name: str, value: float, well: float | None
+async def set_temporarily(
+    seconds: float, nodes: Iterable[FleetNode], name: str, value: float, normal: float | None
 ) -> None:
-    """Set attribute `name` of the nodes to `value` for `seconds` s, then to `well`."""
+    """Set attribute `name` of the nodes to `value` for `seconds` s, then to `normal`."""
     changed = list(nodes)
     for node in changed:
         setattr(node, name, value)
     await asyncio.sleep(seconds)
     for node in changed:
-        setattr(node, name, well)
+        setattr(node, name, normal)
 
 
-async def stalled(seconds: float, nodes: Iterable[FleetNode]) -> None:
-    """The nodes serve nothing for `seconds` s."""
-    held = list(nodes)
-    for node in held:
+async def stall_nodes(seconds: float, nodes: Iterable[FleetNode]) -> None:
+    """Stop the nodes from serving requests for `seconds` s; no connection is closed."""
+    stalled = list(nodes)
+    for node in stalled:
         node.running.clear()
     await asyncio.sleep(seconds)
-    for node in held:
+    for node in stalled:
         node.running.set()
 
 
-async def refused(seconds: float, discovery: Discovery) -> None:
-    """Discovery ends its watches and refuses new ones for `seconds` s."""
+async def refuse_watches(seconds: float, discovery: Discovery) -> None:
+    """Reset the open watches of discovery, which answers new ones with 503 for `seconds` s."""
     discovery.unavailable = True
     for writer in list(discovery.open):
         writer.transport.abort()
