--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -117,7 +117,7 @@
 
 
 def served(outcome: Outcome) -> float:
-    assert not outcome.broken, outcome.broken[0].message
+    assert not outcome.violations, outcome.violations[0].message
     return outcome.answers.get("served", 0) / outcome.requests
 
 
@@ -143,7 +143,7 @@
             seed, 90.0, 6, 8, 20.0, consul=True, faults=(Fault(10.0, "consul_flaps", 1, 60.0),)
         )
         outcome = run_plan(plan)
-        assert not outcome.broken, outcome.broken[0].message
+        assert not outcome.violations, outcome.violations[0].message
         for line in outcome.trace:
             at, _, rest = line.partition(" ")
             if " at n" in rest and ", sent " in rest:
--- a/benchmarks/request_load.py
+++ b/benchmarks/request_load.py
@@ -173,8 +173,8 @@
     while asked < requests:
         seed += 1
         outcome = runner.run_plan(plan.generate(seed))
-        if outcome.broken:
-            raise RuntimeError(f"seed {seed}: {outcome.broken}")
+        if outcome.violations:
+            raise RuntimeError(f"seed {seed}: {outcome.violations}")
         digest.update(outcome.digest.encode())
         asked += outcome.requests
         served += outcome.answers.get("served", 0)
--- a/limebridge/explore_commands.py
+++ b/limebridge/explore_commands.py
@@ -71,24 +71,24 @@
     history = coverage.History() if goes_on else None
     if history is not None:
         try:
-            first, met = history.reserve_seeds("consul" if consul else "plain", seeds)
+            first, pair_counts = history.reserve_seeds("consul" if consul else "plain", seeds)
         except (OSError, ValueError) as error:
             typer.echo(f"limebridge: {error}", err=True)
             raise typer.Exit(2) from None
-        pairs = coverage.rarest_pairs(met, consul)
+        pairs = coverage.rarest_pairs(pair_counts, consul)
         keep = keep or Path("found")  # a biased plan cannot be regenerated from its seed alone
     columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn())
     with Progress(*columns, console=Console(stderr=True), disable=as_json) as progress:
         bar = progress.add_task("exploring", total=seeds)
         for summary in explorer.explore(first, seeds, jobs, budget, prepare, consul, pairs):
             progress.update(
-                bar, completed=summary.seeds, description=f"{len(summary.broken)} broken"
+                bar, completed=summary.seeds, description=f"{len(summary.failed)} broken"
             )
-    summary.broken.sort(key=lambda found: found.seed)
+    summary.failed.sort(key=lambda found: found.seed)
     if prepare is not None:
         prepare()
-    for found in summary.broken[:3]:
-        smaller = explorer.shrink(found.plan, found.broken[0].rule)
+    for found in summary.failed[:3]:
+        smaller = explorer.shrink(found.plan, found.violations[0].rule)
         if keep is not None:
             keep.mkdir(parents=True, exist_ok=True)
             path = keep / f"seed-{found.seed}.json"
@@ -99,29 +99,29 @@
         typer.echo(" ".join([*command, *(["--patch", str(patch)] if patch else [])]), err=True)
         typer.echo(timeline.render_text(runner.run_plan(smaller)), err=True)
     if history is not None:
-        history.add(summary.seeds, summary.met)
+        history.add(summary.seeds, summary.pair_counts)
     result = {
         "first": first,
         "seeds": summary.seeds,
         "seconds": round(summary.seconds, 2),
         "requests": summary.requests,
-        "broken": len(summary.broken),
-        "broken_seeds": [found.seed for found in summary.broken],
-        "met": dict(sorted(summary.met.items())),
+        "broken": len(summary.failed),
+        "broken_seeds": [found.seed for found in summary.failed],
+        "met": dict(sorted(summary.pair_counts.items())),
         "digest": summary.digest,
     }
     if as_json:
         print(json.dumps(result))
     else:
         table = Table("fault", "while a request was", "times")
-        for key, count in sorted(summary.met.items()):
+        for key, count in sorted(summary.pair_counts.items()):
             table.add_row(*key.split("/"), str(count))
         Console().print(table)
         print(
             f"{summary.seeds} seeds, {summary.requests} requests, {summary.seconds:.1f} s, "
-            f"{len(summary.broken)} broken, digest {summary.digest}"
+            f"{len(summary.failed)} broken, digest {summary.digest}"
         )
-    raise typer.Exit(1 if summary.broken else 0)
+    raise typer.Exit(1 if summary.failed else 0)
 
 
 def replay(
@@ -156,13 +156,13 @@
             {
                 "digest": outcome.digest,
                 "requests": outcome.requests,
-                "broken": [[b.rule, round(b.at, 6), b.message] for b in outcome.broken],
+                "broken": [[b.rule, round(b.at, 6), b.message] for b in outcome.violations],
             }
         )
         if as_json
         else timeline.render_text(outcome)
     )
-    raise typer.Exit(1 if outcome.broken else 0)
+    raise typer.Exit(1 if outcome.violations else 0)
 
 
 def _patch_function(path: Path | None) -> Callable[[], None] | None:
--- a/limebridge/virtual/explore.py
+++ b/limebridge/virtual/explore.py
@@ -28,14 +28,14 @@
 
 @dataclass
 class SeedResult:
-    """The result of one seed's run, returned by a worker process."""
+    """Result of one seed's run, returned by a worker process; the fields are those of `Outcome`."""
 
     seed: int
     plan: Plan
-    broken: list[Violation]
+    violations: list[Violation]
     requests: int
     digest: str
-    met: Counter[str]
+    pair_counts: Counter[str]
 
 
 @dataclass
@@ -45,17 +45,18 @@
     seeds: int = 0
     seconds: float = 0.0
     requests: int = 0
-    broken: list[SeedResult] = field(default_factory=list)
-    met: Counter[str] = field(default_factory=Counter)
+    failed: list[SeedResult] = field(default_factory=list)  # runs with a violation
+    pair_counts: Counter[str] = field(default_factory=Counter)
     digests: dict[int, str] = field(default_factory=dict)
 
-    def add(self, found: SeedResult) -> None:
+    def add(self, result: SeedResult) -> None:
+        """Add the result of one more seed."""
         self.seeds += 1
-        self.requests += found.requests
-        self.met.update(found.met)
-        self.digests[found.seed] = found.digest
-        if found.broken:
-            self.broken.append(found)
+        self.requests += result.requests
+        self.pair_counts.update(result.pair_counts)
+        self.digests[result.seed] = result.digest
+        if result.violations:
+            self.failed.append(result)
 
     @property
     def digest(self) -> str:
@@ -69,7 +70,12 @@
     plan = add_rare_pairs(generate_consul(seed) if consul else generate(seed), pairs)
     outcome = run_plan(plan)
     return SeedResult(
-        seed, outcome.plan, outcome.broken, outcome.requests, outcome.digest, outcome.met
+        seed,
+        outcome.plan,
+        outcome.violations,
+        outcome.requests,
+        outcome.digest,
+        outcome.pair_counts,
     )
 
 
@@ -92,8 +98,8 @@
     context = multiprocessing.get_context("spawn")
     with context.Pool(jobs, initializer=prepare) as pool:
         run = functools.partial(run_seed, consul=consul, pairs=pairs)
-        for found in pool.imap_unordered(run, range(first, first + count), chunksize=4):
-            summary.add(found)
+        for result in pool.imap_unordered(run, range(first, first + count), chunksize=4):
+            summary.add(result)
             summary.seconds = time.monotonic() - began
             yield summary
             if budget and summary.seconds > budget:
@@ -102,7 +108,7 @@
 
 def violates_rule(outcome: Outcome, rule: int) -> bool:
     """Whether the run violates this rule."""
-    return any(found.rule == rule for found in outcome.broken)
+    return any(violation.rule == rule for violation in outcome.violations)
 
 
 def shrink(
@@ -111,39 +117,40 @@
     max_runs: int = MAX_SHRINK_RUNS,
     run: Callable[[Plan], Outcome] = run_plan,
 ) -> Plan:
-    """A smaller plan that still violates this rule: fewer faults, shorter, simpler, less load.
+    """Return a smaller plan that still violates this rule: fewer faults, shorter, simpler, less load.
 
-    The search is greedy and limited to `max_runs` runs.  Each reduction is kept only if a run of
-    it violated the rule.
+    The search is greedy and limited to `max_runs` runs.  A reduction is kept only if its run
+    violated the rule, so the result is the plan itself if no reduction did.
     """
-    left = max_runs
+    runs_left = max_runs
 
     def fails(candidate: Plan) -> bool:
-        nonlocal left
-        left -= 1
-        return left >= 0 and violates_rule(run(candidate), rule)
+        nonlocal runs_left
+        runs_left -= 1
+        return runs_left >= 0 and violates_rule(run(candidate), rule)
 
-    shorter = msgspec.structs.replace(plan)
+    smallest = msgspec.structs.replace(plan)
     changed = True
-    while changed and left > 0:
+    while changed and runs_left > 0:
         changed = False
-        for candidate in _smaller(shorter):
-            if left <= 0:
+        for candidate in _reductions(smallest):
+            if runs_left <= 0:
                 break
             if fails(candidate):
-                shorter, changed = candidate, True
+                smallest, changed = candidate, True
                 break
-    return shorter
+    return smallest
 
 
-def _smaller(plan: Plan) -> Iterator[Plan]:
+def _reductions(plan: Plan) -> Iterator[Plan]:
+    """Yield plans with one reduction each; those with only half of the faults come first."""
     faults = plan.faults
     size = len(faults)
     if size > 2:
         yield msgspec.structs.replace(plan, faults=faults[: size // 2])
         yield msgspec.structs.replace(plan, faults=faults[size // 2 :])
-    for place in range(size):
-        yield msgspec.structs.replace(plan, faults=faults[:place] + faults[place + 1 :])
+    for index in range(size):
+        yield msgspec.structs.replace(plan, faults=faults[:index] + faults[index + 1 :])
     last = max((fault.at for fault in faults), default=0.0) + 3.0
     if last < plan.seconds - 0.5:
         yield msgspec.structs.replace(plan, seconds=round(last, 3))
@@ -155,9 +162,9 @@
         yield msgspec.structs.replace(plan, jitter=0.0)
     if plan.clients > 2:
         yield msgspec.structs.replace(plan, clients=plan.clients // 2)
-    for place, fault in enumerate(faults):
+    for index, fault in enumerate(faults):
         if fault.lasts > 0.1:
             half: Fault = msgspec.structs.replace(fault, lasts=round(fault.lasts / 2, 4))
             yield msgspec.structs.replace(
-                plan, faults=(*faults[:place], half, *faults[place + 1 :])
+                plan, faults=(*faults[:index], half, *faults[index + 1 :])
             )
--- a/limebridge/virtual/timeline.py
+++ b/limebridge/virtual/timeline.py
@@ -24,17 +24,17 @@
             f"  {fault.at:9.4f} fault {fault.kind}, node {fault.node}, "
             f"lasts {fault.lasts:g} s, amount {fault.amount:g}"
         )
-    if not outcome.broken:
+    if not outcome.violations:
         return "\n".join([*lines, "no rule broken"])
-    for found in outcome.broken[:5]:
+    for found in outcome.violations[:5]:
         what = f"RULE {found.rule}" if found.rule else "A BOUND OF ITS OWN"
         lines += ["", f"{what} broken at {found.at - 1000.0:.6f}: {found.message} {found.request}"]
         lines += [f"    {step}" for step in found.trace]
-    first = outcome.broken[0].at - 1000.0
+    first = outcome.violations[0].at - 1000.0
     before = [line for line in outcome.trace if float(line.split(" ", 1)[0]) <= first]
     lines += ["", "what led there:", *(f"  {line}" for line in before[-LINES:])]
-    if len(outcome.broken) > 5:
-        lines.append(f"and {len(outcome.broken) - 5} more")
+    if len(outcome.violations) > 5:
+        lines.append(f"and {len(outcome.violations) - 5} more")
     return "\n".join(lines)
 
 
@@ -67,7 +67,7 @@
                 f'<circle cx="{at:.1f}" cy="{rows[node]:.0f}" r="2.5" fill="#2a6">'
                 f"<title>{escape(line)}</title></circle>"
             )
-    for found in outcome.broken:
+    for found in outcome.violations:
         at = x(found.at - 1000.0)
         parts.append(
             f'<line x1="{at:.1f}" x2="{at:.1f}" y1="0" y2="{height:.0f}" stroke="red">'
--- a/limebridge/virtual/world.py
+++ b/limebridge/virtual/world.py
@@ -50,13 +50,13 @@
     """Result of a run."""
 
     plan: Plan
-    broken: list[Violation]
+    violations: list[Violation]
     requests: int
     answers: dict[str, int]
     digest: str  # SHA-256 of the trace; a plan has the same one on every machine
     virtual_seconds: float
     trace: list[str]
-    met: Counter[str] = field(default_factory=Counter)  # "fault kind/state" -> occurrences
+    pair_counts: Counter[str] = field(default_factory=Counter)  # "fault kind/state" -> occurrences
 
 
 class DefectHandler(logging.Handler):
@@ -86,7 +86,7 @@
         self.checker = RuleChecker(RuleLimits({c["name"]: c["effect"] for c in CLASSES}))
         self.trace: list[str] = []
         self.keys: dict[str, bytes] = {}
-        self.met: Counter[str] = Counter()
+        self.pair_counts: Counter[str] = Counter()
         self.draining: dict[str, None] = {}  # nodes reported as draining
         # Node start times: published Unix ms -> virtual time in s.
         self._started_at_by_ms: dict[float, float] = {}
@@ -154,7 +154,7 @@
             digest,
             self.kernel.now - self._began,
             self.trace,
-            self.met,
+            self.pair_counts,
         )
 
     def _on_loop_error(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
@@ -345,9 +345,9 @@
         self.note(f"fault {number}: {fault.kind} node {fault.node}")
         states = Counter(self.process.proxy.request_states())
         for state in states or {"none open": 1}:
-            self.met[f"{fault.kind}/{state}"] += 1
+            self.pair_counts[f"{fault.kind}/{state}"] += 1
         for state in self._list_states():
-            self.met[f"{fault.kind}/{LIST_PREFIX}{state}"] += 1
+            self.pair_counts[f"{fault.kind}/{LIST_PREFIX}{state}"] += 1
         node = self.nodes[fault.node % len(self.nodes)]
         self.start(getattr(self, f"_{fault.kind}")(fault, node))
 
--- a/tests/limebridge/virtual/test_explore.py
+++ b/tests/limebridge/virtual/test_explore.py
@@ -55,7 +55,7 @@
     code, report = replay(str(path), "--patch", str(patch))
     assert code == 1 and report["broken"]
     assert len(read(path).faults) <= 4
-    assert run_plan(read(path)).broken == []
+    assert run_plan(read(path)).violations == []
 
 
 def test_every_injected_bug_that_was_found_has_a_plan() -> None:
@@ -76,7 +76,7 @@
     *_, two = explore(0, 8, jobs=2)
     *_, three = explore(0, 8, jobs=3)
     assert two.digest == three.digest and two.seeds == 8
-    assert two.requests >= 8 * 300 and not two.broken and two.met
+    assert two.requests >= 8 * 300 and not two.failed and two.pair_counts
 
 
 def test_plan_round_trips_through_its_file_and_a_bad_one_is_rejected(tmp_path: Path) -> None:
@@ -99,7 +99,7 @@
         runs += 1
         outcome = Outcome(plan, [], 0, {}, "", 0.0, [])
         if any(fault.kind == "path_cut" for fault in plan.faults):
-            outcome.broken.append(Violation(2, 0.0, "planted"))
+            outcome.violations.append(Violation(2, 0.0, "planted"))
         return outcome
 
     smaller = shrink(msgspec.structs.replace(generate(1), faults=(*faults, cause)), 2, run=run)
@@ -175,14 +175,14 @@
 
 
 def test_plans_are_extended_for_the_rarest_pairs() -> None:
-    met = {
+    pair_counts = {
         f"{kind}/list: {state}, by platform": 9
         for kind in [*WEIGHTS, *PROCESS_WEIGHTS]
         for state in STATE_TRIGGERS
         if (kind, state) != ("path_cut", "a drain just told")
     }
-    assert rarest_pairs(met, consul=False)[0] == ("path_cut", "a drain just told")
-    pairs = rarest_pairs(met, consul=False, most=1)
+    assert rarest_pairs(pair_counts, consul=False)[0] == ("path_cut", "a drain just told")
+    pairs = rarest_pairs(pair_counts, consul=False, max_pairs=1)
     extended = add_rare_pairs(generate(5), pairs)
     assert extended == add_rare_pairs(generate(5), pairs) and set(generate(5).faults) < set(
         extended.faults
@@ -193,10 +193,10 @@
         fault.kind == "path_cut" and any(0 <= fault.at - at <= 0.5 for at in drains)
         for fault in cuts
     )
-    assert run_plan(extended).met["path_cut/list: a drain just told, by platform"]
+    assert run_plan(extended).pair_counts["path_cut/list: a drain just told, by platform"]
 
 
 def test_reload_delayed_by_a_pause_reads_the_latest_configuration() -> None:
     """Seed 8201801: two SIGHUPs in one pause; the older configuration was applied last."""
     outcome = run_plan(generate(8_201_801))
-    assert not outcome.broken and any(f.kind == "reload" for f in outcome.plan.faults)
+    assert not outcome.violations and any(f.kind == "reload" for f in outcome.plan.faults)
