--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -281,8 +281,10 @@
 
 def _cut(place: int) -> tuple[int, int, int]:
     logging.disable(logging.CRITICAL)
-    found = run_trial(Trial(place, minutes=9.0, kills=0, cut_at=place, troubles=False, steps=False))
-    return found.killed, found.doubled, found.missing
+    found = run_trial(
+        Trial(place, minutes=9.0, kills=0, fail_power_at=place, faults=False, clock_steps=False)
+    )
+    return found.killed, found.excess, found.missing
 
 
 def cuts(points: int = 2400) -> dict[str, object]:
@@ -308,8 +310,8 @@
             seed,
             minutes=12.0,
             kills=rng.randint(0, 20),
-            cuts=rng.randint(0, 4),
-            restored=seed % 5 == 0,
+            power_failures=rng.randint(0, 4),
+            restore_disk=seed % 5 == 0,
         )
     )
     over = sum((found.billed - found.served).values())
@@ -340,10 +342,10 @@
             "billed": sum(many.billed.values()),
             "missing": many.missing,
             "at_risk": many.at_risk,
-            "doubled": many.doubled,
+            "doubled": many.excess,
         },
         "held": not any(each[0] for each in found)
-        and not many.doubled
+        and not many.excess
         and many.missing == many.at_risk,
     }
 
--- a/benchmarks/own_time.py
+++ b/benchmarks/own_time.py
@@ -29,7 +29,7 @@
 from limebridge.standins.discovery import Discovery
 from limebridge.standins.wire import reply
 from limebridge.virtual import Deadlock, Kernel, Livelock, VirtualLoop
-from limebridge.virtual.costs import Costs, measured
+from limebridge.virtual.costs import Costs, load_costs
 from limebridge.virtual.process import Process
 from violetroute.config import parse
 
@@ -118,7 +118,7 @@
     if options.patch is not None:
         runpy.run_path(str(options.patch))["plant"]()
     for row in simulate(
-        measured().over(options.cores), options.clients, options.times, options.seconds
+        load_costs().for_cores(options.cores), options.clients, options.times, options.seconds
     ):
         print(json.dumps({"clock": "virtual"} | row), flush=True)
     if options.real:
--- a/limebridge/rehearsal/engine.py
+++ b/limebridge/rehearsal/engine.py
@@ -20,7 +20,7 @@
 from limebridge.standins.fleet import FleetNode, IdempotencyKeys
 from limebridge.standins.node_list import Lifecycle, ListChange, NodeEntry
 from limebridge.virtual import Kernel, VirtualLoop
-from limebridge.virtual.costs import measured
+from limebridge.virtual.costs import load_costs
 from limebridge.virtual.process import Process
 from limebridge.virtual.received import SourceObserver
 from limebridge.virtual.session import isolated_run, run, sent_at
@@ -293,7 +293,7 @@
             self.loop,
             lambda: self.kernel.now + UNIX_START_S,
             owner,
-            measured().over(cores) if cores else None,
+            load_costs().for_cores(cores) if cores else None,
         )
         process.create_sharing = None if self._sharing is None else self._sharing.create_sharing
         return process, process.start(parse(raw, self.scenario.operator))
--- a/limebridge/virtual/client.py
+++ b/limebridge/virtual/client.py
@@ -1,4 +1,4 @@
-"""Client of an explored run; it reports all results to the rule checker."""
+"""Client of an explored run; it reports the outcome of each request to the rule checker."""
 
 from __future__ import annotations
 
@@ -23,11 +23,12 @@
     },
     {"name": "once", "promiseMs": 300.0, "deadlineMs": 1500.0, "effect": "side_effect"},
 ]
+# Time in s for which a client waits for a response, by class.
 WAITS = {c["name"]: c["deadlineMs"] / 1000.0 for c in CLASSES}
 
 
 class RunContext(Protocol):
-    """What a client needs from its run."""
+    """The attributes of `World` that a client uses."""
 
     checker: RuleChecker
     keys: dict[str, bytes]
@@ -44,9 +45,10 @@
 
 
 class Client:
-    """Client with one connection at a time; it reconnects after a close.
+    """Client with one connection at a time; it reconnects for the next request after a close.
 
-    Responses are matched to requests in order.
+    Responses belong to requests in the order of sending.  `open` holds the open requests and the
+    timers of their deadlines.
     """
 
     def __init__(self, world: RunContext, number: int) -> None:
@@ -57,7 +59,7 @@
         self._leaving = False
 
     async def send_request(self, id_: str, request: bytes, class_name: str) -> None:
-        """Send one request, on a new connection if there is none."""
+        """Send one request, on a new connection if there is none; responses are read by a task."""
         world = self._world
         async with self._opening:
             if self._writer is None or self._writer.transport.is_closing():
@@ -79,7 +81,7 @@
         try:
             while True:
                 answer = await read_answer(reader)
-                kind = (
+                outcome = (
                     "refused"
                     if answer.startswith(b"-BUSY")
                     else "failed"
@@ -91,15 +93,15 @@
                     break
                 id_ = next(iter(self.open))
                 self.open.pop(id_).cancel()
-                if kind == "served" and answer not in (
+                if outcome == "served" and answer not in (
                     b"stored",
                     b"template of " + world.keys[id_],
                 ):
                     world.checker.report_fault(
                         world.kernel.now, f"{id_} got another's answer: {answer!r}"
                     )
-                world.note(f"{kind} {id_}")
-                world.checker.answered(world.kernel.now, id_, kind)
+                world.note(f"{outcome} {id_}")
+                world.checker.answered(world.kernel.now, id_, outcome)
         except (asyncio.IncompleteReadError, ConnectionError, ValueError):
             pass
         writer.close()
@@ -112,8 +114,8 @@
 
     def _expire(self, id_: str) -> None:
         world = self._world
-        # Responses come in order, so only the first open request can be checked: a later one may
-        # wait for an earlier one with a longer deadline.
+        # Responses come in order, so only the first open request is checked: the response to a
+        # later one may be delayed by an earlier one with a longer deadline.
         if next(iter(self.open), id_) != id_:
             world.checker.excuse(id_)
         self.open.pop(id_, None)
@@ -122,7 +124,7 @@
         self.leave()
 
     def leave(self) -> None:
-        """Reset the connection with its open requests."""
+        """Reset the connection and give up its open requests."""
         world = self._world
         self._leaving = True
         for id_, timer in self.open.items():
--- a/limebridge/virtual/consul.py
+++ b/limebridge/virtual/consul.py
@@ -1,6 +1,6 @@
-"""Simulation with Consul's catalogue as source of the node list, and the faults of Consul.
+"""Simulation in which the proxy reads its node list from Consul, with the faults of Consul.
 
-The platform's discovery runs as well, so that a plan can switch between the two.
+The platform's discovery runs too, so a plan can use both sources at once or switch between them.
 """
 
 from __future__ import annotations
@@ -21,13 +21,14 @@
 from violetroute.config import Operator
 from violetroute.membership import ConsulTable, MembershipTable
 from violetroute.placement import PlacementTable
-from violetroute.placement import Plan as Shares
+from violetroute.placement import Plan as PlacementPlan
 
 from .plan import Fault, Plan
 from .world import World
 
-FLAP = 0.3  # s between two state changes of a flapping node
-HEALTHY: dict[str, Any] = {
+FLAP_INTERVAL = 0.3  # s between two state changes of a flapping node
+# Attributes of a stand-in agent (`Consul`) without faults.
+HEALTHY_AGENT: dict[str, Any] = {
     "unresponsive": False,
     "status": 200,
     "retry_after": "",
@@ -37,21 +38,24 @@
     "headers": {},
     "frozen": None,
 }
-TABLE = ConsulTable(
+CONSUL_TABLE = ConsulTable(
     wait_s=2.0, least_interval_s=0.05, return_s=0.3, return_most_s=2.0, cold_after_s=1.0
 )
 
 
 class ConsulWorld(World):
-    """`World` with two Consul agents that serve one catalogue."""
+    """`World` with two Consul agents that serve one catalogue.
+
+    The proxy reads its list from Consul only, or from both sources if the plan sets `sources`.
+    """
 
     def __init__(self, plan: Plan) -> None:
         super().__init__(plan)
         self.agents: list[Consul] = []
         self._reported_nodes: set[str] = set()  # nodes in the accepted Consul responses
         self._last_answer: tuple[str, bytes, str | None] | None = None  # index, body, known leader
-        self._active_faults: dict[Fault, dict[str, Any]] = {}  # agent attributes by fault
-        self._recovering = 0  # faults that ended in the last 2 s
+        self._active_faults: dict[Fault, dict[str, Any]] = {}  # fault -> changed agent attributes
+        self._recovering = 0  # number of faults that ended in the last 2 s
 
     async def _start_sources(self) -> Operator:
         self.catalogue = Catalogue()
@@ -63,7 +67,7 @@
             self.agents.append(agent)
         for node in self.nodes:
             self._register(node)
-        self.table = replace_agents(self.agents)
+        self.table = consul_table(self.agents)
         if self.plan.sources:
             self.discovery.publish(*(self._entry(node) for node in self.nodes), reset=True)
         return Operator(
@@ -76,7 +80,7 @@
             await agent.stop()
 
     def _is_unwatched(self) -> bool:
-        if self.plan.sources:  # with both, discovery is followed whatever happens to Consul
+        if self.plan.sources:  # with both sources the proxy always watches discovery
             return super()._is_unwatched()
         if super()._is_unwatched() is False:
             return False
@@ -107,8 +111,8 @@
         else:
             self.catalogue.deregister(node.name)
 
-    def _replaced(self, old: NodeEntry, node: FleetNode) -> None:
-        super()._replaced(old, node)
+    def _publish_replacement(self, old: NodeEntry, node: FleetNode) -> None:
+        super()._publish_replacement(old, node)
         self.catalogue.services.pop(old["instanceId"], None)
         self._register(node)
 
@@ -116,29 +120,35 @@
     def _on_answer(
         self, owner: str, port: int, target: str, headers: dict[str, str], body: bytes
     ) -> None:
-        """Pass a complete Consul response that the process received to the checker."""
+        """Report the nodes in a Consul response to the checker, as the proxy must apply it."""
         leader = headers.get("x-consul-knownleader")
         answer = headers.get("x-consul-index", ""), body, leader
         if answer == self._last_answer or not answer[0]:
             return  # an expired blocking query or an invalid response: no new data
         self._last_answer = answer
-        elements = {each["Service"]["ID"]: each for each in json.loads(body)}
-        gone = self._reported_nodes - elements.keys()
+        entries = {entry["Service"]["ID"]: entry for entry in json.loads(body)}
+        removed = self._reported_nodes - entries.keys()
         if leader == "false":
-            # Without a leader the response may be stale: only its drains are used.
-            gone, elements = set(), {name: each for name, each in elements.items() if _drains(each)}
-        if not elements:
-            return  # an empty catalogue is ignored
-        if len(gone) > self.table.floor * len(self._reported_nodes) and "consistent" not in target:
-            gone = set()  # a large removal needs confirmation by a consistent read
-        self._reported_nodes = (self._reported_nodes - gone) | elements.keys()
+            # Without a leader the response may be stale: the proxy uses only the drains in it.
+            removed, entries = (
+                set(),
+                {name: entry for name, entry in entries.items() if _is_draining(entry)},
+            )
+        if not entries:
+            return  # the proxy ignores an empty catalogue
+        if (
+            len(removed) > self.table.floor * len(self._reported_nodes)
+            and "consistent" not in target
+        ):
+            removed = set()  # the proxy confirms a large removal by a consistent read first
+        self._reported_nodes = (self._reported_nodes - removed) | entries.keys()
         now = self.kernel.now
-        for name in gone:
+        for name in removed:
             self.checker.node_reported(now, name, False, "consul")
-        for name, each in elements.items():
-            started = float(each["Service"]["Meta"]["started_at_ms"])
+        for name, entry in entries.items():
+            started = float(entry["Service"]["Meta"]["started_at_ms"])
             self.checker.node_reported(
-                now, name, not _drains(each), "consul", self._started_at_by_ms.get(started)
+                now, name, not _is_draining(entry), "consul", self._started_at_by_ms.get(started)
             )
 
     def _proxy_restarted(self, states: dict[str, bool]) -> None:
@@ -148,25 +158,25 @@
 
     def _sources_changed(self) -> None:
         super()._sources_changed()
-        self._reported_nodes.clear()  # a new reader has no earlier response to compare with
+        self._reported_nodes.clear()  # the new reader in the proxy has no earlier response either
         self._last_answer = None
 
     # --- faults of Consul ---
     async def _with_agent_fault(self, fault: Fault, **attributes: Any) -> None:
-        """Apply the fault to both agents, as a fault of the Consul servers would."""
+        """Set these attributes of both agents for the fault's time, as if the servers failed."""
         self._active_faults[fault] = attributes
         self._apply_agent_faults()
         await asyncio.sleep(fault.lasts)
         del self._active_faults[fault]
         self._apply_agent_faults()
         self._recovering += 1
-        await asyncio.sleep(2.0)  # until the proxy has polled again
+        await asyncio.sleep(2.0)  # the proxy polls again within this time
         self._recovering -= 1
 
     def _apply_agent_faults(self) -> None:
-        """Set the agents to the active faults; later faults override earlier ones."""
+        """Set the agents' attributes for all active faults; later faults override earlier ones."""
         for agent in self.agents:
-            vars(agent).update(copy.deepcopy(HEALTHY))
+            vars(agent).update(copy.deepcopy(HEALTHY_AGENT))
             for attributes in self._active_faults.values():
                 vars(agent).update(copy.deepcopy(attributes))
 
@@ -181,7 +191,7 @@
 
     async def _consul_black(self, fault: Fault, node: FleetNode) -> None:
         await self._with_agent_fault(fault, unresponsive=True)
-        # Hanging queries are never answered, so their connections are closed.
+        # The agents never answer the queries of this time, so they close their connections.
         for agent in self.agents:
             for writer in list(agent.open):
                 writer.transport.abort()
@@ -213,7 +223,7 @@
         await self._with_agent_fault(fault, headers={"X-Consul-KnownLeader": "false"})
 
     async def _consul_lags(self, fault: Fault, node: FleetNode) -> None:
-        """The agents return stale responses, as if cut off from the servers."""
+        """The agents return the catalogue as it was when the fault began, as if cut off."""
         frozen = FrozenAnswer(self.catalogue.index, self.catalogue.health_entries("cache"))
         await self._with_agent_fault(fault, frozen=frozen)
 
@@ -228,11 +238,12 @@
         await self._deregister_during(fault, names[: len(names) * 3 // 4])
 
     async def _deregister_during(self, fault: Fault, names: list[str]) -> None:
-        kept = {name: self.catalogue.services[name] for name in names}
+        """Deregister these nodes; register them again after the fault's time, with their drains."""
+        deregistered = {name: self.catalogue.services[name] for name in names}
         self.catalogue.deregister(*names)
         await asyncio.sleep(fault.lasts)
-        for name, registered in kept.items():
-            self.catalogue.services.setdefault(name, registered)
+        for name, service in deregistered.items():
+            self.catalogue.services.setdefault(name, service)
             if name in self.draining:
                 self.catalogue.set_maintenance(name, True)
         self.catalogue.raise_index()
@@ -241,10 +252,10 @@
         end = self.kernel.now + fault.lasts
         while self.kernel.now < end and node.name in self.catalogue.services:
             self.catalogue.check(node.name, "critical")
-            await asyncio.sleep(FLAP)
+            await asyncio.sleep(FLAP_INTERVAL)
             if node.name in self.catalogue.services:
                 self.catalogue.check(node.name, "passing")
-            await asyncio.sleep(FLAP)
+            await asyncio.sleep(FLAP_INTERVAL)
 
     async def _consul_all_critical(self, fault: Fault, node: FleetNode) -> None:
         names = list(self.catalogue.services)
@@ -252,53 +263,56 @@
             self.catalogue.services[name].checks["serf"] = "critical"
         self.catalogue.raise_index()
         await asyncio.sleep(fault.lasts)
-        for registered in self.catalogue.services.values():
-            registered.checks.pop("serf", None)
+        for service in self.catalogue.services.values():
+            service.checks.pop("serf", None)
         self.catalogue.raise_index()
 
     async def _plan_changes(self, fault: Fault, node: FleetNode) -> None:
-        """Apply a placement plan with arbitrary shares under load, later remove it."""
-        shares = _shares(
-            [one.name for one in self.nodes], fault.amount, self.kernel.random(f"plan/{fault.at}")
+        """Apply a placement plan with random shares under load, later remove it."""
+        shares = _random_shares(
+            [each.name for each in self.nodes], fault.amount, self.kernel.random(f"plan/{fault.at}")
         )
         table = PlacementTable(file="-", least_match=0.1, moved_per_s=0.3)
         operator = msgspec.structs.replace(self.config.operator, placement=table)
         await self._reload_config(
-            lambda: replace(self.config, operator=operator, plan=Shares(1, 0.0, shares))
+            lambda: replace(self.config, operator=operator, plan=PlacementPlan(1, 0.0, shares))
         )
         await asyncio.sleep(0.5 + fault.lasts)
         await self._reload_config(lambda: self.config)
 
     async def _discovery_moves(self, fault: Fault, node: FleetNode) -> None:
-        """Switch from Consul to the platform's list and back."""
-        both = self.config, replace(self.config, operator=Operator())
+        """Switch the proxy from Consul to the platform's list and back."""
+        configs = self.config, replace(self.config, operator=Operator())
         self.discovery.changes.clear()
         self.discovery.publish(
             *(
-                self._entry(one, "in_service" if one.name not in self.draining else "terminating")
-                for one in self.nodes
+                self._entry(each, "in_service" if each.name not in self.draining else "terminating")
+                for each in self.nodes
             ),
             reset=True,
         )
-        await self._reload_config(lambda: both[1])
+        await self._reload_config(lambda: configs[1])
         await asyncio.sleep(0.5 + fault.lasts)
-        await self._reload_config(lambda: both[0])
+        await self._reload_config(lambda: configs[0])
 
 
-def _shares(names: list[str], amount: float, random: Random) -> dict[str, float]:
+def _random_shares(names: list[str], amount: float, random: Random) -> dict[str, float]:
     """Random shares with sum 1; a smaller `amount` gives more nodes a share of 0."""
-    raw = {
+    weights = {
         name: random.uniform(0.05, 1.0) if random.random() < 0.2 + amount else 0.0 for name in names
     }
-    raw[names[0]] += 0.01
-    total = sum(raw.values())
-    return {name: share / total for name, share in raw.items()}
+    weights[names[0]] += 0.01  # so that the sum is not 0
+    total = sum(weights.values())
+    return {name: weight / total for name, weight in weights.items()}
 
 
-def _drains(entry: HealthEntry) -> bool:
+def _is_draining(entry: HealthEntry) -> bool:
+    """Whether the node is in maintenance mode, by which Consul reports a drain."""
     return any("_maintenance" in check["CheckID"] for check in entry["Checks"])
 
 
-def replace_agents(agents: list[Consul]) -> ConsulTable:
-    """The Consul settings of this simulation with these agents."""
-    return msgspec.structs.replace(TABLE, agents=tuple(f"127.0.0.1:{a.port}" for a in agents))
+def consul_table(agents: list[Consul]) -> ConsulTable:
+    """The proxy's Consul settings in this simulation, with the addresses of these agents."""
+    return msgspec.structs.replace(
+        CONSUL_TABLE, agents=tuple(f"127.0.0.1:{a.port}" for a in agents)
+    )
--- a/limebridge/virtual/costs.py
+++ b/limebridge/virtual/costs.py
@@ -1,9 +1,10 @@
-"""CPU costs of the daemon, and simulated processes that take this time.
+"""CPU costs of the daemon's operations, and simulated processes that take this time.
 
-An iteration of a real loop polls, then handles the ready events; later events wait in the kernel.
-Here a process is charged a few named costs for the work of an iteration.  Afterwards it is busy for
-that time: its sockets are not reported and its timers and callbacks wait.  Data that it sends is
-delayed by the work before the send.  The simulated kernel continues meanwhile.
+One iteration (turn) of a real event loop polls and then handles the ready events; events that
+occur meanwhile wait in the kernel.  In the simulation the work of an iteration takes no time.
+Instead the process is charged a few named costs for this work and is busy for their sum after the
+iteration: its sockets are not reported as ready, and its timers and callbacks wait.  Data that it
+sends is delayed by the work that precedes the send.  The simulated kernel continues meanwhile.
 
 Costs are seconds on one core of the machine that ran `benchmarks/calibrate.py`, stored with the
 date in `costs.json`; they are divided by a process's fraction of a core.  Not modelled: the
@@ -24,119 +25,131 @@
 from .kernel import Kernel
 from .loop import VirtualLoop
 
-# s since the previous iteration from which the poll is taken to have slept.
+# s from the end of an iteration to the next; after a longer gap the poll is assumed to have slept.
 MIN_SLEEP = 0.0005
 
 
 @dataclass(frozen=True)
 class Costs:
-    """CPU costs in s per operation."""
+    """CPU costs of operations, in s each."""
 
     wake: float  # an iteration of the loop
-    read: float  # a read from a socket
-    write: float
-    byte: float  # read or written
+    read: float  # a read from a socket, without its bytes
+    write: float  # a write to a socket, without its bytes
+    byte: float  # a byte read or written
     command: float  # parsing, and the check of the event loop load
     decision: float  # an event of the balancer, and the proxy's handling of it
     connect: float  # a connection made or accepted, including its close
 
-    def over(self, cores: float) -> Costs:
-        """The costs on this fraction of a core."""
+    def for_cores(self, cores: float) -> Costs:
+        """The costs of a process that has this fraction of a core."""
         return Costs(**{f.name: getattr(self, f.name) / cores for f in fields(self)})
 
 
-def measured() -> Costs:
-    """The costs stored in `costs.json`."""
+def load_costs() -> Costs:
+    """The measured costs on one core, read from `costs.json`."""
     return msgspec.json.decode(
-        files(__package__).joinpath("costs.json").read_bytes(), type=_Stored
+        files(__package__).joinpath("costs.json").read_bytes(), type=_CostsFile
     ).seconds
 
 
-class _Stored(msgspec.Struct):
-    measured: str
+class _CostsFile(msgspec.Struct):
+    """Contents of `costs.json`."""
+
+    measured: str  # date of the measurement
     seconds: Costs
 
 
 class Meter:
-    """CPU time of one process, charged by its sockets, its loop and `Metered`."""
+    """CPU time of one process, charged by its sockets, its loop and `MeteredBalancer`."""
 
     def __init__(self, kernel: Kernel, loop: VirtualLoop, owner: str, costs: Costs) -> None:
         self._kernel, self._loop, self._owner, self.costs = kernel, loop, owner, costs
-        self.used = 0.0  # s of CPU in total
-        self.spent = 0.0  # s of CPU in this iteration
-        self.free_at = self.turn_at = self.readable_at = kernel.now
-        self.turns = 0
-        self._waiting: deque[Handle] = deque()  # called in order in the next iteration
+        self.total_cpu_s = 0.0
+        self.turn_cpu_s = 0.0  # charged in the current iteration
+        # End of the last busy time; start of the last iteration; time at which its events may
+        # have become ready, on average.
+        self.busy_until = self.turn_at = self.readable_at = kernel.now
+        self.turns = 0  # number of iterations
+        self._waiting: deque[Handle] = deque()  # callbacks of the next iteration, in order
         kernel.meters[owner] = self
 
     @property
     def busy(self) -> bool:
+        """Whether the process is still busy with the work of its last iteration."""
         return self._owner in self._kernel.paused
 
     def charge(self, seconds: float) -> None:
-        """Add CPU time; the first charge of an iteration also adds the cost of the wake-up."""
-        if not self.spent:
-            self._begin()
-        self.spent += seconds
-        self.used += seconds
+        """Add CPU time in s; the first charge of an iteration also adds the cost of the wake-up."""
+        if not self.turn_cpu_s:
+            self._begin_turn()
+        self.turn_cpu_s += seconds
+        self.total_cpu_s += seconds
 
     def charge_connect(self) -> None:
-        """A connection was made or accepted."""
+        """Charge a connection that the process made or accepted."""
         self.charge(self.costs.connect)
 
     def charge_read(self, count: int) -> None:
-        """One call read `count` bytes from a socket."""
+        """Charge one call that read `count` bytes from a socket."""
         self.charge(self.costs.read + count * self.costs.byte)
 
     def charge_write(self, count: int) -> None:
-        """One call wrote `count` bytes to a socket."""
+        """Charge one call that wrote `count` bytes to a socket."""
         self.charge(self.costs.write + count * self.costs.byte)
 
-    def _begin(self) -> None:
-        """Start an iteration: set the times that its poll would have reported."""
+    def _begin_turn(self) -> None:
+        """Begin an iteration: set the times that a real loop would have measured at its poll.
+
+        If the poll did not sleep, the events became ready at an unknown time since the start of the
+        previous iteration; `readable_at` is the middle of this time.
+        """
         now = self._kernel.now
-        slept = now - self.free_at > MIN_SLEEP
+        slept = now - self.busy_until > MIN_SLEEP
         self.readable_at = now if slept else (self.turn_at + now) / 2.0
         self.turn_at = now
         self.turns += 1
-        self._kernel.charged.append(self)
-        self.spent = self.costs.wake
-        self.used += self.costs.wake
+        self._kernel.charged_meters.append(self)
+        self.turn_cpu_s = self.costs.wake
+        self.total_cpu_s += self.costs.wake
 
-    def settle(self) -> None:
+    def end_turn(self) -> None:
         """End the iteration: the process is busy for the time that it was charged."""
-        # Work outside its `ProcessLoop` (the sleep in a drain) may run while it is busy.
-        until = self.free_at = max(self._kernel.now, self.free_at) + self.spent
-        self.spent = 0.0
+        # A callback that bypasses the `ProcessLoop` (the sleep in a drain) may run while the
+        # process is busy; its cost is added to the end of the busy time.
+        until = self.busy_until = max(self._kernel.now, self.busy_until) + self.turn_cpu_s
+        self.turn_cpu_s = 0.0
         self._kernel.paused[self._owner] = until
-        self._kernel.at(until, self._freed)
+        self._kernel.at(until, self._end_busy)
 
-    def _freed(self) -> None:
-        if self._kernel.now < self.free_at:
+    def _end_busy(self) -> None:
+        if self._kernel.now < self.busy_until:
             return
         self._kernel.paused.pop(self._owner, None)
         if self._waiting:
-            self._loop.call_soon(self._run)
+            self._loop.call_soon(self._run_waiting)
             self._kernel.woken = True  # ends the poll, as a ready socket would
 
-    def soon(self, handle: Handle) -> None:
-        """Queue the handle for the next iteration."""
+    def call_soon(self, handle: Handle) -> None:
+        """Queue the callback for the next iteration of the process."""
         self._waiting.append(handle)
-        if len(self._waiting) == 1 and not self.busy and not self.spent:
-            self._loop.call_soon(self._run)
+        if len(self._waiting) == 1 and not self.busy and not self.turn_cpu_s:
+            self._loop.call_soon(self._run_waiting)
 
-    def _run(self) -> None:
+    def _run_waiting(self) -> None:
         if self.busy or not self._waiting:
             return
         self.charge(0.0)
-        for _ in range(
-            len(self._waiting)
-        ):  # handles added meanwhile run in the following iteration
+        # Callbacks that are added meanwhile run in the following iteration.
+        for _ in range(len(self._waiting)):
             self._waiting.popleft().call()
 
 
 class Handle:
-    """Stand-in for asyncio.Handle and asyncio.TimerHandle."""
+    """A queued callback, with the methods of asyncio.Handle and asyncio.TimerHandle.
+
+    `timer` is the handle of the real loop while the callback waits for its time.
+    """
 
     __slots__ = ("_args", "_callback", "_cancelled", "_when", "timer")
 
@@ -159,12 +172,17 @@
             self.timer.cancel()
 
     def call(self) -> None:
+        """Call the callback unless it was cancelled."""
         if not self._cancelled:
             self._callback(*self._args)
 
 
 class ProcessLoop:
-    """The loop as seen by a metered process: its clock includes the time already charged."""
+    """The event loop that a metered process uses; other attributes are those of the real loop.
+
+    Callbacks run only while the process is not busy.  The clock includes the CPU time charged in
+    the current iteration.
+    """
 
     def __init__(self, loop: VirtualLoop, meter: Meter) -> None:
         self._loop, self._meter = loop, meter
@@ -173,11 +191,11 @@
         return getattr(self._loop, name)
 
     def time(self) -> float:
-        return self._loop.time() + self._meter.spent
+        return self._loop.time() + self._meter.turn_cpu_s
 
     def call_soon(self, callback: Callable[..., object], *args: Any) -> Handle:
         handle = Handle(callback, args)
-        self._meter.soon(handle)
+        self._meter.call_soon(handle)
         return handle
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> Handle:
@@ -185,30 +203,33 @@
 
     def call_at(self, when: float, callback: Callable[..., object], *args: Any) -> Handle:
         handle = Handle(callback, args, when)
-        handle.timer = self._loop.call_at(when, self._due, handle)
+        handle.timer = self._loop.call_at(when, self._on_timer, handle)
         return handle
 
-    def _due(self, handle: Handle) -> None:
+    def _on_timer(self, handle: Handle) -> None:
         handle.timer = None
-        self._meter.soon(handle)
+        self._meter.call_soon(handle)
+
 
+class MeteredBalancer:
+    """Wraps the balancer and charges each call of a method `on_...`.
 
-class Metered:
-    """Wraps the balancer and charges each `on_` call: a command for arrivals, else a decision."""
+    `on_arrival` costs `Costs.command`, all others `Costs.decision`.
+    """
 
-    def __init__(self, module: Any, meter: Meter) -> None:
-        self._module, self._meter = module, meter
+    def __init__(self, balancer: Any, meter: Meter) -> None:
+        self._balancer, self._meter = balancer, meter
 
     def __getattr__(self, name: str) -> Any:
-        found = getattr(self._module, name)
+        method = getattr(self._balancer, name)
         if not name.startswith("on_"):
-            return found
+            return method
         costs, charge = self._meter.costs, self._meter.charge
         cost = costs.command if name == "on_arrival" else costs.decision
 
         def charged_call(*args: Any) -> Any:
             charge(cost)
-            return found(*args)
+            return method(*args)
 
         self.__dict__[name] = charged_call
         return charged_call
--- a/limebridge/virtual/explore.py
+++ b/limebridge/virtual/explore.py
@@ -117,7 +117,7 @@
     max_runs: int = MAX_SHRINK_RUNS,
     run: Callable[[Plan], Outcome] = run_plan,
 ) -> Plan:
-    """Return a smaller plan that still violates this rule: fewer faults, shorter, simpler, less load.
+    """Return a smaller plan that violates this rule: fewer faults, shorter, simpler, less load.
 
     The search is greedy and limited to `max_runs` runs.  A reduction is kept only if its run
     violated the rule, so the result is the plan itself if no reduction did.
--- a/limebridge/virtual/fault_actions.py
+++ b/limebridge/virtual/fault_actions.py
@@ -33,7 +33,7 @@
 
 
 class FaultActions:
-    """Fault injection into the simulation that `World` builds."""
+    """Base class of `World` with the methods that inject faults; `World` sets the attributes."""
 
     plan: Plan
     kernel: Kernel
@@ -57,13 +57,15 @@
     def _entry(self, node: FleetNode, lifecycle: Lifecycle = "in_service") -> NodeEntry:
         raise NotImplementedError
 
-    def _report_leftovers(self, left: dict[str, int]) -> None:
+    def _report_leftovers(self, leftovers: dict[str, int]) -> None:
         raise NotImplementedError
 
-    def _replaced(self, old: NodeEntry, node: FleetNode) -> None:
+    def _publish_replacement(self, old: NodeEntry, node: FleetNode) -> None:
+        """Publish that `node` has replaced the node of entry `old` at its address."""
         self.discovery.publish(old, self._entry(node))
 
     def _publish(self, node: FleetNode, lifecycle: Lifecycle) -> None:
+        """Publish the node's state; a node that is not in service counts as draining."""
         if lifecycle == "in_service":
             self.draining.pop(node.name, None)
         else:
@@ -72,10 +74,11 @@
         self.discovery.publish(self._entry(node, lifecycle))
 
     def _sources_changed(self) -> None:
-        """Tell the checker that the process now follows other list sources."""
+        """Report to the checker that the process now uses other list sources."""
         self.checker.sources_replaced()
 
     def _proxy_restarted(self, states: dict[str, bool]) -> None:
+        """Report a restart to the checker; `states`: node -> in service, in the initial list."""
         self._listed = dict.fromkeys(name for name in states)
         self.checker.proxy_restarted(self.kernel.now, states)
 
@@ -129,13 +132,13 @@
         await node.crash()
         await asyncio.sleep(fault.lasts)
         if node.port not in self.kernel.listening:
-            # Renamed only now, since updates sent in the meantime concern the old node.
+            # The node gets its new id only now, since updates sent meanwhile concern the old node.
             old = self._entry(node, "terminated")
             node.name = f"{node.name}'"
             node.start_cold()
             await node.start(node.port)
             self.draining.pop(node.name, None)  # an earlier drain concerned an older node
-            self._replaced(old, node)
+            self._publish_replacement(old, node)
 
     async def _block_path(self, fault: Fault, port: int, to: bool, back: bool) -> None:
         self.kernel.block(port, to, back)
@@ -212,10 +215,10 @@
             await asyncio.sleep(self.process.paused_until - self.kernel.now)
         if self.process.state == "up":
             config, proxy = read(), self.process.proxy
-            before = proxy.list_source
+            source_before = proxy.list_source
             self.process.listener.limits = config.limits
             proxy.reload(config)
-            if proxy.list_source is not before:
+            if proxy.list_source is not source_before:
                 self._sources_changed()
 
     # --- the process itself ---
@@ -232,7 +235,7 @@
         if self.process.state == "down":
             return
         self.process.kill()
-        # The platform allows that a killed process loses the requests that it had accepted.
+        # The platform permits a killed process to lose the requests that it had accepted.
         for client in self.clients:
             for id_ in client.open:
                 self.checker.excuse(id_)
@@ -241,7 +244,10 @@
         await self._restart_process(fault)
 
     async def _restart_process(self, fault: Fault) -> None:
-        """Restart the proxy with its last node list, or one that lacks the current drains."""
+        """Restart the proxy after the fault's time.
+
+        Its initial list is the last one, or one without the current drains (`amount` 0.5 or more).
+        """
         await asyncio.sleep(fault.lasts)
         if self._ending:
             return
@@ -273,6 +279,6 @@
 
 
 def replace_limits(config: Config, depth: int) -> Config:
-    """The configuration with another limit `depth`, as an operator's reload may change it."""
+    """The configuration with another value of the limit `depth`, as after an operator's change."""
     limits = msgspec.structs.replace(config.operator.limits, depth=depth)
     return replace(config, operator=msgspec.structs.replace(config.operator, limits=limits))
--- a/limebridge/virtual/loop.py
+++ b/limebridge/virtual/loop.py
@@ -68,8 +68,8 @@
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         kernel = self._kernel
         self.turns += 1
-        if kernel.charged:
-            kernel.settle()
+        if kernel.charged_meters:
+            kernel.end_turns()
         if self.before_poll is not None:
             self.before_poll()
         until = None if timeout is None else kernel.now + max(0.0, timeout)
--- a/limebridge/virtual/meter.py
+++ b/limebridge/virtual/meter.py
@@ -1,4 +1,4 @@
-"""Interface by which sockets charge CPU time; `costs.Meter` implements it."""
+"""Interface by which sockets charge CPU time to their process; `costs.Meter` implements it."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 class SocketMeter(Protocol):
     """Meter of the process that owns the socket."""
 
-    spent: float  # s of CPU in this iteration, by which sent data is delayed
+    turn_cpu_s: float  # s of CPU in this iteration of the loop, by which sent data is delayed
 
     def charge_connect(self) -> None:
-        """A connection was made or accepted."""
+        """Charge a connection that the process made or accepted."""
 
     def charge_read(self, count: int) -> None:
-        """One call read `count` bytes."""
+        """Charge one call that read `count` bytes."""
 
     def charge_write(self, count: int) -> None:
-        """One call wrote `count` bytes."""
+        """Charge one call that wrote `count` bytes."""
 
 
 class Unmetered:
     """Meter of a process whose CPU time is not simulated."""
 
-    spent = 0.0
+    turn_cpu_s = 0.0
 
     def charge_connect(self) -> None:
         pass
--- a/limebridge/virtual/network.py
+++ b/limebridge/virtual/network.py
@@ -54,7 +54,7 @@
         self.paused: dict[str, float] = {}  # owner without CPU -> end of the pause
         self.meters: dict[str, Any] = {}  # by owner, if its CPU time is simulated; see costs.py
         self.woken = False  # a packet's arrival scheduled a callback on the loop
-        self.charged: list[Any] = []  # meters charged in this iteration of the loop
+        self.charged_meters: list[Any] = []  # charged in this iteration of the loop
         # Additional one-way latency in s of a connection from an owner to a port.
         self.extra_delay: Callable[[str, int], float] = lambda owner, port: 0.0
         # UDP sockets by port.
@@ -84,11 +84,11 @@
             self.packets += 1
             heappop(self._packets)[2]()
 
-    def settle(self) -> None:
-        """End an iteration of the loop: charged processes are busy for the time they used."""
-        charged, self.charged = self.charged, []
-        for meter in charged:
-            meter.settle()
+    def end_turns(self) -> None:
+        """End an iteration of the loop: charged processes become busy for the charged time."""
+        charged_meters, self.charged_meters = self.charged_meters, []
+        for meter in charged_meters:
+            meter.end_turn()
 
     def random(self, purpose: str) -> random.Random:
         """A separate random stream per purpose, so that one does not affect another."""
--- a/limebridge/virtual/process.py
+++ b/limebridge/virtual/process.py
@@ -19,7 +19,7 @@
 from violetroute.transport import Address, Turns
 from violetroute.transport.sockets import SocketNetwork
 
-from .costs import Costs, Meter, Metered, ProcessLoop
+from .costs import Costs, Meter, MeteredBalancer, ProcessLoop
 from .kernel import Kernel
 from .loop import VirtualLoop
 from .net import network
@@ -98,7 +98,7 @@
         self.proxy_config = config
         self.proxy = Proxy(config, net)
         if self.meter is not None:
-            metered: Any = Metered(self.proxy._balancer, self.meter)
+            metered: Any = MeteredBalancer(self.proxy._balancer, self.meter)
             self.proxy._balancer = self.proxy._admission.balancer = metered
         self.listener = Listener(
             self.proxy, config.client_sockets, config.client_memory_bytes, net, config.limits
--- a/limebridge/virtual/received.py
+++ b/limebridge/virtual/received.py
@@ -1,10 +1,10 @@
-"""Observes the list updates that a process received, from the bytes on its sockets.
+"""Observes which list updates a process received, by parsing the bytes on its sockets.
 
-Earlier the updates were derived from what the stand-ins sent.  The proxy was then blamed for
-updates that never reached it: a response on a closed connection, a refused watch, a list that was
-replaced at once by the next.  So both directions of each connection to a source are parsed here
-with a separate h11 parser.  An update counts from the time at which the process's kernel has
-received its last byte.
+Updates are not derived from what the stand-ins sent: the rule checker would then blame the proxy
+for updates that never reached it, such as a response on a closed connection, a refused watch, or a
+list that the next one replaced at once.  Instead an h11 parser, separate from the daemon's, parses
+both directions of each connection to a list source.  An update counts as received when the
+process's kernel has received its last byte.
 """
 
 from __future__ import annotations
@@ -19,88 +19,99 @@
 from .kernel import Kernel
 from .sockets import VirtualSocket
 
-BURST = 0.01  # s from a watch's first line to the last line of its initial state
+INITIAL_STATE_S = 0.01  # s from a watch's first line to the last line of its initial state
 
 
 class SourceObserver:
-    """Follows the connections of the processes `owners` to the ports of list sources.
+    """Parses the connections of the processes `owners` to the ports of list sources.
 
-    Both callbacks receive the owner and the port first.  `line` is called for each line of a watch
-    with its JSON object and whether it belongs to the initial burst, which repeats the current
-    state.  `answer` is called for each other complete response with status 200, with its target,
-    header fields (lower case) and body.
+    Both callbacks receive the owner and the port as their first arguments.  `on_line` is called for
+    each line of a watch, with its JSON object and whether the line belongs to the initial burst,
+    which repeats the current state.  `on_answer` is called for each other complete response with
+    status 200, with the request target, the header fields (names in lower case) and the body.
     """
 
     def __init__(
         self,
         kernel: Kernel,
         owners: Container[str],
-        line: Callable[[str, int, ListChange, bool], None],
-        answer: Callable[[str, int, str, dict[str, str], bytes], None],
+        on_line: Callable[[str, int, ListChange, bool], None],
+        on_answer: Callable[[str, int, str, dict[str, str], bytes], None],
     ) -> None:
-        self._kernel, self._owners, self._line, self._answer = kernel, owners, line, answer
+        self._kernel, self._owners, self._on_line, self._on_answer = (
+            kernel,
+            owners,
+            on_line,
+            on_answer,
+        )
         self._ports: set[int] = set()
         self.last_received_at = kernel.now  # time of the last bytes from any source, in s
         self._connections: dict[VirtualSocket, _Connection] = {}
-        kernel.on_sent, kernel.on_received = self._given, self._received
+        kernel.on_sent, kernel.on_received = self._on_sent, self._on_received
 
     def follow(self, port: int) -> None:
-        """Follow connections to this port, at which a source listens."""
+        """Observe connections to this port as well, at which a list source listens."""
         self._ports.add(port)
 
-    def _given(self, sock: VirtualSocket, data: bytes) -> None:
-        port = self._port(sock)
+    def _on_sent(self, sock: VirtualSocket, data: bytes) -> None:
+        port = self._source_port(sock)
         if port is not None:
             if sock not in self._connections:
                 self._connections[sock] = _Connection(self._kernel)
             self._connections[sock].requests += data
 
-    def _received(self, sock: VirtualSocket, data: bytes) -> None:
-        port, connection = self._port(sock), self._connections.get(sock)
+    def _on_received(self, sock: VirtualSocket, data: bytes) -> None:
+        port, connection = self._source_port(sock), self._connections.get(sock)
         if port is None or connection is None:
             return
         self.last_received_at = self._kernel.now
-        for messages in connection.receive(data):
-            if isinstance(messages, _Line):
-                self._line(sock.owner, port, messages.value, messages.burst)
+        for message in connection.receive(data):
+            if isinstance(message, _Line):
+                self._on_line(sock.owner, port, message.change, message.in_burst)
             else:
-                self._answer(sock.owner, port, messages.target, messages.headers, messages.body)
+                self._on_answer(sock.owner, port, message.target, message.headers, message.body)
 
-    def _port(self, sock: VirtualSocket) -> int | None:
+    def _source_port(self, sock: VirtualSocket) -> int | None:
+        """The list source's port to which the socket is connected; None for other sockets."""
         if sock._peer_name is None or sock.owner not in self._owners:
             return None
         return sock._peer_name[1] if sock._peer_name[1] in self._ports else None
 
 
 class _Line:
-    def __init__(self, value: ListChange, burst: bool) -> None:
-        self.value, self.burst = value, burst
+    """One line of a watch; `in_burst`: it belongs to the initial burst."""
+
+    def __init__(self, change: ListChange, in_burst: bool) -> None:
+        self.change, self.in_burst = change, in_burst
 
 
 class _Answer:
+    """A complete response with status 200 that is not a watch."""
+
     def __init__(self, target: str, headers: dict[str, str], body: bytes) -> None:
         self.target, self.headers, self.body = target, headers, body
 
 
 class _Connection:
-    """Parses the requests and responses of one connection."""
+    """Parses the requests and responses of one connection; requests may be pipelined."""
 
     def __init__(self, kernel: Kernel) -> None:
         self._kernel = kernel
-        self.requests = bytearray()  # bytes of requests without a response
-        self._http: h11.Connection | None = None
+        self.requests = bytearray()  # bytes sent, without the requests whose response has begun
+        self._http: h11.Connection | None = None  # parser of the response in progress
         self._target, self._status = "", 0
         self._headers: dict[str, str] = {}
         self._body = bytearray()
-        self._began: float | None = None  # time of the first line, in s
-        self._not_http = False  # the received data is not HTTP
+        self._first_line_at: float | None = None  # time in s
+        self._not_http = False  # the received data is not valid; all later data is ignored
 
     def receive(self, data: bytes) -> list[_Line | _Answer]:
+        """Parse received bytes; return the lines and responses that they complete."""
         messages: list[_Line | _Answer] = []
         try:
             while data and not self._not_http:
                 if self._http is None and not self._begin_answer():
-                    break  # no request is open, so this is no response
+                    break  # no complete request was sent, so this is not a response
                 assert self._http is not None
                 self._http.receive_data(data)
                 data = self._read_events(messages)
@@ -109,6 +120,7 @@
         return messages
 
     def _begin_answer(self) -> bool:
+        """Create the parser of the response to the next request; False if there is no request."""
         head, found, rest = bytes(self.requests).partition(b"\r\n\r\n")
         if not found:
             return False
@@ -131,7 +143,7 @@
                 case h11.Data(data=data):
                     self._body += data
                     if "follow=1" in self._target and self._status == 200:
-                        self._take_lines(messages)
+                        self._parse_lines(messages)
                 case h11.EndOfMessage():
                     if self._status == 200 and "follow=1" not in self._target:
                         messages.append(_Answer(self._target, self._headers, bytes(self._body)))
@@ -143,11 +155,14 @@
                 case _:
                     pass
 
-    def _take_lines(self, messages: list[_Line | _Answer]) -> None:
+    def _parse_lines(self, messages: list[_Line | _Answer]) -> None:
+        """Append the complete lines of the watch to `messages`."""
         *lines, rest = bytes(self._body).split(b"\n")
         self._body[:] = rest
         for line in lines:
             if line.strip():
                 now = self._kernel.now
-                self._began = now if self._began is None else self._began
-                messages.append(_Line(json.loads(line), now - self._began <= BURST))
+                self._first_line_at = now if self._first_line_at is None else self._first_line_at
+                messages.append(
+                    _Line(json.loads(line), now - self._first_line_at <= INITIAL_STATE_S)
+                )
--- a/limebridge/virtual/sockets.py
+++ b/limebridge/virtual/sockets.py
@@ -214,7 +214,7 @@
             )
         taken = 0
         if self.peer is not None:
-            self.peer._peer_send_times.note(self._sent, self._kernel.now + self._meter.spent)
+            self.peer._peer_send_times.note(self._sent, self._kernel.now + self._meter.turn_cpu_s)
         for part in parts:
             room = self._kernel.buffer - len(self._sending) - self._in_flight
             if room <= 0:
@@ -288,7 +288,7 @@
             # After a local reset neither the discarded data nor the reset is retransmitted.
             link.held.append(lambda: None if self._aborted else self._send_packet(arrives, RTO))
             return
-        when = self._kernel.now + held + self._delay() + self._meter.spent
+        when = self._kernel.now + held + self._delay() + self._meter.turn_cpu_s
         self._last_arrival = max(self._last_arrival, when)
         self._kernel.at(self._last_arrival, arrives)
 
--- a/limebridge/virtual/world.py
+++ b/limebridge/virtual/world.py
@@ -1,6 +1,6 @@
 """Simulation of one plan: the daemon's code runs in memory against stand-ins.
 
-The rule checker observes nodes, clients and list updates during the run.
+During the run the rule checker receives the events of nodes, clients and list updates.
 """
 
 from __future__ import annotations
@@ -51,16 +51,19 @@
 
     plan: Plan
     violations: list[Violation]
-    requests: int
-    answers: dict[str, int]
-    digest: str  # SHA-256 of the trace; a plan has the same one on every machine
+    requests: int  # number of requests sent
+    answers: dict[str, int]  # number of responses by outcome
+    digest: str  # SHA-256 of the trace; the same for a plan on every machine
     virtual_seconds: float
-    trace: list[str]
+    trace: list[str]  # lines "SECONDS event"
     pair_counts: Counter[str] = field(default_factory=Counter)  # "fault kind/state" -> occurrences
 
 
 class DefectHandler(logging.Handler):
-    """Reports error log records of the daemon as faults of the run."""
+    """Reports the daemon's log records of level ERROR to the rule checker as faults.
+
+    The events `config.unusable` and `consul.emptied` are not faults.
+    """
 
     def __init__(self, world: World) -> None:
         super().__init__(logging.ERROR)
@@ -77,7 +80,10 @@
 
 
 class World(FaultActions):
-    """The simulation of one run: clock, network, stand-ins, clients and the daemon."""
+    """Simulation of one run: clock, network, stand-ins, clients and the daemon.
+
+    The nodes call `arrived`, `accepted`, `effect` and `started` with the virtual time in s.
+    """
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
@@ -108,42 +114,52 @@
         self._watched_at = self.kernel.now
 
     def _on_end(self, sock: Any) -> None:
-        """Tell the checker which requests lost their client: its FIN or RST reached this socket."""
+        """Report the requests of a departed client to the checker.
+
+        The client's FIN or RST has just reached this socket.
+        """
         for id_ in self.leaving.pop(sock.peer, ()):
             self.checker.client_eof_received(self.kernel.now, id_)
 
     # --- observer of the nodes ---
     def arrived(self, at: float, node: str, id_: str, sent_at: float) -> None:
+        """A command arrived at a node; the proxy had sent it at `sent_at`."""
         self.note(f"{id_} at {node}, sent {sent_at:.6f}")
         self.checker.arrived(at, node, id_, sent_at)
 
     def accepted(self, at: float, node: str, id_: str) -> None:
+        """A node accepted a command for execution."""
         self.checker.accepted(at, node, id_)
 
     def effect(self, at: float, node: str, id_: str) -> None:
+        """A command took effect at a node."""
         self.note(f"{id_} took effect at {node}")
         self.checker.effect(at, node, id_)
 
     def started(self, at: float, node: str, capacity: float) -> None:
+        """A node started with a cold cache."""
         self.note(f"{node} starts cold")
         self.checker.started(at, node, capacity)
 
     def note(self, text: str) -> None:
+        """Add a line to the trace, with the time since the start of the run."""
         self.trace.append(f"{self.kernel.now - self._began:.6f} {text}")
 
     def start(self, work: Coroutine[Any, Any, None]) -> None:
+        """Run the coroutine as a task; the reference to it is kept until it ends."""
         task = self.loop.create_task(work)
         self._tasks[task] = None
         task.add_done_callback(lambda done: self._tasks.pop(done, None))
 
     # --- the run ---
     def run(self) -> Outcome:
+        """Run the plan once and return its outcome; a world can't be run again."""
         self.loop.set_exception_handler(self._on_loop_error)
         with isolated_run(logging.ERROR, DefectHandler(self)):
             run(
                 self.loop,
                 self._run_plan(),
-                lambda what: self.checker.report_fault(self.kernel.now, what),
+                lambda message: self.checker.report_fault(self.kernel.now, message),
             )
         digest = hashlib.sha256("\n".join(self.trace).encode()).hexdigest()
         return Outcome(
@@ -160,7 +176,7 @@
     def _on_loop_error(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
         if isinstance(error, ConnectionError | asyncio.IncompleteReadError):
-            return  # a closed stand-in connection without a reader
+            return  # a stand-in's connection was closed and no task awaits its reader
         self.checker.report_fault(self.kernel.now, f"{context.get('message')}: {error!r}")
 
     async def _run_plan(self) -> None:
@@ -248,16 +264,16 @@
         )
 
     def _entry(self, node: FleetNode, lifecycle: Lifecycle = "in_service") -> NodeEntry:
-        born = self._start_time_ms(node)
-        return node.entry(node.name, lifecycle, startedAtMs=born)
+        start_time_ms = self._start_time_ms(node)
+        return node.entry(node.name, lifecycle, startedAtMs=start_time_ms)
 
     def _start_time_ms(self, node: FleetNode) -> float:
-        """The node's start time as published: Unix ms on the current wall clock, 0 if warm."""
+        """The node's start time as published: Unix ms by the current wall clock, 0 if warm."""
         if node.cold_since is None:
             return 0.0
-        said = (node.cold_since + self._wall_offset) * 1000.0
-        self._started_at_by_ms[said] = node.cold_since
-        return said
+        published_ms = (node.cold_since + self._wall_offset) * 1000.0
+        self._started_at_by_ms[published_ms] = node.cold_since
+        return published_ms
 
     def _check_bounds(self) -> None:
         """Check the daemon's limits on every 32nd poll: memory, open requests, watch, deadlines."""
@@ -287,7 +303,7 @@
             )
 
     async def _finish(self) -> None:
-        """End the run: stop clients, daemon and stand-ins, and report leaked resources."""
+        """End the run: stop clients, daemon and stand-ins, and report resources still held."""
         for client in self.clients:
             client.close()
         for port in list(self.kernel.links):
@@ -305,16 +321,18 @@
             await discovery.stop()
         await self._end_sources()
 
-    def _report_leftovers(self, left: dict[str, int]) -> None:
-        for what, count in left.items():
+    def _report_leftovers(self, leftovers: dict[str, int]) -> None:
+        for resource, count in leftovers.items():
             if count:
-                self.checker.report_fault(self.kernel.now, f"{count} {what} are left at the end")
+                self.checker.report_fault(
+                    self.kernel.now, f"{count} {resource} are left at the end"
+                )
 
     async def _end_sources(self) -> None:
         """Stop the sources that `_start_sources` started."""
 
     def _on_list_line(self, owner: str, port: int, value: ListChange, burst: bool) -> None:
-        """Pass a line of a watch that the process has received to the checker."""
+        """Report the nodes in a received line of a watch to the checker."""
         before, listed = self._listed, {} if value["reset"] else dict(self._listed)
         for entry in value["instances"]:
             name, ready = entry["instanceId"], entry["lifecycle"] == "in_service"
@@ -338,10 +356,11 @@
     def _on_answer(
         self, owner: str, port: int, target: str, headers: dict[str, str], body: bytes
     ) -> None:
-        """Handle a complete HTTP response; only Consul sends these."""
+        """Handle a complete response; only Consul sends these, so `ConsulWorld` overrides this."""
 
     # --- faults ---
     def _inject(self, number: int, fault: Fault) -> None:
+        """Count the states in which the fault occurs, and start its method."""
         self.note(f"fault {number}: {fault.kind} node {fault.node}")
         states = Counter(self.process.proxy.request_states())
         for state in states or {"none open": 1}:
@@ -352,6 +371,7 @@
         self.start(getattr(self, f"_{fault.kind}")(fault, node))
 
     def _list_states(self) -> set[str]:
+        """The states of the node list that are counted with a fault, see `coverage`."""
         now = self.kernel.now
         if self.process.state == "down":
             return {"no process"}
--- a/tests/limebridge/rehearsal/test_rehearsal.py
+++ b/tests/limebridge/rehearsal/test_rehearsal.py
@@ -397,7 +397,7 @@
         ("next", 0.05),
         ("later", 0.2),
     ]
-    assert meter.used == pytest.approx(0.05 + 0.05 + 0.03) and meter.turns == 3
+    assert meter.total_cpu_s == pytest.approx(0.05 + 0.05 + 0.03) and meter.turns == 3
 
 
 def test_command_line(tmp_path: Path) -> None:
--- a/tests/violetroute/ledger/test_ledger_crash.py
+++ b/tests/violetroute/ledger/test_ledger_crash.py
@@ -29,7 +29,7 @@
     seed: int,
 ) -> None:
     outcome = run_trial(Trial(seed, minutes=8.0, kills=15))
-    assert outcome.killed > 5 and outcome.doubled == 0
+    assert outcome.killed > 5 and outcome.excess == 0
     assert outcome.missing == outcome.at_risk < 4 * 35 and outcome.gaps == outcome.killed
 
 
@@ -38,15 +38,15 @@
     # benchmarks/ledger.py cuts at each of more than 2,000 writes.
     for cut_at in range(1 + part, 120, 8):
         outcome = run_trial(
-            Trial(part, minutes=5.5, kills=0, cut_at=cut_at, troubles=False, steps=False)
+            Trial(part, minutes=5.5, kills=0, fail_power_at=cut_at, faults=False, clock_steps=False)
         )
-        assert outcome.doubled == 0 and outcome.killed == 1
+        assert outcome.excess == 0 and outcome.killed == 1
         assert outcome.missing <= 15  # units of one flush and of the write in progress
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_a_restored_disk_bills_no_unit_twice(seed: int) -> None:
-    outcome = run_trial(Trial(seed, kills=2, restored=True))
+    outcome = run_trial(Trial(seed, kills=2, restore_disk=True))
     assert overbilled(outcome) == 0 and outcome.gaps
     assert sum(outcome.held.values()) + outcome.missing > 0
 
@@ -55,7 +55,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(Book, "adopt_records", lambda self, last, billed, now: [["adopt", last]])
-    assert any(overbilled(run_trial(Trial(seed, kills=2, restored=True))) for seed in range(12))
+    assert any(overbilled(run_trial(Trial(seed, kills=2, restore_disk=True))) for seed in range(12))
 
 
 def inject_double(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -88,5 +88,5 @@
     found = 0
     for seed in range(12):
         outcome = run_trial(Trial(seed, minutes=12.0, kills=25))
-        found += outcome.doubled if what == "doubled" else outcome.missing - outcome.at_risk
+        found += outcome.excess if what == "doubled" else outcome.missing - outcome.at_risk
     assert found > 0
