--- a/benchmarks/experiments.py
+++ b/benchmarks/experiments.py
@@ -1,11 +1,11 @@
-"""What the experiment tool claims, each as a figure anyone can repeat.
+"""Measurements behind the claims of the experiment tool.
 
-    python benchmarks/experiments.py rates      # stated against found error rates
-    python benchmarks/experiments.py resume     # killed at random, against an unbroken run
-    python benchmarks/experiments.py overhead   # the tool's own CPU beside the runs'
-    python benchmarks/experiments.py search     # guided against random draws, same budget
+    python benchmarks/experiments.py rates      # nominal and measured error rates
+    python benchmarks/experiments.py resume     # killed at random, against an uninterrupted run
+    python benchmarks/experiments.py overhead   # CPU time of the tool itself, per time of its runs
+    python benchmarks/experiments.py search     # guided and random search with the same budget
 
-Each prints JSON, one object a line.
+Each prints JSON, one object per line.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 """
 BUSY = """[run]
 seconds = 14.0
-about = "a busy morning to put troubles on"
+about = "a busy morning, to which faults are added"
 [load]
 curve = [{at = 0.0, rate = 80.0}]
 [[site]]
@@ -60,7 +60,7 @@
 count = 2
 """
 Draw = Callable[[np.random.Generator, int], Any]
-KINDS: dict[str, Draw] = {
+DISTRIBUTIONS: dict[str, Draw] = {  # all with mean 0
     "normal": lambda rng, n: rng.normal(0.0, 1.0, n),
     "uniform": lambda rng, n: rng.uniform(-1.0, 1.0, n),
     "skewed": lambda rng, n: rng.exponential(1.0, n) - 1.0,
@@ -68,63 +68,77 @@
 }
 
 
-def tell(**what: Any) -> None:
-    print(json.dumps(what), flush=True)
+def print_row(**fields: Any) -> None:
+    """Print one result as JSON."""
+    print(json.dumps(fields), flush=True)
 
 
-def percentiles(found: Any, seed: int) -> bool:
-    """The plain bootstrap, for comparison: whether it calls a difference."""
+def percentile_bootstrap_differs(differences: Any, seed: int) -> bool:
+    """Whether the percentile bootstrap at 0.05 reports a difference; for comparison."""
     rng = np.random.default_rng(seed)
-    means = found[rng.integers(0, len(found), (2000, len(found)))].mean(axis=1)
+    means = differences[rng.integers(0, len(differences), (2000, len(differences)))].mean(axis=1)
     low, high = np.quantile(means, [0.025, 0.975])
     return not low <= 0.0 <= high
 
 
 def rates(repeats: int) -> None:
-    """Of made-up pairs without a difference, how many are called one; 0.05 is stated."""
-    for kind, draw in KINDS.items():
+    """Measure how often samples without a difference are reported as different; nominally 0.05.
+
+    Printed for single comparisons, for ten with Holm's correction, and for four interim looks.
+    """
+    for kind, draw in DISTRIBUTIONS.items():
         for pairs in (4, 5, 8, 16, 32):
             rng = np.random.default_rng(pairs)
-            ours = plain = 0
+            studentized_errors = percentile_errors = 0
             for number in range(repeats):
-                found = draw(rng, pairs)
-                low, high, _ = statistics.studentized(found, 0.05, number)
-                ours += not low <= 0.0 <= high
-                plain += percentiles(found, number)
-            tell(
+                differences = draw(rng, pairs)
+                low, high, _ = statistics.studentized(differences, 0.05, number)
+                studentized_errors += not low <= 0.0 <= high
+                percentile_errors += percentile_bootstrap_differs(differences, number)
+            print_row(
                 kind=kind,
                 nodes=pairs,
                 stated=0.05,
-                studentized=ours / repeats,
-                percentiles=plain / repeats,
+                studentized=studentized_errors / repeats,
+                percentiles=percentile_errors / repeats,
             )
     rng = np.random.default_rng(1)
-    wrong = looked = 0
-    for _ in range(repeats):  # ten comparisons without a difference, all looked at together
+    holm_errors = unadjusted_errors = 0
+    for _ in range(repeats):  # ten comparisons without a difference, tested together
         ps = [statistics.studentized(rng.normal(0.0, 1.0, 8), 0.05, n)[2] for n in range(10)]
-        wrong += any(statistics.holm(ps))
-        looked += any(p <= 0.05 for p in ps)
-    tell(
+        holm_errors += any(statistics.holm(ps))
+        unadjusted_errors += any(p <= 0.05 for p in ps)
+    print_row(
         kind="ten together, Holm",
         stated=0.05,
-        studentized=wrong / repeats,
-        percentiles=looked / repeats,
+        studentized=holm_errors / repeats,
+        percentiles=unadjusted_errors / repeats,
+    )
+    sequential_errors = naive_errors = 0
+    for _ in range(repeats):  # four interim looks, at 5, 10, 20 and 40 pairs
+        differences = rng.normal(0.0, 1.0, 40)
+        ps = [statistics.studentized(differences[:n], 0.05, n)[2] for n in (5, 10, 20, 40)]
+        sequential_errors += any(
+            p <= statistics.alpha_at_look(look) for look, p in enumerate(ps, 1)
+        )
+        naive_errors += any(p <= 0.05 for p in ps)
+    print_row(
+        kind="four looks",
+        stated=0.05,
+        studentized=sequential_errors / repeats,
+        percentiles=naive_errors / repeats,
     )
-    stopped = naive = 0
-    for _ in range(repeats):  # four looks, at 5, 10, 20 and 40 pairs
-        found = rng.normal(0.0, 1.0, 40)
-        ps = [statistics.studentized(found[:n], 0.05, n)[2] for n in (5, 10, 20, 40)]
-        stopped += any(p <= statistics.alpha_at_look(look) for look, p in enumerate(ps, 1))
-        naive += any(p <= 0.05 for p in ps)
-    tell(kind="four looks", stated=0.05, studentized=stopped / repeats, percentiles=naive / repeats)
 
 
 def resume(kills: int, seeds: int) -> None:
-    """The whole program killed at random moments, half of the times outright."""
+    """Interrupt a sweep `kills` times at random and compare its results with an uninterrupted one.
+
+    SIGINT and SIGKILL alternate.  If the sweep ends earlier, `kills` is lower in the printed row.
+    """
     rng = random.Random(1)
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        sweep = _sweep(folder, seeds)
+        sweep = _write_sweep(folder, seeds)
         command = [
             sys.executable,
             "-m",
@@ -136,26 +150,31 @@
             str(folder / "s.sqlite"),
             "--json",
         ]
-        done = 0
-        while done < kills:
+        made_kills = 0
+        while made_kills < kills:
             with subprocess.Popen(command, cwd=ROOT, stdout=subprocess.DEVNULL) as child:
                 time.sleep(rng.uniform(0.5, 4.0))
                 if child.poll() is not None:
                     break
-                child.send_signal(signal.SIGKILL if done % 2 else signal.SIGINT)
-                done += 1
+                child.send_signal(signal.SIGKILL if made_kills % 2 else signal.SIGINT)
+                made_kills += 1
         subprocess.run(command, cwd=ROOT, check=True, stdout=subprocess.DEVNULL)
-        made = load_experiment(str(sweep))
-        whole = Store(folder / "t.sqlite")
-        asyncio.run(runner.run(made, whole))
+        experiment = load_experiment(str(sweep))
+        uninterrupted = Store(folder / "t.sqlite")
+        asyncio.run(runner.run(experiment, uninterrupted))
         tables = [
-            {(r.point, r.seed): r.measures for r in store.runs(made.digest)}
-            for store in (Store(folder / "s.sqlite"), whole)
+            {(r.point, r.seed): r.measures for r in store.runs(experiment.digest)}
+            for store in (Store(folder / "s.sqlite"), uninterrupted)
         ]
-        tell(kills=done, runs=len(tables[1]), there=len(tables[0]), equal=tables[0] == tables[1])
+        print_row(
+            kills=made_kills,
+            runs=len(tables[1]),
+            there=len(tables[0]),
+            equal=tables[0] == tables[1],
+        )
 
 
-def _sweep(folder: Path, seeds: int) -> Path:
+def _write_sweep(folder: Path, seeds: int) -> Path:
     (folder / "mini.toml").write_text(SMALL)
     path = folder / "sweep.toml"
     path.write_text(SWEEP.replace("{folder}", str(folder)).replace("{seeds}", str(seeds)))
@@ -163,43 +182,49 @@
 
 
 def overhead(seeds: int) -> None:
-    """This process's CPU (queue, claims, store) against what the runs took."""
+    """Measure the CPU time of this process (queue, claims, store) against the time of the runs.
+
+    `beside_wall` is the share of the wall time of all cores in which no run was in progress.
+    """
     with tempfile.TemporaryDirectory() as name:
-        made = load_experiment(str(_sweep(Path(name), seeds)))
+        experiment = load_experiment(str(_write_sweep(Path(name), seeds)))
         store = Store(Path(name) / "s.sqlite")
-        began, before = time.monotonic(), _cpu()
-        found = asyncio.run(runner.run(made, store))
-        own, wall = _cpu() - before, time.monotonic() - began
-        tell(
-            runs=found.executed,
-            runs_s=round(found.run_seconds, 2),
+        started, before = time.monotonic(), _cpu_seconds()
+        result = asyncio.run(runner.run(experiment, store))
+        own, wall = _cpu_seconds() - before, time.monotonic() - started
+        print_row(
+            runs=result.executed,
+            runs_s=round(result.run_seconds, 2),
             own_s=round(own, 2),
-            share=round(own / found.run_seconds, 4),
+            share=round(own / result.run_seconds, 4),
             wall_s=round(wall, 2),
-            beside_wall=round(1.0 - found.run_seconds / (wall * runner.cores()), 4),
+            beside_wall=round(1.0 - result.run_seconds / (wall * runner.cores()), 4),
         )
 
 
-def _cpu() -> float:
+def _cpu_seconds() -> float:
     used = resource.getrusage(resource.RUSAGE_SELF)
     return used.ru_utime + used.ru_stime
 
 
 async def search(repeats: int, budget: int, jobs: int) -> None:
-    """The worst that each finds with the same budget, run by run side by side."""
+    """Print, for each seed, the largest loss found by guided and by random search of one budget.
+
+    `jobs`: runs at a time.
+    """
     with tempfile.TemporaryDirectory() as name:
         path = Path(name) / "busy.toml"
         path.write_text(BUSY)
-        hunt = ParallelSearch(load(str(path)), Path(name) / "builds", jobs)
+        parallel_search = ParallelSearch(load(str(path)), Path(name) / "builds", jobs)
         try:
             for seed in range(1, repeats + 1):
-                found = {}
+                worst = {}
                 for guided in (True, False):
-                    archive = await hunt.run(budget, seed, guided)
-                    found["guided" if guided else "random"] = round(archive.worst_so_far[-1], 4)
-                tell(seed=seed, budget=budget, **found)
+                    archive = await parallel_search.run(budget, seed, guided)
+                    worst["guided" if guided else "random"] = round(archive.worst_so_far[-1], 4)
+                print_row(seed=seed, budget=budget, **worst)
         finally:
-            await hunt.stop()
+            await parallel_search.stop()
 
 
 def main() -> None:
--- a/benchmarks/instruction_count.py
+++ b/benchmarks/instruction_count.py
@@ -1,12 +1,12 @@
 """Counts the bytecode instructions and C calls that a program executes, by package and function.
 
 The counts are the same on every run of a deterministic program, also on a busy machine.  What the
-standard library or a dependency executes counts for the package that called it, or for the event
-loop where none did.  A count says nothing of what one instruction costs: bytes that are copied or
-matched in C are not seen.
+standard library or a dependency executes is attributed to the package that called it, or to the
+event loop if no counted package did.  Instructions are counted, not weighted by their cost: work
+inside C code, such as copying or matching bytes, is not visible.
 
-CPython 3.11: `sys.settrace` with `f_trace_opcodes` reports each instruction before it runs, with
-specialised instructions taken back to their plain form, so warm code counts like cold code.
+On CPython 3.11 `sys.settrace` with `f_trace_opcodes` reports each instruction before it runs.
+Specialised instructions are reported as their generic form, so warm code counts like cold code.
 """
 
 from __future__ import annotations
@@ -20,23 +20,23 @@
 
 import msgspec
 
-EVENT_LOOP = "event loop"  # the package of library code that no counted package has called
+EVENT_LOOP = "event loop"  # package of code with no counted package among its callers
 
 Trace = Callable[[FrameType, str, Any], Any]
 
 
 class FunctionCount(msgspec.Struct, frozen=True):
-    """What one function has executed on behalf of one package."""
+    """The part of a function's instructions and calls that is attributed to one package."""
 
     package: str
     function: str  # file and qualified name
     instructions: int
-    calls: int  # of it, and resumptions of its coroutines
-    c_calls: int  # by it
+    calls: int  # of the function, and resumptions of its coroutines or generators
+    c_calls: int  # from the function into C functions
 
 
 class CrossingCount(msgspec.Struct, frozen=True):
-    """How often functions of one top-level package have called one of another."""
+    """How often one top-level package has called a function of another."""
 
     caller: str
     callee: str
@@ -45,15 +45,15 @@
 
 
 class Counts(msgspec.Struct, frozen=True):
-    """All that was executed between start and stop."""
+    """Everything that was executed between `start` and `stop`."""
 
     functions: tuple[FunctionCount, ...]
     crossings: tuple[CrossingCount, ...]
 
 
 @dataclass
-class _Tally:
-    """The running count of one function on behalf of one package."""
+class _FunctionCounter:
+    """A `FunctionCount` in progress; its `trace` counts the instructions of a frame."""
 
     package: str
     function: str
@@ -79,24 +79,26 @@
 class InstructionCounter:
     """Counts what the top-level packages `counted` in the folder `root` and their callees execute.
 
-    One thread.  Frames that run when counting starts are not counted until they are resumed.
+    Counts one thread.  Frames already running when counting starts are counted once resumed.
     """
 
     def __init__(self, root: Path, counted: tuple[str, ...]) -> None:
         self._root, self._counted = root, counted
-        self._packages: dict[CodeType, str] = {}  # "" for a library
-        self._tallies: dict[tuple[CodeType, str], _Tally] = {}
+        self._packages: dict[CodeType, str] = {}  # "" for the code of a library
+        self._counters: dict[tuple[CodeType, str], _FunctionCounter] = {}
         self._crossings: dict[tuple[str, CodeType], int] = {}
 
     def start(self) -> None:
+        """Start counting, on the calling thread."""
         sys.setprofile(self._profile)
         sys.settrace(self._trace)
 
     def stop(self) -> Counts:
+        """Stop counting and return the counts."""
         sys.settrace(None)
         sys.setprofile(None)
         return Counts(
-            tuple(tally.result() for tally in self._tallies.values()),
+            tuple(counter.result() for counter in self._counters.values()),
             tuple(
                 CrossingCount(caller, _top(self._package(code)), code.co_qualname, calls)
                 for (caller, code), calls in self._crossings.items()
@@ -104,28 +106,34 @@
         )
 
     def _trace(self, frame: FrameType, event: str, argument: Any) -> Trace:
-        """Told of each call; what it returns is told of the frame's instructions."""
+        """Called by the interpreter at each call or resumption of a Python function.
+
+        The returned function is called for each instruction of the frame.
+        """
         code = frame.f_code
         package = self._package(code)
         if package:
-            self._note_crossing(code, _top(package), _top(self._owner(frame.f_back)))
-        tally = self._tally(code, package or self._owner(frame.f_back))
-        tally.calls += 1
+            self._count_crossing(code, _top(package), _top(self._calling_package(frame.f_back)))
+        counter = self._counter(code, package or self._calling_package(frame.f_back))
+        counter.calls += 1
         frame.f_trace_lines = False
         frame.f_trace_opcodes = True
-        return tally.trace
+        return counter.trace
 
     def _profile(self, frame: FrameType, event: str, argument: Any) -> None:
         if event == "c_call":
-            self._tally(frame.f_code, self._owner(frame)).c_calls += 1
+            self._counter(frame.f_code, self._calling_package(frame)).c_calls += 1
 
-    def _note_crossing(self, code: CodeType, callee: str, caller: str) -> None:
+    def _count_crossing(self, code: CodeType, callee: str, caller: str) -> None:
         if caller not in (callee, EVENT_LOOP):
             key = (caller, code)
             self._crossings[key] = self._crossings.get(key, 0) + 1
 
-    def _owner(self, frame: FrameType | None) -> str:
-        """The counted package of this frame or, for a library's, of the nearest caller."""
+    def _calling_package(self, frame: FrameType | None) -> str:
+        """The package of the frame if it is counted, else that of the nearest counted caller.
+
+        EVENT_LOOP if there is none.
+        """
         while frame is not None:
             package = self._package(frame.f_code)
             if package:
@@ -145,12 +153,12 @@
         parts = path.relative_to(self._root).parts
         return "/".join(parts[:-1]) if parts[0] in self._counted else ""
 
-    def _tally(self, code: CodeType, package: str) -> _Tally:
+    def _counter(self, code: CodeType, package: str) -> _FunctionCounter:
         key = (code, package)
-        found = self._tallies.get(key)
+        found = self._counters.get(key)
         if found is None:
             name = f"{Path(code.co_filename).name}:{code.co_qualname}"
-            found = self._tallies[key] = _Tally(package, name)
+            found = self._counters[key] = _FunctionCounter(package, name)
         return found
 
 
--- a/tests/benchmarks/test_request_cost.py
+++ b/tests/benchmarks/test_request_cost.py
@@ -1,4 +1,4 @@
-"""`benchmarks/request_cost.py` tells a request's cost to less than the 2% that are allowed."""
+"""`benchmarks/request_cost.py` measures a request's cost more precisely than the allowed 2 %."""
 
 from __future__ import annotations
 
@@ -17,37 +17,38 @@
 
 LOAD, REQUESTS = "target", 24
 ITERATIONS = 30  # of a loop that does nothing
-PLANTED = 3 * ITERATIONS + 18  # instructions: three each time round, 18 of the rest of the function
-DEARER = f"""
+# Instructions: three per iteration, and 18 in the rest of the function.
+ADDED_INSTRUCTIONS = 3 * ITERATIONS + 18
+SLOWER_REQUESTS = f"""
 
 _on_request = Balancer.on_request
 
 
-def _dearer(self, now, request):
+def _slower_on_request(self, now, request):
     for _ in range({ITERATIONS}):
         pass
     abs(now)  # a C call
     return _on_request(self, now, request)
 
 
-Balancer.on_request = _dearer
+Balancer.on_request = _slower_on_request
 """
 
 
 def copy_of_build(folder: Path) -> Path:
-    """This checkout's packages in a folder of their own."""
+    """Copy the packages of this checkout to `folder`; returns it."""
     for package in ("snowstall", "violetroute", "limebridge"):
-        shutil.copytree(ROOT / package, folder / package)  # with what is compiled, to save time
+        shutil.copytree(ROOT / package, folder / package)  # with __pycache__, which saves compiling
     return folder
 
 
 def append(path: Path, text: str) -> None:
-    """Change a module at its end."""
+    """Append code to a module."""
     path.write_text(path.read_text() + text)
 
 
-def play(folders: list[Path]) -> list[RunResult]:
-    """All at once."""
+def run_loads(folders: list[Path]) -> list[RunResult]:
+    """Run the load on these builds in parallel."""
     running = [request_counts.start(folder, LOAD, REQUESTS) for folder in folders]
     try:
         return [request_counts.result(process) for process in running]
@@ -56,33 +57,36 @@
             process.kill()
 
 
-def test_a_planted_cost_of_2_percent_is_found_and_the_same_build_costs_the_same(
+def test_an_added_cost_of_2_percent_is_measured_and_an_equal_build_costs_the_same(
     tmp_path: Path,
 ) -> None:
-    copied, planted = copy_of_build(tmp_path / "copied"), copy_of_build(tmp_path / "planted")
-    append(planted / "snowstall" / "balance.py", DEARER)
-    base, same, dearer = play([ROOT, copied, planted])
+    copied, modified = copy_of_build(tmp_path / "copied"), copy_of_build(tmp_path / "modified")
+    append(modified / "snowstall" / "balance.py", SLOWER_REQUESTS)
+    base, same, slower = run_loads([ROOT, copied, modified])
 
     row = request_counts.comparison(LOAD, base, same)
     assert row.same_traffic and row.served == row.requests > 0
     assert row.ratio == 1.0
-    assert row.base == row.build  # by package, function, C calls, and what stands around
+    assert row.base == row.build  # by package and function, C calls, and the kit and the event loop
     assert not request_counts.changes(row)
 
-    row = request_counts.comparison(LOAD, base, dearer)
+    row = request_counts.comparison(LOAD, base, slower)
     assert row.same_traffic and row.base.around == row.build.around
     assert row.ratio == pytest.approx(1.02, abs=0.001)
     (change,) = request_counts.changes(row)
-    assert (change.package, change.function) == ("snowstall", "balance.py:_dearer")
-    assert change.instructions == pytest.approx(PLANTED)
+    assert (change.package, change.function) == ("snowstall", "balance.py:_slower_on_request")
+    assert change.instructions == pytest.approx(ADDED_INSTRUCTIONS)
     assert row.build.c_calls == pytest.approx(row.base.c_calls + 1.0)
 
 
-def test_other_traffic_is_told(tmp_path: Path) -> None:
-    """A build that asks its nodes otherwise is not compared in silence, though all is served."""
+def test_other_traffic_is_reported(tmp_path: Path) -> None:
+    """Builds that send different commands to the nodes can't be compared by their cost.
+
+    The difference must be reported even if all requests are served.
+    """
     other = copy_of_build(tmp_path)
-    margin = "ANSWER_MARGIN_MS = 11.0  # not 10: nodes are given 1 ms less to answer\n"
+    margin = "ANSWER_MARGIN_MS = 11.0  # instead of 10: nodes have 1 ms less to answer\n"
     append(other / "violetroute" / "requests.py", margin)
-    row = request_counts.comparison(LOAD, *play([ROOT, other]))
+    row = request_counts.comparison(LOAD, *run_loads([ROOT, other]))
     assert row.served == row.requests > 0
     assert not row.same_traffic
