--- a/limebridge/faults/plan.py
+++ b/limebridge/faults/plan.py
@@ -118,8 +118,8 @@
         where = "folder"
     daemons, seconds = rng.randint(5, 8), rng.uniform(3.0, 6.0)
     shared = FOLDER_FAULTS if where == "folder" else CONSUL_FAULTS
-    # A plan with settlement has no fault that loses data of a ledger's folder or of the log; the
-    # design note on faults says why.
+    # A plan with settlement has no fault that loses data of a ledger's folder or of the log: after
+    # such a loss a batch may be billed again (docs/design/fleet-ownership.md).
     if billed:
         shared = ("endpoint",)
     faults = []
