--- a/benchmarks/request_load.py
+++ b/benchmarks/request_load.py
@@ -33,7 +33,7 @@
 from limebridge.standins.wire import reply
 from limebridge.virtual import Kernel, VirtualLoop, plan, runner
 from limebridge.virtual.process import Process
-from limebridge.virtual.session import quiet, run
+from limebridge.virtual.session import isolated_run, run
 from violetroute.config import parse
 
 FOLDER = Path(limebridge.__file__).resolve().parent.parent
@@ -113,7 +113,7 @@
 
     def run(self, requests: int, counter: InstructionCounter | None) -> RunResult:
         """Send about `requests` requests after a warm-up.  RuntimeError if the run fails."""
-        with quiet(logging.ERROR, logging.StreamHandler(sys.stderr)):
+        with isolated_run(logging.ERROR, logging.StreamHandler(sys.stderr)):
             run(self._loop, self._run(requests, counter), self._problems.append)
         if self._run_result is None or self._problems:
             raise RuntimeError(f"the run of the load failed: {self._problems}")
