--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -31,7 +31,7 @@
 from limebridge.faults.state_space import check
 from limebridge.standins.consul import Consul
 from limebridge.standins.wire import command, read_answer
-from limebridge.virtual.session import quiet
+from limebridge.virtual.session import isolated_run
 from violetroute.fleet.assignment import MAX_RANK
 from violetroute.fleet.lease import Lease
 
@@ -225,7 +225,7 @@
         world = IdleWorld(plan, Path(folder))
         world.beat_s, world.poll_s = 1e6, 1.0
         world.works = [f"beat-{number}" for number in range(10)]
-        with quiet(50):
+        with isolated_run(50):
             row = world.loop.run_until_complete(world.measure(processes))
         world.loop._ready.clear()  # type: ignore[attr-defined]  # callbacks of killed processes
     print(json.dumps(row | {"wall_s": round(time.perf_counter() - started_at, 1)}))
--- a/tests/benchmarks/test_request_cost.py
+++ b/tests/benchmarks/test_request_cost.py
@@ -49,9 +49,9 @@
 
 def run_loads(folders: list[Path]) -> list[RunResult]:
     """Run the load on these builds in parallel."""
-    running = [request_counts.start(folder, LOAD, REQUESTS) for folder in folders]
+    running = [request_counts.start_load(folder, LOAD, REQUESTS) for folder in folders]
     try:
-        return [request_counts.result(process) for process in running]
+        return [request_counts.wait_for_result(process) for process in running]
     finally:
         for process in running:
             process.kill()
@@ -64,14 +64,14 @@
     append(modified / "snowstall" / "balance.py", SLOWER_REQUESTS)
     base, same, slower = run_loads([ROOT, copied, modified])
 
-    row = request_counts.comparison(LOAD, base, same)
+    row = request_counts.compare_runs(LOAD, base, same)
     assert row.same_traffic and row.served == row.requests > 0
     assert row.ratio == 1.0
     assert row.base == row.build  # by package and function, C calls, and the kit and the event loop
     assert not request_counts.changes(row)
 
-    row = request_counts.comparison(LOAD, base, slower)
-    assert row.same_traffic and row.base.around == row.build.around
+    row = request_counts.compare_runs(LOAD, base, slower)
+    assert row.same_traffic and row.base.kit_and_loop == row.build.kit_and_loop
     assert row.ratio == pytest.approx(1.02, abs=0.001)
     (change,) = request_counts.changes(row)
     assert (change.package, change.function) == ("snowstall", "balance.py:_slower_on_request")
@@ -87,6 +87,6 @@
     other = copy_of_build(tmp_path)
     margin = "ANSWER_MARGIN_MS = 11.0  # instead of 10: nodes have 1 ms less to answer\n"
     append(other / "violetroute" / "requests.py", margin)
-    row = request_counts.comparison(LOAD, *run_loads([ROOT, other]))
+    row = request_counts.compare_runs(LOAD, *run_loads([ROOT, other]))
     assert row.served == row.requests > 0
     assert not row.same_traffic
