--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,12 +1,13 @@
-"""What following Consul costs, and what an outage, a flapping node and a common wake-up do.
+"""Measures the cost of watching Consul, and the effects of an outage and of a flapping node.
 
     python benchmarks/membership.py [--instances 2000] [--seconds 20] [--seeds 5]
 
-Cost: the real daemon as a child before a stand-in agent with so many instances, one of which
-changes each second: its CPU as a share of a core, against the same without changes, and its memory.
-Delay: an answer of that size from its last byte until the module knows. Outage and flapping node:
-the daemon's own code on the virtual clock, in turn with and without. Wake-up: so many modules that
-lose their watch at one moment, and when each asks again.
+- Cost: the real daemon watches a stand-in agent with this number of instances.  Its CPU as a share
+  of a core while one instance changes each second and while none does, and its memory.
+- Delay: from the last byte of an answer of that size until the watch has reported the change.
+- Reconnection: when proxies that lose their watch at one moment request the list again.
+- Outage and flapping node: runs of the daemon's own code on the virtual clock; an outage is
+  compared with the same run without it.
 """
 
 from __future__ import annotations
@@ -34,10 +35,11 @@
 from violetroute.membership.consul import ConsulWatch
 from violetroute.transport.sockets import SocketNetwork
 
-PROXIES = 500
+PROXIES = 500  # that reconnect
 
 
-def filled(instances: int) -> Catalogue:
+def fill_catalogue(instances: int) -> Catalogue:
+    """A catalogue with this number of healthy instances of the service `cache`."""
     catalogue = Catalogue()
     for number in range(instances):
         catalogue.register(
@@ -51,7 +53,8 @@
 
 
 async def cost(instances: int, seconds: float, changes: bool) -> dict[str, object]:
-    catalogue = filled(instances)
+    """CPU and memory of the daemon while it watches; with `changes`, of one instance a second."""
+    catalogue = fill_catalogue(instances)
     agent = await Consul(catalogue).start()
     with tempfile.TemporaryDirectory() as folder:
         operator = Path(folder) / "operator.toml"
@@ -60,7 +63,7 @@
             harness.nodes(1, 200) as ports,
             harness.daemon(ports, operator=operator) as daemon,
         ):
-            while not any("index" in asked for asked in agent.requests):
+            while not any("index" in request for request in agent.requests):
                 await asyncio.sleep(0.05)
             await asyncio.sleep(2.0)
             before = harness.cpu_seconds(daemon.pid)
@@ -79,19 +82,22 @@
 
 
 class ListObserver:
+    """Counts the lists that a watch reports."""
+
     def __init__(self) -> None:
-        self.told = 0
+        self.lists = 0
 
     def list_changed(self, listing: Listing) -> None:
-        self.told += 1
+        """Count a list."""
+        self.lists += 1
 
     def list_failed(self, silent: bool = False) -> None: ...
 
 
 async def delay(instances: int) -> dict[str, object]:
-    """From the last byte of an answer with one change until it has been told on."""
+    """Time from the last byte of an answer with one change until the watch has reported it."""
     loop = asyncio.get_running_loop()
-    catalogue, observer, took = filled(instances), ListObserver(), []
+    catalogue, observer, durations = fill_catalogue(instances), ListObserver(), []
     watch = ConsulWatch(
         observer,
         ConsulTable(agents=("127.0.0.1:1",)),
@@ -100,43 +106,49 @@
     )
     watch.start(0)
     for number in range(12):
-        watch._stop_requests()  # answers are handed to it: there is no agent
+        watch._stop_requests()  # there is no agent: answers are passed to the watch directly
         catalogue.check(f"cache-{number}", "critical")
         body = bytearray(json.dumps(catalogue.health_entries("cache")).encode())
-        began = time.perf_counter()
+        started = time.perf_counter()
         watch.answered(200, {"x-consul-index": str(number + 10)}, body, False)
-        took.append(time.perf_counter() - began)
+        durations.append(time.perf_counter() - started)
     watch.stop()
     return {
         "answer_kb": len(body) // 1024,
-        "told": observer.told,
-        "first_ms": round(took[0] * 1000.0, 1),
-        "median_ms": round(statistics.median(took[1:]) * 1000.0, 1),
-        "most_ms": round(max(took[1:]) * 1000.0, 1),
+        "told": observer.lists,
+        "first_ms": round(durations[0] * 1000.0, 1),
+        "median_ms": round(statistics.median(durations[1:]) * 1000.0, 1),
+        "most_ms": round(max(durations[1:]) * 1000.0, 1),
     }
 
 
-def served(outcome: Outcome) -> float:
+def served_share(outcome: Outcome) -> float:
+    """The served share of a run's requests; AssertionError if the run violated a rule."""
     assert not outcome.broken, outcome.broken[0].message
     return outcome.answers.get("served", 0) / outcome.requests
 
 
 def outage(seeds: int) -> dict[str, object]:
-    """60 s without Consul while one node dies, against the same with it."""
+    """Served shares of a run in which a node crashes, with Consul and during an outage of 60 s."""
     rows: dict[str, list[float]] = {"with": [], "without": []}
     for seed in range(seeds):
-        dies = (Fault(10.0, "node_dies", 1, 40.0),)
-        away = tuple(Fault(5.0, "consul_stops", number, 60.0) for number in (0, 1))
-        plan = Plan(seed, 70.0, 6, 8, 20.0, consul=True, faults=dies)
-        rows["with"].append(served(run_plan(plan)))
-        rows["without"].append(served(run_plan(msgspec.structs.replace(plan, faults=away + dies))))
+        crash = (Fault(10.0, "node_dies", 1, 40.0),)
+        outages = tuple(Fault(5.0, "consul_stops", number, 60.0) for number in (0, 1))
+        plan = Plan(seed, 70.0, 6, 8, 20.0, consul=True, faults=crash)
+        rows["with"].append(served_share(run_plan(plan)))
+        rows["without"].append(
+            served_share(run_plan(msgspec.structs.replace(plan, faults=outages + crash)))
+        )
     means = {name: round(statistics.mean(each), 4) for name, each in rows.items()}
     return {"outage_s": 60, "served": means, "lost": round(means["with"] - means["without"], 4)}
 
 
 def flapping(seeds: int) -> dict[str, object]:
-    """A node that flaps every 0.3 s for a minute: its share of the commands by 10 s."""
-    spread: Counter[int] = Counter()
+    """The share of the commands that a node receives, in steps of 10 s; it flaps for a minute.
+
+    A flapping node changes its state every 0.3 s.
+    """
+    at_flapping: Counter[int] = Counter()
     total: Counter[int] = Counter()
     for seed in range(seeds):
         plan = Plan(
@@ -149,43 +161,45 @@
             if " at n" in rest and ", sent " in rest:
                 bin_ = int(float(at) // 10)
                 total[bin_] += 1
-                spread[bin_] += " at n1," in rest
+                at_flapping[bin_] += " at n1," in rest
     return {
         "flaps_from_s": 10,
         "to_s": 70,
-        "share_by_10_s": [round(spread[b] / total[b], 3) for b in range(9)],
+        "share_by_10_s": [round(at_flapping[b] / total[b], 3) for b in range(9)],
     }
 
 
-def wake_up() -> dict[str, object]:
-    """Asks a second after an outage that all heard of at once."""
+def reconnection() -> dict[str, object]:
+    """How evenly the proxies spread their requests for the list after all lose it at one moment."""
     lookup = RequestClass("lookup", 300.0, 600.0, Effect.PURE)
-    asks = []
+    delays = []  # ms
     for seed in range(PROXIES):
         settings = Settings((lookup,), 4, proxies=PROXIES, must_subscribe=True)
         module = Balancer(settings, seed, 0.0)
-        asks += [
+        delays += [
             action.delay
             for action in module.on_list(1.0, ListKind.FAILED, [])
             if isinstance(action, Timer)
         ]
-    bins = Counter(int(at // 250) for at in asks)
-    mean = len(asks) / (max(asks) / 250.0)
+    bins = Counter(int(at // 250) for at in delays)
+    mean = len(delays) / (max(delays) / 250.0)
     return {
         "proxies": PROXIES,
-        "within_s": round(max(asks) / 1000.0, 2),
+        "within_s": round(max(delays) / 1000.0, 2),
         "peak_to_mean_in_250_ms": round(max(bins.values()) / mean, 2),
     }
 
 
-def told(row: dict[str, Any]) -> None:
+def print_row(row: dict[str, Any]) -> None:
+    """Print a result as one line of JSON."""
     print(json.dumps(row), flush=True)
 
 
-async def over_sockets(instances: int, seconds: float) -> None:
+async def measure_watch(instances: int, seconds: float) -> None:
+    """Print the cost of the watch twice without and with changes, by turns; then the delay."""
     for changes in (False, True, False, True):
-        told(await cost(instances, seconds, changes))
-    told(await delay(instances))
+        print_row(await cost(instances, seconds, changes))
+    print_row(await delay(instances))
 
 
 def main() -> int:
@@ -196,10 +210,10 @@
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--seeds", type=int, default=5)
     options = parser.parse_args()
-    asyncio.run(over_sockets(options.instances, options.seconds))
-    told(wake_up())
-    told(outage(options.seeds))
-    told(flapping(options.seeds))
+    asyncio.run(measure_watch(options.instances, options.seconds))
+    print_row(reconnection())
+    print_row(outage(options.seeds))
+    print_row(flapping(options.seeds))
     return 0
 
 
--- a/benchmarks/membership_return.py
+++ b/benchmarks/membership_return.py
@@ -1,10 +1,10 @@
-"""How membership comes back: after a restart of a whole fleet, and at a newcomer with loss.
+"""How long members need to know the whole fleet: after a restart of all, and as newcomers.
 
-    python benchmarks/membership_return.py restart --count 650   # all within 10 s
+    python benchmarks/membership_return.py restart --count 650            # all within 10 s
     python benchmarks/membership_return.py join --count 1300 --loss 0.01   # five newcomers
 
-Members are the daemon's own code on one virtual clock and one network in memory.  Bytes are those
-of the datagrams, sent and received, without the headers of UDP and IP.  Prints one JSON document.
+Members run the daemon's own code on one virtual clock and one in-memory network.  Bytes are those
+of datagrams, sent and received, without the headers of UDP and IP.  Prints one JSON document.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 
 SETTLE_S = 5.0
 RESTART_WITHIN_S = 10.0
-LOOKS_S = (5, 10, 20, 40, 60, 90)  # after the last restart
-LEAST_S = 40  # s after it; what follows is played only where some do not know all yet
+OBSERVED_S = (5, 10, 20, 40, 60, 90)  # after the end of the restarts
+MIN_RUN_S = 40  # likewise; the run continues only while some member does not know all others
 NEWCOMERS, NEWCOMER_EVERY_S = 5, 1.0
-JOIN_LOOKS_S = (5, 10, 20, 30, 40, 60, 90)
+JOIN_OBSERVED_S = (5, 10, 20, 30, 40, 60, 90)  # after a newcomer's start
 
 
 class CountedMembers(VirtualMembers):
@@ -35,11 +35,11 @@
 
     def __init__(self, size: int, loss: float = 0.0, seed: int = 1) -> None:
         super().__init__(size)
-        draw = random.Random(seed)
-        self.received: dict[str, int] = {}  # bytes, by name and life
+        rng = random.Random(seed)
+        self.received: dict[str, int] = {}  # bytes, by name and nonce of the process
         self._salt = seed
         self.kernel.datagram_delays = lambda owner, port: (
-            [] if draw.random() < loss else [DATAGRAM_DELAY_S]
+            [] if rng.random() < loss else [DATAGRAM_DELAY_S]
         )
 
     def add(self) -> Sharing:
@@ -51,18 +51,18 @@
         receive, key = sharing.datagram, f"{sharing.name}/{sharing.life}"
         self.received[key] = 0
 
-        def counted(data: bytes, origin: Address) -> None:
+        def count_and_receive(data: bytes, origin: Address) -> None:
             self.received[key] += len(data)
             receive(data, origin)
 
-        sharing.datagram = counted  # type: ignore[method-assign]
+        sharing.datagram = count_and_receive  # type: ignore[method-assign]
         return sharing
 
     def restart(self, number: int) -> None:
-        """End a member as a daemon does that is told to, and start it anew."""
+        """Stop a member as a daemon does at a regular exit, and start it with a new nonce."""
         old = self.members[number]
         old.close()
-        again = Sharing(
+        restarted = Sharing(
             old.table,
             old._keys,
             old.name,
@@ -72,39 +72,42 @@
             self.hosts[number],
             random.Random(f"{number} again {self._salt}").randbytes(6).hex(),
         )
-        self.members[number] = self.count_bytes(again)
+        self.members[number] = self.count_bytes(restarted)
 
     def bytes_each(self) -> dict[str, int]:
-        """Bytes that each process has sent and received."""
+        """Bytes that each current process has sent and received, by name and nonce."""
         return {
             (key := f"{member.name}/{member.life}"): member.bytes_sent + self.received[key]
             for member in self.members
         }
 
     def known_to(self, sharing: Sharing) -> int:
-        """Members, this one with it, that it knows by their present process."""
+        """Number of members, including itself, whose current process this member knows as up."""
         lives = [(member.name, member.life) for member in self.members]
         return 1 + sum(sharing.members.is_up(name, life) for name, life in lives)
 
 
-class Rates:
-    """The bytes of each member in each second of a run."""
+class ByteRates:
+    """Statistics of the bytes per member and second, updated once a second."""
 
     def __init__(self, fleet: CountedMembers) -> None:
-        self._fleet, self._before = fleet, fleet.bytes_each()
+        self._fleet, self._previous = fleet, fleet.bytes_each()
         self.means: list[float] = []
         self.largest: list[int] = []
 
-    def second(self) -> None:
-        """One second has passed."""
+    def record_second(self) -> None:
+        """Add the second that has just passed."""
         now = self._fleet.bytes_each()
-        used = [total - self._before.get(key, 0) for key, total in now.items()]
-        self._before = now
+        used = [total - self._previous.get(key, 0) for key, total in now.items()]
+        self._previous = now
         self.means.append(statistics.fmean(used))
         self.largest.append(max(used))
 
-    def told(self) -> dict[str, Any]:
-        """Means over the members, of all seconds and of the one with most; the largest member."""
+    def summary(self) -> dict[str, Any]:
+        """Mean bytes per member and second: of the run, of its busiest and of its last second.
+
+        `largest_of_one`: the most of a single member in one second.
+        """
         return {
             "mean": round(statistics.fmean(self.means)),
             "busiest_second": round(max(self.means)),
@@ -114,86 +117,89 @@
 
 
 def restart_all(count: int, seed: int) -> dict[str, Any]:
-    """Every member is restarted within RESTART_WITHIN_S, in a random order."""
+    """Restart all members within RESTART_WITHIN_S in a random order; how many each knows later."""
     fleet = CountedMembers(count, seed=seed)
     fleet.add_all()
     fleet.run(SETTLE_S)
-    draw = random.Random(seed)
-    at = fleet.kernel.now
-    order = draw.sample(range(count), count)
-    for number, when in zip(order, sorted(draw.random() for _ in order), strict=True):
-        fleet.kernel.at(at + when * RESTART_WITHIN_S, partial(fleet.restart, number))
-    rates = Rates(fleet)
+    rng = random.Random(seed)
+    began = fleet.kernel.now
+    order = rng.sample(range(count), count)
+    for number, when in zip(order, sorted(rng.random() for _ in order), strict=True):
+        fleet.kernel.at(began + when * RESTART_WITHIN_S, partial(fleet.restart, number))
+    rates = ByteRates(fleet)
     for _ in range(round(RESTART_WITHIN_S)):
         fleet.run(1.0)
-        rates.second()
-    looks: dict[int, dict[str, Any]] = {}
-    for second in range(1, LOOKS_S[-1] + 1):
+        rates.record_second()
+    observations: dict[int, dict[str, Any]] = {}
+    for second in range(1, OBSERVED_S[-1] + 1):
         fleet.run(1.0)
-        rates.second()
-        if second in LOOKS_S:
+        rates.record_second()
+        if second in OBSERVED_S:
             known = [fleet.known_to(member) for member in fleet.members]
-            looks[second] = {
+            observations[second] = {
                 "mean": round(statistics.fmean(known), 1),
                 "fewest": min(known),
                 "all": sum(each == count for each in known),
             }
-            looks[second]["bytes_per_s"] = rates.told()
-            if second >= LEAST_S and min(known) == count:
+            observations[second]["bytes_per_s"] = rates.summary()
+            if second >= MIN_RUN_S and min(known) == count:
                 break
-    return {"restart": count, "seed": seed, "after_s": looks}
+    return {"restart": count, "seed": seed, "after_s": observations}
 
 
 def join(count: int, loss: float, seed: int) -> dict[str, Any]:
-    """Newcomers, one after another, join a fleet that has run for long."""
+    """Add NEWCOMERS members, one after another, to a long-running fleet.
+
+    Returns when each of them knew all members, and how many each knew at JOIN_OBSERVED_S.
+    """
     fleet = CountedMembers(count, loss, seed)
     fleet.add_all()
     fleet.run(SETTLE_S)
-    began = {}
+    joined_at = {}
     for _ in range(NEWCOMERS):
         newcomer = fleet.add()
-        began[newcomer.name] = fleet.kernel.now
+        joined_at[newcomer.name] = fleet.kernel.now
         fleet.run(NEWCOMER_EVERY_S)
     newcomers = fleet.members[count:]
     known: dict[str, dict[int, int]] = {each.name: {} for each in newcomers}
-    whole: dict[str, float | None] = {each.name: None for each in newcomers}
-    for _ in range(JOIN_LOOKS_S[-1] + NEWCOMERS):
+    complete_after: dict[str, float | None] = {each.name: None for each in newcomers}
+    for _ in range(JOIN_OBSERVED_S[-1] + NEWCOMERS):
         for each in newcomers:
-            age = round(fleet.kernel.now - began[each.name])
+            age = round(fleet.kernel.now - joined_at[each.name])
             size = each.members.size
-            if age in JOIN_LOOKS_S:
+            if age in JOIN_OBSERVED_S:
                 known[each.name][age] = size
-            if whole[each.name] is None and size == count + NEWCOMERS:
-                whole[each.name] = age
-        if None not in whole.values():
+            if complete_after[each.name] is None and size == count + NEWCOMERS:
+                complete_after[each.name] = age
+        if None not in complete_after.values():
             break
         fleet.run(1.0)
     return {
         "join": count,
         "loss": loss,
         "seed": seed,
-        "knows_all_after_s": [*whole.values()],
+        "knows_all_after_s": [*complete_after.values()],
         "known": {
-            look: sorted(each[look] for each in known.values() if look in each)
-            for look in JOIN_LOOKS_S
+            second: sorted(each[second] for each in known.values() if second in each)
+            for second in JOIN_OBSERVED_S
         },
     }
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Play one of the two and print what was seen."""
+    """Run one of the two measurements and print its result."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("what", choices=("restart", "join"))
     parser.add_argument("--count", type=int, default=650)
     parser.add_argument("--loss", type=float, default=0.01)
     parser.add_argument("--seed", type=int, default=1)
-    asked = parser.parse_args(arguments)
-    if asked.what == "restart":
-        seen = restart_all(asked.count, asked.seed)
+    options = parser.parse_args(arguments)
+    if options.what == "restart":
+        result = restart_all(options.count, options.seed)
     else:
-        seen = join(asked.count, asked.loss, asked.seed)
-    seen["cpu_s"] = round(resource.getrusage(resource.RUSAGE_SELF).ru_utime, 1)
-    print(json.dumps(seen))
+        result = join(options.count, options.loss, options.seed)
+    result["cpu_s"] = round(resource.getrusage(resource.RUSAGE_SELF).ru_utime, 1)
+    print(json.dumps(result))
 
 
 if __name__ == "__main__":
--- a/benchmarks/mixed.py
+++ b/benchmarks/mixed.py
@@ -1,7 +1,8 @@
-"""A mixed fleet before many quiet proxies, on the virtual clock: what planned shares are worth.
+"""Simulates a mixed fleet behind many proxies with little traffic, with even or planned shares.
 
-Many proxies that each see a few requests a second: that is where least local load knows little of
-which node is large, and where weights are set by hand today.
+If each proxy has only a few requests per second, its own counts of load say little about which
+nodes are large, so choosing the least loaded node is not enough.  This is where operators set
+weights by hand today.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 from collections import Counter
 from dataclasses import dataclass, replace
 
-import harness  # noqa: F401  (puts the checkout on the path)
+import harness  # noqa: F401  (makes the packages of this checkout importable)
 
 from limebridge.placement.fleet import Fleet, parse_fleet
 from limebridge.placement.plan import make_plan
@@ -31,37 +32,41 @@
 from violetroute.proxy import Proxy
 
 PROXIES = 24
-RATE = 0.72  # of the fleet's capacity
-WORK = 0.09  # s on a core of speed 1
-KINDS = {"fast": (6, 1.3), "standard": (6, 0.97), "old": (7, 0.7)}  # cores, speed: the brief's
+LOAD_FACTOR = 0.72  # of the fleet's capacity
+WORK_S = 0.09  # of a request, on a core of speed 1
+# Cores and their speed, as specified for the project.
+MACHINE_KINDS = {"fast": (6, 1.3), "standard": (6, 0.97), "old": (7, 0.7)}
 SITES = ("catania-nord", "acireale", "paterno")
-WARM = 6.0  # s before anything is counted
+WARM_UP_S = 6.0  # not counted
 CLASS = {"name": "lookup", "promiseMs": 300.0, "deadlineMs": 600.0, "effect": "pure", "worth": 2.0}
 
 
 @dataclass(frozen=True)
 class LoadResult:
-    in_time: float  # share of what was asked, within 300 ms
-    p99: float  # s, of what was served
-    busiest: float  # arrivals at the node with most for its capacity, as a share of it
-    least_busy: float
+    """Statistics of a run after its warm-up."""
+
+    in_time: float  # share of all requests, served within 300 ms
+    p99: float  # s, of the served requests
+    busiest: float  # highest utilization: arrivals per second at a node, divided by its capacity
+    least_busy: float  # lowest utilization
     fetches: int  # from the customer database
-    off_plan: float  # share of the arrivals that went elsewhere than the capacities say
+    off_plan: float  # share of the arrivals that deviate from the nodes' shares of the capacity
 
 
 def fleet() -> Fleet:
-    """Three kinds of machines at three sites, one of each."""
+    """The fleet file: three sites, each with one machine of each of three kinds."""
     return parse_fleet(
         {
-            "load": {"requests_per_s": rate(), "work_ms": WORK * 1000.0, "busiest": 0.85},
+            "load": {"requests_per_s": rate(), "work_ms": WORK_S * 1000.0, "busiest": 0.85},
             "sites": {site: {} for site in SITES},
             "kinds": {
-                kind: {"cores": cores, "speed": speed} for kind, (cores, speed) in KINDS.items()
+                kind: {"cores": cores, "speed": speed}
+                for kind, (cores, speed) in MACHINE_KINDS.items()
             },
             "nodes": [
                 {"name": f"{site}-{kind}", "site": site, "kind": kind}
                 for site in SITES
-                for kind in KINDS
+                for kind in MACHINE_KINDS
             ],
             "lost": [{"name": "a site", "any": "site", "busiest": 1.3}],
         },
@@ -70,24 +75,31 @@
 
 
 def rate() -> float:
-    return RATE * len(SITES) * sum(cores * speed / WORK for cores, speed in KINDS.values())
+    """Requests per second of all proxies together."""
+    return (
+        LOAD_FACTOR
+        * len(SITES)
+        * sum(cores * speed / WORK_S for cores, speed in MACHINE_KINDS.values())
+    )
 
 
 def solve_plan() -> Plan:
-    found = solve(fleet())
-    assert found is not None
-    return make_plan(found.model.fleet, found.shares, 0.0)
+    """The plan that the placement solver makes for the fleet."""
+    solution = solve(fleet())
+    assert solution is not None
+    return make_plan(solution.model.fleet, solution.shares, 0.0)
 
 
-class Seen:
-    """The witness of all nodes."""
+class ArrivalCounter:
+    """An observer that counts the arrivals at each node after the warm-up."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop, self.arrivals = loop, Counter[str]()
-        self.counts_from = loop.time() + WARM
+        self.counted_from = loop.time() + WARM_UP_S
 
     def arrived(self, at: float, node: str, id_: str, sent_at: float) -> None:
-        if at >= self.counts_from:
+        """Count an arrival after the warm-up."""
+        if at >= self.counted_from:
             self.arrivals[node] += 1
 
     def accepted(self, at: float, node: str, id_: str) -> None: ...
@@ -96,7 +108,10 @@
 
 
 def run_load(seed: int, seconds: float, plan: Plan | None, lost: bool) -> LoadResult:
-    """One run of `seconds` after the warm-up; with `lost` a site dies when it begins."""
+    """Run the load for `seconds` after the warm-up, with a plan or with even shares (None).
+
+    With `lost`, all nodes of the last site crash at the end of the warm-up.
+    """
     kernel = Kernel(seed)
     loop = VirtualLoop(kernel)
     logging.getLogger("violetroute").setLevel(logging.CRITICAL)
@@ -113,21 +128,21 @@
 async def _run_load(
     kernel: Kernel, loop: VirtualLoop, seed: int, seconds: float, plan: Plan | None, lost: bool
 ) -> LoadResult:
-    seen = Seen(loop)
+    counter = ArrivalCounter(loop)
     database = CustomerDatabase(concurrency=64, latency=0.05, queue_limit=1024, seed=seed)
     nodes: list[FleetNode] = []
     for site in SITES:
-        for kind, (cores, speed) in KINDS.items():
+        for kind, (cores, speed) in MACHINE_KINDS.items():
             name = f"{site}-{kind}"
             node = FleetNode(
                 name,
                 database,
                 IdempotencyKeys(2.0),
-                seen,
+                counter,
                 f"{seed}/{name}",
                 slots=cores,
                 queue_limit=4 * cores,
-                service_time=WORK / speed,
+                service_time=WORK_S / speed,
             )
             await node.start()
             nodes.append(node)
@@ -137,7 +152,7 @@
         site, _, kind = node.name.rpartition("-")
         return node.entry(node.name, lifecycle, zone=site, machineType=kind)
 
-    proxies, crowds = [], []
+    proxies, generators = [], []
     for number in range(PROXIES):
         raw = configuration(
             discovery.port,
@@ -157,21 +172,24 @@
         )
         port = listener.start(config.listen).port
         proxies.append((proxy, listener))
-        crowds.append(LoadGenerator(port, 4, seed=seed * PROXIES + number, keys=2_000))
-    for crowd in crowds:
-        await crowd.connect()
-    plays = [loop.create_task(crowd.run(rate() / PROXIES, WARM + seconds)) for crowd in crowds]
-    await asyncio.sleep(WARM)
+        generators.append(LoadGenerator(port, 4, seed=seed * PROXIES + number, keys=2_000))
+    for generator in generators:
+        await generator.connect()
+    load_tasks = [
+        loop.create_task(generator.run(rate() / PROXIES, WARM_UP_S + seconds))
+        for generator in generators
+    ]
+    await asyncio.sleep(WARM_UP_S)
     if lost:
         for node in nodes:
             if node.name.startswith(SITES[-1]):
                 await node.crash()
                 discovery.publish(entry(node, "terminated"))
-    await asyncio.gather(*plays)
-    for crowd in crowds:
-        await crowd.wait_for_answers()
-        crowd.close()
-    result = _result(crowds, nodes, seen, database, seconds, lost)
+    await asyncio.gather(*load_tasks)
+    for generator in generators:
+        await generator.wait_for_answers()
+        generator.close()
+    result = _result(generators, nodes, counter, database, seconds, lost)
     for proxy, listener in proxies:
         await listener.drain(1.0)
         proxy.close()
@@ -183,25 +201,35 @@
 
 
 def _result(
-    crowds: list[LoadGenerator],
+    generators: list[LoadGenerator],
     nodes: list[FleetNode],
-    seen: Seen,
+    counter: ArrivalCounter,
     database: CustomerDatabase,
     seconds: float,
     lost: bool,
 ) -> LoadResult:
-    asks = [ask for crowd in crowds for ask in crowd.finished if ask.sent_at >= seen.counts_from]
-    served = sorted(ask.ended_at - ask.sent_at for ask in asks if ask.outcome == "served")
-    here = [node for node in nodes if not (lost and node.name.startswith(SITES[-1]))]
-    whole = sum(node.capacity for node in here)
-    busy = [seen.arrivals[node.name] / seconds / node.capacity for node in here]
-    total = sum(seen.arrivals[node.name] for node in here)
+    requests = [
+        request
+        for generator in generators
+        for request in generator.finished
+        if request.sent_at >= counter.counted_from
+    ]
+    latencies = sorted(
+        request.ended_at - request.sent_at for request in requests if request.outcome == "served"
+    )
+    remaining = [node for node in nodes if not (lost and node.name.startswith(SITES[-1]))]
+    capacity = sum(node.capacity for node in remaining)
+    utilizations = [counter.arrivals[node.name] / seconds / node.capacity for node in remaining]
+    arrivals = sum(counter.arrivals[node.name] for node in remaining)
     return LoadResult(
-        in_time=sum(time <= 0.3 for time in served) / max(1, len(asks)),
-        p99=served[int(0.99 * len(served))] if served else 0.0,
-        busiest=max(busy),
-        least_busy=min(busy),
+        in_time=sum(latency <= 0.3 for latency in latencies) / max(1, len(requests)),
+        p99=latencies[int(0.99 * len(latencies))] if latencies else 0.0,
+        busiest=max(utilizations),
+        least_busy=min(utilizations),
         fetches=database.fetches,
-        off_plan=sum(abs(seen.arrivals[node.name] / total - node.capacity / whole) for node in here)
+        off_plan=sum(
+            abs(counter.arrivals[node.name] / arrivals - node.capacity / capacity)
+            for node in remaining
+        )
         / 2,
     )
