--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -245,10 +245,10 @@
     costs = []
     for _ in range(5):
         start = time.process_time()
-        for number in range(rounds):
+        for index in range(rounds):
             sharing.admits("t", "lookup")
-            sharing.record_request("t", keys[number % 10_000])
-            sharing.record_attempt(number % NODES, Result.OK)
+            sharing.record_request("t", keys[index % 10_000])
+            sharing.record_attempt(index % NODES, Result.OK)
         costs.append((time.process_time() - start) / rounds * 1e6)
     return {"us_a_request": round(statistics.median(costs), 2)}
 
