--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -136,8 +136,7 @@
     """Time until the members avoid a node that fails all requests from `calm` seconds on.
 
     Each member makes a request every REQUEST_INTERVAL on average.  `s`: quantiles of the time (s)
-    over the members.  `false_looks`: healthy nodes that are avoided, summed
-    over all requests.
+    over the members.  `false_looks`: healthy nodes that are avoided, summed over all requests.
     """
     fleet = EmulatedFleet(count)
     nodes = [Member(number, CacheState.READY, started_at=1.0) for number in range(1, NODES + 1)]
