--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -245,7 +245,7 @@
         while True:
             sides = [Sketch.of(side, capacity) for side in (ours, theirs)]
             sent_bytes += sides[0].table.cells * 20
-            found = sides[0].against(sides[1])
+            found = sides[0].compare(sides[1])
             if not isinstance(found, int):
                 break
             retries, capacity = retries + 1, found
@@ -280,7 +280,7 @@
         some = np.random.default_rng(salt).integers(0, 2**64, 2000, np.uint64)
         estimate = Strata(some).differ(Strata(some[100:]))
         sides = [Sketch.of(side, int(estimate * 1.5)) for side in (some, some[100:])]
-        too_small += isinstance(sides[0].against(sides[1]), int)
+        too_small += isinstance(sides[0].compare(sides[1]), int)
     table["fell back, of 200 with 100 that differ"] = too_small
     return table
 
@@ -360,16 +360,16 @@
     """Kill real daemons; after the corrections, billed and served units must not differ."""
     with tempfile.TemporaryDirectory() as folder:
         report = await run_kills(Path(folder), kills=30, seconds=45.0)
-    assert report.before is not None and report.after is not None
+    assert report.uncorrected is not None and report.corrected is not None
     return {
         "kills": report.kills,
         "served": sum(report.served.values()),
         "posts": report.posts,
-        "doubled": report.doubled,
-        "short_before": report.before.short,
-        "moved": report.before.moved,
-        "differ_after": len(report.after.differences),
-        "held": not report.doubled and not report.after.differences,
+        "doubled": report.excess,
+        "short_before": report.uncorrected.short,
+        "moved": report.uncorrected.moved,
+        "differ_after": len(report.corrected.differences),
+        "held": not report.excess and not report.corrected.differences,
     }
 
 
--- a/limebridge/fleet/command.py
+++ b/limebridge/fleet/command.py
@@ -1,4 +1,4 @@
-"""`limebridge fleet`: owners of works, and the valid entries of a work's log."""
+"""`limebridge fleet`: owners of works, entries of their logs, and queries to a proxy."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from violetroute.fleet.table import FleetTable
 
 from . import introspection
-from .reading import UnreadableStoreError, entries, owned
+from .reading import UnreadableStoreError, read_log, work_leases
 
-app = typer.Typer(no_args_is_help=True, help="Works on behalf of the fleet; who is there.")
+app = typer.Typer(no_args_is_help=True, help="Works on behalf of the fleet; its members.")
 for view_command in (introspection.members, introspection.beliefs, introspection.budgets):
     app.command()(view_command)
 OperatorFile = Annotated[
@@ -33,6 +33,7 @@
 
 
 def _table(path: Path) -> FleetTable:
+    """The table [fleet] of the operator's file; exits with code 2 if it is invalid or off."""
     try:
         table = load_operator(str(path)).fleet
     except ConfigError as error:
@@ -48,7 +49,7 @@
 def owners(operator: OperatorFile, as_json: Json = False) -> None:
     """List each work with its owner, fence, state, start and remaining lease time."""
     try:
-        rows = owned(_table(operator))
+        rows = work_leases(_table(operator))
     except (UnreadableStoreError, OSError) as error:
         typer.echo(f"limebridge: {printable(error)}", err=True)
         raise typer.Exit(1) from None
@@ -78,11 +79,11 @@
 def log(work: str, operator: OperatorFile, as_json: Json = False) -> None:
     """Print the valid entries of a work's log: bills, beat counts, completed deliveries."""
     try:
-        found, read = entries(_table(operator), work)
+        entries, fenced_log = read_log(_table(operator), work)
     except (UnreadableStoreError, OSError) as error:
         typer.echo(f"limebridge: {printable(error)}", err=True)
         raise typer.Exit(1) from None
-    for position, record in found:
+    for position, record in entries:
         body = msgspec.json.encode(record.body).decode()
         if as_json:
             print(
@@ -99,6 +100,6 @@
             print(printable(f"{position:8}  {record.fence:5}  {record.name:12}  {body[:200]}"))
     if not as_json:
         print(
-            f"{read.entries} entries, {read.ignored} ignored positions, last fence "
-            f"{read.guard.fence}"
+            f"{fenced_log.entries} entries, {fenced_log.ignored} ignored positions, last fence "
+            f"{fenced_log.guard.fence}"
         )
--- a/limebridge/fleet/introspection.py
+++ b/limebridge/fleet/introspection.py
@@ -1,4 +1,4 @@
-"""`limebridge fleet members | beliefs | budgets`: queries a proxy on this machine."""
+"""`limebridge fleet members | beliefs | budgets`: queries to a proxy on this machine."""
 
 from __future__ import annotations
 
@@ -46,6 +46,7 @@
 
 
 def _query(operator: Path, query: str) -> dict[str, Any]:
+    """Queries the proxy of this operator's file; exits with code 2 or 1 on an error."""
     try:
         table = load_operator(str(operator)).sharing
         if not table.socket:
--- a/limebridge/fleet/reading.py
+++ b/limebridge/fleet/reading.py
@@ -1,4 +1,4 @@
-"""Reads leases and logs from the store without changing it; the proxies may be running."""
+"""Reads the fleet's leases and logs from their store, without changes; proxies may be running."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
 from violetroute.fleet.table import FleetTable
 from violetroute.transport.sockets import SocketNetwork, wall
 
+# The identity with which the store is opened; it never acquires a lease.
 READER = IncarnationId("limebridge fleet", "looks-only")
 
 
@@ -24,58 +25,65 @@
 
 
 @dataclass(frozen=True)
-class Owned:
-    """A work and its lease."""
+class WorkLease:
+    """A work of the fleet and its lease; `limebridge fleet owners --json` prints these fields."""
 
     work: str
-    owner: str
+    owner: str  # name of the proxy
     fence: int
-    state: str  # "owned", "free", "its process has ended", or why it can't be read
-    since: float = 0.0  # Unix s
+    state: str  # "owned", "free", "its process has ended", or why the lease can't be read
+    since: float = 0.0  # start of the lease's term, Unix s
     # Remaining lease time.  None if no process owns the work, or if the store is Consul.
     left_s: float | None = None
 
 
-def view(table: FleetTable) -> StoreView:
-    """Reads all leases.  Raises UnreadableStoreError when the store does not exist or reply."""
+def read_view(table: FleetTable) -> StoreView:
+    """Reads all leases.
+
+    Raises UnreadableStoreError when the store's folder does not exist or Consul gives no reply.
+    """
     if table.store == "folder":
         if not Path(table.folder).is_dir():
             raise UnreadableStoreError(f"{table.folder}: no such folder")
         return FolderStore(Path(table.folder), READER, wall).read_view()
-    found: StoreView = _call_consul(table, lambda store, callback: store.poll(callback))
-    return found
+    view: StoreView = _call_consul(table, lambda store, callback: store.poll(callback))
+    return view
 
 
-def owned(table: FleetTable) -> list[Owned]:
-    """All works with a lease record in the store, sorted by name.
+def work_leases(table: FleetTable) -> list[WorkLease]:
+    """Returns all works with a lease record in the store, sorted by name.
 
-    A folder's remaining lease time is counted from the newest modification of the lease files.
+    The remaining time of a lease in a folder is counted from the newest modification time of the
+    work's lease files.  Raises UnreadableStoreError as `read_view` does.
     """
-    seen = view(table)
-    rows = [Owned(work, "", 0, reason) for work, reason in seen.unreadable.items()]
-    for work, lease in seen.leases.items():
+    view = read_view(table)
+    rows = [WorkLease(work, "", 0, reason) for work, reason in view.unreadable.items()]
+    for work, lease in view.leases.items():
         state = (
             "free"
             if lease.free
             else "its process has ended"
-            if lease.nonce in seen.dead
+            if lease.nonce in view.dead
             else "owned"
         )
-        left = None
+        left_s = None
         if state == "owned" and table.store == "folder":
-            at = max(
+            renewed_at = max(
                 (path.stat().st_mtime for path in Path(table.folder, "lease").glob(f"{work}@*")),
                 default=0.0,
             )
-            left = max(0.0, at + table.term_s - wall())
-        rows.append(Owned(work, lease.name, lease.fence, state, lease.since, left))
+            left_s = max(0.0, renewed_at + table.term_s - wall())
+        rows.append(WorkLease(work, lease.name, lease.fence, state, lease.since, left_s))
     return sorted(rows, key=lambda row: row.work)
 
 
-def entries(table: FleetTable, work: str) -> tuple[list[tuple[int, Record]], FencedLog]:
-    """The valid entries of a work's log with their positions, and the log after reading them."""
-    found: list[tuple[int, Record]] = []
-    log = FencedLog(work, lambda position, record: found.append((position, record)))
+def read_log(table: FleetTable, work: str) -> tuple[list[tuple[int, Record]], FencedLog]:
+    """Returns the valid entries of a work's log with their positions, and the log's final state.
+
+    Raises UnreadableStoreError when Consul gives no reply.
+    """
+    entries: list[tuple[int, Record]] = []
+    log = FencedLog(work, lambda position, record: entries.append((position, record)))
 
     def steps() -> Steps:
         yield from read_to_end(log)
@@ -85,7 +93,7 @@
         FolderStore(Path(table.folder), READER, wall).run(steps())
     else:
         _call_consul(table, lambda store, callback: store.run(steps(), callback))
-    return found, log
+    return entries, log
 
 
 def _call_consul(table: FleetTable, operation: Callable[[ConsulStore, Any], None]) -> Any:
--- a/limebridge/ledger/command.py
+++ b/limebridge/ledger/command.py
@@ -16,8 +16,8 @@
 from violetroute.ledger.periods import Periods
 from violetroute.ledger.store import SIGNED_PREFIX
 
-from .reading import Reading, dry_run, read
-from .reading import verify as verify_reading
+from .reading import LedgerContents, dry_run, read_ledger
+from .reading import verify as verify_contents
 from .reconcile import Exported, corrections, read_served
 from .reconcile import reconcile as reconcile_lines
 from .report import OTHERS, html
@@ -45,14 +45,16 @@
     return Console(markup=False, highlight=False)
 
 
-def _reading(folder: Path, zone: str = "UTC", minutes: int = 15) -> Reading:
+def _read(folder: Path, zone: str = "UTC", minutes: int = 15) -> LedgerContents:
+    """Reads a ledger's folder; exits with status 2 if it can't be read."""
     try:
-        return read(folder, Periods(zone, minutes))
+        return read_ledger(folder, Periods(zone, minutes))
     except (OSError, ValueError) as error:
         _stop(error)
 
 
 def _name(tenant: str | None) -> str:
+    """The tenant's name for a terminal: unprintable characters are replaced by "?"."""
     return OTHERS if tenant is None else "".join(c if c.isprintable() else "?" for c in tenant)
 
 
@@ -65,16 +67,16 @@
     ] = None,
 ) -> None:
     """Show totals by tenant, class and day, billed or not."""
-    reading = _reading(folder)
-    units = reading.by_day()
-    book = reading.book
+    contents = _read(folder)
+    units = contents.by_day()
+    book = contents.book
     if report is not None:
-        report.write_text(html(units, reading.name, verify_reading(reading, folder)))
+        report.write_text(html(units, contents.name, verify_contents(contents, folder)))
     summary = {
-        "ledger": reading.name,
+        "ledger": contents.name,
         "incarnation": book.incarnation,
         "units": sum(units.values()),
-        "confirmed": len(reading.exported.batches),
+        "confirmed": len(contents.exported.batches),
         "to_export": sum(batch.state != "held" for batch in book.batches.values()),
         "held": sum(batch.state == "held" for batch in book.batches.values()),
         "gaps": [list(gap) for gap in book.gaps],
@@ -104,7 +106,7 @@
 @app.command()
 def verify(folder: LedgerFolder, as_json: AsJson = False) -> None:
     """List inconsistencies and times when the ledger is incomplete; exit status 1 if any."""
-    wrong = verify_reading(_reading(folder), folder)
+    wrong = verify_contents(_read(folder), folder)
     print(json.dumps({"wrong": wrong}) if as_json else "\n".join(wrong) or "all adds up")
     raise typer.Exit(1 if wrong else 0)
 
@@ -122,10 +124,11 @@
     """Print the batches that are to be exported, as JSON lines."""
     if not dry:
         _stop("only the proxy exports its batches; --dry-run shows them")
-    typer.echo(dry_run(_reading(folder)).decode(), nl=False)
+    typer.echo(dry_run(_read(folder)).decode(), nl=False)
 
 
 def _exported(paths: list[Path]) -> Exported:
+    """Reads files, and all *.jsonl files of folders; exits with status 2 if one can't be read."""
     found = Exported()
     for path in paths:
         for each in sorted(path.glob("*.jsonl")) if path.is_dir() else [path]:
@@ -269,7 +272,7 @@
     from .sketch import Sketch
 
     try:
-        found = Sketch.load(ours.read_bytes()).against(Sketch.load(theirs.read_bytes()))
+        found = Sketch.load(ours.read_bytes()).compare(Sketch.load(theirs.read_bytes()))
     except (OSError, ValueError) as error:
         _stop(error)
     if isinstance(found, int):
--- a/limebridge/ledger/kills.py
+++ b/limebridge/ledger/kills.py
@@ -1,10 +1,10 @@
-"""Kills real proxies with ledgers at random, restarts them and reconciles what they billed.
+"""Kills real proxies with ledgers at random, restarts them, and reconciles their billed units.
 
-Two daemon processes serve clients, with stand-in nodes that record what they serve and a billing
-endpoint with injected faults.  At the end the billed units are reconciled with the nodes' records,
-corrections are signed, and the result is reconciled again.  The daemons' wall clock (of the
-transport interface), which delimits periods, runs SPEED times as fast as real time: twenty minutes
-pass in seconds.
+Two daemon processes serve clients.  Stand-in nodes record the requests that they serve, and a
+billing endpoint injects faults.  At the end the billed units are reconciled with the nodes'
+records, corrections are signed, and the units are reconciled again.  The daemons' wall clock (of
+the transport interface) delimits the billing periods.  It runs SPEED times as fast as real time, so
+twenty minutes pass in seconds.
 """
 
 from __future__ import annotations
@@ -47,15 +47,15 @@
 
 
 @dataclass
-class Report:
+class KillReport:
     """Results of a run."""
 
     served: Counter[Line] = field(default_factory=Counter)  # units by the nodes' records
-    before: Reconciliation | None = None  # reconciliation before the corrections
-    after: Reconciliation | None = None  # reconciliation after the corrections
+    uncorrected: Reconciliation | None = None  # before the corrections
+    corrected: Reconciliation | None = None  # after the corrections
     kills: int = 0
-    posts: int = 0
-    doubled: int = 0  # units billed but not served, before the corrections
+    posts: int = 0  # requests to the billing endpoint
+    excess: int = 0  # units billed but not served, before the corrections
 
 
 class _TestBed:
@@ -105,9 +105,9 @@
         )
 
     async def client(self, name: str, number: int) -> None:
-        """Sends requests until the load stops.
+        """Sends requests to a proxy until the load stops.
 
-        A request that fails since its proxy was killed is not repeated; the client reconnects.
+        When the proxy is killed, the client does not repeat the failed request and reconnects.
         """
         rng = random.Random(f"{name}/{number}")
         while not self.stopping:
@@ -135,22 +135,24 @@
                 await asyncio.sleep(0.05)
 
     async def kill_and_restart(self, name: str) -> None:
+        """Sends SIGKILL to a proxy, waits for its end and starts it again."""
         process = self.running[name]
         process.send_signal(signal.SIGKILL)
         await process.wait()
         await self.start(name)
 
     def billed(self) -> Counter[Line]:
+        """Units that the billing endpoint has accepted."""
         return Counter(self.billing.billed)
 
     async def reconcile_when_idle(self, served: Counter[Line]) -> Reconciliation:
-        """Waits until everything due has been exported, then reconciles."""
+        """Waits until all due batches have been exported, then reconciles."""
         periods, until = Periods("UTC", 5), time.monotonic() + TIMEOUT_S
-        last, since = -1, time.monotonic()
+        last_posts, since = -1, time.monotonic()
         while time.monotonic() < until:
-            # No post for two periods and a second, which covers grace_s: no batch is due any more.
-            if self.billing.posts != last:
-                last, since = self.billing.posts, time.monotonic()
+            # Without a post for two periods and 1 s, a time that covers grace_s, no batch is due.
+            if self.billing.posts != last_posts:
+                last_posts, since = self.billing.posts, time.monotonic()
             if time.monotonic() - since > 2.0 * 300.0 / SPEED + 1.0:
                 break
             await asyncio.sleep(0.1)
@@ -159,8 +161,8 @@
     async def reconcile_until_equal(self, served: Counter[Line]) -> Reconciliation:
         """Reconciles until nothing differs or TIMEOUT_S has passed.
 
-        Used after signing corrections.  Waiting for a time without posts is not enough, since on a
-        busy machine a proxy may check its folder late.
+        Used after the corrections are signed.  A wait for a time without posts is not enough then,
+        since on a busy machine a proxy may check its folder for corrections late.
         """
         periods, until = Periods("UTC", 5), time.monotonic() + TIMEOUT_S
         while (
@@ -182,12 +184,12 @@
         await self.billing.stop()
 
 
-async def run_kills(folder: Path, kills: int, seconds: float, seed: int = 1) -> Report:
+async def run_kills(folder: Path, kills: int, seconds: float, seed: int = 1) -> KillReport:
     """Runs about `seconds` of load with `kills` kills, then reconciles and signs corrections.
 
-    The proxies are given time to export before and after the corrections.
+    Before each reconciliation it waits, at most TIMEOUT_S, for the proxies to export.
     """
-    bed, report = _TestBed(folder, seed), Report()
+    bed, report = _TestBed(folder, seed), KillReport()
     await bed.open()
     clients: list[asyncio.Task[None]] = []
     try:
@@ -206,14 +208,14 @@
         bed.billing.fault = lambda: ""
         periods = Periods("UTC", 5)
         report.served, _ = read_served(bed.served.rows, periods, "nodes")
-        report.before = await bed.reconcile_when_idle(report.served)
-        report.doubled = report.before.long
+        report.uncorrected = await bed.reconcile_when_idle(report.served)
+        report.excess = report.uncorrected.long
         for name in PROXIES:
-            if any(d.proxy == name for d in report.before.differences):
+            if any(d.proxy == name for d in report.uncorrected.differences):
                 Folder(folder / "ledgers" / name).put(
-                    f"{SIGNED_PREFIX}0.json", corrections(report.before, name, "the operator")
+                    f"{SIGNED_PREFIX}0.json", corrections(report.uncorrected, name, "the operator")
                 )
-        report.after = await bed.reconcile_until_equal(report.served)
+        report.corrected = await bed.reconcile_until_equal(report.served)
         report.posts = bed.billing.posts
     finally:
         bed.stopping = True
--- a/limebridge/ledger/reading.py
+++ b/limebridge/ledger/reading.py
@@ -1,4 +1,4 @@
-"""Reads the folder of a ledger without changing it; its proxy may be running."""
+"""Reads and checks the folder of a ledger without changing it; its proxy may be running."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 @dataclass
-class Reading:
+class LedgerContents:
     """Contents of a ledger's folder."""
 
-    book: Book
+    book: Book  # from the newest readable log
     exported: Exported  # confirmed batches, from the archive
-    file: str = ""
+    file: str = ""  # name of that log
     notes: list[str] = field(default_factory=list)  # inconsistencies found while reading
 
     @property
@@ -30,7 +30,7 @@
         return self.book.name
 
     def by_day(self) -> Counter[tuple[str, str | None, str]]:
-        """Units by UTC day, tenant (None: others) and class, billed or not."""
+        """Returns units by UTC day (ISO date), tenant (None: others) and class, billed or not."""
         from datetime import UTC, datetime
 
         found: Counter[tuple[str, str | None, str]] = Counter()
@@ -43,14 +43,14 @@
         for batch in self.book.batches.values():
             for tenant, cls, units in batch.lines:
                 add(batch.period, tenant, cls, units)
-        for period, of in self.book.unbatched_units.items():
-            for (tenant, cls), units in of.items():
+        for period, by_tenant in self.book.unbatched_units.items():
+            for (tenant, cls), units in by_tenant.items():
                 add(period, tenant, cls, units)
         return found
 
 
-def read(folder: Path, periods: Periods) -> Reading:
-    """Reads the newest log with a valid checkpoint, spilled batches and the archive.
+def read_ledger(folder: Path, periods: Periods) -> LedgerContents:
+    """Reads the newest log that begins with a valid checkpoint, spilled batches and the archive.
 
     Raises ValueError when the folder has no ledger or no readable log.
     """
@@ -61,62 +61,65 @@
     )
     if not logs:
         raise ValueError(f"{folder}: no ledger")
-    reading = Reading(Book(periods), Exported())
+    contents = LedgerContents(Book(periods), Exported())
     for path in logs:
         data = path.read_bytes()
         found = decode(data)
         if found.records and found.records[0][0] == "state":
             for record in found.records:
-                reading.book.apply(record)
-            reading.file = path.name
+                contents.book.apply(record)
+            contents.file = path.name
             if found.error:
-                reading.notes.append(
+                contents.notes.append(
                     f"{path.name}: {found.error}, {len(data) - found.valid_bytes} bytes "
                     "after it are ignored"
                 )
             break
-        reading.notes.append(f"{path.name}: {found.error or 'no checkpoint'}")
+        contents.notes.append(f"{path.name}: {found.error or 'no checkpoint'}")
     else:
         raise ValueError(f"{folder}: no readable log")
-    for batch in reading.book.batches.values():
+    for batch in contents.book.batches.values():
         if batch.spilled_units is not None:
             spilled = decode((folder / f"batch-{batch.seq}").read_bytes()).records
-            reading.book.apply(["back", batch.seq, spilled[0][1] if spilled else []])
+            contents.book.apply(["back", batch.seq, spilled[0][1] if spilled else []])
     for path in sorted(folder.glob("closed-*")):
         for frame in read_archive_frames(path.read_bytes()):
-            reading.exported.add(frame.decode("utf-8", "replace"), path.name)
-    return reading
+            contents.exported.add(frame.decode("utf-8", "replace"), path.name)
+    return contents
 
 
-def verify(reading: Reading, folder: Path) -> list[str]:
-    """Lists inconsistencies of the archive and the ids with the book, held batches and gaps."""
-    book, wrong = reading.book, list(reading.notes) + list(reading.exported.problems)
+def verify(contents: LedgerContents, folder: Path) -> list[str]:
+    """Returns one line per problem.
+
+    Problems are differences of the archive or the ids from the book, held batches, and gaps.
+    """
+    book, problems = contents.book, list(contents.notes) + list(contents.exported.problems)
     archived_units: Counter[int] = Counter()
-    for (_, period, _, _), units in reading.exported.units.items():
+    for (_, period, _, _), units in contents.exported.units.items():
         archived_units[period] += units
     for period, units in book.confirmed_units.items():
         if archived_units[period] != units:
-            wrong.append(
+            problems.append(
                 f"period {period}: {units} units confirmed, {archived_units[period]} in the archive"
             )
     for batch in book.batches.values():
         if batch.state == "held":
-            wrong.append(f"{batch.key}: {batch.units} units held: {batch.reason}")
-    for since, until, why in book.gaps:
-        wrong.append(f"incomplete from {since:.1f} to {until:.1f}: {why}")
+            problems.append(f"{batch.key}: {batch.units} units held: {batch.reason}")
+    for since, until, reason in book.gaps:
+        problems.append(f"incomplete from {since:.1f} to {until:.1f}: {reason}")
     for path in sorted(folder.glob("ids-*")):
         if not path.name[4:].isdecimal():
             continue
         period = int(path.name[4:])
         data = path.read_bytes()
-        ids = len({data[at : at + 8] for at in range(0, len(data) // 8 * 8, 8)})
+        ids = len({data[offset : offset + 8] for offset in range(0, len(data) // 8 * 8, 8)})
         if ids != book.total_units(period):
-            wrong.append(f"period {period}: {ids} ids and {book.total_units(period)} units")
-    return wrong
+            problems.append(f"period {period}: {ids} ids and {book.total_units(period)} units")
+    return problems
 
 
-def dry_run(reading: Reading) -> bytes:
-    """The exact bytes of all batches that are still to be exported."""
+def dry_run(contents: LedgerContents) -> bytes:
+    """Returns the exact bytes of all batches that are still to be exported."""
     return b"".join(
-        json_lines(batch) for batch in reading.book.batches.values() if batch.state != "held"
+        json_lines(batch) for batch in contents.book.batches.values() if batch.state != "held"
     )
--- a/limebridge/ledger/reconcile.py
+++ b/limebridge/ledger/reconcile.py
@@ -1,10 +1,10 @@
-"""Reconciles the units that proxies exported with those that nodes served.  Pure.
+"""Reconciles the units that proxies exported with those that nodes served.  Pure functions.
 
-Both sides are units by proxy, period, tenant and class.  When a node recorded a request just before
-the end of a period and the proxy sent its answer just after, the sides differ by one unit in each
-of two adjacent periods.  That is no error: such pairs are cancelled first and counted separately.
-Any remaining difference means that a proxy is short (nodes served more than it billed: a kill, a
-power loss, a gap) or long (it billed more: the nodes' records are incomplete, or it has a bug).
+Both sides are units by proxy, period, tenant and class.  If a node records a request just before
+the end of a period and the proxy sends its answer just after, the sides differ by one unit in each
+of two adjacent periods.  That is not an error: such pairs cancel out and are counted separately.
+A proxy with a remaining difference is short (nodes served more than it billed: a kill, a power
+loss, a gap) or long (it billed more: the nodes' records are incomplete, or the proxy has a bug).
 """
 
 from __future__ import annotations
@@ -16,7 +16,8 @@
 
 from violetroute.ledger.periods import Periods
 
-Line = tuple[str, int, str | None, str]  # proxy, period, tenant, class
+# Proxy, start of the period (Unix s), tenant (None: others), class.
+Line = tuple[str, int, str | None, str]
 
 
 @dataclass
@@ -29,15 +30,18 @@
     problems: list[str] = field(default_factory=list)  # malformed or inconsistent lines
 
     def add(self, text: str, source: str) -> None:
-        """Adds the JSON lines of one or more batches.  `source`: file name for messages."""
+        """Adds the JSON lines of one or more batches; `source` is the file name for messages.
+
+        Malformed lines and inconsistent batches are added to `problems`.
+        """
         batch: dict[str, object] | None = None
-        counted = 0
+        units_in_batch = 0
         for number, row in enumerate(text.splitlines(), 1):
             try:
                 value = json.loads(row)
                 if "batch" in value:
-                    self._check(batch, counted, source)
-                    batch, counted = value, 0
+                    self._check(batch, units_in_batch, source)
+                    batch, units_in_batch = value, 0
                     key = str(value["batch"])
                     if key in self.batches:
                         self.duplicates += 1
@@ -53,18 +57,19 @@
                     continue
                 proxy = str(batch["batch"]).partition("/")[0]
                 units = int(value["units"])
-                counted += units
+                units_in_batch += units
                 self.units[
                     proxy, int(str(batch["period"])), value["tenant"], str(value["class"])
                 ] += units
             except (ValueError, KeyError, TypeError) as error:
                 self.problems.append(f"{source}:{number}: {error}")
-        self._check(batch, counted, source)
+        self._check(batch, units_in_batch, source)
 
-    def _check(self, batch: Mapping[str, object] | None, counted: int, source: str) -> None:
-        if batch is not None and "again" not in batch and batch.get("units") != counted:
+    def _check(self, batch: Mapping[str, object] | None, units_in_batch: int, source: str) -> None:
+        if batch is not None and "again" not in batch and batch.get("units") != units_in_batch:
             self.problems.append(
-                f"{source}: {batch.get('batch')} declares {batch.get('units')} units, has {counted}"
+                f"{source}: {batch.get('batch')} declares {batch.get('units')} units, "
+                f"has {units_in_batch}"
             )
 
 
@@ -77,8 +82,8 @@
     optionally "units" (default 1) and "id".  Rows with the same "id" count once: two nodes may
     serve copies of one request.
     """
-    found: Counter[Line] = Counter()
-    wrong: list[str] = []
+    units_by_line: Counter[Line] = Counter()
+    problems: list[str] = []
     seen: set[str] = set()
     for number, row in enumerate(rows, 1):
         if not row.strip():
@@ -91,17 +96,17 @@
                     continue
                 seen.add(id_)
             period = int(value["period"]) if "period" in value else periods.of(float(value["at"]))
-            found[str(value["proxy"]), period, value["tenant"], str(value["class"])] += int(
+            units_by_line[str(value["proxy"]), period, value["tenant"], str(value["class"])] += int(
                 value.get("units", 1)
             )
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            wrong.append(f"{source}:{number}: {error!r}")
-    return found, wrong
+            problems.append(f"{source}:{number}: {error!r}")
+    return units_by_line, problems
 
 
 @dataclass(frozen=True)
 class Difference:
-    """Units of one line that were exported and served."""
+    """One line whose exported units differ from the served ones."""
 
     proxy: str
     period: int
@@ -138,40 +143,43 @@
     exported: Mapping[Line, int], served: Mapping[Line, int], periods: Periods
 ) -> Reconciliation:
     """Compares both sides; differences are sorted by proxy, period, tenant and class."""
-    left: dict[tuple[str, str | None, str], dict[int, int]] = defaultdict(dict)
+    # Served minus exported units by proxy, tenant and class, then by period.
+    remaining: dict[tuple[str, str | None, str], dict[int, int]] = defaultdict(dict)
     for line in {**exported, **served}:
         proxy, period, tenant, cls = line
         units = served.get(line, 0) - exported.get(line, 0)
         if units:
-            left[proxy, tenant, cls][period] = units
+            remaining[proxy, tenant, cls][period] = units
     moved = 0
-    found: list[Difference] = []
-    for (proxy, tenant, cls), of in left.items():
-        for period in sorted(of):
-            after = periods.end(period)
-            here, there = of[period], of.get(after, 0)
-            if here * there < 0:
-                cancelled = min(abs(here), abs(there)) * (1 if here > 0 else -1)
-                of[period] -= cancelled
-                of[after] += cancelled
+    differences: list[Difference] = []
+    for (proxy, tenant, cls), by_period in remaining.items():
+        for period in sorted(by_period):
+            next_period = periods.end(period)
+            units_here, units_next = by_period[period], by_period.get(next_period, 0)
+            if units_here * units_next < 0:
+                cancelled = min(abs(units_here), abs(units_next)) * (1 if units_here > 0 else -1)
+                by_period[period] -= cancelled
+                by_period[next_period] += cancelled
                 moved += abs(cancelled)
-        for period, units in of.items():
+        for period, units in by_period.items():
             if units:
                 line = proxy, period, tenant, cls
-                found.append(
+                differences.append(
                     Difference(*line, exported.get(line, 0), exported.get(line, 0) + units)
                 )
-    found.sort(key=lambda d: (d.proxy, d.period, d.tenant is None, d.tenant or "", d.cls))
-    return Reconciliation(found, moved)
+    differences.sort(key=lambda d: (d.proxy, d.period, d.tenant is None, d.tenant or "", d.cls))
+    return Reconciliation(differences, moved)
 
 
-def corrections(found: Reconciliation, proxy: str, by: str) -> bytes:
-    """Contents of the corrections file that an operator signs for one proxy."""
+def corrections(reconciliation: Reconciliation, proxy: str, by: str) -> bytes:
+    """Returns the contents of the corrections file that operator `by` signs for one proxy."""
     return json.dumps(
         {
             "by": by,
             "lines": [
-                [d.period, d.tenant, d.cls, d.units] for d in found.differences if d.proxy == proxy
+                [d.period, d.tenant, d.cls, d.units]
+                for d in reconciliation.differences
+                if d.proxy == proxy
             ],
         },
         ensure_ascii=False,
--- a/limebridge/ledger/report.py
+++ b/limebridge/ledger/report.py
@@ -1,4 +1,4 @@
-"""Totals by tenant and day as one self-contained HTML file."""
+"""Report of units by tenant, class and day as one self-contained HTML file."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 def html(units: Mapping[tuple[str, str | None, str], int], title: str, notes: Sequence[str]) -> str:
-    """Returns the report.  `units`: by day, tenant (None: others) and class; `notes`: warnings."""
+    """Returns the HTML page.
+
+    `units`: units by day (ISO date), tenant (None: others) and class; `notes`: warnings to show.
+    """
     days: Counter[str] = Counter()
     for (day, _, _), count in units.items():
         days[day] += count
--- a/limebridge/ledger/sketch.py
+++ b/limebridge/ledger/sketch.py
@@ -1,12 +1,12 @@
-"""Finds the ids that only one of two sides has, from sketches sized by the difference.  Pure.
+"""Finds the ids that only one of two sides has, from sketches sized by the difference.
 
-An invertible Bloom lookup table (Goodrich and Mitzenmacher 2011) with a strata estimate (Eppstein,
-Goodrich, Uyeda, Varghese, "What's the difference?", 2011): a node sends a few kilobytes instead of
-a million ids, and the differing ids are decoded from the difference of the two tables.  A cell
-holds a count, the XOR of ids and the XOR of their check hashes.  Each id is in HASHES cells, one in
-each part of the table.  An id that is alone in a cell is decoded and removed from its other cells;
-this repeats.  Undecodable cells remain if the table is too small; the result is then an error, not
-a guess.
+A sketch is an invertible Bloom lookup table (Goodrich and Mitzenmacher 2011) with a strata estimate
+(Eppstein, Goodrich, Uyeda, Varghese, "What's the difference?", 2011).  A node sends a few kilobytes
+instead of a million ids, and the differing ids are decoded from the difference of the two tables.
+A cell holds a count, the XOR of ids and the XOR of their check hashes.  Each id is in HASHES cells,
+one in each part of the table.  The decoder repeatedly finds ids that are alone in a cell and
+removes them from their other cells.  If the table is too small, cells remain that cannot be
+decoded; the result is then an error, not a guess.
 
 Rateless tables (Yang, Gilad, Alizadeh 2024) are not used: they need no estimate, but an open
 connection to the other side, while sketches are exchanged as files.  `benchmarks/ledger.py`
@@ -22,8 +22,8 @@
 
 Ids = npt.NDArray[np.uint64]
 HASHES = 4  # cells per id; with 4, large tables can be decoded up to 0.77 ids per cell
-SPARE = 1.6  # cells per id that is expected to differ
-MIN_CELLS = 64  # of a table; small tables fail by chance
+CELLS_PER_ID = 1.6  # cells per id that is expected to differ
+MIN_CELLS = 64  # of a table; in smaller ones decoding often fails by chance
 STRATA, STRATUM = 24, 48  # number of tables of the estimate, and cells per table
 MAGIC = b"lbsketch1"
 
@@ -38,11 +38,11 @@
 
 
 class Table:
-    """An invertible Bloom lookup table; `cells` is rounded up to a multiple of HASHES."""
+    """An invertible Bloom lookup table; its size is rounded up to a multiple of HASHES cells."""
 
     def __init__(self, cells: int) -> None:
-        self.part = -(-max(cells, HASHES) // HASHES)
-        size = self.part * HASHES
+        self.part_cells = -(-max(cells, HASHES) // HASHES)
+        size = self.part_cells * HASHES
         self.count: npt.NDArray[np.int64] = np.zeros(size, np.int64)
         self.ids: Ids = np.zeros(size, np.uint64)
         self.checks: Ids = np.zeros(size, np.uint64)
@@ -52,33 +52,33 @@
         """Number of cells, after rounding."""
         return len(self.count)
 
-    def places(self, ids: Ids, number: int) -> npt.NDArray[np.int64]:
-        """Cell index of each id in one part of the table."""
-        hashed = mix(ids, number) % np.uint64(self.part)
-        return hashed.astype(np.int64) + number * self.part
+    def cell_indices(self, ids: Ids, number: int) -> npt.NDArray[np.int64]:
+        """Returns the index of each id's cell in part `number` of the table."""
+        hashed = mix(ids, number) % np.uint64(self.part_cells)
+        return hashed.astype(np.int64) + number * self.part_cells
 
     def add(self, ids: Ids) -> None:
         """Adds ids, which must be distinct."""
         checks = mix(ids, HASHES)
         for number in range(HASHES):
-            places = self.places(ids, number)
-            self.count += np.bincount(places, minlength=self.cells)
-            np.bitwise_xor.at(self.ids, places, ids)
-            np.bitwise_xor.at(self.checks, places, checks)
+            indices = self.cell_indices(ids, number)
+            self.count += np.bincount(indices, minlength=self.cells)
+            np.bitwise_xor.at(self.ids, indices, ids)
+            np.bitwise_xor.at(self.checks, indices, checks)
 
-    def less(self, other: Table) -> Table:
-        """Subtracts a table.  Raises ValueError when the sizes differ."""
+    def subtract(self, other: Table) -> Table:
+        """Returns the difference of two tables.  Raises ValueError when their sizes differ."""
         if other.cells != self.cells:
             raise ValueError(f"tables of {self.cells} and {other.cells} cells")
-        found = Table(self.cells)
-        found.count = self.count - other.count
-        found.ids, found.checks = self.ids ^ other.ids, self.checks ^ other.checks
-        return found
+        difference = Table(self.cells)
+        difference.count = self.count - other.count
+        difference.ids, difference.checks = self.ids ^ other.ids, self.checks ^ other.checks
+        return difference
 
-    def read(self) -> tuple[list[int], list[int]] | None:
-        """Decodes a difference: the ids of only the first side and of only the second, or None.
+    def decode(self) -> tuple[list[int], list[int]] | None:
+        """Decodes a difference into the ids of only the first side and those of only the second.
 
-        None means that the table is too small or that its contents are noise.
+        Returns None if the table is too small or its contents are not a difference of tables.
         """
         count, ids, checks = self.count.copy(), self.ids.copy(), self.checks.copy()
         ours: list[int] = []
@@ -94,15 +94,15 @@
             ours += [int(value) for value in values[signs > 0]]
             theirs += [int(value) for value in values[signs < 0]]
             if len(ours) + len(theirs) > self.cells:
-                return None  # noise: decoding may not terminate
-            touched = []
+                return None  # invalid contents, for which decoding may not terminate
+            touched_cells = []
             for number in range(HASHES):
-                places = self.places(values, number)
-                np.subtract.at(count, places, signs)
-                np.bitwise_xor.at(ids, places, values)
-                np.bitwise_xor.at(checks, places, mix(values, HASHES))
-                touched.append(places)
-            ready = np.unique(np.concatenate(touched))
+                indices = self.cell_indices(values, number)
+                np.subtract.at(count, indices, signs)
+                np.bitwise_xor.at(ids, indices, values)
+                np.bitwise_xor.at(checks, indices, mix(values, HASHES))
+                touched_cells.append(indices)
+            ready = np.unique(np.concatenate(touched_cells))
             ready = ready[np.abs(count[ready]) == 1]
         if count.any() or ids.any() or checks.any():
             return None
@@ -110,7 +110,10 @@
 
 
 class Strata:
-    """Estimates how many ids differ: exactly if few, else within a factor of about two."""
+    """Tables that estimate how many ids differ: exactly if few, else within a factor of about two.
+
+    Table k holds each id with probability 2**-(k + 1); the last table also holds the rest.
+    """
 
     def __init__(self, ids: Ids | None = None) -> None:
         self.tables = [Table(STRATUM) for _ in range(STRATA)]
@@ -127,16 +130,16 @@
         """Estimates the number of ids that only one of the two sides has."""
         found = 0
         for number in range(STRATA - 1, -1, -1):
-            read = self.tables[number].less(other.tables[number]).read()
-            if read is None:
+            decoded = self.tables[number].subtract(other.tables[number]).decode()
+            if decoded is None:
                 return max(1, found) << (number + 1)
-            found += len(read[0]) + len(read[1])
+            found += len(decoded[0]) + len(decoded[1])
         return found
 
 
 @dataclass
 class Sketch:
-    """What one side sends: strata for the estimate, and a table sized for expected differences."""
+    """Sketch of one side's ids: strata for the estimate, and a table sized for the difference."""
 
     strata: Strata
     table: Table
@@ -145,15 +148,15 @@
     def of(cls, ids: Ids, differ: int) -> Sketch:
         """Builds the sketch of a set of ids, with room for `differ` differences."""
         unique = np.unique(ids)
-        table = Table(max(MIN_CELLS, int(differ * SPARE)))
+        table = Table(max(MIN_CELLS, int(differ * CELLS_PER_ID)))
         table.add(unique)
         return cls(Strata(unique), table)
 
     def dump(self) -> bytes:
-        """Encodes the sketch for `load`."""
+        """Encodes the sketch; `load` decodes it."""
         tables = [self.table, *self.strata.tables]
-        head = np.array([table.cells for table in tables], "<u4").tobytes()
-        parts = [MAGIC, len(tables).to_bytes(4, "little"), head]
+        sizes = np.array([table.cells for table in tables], "<u4").tobytes()
+        parts = [MAGIC, len(tables).to_bytes(4, "little"), sizes]
         for table in tables:
             parts += [
                 table.count.astype("<i4").tobytes(),
@@ -168,40 +171,43 @@
         if not data.startswith(MAGIC):
             raise ValueError("not a sketch")
         try:
-            place = len(MAGIC)
-            number = int.from_bytes(data[place : place + 4], "little")
+            offset = len(MAGIC)
+            number = int.from_bytes(data[offset : offset + 4], "little")
             if number != STRATA + 1:
                 raise ValueError("a sketch of an unsupported shape")
-            sizes = np.frombuffer(data, "<u4", number, place + 4)
-            place += 4 + 4 * number
+            sizes = np.frombuffer(data, "<u4", number, offset + 4)
+            offset += 4 + 4 * number
             tables = []
             for size in sizes:
                 table = Table(int(size))
                 if table.cells != size:
                     raise ValueError("a sketch of an unsupported shape")
-                table.count = np.frombuffer(data, "<i4", size, place).astype(np.int64)
-                table.ids = np.frombuffer(data, "<u8", size, place + 4 * size).astype(np.uint64)
-                table.checks = np.frombuffer(data, "<u8", size, place + 12 * size).astype(np.uint64)
-                place += 20 * int(size)
+                table.count = np.frombuffer(data, "<i4", size, offset).astype(np.int64)
+                table.ids = np.frombuffer(data, "<u8", size, offset + 4 * size).astype(np.uint64)
+                table.checks = np.frombuffer(data, "<u8", size, offset + 12 * size).astype(
+                    np.uint64
+                )
+                offset += 20 * int(size)
                 tables.append(table)
         except (ValueError, MemoryError) as error:
             raise ValueError(f"a malformed or truncated sketch: {error}") from None
-        if place != len(data):
+        if offset != len(data):
             raise ValueError("extra bytes after the sketch")
         strata = Strata()
         strata.tables = tables[1:]
         return cls(strata, tables[0])
 
-    def against(self, other: Sketch) -> tuple[list[int], list[int]] | int:
-        """The ids that only this side has and only the other has.
+    def compare(self, other: Sketch) -> tuple[list[int], list[int]] | int:
+        """Returns the ids that only this side has and those that only the other side has.
 
-        If they can't be decoded, the `differ` with which to build both sketches again.
+        If they can't be decoded, returns the value of `differ` with which to build both sketches
+        again.
         """
         if self.table.cells == other.table.cells:
-            read = self.table.less(other.table).read()
-            if read is not None:
-                return read
-        return int(max(1, self.strata.differ(other.strata)) * SPARE * 1.5)
+            decoded = self.table.subtract(other.table).decode()
+            if decoded is not None:
+                return decoded
+        return int(max(1, self.strata.differ(other.strata)) * CELLS_PER_ID * 1.5)
 
 
 def read_ids(data: bytes) -> Ids:
--- a/tests/limebridge/ledger/test_ledger_tools.py
+++ b/tests/limebridge/ledger/test_ledger_tools.py
@@ -42,7 +42,7 @@
         Sketch.of(np.concatenate([common, np.array(sorted(side), np.uint64)]), 130)
         for side in (ours, theirs)
     ]
-    found = Sketch.load(sides[0].dump()).against(Sketch.load(sides[1].dump()))
+    found = Sketch.load(sides[0].dump()).compare(Sketch.load(sides[1].dump()))
     shared = set(common.tolist())
     if not isinstance(found, int):
         assert set(found[0]) == ours - theirs - shared
@@ -53,9 +53,9 @@
 
 def test_a_sketch_that_is_too_small_gives_a_sufficient_size() -> None:
     one, other = random_ids(20_000), random_ids(20_000)[3000:]
-    small = Sketch.of(one, 100).against(Sketch.of(other, 100))
+    small = Sketch.of(one, 100).compare(Sketch.of(other, 100))
     assert isinstance(small, int) and small >= 3000
-    found = Sketch.of(one, small).against(Sketch.of(other, small))
+    found = Sketch.of(one, small).compare(Sketch.of(other, small))
     assert not isinstance(found, int) and (len(found[0]), found[1]) == (3000, [])
 
 
@@ -72,10 +72,10 @@
         with pytest.raises(ValueError, match="sketch"):
             Sketch.load(wrong)
     with pytest.raises(ValueError, match="cells"):
-        Table(64).less(Table(128))
+        Table(64).subtract(Table(128))
     noise = Table(64)
     noise.count += 1
-    assert noise.read() is None
+    assert noise.decode() is None
     assert len(read_ids(b"12345678123")) == 1
 
 
--- a/tests/violetroute/ledger/test_ledger_daemon.py
+++ b/tests/violetroute/ledger/test_ledger_daemon.py
@@ -249,7 +249,7 @@
 def test_killed_proxies_bill_all_units_after_reconciling_with_the_nodes(tmp_path: Path) -> None:
     report = asyncio.run(run_kills(tmp_path, kills=4, seconds=6.0))
     assert report.kills == 4 and sum(report.served.values()) > 300
-    assert report.before is not None and report.after is not None
-    assert report.doubled == 0
-    assert report.before.short <= report.kills * 30  # units of half a second
-    assert report.after.differences == []
+    assert report.uncorrected is not None and report.corrected is not None
+    assert report.excess == 0
+    assert report.uncorrected.short <= report.kills * 30  # units of half a second
+    assert report.corrected.differences == []
