--- a/benchmarks/bad_nodes.py
+++ b/benchmarks/bad_nodes.py
@@ -3,7 +3,7 @@
     python benchmarks/bad_nodes.py [--count 10000] [--most 45] [--build CHECKOUT]
 
 For each fault, all four nodes have it while 100 clients send requests, until the nodes have
-accepted `count` connections or `most` seconds have passed.  Then all nodes serve again.  One row is
+accepted --count connections or --most seconds have passed.  Then all nodes serve again.  One row is
 printed for each fault: the number of connections, the outcomes of the requests, the daemon's
 descriptors before all faults and after this one, and its resident set before and after this fault.
 
@@ -168,8 +168,8 @@
                 await wait_for_descriptors(daemon.pid, before),
                 generator.count_outcomes(),
             )
-            wrong = after > before or bool(outcomes["expired"]) or served < 950
-            failed |= wrong
+            fault_failed = after > before or bool(outcomes["expired"]) or served < 950
+            failed |= fault_failed
             print(
                 json.dumps(
                     {
@@ -178,7 +178,7 @@
                         "answers": dict(outcomes),
                         "descriptors": [before, after],
                         "served_of_last_1000_when_good": served,
-                        "passes": not wrong,
+                        "passes": not fault_failed,
                         "resident_mb": [
                             round(memory_before, 1),
                             round(harness.resident_mb(daemon.pid), 1),
--- a/benchmarks/emulated_fleet.py
+++ b/benchmarks/emulated_fleet.py
@@ -20,7 +20,7 @@
 
 
 class RecordingProxy:
-    """A proxy without requests that stores which nodes its peers report as unhealthy."""
+    """The proxy of a member: stores which nodes its peers report as unhealthy."""
 
     def __init__(self) -> None:
         self.places, self.load_samples = NodeAddresses(), deque[LoadSample]()
--- a/benchmarks/instruction_count.py
+++ b/benchmarks/instruction_count.py
@@ -142,10 +142,10 @@
         return EVENT_LOOP
 
     def _package(self, code: CodeType) -> str:
-        found = self._packages.get(code)
-        if found is None:
-            found = self._packages[code] = self._package_of_file(Path(code.co_filename))
-        return found
+        package = self._packages.get(code)
+        if package is None:
+            package = self._packages[code] = self._package_of_file(Path(code.co_filename))
+        return package
 
     def _package_of_file(self, path: Path) -> str:
         if not path.is_relative_to(self._root):
@@ -155,11 +155,11 @@
 
     def _counter(self, code: CodeType, package: str) -> _FunctionCounter:
         key = (code, package)
-        found = self._counters.get(key)
-        if found is None:
+        counter = self._counters.get(key)
+        if counter is None:
             name = f"{Path(code.co_filename).name}:{code.co_qualname}"
-            found = self._counters[key] = _FunctionCounter(package, name)
-        return found
+            counter = self._counters[key] = _FunctionCounter(package, name)
+        return counter
 
 
 def _top(package: str) -> str:
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -245,12 +245,12 @@
         while True:
             sides = [Sketch.of(side, capacity) for side in (ours, theirs)]
             sent_bytes += sides[0].table.cells * 20
-            found = sides[0].against(sides[1])
-            if not isinstance(found, int):
+            difference = sides[0].against(sides[1])
+            if not isinstance(difference, int):
                 break
-            retries, capacity = retries + 1, found
+            retries, capacity = retries + 1, difference
         used = time.process_time() - before
-        assert len(found[0]) + len(found[1]) == differ
+        assert len(difference[0]) + len(difference[1]) == differ
         before = time.process_time()
         exact = np.setxor1d(ours, theirs, assume_unique=True)
         exact_used = time.process_time() - before
@@ -277,9 +277,9 @@
         }
     too_small = 0
     for salt in range(200):
-        some = np.random.default_rng(salt).integers(0, 2**64, 2000, np.uint64)
-        estimate = Strata(some).differ(Strata(some[100:]))
-        sides = [Sketch.of(side, int(estimate * 1.5)) for side in (some, some[100:])]
+        ids = np.random.default_rng(salt).integers(0, 2**64, 2000, np.uint64)
+        estimate = Strata(ids).differ(Strata(ids[100:]))
+        sides = [Sketch.of(side, int(estimate * 1.5)) for side in (ids, ids[100:])]
         too_small += isinstance(sides[0].against(sides[1]), int)
     table["fell back, of 200 with 100 that differ"] = too_small
     return table
@@ -287,29 +287,31 @@
 
 def _run_power_cut(write: int) -> tuple[int, int, int]:
     logging.disable(logging.CRITICAL)
-    found = run_trial(Trial(write, minutes=9.0, kills=0, cut_at=write, troubles=False, steps=False))
-    return found.killed, found.doubled, found.missing
+    outcome = run_trial(
+        Trial(write, minutes=9.0, kills=0, cut_at=write, troubles=False, steps=False)
+    )
+    return outcome.killed, outcome.doubled, outcome.missing
 
 
 def cuts(points: int = 2400) -> dict[str, object]:
     """Cut the power at each write; units of one flush and of the write in progress may be lost."""
     started = time.monotonic()
     with multiprocessing.get_context("spawn").Pool() as pool:
-        found = pool.map(_run_power_cut, range(1, points + 1), chunksize=20)
+        outcomes = pool.map(_run_power_cut, range(1, points + 1), chunksize=20)
     return {
-        "points": sum(killed == 1 for killed, _, _ in found),
-        "doubled": sum(doubled for _, doubled, _ in found),
-        "missing_most": max(missing for _, _, missing in found),
-        "missing_mean": round(statistics.mean(missing for _, _, missing in found), 2),
+        "points": sum(killed == 1 for killed, _, _ in outcomes),
+        "doubled": sum(doubled for _, doubled, _ in outcomes),
+        "missing_most": max(missing for _, _, missing in outcomes),
+        "missing_mean": round(statistics.mean(missing for _, _, missing in outcomes), 2),
         "seconds": round(time.monotonic() - started, 1),
-        "held": not any(doubled for _, doubled, _ in found),
+        "held": not any(doubled for _, doubled, _ in outcomes),
     }
 
 
 def _run_seed(seed: int) -> tuple[int, int, int, int, int]:
     logging.disable(logging.CRITICAL)
     rng = random.Random(seed)
-    found = run_trial(
+    outcome = run_trial(
         Trial(
             seed,
             minutes=12.0,
@@ -318,24 +320,24 @@
             restored=seed % 5 == 0,
         )
     )
-    excess = sum((found.billed - found.served).values())
-    return excess, found.missing, sum(found.served.values()), found.killed, seed % 5 == 0
+    excess = sum((outcome.billed - outcome.served).values())
+    return excess, outcome.missing, sum(outcome.served.values()), outcome.killed, seed % 5 == 0
 
 
 def trials(seeds: int = 1000) -> dict[str, object]:
     """Run seeds with any mixture of faults; then 20 minutes in which some 300 of 500 kills hit."""
     started = time.monotonic()
     with multiprocessing.get_context("spawn").Pool() as pool:
-        found = pool.map(_run_seed, range(10_000, 10_000 + seeds), chunksize=5)
+        outcomes = pool.map(_run_seed, range(10_000, 10_000 + seeds), chunksize=5)
     elapsed = time.monotonic() - started
-    not_restored = [each for each in found if not each[4]]
+    not_restored = [each for each in outcomes if not each[4]]
     logging.disable(logging.CRITICAL)
     many_kills = run_trial(Trial(1, minutes=20.0, kills=500))
     return {
-        "seeds": len(found),
-        "over": sum(each[0] for each in found),
-        "served": sum(each[2] for each in found),
-        "killed": sum(each[3] for each in found),
+        "seeds": len(outcomes),
+        "over": sum(each[0] for each in outcomes),
+        "served": sum(each[2] for each in outcomes),
+        "killed": sum(each[3] for each in outcomes),
         "missing_a_kill": round(
             sum(each[1] for each in not_restored) / max(1, sum(each[3] for each in not_restored)), 2
         ),
@@ -348,7 +350,7 @@
             "at_risk": many_kills.at_risk,
             "doubled": many_kills.doubled,
         },
-        "held": not any(each[0] for each in found)
+        "held": not any(each[0] for each in outcomes)
         and not many_kills.doubled
         and many_kills.missing == many_kills.at_risk,
     }
@@ -388,9 +390,9 @@
     parser.add_argument("parts", nargs="*", choices=[*parts, []], metavar="PART")
     failed: Counter[str] = Counter()
     for name in parser.parse_args().parts or parts:
-        found = parts[name]()
-        print(json.dumps({name: found}), flush=True)
-        failed[name] += found.get("held") is False
+        result = parts[name]()
+        print(json.dumps({name: result}), flush=True)
+        failed[name] += result.get("held") is False
     return int(any(failed.values()))
 
 
