--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -288,9 +288,9 @@
 def _run_power_cut(write: int) -> tuple[int, int, int]:
     logging.disable(logging.CRITICAL)
     outcome = run_trial(
-        Trial(write, minutes=9.0, kills=0, cut_at=write, troubles=False, steps=False)
+        Trial(write, minutes=9.0, kills=0, fail_power_at=write, faults=False, clock_steps=False)
     )
-    return outcome.killed, outcome.doubled, outcome.missing
+    return outcome.killed, outcome.excess, outcome.missing
 
 
 def cuts(points: int = 2400) -> dict[str, object]:
@@ -300,11 +300,11 @@
         outcomes = pool.map(_run_power_cut, range(1, points + 1), chunksize=20)
     return {
         "points": sum(killed == 1 for killed, _, _ in outcomes),
-        "doubled": sum(doubled for _, doubled, _ in outcomes),
+        "doubled": sum(excess for _, excess, _ in outcomes),
         "missing_most": max(missing for _, _, missing in outcomes),
         "missing_mean": round(statistics.mean(missing for _, _, missing in outcomes), 2),
         "seconds": round(time.monotonic() - started, 1),
-        "held": not any(doubled for _, doubled, _ in outcomes),
+        "held": not any(excess for _, excess, _ in outcomes),
     }
 
 
@@ -316,8 +316,8 @@
             seed,
             minutes=12.0,
             kills=rng.randint(0, 20),
-            cuts=rng.randint(0, 4),
-            restored=seed % 5 == 0,
+            power_failures=rng.randint(0, 4),
+            restore_disk=seed % 5 == 0,
         )
     )
     excess = sum((outcome.billed - outcome.served).values())
@@ -325,12 +325,12 @@
 
 
 def trials(seeds: int = 1000) -> dict[str, object]:
-    """Run seeds with any mixture of faults; then 20 minutes in which some 300 of 500 kills hit."""
+    """Run seeds with any mixture of faults, then one with some 300 kills of a running process."""
     started = time.monotonic()
     with multiprocessing.get_context("spawn").Pool() as pool:
         outcomes = pool.map(_run_seed, range(10_000, 10_000 + seeds), chunksize=5)
     elapsed = time.monotonic() - started
-    not_restored = [each for each in outcomes if not each[4]]
+    not_restored = [each for each in outcomes if not each[4]]  # no old disk restored
     logging.disable(logging.CRITICAL)
     many_kills = run_trial(Trial(1, minutes=20.0, kills=500))
     return {
@@ -348,10 +348,10 @@
             "billed": sum(many_kills.billed.values()),
             "missing": many_kills.missing,
             "at_risk": many_kills.at_risk,
-            "doubled": many_kills.doubled,
+            "doubled": many_kills.excess,
         },
         "held": not any(each[0] for each in outcomes)
-        and not many_kills.doubled
+        and not many_kills.excess
         and many_kills.missing == many_kills.at_risk,
     }
 
