--- a/benchmarks/request_cpu.py
+++ b/benchmarks/request_cpu.py
@@ -77,11 +77,12 @@
         return used / requests
 
     def close(self) -> None:
+        """Abort the clients' connections."""
         self._generator.close()
 
 
 async def compare(pair: BuildPair, pairs: int, blocks: int) -> CpuComparison:
-    """Measure `pairs` pairs of processes, one of each build, in `blocks` blocks of four rounds."""
+    """Measure `pairs` pairs of processes, one of each build, each in `blocks` blocks of rounds."""
     ratios, base_us, build_us = [], [], []
     async with harness.nodes(NODES, SIZE) as ports:
         for number in range(-1, pairs):  # the first compiles the sources and is not counted
--- a/benchmarks/request_load.py
+++ b/benchmarks/request_load.py
@@ -76,7 +76,7 @@
 
 
 class RunResult(msgspec.Struct, frozen=True):
-    """The result of a run, which is printed as JSON."""
+    """The result of a run; printed as one line of JSON and read by `build_pair.decode_result`."""
 
     asked: int  # requests sent, including those of the warm-up
     requests: int  # requests sent after the warm-up
