--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -287,8 +287,10 @@
 
 def _run_power_cut(write: int) -> tuple[int, int, int]:
     logging.disable(logging.CRITICAL)
-    found = run_trial(Trial(write, minutes=9.0, kills=0, cut_at=write, troubles=False, steps=False))
-    return found.killed, found.doubled, found.missing
+    found = run_trial(
+        Trial(write, minutes=9.0, kills=0, fail_power_at=write, faults=False, clock_steps=False)
+    )
+    return found.killed, found.excess, found.missing
 
 
 def cuts(points: int = 2400) -> dict[str, object]:
@@ -314,8 +316,8 @@
             seed,
             minutes=12.0,
             kills=rng.randint(0, 20),
-            cuts=rng.randint(0, 4),
-            restored=seed % 5 == 0,
+            power_failures=rng.randint(0, 4),
+            restore_disk=seed % 5 == 0,
         )
     )
     excess = sum((found.billed - found.served).values())
@@ -346,10 +348,10 @@
             "billed": sum(many_kills.billed.values()),
             "missing": many_kills.missing,
             "at_risk": many_kills.at_risk,
-            "doubled": many_kills.doubled,
+            "doubled": many_kills.excess,
         },
         "held": not any(each[0] for each in found)
-        and not many_kills.doubled
+        and not many_kills.excess
         and many_kills.missing == many_kills.at_risk,
     }
 
--- a/benchmarks/request_load.py
+++ b/benchmarks/request_load.py
@@ -176,8 +176,8 @@
     while sent < requests:
         seed += 1
         outcome = runner.run_plan(plan.generate(seed))
-        if outcome.broken:
-            raise RuntimeError(f"seed {seed}: {outcome.broken}")
+        if outcome.violations:
+            raise RuntimeError(f"seed {seed}: {outcome.violations}")
         digest.update(outcome.digest.encode())
         sent += outcome.requests
         served += outcome.answers.get("served", 0)
--- a/limebridge/virtual/fault_actions.py
+++ b/limebridge/virtual/fault_actions.py
@@ -21,7 +21,7 @@
 from .plan import Fault, Plan
 from .process import OWNER, Process
 from .received import SourceObserver
-from .session import during, refused, stalled
+from .session import refuse_watches, set_temporarily, stall_nodes
 
 MALFORMED_INPUTS = (
     b"\x00\xff noise",
@@ -33,7 +33,7 @@
 
 
 class FaultActions:
-    """Fault injection into the simulation that `World` builds."""
+    """Base class of `World` with the methods that inject faults; `World` sets the attributes."""
 
     plan: Plan
     kernel: Kernel
@@ -57,13 +57,15 @@
     def _entry(self, node: FleetNode, lifecycle: Lifecycle = "in_service") -> NodeEntry:
         raise NotImplementedError
 
-    def _report_leftovers(self, left: dict[str, int]) -> None:
+    def _report_leftovers(self, leftovers: dict[str, int]) -> None:
         raise NotImplementedError
 
-    def _replaced(self, old: NodeEntry, node: FleetNode) -> None:
+    def _publish_replacement(self, old: NodeEntry, node: FleetNode) -> None:
+        """Publish that `node` has replaced the node of entry `old` at its address."""
         self.discovery.publish(old, self._entry(node))
 
     def _publish(self, node: FleetNode, lifecycle: Lifecycle) -> None:
+        """Publish the node's state; a node that is not in service counts as draining."""
         if lifecycle == "in_service":
             self.draining.pop(node.name, None)
         else:
@@ -72,28 +74,29 @@
         self.discovery.publish(self._entry(node, lifecycle))
 
     def _sources_changed(self) -> None:
-        """Tell the checker that the process now follows other list sources."""
+        """Report to the checker that the process now uses other list sources."""
         self.checker.sources_replaced()
 
     def _proxy_restarted(self, states: dict[str, bool]) -> None:
+        """Report a restart to the checker; `states`: node -> in service, in the initial list."""
         self._listed = dict.fromkeys(name for name in states)
         self.checker.proxy_restarted(self.kernel.now, states)
 
     # --- nodes ---
     async def _node_slow(self, fault: Fault, node: FleetNode) -> None:
-        await during(fault.lasts, [node], "slowness", max(1.0, fault.amount), 1.0)
+        await set_temporarily(fault.lasts, [node], "slowness", max(1.0, fault.amount), 1.0)
 
     async def _node_stalls(self, fault: Fault, node: FleetNode) -> None:
-        await stalled(fault.lasts, [node])
+        await stall_nodes(fault.lasts, [node])
 
     async def _node_swallows(self, fault: Fault, node: FleetNode) -> None:
-        await during(fault.lasts, [node], "no_answer_share", fault.amount, 0.0)
+        await set_temporarily(fault.lasts, [node], "no_answer_share", fault.amount, 0.0)
 
     async def _node_spoils(self, fault: Fault, node: FleetNode) -> None:
-        await during(fault.lasts, [node], "malformed_share", fault.amount, 0.0)
+        await set_temporarily(fault.lasts, [node], "malformed_share", fault.amount, 0.0)
 
     async def _node_errors(self, fault: Fault, node: FleetNode) -> None:
-        await during(fault.lasts, [node], "error_share", fault.amount, 0.0)
+        await set_temporarily(fault.lasts, [node], "error_share", fault.amount, 0.0)
 
     async def _node_resets(self, fault: Fault, node: FleetNode) -> None:
         for writer in list(node.open):
@@ -129,13 +132,13 @@
         await node.crash()
         await asyncio.sleep(fault.lasts)
         if node.port not in self.kernel.listening:
-            # Renamed only now, since updates sent in the meantime concern the old node.
+            # The node gets its new id only now, since updates sent meanwhile concern the old node.
             old = self._entry(node, "terminated")
             node.name = f"{node.name}'"
             node.start_cold()
             await node.start(node.port)
             self.draining.pop(node.name, None)  # an earlier drain concerned an older node
-            self._replaced(old, node)
+            self._publish_replacement(old, node)
 
     async def _block_path(self, fault: Fault, port: int, to: bool, back: bool) -> None:
         self.kernel.block(port, to, back)
@@ -155,7 +158,7 @@
         await self._block_path(fault, self.discovery.port, True, True)
 
     async def _discovery_ends(self, fault: Fault, node: FleetNode) -> None:
-        await refused(fault.lasts, self.discovery)
+        await refuse_watches(fault.lasts, self.discovery)
 
     async def _discovery_lies(self, fault: Fault, node: FleetNode) -> None:
         """Discovery reports a healthy node as terminated, later as in service again."""
@@ -212,10 +215,10 @@
             await asyncio.sleep(self.process.paused_until - self.kernel.now)
         if self.process.state == "up":
             config, proxy = read(), self.process.proxy
-            before = proxy.list_source
+            source_before = proxy.list_source
             self.process.listener.limits = config.limits
             proxy.reload(config)
-            if proxy.list_source is not before:
+            if proxy.list_source is not source_before:
                 self._sources_changed()
 
     # --- the process itself ---
@@ -232,7 +235,7 @@
         if self.process.state == "down":
             return
         self.process.kill()
-        # The platform allows that a killed process loses the requests that it had accepted.
+        # The platform permits a killed process to lose the requests that it had accepted.
         for client in self.clients:
             for id_ in client.open:
                 self.checker.excuse(id_)
@@ -241,7 +244,10 @@
         await self._restart_process(fault)
 
     async def _restart_process(self, fault: Fault) -> None:
-        """Restart the proxy with its last node list, or one that lacks the current drains."""
+        """Restart the proxy after the fault's time.
+
+        Its initial list is the last one, or one without the current drains (`amount` 0.5 or more).
+        """
         await asyncio.sleep(fault.lasts)
         if self._ending:
             return
@@ -273,6 +279,6 @@
 
 
 def replace_limits(config: Config, depth: int) -> Config:
-    """The configuration with another limit `depth`, as an operator's reload may change it."""
+    """The configuration with another value of the limit `depth`, as after an operator's change."""
     limits = msgspec.structs.replace(config.operator.limits, depth=depth)
     return replace(config, operator=msgspec.structs.replace(config.operator, limits=limits))
