--- a/limebridge/cli.py
+++ b/limebridge/cli.py
@@ -66,7 +66,7 @@
     LazyCommand(
         "fleet",
         "limebridge.fleet.command:app",
-        "Works on behalf of the fleet; who is there.",
+        "Works on behalf of the fleet; its members.",
     ),
     LazyCommand(
         "control",
