--- a/limebridge/control/command.py
+++ b/limebridge/control/command.py
@@ -1,7 +1,7 @@
-"""`limebridge control`: creates log folders, runs control machines, shows status, publishes.
+"""`limebridge control`: commands that set up and run control machines, show status and publish.
 
-Exit codes: 0 success; 1 no reply, or refused; 2 invalid arguments or file; 3 uncertain: the
-publication may or may not be in the log, or (with --wait) it is committed but not yet in force.
+Exit codes: 0: success; 1: no reply, or refused; 2: invalid arguments or file; 3: uncertain, that is
+the publication may or may not be in the log, or (with --wait) is committed but not yet in force.
 """
 
 from __future__ import annotations
@@ -44,9 +44,9 @@
 
 app = typer.Typer(no_args_is_help=True, help="Control machines: purges and configuration.")
 
-REFUSED, WRONG, UNCERTAIN = 1, 2, 3
-LOG_ID_BYTES = 8
-NAME_CHARACTERS = 64
+REFUSED, INVALID, UNCERTAIN = 1, 2, 3  # exit codes
+LOG_ID_BYTES = 8  # of a new log's random ID, printed in hex
+MAX_NAME_CHARACTERS = 64  # of a machine's name and of a log's ID
 
 MachineOption = Annotated[
     list[str],
@@ -66,10 +66,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _InForce:
-    """A publication's position, and the leader's status when it came into force."""
+    """A publication that is in force."""
 
-    position: int
-    status: StatusReply
+    position: int  # in the log
+    status: StatusReply  # the leader's, after it came into force
 
 
 @app.command()
@@ -91,9 +91,9 @@
 ) -> None:
     """Create the folder of a control machine: an empty log, or the replacement of a lost one."""
     if new == bool(log) or (new and replace):
-        _exit("give either --log ID (with or without --replace) or --new", WRONG)
-    if not (0 < len(name) <= NAME_CHARACTERS and len(log) <= NAME_CHARACTERS):
-        _exit(f"--name and --log must have 1 to {NAME_CHARACTERS} characters", WRONG)
+        _exit("give either --log ID (with or without --replace) or --new", INVALID)
+    if not (0 < len(name) <= MAX_NAME_CHARACTERS and len(log) <= MAX_NAME_CHARACTERS):
+        _exit(f"--name and --log must have 1 to {MAX_NAME_CHARACTERS} characters", INVALID)
     identity = log or secrets.token_hex(LOG_ID_BYTES)
     try:
         init_folder(folder, name, identity, recovering=replace)
@@ -143,7 +143,7 @@
     try:
         keys = [line for line in file.read_text().splitlines() if line]
     except (OSError, ValueError) as error:
-        _exit(f"{file}: {error}", WRONG)
+        _exit(f"{file}: {error}", INVALID)
     machines = _machines(machine, key_file)
     for first in range(0, len(keys), RECORDS_PER_BATCH):
         _publish(machines, keys[first : first + RECORDS_PER_BATCH], wait, seconds)
@@ -159,7 +159,7 @@
 ) -> None:
     """Purge keys at every proxy; prints the log position once committed."""
     if len(key) > RECORDS_PER_BATCH:
-        _exit(f"at most {RECORDS_PER_BATCH} keys; `publish` takes a file", WRONG)
+        _exit(f"at most {RECORDS_PER_BATCH} keys; `publish` takes a file", INVALID)
     _publish(_machines(machine, key_file), key, wait, seconds)
 
 
@@ -182,12 +182,12 @@
     With --wait, lists each proxy that refused it and exits with code 1 if there is one.
     """
     if remove == (file is not None):
-        _exit("give either a file or --remove", WRONG)
+        _exit("give either a file or --remove", INVALID)
     try:
         check_name(table)
         body = b"" if file is None else _table_body(table, file)
     except TableRefusedError as error:
-        _exit(str(error), WRONG)
+        _exit(str(error), INVALID)
     record = Record(Topic.CONFIGURATION, table, body)
     status = _publish_records(_machines(machine, key_file), (record,), wait, seconds)
     if status is not None:
@@ -195,38 +195,44 @@
 
 
 def _table_body(table: str, file: Path) -> bytes:
+    """Reads the file and checks that it is a valid table of this name.
+
+    Raises TableRefusedError if it is not; exits the command if the file is empty or unreadable.
+    """
     try:
         body = file.read_bytes()
     except OSError as error:
-        _exit(f"{file}: {error.strerror}", WRONG)
+        _exit(f"{file}: {error.strerror}", INVALID)
     if not body:
-        _exit(f"{file}: is empty; use --remove to withdraw a published table", WRONG)
+        _exit(f"{file}: is empty; use --remove to withdraw a published table", INVALID)
     parse_table(table, body)
     return body
 
 
-def _exit_if_refused(committed: _InForce) -> None:
+def _exit_if_refused(publication: _InForce) -> None:
+    """Exits the command with the proxies' reasons if any of them refused the publication."""
     reasons = [
         f"{name}: {reason}"
-        for name, position, reason in committed.status.refused
-        if position == committed.position
+        for name, position, reason in publication.status.refused
+        if position == publication.position
     ]
     if reasons:
-        _exit(f"position {committed.position} is refused by {'; '.join(reasons)}", REFUSED)
+        _exit(f"position {publication.position} is refused by {'; '.join(reasons)}", REFUSED)
 
 
 def _publish(machines: Machines, keys: list[str], wait: bool, seconds: float) -> None:
     if any(len(key) > MAX_KEY_CHARACTERS for key in keys):
-        _exit(f"a key has at most {MAX_KEY_CHARACTERS} characters", WRONG)
+        _exit(f"a key has at most {MAX_KEY_CHARACTERS} characters", INVALID)
     _publish_records(machines, tuple(Record(Topic.PURGE, key) for key in keys), wait, seconds)
 
 
 def _publish_records(
     machines: Machines, records: tuple[Record, ...], wait: bool, seconds: float
 ) -> _InForce | None:
-    """Exits the command unless the records are committed and, with `wait`, in force.
+    """Publishes the records and prints their position; with `wait`, waits until they are in force.
 
-    Prints the position.  Returns None without `wait`.
+    Exits the command unless the records are committed and, with `wait`, in force within `seconds`.
+    Returns None without `wait`.
     """
     publication = Publish(secrets.token_hex(16), records)
     try:
@@ -246,6 +252,7 @@
 
 
 def _status_name(status: int) -> str:
+    """Name of a publication's status; "status NUMBER" if the number is unknown."""
     try:
         return PublishStatus(status).name
     except ValueError:
@@ -256,18 +263,21 @@
     try:
         keys = read_keys(str(key_file))
     except (OSError, ValueError) as error:
-        _exit(f"--key-file: {error}", WRONG)
+        _exit(f"--key-file: {error}", INVALID)
     try:
         return Machines([parse_address(address) for address in addresses], keys, 3.0)
     except ValueError as error:
-        _exit(f"--machine: {error}", WRONG)
+        _exit(f"--machine: {error}", INVALID)
 
 
 def _show(reply: StatusReply) -> None:
+    """Prints a status as text; a machine that is not the leader reports only its own log."""
     console = Console(markup=False, emoji=False)  # no markup: names and reasons may have brackets
     role = "leads" if reply.leader == reply.replica else f"follows {reply.leader or 'nobody'}"
-    note = ", replaces a lost disk and has not recovered yet" if reply.recovering else ""
-    console.print(printable(f"{reply.replica} {role}, fence {reply.fence}, log {reply.log}{note}"))
+    recovery = ", replaces a lost disk and has not recovered yet" if reply.recovering else ""
+    console.print(
+        printable(f"{reply.replica} {role}, fence {reply.fence}, log {reply.log}{recovery}")
+    )
     console.print(f"log to {reply.last.position}, committed to {reply.commit}")
     if reply.recovering:
         _show_recovery(console, reply)
@@ -302,22 +312,27 @@
 
 
 def _show_recovery(console: Console, reply: StatusReply) -> None:
-    """Prints what the recovery from a lost disk waits for.
+    """Prints what a machine that replaces a lost disk waits for.
 
-    The reply has the seconds since each other machine reported its promise; negative: not yet.
+    The third field of `reply.replicas` is the time in s since that machine reported its promise; a
+    negative value means that it has not yet.
     """
-    promises = [(name, since) for name, _, since in reply.replicas if name != reply.replica]
-    missing = [name for name, since in promises if since < 0]
+    promises = [(name, since_s) for name, _, since_s in reply.replicas if name != reply.replica]
+    missing = [name for name, since_s in promises if since_s < 0]
     awaited = f"a promise of {', '.join(missing)}" if missing else "the leader's whole log"
     console.print(printable(f"recovery waits for {awaited}"))
     _print_table(
         console,
         ("replica", "promise told"),
-        [(name, "not yet" if since < 0 else f"{since:.1f} s ago") for name, since in promises],
+        [
+            (name, "not yet" if since_s < 0 else f"{since_s:.1f} s ago")
+            for name, since_s in promises
+        ],
     )
 
 
 def _print_table(console: Console, columns: tuple[str, ...], rows: list[tuple[str, ...]]) -> None:
+    """Prints a table unless it has no rows; unprintable characters are escaped."""
     if rows:
         table = Table(*columns, box=None)
         for row in rows:
--- a/limebridge/control/control_client.py
+++ b/limebridge/control/control_client.py
@@ -1,4 +1,4 @@
-"""Requests from the command line to control machines, one at a time."""
+"""Client of control machines for the command line; it sends one request at a time."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from violetroute.transport import Address
 from violetroute.transport.sockets import SocketNetwork
 
-RETRY_DELAY_S = 0.2  # after all machines were tried and none of them is the leader
+RETRY_DELAY_S = 0.2  # after a round in which no machine gave the result
 
 
 class NoAnswerError(Exception):
-    """No usable reply from any control machine; the message is one line."""
+    """No usable reply from the control machines that were tried; the message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,8 +46,8 @@
     client = HttpClient(SocketNetwork(loop), address, machines.keys)
 
     def on_reply(body: bytes | None, reason: str) -> None:
-        # The future is done already when the caller was cancelled in the loop iteration in
-        # which the reply arrives.
+        # If the caller was cancelled in the loop iteration in which the reply arrives, the future
+        # is done already.
         if not answer.done():
             answer.set_result((body, reason))
 
--- a/limebridge/control/process.py
+++ b/limebridge/control/process.py
@@ -16,9 +16,9 @@
 from limebridge import child_signals
 from violetroute.distribution.storage import init_folder
 
-READY_S = 30.0  # from its start until a process serves
-END_S = 10.0  # for a process to release its lease and exit
-ENDING_S = 0.3  # seconds for a process that may be exiting already to end by itself
+READY_S = 30.0  # time limit from the start of a process until it serves
+END_S = 10.0  # time limit for a process to release its lease and exit after SIGTERM
+ENDING_S = 0.3  # time for a process that may be exiting already to end by itself
 COMMAND = (sys.executable, "-m", "violetroute.distribution")
 
 
@@ -29,8 +29,9 @@
 class ControlProcess:
     """The process of one control machine; it can be started again after it has ended.
 
-    Each line of its log is passed to `on_log_line`; the last 50 lines are kept in `log`.
-    `build`: the folder whose packages the next start runs; None: the packages of this process.
+    Each line of its log is passed to `on_log_line`; the last 50 lines are kept in `log`.  `address`
+    is HOST:PORT of the last start.  `build` is the folder whose packages the next start runs; None
+    stands for the packages of this process.
     """
 
     def __init__(self, file: Path, on_log_line: Callable[[str], None] | None = None) -> None:
@@ -50,13 +51,13 @@
 
     @property
     def running(self) -> bool:
-        """Whether it was started and has not ended."""
+        """Whether the process was started and has not ended."""
         return self._process is not None and self._process.returncode is None
 
     async def start(self) -> str:
-        """Starts the process, waits until it serves, and returns its address.
+        """Starts the process, waits until it serves, and returns its address as HOST:PORT.
 
-        Raises UnreadyError when it does not serve within READY_S; the process has ended then.
+        Raises UnreadyError when it does not serve within READY_S, after the process has ended.
         """
         self._process = await asyncio.create_subprocess_exec(
             *COMMAND,
@@ -111,6 +112,7 @@
             await self.kill()
 
     async def _read(self, process: asyncio.subprocess.Process) -> None:
+        """Reads the log of the process until it ends."""
         assert process.stderr is not None
         while line := await process.stderr.readline():
             text = line.decode(errors="replace").rstrip()
@@ -123,7 +125,9 @@
 class ControlMachines:
     """The files and processes of all control machines of one log, under one folder.
 
-    `timings` is the table of that name in each file; `fleet` overrides keys of its `fleet` table.
+    Machine c0 listens at the first of `ports`, and so on; `regions` are assigned in turn.
+    `timings` is the table of that name in each configuration file; `fleet` overrides keys of its
+    `fleet` table.
     """
 
     folder: Path
@@ -147,7 +151,7 @@
         return [f"127.0.0.1:{port}" for port in self.ports]
 
     def region(self, number: int) -> str:
-        """Region of the machine with this number; "" without regions."""
+        """Region of the machine with this number; "" if `regions` is empty."""
         return self.regions[number % len(self.regions)] if self.regions else ""
 
     def write(self) -> None:
--- a/limebridge/control/status_json.py
+++ b/limebridge/control/status_json.py
@@ -23,7 +23,7 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """A record that a proxy refused to apply, and why."""
+    """A record that a proxy refused to apply, and the proxy's reason."""
 
     name: str
     position: int
@@ -39,7 +39,7 @@
 
 
 class StatusObject(msgspec.Struct, frozen=True):
-    """The status as one machine reports it; only the leader's is complete."""
+    """The status that one machine reports; only the leader's is complete."""
 
     replica: str
     leader: str
--- a/limebridge/virtual/datagrams.py
+++ b/limebridge/virtual/datagrams.py
@@ -1,4 +1,4 @@
-"""UDP in memory; `Network.datagram_delays` drops, delays, duplicates and reorders datagrams."""
+"""UDP sockets in memory.  `Network.datagram_delays` drops, delays, duplicates and reorders."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class VirtualDatagrams:
-    """UDP socket with the methods that the transport interface uses."""
+    """Non-blocking UDP socket with the methods of socket.socket that the daemon uses."""
 
     family, type, proto = socket.AF_INET, socket.SOCK_DGRAM, socket.IPPROTO_UDP
 
@@ -62,6 +62,7 @@
         return data[:max_bytes], origin
 
     def ready(self) -> int:
+        """READ and WRITE as epoll reports them; sending never blocks."""
         return WRITE | (READ if self._queue else 0)
 
     def close(self) -> None:
--- a/limebridge/virtual/kernel.py
+++ b/limebridge/virtual/kernel.py
@@ -43,7 +43,7 @@
         return sock
 
     def maker(self, owner: str) -> Callable[[int, int], Any]:
-        """The socket constructor that SocketNetwork takes, for sockets of this owner."""
+        """The socket constructor for SocketNetwork: it creates sockets of this owner."""
         return lambda family, kind: (
             self.datagrams(owner) if kind & ~FLAGS == SOCK_DGRAM else self.socket(owner)
         )
--- a/limebridge/virtual/loop.py
+++ b/limebridge/virtual/loop.py
@@ -20,7 +20,7 @@
 
 
 class Livelock(Exception):
-    """The program runs without end while the clock stands still."""
+    """The program keeps running callbacks although the clock does not advance."""
 
 
 class Deadlock(Exception):
@@ -35,8 +35,8 @@
         self._keys: dict[int, selectors.SelectorKey] = {}
         self._turns_at_instant = 0
         self.before_poll: Callable[[], None] | None = None  # called before each poll
-        self.turns = 0
-        self.first: set[int] = set()  # descriptors reported before the others
+        self.turns = 0  # number of polls
+        self.first: set[int] = set()  # descriptors that are reported before all others
 
     def register(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
         number = fileobj if isinstance(fileobj, int) else fileobj.fileno()
@@ -98,7 +98,8 @@
         return ready
 
     def _ready(self) -> list[tuple[selectors.SelectorKey, int]]:
-        found = []
+        """The registered sockets that are ready; all others are removed from `to_check`."""
+        ready = []
         to_check, sockets = self._kernel.to_check, self._kernel.sockets
         for number in list(to_check):
             key, sock = self._keys.get(number), sockets.get(number)
@@ -106,10 +107,10 @@
                 continue  # checked again when its process resumes
             mask = sock.ready() & key.events if key is not None and sock is not None else 0
             if mask and key is not None:
-                found.append((key, mask))
+                ready.append((key, mask))
             else:
                 del to_check[number]
-        return found
+        return ready
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
@@ -155,13 +156,13 @@
             self.call_soon(self._signals[sig])
 
     # --- replaced creation of sockets ---
-    def _virtual(self) -> Any:
+    def _create_socket(self) -> Any:
         return self.kernel.socket()
 
     async def create_connection(
         self, protocol_factory: Any, host: Any = None, port: Any = None, **options: Any
     ) -> Any:
-        sock = self._virtual()
+        sock = self._create_socket()
         try:
             await self.sock_connect(sock, (host, port))
         except BaseException:
@@ -200,7 +201,7 @@
         backlog: int = 100,
         **options: Any,
     ) -> Any:
-        sock: VirtualSocket = self._virtual()
+        sock: VirtualSocket = self._create_socket()
         sock.bind((host or "127.0.0.1", port or 0))
         sockets: list[Any] = [sock]
         server = asyncio.base_events.Server(self, sockets, protocol_factory, None, backlog, None)
--- a/limebridge/virtual/net.py
+++ b/limebridge/virtual/net.py
@@ -14,9 +14,10 @@
 def network(
     kernel: Kernel, owner: str, loop: Any, clock: Callable[[], float], turns: Turns | None = None
 ) -> SocketNetwork:
-    """The network of process `owner`.
+    """The network interface of process `owner`; `clock` gives its wall clock in Unix s.
 
-    `hung_up` is set as an attribute, so that older builds that don't use it can run as well.
+    `hung_up` is set as an attribute, so that older builds of the daemon, which don't have it, can
+    run as well.
     """
     net = SocketNetwork(
         loop,
--- a/limebridge/virtual/network.py
+++ b/limebridge/virtual/network.py
@@ -18,19 +18,22 @@
 
 @dataclass
 class Link:
-    """The path to one listening port, both ways: `to` it and `back` from it."""
+    """The path to one listening port, in both directions: `to` it and `back` from it."""
 
     port: int
     latency: float = LATENCY
-    jitter: float = 0.0  # s, maximum; uniform for each packet
+    jitter: float = 0.0  # s, maximum of a packet's additional delay, which is uniform
     blocked_to: bool = False
     blocked_back: bool = False
     cut: bool = False  # segments are split at random places given by the seed
-    held: list[Callable[[], None]] = field(default_factory=list)
+    held: list[Callable[[], None]] = field(default_factory=list)  # packets of a blocked path
 
 
 class Network:
-    """All sockets and packets, and the clock, which the event loop advances."""
+    """All sockets and packets, and the clock, which the event loop advances.
+
+    An owner is the name of a simulated process; sockets of stand-ins have the owner "".
+    """
 
     def __init__(self, seed: int = 0, start: float = 1000.0, buffer: int = BUFFER) -> None:
         self.buffer = buffer
@@ -47,20 +50,18 @@
         self._free_descriptors: list[int] = []  # heap of free descriptors
         self._highest = 2
         self._next_port = FIRST_PORT
-        self.to_check: dict[
-            int, None
-        ] = {}  # descriptors to check for readiness, in order of their changes
-        self.packets = 0
-        self.paused: dict[str, float] = {}  # owner without CPU -> end of the pause
+        # Descriptors to check for readiness, in the order of their changes.
+        self.to_check: dict[int, None] = {}
+        self.packets = 0  # number of calls made by `deliver`
+        self.paused: dict[str, float] = {}  # owner that gets no CPU -> end of the pause
         self.meters: dict[str, Any] = {}  # by owner, if its CPU time is simulated; see costs.py
         self.woken = False  # a packet's arrival scheduled a callback on the loop
         self.charged_meters: list[Any] = []  # charged in this iteration of the loop
         # Additional one-way latency in s of a connection from an owner to a port.
         self.extra_delay: Callable[[str, int], float] = lambda owner, port: 0.0
-        # UDP sockets by port.
+        self.bound: dict[int, Any] = {}  # UDP sockets by port
         # Delays in s of the copies of a datagram from an owner to a port: an empty list drops it,
         # two entries duplicate it, and unequal delays reorder datagrams.
-        self.bound: dict[int, Any] = {}
         self.datagram_delays: Callable[[str, int], list[float]] = lambda owner, port: [LATENCY]
         # Called with the bytes that a socket received, and those that a program sent on it.
         self.on_received: Callable[[Any, bytes], None] = lambda sock, data: None
@@ -69,17 +70,18 @@
         self.on_end: Callable[[Any], None] = lambda sock: None
 
     # --- time ---
-    def at(self, when: float, what: Callable[[], None]) -> None:
-        """Call `what` at this time; calls for the same time run in the order of scheduling."""
+    def at(self, when: float, callback: Callable[[], None]) -> None:
+        """Schedule a call at this time; calls for one time run in the order of scheduling."""
         self._number += 1
-        heappush(self._packets, (when, self._number, what))
+        heappush(self._packets, (when, self._number, callback))
 
     @property
     def next_at(self) -> float | None:
+        """Time of the next scheduled call in s, or None if there is none."""
         return self._packets[0][0] if self._packets else None
 
     def deliver(self) -> None:
-        """Run all calls that are due."""
+        """Make all scheduled calls that are due."""
         while self._packets and self._packets[0][0] <= self.now:
             self.packets += 1
             heappop(self._packets)[2]()
@@ -91,11 +93,11 @@
             meter.end_turn()
 
     def random(self, purpose: str) -> random.Random:
-        """A separate random stream per purpose, so that one does not affect another."""
-        found = self._randoms.get(purpose)
-        if found is None:
-            found = self._randoms[purpose] = random.Random(f"{self._seed}/{purpose}")
-        return found
+        """The random stream of this purpose; each has its own, so that they are independent."""
+        stream = self._randoms.get(purpose)
+        if stream is None:
+            stream = self._randoms[purpose] = random.Random(f"{self._seed}/{purpose}")
+        return stream
 
     # --- sockets ---
     def limit(self, owner: str, descriptors: int) -> None:
@@ -126,6 +128,7 @@
             heappush(self._free_descriptors, sock.number)
 
     def port(self) -> int:
+        """Assign the next ephemeral port."""
         self._next_port += 1
         return self._next_port
 
--- a/limebridge/virtual/process.py
+++ b/limebridge/virtual/process.py
@@ -1,8 +1,8 @@
 """The daemon as a simulated process: started, drained by SIGTERM, killed or paused.
 
 The whole simulation runs on one event loop.  The daemon's callbacks are recognised by their module
-(`violetroute`) and its sockets by their owner.  So a kill can remove them from the loop at any
-instant, and a pause can delay them like a process that gets no CPU.
+(`violetroute`) and its sockets by their owner.  A kill removes them from the loop at any instant.
+A pause delays them, as if the process got no CPU.
 """
 
 from __future__ import annotations
@@ -32,7 +32,11 @@
 
 
 class VirtualTurns(Turns):
-    """Reports pauses to the daemon before it handles the events that arrived meanwhile."""
+    """Counts the daemon's loop iterations and reports pauses of its process.
+
+    A pause is reported before the daemon handles the events that arrived meanwhile.  Without a
+    meter an iteration takes no time, so `readable_for` and `elapsed` are 0.
+    """
 
     def __init__(self, loop: VirtualLoop, meter: Meter | None = None) -> None:
         super().__init__()
@@ -61,7 +65,7 @@
         (self._loop.poll.first.add if on else self._loop.poll.first.discard)(descriptor)
 
     def resumed(self, seconds: float) -> None:
-        """Report a pause of MIN_DETECTABLE_PAUSE_S or more, as TurnSelector does."""
+        """Report a pause if it is MIN_DETECTABLE_PAUSE_S or longer, as TurnSelector does."""
         if seconds >= MIN_DETECTABLE_PAUSE_S:
             self._paused_for, self._paused_turn = seconds, self.count
             if self._callback is not None:
@@ -69,7 +73,7 @@
 
 
 class Process:
-    """Successive runs of the daemon under one owner name and port."""
+    """Successive runs of the daemon under one owner name."""
 
     def __init__(
         self,
@@ -82,8 +86,8 @@
         self.owner = owner
         self._kernel, self._loop = kernel, loop
         self._clock = clock
-        self.state = "down"  # up, draining
-        self.paused_until = 0.0
+        self.state = "down"  # or "up" or "draining"
+        self.paused_until = 0.0  # s
         self._draining: asyncio.Task[None] | None = None
         self.meter = None if costs is None else Meter(kernel, loop, owner, costs)
         # Creates the sharing service of each new run from this process and its network.
@@ -91,7 +95,10 @@
         self.sharing: Sharing | None = None
 
     def start(self, config: Config, port: int = 0) -> int:
-        """Start the daemon as its start-up code does; return the listening port."""
+        """Start the daemon as its start-up code does; return the listening port.
+
+        `port`: the port to listen at; 0: that of the configuration.
+        """
         self._turns = VirtualTurns(self._loop, self.meter)
         loop: Any = self._loop if self.meter is None else ProcessLoop(self._loop, self.meter)
         net = network(self._kernel, self.owner, loop, self._clock, self._turns)
@@ -105,7 +112,7 @@
         )
         listen = Address(config.listen.host, port or config.listen.port)
         self.state = "up"
-        self._longest = config.longest_deadline + DRAIN_SLACK
+        self._drain_time = config.longest_deadline + DRAIN_SLACK
         self.sharing = None if self.create_sharing is None else self.create_sharing(self, net)
         return self.listener.start(listen).port
 
@@ -119,7 +126,7 @@
     async def _drain(self) -> None:
         if self.sharing is not None:
             self.sharing.leave()
-        await self.listener.drain(self._longest)
+        await self.listener.drain(self._drain_time)
         self.proxy.close()
         if self.sharing is not None:
             self.sharing.close()
@@ -143,7 +150,7 @@
 
     def kill(self) -> None:
         """Send SIGKILL: all callbacks are cancelled and the kernel resets the connections."""
-        self._unmetered()
+        self._reject_metered()
         if self._draining is not None:
             self._draining.cancel()
         self._cancel_callbacks()
@@ -157,8 +164,8 @@
         self._kernel.paused.pop(self.owner, None)
 
     def pause(self, seconds: float) -> None:
-        """Run no timer or event of the process for so many seconds; its sockets still receive."""
-        self._unmetered()
+        """Delay all timers and events of the process by `seconds`; its sockets still receive."""
+        self._reject_metered()
         now = self._kernel.now
         until = self.paused_until = now + seconds
         for timer in self._loop._scheduled:  # type: ignore[attr-defined]
@@ -168,8 +175,8 @@
         self._kernel.paused[self.owner] = until
         self._kernel.at(until, lambda: self._resume(until, seconds))
 
-    def _unmetered(self) -> None:
-        """Reject a metered process: its callbacks wait in the meter, unknown to kill and pause."""
+    def _reject_metered(self) -> None:
+        """Reject a metered process: `kill` and `pause` do not see the callbacks in the meter."""
         if self.meter is not None:
             raise NotImplementedError("a metered process can't be killed or paused")
 
--- a/limebridge/virtual/send_times.py
+++ b/limebridge/virtual/send_times.py
@@ -4,7 +4,10 @@
 
 
 class SendTimes:
-    """Send times of one direction.  Queried offsets must not decrease: older ones are dropped."""
+    """Send times of one direction of a connection.
+
+    The offsets in calls of `at` must not decrease, since each call drops older entries.
+    """
 
     __slots__ = ("_sends",)
 
--- a/limebridge/virtual/sockets.py
+++ b/limebridge/virtual/sockets.py
@@ -21,7 +21,7 @@
 
 
 class VirtualSocket:
-    """One end of a connection, with the socket.socket methods used by asyncio and the daemon."""
+    """TCP socket with the socket.socket methods that asyncio and the daemon use; none blocks."""
 
     family, type, proto = socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP
 
@@ -33,7 +33,7 @@
         self._queue: deque[VirtualSocket] | None = None  # accept queue of a listening socket
         self._backlog = 0
         self._link: Link | None = None
-        self._extra_s = 0.0
+        self._extra_s = 0.0  # additional one-way latency in s
         self._is_client = False  # connected actively: sends in direction `to` of the link
         self.peer: VirtualSocket | None = None
         self._state = "new"  # connecting, open, failed
@@ -212,28 +212,28 @@
             raise error(
                 errno.EAGAIN if self._state in ("connecting", "opening") else errno.ENOTCONN
             )
-        taken = 0
+        accepted = 0
         if self.peer is not None:
             self.peer._peer_send_times.note(self._sent, self._kernel.now + self._meter.turn_cpu_s)
         for part in parts:
-            room = self._kernel.buffer - len(self._sending) - self._in_flight
-            if room <= 0:
+            free = self._kernel.buffer - len(self._sending) - self._in_flight
+            if free <= 0:
                 break
-            piece = memoryview(part)[:room]
+            piece = memoryview(part)[:free]
             self._sending += piece
             self._kernel.on_sent(self, bytes(piece))
-            taken += len(piece)
+            accepted += len(piece)
             if len(piece) < len(part):
                 break
-        if not taken and any(len(part) for part in parts):
+        if not accepted and any(len(part) for part in parts):
             raise error(errno.EAGAIN)
-        self._sent += taken
-        self._meter.charge_write(taken)
+        self._sent += accepted
+        self._meter.charge_write(accepted)
         self._transmit()
         if self._timeout and self._link is not None and (self._sending or self._blocked):
             sent, late = self._sent, ZERO_WINDOW_DELAY if self._sending else 0.0
             self._kernel.at(self._kernel.now + self._timeout + late, lambda: self._timed_out(sent))
-        return taken
+        return accepted
 
     def _timed_out(self, sent: int) -> None:
         """Fail with ETIMEDOUT if the first `sent` bytes are still not delivered."""
@@ -297,7 +297,7 @@
         self._in_flight -= len(data)
         if peer is None:
             return
-        if peer._closed:  # as the kernel answers data for a closed socket
+        if peer._closed:  # the kernel responds to data for a closed socket with a reset
             peer._send_reset()
             return
         peer._received += data
@@ -379,7 +379,7 @@
         """Time at which the peer handed the received byte `offset` to its kernel."""
         return self._peer_send_times.at(offset)
 
-    def undelivered(self) -> int:  # bytes not yet at the peer, as SIOCOUTQ
+    def undelivered(self) -> int:  # bytes that have not reached the peer, as from SIOCOUTQ
         return len(self._sending) + self._in_flight
 
     def ready(self) -> int:
--- a/limebridge/virtual/timeline.py
+++ b/limebridge/virtual/timeline.py
@@ -1,4 +1,4 @@
-"""Reports of a run: a text timeline, and an HTML page with an SVG chart."""
+"""Reports of a run: text, and an HTML page with an SVG chart of the faults and commands."""
 
 from __future__ import annotations
 
@@ -8,12 +8,15 @@
 from .plan import Fault
 from .world import Outcome
 
-LINES = 60  # trace lines before a violation
-WIDTH, ROW, LEFT = 1000.0, 26.0, 70.0  # px of the chart
+LINES = 60  # maximum number of trace lines before the first violation
+WIDTH, ROW, LEFT = 1000.0, 26.0, 70.0  # px: width of the chart, height of a row, left margin
 
 
 def render_text(outcome: Outcome) -> str:
-    """Faults, up to five violations with their request's trace, and the trace before the first."""
+    """Return the faults, up to five violations with the traces of their requests, and the trace.
+
+    The trace of the run is included up to the first violation.
+    """
     lines = [
         f"seed {outcome.plan.seed}: {outcome.requests} requests in "
         f"{outcome.virtual_seconds:.1f} s, {outcome.answers}",
@@ -25,14 +28,18 @@
             f"lasts {fault.lasts:g} s, amount {fault.amount:g}"
         )
     if not outcome.violations:
-        return "\n".join([*lines, "no rule broken"])
-    for found in outcome.violations[:5]:
-        what = f"RULE {found.rule}" if found.rule else "A BOUND OF ITS OWN"
-        lines += ["", f"{what} broken at {found.at - 1000.0:.6f}: {found.message} {found.request}"]
-        lines += [f"    {step}" for step in found.trace]
+        return "\n".join([*lines, "no rule violated"])
+    for violation in outcome.violations[:5]:
+        rule = f"RULE {violation.rule}" if violation.rule else "A LIMIT OF THE PROGRAM"
+        lines += [
+            "",
+            f"{rule} violated at {violation.at - 1000.0:.6f}: {violation.message} "
+            f"{violation.request}",
+        ]
+        lines += [f"    {step}" for step in violation.trace]
     first = outcome.violations[0].at - 1000.0
-    before = [line for line in outcome.trace if float(line.split(" ", 1)[0]) <= first]
-    lines += ["", "what led there:", *(f"  {line}" for line in before[-LINES:])]
+    trace = [line for line in outcome.trace if float(line.split(" ", 1)[0]) <= first]
+    lines += ["", "trace before the first violation:", *(f"  {line}" for line in trace[-LINES:])]
     if len(outcome.violations) > 5:
         lines.append(f"and {len(outcome.violations) - 5} more")
     return "\n".join(lines)
@@ -42,7 +49,7 @@
     """HTML page with a chart of commands and faults per node over time, and the text report."""
     span = max(outcome.virtual_seconds, 1.0)
     nodes = sorted({_node(line) for line in outcome.trace} - {""})
-    rows = {name: ROW * (place + 1) for place, name in enumerate(nodes)}
+    rows = {name: ROW * (index + 1) for index, name in enumerate(nodes)}
     height = ROW * (len(rows) + 3)
 
     def x(at: float) -> float:
@@ -67,11 +74,11 @@
                 f'<circle cx="{at:.1f}" cy="{rows[node]:.0f}" r="2.5" fill="#2a6">'
                 f"<title>{escape(line)}</title></circle>"
             )
-    for found in outcome.violations:
-        at = x(found.at - 1000.0)
+    for violation in outcome.violations:
+        at = x(violation.at - 1000.0)
         parts.append(
             f'<line x1="{at:.1f}" x2="{at:.1f}" y1="0" y2="{height:.0f}" stroke="red">'
-            f"<title>{escape(found.message)} {escape(found.request)}</title></line>"
+            f"<title>{escape(violation.message)} {escape(violation.request)}</title></line>"
         )
     parts.append("</svg>")
     return (
