--- a/tests/limebridge/control/test_control_asking.py
+++ b/tests/limebridge/control/test_control_requests.py
@@ -1,4 +1,4 @@
-"""Requests to control machines: late replies, and the choice of the leader's status."""
+"""Requests to control machines: a reply after a cancellation, and the choice among replies."""
 
 from __future__ import annotations
 
--- a/tests/limebridge/virtual/test_conformance.py
+++ b/tests/limebridge/virtual/test_conformance.py
@@ -1,8 +1,8 @@
-"""The same script gives the same events on real loopback sockets and on the simulated kernel.
+"""The simulated kernel gives the same events as real loopback sockets.
 
-Results of simulations depend on this.  A script drives both ends of a connection through the
-transport interface and records the events of each, without times and without how the bytes were
-split.
+The results of all simulations depend on this.  A script drives both ends of a connection through
+the transport interface, once on each kind of socket, and records the events of both ends.  Times
+and the sizes of receptions are not compared.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class Endpoint:
-    """Records the events of one end; consecutive receptions count once."""
+    """Protocol of one end; it records events, and consecutive receptions as one event."""
 
     def __init__(self) -> None:
         self._buffer = memoryview(bytearray(65536))
@@ -35,9 +35,9 @@
         self.stream: Stream | None = None
         self.changed = asyncio.Event()
 
-    def _record(self, what: str) -> None:
-        if not (self.events and self.events[-1] == what == "received"):
-            self.events.append(what)
+    def _record(self, event: str) -> None:
+        if not (self.events and self.events[-1] == event == "received"):
+            self.events.append(event)
         self.changed.set()
 
     def opened(self) -> None:
@@ -63,38 +63,38 @@
             else f"lost {errno.errorcode[error.errno]}"
         )
 
-    async def wait_until(self, true: Callable[[], object]) -> None:
+    async def wait_until(self, condition: Callable[[], object]) -> None:
         async with asyncio.timeout(20.0):
-            while not true():
+            while not condition():
                 self.changed.clear()
                 await self.changed.wait()
 
-    def has(self, what: str) -> bool:
-        return any(word.startswith(what) for word in self.events)
+    def has(self, prefix: str) -> bool:
+        return any(event.startswith(prefix) for event in self.events)
 
 
 class Endpoints:
-    """A network with a listening socket, which creates pairs of connected ends."""
+    """A network with a listening socket; `pair` creates two connected ends."""
 
     def __init__(self, net: SocketNetwork, name: str) -> None:
         self.net, self.name = net, name
-        self.waiting = asyncio.Event()
+        self.acceptable = asyncio.Event()  # set when a connection can be accepted
 
     def listen(self, backlog: int = 16) -> None:
         self.listener = self.net.listen(Address(LOOPBACK, 0), backlog, self._ready)
         self.listener.watch(True)
 
     def _ready(self) -> None:
-        self.waiting.set()
+        self.acceptable.set()
         self.listener.watch(False)
 
     async def pair(self) -> tuple[Endpoint, Endpoint]:
         client, server = Endpoint(), Endpoint()
-        self.waiting.clear()
+        self.acceptable.clear()
         self.listener.watch(True)
         client.stream = self.net.connect(self.listener.address, client, 5.0)
         async with asyncio.timeout(20.0):
-            await self.waiting.wait()
+            await self.acceptable.wait()
         server.stream = self.listener.accept(server)
         await client.wait_until(lambda: client.has("opened"))
         return client, server
@@ -131,8 +131,8 @@
 async def back_pressure(endpoints: Endpoints) -> object:
     client, server = await endpoints.pair()
     stream(server).pause()
-    taken = stream(client).write(BIG)
-    held = stream(client).unsent > 0
+    all_taken = stream(client).write(BIG)
+    has_unsent = stream(client).unsent > 0
     stream(server).resume()
     await server.wait_until(lambda: len(server.data) == len(BIG))
     await client.wait_until(lambda: client.has("drained"))
@@ -140,7 +140,7 @@
     await server.wait_until(lambda: server.has("ended"))
     stream(server).abort()
     await client.wait_until(lambda: client.has("lost"))
-    return taken, held, client.events, server.data == BIG
+    return all_taken, has_unsent, client.events, server.data == BIG
 
 
 async def half_close(endpoints: Endpoints) -> object:
@@ -213,7 +213,7 @@
     return first, second, client.events
 
 
-async def refused(endpoints: Endpoints) -> object:
+async def connection_refused(endpoints: Endpoints) -> object:
     endpoints.listener.close()
     client = Endpoint()
     client.stream = endpoints.net.connect(endpoints.listener.address, client, 5.0)
@@ -250,20 +250,20 @@
 
 async def peeks_for_pending_input(endpoints: Endpoints) -> object:
     client, server = await endpoints.pair()
-    quiet = [stream(client).no_pending_input()]
+    results = [stream(client).no_pending_input()]
     stream(client).pause()
     stream(server).write(b"x")
     await asyncio.sleep(0.05)
-    quiet.append(stream(client).no_pending_input())
+    results.append(stream(client).no_pending_input())
     stream(client).resume()
     await client.wait_until(lambda: client.data)
-    quiet.append(stream(client).no_pending_input())
+    results.append(stream(client).no_pending_input())
     stream(client).pause()
     stream(server).close()
     await asyncio.sleep(0.05)
-    quiet.append(stream(client).no_pending_input())
+    results.append(stream(client).no_pending_input())
     stream(client).abort()
-    return quiet
+    return results
 
 
 async def reports_delivery(endpoints: Endpoints) -> object:
@@ -342,7 +342,7 @@
     for end in ("nothing", "half-close", "close", "reset"):
         client, server = await endpoints.pair()
         stream(server).pause()
-        stream(client).write(b"asked and not read")
+        stream(client).write(b"sent and not read")
         while stream(server).no_pending_input():
             await asyncio.sleep(0.001)
         seen.append(stream(server).peer_ended())
@@ -373,7 +373,7 @@
     data_then_reset,
     reset_right_after_data,
     write_after_the_peer_closed,
-    refused,
+    connection_refused,
     full_backlog,
     closed_in_the_backlog,
     peeks_for_pending_input,
@@ -406,13 +406,13 @@
 
 def run_simulated(script: Script, cut: bool = False, seed: int = 1) -> object:
     kernel = Kernel(seed)
-    if cut:  # paths that split segments anywhere and add jitter
-        plain = kernel.link
+    if cut:  # all paths split segments at random places and add jitter
+        original_link = kernel.link
 
         def link(port: int) -> object:
-            found = plain(port)
-            found.cut, found.jitter = True, 0.000_2
-            return found
+            path = original_link(port)
+            path.cut, path.jitter = True, 0.000_2
+            return path
 
         kernel.link = link  # type: ignore[assignment, method-assign]
     return run_script(
@@ -429,7 +429,7 @@
     assert run_simulated(script, cut=True, seed=2) == real
 
 
-def test_missing_descriptor_is_reported_alike() -> None:
+def test_lack_of_descriptors_gives_the_same_events() -> None:
     async def script(endpoints: Endpoints) -> object:
         client = Endpoint()
         endpoints.net.connect(endpoints.listener.address, client, 5.0)
@@ -439,7 +439,7 @@
 
     kernel = Kernel()
     kernel.limit("p", 1)  # used by the listening socket
-    seen = run_script(
+    simulated = run_script(
         lambda loop: SocketNetwork(loop, make=kernel.maker("p")), VirtualLoop(kernel), script
     )
     loop = asyncio.SelectorEventLoop()
@@ -447,11 +447,11 @@
 
     async def limited(endpoints: Endpoints) -> object:
         with socket.socket() as probe:
-            free = probe.fileno()
-        resource.setrlimit(resource.RLIMIT_NOFILE, (free, hard))
+            lowest_free = probe.fileno()
+        resource.setrlimit(resource.RLIMIT_NOFILE, (lowest_free, hard))
         try:
             return await script(endpoints)
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
-    assert seen == run_script(SocketNetwork, loop, limited) == ([], ["lost EMFILE"])
+    assert simulated == run_script(SocketNetwork, loop, limited) == ([], ["lost EMFILE"])
--- a/tests/limebridge/virtual/test_explore.py
+++ b/tests/limebridge/virtual/test_explore.py
@@ -1,4 +1,7 @@
-"""Stored plans find their injected bugs and nothing on this build; runs are deterministic."""
+"""The explorer: stored plans detect their injected bugs, runs are deterministic, plans shrink.
+
+A stored plan must violate a rule on the build with its injected bug, and none on this build.
+"""
 
 from __future__ import annotations
 
@@ -31,8 +34,8 @@
 from limebridge.virtual.world import Outcome
 from tests.support.paths import ROOT, TESTS
 
-# No plan finds these so far; see docs/ROADMAP.md.
-NOT_FOUND = {"late_keyed_repeat", "delivery_limits_removed"}
+# Injected bugs that no plan detects so far; see docs/ROADMAP.md.
+NOT_DETECTED = {"late_keyed_repeat", "delivery_limits_removed"}
 PLANS = sorted((TESTS / "plans").glob("*.json"))
 
 
@@ -50,7 +53,7 @@
 
 
 @pytest.mark.parametrize("path", PLANS, ids=lambda path: path.stem)
-def test_stored_plan_finds_its_injected_bug_and_nothing_on_this_build(path: Path) -> None:
+def test_stored_plan_violates_a_rule_only_with_its_injected_bug(path: Path) -> None:
     patch = TESTS / "planted" / f"{path.stem}.py"
     code, report = replay(str(path), "--patch", str(patch))
     assert code == 1 and report["broken"]
@@ -58,9 +61,9 @@
     assert run_plan(read(path)).violations == []
 
 
-def test_every_injected_bug_that_was_found_has_a_plan() -> None:
+def test_every_injected_bug_that_a_plan_detects_has_a_stored_plan() -> None:
     planted = {path.stem for path in (TESTS / "planted").glob("*.py")}
-    assert {path.stem for path in PLANS} == planted - NOT_FOUND
+    assert {path.stem for path in PLANS} == planted - NOT_DETECTED
 
 
 def test_seed_gives_the_same_digest_in_any_process() -> None:
@@ -119,7 +122,7 @@
     code, report = replay("11", "--consul")
     assert (code, report["digest"]) == (0, here.digest)
     patch = str(TESTS / "planted" / "other_source_drain_ignored.py")
-    found = subprocess.run(  # in a separate process, since a patch is never removed
+    explored = subprocess.run(  # in a separate process, since a patch is never removed
         [
             sys.executable,
             "-m",
@@ -138,8 +141,10 @@
         text=True,
         timeout=60,
     )
-    assert found.returncode == 1
-    (line,) = [line for line in found.stderr.splitlines() if line.startswith("limebridge replay")]
+    assert explored.returncode == 1
+    (line,) = [
+        line for line in explored.stderr.splitlines() if line.startswith("limebridge replay")
+    ]
     assert line == f"limebridge replay 22 --consul --patch {patch}"
     assert replay(*line.split()[2:])[0] == 1
 
@@ -163,7 +168,7 @@
         one.reserve_seeds("plain", 1)
 
 
-def test_next_continues_after_earlier_runs_and_rejects_a_foreign_file(
+def test_next_continues_after_earlier_runs_and_rejects_a_malformed_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("XDG_STATE_HOME", str(tmp_path))
@@ -197,6 +202,6 @@
 
 
 def test_reload_delayed_by_a_pause_reads_the_latest_configuration() -> None:
-    """Seed 8201801: two SIGHUPs in one pause; the older configuration was applied last."""
+    """Seed 8201801 has two SIGHUPs in one pause; once the older configuration was applied last."""
     outcome = run_plan(generate(8_201_801))
     assert not outcome.violations and any(f.kind == "reload" for f in outcome.plan.faults)
--- a/tests/limebridge/virtual/test_virtual.py
+++ b/tests/limebridge/virtual/test_virtual.py
@@ -1,4 +1,4 @@
-"""The simulation: its clock and limits, and the daemon's code running in it."""
+"""The simulated event loop: its clock, livelock, deadlock, and the daemon's code running on it."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
     loop.close()
 
 
-def test_watch_reports_a_timeout_but_not_for_a_closed_connection() -> None:
+def test_watch_reports_silence_only_for_a_blocked_path_not_for_a_closed_connection() -> None:
     kernel = Kernel()
     loop = VirtualLoop(kernel)
     failures: list[bool] = []
@@ -133,5 +133,5 @@
 
 
 def test_rule_checker_and_daemon_use_the_same_minimum_pause() -> None:
-    """The simulated process uses the rule checker's constant, as older builds lack the daemon's."""
+    """The simulated process uses the checker's constant, since older builds have no MIN_PAUSE."""
     assert MIN_DETECTABLE_PAUSE_S == MIN_PAUSE
