--- a/limebridge/ledger/command.py
+++ b/limebridge/ledger/command.py
@@ -35,13 +35,14 @@
 Minutes = Annotated[int, typer.Option("--period-min", min=5, max=60, help="As in [ledger].")]
 
 
-def _stop(text: object, status: int = 2) -> NoReturn:
-    typer.echo(f"limebridge: {text}", err=True)
+def _exit(message: object, status: int = 2) -> NoReturn:
+    """Prints a line to standard error and exits the command."""
+    typer.echo(f"limebridge: {message}", err=True)
     raise typer.Exit(status) from None
 
 
 def _console() -> Console:
-    """A console without markup: tenants' names come from clients and may look like markup."""
+    """A console without markup, since tenants' names come from clients and may look like markup."""
     return Console(markup=False, highlight=False)
 
 
@@ -50,10 +51,10 @@
     try:
         return read_ledger(folder, Periods(zone, minutes))
     except (OSError, ValueError) as error:
-        _stop(error)
+        _exit(error)
 
 
-def _name(tenant: str | None) -> str:
+def _printable_name(tenant: str | None) -> str:
     """The tenant's name for a terminal: unprintable characters are replaced by "?"."""
     return OTHERS if tenant is None else "".join(c if c.isprintable() else "?" for c in tenant)
 
@@ -66,7 +67,7 @@
         Path | None, typer.Option("--html", metavar="FILE", help="Also write an HTML report.")
     ] = None,
 ) -> None:
-    """Show totals by tenant, class and day, billed or not."""
+    """Show the units by tenant, class and day, whether they are billed or not."""
     contents = _read(folder)
     units = contents.by_day()
     book = contents.book
@@ -94,7 +95,7 @@
     for (day, tenant, cls), count in sorted(
         units.items(), key=lambda item: (item[0][0], item[0][1] or "", item[0][2])
     ):
-        table.add_row(day, _name(tenant), cls, str(count))
+        table.add_row(day, _printable_name(tenant), cls, str(count))
     _console().print(table)
     print(
         ", ".join(f"{key} {value}" for key, value in summary.items() if key != "gaps"),
@@ -106,9 +107,9 @@
 @app.command()
 def verify(folder: LedgerFolder, as_json: AsJson = False) -> None:
     """List inconsistencies and times when the ledger is incomplete; exit status 1 if any."""
-    wrong = verify_contents(_read(folder), folder)
-    print(json.dumps({"wrong": wrong}) if as_json else "\n".join(wrong) or "all adds up")
-    raise typer.Exit(1 if wrong else 0)
+    problems = verify_contents(_read(folder), folder)
+    print(json.dumps({"wrong": problems}) if as_json else "\n".join(problems) or "all adds up")
+    raise typer.Exit(1 if problems else 0)
 
 
 @app.command("export")
@@ -123,7 +124,7 @@
 ) -> None:
     """Print the batches that are to be exported, as JSON lines."""
     if not dry:
-        _stop("only the proxy exports its batches; --dry-run shows them")
+        _exit("only the proxy exports its batches; --dry-run shows them")
     typer.echo(dry_run(_read(folder)).decode(), nl=False)
 
 
@@ -135,7 +136,7 @@
             try:
                 found.add(each.read_text(), str(each))
             except (OSError, ValueError) as error:
-                _stop(error)
+                _exit(error)
     return found
 
 
@@ -166,32 +167,32 @@
     try:
         periods = Periods(zone, minutes)
     except ValueError as error:
-        _stop(error)
-    ours, theirs = _exported(exported), Counter[Any]()
-    wrong = list(ours.problems)
+        _exit(error)
+    exports, served_units = _exported(exported), Counter[Any]()
+    problems = list(exports.problems)
     for path in served:
         try:
             units, malformed = read_served(path.read_text().splitlines(), periods, str(path))
         except (OSError, ValueError) as error:
-            _stop(error)
-        theirs += units
-        wrong += malformed
-    found = reconcile_lines(ours.units, theirs, periods)
+            _exit(error)
+        served_units += units
+        problems += malformed
+    result = reconcile_lines(exports.units, served_units, periods)
     if write is not None:
         write.mkdir(parents=True, exist_ok=True)
-        for number, proxy in enumerate(sorted({d.proxy for d in found.differences})):
-            (write / f"corrections-{number}.json").write_bytes(corrections(found, proxy, ""))
+        for number, proxy in enumerate(sorted({d.proxy for d in result.differences})):
+            (write / f"corrections-{number}.json").write_bytes(corrections(result, proxy, ""))
     if as_json:
         print(
             json.dumps(
                 {
-                    "short": found.short,
-                    "long": found.long,
-                    "moved": found.moved,
-                    "wrong": wrong,
+                    "short": result.short,
+                    "long": result.long,
+                    "moved": result.moved,
+                    "wrong": problems,
                     "differences": [
                         [d.proxy, d.period, d.tenant, d.cls, d.exported, d.served]
-                        for d in found.differences
+                        for d in result.differences
                     ],
                 },
                 ensure_ascii=False,
@@ -199,21 +200,21 @@
         )
     else:
         table = Table("proxy", "period", "tenant", "class", "exported", "served", "")
-        for d in found.differences:
+        for d in result.differences:
             table.add_row(
                 d.proxy,
                 str(d.period),
-                _name(d.tenant),
+                _printable_name(d.tenant),
                 d.cls,
                 str(d.exported),
                 str(d.served),
                 f"short of {d.units}" if d.units > 0 else f"long by {-d.units}",
             )
         _console().print(table)
-        for line in wrong:
-            typer.echo(line, err=True)
-        print(f"short of {found.short}, long by {found.long}; {found.moved} at a period's edge")
-    raise typer.Exit(1 if found.differences or wrong else 0)
+        for problem in problems:
+            typer.echo(problem, err=True)
+        print(f"short of {result.short}, long by {result.long}; {result.moved} at a period's edge")
+    raise typer.Exit(1 if result.differences or problems else 0)
 
 
 @app.command()
@@ -230,13 +231,13 @@
             for period, tenant, cls, units in document["lines"]
         ]
     except (OSError, ValueError, KeyError, TypeError) as error:
-        _stop(f"{file}: not a file of corrections: {error}")
+        _exit(f"{file}: not a file of corrections: {error}")
     if not by.strip() or not by.isprintable():
-        _stop("--by: must be a printable name")
+        _exit("--by: must be a printable name")
     body = json.dumps({"by": by.strip(), "lines": lines}, ensure_ascii=False).encode()
     name = f"{SIGNED_PREFIX}{hashlib.sha256(body).hexdigest()[:16]}.json"
     if not folder.is_dir():
-        _stop(f"{folder}: no ledger")
+        _exit(f"{folder}: no ledger")
     Folder(folder).put(name, body)
     print(f"{name}: {sum(line[3] for line in lines)} units in {len(lines)} lines, signed by {by}")
 
@@ -260,7 +261,7 @@
     try:
         found = np.concatenate([read_ids(path.read_bytes()) for path in ids])
     except OSError as error:
-        _stop(error)
+        _exit(error)
     data = Sketch.of(found, differ).dump()
     out.write_bytes(data)
     print(f"{len(found)} ids in {len(data)} bytes, for {differ} differences")
@@ -274,9 +275,9 @@
     try:
         found = Sketch.load(ours.read_bytes()).compare(Sketch.load(theirs.read_bytes()))
     except (OSError, ValueError) as error:
-        _stop(error)
+        _exit(error)
     if isinstance(found, int):
-        _stop(f"too many ids differ; sketch both sides again with --differ {found}", 3)
+        _exit(f"too many ids differ; sketch both sides again with --differ {found}", 3)
     only = [[f"{value:016x}" for value in sorted(side)] for side in found]
     if as_json:
         print(json.dumps({"ours": only[0], "theirs": only[1]}))
--- a/limebridge/virtual/ledger.py
+++ b/limebridge/virtual/ledger.py
@@ -74,7 +74,10 @@
 
 @dataclass
 class Outcome:
-    """Result of a trial; `served`, `billed` and `held` are units by period, tenant and class."""
+    """Result of a trial; `served`, `billed` and `held` are units by period, tenant and class.
+
+    `held` are the units in batches that remain in the ledger at the end.
+    """
 
     served: Counter[tuple[int, str | None, str]] = field(default_factory=Counter)
     billed: Counter[tuple[int, str | None, str]] = field(default_factory=Counter)
--- a/limebridge/virtual/plan.py
+++ b/limebridge/virtual/plan.py
@@ -1,4 +1,4 @@
-"""A run as data: the parameters of the simulation and its schedule of faults, stored as JSON."""
+"""Plans: the parameters of a simulated run and its schedule of faults, stored as JSON."""
 
 from __future__ import annotations
 
@@ -92,11 +92,11 @@
 PROCESS_FAULT_COUNTS = (0, 0, 1, 1, 2, 3)
 Sources = tuple[Literal["consul", "platform"], ...]
 SOURCES: tuple[Sources, ...] = ((), (), ("consul", "platform"), ("platform", "consul"))
-# Fraction of faults that start near another fault, since the explorer looks for timing bugs.
+# Fraction of faults that start near another fault, since the explorer searches for timing bugs.
 OVERLAP_FRACTION = 0.6
-# Faults during which commands wait at a node without an answer.
+# Faults during which a node holds commands without an answer.
 HOLDING_KINDS = ("node_stalls", "node_slow", "path_cut_back", "node_swallows")
-# Fraction of faults after a holding fault that break the connections of its node.
+# Probability with which a fault that follows a holding fault breaks the connections of its node.
 FOLLOW_UP_FRACTION = 0.25
 # s after the start of such a fault: around the end of the nodes' idempotency window (0.8 s).
 FOLLOW_UP_DELAY = (0.55, 1.0)
@@ -131,7 +131,7 @@
 
 
 def generate_consul(seed: int, seconds: float = 20.0) -> Plan:
-    """The plan of a seed with Consul as list source: `generate`'s faults plus Consul faults."""
+    """Return the plan of a seed with Consul as list source: `generate`'s and Consul faults."""
     plan, rng = generate(seed, seconds), random.Random(f"consul/{seed}")
     faults = list(plan.faults)
     kinds, weights = list(CONSUL_WEIGHTS), list(CONSUL_WEIGHTS.values())
@@ -158,7 +158,10 @@
 
 
 def generate(seed: int, seconds: float = 20.0) -> Plan:
-    """The plan of a seed; process faults come from a separate random stream."""
+    """Return the plan of a seed for a run of `seconds`.
+
+    Process faults come from a separate random stream.
+    """
     rng = random.Random(f"plan/{seed}")
     nodes = rng.randint(5, 7)
     faults: list[Fault] = []
@@ -171,9 +174,9 @@
         else:
             at, node = rng.uniform(0.5, seconds - 4.0), rng.randrange(nodes)
         kind = rng.choices(kinds, weights)[0]
-        held = [fault for fault in faults if fault.kind in HOLDING_KINDS]
-        if held and rng.random() < FOLLOW_UP_FRACTION:
-            other = rng.choice(held)
+        holding = [fault for fault in faults if fault.kind in HOLDING_KINDS]
+        if holding and rng.random() < FOLLOW_UP_FRACTION:
+            other = rng.choice(holding)
             at, node = other.at + rng.uniform(*FOLLOW_UP_DELAY), other.node
             kind = rng.choice(("node_closes_idle", "node_resets"))
         lasts = rng.choice((0.05, 0.3, 1.0, 3.0)) * rng.uniform(0.7, 1.3)
@@ -198,7 +201,7 @@
 
 
 def _process_faults(seed: int, seconds: float, others: list[Fault]) -> list[Fault]:
-    """Restarts, kills and pauses of the proxy, most of them near another fault."""
+    """Return restarts, kills and pauses of the proxy, most of them near another fault."""
     rng, faults = random.Random(f"process/{seed}"), []
     kinds, weights = list(PROCESS_WEIGHTS), list(PROCESS_WEIGHTS.values())
     for _ in range(rng.choice(PROCESS_FAULT_COUNTS)):
@@ -221,7 +224,7 @@
 
 
 def dump(plan: Plan) -> str:
-    """The plan as indented JSON."""
+    """Encode the plan as indented JSON with a final line feed."""
     return msgspec.json.format(msgspec.json.encode(plan)).decode() + "\n"
 
 
