--- a/limebridge/virtual/datagrams.py
+++ b/limebridge/virtual/datagrams.py
@@ -41,6 +41,7 @@
         self._kernel.bound[port] = self
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> int:
+        """Send the copies that `Network.datagram_delays` gives; never blocks."""
         if self._closed:
             raise error(errno.EBADF)
         kernel = self._kernel
--- a/limebridge/virtual/loop.py
+++ b/limebridge/virtual/loop.py
@@ -66,6 +66,11 @@
         self._keys.clear()
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
+        """Advance the clock until a socket is ready or `timeout` s have passed.
+
+        Raises Deadlock if nothing is scheduled and there is no timeout, and Livelock if the clock
+        has not advanced in MAX_TURNS_AT_ONE_INSTANT calls.
+        """
         kernel = self._kernel
         self.turns += 1
         if kernel.charged_meters:
@@ -139,6 +144,7 @@
     def run_in_executor(  # type: ignore[override]
         self, executor: Any, func: Any, *args: Any
     ) -> Any:
+        """Raise RuntimeError, since a simulation has no threads."""
         raise RuntimeError("a simulation has no threads")
 
     # --- signals ---
--- a/limebridge/virtual/world.py
+++ b/limebridge/virtual/world.py
@@ -70,6 +70,7 @@
         self._world = world
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Report the record's message, its field `what` and its exception."""
         if getattr(record, "event", "") in ("config.unusable", "consul.emptied"):
             return
         fields = dict(getattr(record, "fields", ()))
