--- a/limebridge/virtual/coverage.py
+++ b/limebridge/virtual/coverage.py
@@ -35,7 +35,7 @@
 # after the start of that fault (after its end if the state is "not heard since its start").
 STATE_TRIGGERS: Mapping[str, tuple[Kind, float, float]] = {
     "a drain just told": ("node_drains", 0.0, 0.5),
-    "a drain contents": ("node_drains", 0.5, 1.5),
+    "a drain kept": ("node_drains", 0.5, 1.5),
     "not heard since its start": ("proxy_killed", 0.02, 0.4),
     "silent": ("discovery_ends", 3.0, 4.0),
 }
