--- a/benchmarks/bad_nodes.py
+++ b/benchmarks/bad_nodes.py
@@ -139,6 +139,7 @@
 
 
 async def main() -> int:
+    """Run each fault of the nodes; return 1 if the daemon fails one of them."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/bad_peers.py
+++ b/benchmarks/bad_peers.py
@@ -116,6 +116,7 @@
 
 
 async def main() -> int:
+    """Run each fault of the clients; return 1 if descriptors leak or requests fail afterwards."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/calibrate.py
+++ b/benchmarks/calibrate.py
@@ -130,6 +130,7 @@
 
 
 async def main() -> int:
+    """Print the costs as JSON; `--write` also replaces the stored file."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/choices.py
+++ b/benchmarks/choices.py
@@ -115,6 +115,7 @@
 
 
 def main() -> int:
+    """Print a row per skew and number of nodes."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -63,6 +63,7 @@
 
 
 async def main() -> int:
+    """Print the costs as JSON; return 1 if a ratio to the ordinary daemon exceeds `--limit`."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -74,6 +74,7 @@
 
 
 async def main() -> int:
+    """Print a row per rate and size; return 1 if a ratio exceeds `--limit`."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/experiments.py
+++ b/benchmarks/experiments.py
@@ -228,6 +228,7 @@
 
 
 def main() -> None:
+    """Run the measurement that the command line names; it prints rows of JSON."""
     parser = argparse.ArgumentParser()
     parser.add_argument("what", choices=["rates", "resume", "overhead", "search"])
     parser.add_argument("--repeats", type=int, default=0)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -174,6 +174,10 @@
     """Counts the calls of many processes, candidates for ten works that only write their claims."""
 
     async def measure(self, processes: int) -> dict[str, float]:
+        """Count calls at Consul while `processes` processes start, rest, and restart after a kill.
+
+        The result also has the highest count of one second of both starts.
+        """
         self.processes = [Process(self, number) for number in range(processes)]
         for process in self.processes:
             process.port, process.consul_port = 0, await self._open_port(self.consul)
@@ -238,6 +242,7 @@
     requests = 1500  # per daemon
 
     async def inject_faults(self) -> None:
+        """Measure at rest and under load.  No fault is injected."""
         await asyncio.sleep(2.0)
         self.memory = [_resident_mb(d.pid) for d in self.daemons]
         before = [_cpu_s(d.pid) for d in self.daemons]
@@ -374,6 +379,7 @@
 
 
 def main() -> None:
+    """Run the measurement that the command line names; it prints rows of JSON."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -62,6 +62,7 @@
 
     @property
     def pid(self) -> int:
+        """The process's id, also after its end."""
         return self.process.pid
 
 
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -374,6 +374,7 @@
 
 
 def main() -> int:
+    """Print a line of JSON per part; return 1 if a part did not hold."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -91,7 +91,9 @@
         """Count a list."""
         self.lists += 1
 
-    def list_failed(self, silent: bool = False) -> None: ...
+    def list_failed(self, silent: bool = False) -> None:
+        """Ignored: failures of the watch are not counted."""
+        ...
 
 
 async def delay(instances: int) -> dict[str, object]:
@@ -203,6 +205,7 @@
 
 
 def main() -> int:
+    """Print the result of each measurement as a row."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/mixed.py
+++ b/benchmarks/mixed.py
@@ -102,9 +102,17 @@
         if at >= self.counted_from:
             self.arrivals[node] += 1
 
-    def accepted(self, at: float, node: str, id_: str) -> None: ...
-    def effect(self, at: float, node: str, id_: str) -> None: ...
-    def started(self, at: float, node: str, capacity: float) -> None: ...
+    def accepted(self, at: float, node: str, id_: str) -> None:
+        """Ignored: only arrivals count."""
+        ...
+
+    def effect(self, at: float, node: str, id_: str) -> None:
+        """Ignored: only arrivals count."""
+        ...
+
+    def started(self, at: float, node: str, capacity: float) -> None:
+        """Ignored: only arrivals count."""
+        ...
 
 
 def run_load(seed: int, seconds: float, plan: Plan | None, lost: bool) -> LoadResult:
--- a/benchmarks/nodes.py
+++ b/benchmarks/nodes.py
@@ -21,10 +21,12 @@
     """A cache node that does not store the commands it receives, so its memory stays constant."""
 
     def record(self, words: list[bytes]) -> None:
+        """Store nothing."""
         pass
 
 
 async def main(count: int, size: int, delay: float) -> None:
+    """Start `count` nodes that answer `size` bytes after `delay` ms; never returns."""
     answer = reply(b"v" * size)
 
     async def serve(words: list[bytes], writer: asyncio.StreamWriter) -> None:
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -167,6 +167,7 @@
 
 
 async def main() -> int:
+    """Print a row of JSON per load.  This process leaves the daemon's core, `--core`, to it."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/own_time.py
+++ b/benchmarks/own_time.py
@@ -105,6 +105,7 @@
 
 
 def main() -> int:
+    """Print rows of the simulation, and with `--real` those of `overload.py`, which runs longer."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -97,6 +97,7 @@
 
 
 def main() -> int:
+    """Print a row of JSON per measurement."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/refusal.py
+++ b/benchmarks/refusal.py
@@ -45,6 +45,7 @@
 
 
 async def main() -> int:
+    """Print a row of JSON per burst: the cost of an answer, of a refusal, and their ratio."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -25,10 +25,12 @@
         self._buffer = bytearray()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport, to which the peer writes."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
+        """Write the data to the peer, or buffer it until `join`."""
         if self.peer is None or self.peer.transport is None:
             self._buffer += data
         else:
@@ -41,12 +43,14 @@
             peer.transport.write(bytes(self._buffer))
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Close the peer after its buffered data is sent."""
         self.transport = None
         if self.peer is not None and self.peer.transport is not None:
             self.peer.transport.close()
 
 
 async def main(ports: list[int]) -> None:
+    """Relay to the nodes on these ports until the process is killed; prints the port."""
     loop = asyncio.get_running_loop()
     next_port = itertools.cycle(ports)
     tasks = set()
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -106,6 +106,7 @@
 
 
 def main() -> int:
+    """Return 0 within the limit, 1 beyond it, and 2 if the measurement can't be made."""
     options = build_parser().parse_args()
     try:
         return 0 if MEASURES[options.measure](options) else 1
--- a/benchmarks/request_load.py
+++ b/benchmarks/request_load.py
@@ -93,6 +93,7 @@
         self._delay, self._reply, self._digest = load.delay, reply(b"v" * load.size), digest
 
     def record(self, words: list[bytes]) -> None:
+        """Add the command and the node's port to the digest."""
         self._digest.update(b"%d %r\n" % (self.port, words))
 
     async def _answer_after_delay(self, words: list[bytes], writer: asyncio.StreamWriter) -> None:
@@ -186,6 +187,10 @@
 
 
 def main() -> int:
+    """Write the result of one load to standard output as JSON.
+
+    Raises SystemExit if the daemon's code is not from this checkout, as the test kit is.
+    """
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -398,6 +398,7 @@
 
 
 def main() -> None:
+    """Run the measurement that the command line names and print its result as JSON."""
     parser = argparse.ArgumentParser()
     parser.add_argument(
         "what",
--- a/benchmarks/sharing_tick.py
+++ b/benchmarks/sharing_tick.py
@@ -109,6 +109,7 @@
 
 
 def main() -> None:
+    """Print the median times in microseconds, of the checkout `--build`, as JSON."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--build", default=str(Path(__file__).parent.parent))
     parser.add_argument("--turns", type=int, default=3)
--- a/limebridge/experiments/store.py
+++ b/limebridge/experiments/store.py
@@ -66,6 +66,7 @@
 
     @property
     def key(self) -> RunKey:
+        """What identifies the run in the store: experiment, point, commit and seed."""
         return (self.experiment, self.point, self.commit, self.seed)
 
 
@@ -111,6 +112,7 @@
         return _Transaction(self._db, self.path)
 
     def close(self) -> None:
+        """Close the database; the store can't be used afterwards."""
         self._db.close()
 
     # --- experiments ---
@@ -211,6 +213,7 @@
             )
 
     def completed_runs(self, experiment: str) -> set[tuple[str, str, int]]:
+        """The (point, commit, seed) of all recorded runs of an experiment, whatever their state."""
         return set(
             self._db.execute(
                 "SELECT point, commit_, seed FROM runs WHERE experiment = ?", (experiment,)
--- a/limebridge/experiments/watch.py
+++ b/limebridge/experiments/watch.py
@@ -55,6 +55,7 @@
     _version = -1
 
     def on_mount(self) -> None:
+        """Poll the store now, and then every POLL_INTERVAL_S seconds."""
         self.poll()
         self.set_interval(POLL_INTERVAL_S, self.poll)
 
@@ -74,6 +75,7 @@
     """All experiments of the store."""
 
     def compose(self) -> ComposeResult:
+        """Create a table with a row per experiment."""
         table: DataTable[Any] = DataTable(cursor_type="row")
         table.add_columns("experiment", "done", "void", "CPU min", "question")
         yield table
@@ -98,6 +100,7 @@
         )
 
     def on_data_table_row_selected(self, event: DataTable.RowSelected) -> None:
+        """Open the points of the selected experiment."""
         if event.row_key.value is not None:
             self.app.push_screen(PointsScreen(event.row_key.value))
 
@@ -117,6 +120,7 @@
         self._cells: dict[str, Cell] = {}
 
     def compose(self) -> ComposeResult:
+        """Create the summary of best and worst point, the line of values, and a row per point."""
         yield Static(id="best")
         yield Sparkline([], id="line")
         table: DataTable[Any] = DataTable(cursor_type="row")
@@ -167,10 +171,12 @@
         )
 
     def action_measure(self) -> None:
+        """Show the next measure; after the last comes the first."""
         self._measure += 1
         self.update_view()
 
     def on_data_table_row_selected(self, event: DataTable.RowSelected) -> None:
+        """Open the runs of the selected point."""
         cell = self._cells.get(str(event.row_key.value))
         if cell is not None:
             self.app.push_screen(RunsScreen(self._experiment, cell))
@@ -185,6 +191,7 @@
         self._rows: dict[str, Run] = {}
 
     def compose(self) -> ComposeResult:
+        """Create the title with point and commit, and a table with a row per seed."""
         yield Static(Text(f"{self._cell.label}, commit {self._cell.commit[:16]}"))
         table: DataTable[Any] = DataTable(cursor_type="row")
         table.add_columns("seed", "state", "service", "worst 10 s", "p99 ms", "seconds", "reason")
@@ -220,6 +227,7 @@
         )
 
     def on_data_table_row_selected(self, event: DataTable.RowSelected) -> None:
+        """Open the selected run."""
         row = self._rows.get(str(event.row_key.value))
         if row is not None:
             self.app.push_screen(RunScreen(row))
@@ -233,6 +241,7 @@
         self._row = row
 
     def compose(self) -> ComposeResult:
+        """Create the line of the service by second, the causes of loss, and the worst requests."""
         yield Sparkline([], id="line")
         yield Static(id="words")
         table: DataTable[Any] = DataTable(cursor_type="row")
@@ -286,12 +295,15 @@
         self.store = Store(path)
 
     def on_mount(self) -> None:
+        """Show the experiments of the store."""
         self.push_screen(ExperimentsScreen())
 
     def on_unmount(self) -> None:
+        """Close the store."""
         self.store.close()
 
     async def action_back(self) -> None:
+        """Close the current screen, unless it is that of the experiments."""
         if len(self.screen_stack) > 2:
             await self.pop_screen()
 
--- a/limebridge/faults/distribution/lease.py
+++ b/limebridge/faults/distribution/lease.py
@@ -32,7 +32,10 @@
     def renews_lease(self, fence: int) -> bool:
         """Whether its process renews the lease of this fence now."""
 
-    def lead(self, fence: int) -> None: ...
+    def lead(self, fence: int) -> None:
+        """Notifies it that it holds the lease under this fence."""
+        ...
+
     def step_down(self, fence: int) -> None:
         """Notifies it that the lease of this fence is lost."""
 
--- a/limebridge/faults/distribution/network.py
+++ b/limebridge/faults/distribution/network.py
@@ -37,7 +37,9 @@
         Returns a ticket for `abandon`; 0: the process is not up and will not reply.
         """
 
-    def abandon(self, ticket: int) -> None: ...
+    def abandon(self, ticket: int) -> None:
+        """Handles a closed connection: the requester of this ticket no longer waits for a reply."""
+        ...
 
 
 class Exchange:
--- a/limebridge/faults/reporting.py
+++ b/limebridge/faults/reporting.py
@@ -16,14 +16,18 @@
     """The result of a run that can be shown as a trace."""
 
     @property
-    def trace(self) -> str: ...
+    def trace(self) -> str:
+        """The notes of the run and the violations, one per line."""
+        ...
 
 
 class RunOutcomeWithDigest(RunOutcome, Protocol):
     """The result of a run that its seed determines exactly."""
 
     @property
-    def digest(self) -> str: ...
+    def digest(self) -> str:
+        """A hash that is the same for every run of the same seed, in hex."""
+        ...
 
 
 F = TypeVar("F", bound=RunOutcome)
--- a/limebridge/faults/seed_runs.py
+++ b/limebridge/faults/seed_runs.py
@@ -16,9 +16,14 @@
     """The part of a run's result that every rig and simulation has."""
 
     @property
-    def plan(self) -> Any: ...
+    def plan(self) -> Any:
+        """The plan that was run; a plan that violates a rule is shrunk and run again."""
+        ...
+
     @property
-    def violations(self) -> Sequence[Violation]: ...
+    def violations(self) -> Sequence[Violation]:
+        """The violated rules in order; empty if the run passes."""
+        ...
 
 
 F = TypeVar("F", bound=RunOutcome)
--- a/limebridge/rehearsal/clients.py
+++ b/limebridge/rehearsal/clients.py
@@ -22,10 +22,21 @@
 class ClientObserver(Protocol):
     """Receives what the clients see; `id_` names the attempt, times are those of the loop (s)."""
 
-    def request_sent(self, at: float, id_: str, cls: str, wait: float) -> None: ...
-    def answered(self, at: float, id_: str, answer: str) -> None: ...
-    def expired(self, at: float, id_: str) -> None: ...
-    def connection_closed(self, at: float, id_: str) -> None: ...
+    def request_sent(self, at: float, id_: str, cls: str, wait: float) -> None:
+        """An attempt of class `cls` was sent; the client waits `wait` seconds for the answer."""
+        ...
+
+    def answered(self, at: float, id_: str, answer: str) -> None:
+        """An attempt was answered: `answer` is "served", "refused" or "failed"."""
+        ...
+
+    def expired(self, at: float, id_: str) -> None:
+        """The client stopped waiting for an attempt, and aborts its connection."""
+        ...
+
+    def connection_closed(self, at: float, id_: str) -> None:
+        """The connection closed before the attempt was answered."""
+        ...
 
 
 class RequestSender:
@@ -121,6 +132,7 @@
         self.sender: RequestSender | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport; from now on the connection is usable."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
@@ -130,6 +142,7 @@
         return self._transport is not None and not self._transport.is_closing()
 
     def write(self, data: bytes) -> None:
+        """Send data, buffered without limit.  The connection must be open."""
         assert self._transport is not None
         self._transport.write(data)
 
@@ -139,10 +152,16 @@
             self._transport.abort()
 
     def close(self) -> None:
+        """Close the connection after sending what is buffered."""
         if self._transport is not None:
             self._transport.close()
 
     def data_received(self, data: bytes) -> None:
+        """End the attempt once its reply is complete.
+
+        A bulk string counts as served, -BUSY (with an optional wait in ms) as refused, and every
+        other reply as failed.
+        """
         self._buffer += data
         end = self._buffer.find(b"\r\n")
         if end < 0:
@@ -164,6 +183,7 @@
             sender.end_attempt(outcome, wait)
 
     def eof_received(self) -> bool:
+        """Return False: the transport closes itself when the proxy closes its side."""
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
--- a/limebridge/rehearsal/real.py
+++ b/limebridge/rehearsal/real.py
@@ -46,6 +46,7 @@
 
     @property
     def now(self) -> float:
+        """The time of the event loop in seconds."""
         return self._loop.time()
 
 
--- a/limebridge/scale/applied.py
+++ b/limebridge/scale/applied.py
@@ -26,17 +26,23 @@
     """The state that is read from a proxy's `Subscriber`."""
 
     @property
-    def position(self) -> int: ...
+    def position(self) -> int:
+        """Position of the last applied batch."""
+        ...
 
     @property
-    def as_of(self) -> float | None: ...
+    def as_of(self) -> float | None:
+        """All that was committed by this time (s) of the proxy's clock is applied, if known."""
+        ...
 
 
 class DistributionState(Protocol):
     """The part of `DistributionService` that is used here."""
 
     @property
-    def subscriber(self) -> SubscriberState: ...
+    def subscriber(self) -> SubscriberState:
+        """The subscriber of the proxy, which applies the batches of the log."""
+        ...
 
 
 class RecordReceiver(Protocol):
@@ -46,11 +52,17 @@
     voids: int
     configurations: int
 
-    def purge(self, key: str) -> None: ...
+    def purge(self, key: str) -> None:
+        """Invalidate the object of this key."""
+        ...
 
-    def invalidate_all(self, reason: str) -> None: ...
+    def invalidate_all(self, reason: str) -> None:
+        """Invalidate all objects."""
+        ...
 
-    def configure(self, change: ConfigurationChange) -> tuple[str, ...]: ...
+    def configure(self, change: ConfigurationChange) -> tuple[str, ...]:
+        """Apply published configuration.  Returns one reason for each part that is refused."""
+        ...
 
 
 class Applied(msgspec.Struct, frozen=True):
--- a/limebridge/scale/relay.py
+++ b/limebridge/scale/relay.py
@@ -69,16 +69,20 @@
         self.peer: Direction | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport, from which this direction reads."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
+        """Queue the data until the delay of the link has passed."""
         self._enqueue(data)
 
     def eof_received(self) -> bool:
+        """Queue the end of the stream behind the data, and keep the connection open."""
         self._enqueue(None)
         return True  # keeps the transport open, because the other direction may still send
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Close the other side after the delay of the link."""
         peer = self.peer
         if peer is not None and peer.transport is not None:
             self._loop.call_later(self._delay(0), peer.transport.close)
--- a/limebridge/scale/traffic.py
+++ b/limebridge/scale/traffic.py
@@ -199,6 +199,7 @@
 
     # --- TCP ---
     def accept(self) -> tuple[Self, Any]:
+        """Accept a connection and count it.  Accepted connections are always counted."""
         descriptor, address = self._accept()  # type: ignore[attr-defined]
         sock = type(self)(self.family, self.type, self.proto, fileno=descriptor)
         sock.counters, sock.shaper = self.counters, self.shaper
@@ -207,6 +208,7 @@
         return sock, address
 
     def connect_ex(self, address: Any) -> int:
+        """Start to connect; the port decides whether this connection is counted."""
         ports = self.counted_ports
         self.is_counted = ports is None or address[1] in ports
         if self.is_counted:
@@ -214,22 +216,26 @@
         return super().connect_ex(address)
 
     def send(self, data: Any, flags: int = 0) -> int:
+        """Send data and count the bytes that the kernel takes, as one message."""
         count = super().send(data, flags)
         self._add(Counter.TCP_BYTES_OUT, count, Counter.TCP_OUT)
         return count
 
     def sendmsg(self, buffers: Any, *more: Any) -> int:
+        """Send several parts and count the bytes that the kernel takes, as one message."""
         count = super().sendmsg(buffers, *more)
         self._add(Counter.TCP_BYTES_OUT, count, Counter.TCP_OUT)
         return count
 
     def recv_into(self, buffer: Any, nbytes: int = 0, flags: int = 0) -> int:
+        """Receive into the buffer and count the bytes as one message."""
         count = super().recv_into(buffer, nbytes, flags)
         self._add(Counter.TCP_BYTES_IN, count, Counter.TCP_IN)
         return count
 
     # --- UDP ---
     def sendto(self, data: Any, *address: Any) -> int:
+        """Send a datagram after the shaper's delay.  One that the shaper drops counts as sent."""
         self._add(Counter.UDP_BYTES_OUT, len(data), Counter.UDP_OUT)
         delay = 0.0 if self.shaper is None else self.shaper.delay(address[-1][0])
         if delay is None:
@@ -244,6 +250,7 @@
             super().sendto(data, *address)
 
     def recvfrom(self, bufsize: int, flags: int = 0) -> tuple[bytes, Any]:
+        """Receive a datagram and count it."""
         data, origin = super().recvfrom(bufsize, flags)
         self._add(Counter.UDP_BYTES_IN, len(data), Counter.UDP_IN)
         return data, origin
--- a/limebridge/standins/disk.py
+++ b/limebridge/standins/disk.py
@@ -103,6 +103,7 @@
         self._visible.pop(name, None)
 
     def close(self) -> None:
+        """Does nothing: unlike `Folder`, it leaves appended data unsynced."""
         pass
 
 
--- a/limebridge/standins/kv.py
+++ b/limebridge/standins/kv.py
@@ -27,9 +27,13 @@
 
     index: int
 
-    def raise_index(self) -> None: ...
+    def raise_index(self) -> None:
+        """Raise the index after a change and wake all blocking queries."""
+        ...
 
-    async def wait_for_change(self, index: int, seconds: float) -> None: ...
+    async def wait_for_change(self, index: int, seconds: float) -> None:
+        """Return when the index differs from `index`, or after `seconds`."""
+        ...
 
 
 @dataclass
--- a/limebridge/virtual/costs.py
+++ b/limebridge/virtual/costs.py
@@ -161,12 +161,15 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def when(self) -> float:
+        """The time at which the callback is due; 0 if it was queued by `call_soon`."""
         return self._when
 
     def cancelled(self) -> bool:
+        """Whether `cancel` was called, even after the callback ran."""
         return self._cancelled
 
     def cancel(self) -> None:
+        """Keep the callback from running; has no effect after it has run."""
         self._cancelled = True
         if self.timer is not None:
             self.timer.cancel()
@@ -191,6 +194,7 @@
         return getattr(self._loop, name)
 
     def time(self) -> float:
+        """Seconds, with the CPU time charged in this iteration: it advances within a callback."""
         return self._loop.time() + self._meter.turn_cpu_s
 
     def call_soon(self, callback: Callable[..., object], *args: Any) -> Handle:
--- a/limebridge/virtual/datagrams.py
+++ b/limebridge/virtual/datagrams.py
@@ -25,15 +25,19 @@
         self._closed = False
 
     def fileno(self) -> int:
+        """The virtual descriptor; -1 until the kernel has assigned one."""
         return self.number
 
     def setblocking(self, flag: bool) -> None:
+        """Ignored: the socket never blocks."""
         pass
 
     def getsockname(self) -> tuple[str, int]:
+        """The bound address; port 0 before `bind`."""
         return self._name
 
     def bind(self, address: tuple[str, int]) -> None:
+        """Bind to the port; 0: an ephemeral one.  Raises OSError EADDRINUSE if it is in use."""
         port = address[1] or self._kernel.port()
         if port in self._kernel.bound:
             raise error(errno.EADDRINUSE)
@@ -57,6 +61,10 @@
         self._kernel.touch(receiver)
 
     def recvfrom(self, max_bytes: int) -> tuple[bytes, tuple[str, int]]:
+        """The oldest queued datagram, cut off at `max_bytes`, and its origin.
+
+        Raises BlockingIOError if none is queued.
+        """
         if not self._queue:
             raise BlockingIOError(errno.EAGAIN, "no datagram is queued")
         data, origin = self._queue.popleft()
--- a/limebridge/virtual/loop.py
+++ b/limebridge/virtual/loop.py
@@ -47,19 +47,23 @@
         return key
 
     def unregister(self, fileobj: Any) -> selectors.SelectorKey:
+        """Forget the descriptor.  Raises KeyError if it is not registered."""
         number = fileobj if isinstance(fileobj, int) else fileobj.fileno()
         return self._keys.pop(number)
 
     def modify(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
+        """Replace events and data of a descriptor; the next poll checks whether it is ready."""
         number = fileobj if isinstance(fileobj, int) else fileobj.fileno()
         key = self._keys[number] = selectors.SelectorKey(fileobj, number, events, data)
         self._kernel.to_check[number] = None
         return key
 
     def get_key(self, fileobj: Any) -> selectors.SelectorKey:
+        """The key of a registered descriptor or file object.  Raises KeyError."""
         return self._keys[fileobj if isinstance(fileobj, int) else fileobj.fileno()]
 
     def get_map(self) -> Mapping[Any, selectors.SelectorKey]:
+        """The keys by descriptor: the selector's own mapping, not a copy."""
         return self._keys
 
     def close(self) -> None:
@@ -129,6 +133,7 @@
         self._clock_resolution = 1e-9
 
     def time(self) -> float:
+        """The virtual time in seconds, which advances only while the loop polls."""
         return self.kernel.now
 
     # No self-pipe, since no other thread wakes this loop.
@@ -151,9 +156,11 @@
     def add_signal_handler(  # type: ignore[override]
         self, sig: int, callback: Callable[..., Any], *args: Any
     ) -> None:
+        """Set the callback that `deliver_signal` calls; real signals are not handled."""
         self._signals[sig] = lambda: callback(*args)
 
     def remove_signal_handler(self, sig: int) -> bool:
+        """Remove the callback of a signal; return whether there was one."""
         return self._signals.pop(sig, None) is not None
 
     def deliver_signal(self, sig: int) -> None:
@@ -168,6 +175,7 @@
     async def create_connection(
         self, protocol_factory: Any, host: Any = None, port: Any = None, **options: Any
     ) -> Any:
+        """Connect a simulated socket; `options` are ignored.  Raises OSError."""
         sock = self._create_socket()
         try:
             await self.sock_connect(sock, (host, port))
@@ -207,6 +215,7 @@
         backlog: int = 100,
         **options: Any,
     ) -> Any:
+        """Listen on a simulated socket and start serving at once; `options` are ignored."""
         sock: VirtualSocket = self._create_socket()
         sock.bind((host or "127.0.0.1", port or 0))
         sockets: list[Any] = [sock]
--- a/violetroute/clients/connection.py
+++ b/violetroute/clients/connection.py
@@ -92,6 +92,7 @@
         self._listener.connection_lost(self)
 
     def drained(self) -> None:
+        """Return the sent bytes to the budget; restart the linger time, or write more answers."""
         self._release_written()
         if self.lingering_since:
             self.lingering_since = self._loop.time()  # the client can see our close only now
--- a/violetroute/distribution/http_server.py
+++ b/violetroute/distribution/http_server.py
@@ -120,6 +120,7 @@
 
     # --- from the connections ---
     def new_ticket(self, connection: _Connection) -> int:
+        """Return a ticket, unique in this server, for `answer` or `refuse` on this connection."""
         self._last_ticket += 1
         self._tickets[self._last_ticket] = connection
         return self._last_ticket
--- a/violetroute/fleet/folder.py
+++ b/violetroute/fleet/folder.py
@@ -362,6 +362,10 @@
         self._submit(self._logs, lambda: self._store.run(steps), callback)
 
     def close(self) -> None:
+        """Call no more callbacks, and release the store on the thread of the leases.
+
+        Blocks for up to 1 s until that thread is done; calls of logs are not waited for.
+        """
         self._closed = True
         self._leases.submit(self._store.close, lambda result, error: None)
         self._logs.close(0.0)
--- a/violetroute/ledger/files.py
+++ b/violetroute/ledger/files.py
@@ -63,6 +63,7 @@
         self._new = False  # a file was created and the folder not synced
 
     def lock(self) -> bool:
+        """Create the folder and its parents if needed, then lock it."""
         self._path.mkdir(parents=True, exist_ok=True)
         if self._lock < 0:
             self._lock = os.open(self._path / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o644)
@@ -79,6 +80,7 @@
         return (self._path / name).read_bytes()
 
     def append(self, name: str, data: bytes) -> None:
+        """As in the interface; opening a ninth file first syncs and closes the other eight."""
         descriptor = self._open.get(name)
         if descriptor is None:
             if len(self._open) >= 8:
@@ -109,10 +111,12 @@
         sync_folder(self._path)
 
     def move(self, name: str, to: str) -> None:
+        """Rename a file after syncing its appended data.  The folder is not synced: not durable."""
         self._close(name)
         os.replace(self._path / name, self._path / to)
 
     def remove(self, name: str) -> None:
+        """Delete a file if it exists.  The folder is not synced, so a power cut can undo this."""
         self._close(name)
         with contextlib.suppress(FileNotFoundError):
             os.unlink(self._path / name)
--- a/violetroute/transport/http_call.py
+++ b/violetroute/transport/http_call.py
@@ -115,6 +115,7 @@
             self._finish(f"invalid HTTP response: {error}")
 
     def ended(self) -> None:
+        """Complete a response that the end of the connection delimits; fail any other."""
         try:
             self._http.receive_data(b"")
             self._read()
--- a/violetroute/transport/stream.py
+++ b/violetroute/transport/stream.py
@@ -115,6 +115,7 @@
             self._loop.add_reader(self.descriptor, self._readable)
 
     def pause(self) -> None:
+        """Stop reading.  If a write has failed, end the stream now and drop the unread input."""
         if self._reading:
             self._reading = False
             if self._write_error is not None:  # otherwise reported only after reading
@@ -153,6 +154,7 @@
         return int(self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF))
 
     def no_pending_input(self) -> bool:
+        """As in the interface; also False after `close`, after the end, and after a write error."""
         if self._socket is None or self.closing or self._write_error is not None:
             return False
         try:
@@ -175,6 +177,7 @@
             self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
 
     def delivered(self) -> bool:
+        """As in the interface; False after the end, even if all data was acknowledged before."""
         return (
             self._socket is not None and not self.unsent and not self._net.undelivered(self._socket)
         )
@@ -200,6 +203,7 @@
         return False
 
     def write_all(self, parts: Sequence[Data]) -> bool:
+        """Join up to MAX_JOINED bytes and use `write`; send more with sendmsg, without a copy."""
         if sum(map(len, parts)) <= MAX_JOINED:
             return self.write(b"".join(parts))
         if self.unsent or self._socket is None or self.closing:
@@ -280,6 +284,7 @@
             self.fail(error)
 
     def close(self) -> None:
+        """As in the interface; ends at once after a write error, and received data stays unread."""
         if self.closing:
             return
         if not self.unsent or self._write_error is not None:
--- a/violetroute/transport/tls.py
+++ b/violetroute/transport/tls.py
@@ -131,6 +131,7 @@
     # --- as a Stream ---
     @property
     def descriptor(self) -> int:
+        """The descriptor of the TCP stream below; -1 once it is closed."""
         return self._lower.descriptor
 
     @descriptor.setter
@@ -139,6 +140,7 @@
 
     @property
     def unsent(self) -> int:
+        """Encrypted bytes that the kernel has not taken, plus data that waits for the handshake."""
         return self._lower.unsent + sum(map(len, self._pending_writes))
 
     @unsent.setter
@@ -146,6 +148,10 @@
         raise AttributeError("read-only: it belongs to the lower stream")
 
     def write(self, data: Data) -> bool:
+        """Encrypt and send data; before the handshake, copy and keep it.
+
+        The stream fails if `unsent` exceeds MAX_PENDING_WRITES before the handshake is done.
+        """
         if self.closing:
             return False
         if not self._handshake_done:
@@ -188,6 +194,7 @@
         self._lower.end()
 
     def close(self) -> None:
+        """Close without a TLS close_notify.  Data that waits for the handshake is discarded."""
         self._mark_closed()
         self._lower.close()
 
@@ -202,6 +209,7 @@
         return not self._in.pending and self._lower.no_pending_input()
 
     def peer_ended(self) -> bool:
+        """Whether the peer has ended the TCP stream below; a close_notify alone does not count."""
         return self._lower.peer_ended()
 
     # --- as the Handler of the stream below ---
@@ -226,6 +234,7 @@
             self._read()  # reports the end after the remaining data, also after a pause
 
     def drained(self) -> None:
+        """Passed on to the owner only after the handshake."""
         if self._handshake_done:
             self._handler.drained()
 
