--- a/limebridge/ledger/kills.py
+++ b/limebridge/ledger/kills.py
@@ -5,12 +5,16 @@
 records, corrections are signed, and the units are reconciled again.  The daemons' wall clock (of
 the transport interface) delimits the billing periods.  It runs SPEED times as fast as real time, so
 twenty minutes pass in seconds.
+
+The daemons record what each write covers (`recorded_daemon`).  A kill may cost only the units that
+no completed write covers: `KillReport.at_risk`.
 """
 
 from __future__ import annotations
 
 import asyncio
 import json
+import math
 import random
 import signal
 import sys
@@ -31,18 +35,12 @@
 from violetroute.ledger.store import SIGNED_PREFIX
 
 from .reconcile import Line, Reconciliation, corrections, read_served, reconcile
+from .recorded_daemon import covered_until, read_events, unwritten_time
 
 SPEED = 240.0  # seconds of the daemons' wall clock per real second
 START = 1_700_000_100.0  # Unix s; the daemons' wall clock when the run begins
 TIMEOUT_S = 60.0  # for all exports to complete
 PROXIES = ("p1", "p2")
-CHILD = """
-import time
-from violetroute.transport.sockets import SocketNetwork
-SocketNetwork.wall = lambda self: {start} + (time.monotonic() - {began}) * {speed}
-from violetroute.__main__ import main
-raise SystemExit(main())
-"""
 BILLING_FAULTS = ("lost before", "lost after", "500 after", "cut after", "503")
 
 
@@ -56,6 +54,19 @@
     kills: int = 0
     posts: int = 0  # requests to the billing endpoint
     excess: int = 0  # units billed but not served, before the corrections
+    at_risk: int = 0  # units served by killed processes that no completed write covers
+    longest_unwritten: float = 0.0  # s before a kill without a new write, less the time of writes
+
+
+@dataclass
+class _Process:
+    """A daemon process.  Times are monotonic, in seconds."""
+
+    proxy: str
+    record: Path  # its events
+    started_at: float
+    child: asyncio.subprocess.Process
+    killed_at: float = math.inf
 
 
 class _TestBed:
@@ -66,7 +77,9 @@
         self.began = time.monotonic()
         self.served = ServedLog(self.wall)
         self.ports: dict[str, int] = {}
-        self.running: dict[str, asyncio.subprocess.Process] = {}
+        self.running: dict[str, _Process] = {}
+        self.killed: list[_Process] = []
+        self.answered_at: dict[str, float] = {}  # monotonic s, by request id
         self.billing, self.discovery = BillingEndpoint(), Discovery()
         self.stopping = False
         self.requests = 0
@@ -93,16 +106,20 @@
         )
 
     async def start(self, name: str) -> None:
-        child = CHILD.format(start=START, began=repr(self.began), speed=SPEED)
-        self.running[name] = await asyncio.create_subprocess_exec(
+        started_at = time.monotonic()
+        record = self.folder / f"writes-{name}-{len(self.killed)}"
+        child = await asyncio.create_subprocess_exec(
             sys.executable,
-            "-c",
-            child,
+            "-m",
+            "limebridge.ledger.recorded_daemon",
+            str(record),
+            f"{START} {self.began!r} {SPEED}",
             "--operator",
             str(self.folder / "operator.toml"),
             env=environment(self.folder / f"{name}.json"),
             stderr=asyncio.subprocess.DEVNULL,
         )
+        self.running[name] = _Process(name, record, started_at, child)
 
     async def client(self, name: str, number: int) -> None:
         """Sends requests to a proxy until the load stops.
@@ -129,6 +146,7 @@
                     )
                     async with asyncio.timeout(5.0):
                         await read_answer(reader)
+                    self.answered_at[id_.decode()] = time.monotonic()
                     await asyncio.sleep(rng.expovariate(60.0))
                 writer.close()
             except (OSError, asyncio.IncompleteReadError, TimeoutError):
@@ -137,10 +155,29 @@
     async def kill_and_restart(self, name: str) -> None:
         """Sends SIGKILL to a proxy, waits for its end and starts it again."""
         process = self.running[name]
-        process.send_signal(signal.SIGKILL)
-        await process.wait()
+        process.child.send_signal(signal.SIGKILL)
+        await process.child.wait()
+        process.killed_at = time.monotonic()
+        self.killed.append(process)
         await self.start(name)
 
+    def units_at_risk(self, process: _Process, covered_until: float) -> int:
+        """Units that nodes served for a killed process and no completed write of it covers.
+
+        A unit is counted when its answer is sent, so a unit whose client had the answer before the
+        units of a completed write were collected is on disk.
+        """
+        units = 0
+        for row in map(json.loads, self.served.rows):
+            served_at = self.began + (row["at"] - START) / SPEED
+            if (
+                row["proxy"] == process.proxy
+                and process.started_at <= served_at <= process.killed_at
+                and self.answered_at.get(row["id"], math.inf) > covered_until
+            ):
+                units += 1
+        return units
+
     def billed(self) -> Counter[Line]:
         """Units that the billing endpoint has accepted."""
         return Counter(self.billing.billed)
@@ -173,11 +210,12 @@
 
     async def close(self) -> None:
         self.stopping = True
-        for process in self.running.values():
-            if process.returncode is None:
-                process.send_signal(signal.SIGTERM)
-        for process in self.running.values():
-            await process.wait()
+        children = [process.child for process in self.running.values()]
+        for child in children:
+            if child.returncode is None:
+                child.send_signal(signal.SIGTERM)
+        for child in children:
+            await child.wait()
         for node in self.nodes:
             await node.stop()
         await self.discovery.stop()
@@ -210,6 +248,13 @@
         report.served, _ = read_served(bed.served.rows, periods, "nodes")
         report.uncorrected = await bed.reconcile_when_idle(report.served)
         report.excess = report.uncorrected.long
+        for process in bed.killed:
+            events = read_events(process.record)
+            covered = covered_until(events, process.started_at)
+            report.at_risk += bed.units_at_risk(process, covered)
+            report.longest_unwritten = max(
+                report.longest_unwritten, unwritten_time(events, process.killed_at)
+            )
         for name in PROXIES:
             if any(d.proxy == name for d in report.uncorrected.differences):
                 Folder(folder / "ledgers" / name).put(
--- a/tests/violetroute/ledger/test_ledger_daemon.py
+++ b/tests/violetroute/ledger/test_ledger_daemon.py
@@ -14,6 +14,14 @@
 import trustme
 
 from limebridge.ledger.kills import run_kills
+from limebridge.ledger.recorded_daemon import (
+    COMMITTED,
+    JOB_BEGAN,
+    JOB_ENDED,
+    Event,
+    covered_until,
+    unwritten_time,
+)
 from limebridge.standins.billing import BillingEndpoint
 from tests.support.rig import CacheNode, Rig, get, serves, wait_until
 from violetroute.ledger import LedgerTable
@@ -251,5 +259,20 @@
     assert report.kills == 4 and sum(report.served.values()) > 300
     assert report.uncorrected is not None and report.corrected is not None
     assert report.excess == 0
-    assert report.uncorrected.short <= report.kills * 30  # units of half a second
+    # A kill costs the units that are not written: half a second's at most, and a write under way's.
+    assert report.uncorrected.short <= report.at_risk
+    assert report.longest_unwritten <= 0.5
     assert report.corrected.differences == []
+
+
+def test_the_time_that_no_write_covers_excludes_jobs_and_the_start_of_the_process() -> None:
+    assert unwritten_time([], killed_at=9.0) == 0.0  # killed before the ledger was opened
+    opening = [Event(JOB_BEGAN, 1.0)]
+    assert unwritten_time(opening, killed_at=1.5) == 0.0
+    opened = [*opening, Event(JOB_ENDED, 2.0)]
+    assert unwritten_time(opened, killed_at=2.25) == 0.25
+    writing = [*opened, Event(JOB_BEGAN, 3.0)]
+    assert unwritten_time(writing, killed_at=7.0) == 1.0 and covered_until(writing, 0.5) == 0.5
+    written = [*writing, Event(COMMITTED, 2.75), Event(JOB_ENDED, 4.0)]
+    assert covered_until(written, 0.5) == 2.75
+    assert unwritten_time(written, killed_at=6.0) == 6.0 - 2.75 - 1.0
