--- a/snowstall/attempts.py
+++ b/snowstall/attempts.py
@@ -1,4 +1,4 @@
-"""A request and its attempts: when another attempt is safe, and when a refusal is."""
+"""A request and its attempts: when it is safe to send another attempt, or to refuse."""
 
 from dataclasses import dataclass, field
 
--- a/snowstall/balance.py
+++ b/snowstall/balance.py
@@ -31,15 +31,15 @@
 # A cache has stalled if it answers nothing for the slowest mean latency plus this many deviations,
 # and for at least this many ms: `on_pause` is not called for shorter pauses of this process.
 STALL_DEVIATIONS, MIN_STALL_MS = 4.0, 100.0
-MIN_SUBSCRIBE_MS, SUBSCRIBE_MS_PER_PROXY = 500.0, 50.0  # max wait to subscribe: min, per proxy
+MIN_SUBSCRIBE_MS, SUBSCRIBE_MS_PER_PROXY = 500.0, 50.0  # longest random wait: least, per proxy
 # Its bounds after a failed call, a timed-out watch, at a local agent: changes must arrive in 6 s.
 MAX_SUBSCRIBE_MS, MAX_RENEW_MS, LOCAL_AGENT_MS = 1_500.0, 1_000.0, 50.0
 HEDGE_DEVIATIONS = 3.0  # an answer this late, hit or miss, is probably stuck in an overload
-MAX_HEDGE_SHARE = 0.7  # share of the latency target; a second copy sent later is late itself
+MAX_HEDGE_SHARE = 0.7  # share of the latency target; a copy sent later would be answered late
 RETURN_FACTOR, RETURN_SLACK_MS = 1.3, 100.0  # returns after backoff * factor + slack count as new
 MIN_BACKOFF_MS = 40.0  # enough when nothing is shed: another cache may serve the retry
 MAX_HOLD_SHARE = 0.5  # share of the client's time that a request waits for the first cache
-TURN_BUDGET_MS = 15.0  # in overload, the lowest value is accepted this long in a loop iteration
+TURN_BUDGET_MS = 15.0  # in overload, requests of the lowest value are accepted this long per turn
 HIGH_VALUE_TURN_FACTOR = 2.0  # multiple of that budget for requests above the lowest value
 MAX_PER_CONNECTION = 4  # requests accepted per connection and turn, so that each gets its share
 LOOP_BACKOFF = 0.5  # share of the longest backoff: an overload of one proxy is over sooner
@@ -118,7 +118,7 @@
     def on_peer_reports(
         self, now: float, unhealthy: Iterable[int], samples: Iterable[LoadSample]
     ) -> list[Action]:
-        """Apply what other proxies saw: eject unhealthy caches, pass the samples to the limits."""
+        """Apply other proxies' reports: eject unhealthy caches, pass samples to the limiters."""
         self._advance_clock(now)
         for cache in [self._caches[name] for name in unhealthy if name in self._caches]:
             if now >= cache.excluded_until:
@@ -174,7 +174,7 @@
         if now >= self._head_due:
             self._refresh_head(now)
             for cache in [c for c in self.ejected.values() if now - c.excluded_until > READMIT_MS]:
-                del self.ejected[cache.id]  # too little traffic, or only unsafe
+                del self.ejected[cache.id]  # unprobed: too little traffic, or nothing PURE
             known = [m for m in self._latencies.values() if m.count >= MIN_ANSWERS]
             stalls = (max(MIN_STALL_MS, m.value + STALL_DEVIATIONS * m.deviation) for m in known)
             self._stalled_after = max(stalls, default=math.inf)
@@ -304,7 +304,7 @@
         affordable = self.settings.can_hedge and self._retries >= 1.0
         return affordable and self._error_share < MAX_ERROR_SHARE and self._admitted_share() >= 1.0
 
-    def _admitted_share(self) -> float:  # both: the next cache may have to fetch
+    def _admitted_share(self) -> float:  # of both limiters: the next cache may miss
         return min(self.cache_limiter.admitted_share, self.origin_limiter.admitted_share)
 
     def _plan_hedge(self, pending: Pending, actions: list[Action]) -> None:
@@ -321,7 +321,7 @@
         """The last attempt has failed and none is in flight: retry or give the final answer."""
         now, result = self._now, outcome.result
         if pending.streaming or now >= pending.request.give_up_at or result is Result.NEVER_SENT:
-            self._record_load(pending, 1.0)  # never sent: no socket is left for a retry either
+            self._record_load(pending, 1.0)  # after NEVER_SENT, a retry has no socket either
             self._end_unserved(pending, actions, failed=pending.streaming)
             return
         cache, cost = None, RETRY_COST.get(result, 1.0)
--- a/snowstall/cache.py
+++ b/snowstall/cache.py
@@ -88,7 +88,7 @@
         self.unanswered_since = math.inf
         self.sent_count = self.sent_at = self.excluded_until = 0.0
         self.slow_sum = self.slow_weight = self.slow_at = 0.0
-        self.maybe_restarted = False  # was down while listed: cold when it answers again
+        self.maybe_restarted = False  # was down while listed, so it may be cold afterwards
 
     def resize(self, weight: float) -> None:
         """Set the share of the keys: 1 is an even share, 0 none.  Only the difference moves."""
--- a/snowstall/choice.py
+++ b/snowstall/choice.py
@@ -20,7 +20,7 @@
 STICKINESS = 1.2  # load by which a tail key's second cache must be better: a copy costs a fetch
 MIN_ZONAL_PRICE = 0.02  # cross-zone price from which another copy of a head key is cheaper
 SPEED_POWER = 2.0  # exponent that turns the speeds of two kinds into their shares of the keys
-INITIAL_RAMP_SHARE = 0.5  # a starting cache gets this part of its ramp first: all requests miss
+INITIAL_RAMP_SHARE = 0.5  # a starting cache begins with this part of its ramp: all requests miss
 
 
 class Choice(Learning):
@@ -47,10 +47,10 @@
         if cache.cold_since:
             warmth = self._warmth(cache, now)
             if warmth < 1.0:
-                if cache.in_flight:  # one request at a time: a burst can overload it
+                if cache.in_flight:  # a cold cache gets one at a time: a burst can overload it
                     return False
                 share = warmth * (INITIAL_RAMP_SHARE + (1 - INITIAL_RAMP_SHARE) * warmth)
-                # In an overload a share of the offered load is several times what caches serve.
+                # In an overload this share of the load is several times what the cache can serve.
                 share *= max(0.0, 1.0 - self._error_share - self._overload_share)
                 if self._sizes:  # a plan may be wrong for a new cache: an even share at most
                     share /= max(1.0, cache.weight)
--- a/snowstall/gate.py
+++ b/snowstall/gate.py
@@ -6,7 +6,7 @@
 
 FAILURE_WINDOW_S = 0.5  # time constant of the failure share that turns the limit on
 MAX_FAILURE_STEP = 0.15  # weight of one outcome in that share at most, for a quiet proxy
-CHANCE_DEVIATIONS = 0.5  # failures must exceed the allowed share by these standard deviations
+CHANCE_DEVIATIONS = 0.5  # failures must exceed the allowed share by this many deviations
 MAX_FAILURE_SHARE = 0.15  # share of requests that may fail before others are shed
 # Gain per second on the logarithm of the limit; the second value (ms) scales it down when failures
 # are reported late.
@@ -16,11 +16,11 @@
 # The limit grows by this factor faster while it is below this share of the recent peak rate.
 FAST_GROWTH_BELOW, FAST_GROWTH_FACTOR = 0.7, 3.0
 INITIAL_LIMIT_FACTOR = 1.25  # times the rate admitted lately: the first limit
-BASELINE_WINDOW_MS = 3_000.0  # time in which failures without queueing become the baseline
-MAX_OUTCOME_SPAN_MS = 500.0  # longest time that one outcome may stand for
+BASELINE_WINDOW_MS = 3_000.0  # time constant of the baseline: failures that show no queueing
+MAX_OUTCOME_SPAN_MS = 500.0  # longest time for which one outcome may change the limit
 PEAK_DECAY_MS, MIN_SHARE_OF_PEAK = 8_000.0, 0.4  # the limit stays above this share of the peak
 MIN_LIMIT_PER_S = 0.2  # requests a second; without any, a recovery would never be noticed
-MAX_LIMIT_FACTOR = 1.3  # times the offered load: nothing reaches a higher limit
+MAX_LIMIT_FACTOR = 1.3  # times the offered load: a higher limit would have no effect
 MAX_DEBT_MS = 100.0  # the highest value may overdraw the tokens by the limit's rate times this
 # Refused requests that are expected to return: keys that are remembered, and requests of each.
 MAX_RETURN_KEYS, MAX_RETURNS_PER_KEY = 2_048, 32
@@ -38,9 +38,9 @@
 
     There is no limit until the share of failed requests exceeds MAX_FAILURE_SHARE.  Then the
     admitted rate becomes the limit, and its logarithm follows the congestion that outcomes show,
-    more slowly the later they come (docs/design/overload-and-recovery.md).  The limit is a rate,
-    since a share of the offered load followed the waves of returning clients.  Requests count and
-    not attempts: a failure that another attempt makes good is the trouble of one cache.
+    more slowly the later they come (docs/design/overload-and-recovery.md).  The limit is a rate: a
+    share of the offered load followed the waves of returning clients.  It counts requests, not
+    attempts: a failure after which another attempt succeeds concerns one cache only.
     """
 
     def __init__(
--- a/snowstall/learning.py
+++ b/snowstall/learning.py
@@ -13,13 +13,13 @@
 EJECTION_MS = 1_000.0  # time until a failed cache gets its first probes
 MAX_EJECTED_SHARE = 0.4  # max share of the caches that may be ejected
 PROBE_RATE, PROBE_BURST = 0.03, 2.0  # probe budget: earned by each request, and to start with
-PROBES_PER_RECOVERY = 2.0  # more probes after each that was answered: many recover at once
+PROBES_PER_RECOVERY = 2.0  # probes added after an answered one: many caches recover at once
 # Share of full or late attempts; below it an unresponsive cache is a single cache's fault.
 CONGESTED_SHARE = 0.2
 MAX_EJECTED_CALM = 0.8  # max share of the caches to eject while fewer attempts are full or late
 RECENT_MS = 300.0  # a cache that answered this recently is up, even if its connections break
 MAX_PRESUMED_COLD_SHARE = 0.25  # more caches than this don't restart within one warm-up
-ERROR_GAIN, MAX_ERROR_SHARE = 0.1, 0.1  # above that error share the origin suffers: no retries
+ERROR_GAIN, MAX_ERROR_SHARE = 0.1, 0.1  # above that error share the origin fails: no retries
 # Error share from which a cache is at fault, if most others have few errors.
 FAULTY_ERROR_SHARE = 0.2
 MIN_ANSWERS = 10  # number of answers from which a mean latency counts as known
@@ -129,14 +129,14 @@
         self._overload_share += ERROR_GAIN * (overloaded - self._overload_share)
         if result is Result.OK:
             if not pending.done:
-                # Late only through its fetch is no sign of a queue: many caches may be new.
+                # A target missed only because of the fetch shows no queue: many caches may be new.
                 fetch_time = self._fetch_time(pending.cls) if outcome.hit is False else 0.0
                 missed_target = now - pending.arrived_at - fetch_time > pending.cls.latency_target
                 self._record_load(
                     pending, (1.0 - pending.cls.late_value) * missed_target, True, fetch_time
                 )
             if cache.maybe_restarted:
-                # It was down though the list never said so: perhaps it restarted and is cold.
+                # It was down although it stayed listed, so it may have restarted and be cold.
                 cache.maybe_restarted = False
                 if self._may_presume_cold(now):
                     cache.cold_since = now
@@ -184,7 +184,7 @@
             cache.excluded_until, self._probes = 0.0, self._probes + PROBES_PER_RECOVERY
 
     def _is_cache_fault(self, pending: Pending, attempt: Attempt) -> bool:
-        """Whether the attempt's fate is the fault of its cache alone, and not of the load."""
+        """Whether the attempt's outcome is the fault of its cache alone, and not of the load."""
         elapsed = self._now - attempt.sent_at - attempt.paused_ms
         stalled = (
             attempt.cache.unanswered_since <= attempt.sent_at and elapsed > self._stalled_after
--- a/snowstall/ring.py
+++ b/snowstall/ring.py
@@ -24,7 +24,7 @@
 SEGMENT_BITS = 8
 SEGMENTS = 1 << SEGMENT_BITS
 SWEEP_SHARE = 16  # a sweep begins when 1 / SWEEP_SHARE of the slots are empty
-SWEEP_AHEAD = 8  # it ends before 1 / SWEEP_AHEAD as many caches as there are have been added
+SWEEP_AHEAD = 8  # a sweep ends before size / SWEEP_AHEAD more caches have been added
 
 _SLOT = (1 << SLOT_BITS) - 1
 _TO_SEGMENT = HASH_BITS - SEGMENT_BITS
@@ -38,7 +38,7 @@
         self._zone_sizes: Counter[str] = Counter()
         self._segments: list[array[int]] = [array("Q") for _ in range(SEGMENTS)]
         self._appenders = [segment.append for segment in self._segments]
-        self._sorted_lengths = [0] * SEGMENTS  # a longer segment is unsorted
+        self._sorted_lengths = [0] * SEGMENTS  # at the last sort; longer segments are unsorted
         self._slots: list[Cache | None] = []  # the cache in each slot; None where it was removed
         self._free_slots: list[int] = []  # slots without points
         self._removed_slots: list[int] = []  # empty slots that may still have points
--- a/violetroute/__init__.py
+++ b/violetroute/__init__.py
@@ -1,1 +1,1 @@
-"""The limebridge proxy daemon: network, logs and processes round the policy in snowstall."""
+"""The limebridge proxy daemon: network, logs and processes around the policy in snowstall."""
--- a/violetroute/__main__.py
+++ b/violetroute/__main__.py
@@ -28,7 +28,7 @@
     from .sharing.service import Sharing
     from .transport.introspection_socket import IntrospectionSocket
 
-DRAIN_SLACK = 0.05  # s beyond the longest deadline, at which the last answers are sent
+DRAIN_SLACK = 0.05  # s that a drain lasts beyond the longest deadline, to send the last answers
 GC_THRESHOLD = 10_000  # allocations between collections; reference cycles are rare
 
 
@@ -207,7 +207,7 @@
         self.pending = False
 
     def record(self, number: int, frame: object) -> None:
-        """The signal handler."""
+        """Record the signal; this is its handler."""
         self.pending = True
 
 
--- a/violetroute/clients/budget.py
+++ b/violetroute/clients/budget.py
@@ -23,7 +23,7 @@
         self._waiting: dict[Hashable, tuple[int, Callable[[], None]]] = {}
 
     def reserve(self, owner: Hashable, size: int, granted: Callable[[], None]) -> bool:
-        """Reserve bytes for a command.  False: not yet, `granted` is called when reserved."""
+        """Reserve bytes for a command.  If False, `granted` is called once they are reserved."""
         if self._fits(size):
             self.used += size
             return True
@@ -39,7 +39,7 @@
         return self.used > self._for_commands
 
     def hold(self, size: int) -> None:
-        """Charge bytes without a limit."""
+        """Charge bytes even if that exceeds the limit."""
         self.used += size
 
     def release(self, size: int) -> None:
--- a/violetroute/clients/connection.py
+++ b/violetroute/clients/connection.py
@@ -173,7 +173,7 @@
         handler, answer = self._listener.handler, None
         delay = self._read_delay.delay(self._loop.time())
         if delay > LATE_AFTER and self.client_left():
-            self.ended()  # found by exploration: it was read in the second turn after a pause
+            self.ended()  # found by exploring event orders: read in the 2nd turn after a pause
             return
         try:
             command = resp.parse_command(args, head)
@@ -181,7 +181,7 @@
                 self._new_charged_answer().finish(moved)
                 return
             rejection = handler.rejection(command, self._requests_this_turn(), delay)
-            if rejection is not None:  # often in an overload of this process: must be cheap
+            if rejection is not None:  # frequent in an overload of this process: must be cheap
                 self._reject(rejection)
                 return
             answer = self._new_charged_answer()
@@ -341,7 +341,7 @@
             self._listener.set_reading(self, True)
 
     def has_unread_input(self) -> bool:
-        """Whether input of the client is in the kernel that the loop has not read yet.
+        """Whether the kernel holds input of the client that the loop has not read yet.
 
         Without this check, a connection was closed as idle in the turn that would have read its
         request: in an overload, input is read many milliseconds after it arrived.  The connection
--- a/violetroute/clients/read_delay.py
+++ b/violetroute/clients/read_delay.py
@@ -21,10 +21,10 @@
 
 from __future__ import annotations
 
-# s from reopening the TCP window until data in the sender's kernel has come; one way takes 3 ms
+# s from reopening the TCP window until the data in the sender's kernel arrives (one way: 3 ms)
 WINDOW_REOPEN_TIME = 0.1
-# One part of so many of the receive buffer, unread, may have closed the TCP window: small segments
-# occupy several times their size.
+# Unread data of 1 / WINDOW_DIVISOR of the receive buffer may have closed the TCP window, since
+# small segments occupy several times their size.
 WINDOW_DIVISOR = 4
 
 
@@ -71,7 +71,7 @@
             self._next_since = now
 
     def begin_read(self, turn: int, now: float, paused_for: float) -> None:
-        """Before a read.
+        """Update the mark before a read.
 
         `paused_for`: seconds since the start of a pause that ended with this turn; 0 without one.
         """
@@ -89,7 +89,7 @@
         self._read, self._clear_at, self._advance_at = 0, None, None
 
     def end_read(self, count: int, now: float, emptied: bool, buffer: int) -> None:
-        """After a read of `count` bytes.  `emptied`: none are left to read.
+        """Update the mark after a read of `count` bytes.  `emptied`: none are left to read.
 
         `buffer`: size of the kernel's receive buffer in bytes.
         """
--- a/violetroute/hooks.py
+++ b/violetroute/hooks.py
@@ -22,7 +22,7 @@
     on_accepted: list[Callable[[str, int], None]] = field(default_factory=list)
     # An attempt ended: its node's id, its result.
     on_attempt_ended: list[Callable[[int, Result], None]] = field(default_factory=list)
-    # The members that the balancer received: a list, a slice or changes of one.
+    # The balancer received members: a whole list, a slice of one, or its changes.
     on_list_change: list[Callable[[Sequence[Member]], None]] = field(default_factory=list)
     # The cached object of this key is invalid and has to be fetched again.
     on_purge: list[Callable[[str], None]] = field(default_factory=list)
--- a/violetroute/listing.py
+++ b/violetroute/listing.py
@@ -23,7 +23,7 @@
 
 NODES_PER_SLICE = 16  # nodes that enter service in one loop iteration: about 2 ms of CPU
 
-MIN_LOGGED_CHANGES = 100  # joining and removed nodes from which a list is logged
+MIN_LOGGED_CHANGES = 100  # a list that adds and removes at least this many nodes is logged
 
 
 @dataclass(slots=True)
@@ -176,7 +176,7 @@
 
 
 def log_step(list_change: ListChange, joining: int, serving: int) -> None:
-    """Log a list by which many nodes enter or leave service."""
+    """Log a list that adds or removes at least MIN_LOGGED_CHANGES nodes."""
     if len(list_change.joining) + len(list_change.removed) >= MIN_LOGGED_CHANGES:
         logs.event(
             "membership.changed", left=len(list_change.removed), joining=joining, serving=serving
--- a/violetroute/loop_lag_probe.py
+++ b/violetroute/loop_lag_probe.py
@@ -18,7 +18,7 @@
     ) -> None:
         self._loop, self._open, self._on_wake = loop, open_requests, on_wake
         self._timer: asyncio.TimerHandle | None = None
-        self.running = False  # no property: it is read for each request
+        self.running = False  # not a property, since each request reads it
 
     def start(self) -> None:
         """Run until no request is open.  Must not be called while it is running."""
--- a/violetroute/proxy.py
+++ b/violetroute/proxy.py
@@ -1,6 +1,6 @@
 """Tracks open requests and connects the balancer to clients, cache nodes and discovery.
 
-The only owner of the Balancer: reports each event as it occurs, performs each action unchanged.
+It alone owns the Balancer: it reports each event as it occurs and performs each action unchanged.
 """
 
 from __future__ import annotations
@@ -240,7 +240,7 @@
             self._dispatch(None, self._balancer.on_settings, config.settings)
         self._placement.set_plan(config.plan, config.operator.placement)
         if self._watch.reconfigure(config.discovery, config.operator):
-            self._generation = 0  # generations of two discovery services can't be compared
+            self._generation = 0  # generations of another service are unrelated
             self._dispatch(None, self._balancer.on_discovery_moved)
 
     def _apply_list(self, listing: Listing, kind: ListKind = ListKind.CHANGES) -> None:
--- a/violetroute/upstream/attempt.py
+++ b/violetroute/upstream/attempt.py
@@ -50,7 +50,7 @@
 
 
 class AttemptOwner(Protocol):
-    """Receives the outcomes of attempts; the proxy, as the pool sees it."""
+    """The part of the proxy that the pool uses: a check before sending, and attempts' outcomes."""
 
     def clock(self) -> float:
         """Unix milliseconds; never steps back."""
--- a/violetroute/upstream/connection.py
+++ b/violetroute/upstream/connection.py
@@ -106,9 +106,9 @@
         now = self._pool.owner.clock()
         parts = attempt.command.encode(attempt.wait_until - now)
         assert self.stream is not None
-        # Found by exploration: the network path failed while the process was paused, and recovered
-        # before it resumed.  A keyed command then arrived long after its repeat had run.  No timer
-        # of this process runs during a pause, so the kernel bounds the delivery too.
+        # Found by exploring event orders: the network path failed while the process was paused, and
+        # recovered before it resumed.  A keyed command then arrived long after its repeat had run.
+        # No timer of this process runs during a pause, so the kernel bounds the delivery too.
         left = (attempt.deliver_by - now) / 1000.0
         self.stream.deliver_within(
             max(left / 2.0, left - KERNEL_TIMEOUT_LAG, 0.001) if attempt.deliver_by else 0.0
@@ -189,7 +189,8 @@
                 return
             if word in NOT_RUN:
                 word = b"BUSY"
-        result = ERROR_RESULTS.get(word, Result.MALFORMED)  # an unknown error code proves nothing
+        # After an unknown code, the command may have run.
+        result = ERROR_RESULTS.get(word, Result.MALFORMED)
         if result is Result.FULL and extra_bytes:
             # A partial stray line received while the command was being sent, followed by the real
             # answer, looks like this.  A refusal would mean that the command has not run, so the
--- a/violetroute/upstream/pool.py
+++ b/violetroute/upstream/pool.py
@@ -122,7 +122,7 @@
         quiet_time = self._quiet_time(now)
         while node.idle:
             connection = node.idle[-1]
-            if now - connection.answered_at < quiet_time:  # the most recently used: try the oldest
+            if now - connection.answered_at < quiet_time:  # try the least recently used
                 connection = node.idle[0]
                 if now - connection.answered_at < quiet_time:
                     break
@@ -182,8 +182,8 @@
     def unsolicited_data(self, connection: NodeConnection) -> None:
         """Record how long after the last answer data came on an idle connection.
 
-        Data later than MAX_QUIET_TIME, or before any answer, is noise and no second answer.  It is
-        ignored, or a node that sends noise would have no connection reused.
+        Data that comes later than MAX_QUIET_TIME, or before any answer, is not a second answer.  It
+        is ignored: otherwise the connections of a node that sends such data would not be reused.
         """
         now = self.loop.time()
         age = now - connection.answered_at
@@ -228,7 +228,7 @@
         self._offer(connection)
 
     def release(self, connection: NodeConnection) -> None:
-        """Take back a connection after an answer; waiting attempts get it after the quiet time."""
+        """Take back a connection after an answer; attempts reuse it after the quiet time."""
         node = connection.node
         if connection.retired or connection.stream is None or connection.stream.closing:
             connection.close()
@@ -286,7 +286,7 @@
         if oldest is None:
             return False
         self._discard(oldest)
-        self._open.pop(oldest, None)  # the descriptor is free before `closed` is called
+        self._open.pop(oldest, None)  # its descriptor is already free, before `closed` is called
         return True
 
     def _sweep(self) -> None:
