--- a/tests/benchmarks/test_request_cost.py
+++ b/tests/benchmarks/test_request_cost.py
@@ -1,4 +1,7 @@
-"""`benchmarks/request_cost.py` measures a request's cost more precisely than the allowed 2 %."""
+"""`benchmarks/request_cost.py` measures an added cost of 2% per request to within 0.1%.
+
+Three builds are compared: this one, a copy of it, and a copy with a known added cost.
+"""
 
 from __future__ import annotations
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,8 @@
-"""The same verdict every time: from no clock, no chance, and nothing of who started the suite."""
+"""Settings of all tests that make a verdict reproducible.
+
+Hypothesis chooses the same examples in each run and has no deadline on the clock.  SIGINT has its
+default handler even if the process that started the suite ignores it.
+"""
 
 import signal
 
@@ -9,6 +13,7 @@
 settings.register_profile("same", derandomize=True, deadline=None)
 settings.load_profile("same")
 
-# A suite in the background of a script inherits SIGINT as ignored, and so would what tests start.
+# A suite that a script runs in the background inherits SIGINT as ignored, and so would the
+# processes that tests start.
 if signal.getsignal(signal.SIGINT) is signal.SIG_IGN:
     signal.signal(signal.SIGINT, signal.default_int_handler)
--- a/tests/limebridge/rehearsal/test_attainable.py
+++ b/tests/limebridge/rehearsal/test_attainable.py
@@ -1,4 +1,7 @@
-"""Tests the attainable worth against brute force, and the shares of it that a run earns."""
+"""The attainable worth compared with brute force, and the share of it that a run earns.
+
+The attainable worth of a run is what a policy could have earned that knew all of it in advance.
+"""
 
 from __future__ import annotations
 
--- a/tests/limebridge/scale/test_scale_return.py
+++ b/tests/limebridge/scale/test_scale_return.py
@@ -1,4 +1,4 @@
-"""The return of a cut-off region: nothing is lost, and proxies are sent a bounded rate."""
+"""The return of a cut-off region: no record is lost, and the rate of bytes sent is bounded."""
 
 from __future__ import annotations
 
--- a/tests/limebridge/test_demo.py
+++ b/tests/limebridge/test_demo.py
@@ -1,4 +1,4 @@
-"""`limebridge demo --json`, used by third-party clients and by raw commands."""
+"""`limebridge demo --json`, used with third-party clients and with raw commands."""
 
 from __future__ import annotations
 
--- a/tests/limebridge/test_ports.py
+++ b/tests/limebridge/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports for child processes: nobody else gets one before the process listens on it."""
+"""Ports for child processes: no other process gets one before the child listens on it."""
 
 from __future__ import annotations
 
--- a/tests/planted_distribution/ack_before_the_log_is_copied.py
+++ b/tests/planted_distribution/ack_before_the_log_is_copied.py
@@ -1,4 +1,7 @@
-"""A leader counts fetches as acknowledgements before it has copied the most recent log."""
+"""Planted fault: a new leader counts acknowledgements too early.
+
+It counts fetches as acknowledgements before it has copied the most recent log.
+"""
 
 from violetroute.distribution.followers import Followers, _Follower
 from violetroute.distribution.messages import Fetch
--- a/tests/planted_distribution/as_of_from_receipt.py
+++ b/tests/planted_distribution/as_of_from_receipt.py
@@ -1,4 +1,7 @@
-"""A proxy counts the age of its data from the receipt of a reply, not from the send of its poll."""
+"""Planted fault: a proxy considers its data younger than it is.
+
+It counts the age of its data from the receipt of a reply, not from the send of its poll.
+"""
 
 from violetroute.distribution.messages import PollReply
 from violetroute.distribution.subscriber import Effect, Subscriber
--- a/tests/planted_distribution/commit_of_earlier_term.py
+++ b/tests/planted_distribution/commit_of_earlier_term.py
@@ -1,4 +1,8 @@
-"""A leader commits batches of an earlier leader once a majority has acknowledged them."""
+"""Planted fault: a leader commits batches of an earlier leader.
+
+It does so once a majority has acknowledged them, without a batch of its own after them.  Such
+batches may still be replaced (Raft, section 5.4.2).
+"""
 
 from violetroute.distribution.followers import Followers
 
--- a/tests/planted_distribution/done_without_last_ack.py
+++ b/tests/planted_distribution/done_without_last_ack.py
@@ -1,4 +1,7 @@
-"""The leader treats a batch as applied everywhere before the last proxy has acknowledged it."""
+"""Planted fault: one proxy is missing when a batch counts as applied everywhere.
+
+The leader does not wait for the acknowledgement of the last proxy.
+"""
 
 from violetroute.distribution.roster import Roster
 
--- a/tests/planted_distribution/earliest_contact.py
+++ b/tests/planted_distribution/earliest_contact.py
@@ -1,4 +1,7 @@
-"""A new leader uses the earliest leader contact of its majority as bound instead of the latest."""
+"""Planted fault: a new leader takes the wrong bound on the `as_of` of earlier leaders.
+
+It uses the earliest leader contact of its majority instead of the latest.
+"""
 
 from collections.abc import Iterable
 
--- a/tests/planted_distribution/early_before_full_reports.py
+++ b/tests/planted_distribution/early_before_full_reports.py
@@ -1,4 +1,7 @@
-"""A new leader reports batches in force before it knows the sessions of all machines."""
+"""Planted fault: a new leader reports batches in force too early.
+
+It does so before it knows the sessions of all machines.
+"""
 
 from violetroute.distribution.in_force import InForceTracker
 
--- a/tests/planted_distribution/fresh_after_its_end.py
+++ b/tests/planted_distribution/fresh_after_its_end.py
@@ -1,4 +1,7 @@
-"""A process that has ended its session still considers itself fresh because of its last reply."""
+"""Planted fault: a process that has ended its session still considers itself fresh.
+
+It goes on using its last reply.
+"""
 
 from violetroute.distribution.messages import Poll
 from violetroute.distribution.subscriber import Subscriber
--- a/tests/planted_distribution/gap_not_noticed.py
+++ b/tests/planted_distribution/gap_not_noticed.py
@@ -1,4 +1,7 @@
-"""Control machines skip batches that they no longer keep, and the proxy does not check for gaps."""
+"""Planted fault: a proxy applies batches across a gap in the log.
+
+Control machines skip batches that they no longer keep, and the proxy does not check for gaps.
+"""
 
 import msgspec
 
--- a/tests/planted_distribution/late_leader_believed.py
+++ b/tests/planted_distribution/late_leader_believed.py
@@ -1,4 +1,7 @@
-"""A replica follows a leader whose fence is lower than the one that it has promised to follow."""
+"""Planted fault: a replica follows a replaced leader.
+
+The leader's fence is lower than the one that the replica has promised to follow.
+"""
 
 from violetroute.distribution.actions import Change, SetPromise
 from violetroute.distribution.replica import Replica
--- a/tests/planted_distribution/lost_disk_as_empty_log.py
+++ b/tests/planted_distribution/lost_disk_as_empty_log.py
@@ -1,4 +1,7 @@
-"""A replica that lost its disk counts towards the quorum at once, as if its log had been empty."""
+"""Planted fault: a replica that lost its disk counts towards the quorum at once.
+
+It acts as if its log had been empty.
+"""
 
 from violetroute.distribution.recovery import Recovery
 
--- a/tests/planted_distribution/no_drift_in_force.py
+++ b/tests/planted_distribution/no_drift_in_force.py
@@ -1,4 +1,4 @@
-"""The leader's bound on how long a proxy stays fresh ignores clock drift."""
+"""Planted fault: the leader's bound on how long a proxy stays fresh ignores clock drift."""
 
 from __future__ import annotations
 
--- a/tests/planted_distribution/no_drift_in_sessions.py
+++ b/tests/planted_distribution/no_drift_in_sessions.py
@@ -1,4 +1,7 @@
-"""A control machine's bound on how long its proxies stay fresh ignores clock drift."""
+"""Planted fault: a control machine's bound on its sessions ignores clock drift.
+
+It is the bound on how long a proxy of the machine stays fresh.
+"""
 
 from __future__ import annotations
 
--- a/tests/planted_distribution/snapshot_older_than_deltas.py
+++ b/tests/planted_distribution/snapshot_older_than_deltas.py
@@ -1,4 +1,7 @@
-"""A control machine always sends its first snapshot, even if the log dropped what follows it."""
+"""Planted fault: a control machine always sends its first snapshot.
+
+It does so even if the log no longer has the batches that follow the snapshot.
+"""
 
 from weakref import WeakKeyDictionary
 
--- a/tests/planted_sharing/lender_spends_lent.py
+++ b/tests/planted_sharing/lender_spends_lent.py
@@ -1,4 +1,4 @@
-"""A lender still spends what it has lent."""
+"""Injected bug: a lender still spends what it has lent."""
 
 from violetroute.sharing.loans import Loans
 
--- a/tests/planted_sharing/no_reconnect.py
+++ b/tests/planted_sharing/no_reconnect.py
@@ -1,4 +1,4 @@
-"""A member that was declared dead is never contacted again."""
+"""Injected bug: a member that was declared dead is never contacted again."""
 
 from violetroute.sharing.members import Members
 
--- a/tests/planted_sharing/renewed_without_limit.py
+++ b/tests/planted_sharing/renewed_without_limit.py
@@ -1,4 +1,4 @@
-"""A lender grants each renewal, even if it needs its home part itself by then."""
+"""Injected bug: a lender grants each renewal, even if it needs its home part itself by then."""
 
 from violetroute.sharing.loans import Loans
 
--- a/tests/planted_sharing/time_counted_from_the_answer.py
+++ b/tests/planted_sharing/time_counted_from_the_answer.py
@@ -1,4 +1,7 @@
-"""The borrower counts a loan from the receipt of the answer, for twice `loan_s`."""
+"""Injected bug: a borrower uses a loan for too long.
+
+It counts the loan from the receipt of the answer, and for twice `loan_s`.
+"""
 
 from violetroute.sharing.loans import BorrowedLoan, Loans
 
--- a/tests/planted_sharing/whole_home_part_at_start.py
+++ b/tests/planted_sharing/whole_home_part_at_start.py
@@ -1,4 +1,4 @@
-"""A new process may spend its whole home part at once.
+"""Injected bug: a new process may spend its whole home part at once.
 
 Loans that the previous process granted may still be active then.
 """
--- a/tests/repository/test_layout.py
+++ b/tests/repository/test_layout.py
@@ -1,6 +1,8 @@
-"""Imports run one way: limebridge -> violetroute -> snowstall; and other bounds of the layout.
+"""The structure of the packages: imports run one way, limebridge -> violetroute -> snowstall.
 
-The contracts between modules are in `.importlinter`.
+`.importlinter` has the contracts between modules; each must also report a planted violation.
+Further checks: the length of files, the policy files named in deploy/balancer.toml, and that only
+violetroute.transport uses the transports of asyncio.
 """
 
 from __future__ import annotations
--- a/tests/snowstall/test_mechanism.py
+++ b/tests/snowstall/test_mechanism.py
@@ -1,4 +1,4 @@
-"""SpaceSaving, the search for d, hashing and the ring."""
+"""SpaceSaving, the search for d (the candidates of a head key), hashing and the ring."""
 
 import math
 import random
--- a/tests/support/virtual_rig.py
+++ b/tests/support/virtual_rig.py
@@ -1,6 +1,6 @@
 """A daemon with cache nodes, discovery and clients on the virtual network.
 
-There the order of events is exact, so that a test can let two of them cross.
+The order of events there is exact, so a test can force either order of two racing events.
 """
 
 from __future__ import annotations
--- a/tests/violetroute/distribution/test_distribution_freshness.py
+++ b/tests/violetroute/distribution/test_distribution_freshness.py
@@ -1,9 +1,12 @@
 """A proxy that considers itself fresh has applied everything reported as in force.
 
-Random fault schedules check this.  They do not reach every rule: builds pass that drop sessions
-without allowing for clock drift, that report to an earlier leader again, or whose proxies accept
-an age before they have applied the whole commit (here every answer reaches the commit).  The unit
-tests of the modules fail for these builds.
+Random fault schedules check this.  They do not reach every rule of the protocol.  Three kinds of
+faulty builds pass them, and only the unit tests of the modules detect these:
+
+- sessions are dropped without an allowance for clock drift;
+- a control machine reports to an earlier leader again;
+- a proxy accepts an age before it has applied the whole commit.  Here every answer reaches the
+  commit.
 """
 
 from __future__ import annotations
--- a/tests/violetroute/ledger/test_ledger.py
+++ b/tests/violetroute/ledger/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger's pure parts: periods, book, records, counters and export formats."""
+"""The ledger's pure parts: periods, accounts, records, counters and export formats."""
 
 from __future__ import annotations
 
--- a/tests/violetroute/membership/test_consul_morning.py
+++ b/tests/violetroute/membership/test_consul_morning.py
@@ -1,4 +1,8 @@
-"""Consul delays, drops and flaps while clients send an increasing load over real sockets."""
+"""No request is lost and no drain is violated while Consul is unreliable and the load increases.
+
+Consul answers late, its checks flap, both agents stop and then send truncated answers, and a node
+dies.  In one variant the process gets no CPU time for 0.7 s meanwhile.
+"""
 
 from __future__ import annotations
 
--- a/tests/violetroute/test_crossings_process.py
+++ b/tests/violetroute/test_crossings_process.py
@@ -1,4 +1,4 @@
-"""Races between signals and the start, the settings and the open requests of a process."""
+"""Races of a signal or a lost discovery with the start, the settings and the open requests."""
 
 from __future__ import annotations
 
