--- a/benchmarks/calibrate.py
+++ b/benchmarks/calibrate.py
@@ -25,7 +25,7 @@
 from limebridge.standins.wire import command
 
 STORED = harness.ROOT / "limebridge" / "virtual" / "costs.json"
-MIN_COST_S = 1e-7  # of every term but `byte`
+MIN_COST_S = 1e-7  # least cost of every term but `byte`
 LARGE, SMALL = 32 * 1024, 200  # bytes of an answer
 NO_WAIT = b"0.001"  # ms; a request with this wait is refused as soon as it is read
 
--- a/benchmarks/choices.py
+++ b/benchmarks/choices.py
@@ -40,7 +40,7 @@
 from snowstall.head import SpaceSaving
 
 LOOKUP = RequestClass("lookup", latency_target=300.0, deadline=600.0, effect=Effect.PURE)
-STEP_MS = 2.0  # between the messages of one source
+STEP_MS = 2.0  # ms between the messages of one source
 
 
 def draw_keys(skew: float, keys: int, messages: int, seed: int) -> list[int]:
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -21,7 +21,7 @@
 from limebridge.standins.clients import LoadGenerator
 from limebridge.standins.configuration import SETTINGS
 
-WARM_UP_S = 1.0  # of load before the measurement
+WARM_UP_S = 1.0  # s of load before the measurement
 
 
 async def measure_cpu(
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -35,7 +35,7 @@
 from violetroute.fleet.assignment import MAX_RANK
 from violetroute.fleet.lease import Lease
 
-TERM_S, POLL_S, CALL_S = 0.8, 0.1, 0.4  # of a lease, between polls, timeout of a call
+TERM_S, POLL_S, CALL_S = 0.8, 0.1, 0.4  # s: a lease's term, between polls, timeout of a call
 
 
 def max_gap_s(fault: str, store: str) -> float:
--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -34,7 +34,7 @@
         "lateValue": 0.3,
     }
 ]
-START_TIMEOUT_S = 30.0  # until a child process prints that it is ready
+START_TIMEOUT_S = 30.0  # s until a child process prints that it is ready
 
 
 def cpu_seconds(pid: int) -> float:
--- a/benchmarks/instruction_count.py
+++ b/benchmarks/instruction_count.py
@@ -31,8 +31,8 @@
     package: str
     function: str  # file and qualified name
     instructions: int
-    calls: int  # of the function, and resumptions of its coroutines or generators
-    c_calls: int  # from the function into C functions
+    calls: int  # calls of the function, and resumptions of its coroutines or generators
+    c_calls: int  # calls from the function into C functions
 
 
 class CrossingCount(msgspec.Struct, frozen=True):
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -50,7 +50,7 @@
 from violetroute.ledger.store import Store
 
 START = 1_700_000_100  # Unix s: the period of the counted units
-ROUNDS = 8  # of `cost`, each with the ledger off and on
+ROUNDS = 8  # rounds of `cost`, each with the ledger off and on
 Flush = Callable[[dict[tuple[int, str | None, str], int]], None]
 MAX_COST_RATIO, MAX_ADDED_P99_MS = 1.05, 1.0
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -35,7 +35,7 @@
 from violetroute.membership.consul import ConsulWatch
 from violetroute.transport.sockets import SocketNetwork
 
-PROXIES = 500  # that reconnect
+PROXIES = 500  # proxies that reconnect
 
 
 def fill_catalogue(instances: int) -> Catalogue:
--- a/benchmarks/mixed.py
+++ b/benchmarks/mixed.py
@@ -32,8 +32,8 @@
 from violetroute.proxy import Proxy
 
 PROXIES = 24
-LOAD_FACTOR = 0.72  # of the fleet's capacity
-WORK_S = 0.09  # of a request, on a core of speed 1
+LOAD_FACTOR = 0.72  # load as a share of the fleet's capacity
+WORK_S = 0.09  # CPU time of a request on a core of speed 1
 # Cores and their speed, as specified for the project.
 MACHINE_KINDS = {"fast": (6, 1.3), "standard": (6, 0.97), "old": (7, 0.7)}
 SITES = ("catania-nord", "acireale", "paterno")
@@ -49,7 +49,7 @@
     p99: float  # s, of the served requests
     busiest: float  # highest utilization: arrivals per second at a node, divided by its capacity
     least_busy: float  # lowest utilization
-    fetches: int  # from the customer database
+    fetches: int  # fetches from the customer database
     off_plan: float  # share of the arrivals that deviate from the nodes' shares of the capacity
 
 
--- a/benchmarks/request_load.py
+++ b/benchmarks/request_load.py
@@ -80,7 +80,7 @@
 
     asked: int  # requests sent, including those of the warm-up
     requests: int  # requests sent after the warm-up
-    served: int  # of these
+    served: int  # how many of these were served
     digest: str  # SHA-256 of the traffic
     counts: Counts | None  # None without --count
 
--- a/limebridge/child.py
+++ b/limebridge/child.py
@@ -14,7 +14,7 @@
 from . import child_signals
 from .standins.configuration import environment
 
-START_TIMEOUT_S = 20.0  # until the daemon listens
+START_TIMEOUT_S = 20.0  # s until the daemon listens
 DRAIN_TIMEOUT_S = 8.0  # the longest deadline of a request is 3 s
 INSTALLED = (sys.executable, "-m", "violetroute")
 
@@ -24,7 +24,7 @@
 
     DOWN = "down"  # not started, or ended by `term`
     UP = "up"  # listening
-    DRAINING = "draining"  # between SIGTERM and its exit
+    DRAINING = "draining"  # SIGTERM was sent, and the process has not exited
 
 
 class DaemonStartError(Exception):
--- a/limebridge/control/command.py
+++ b/limebridge/control/command.py
@@ -45,8 +45,8 @@
 app = typer.Typer(no_args_is_help=True, help="Control machines: purges and configuration.")
 
 REFUSED, INVALID, UNCERTAIN = 1, 2, 3  # exit codes
-LOG_ID_BYTES = 8  # of a new log's random ID, printed in hex
-MAX_NAME_CHARACTERS = 64  # of a machine's name and of a log's ID
+LOG_ID_BYTES = 8  # bytes of a new log's random ID, printed in hex
+MAX_NAME_CHARACTERS = 64  # characters of a machine's name and of a log's ID
 
 MachineOption = Annotated[
     list[str],
@@ -68,7 +68,7 @@
 class _InForce:
     """A publication that is in force."""
 
-    position: int  # in the log
+    position: int  # position in the log
     status: StatusReply  # the leader's, after it came into force
 
 
--- a/limebridge/control/control_client.py
+++ b/limebridge/control/control_client.py
@@ -20,7 +20,7 @@
 from violetroute.transport import Address
 from violetroute.transport.sockets import SocketNetwork
 
-RETRY_DELAY_S = 0.2  # after a round in which no machine gave the result
+RETRY_DELAY_S = 0.2  # s after a round in which no machine gave the result
 
 
 class NoAnswerError(Exception):
--- a/limebridge/demo.py
+++ b/limebridge/demo.py
@@ -54,7 +54,7 @@
 class Demo:
     """The running processes and test doubles of a demo."""
 
-    ports: list[int]  # of the proxies
+    ports: list[int]  # ports of the proxies
     nodes: list[ReadThroughNode]
     discovery: Discovery
     database: CustomerDatabase
--- a/limebridge/experiments/charts.py
+++ b/limebridge/experiments/charts.py
@@ -25,7 +25,7 @@
 MARKS = "osD^vP"
 INK = "#123456"  # placeholder that is replaced by the text colour of the page
 SIZE = (7.2, 3.6)  # inches
-MAX_LINES = 6  # in a chart
+MAX_LINES = 6  # lines in a chart
 MAX_COMPARISONS = 60  # rows of the table
 
 
--- a/limebridge/experiments/plan.py
+++ b/limebridge/experiments/plan.py
@@ -55,8 +55,8 @@
     """How points are made: all combinations (grid), levels in step (list), or sampled."""
 
     kind: Literal["grid", "list", "latin", "sobol"] = "grid"
-    points: Count = 16  # for latin and sobol
-    seed: int = 1  # for latin and sobol
+    points: Count = 16  # number of points for latin and sobol
+    seed: int = 1  # seed of the points for latin and sobol
 
 
 class Budget(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -65,7 +65,7 @@
     runs: Count = 100_000
     minutes: Positive = 1440.0
     limit_s: Positive = 600.0  # a run that takes longer is killed
-    memory_mb: Positive = 4000.0  # of one run
+    memory_mb: Positive = 4000.0  # memory of one run
 
 
 class Experiment(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/limebridge/experiments/runner.py
+++ b/limebridge/experiments/runner.py
@@ -42,7 +42,7 @@
 )
 from .store import Run, Store
 
-MAX_RESULT_BYTES = 64 * 1024 * 1024  # of the line with a result
+MAX_RESULT_BYTES = 64 * 1024 * 1024  # bytes of the line with a result
 OnProgress = Callable[["Progress"], None]
 
 
@@ -53,7 +53,7 @@
     total: int = 0  # runs of the whole experiment
     already_stored: int = 0  # runs with a result from earlier calls
     executed: int = 0  # runs started by this call
-    failed: int = 0  # of those executed: invalid, overtime, crashed
+    failed: int = 0  # executed runs that are invalid, overtime or crashed
     running: int = 0
     stop_reason: str = ""  # why it ended early; empty: it did not
     run_seconds: float = 0.0  # sum over the runs
--- a/limebridge/experiments/search.py
+++ b/limebridge/experiments/search.py
@@ -21,12 +21,12 @@
 
 from limebridge.rehearsal.scenario import Event, Scenario
 
-MAX_EVENTS = 3  # of a plan
+MAX_EVENTS = 3  # events of a plan
 FIRST_EVENT_S = 3.0  # no event starts earlier
-TAIL_S = 6.0  # between the end of the last event and the end of the run
-RANDOM_SHARE = 0.25  # of the budget goes to random plans, as a start for mutation
-FRESH_SHARE = 0.15  # of the later plans are random, too
-CROSSOVER_SHARE = 0.25  # of the other plans have two parents
+TAIL_S = 6.0  # s between the end of the last event and the end of the run
+RANDOM_SHARE = 0.25  # share of the budget for random plans, from which mutation starts
+FRESH_SHARE = 0.15  # share of random plans among the later ones
+CROSSOVER_SHARE = 0.25  # share of plans with two parents among the others
 KEPT_LOSS_SHARE = 0.85  # share of the loss that a shrunk plan has to keep
 EVENT_RANGES: dict[str, tuple[float, float, float, float, float, float]] = {
     # low and high of share, amount and duration; within what the user has recorded or expects
--- a/limebridge/experiments/store.py
+++ b/limebridge/experiments/store.py
@@ -21,7 +21,7 @@
 import zstandard
 
 VERSION = 2
-LOCK_TIMEOUT_S = 30.0  # that a writer waits for the lock of another
+LOCK_TIMEOUT_S = 30.0  # s that a writer waits for the lock of another
 DEFAULT = "experiments.sqlite"
 
 SCHEMA = """
@@ -54,7 +54,7 @@
     point: str
     commit: str
     seed: int
-    scenario: str = ""  # its digest
+    scenario: str = ""  # digest of the scenario
     machine: str = ""
     state: str = "done"
     seconds: float = 0.0  # duration
--- a/limebridge/experiments/watch.py
+++ b/limebridge/experiments/watch.py
@@ -22,7 +22,7 @@
 from .tables import Cell, cells
 
 POLL_INTERVAL_S = 1.0
-MAX_ROWS = 500  # of a table
+MAX_ROWS = 500  # rows of a table
 
 
 def update_table(table: DataTable[Any], rows: Iterable[tuple[str, list[str]]]) -> None:
--- a/limebridge/faults/budgets.py
+++ b/limebridge/faults/budgets.py
@@ -21,10 +21,10 @@
 from violetroute.sharing.loans import Loans, LoanTerms
 
 TERMS = LoanTerms(loan_s=1.0, drift=0.05, floor=0.25)
-RATES = (0.95, 1.05, 1.0)  # of the clocks, by index of the process
+RATES = (0.95, 1.05, 1.0)  # rates of the clocks, by index of the process
 STEP = 0.5  # s by which an event "time" advances the clock
 HOME = 100  # home part of each process
-AMOUNTS = (40, 75)  # that a process may request
+AMOUNTS = (40, 75)  # amounts that a process may request
 
 
 @dataclass(frozen=True)
--- a/limebridge/faults/daemon.py
+++ b/limebridge/faults/daemon.py
@@ -25,7 +25,7 @@
 from .plan import Fault, Plan
 from .relay import Relay
 
-BEAT_S = 0.05  # between two effects of a work
+BEAT_S = 0.05  # s between two effects of a work
 LOG_TABLE = LogTable(format="json", per_second=1000.0)
 FILE_LIMIT = 8  # a daemon has more descriptors open, so it can open no new one
 
@@ -34,7 +34,7 @@
     """The part of a rig that its daemons use."""
 
     plan: Plan
-    folder: Path  # for the rig's files
+    folder: Path  # folder for the rig's files
     shared: Path  # the folder of the fleet's folder store
     command: tuple[str, ...]  # command line that starts a daemon
     works: list[str]
--- a/limebridge/faults/distribution/checker.py
+++ b/limebridge/faults/distribution/checker.py
@@ -17,7 +17,7 @@
 from limebridge.faults.violation import Violation
 
 MAX_VIOLATIONS = 20
-CONFIGURATION_SEPARATOR = "="  # in the name of a configuration record, between its key and its body
+CONFIGURATION_SEPARATOR = "="  # stands between key and body in the name of a configuration record
 
 
 class Rule(StrEnum):
--- a/limebridge/faults/distribution/control.py
+++ b/limebridge/faults/distribution/control.py
@@ -29,7 +29,7 @@
 if TYPE_CHECKING:
     from .world import World
 
-MAX_OUTGOING_REQUESTS = 64  # of one machine to the others, open at the same time
+MAX_OUTGOING_REQUESTS = 64  # open requests of one machine to the others
 MAX_INCOMING_PER_REQUESTER = 4  # average over the requesters, open at one machine
 
 Reply = Callable[[Message | None], None]
@@ -52,7 +52,7 @@
         self._rng = random.Random(f"control/{world.plan.seed}/{settings.name}")
         self.disk = Disk(world.simulation, self._rng, world.log)
         self.machine: Machine | None = None
-        self.lease_fence = 0  # of the lease that it assumes to hold; 0: none
+        self.lease_fence = 0  # fence of the lease that it assumes to hold; 0: none
         self._incoming: dict[int, Incoming] = {}
         self._outgoing: dict[int, Exchange] = {}
         self._last_ticket = 0
--- a/limebridge/faults/distribution/mixed_builds.py
+++ b/limebridge/faults/distribution/mixed_builds.py
@@ -26,7 +26,7 @@
 from .real_proxy import RealProxy, status_of
 
 POLL_INTERVAL_S = 0.05
-CATCH_UP_TIMEOUT_S = 10.0  # for a process that was replaced; the rollout continues after it
+CATCH_UP_TIMEOUT_S = 10.0  # s for a replaced process to catch up; the rollout goes on afterwards
 KILL_SHARE = 0.25  # share of the processes that a rollout ends with SIGKILL instead of SIGTERM
 PRINT_PACKAGE_PATH = "import violetroute.distribution; print(violetroute.distribution.__file__)"
 
--- a/limebridge/faults/distribution/nodes.py
+++ b/limebridge/faults/distribution/nodes.py
@@ -26,7 +26,7 @@
 LOG = "log-1"
 STALE_AFTER_S = 0.9
 DRIFT = 0.05
-NEVER_S = 1e6  # beyond the simulated time of any trace
+NEVER_S = 1e6  # s beyond the simulated time of any trace
 
 
 class NoJitter:
@@ -65,7 +65,7 @@
     message: Message | None
     is_reply: bool = False
     duplicate: bool = False
-    incarnation: int = 0  # of the requester
+    incarnation: int = 0  # incarnation of the requester
 
     @property
     def destination(self) -> str:
--- a/limebridge/faults/distribution/publisher.py
+++ b/limebridge/faults/distribution/publisher.py
@@ -52,7 +52,7 @@
         self.world = world
         self._rng = random.Random(f"publisher/{world.plan.seed}")
         self._count = 0
-        self.last_position = 0  # of the publication with LAST_KEY, once it is committed; else 0
+        self.last_position = 0  # position of the publication with LAST_KEY; 0 until it is committed
         self.committed = 0
 
     def start(self) -> None:
--- a/limebridge/faults/distribution/real_faults.py
+++ b/limebridge/faults/distribution/real_faults.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from .rig import Rig
 
-POLL_INTERVAL_S = 0.05  # of the check whether a fault is over
+POLL_INTERVAL_S = 0.05  # s between checks whether a fault is over
 
 
 def send_signal(process: ControlProcess, number: int) -> None:
--- a/limebridge/faults/distribution/real_proxy.py
+++ b/limebridge/faults/distribution/real_proxy.py
@@ -22,7 +22,7 @@
 
 RECORDING_COMMAND = (sys.executable, "-m", "limebridge.faults.distribution.recording")
 START_TIMEOUT_S = 30.0
-STOP_TIMEOUT_S = 10.0  # from SIGTERM to the end of the process
+STOP_TIMEOUT_S = 10.0  # s from SIGTERM to the end of the process
 STATUS_TIMEOUT_S = 0.5  # a paused process does not reply
 
 
--- a/limebridge/faults/distribution/real_publisher.py
+++ b/limebridge/faults/distribution/real_publisher.py
@@ -13,7 +13,7 @@
 from .plan import Plan
 from .recording import record_name
 
-PUBLISH_TIMEOUT_S = 2.0  # for the reply to a publication
+PUBLISH_TIMEOUT_S = 2.0  # s for the reply to a publication
 CONFIGURATION_INTERVAL = 6  # one in so many publications is configuration
 
 
--- a/limebridge/faults/distribution/rig.py
+++ b/limebridge/faults/distribution/rig.py
@@ -37,7 +37,7 @@
 from .recording import RecordingFile
 
 DRIFT = 0.01  # `drift` in the control machines' file
-REQUEST_TIMEOUT_S = 0.5  # for the reply of a control machine
+REQUEST_TIMEOUT_S = 0.5  # s for the reply of a control machine
 OBSERVE_INTERVAL_S = 0.1
 HEAL_TIMEOUT_S = 40.0  # long enough for a busy computer
 KEY = "a key of sixteen bytes and more"
--- a/limebridge/faults/distribution/state_space.py
+++ b/limebridge/faults/distribution/state_space.py
@@ -39,7 +39,7 @@
 
     times: int = 2
     publications: int = 1
-    leaders: int = 1  # in addition to the initial one
+    leaders: int = 1  # leaders in addition to the initial one
     losses: int = 1  # requests that the requester gives up on, whether delivered or not
     copies: int = 1
     crashes: int = 1
--- a/limebridge/faults/distribution/world.py
+++ b/limebridge/faults/distribution/world.py
@@ -32,7 +32,7 @@
 OBSERVE_INTERVAL_S = 0.05
 MAX_WALL_CLOCK_ERRORS_S = (0.0, 600.0)  # a run draws one of them as bound on wall clock errors
 RETENTION_INTERVAL_S = 0.7
-HEAL_TIMEOUT_S = 25.0  # for recovery after all faults were undone
+HEAL_TIMEOUT_S = 25.0  # s for recovery after all faults were undone
 REGIONS = ("north", "south", "west")
 MAX_NOTES = 20_000
 
--- a/limebridge/faults/endpoint.py
+++ b/limebridge/faults/endpoint.py
@@ -7,8 +7,8 @@
 
 from limebridge.standins.effects import EffectEndpoint
 
-ENDPOINT_FAULTS = ("lost before", "lost after", "500 after", "twice")  # of EffectEndpoint.fault
-FAULT_SHARE = 0.5  # of the requests, while the endpoint fails
+ENDPOINT_FAULTS = ("lost before", "lost after", "500 after", "twice")  # for EffectEndpoint.fault
+FAULT_SHARE = 0.5  # share of the requests, while the endpoint fails
 
 
 async def fail_endpoint(effects: EffectEndpoint, rng: random.Random, seconds: float) -> None:
--- a/limebridge/faults/memory.py
+++ b/limebridge/faults/memory.py
@@ -46,7 +46,7 @@
 # Faults that lose the store's data or may lose its sessions, so that two owners may overlap.
 LEASE_LOSS_FAULTS = (*DATA_LOSS_FAULTS, "leader", "torn")
 MEAN_STEP_S = (0.002, 0.02, 0.08)  # mean times of a step at the folder store; one per plan
-RECOVERY_TIMEOUT_S = 30.0  # for progress of every work after the healing
+RECOVERY_TIMEOUT_S = 30.0  # s for progress of every work after the healing
 MEMORY_FOLDER = Path("/dev/shm")  # if it exists, since files there need no disk access
 
 
--- a/limebridge/faults/model.py
+++ b/limebridge/faults/model.py
@@ -23,9 +23,9 @@
 from .model_incarnation import Incarnation, Reading, StoreAnswer, lease_key
 
 TIMING = LeaseTiming(term_s=1.0, drift=0.05, step_s=0.0)
-RATES = (0.95, 1.05, 1.0)  # of the clocks, by index of the process
+RATES = (0.95, 1.05, 1.0)  # rates of the clocks, by index of the process
 STEP = 0.5  # s by which an event "time" advances the clock
-LIVENESS_STEPS = 24  # of STEP s, in which an effect must happen once nothing fails any more
+LIVENESS_STEPS = 24  # steps of STEP s within which an effect must happen once nothing fails
 
 
 class NoJitter:
--- a/limebridge/faults/plan.py
+++ b/limebridge/faults/plan.py
@@ -71,7 +71,7 @@
 CONSUL_FAULTS: tuple[FaultKind, ...] = ("endpoint", "leader", "lose_answers", "forget")
 # Kinds after which the store has lost data that was written.
 DATA_LOSS_FAULTS: frozenset[FaultKind] = frozenset(("gone", "older", "forget"))
-MAX_DAEMONS = 24  # that a plan may start on one machine
+MAX_DAEMONS = 24  # daemons that a plan may start on one machine
 
 Seconds = Annotated[float, msgspec.Meta(ge=0.0, le=600.0)]
 
@@ -92,7 +92,7 @@
     """The parameters and faults of one run; times in s."""
 
     seed: int = 0
-    seconds: Seconds = 6.0  # of the part with faults; all faults are healed after it
+    seconds: Seconds = 6.0  # duration of the part with faults, all healed after it
     daemons: Annotated[int, msgspec.Meta(ge=2, le=MAX_DAEMONS)] = 5
     store: Literal["folder", "consul"] = "folder"
     # Number of example works, in addition to the settlement.
--- a/limebridge/faults/process.py
+++ b/limebridge/faults/process.py
@@ -24,9 +24,9 @@
 from .history import History, LeaseEvent, LoggedEvent
 from .plan import Plan
 
-START_UNIX_S = 1.7e9  # of the simulated wall clock
+START_UNIX_S = 1.7e9  # first time of the simulated wall clock
 DRIFT = 0.05  # max relative error of a process clock's rate
-BEAT_S = 0.2  # between two effects of a work
+BEAT_S = 0.2  # s between two effects of a work
 
 
 class World(Protocol):
@@ -37,12 +37,12 @@
     loop: VirtualLoop
     rng: random.Random
     history: History
-    folder: Path  # of the folder store
+    folder: Path  # folder of the folder store
     works: list[str]
     started: int  # incarnations so far, for their names
     mean_step_s: float  # mean time of one step at the folder store
-    beat_s: float  # between two effects of a work
-    poll_s: float  # between two polls of the leases
+    beat_s: float  # s between two effects of a work
+    poll_s: float  # s between two polls of the leases
 
 
 class EventHandler(logging.Handler):
--- a/limebridge/faults/real_runs.py
+++ b/limebridge/faults/real_runs.py
@@ -16,7 +16,7 @@
 from .violation import Violation
 
 MAX_REPLAYS = 2  # runs without the violation after which a smaller plan counts as correct
-CAUSE_WINDOW_S = 0.5  # before the last effect of an owner, in which a fault may have caused the gap
+CAUSE_WINDOW_S = 0.5  # s before an owner's last effect: a fault then may have caused the gap
 GAP_AT_END = "end"  # cause of a gap after the healing: daemons release their leases
 
 
--- a/limebridge/faults/relay.py
+++ b/limebridge/faults/relay.py
@@ -16,7 +16,7 @@
 
 CHUNK = 64 * 1024
 MAX_RESEND_BYTES = 256 * 1024  # bytes of a connection that are kept for `Impairment.resend`
-RESEND_TIMEOUT_S = 1.0  # for reading the answer to the resent bytes, which is discarded
+RESEND_TIMEOUT_S = 1.0  # s for reading the answer to the resent bytes, which is discarded
 MAX_HELD_DATAGRAMS = 256  # datagrams delayed in a relay; further ones are dropped
 
 
--- a/limebridge/faults/rig.py
+++ b/limebridge/faults/rig.py
@@ -36,8 +36,8 @@
 from .relay import Impairment
 from .violation import Violation
 
-WAIT_TIMEOUT_S = 30.0  # for progress after the healing: many lease terms, even on a busy machine
-POLL_INTERVAL_S = 0.05  # between checks of an awaited condition
+WAIT_TIMEOUT_S = 30.0  # s for progress after the healing: many lease terms, even on a busy machine
+POLL_INTERVAL_S = 0.05  # s between checks of an awaited condition
 
 
 @dataclass
--- a/limebridge/faults/sharing/client.py
+++ b/limebridge/faults/sharing/client.py
@@ -15,7 +15,7 @@
 MAX_IDLE_S = 1.5  # idle time after which no request is sent; a daemon closes after 2 s
 ONCE_SHARE = 0.2  # share of the requests of class `once`, which must have at most one effect
 MAX_SLEEP_S = 0.2  # the current rate is read at least this often, also at lower rates
-POLL_INTERVAL_S = 0.02  # for a daemon that is down, and for outstanding answers
+POLL_INTERVAL_S = 0.02  # s between checks whether a daemon is up, or answers have come
 LAST_ANSWERS_TIMEOUT_S = 4.0  # longer than the deadline of a request, 3 s
 KEY_COUNT = 50
 
--- a/limebridge/faults/sharing/daemon.py
+++ b/limebridge/faults/sharing/daemon.py
@@ -29,9 +29,9 @@
     """What a daemon uses of the rig that it belongs to."""
 
     plan: Plan
-    folder: Path  # of the rig's files
+    folder: Path  # folder of the rig's files
     key_file: Path  # the key that the daemons share
-    command: tuple[str, ...]  # that starts a daemon
+    command: tuple[str, ...]  # command that starts a daemon
     relays: dict[Link, DatagramRelay]
     discovery: Discovery
     node_entries: list[NodeEntry]  # the nodes in the configuration
--- a/limebridge/faults/sharing/memory.py
+++ b/limebridge/faults/sharing/memory.py
@@ -37,7 +37,7 @@
 from .plan import Fault, Link, Plan, cut_links, generate, without_fault
 
 KEYS = Keys([b"a key of a world in memory"])
-FIRST_PORT = 7000  # of the process with number 0
+FIRST_PORT = 7000  # port of the process with number 0
 # Run time after healing, in addition to three loan times: 50 probe intervals, in which all members
 # are found alive after suspicions, and a loan and the next one take effect.
 HEAL_S = 10.0
@@ -327,7 +327,7 @@
     admitted: int  # requests
     peak: int  # most requests admitted in any window of one second
     final_share: float  # share of the budget spent in the last two seconds
-    digest: str  # of the admissions
+    digest: str  # digest of the admissions
     trace: str = ""  # the trace, if it was requested or there is a violation
 
 
--- a/limebridge/faults/soak.py
+++ b/limebridge/faults/soak.py
@@ -26,10 +26,10 @@
 from .soak_plan import CHANGE_STRIDE, SoakPlan, SoakResult, generate
 from .violation import Violation
 
-DRAIN_GRACE_S = 0.5  # in which a draining node may still receive requests
-SLACK_S = 0.15  # that a busy machine may add to a checked time
+DRAIN_GRACE_S = 0.5  # s in which a draining node may still receive requests
+SLACK_S = 0.15  # s that a busy machine may add to a checked time
 NODE_DELAYS = (0.0, 0.01, 0.03, 0.15)  # shares of the longest deadline until a node answers
-STANDIN_END_S = 0.5  # for the stand-ins to end; longer than those delays
+STANDIN_END_S = 0.5  # s for the stand-ins to end; longer than those delays
 
 
 class Soak:
@@ -41,7 +41,7 @@
         self._discovery, self._nodes = Discovery(), LargeList(plan.nodes)
         self._nodes.behaviour = self._serve
         self._out_of_service_since: dict[str, float] = {}  # by host: when that was published
-        self._arrivals: dict[bytes, int] = {}  # of commands at the nodes: how often, by id
+        self._arrivals: dict[bytes, int] = {}  # number of arrivals of a command at the nodes, by id
         self._result = SoakResult(plan)
         self._child = Child(folder, "soak", command, on_log_line=self._on_log_line)
         self._ended_at = 0.0
--- a/limebridge/faults/soak_clients.py
+++ b/limebridge/faults/soak_clients.py
@@ -13,11 +13,13 @@
 from .violation import Violation
 
 CLASSES = (b"lookup", b"lookup", b"lookup", b"optout", b"once")
-DEADLINE_SHARES = (0.2, 0.5, 1.0)  # of the longest deadline: the deadlines of requests
-MAX_LATENESS_S = 0.5  # after its deadline an answer is worthless; up to here it is no violation
-CROSSING_S = 0.25  # before a close, in which the daemon may not have read a request
-CONNECT_PERIOD_S = 0.3  # after SIGTERM, in which clients still open connections
-MIN_SERVED_SHARE = 0.5  # of the requests before SIGTERM, if no idle clients use up the descriptors
+DEADLINE_SHARES = (0.2, 0.5, 1.0)  # deadlines of requests, as shares of the longest one
+MAX_LATENESS_S = 0.5  # s by which an answer may exceed its deadline without being a violation
+CROSSING_S = 0.25  # s before a close, in which the daemon may not have read a request
+CONNECT_PERIOD_S = 0.3  # s after SIGTERM, in which clients still open connections
+# Share of the requests before SIGTERM that must be served, if no idle clients use up the
+# descriptors.
+MIN_SERVED_SHARE = 0.5
 PIPELINED_SHARE = 0.2  # share of requests that are sent before the previous one is answered
 
 
@@ -28,7 +30,7 @@
 
     def __init__(self, id_: bytes, sent_at: float, deadline_s: float) -> None:
         self.id, self.sent_at, self.deadline_s = id_, sent_at, deadline_s
-        self.previous: Request | None = None  # on the same connection; it is answered first
+        self.previous: Request | None = None  # answered first, on the same connection
         self.answer: bytes | None = None
         self.answered_at = self.closed_at = 0.0
 
--- a/limebridge/faults/soak_plan.py
+++ b/limebridge/faults/soak_plan.py
@@ -9,7 +9,7 @@
 
 from .violation import Violation
 
-KILL_DELAY_S = 0.7  # from SIGTERM to the earliest SIGKILL, in addition to the longest deadline
+KILL_DELAY_S = 0.7  # s from SIGTERM to the earliest SIGKILL, in addition to the longest deadline
 MAX_DEADLINE_S = 3.0  # the part of a longer deadline that counts for the time of the SIGKILL
 CHANGE_STRIDE = 5  # a list change applies to one in this many nodes
 
@@ -38,7 +38,7 @@
     seed: int
     nodes: int
     clients: int
-    idle_clients: int  # that only hold connections open, and so descriptors
+    idle_clients: int  # clients that only hold connections open, and so descriptors
     sockets: int  # the daemon's limit of file descriptors
     deadline: float  # s; the longest one of any class
     rate: float  # requests per second, of all clients
--- a/limebridge/ledger/kills.py
+++ b/limebridge/ledger/kills.py
@@ -39,7 +39,7 @@
 
 SPEED = 240.0  # seconds of the daemons' wall clock per real second
 START = 1_700_000_100.0  # Unix s; the daemons' wall clock when the run begins
-TIMEOUT_S = 60.0  # for all exports to complete
+TIMEOUT_S = 60.0  # s for all exports to complete
 PROXIES = ("p1", "p2")
 BILLING_FAULTS = ("lost before", "lost after", "500 after", "cut after", "503")
 
@@ -49,8 +49,8 @@
     """Results of a run."""
 
     served: Counter[Line] = field(default_factory=Counter)  # units by the nodes' records
-    uncorrected: Reconciliation | None = None  # before the corrections
-    corrected: Reconciliation | None = None  # after the corrections
+    uncorrected: Reconciliation | None = None  # result before the corrections
+    corrected: Reconciliation | None = None  # result after the corrections
     kills: int = 0
     posts: int = 0  # requests to the billing endpoint
     excess: int = 0  # units billed but not served, before the corrections
--- a/limebridge/ledger/reading.py
+++ b/limebridge/ledger/reading.py
@@ -19,7 +19,7 @@
 class LedgerContents:
     """Contents of a ledger's folder."""
 
-    book: Book  # from the newest readable log
+    book: Book  # book of the newest readable log
     exported: Exported  # confirmed batches, from the archive
     file: str = ""  # name of that log
     notes: list[str] = field(default_factory=list)  # inconsistencies found while reading
--- a/limebridge/ledger/sketch.py
+++ b/limebridge/ledger/sketch.py
@@ -23,7 +23,7 @@
 Ids = npt.NDArray[np.uint64]
 HASHES = 4  # cells per id; with 4, large tables can be decoded up to 0.77 ids per cell
 CELLS_PER_ID = 1.6  # cells per id that is expected to differ
-MIN_CELLS = 64  # of a table; in smaller ones decoding often fails by chance
+MIN_CELLS = 64  # cells of a table; in smaller ones decoding often fails by chance
 STRATA, STRATUM = 24, 48  # number of tables of the estimate, and cells per table
 MAGIC = b"lbsketch1"
 
--- a/limebridge/placement/conflict.py
+++ b/limebridge/placement/conflict.py
@@ -17,7 +17,7 @@
 from .solver import feasible
 
 MAX_BISECTIONS = 40
-RELATIVE_PRECISION = 1e-6  # of a bisection, before its result is rounded
+RELATIVE_PRECISION = 1e-6  # precision of a bisection, before its result is rounded
 DIGITS = 4  # significant digits of the values in a report
 
 
--- a/limebridge/placement/fleet.py
+++ b/limebridge/placement/fleet.py
@@ -29,7 +29,7 @@
 class Load(Table, frozen=True):
     """`[load]`: the load that the fleet must carry."""
 
-    requests_per_s: Positive  # of the whole fleet, at the peak to plan for
+    requests_per_s: Positive  # requests a second of the whole fleet, at the peak to plan for
     work_ms: Positive  # mean work of a request on one core of speed 1
     headroom: Positive = 1.0  # factor on that load
     busiest: Positive = 0.8  # maximal utilization of a node
@@ -49,8 +49,8 @@
     """`[kinds.NAME]`: machines of the same hardware, and limits on them together."""
 
     cores: Positive
-    speed: Positive = 1.0  # of a core, relative to the reference core of `work_ms`
-    cost: NonNegative = 0.0  # of a serving node, in any unit and period
+    speed: Positive = 1.0  # speed of a core, relative to the reference core of `work_ms`
+    cost: NonNegative = 0.0  # cost of a serving node, in any unit and period
     least: Share = 0.0
     most: Share = 1.0
 
--- a/limebridge/placement/model.py
+++ b/limebridge/placement/model.py
@@ -72,7 +72,7 @@
 
     fleet: Fleet
     nodes: list[Node]
-    capacity: list[float]  # of each node, requests/s
+    capacity: list[float]  # requests a second of each node
     load: float  # requests/s, headroom included
     constraints: dict[str, Constraint]
     current: dict[str, float] | None = None  # shares of the plan in force, by node
--- a/limebridge/placement/publisher.py
+++ b/limebridge/placement/publisher.py
@@ -53,7 +53,7 @@
     drift: float
     every_s: float
     last: Plan | None = None  # as published, without fence and position
-    solved: Plan | None = None  # for the current fleet file; None: not solved yet, or no solution
+    solved: Plan | None = None  # plan for the current fleet file; None: unsolved, or no solution
     now: float = 0.0  # Unix s
 
     def apply(self, body: Any) -> None:
--- a/limebridge/placement/solver.py
+++ b/limebridge/placement/solver.py
@@ -22,8 +22,8 @@
 
 # Tolerance by which a goal may become worse for the following goals: relative, absolute below 1.
 GOAL_TOLERANCE = 1e-6
-BOUNDARY_TOLERANCE = 1e-7  # of constraints, where HiGHS cannot decide whether they can be met
-TIME_LIMIT_S = 30.0  # for one HiGHS call, far above the time for any fleet that the file allows
+BOUNDARY_TOLERANCE = 1e-7  # tolerance of constraints, within which HiGHS cannot decide
+TIME_LIMIT_S = 30.0  # s for one HiGHS call, far above the time for any fleet that the file allows
 
 
 class SolverError(Exception):
--- a/limebridge/rehearsal/attainable.py
+++ b/limebridge/rehearsal/attainable.py
@@ -39,7 +39,7 @@
     """Earned worth divided by attainable worth; "the fault" is the span of `fault_span`."""
 
     whole: float  # the whole run
-    trouble: float  # from DETECTION_S after the start of the fault to its end
+    trouble: float  # service from DETECTION_S after the start of the fault to its end
     after: float  # the AFTERMATH_S after the fault
     back: float | None  # s from the end of the fault until recovery; None: not within the run
     swing: float  # mean change of the share from one second to the next, from the fault's start on
--- a/limebridge/rehearsal/engine.py
+++ b/limebridge/rehearsal/engine.py
@@ -40,9 +40,9 @@
     from .fleet import ProxySharing
 
 UNIX_START_S = 1.7e9  # Unix time at time 0 of the kernel
-COOL_DOWN_S = 4.0  # from the end of the load until the proxies are stopped
+COOL_DOWN_S = 4.0  # s from the end of the load until the proxies are stopped
 MAX_UNSERVED = 15  # requests of the worst ten seconds that a result lists
-START_DELAY_S = 0.5  # before the load begins
+START_DELAY_S = 0.5  # s before the load begins
 
 
 class Rehearsal(EventInjector):
--- a/limebridge/rehearsal/loss_attribution.py
+++ b/limebridge/rehearsal/loss_attribution.py
@@ -16,7 +16,7 @@
 from .score import RequestRecord
 
 IDLE_SHARE = 0.1  # the nodes had capacity if this share of the available nodes' slots was idle
-TRANSIT_SLACK_S = 0.05  # between the sending of an attempt and its arrival at the node
+TRANSIT_SLACK_S = 0.05  # s between the sending of an attempt and its arrival at the node
 
 # Causes of a loss; the texts are keys of the JSON output and of stored results.
 REFUSED_WITH_CAPACITY = "refused while nodes had room"
@@ -36,7 +36,7 @@
     second: int
     lost: float  # worth
     cause: str
-    cause_share: float  # of the lost worth
+    cause_share: float  # share of the lost worth
 
 
 @dataclass(slots=True)
--- a/limebridge/rehearsal/real.py
+++ b/limebridge/rehearsal/real.py
@@ -30,11 +30,11 @@
 from .result import Result
 from .scenario import Scenario
 
-LATENESS_INTERVAL_S = 0.01  # between measurements of the lateness of the kit's event loop
+LATENESS_INTERVAL_S = 0.01  # s between measurements of the lateness of the kit's event loop
 # A run is void if the 99th percentile of the lateness exceeds this.  Clients wait this much longer
 # than the deadline that they announce, so an answer that has arrived but is unread is not lost.
 MAX_LATENESS_S = 0.05
-MAX_DAEMONS = 24  # on one machine
+MAX_DAEMONS = 24  # daemons on one machine
 LIST_DELAY_S = 0.1  # allowed for a change of the node list to reach a daemon
 
 
--- a/limebridge/rehearsal/report.py
+++ b/limebridge/rehearsal/report.py
@@ -11,7 +11,7 @@
 from .result import Result
 
 WIDTH, HEIGHT, CELL = 900.0, 160.0, 14.0  # px: size of the line chart, height of a row
-MAX_VIOLATIONS = 20  # that a report lists
+MAX_VIOLATIONS = 20  # violations that a report lists
 MAX_COSTLY_SECONDS = 10  # seconds with the largest losses that the page lists
 
 
--- a/limebridge/rehearsal/result.py
+++ b/limebridge/rehearsal/result.py
@@ -22,11 +22,11 @@
     score: Score
     violations: list[Violation]
     database: list[int]  # fetches by second
-    nodes: dict[str, list[float]]  # by node: busy slot seconds of each second
+    nodes: dict[str, list[float]]  # busy slot seconds of each second, by node
     cross_site_commands: int  # commands sent to a node at another site than the proxy's
     commands: int
     events: list[tuple[float, str]] = field(default_factory=list)  # time (s) and kind
-    slots: dict[str, int] = field(default_factory=dict)  # by node
+    slots: dict[str, int] = field(default_factory=dict)  # slots by node
     late_ms: float = 0.0  # real time only: 99th percentile of the lateness of the kit itself
     void: bool = False  # the kit was too late for the result to say anything about the daemon
     partial: bool = False  # interrupted before its end
--- a/limebridge/rehearsal/scenario.py
+++ b/limebridge/rehearsal/scenario.py
@@ -62,7 +62,7 @@
 
     waiting: Count = 24  # queue limit; a node rejects further requests
     cold_from: Share = 0.13  # share of its speed that a cold node begins with
-    warm: Positive = 23.0  # until a cold node is warm
+    warm: Positive = 23.0  # s until a cold node is warm
     keeps: Count = 4000  # keys that a node can cache
 
 
@@ -93,7 +93,7 @@
     aim_ms: Positive  # latency target
     deadline_ms: Positive
     worth: Positive = 1.0  # per second of work
-    late: Share = 0.3  # of the worth, after the latency target while the client still waits
+    late: Share = 0.3  # share of the worth after the latency target, while the client waits
     effect: Literal["pure", "token", "side_effect"] = "pure"
     window_ms: NonNegative = 0.0  # idempotency window of a keyed write
 
@@ -134,8 +134,8 @@
     descriptors: Count = 256  # limit of file descriptors
     cores: NonNegative = 0.0  # CPU per proxy, for costs.json of limebridge/virtual; 0: no CPU time
     fleet: bool = False  # whether the proxies gossip with each other: [sharing] is on
-    deaf: Share = 0.0  # of the proxies receive no gossip
-    liars: Share = 0.0  # of the proxies report every node as unhealthy
+    deaf: Share = 0.0  # share of the proxies that receive no gossip
+    liars: Share = 0.0  # share of the proxies that report every node as unhealthy
 
 
 class Point(_Table, frozen=True):
@@ -150,14 +150,14 @@
 
     curve: list[Point] = []
     trace: str = ""  # file of a recorded load (trace.py), relative to the scenario's folder
-    speed: Positive = 1.0  # of the replay: 2 sends the trace in half the time
+    speed: Positive = 1.0  # speed of the replay: 2 sends the trace in half the time
 
 
 class Clients(_Table, frozen=True):
     """Timeouts and retries of the clients."""
 
     retries: Annotated[int, msgspec.Meta(ge=0, le=10)] = 2
-    wait_ms: NonNegative = 50.0  # before the first retry; doubles with each further one
+    wait_ms: NonNegative = 50.0  # ms before the first retry; doubles with each further one
     patience: Range = msgspec.field(default_factory=lambda: [0.5, 0.8])  # of the class's deadline
     honours_busy: bool = True  # wait at least as long as -BUSY MS says
 
@@ -185,7 +185,7 @@
     at: NonNegative
     kind: EventKind
     lasts: NonNegative = 5.0
-    share: Share = 0.25  # of the nodes, or of the requests for `hot_key` and `scan`
+    share: Share = 0.25  # share of the nodes, or of the requests for `hot_key` and `scan`
     site: str = ""  # only nodes of this site; where nodes join
     amount: NonNegative = 3.0  # slowdown factor; `loses_answers`: s until the connection breaks
 
@@ -197,11 +197,11 @@
     """
 
     service: Share = 0.0
-    worst: Share = 0.0  # in the worst ten seconds
+    worst: Share = 0.0  # service in the worst ten seconds
     worst_class: Share = 0.0
-    attainable: Share = 0.0  # in the whole run
-    trouble: Share = 0.0  # from two seconds after the start of the fault to its end
-    after: Share = 0.0  # in the fifteen seconds after the fault
+    attainable: Share = 0.0  # share of the whole run
+    trouble: Share = 0.0  # share from two seconds after the start of the fault to its end
+    after: Share = 0.0  # share of the fifteen seconds after the fault
     swing: NonNegative = 0.0  # maximal mean change of the share from one second to the next
     back: NonNegative = 0.0  # maximal time from the end of the fault to recovery
 
--- a/limebridge/rehearsal/score.py
+++ b/limebridge/rehearsal/score.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 WORST_WINDOW_S = 10.0  # length of the window whose worst position is reported
-STEP_S = 1.0  # by which the window is moved
+STEP_S = 1.0  # s by which the window is moved
 
 
 @dataclass(slots=True)
@@ -26,11 +26,11 @@
     site: str
     worth: float
     target_s: float  # latency target
-    late_share: float  # of the worth, for an answer after the latency target
+    late_share: float  # share of the worth, for an answer after the latency target
     served_at: float | None = None  # s from the start of the run
     attempts: int = 0
-    outcomes: list[str] = field(default_factory=list)  # of the attempts that have ended, in order
-    attempt_ids: list[str] = field(default_factory=list)  # of all attempts, in order of their start
+    outcomes: list[str] = field(default_factory=list)  # one of each ended attempt, in order
+    attempt_ids: list[str] = field(default_factory=list)  # all attempts, in order of their start
     work: float = 0.0  # s of work on a node of speed 1
     useful_s: float = 0.0  # s from the first attempt until the client accepts no answer any more
     must_fetch: bool = False  # a read of a key that no node can have cached
--- a/limebridge/rehearsal/trace.py
+++ b/limebridge/rehearsal/trace.py
@@ -19,7 +19,7 @@
 from violetroute.config import ConfigError
 
 MAX_LINES = 5_000_000
-MAX_BYTES = 1 << 30  # after decompression: a small file must not fill the memory
+MAX_BYTES = 1 << 30  # bytes after decompression: a small file must not fill the memory
 
 
 @dataclass(frozen=True, slots=True)
--- a/limebridge/scale/command.py
+++ b/limebridge/scale/command.py
@@ -27,7 +27,7 @@
 
 MAX_JOBS = 4
 TABLE_WIDTH = 130  # minimum width in characters, also if the output is not a terminal
-EXIT_INTERRUPTED = 130  # after Ctrl-C, as in a shell: 128 + SIGINT
+EXIT_INTERRUPTED = 130  # exit status after Ctrl-C, as in a shell: 128 + SIGINT
 
 
 scale_app.command()(capacity)
--- a/limebridge/scale/fit.py
+++ b/limebridge/scale/fit.py
@@ -20,7 +20,7 @@
 STRAIGHT_RESIDUAL_LIMIT = 0.15  # a cost is linear if all relative residuals are below this
 MIN_SIZES = 3  # two points always lie on a line
 CONFIDENCE = 0.95
-FLOOR_SHARE = 0.01  # of the largest value; lower bound of the divisor of a relative residual
+FLOOR_SHARE = 0.01  # share of the largest value; lower bound of the divisor of a relative residual
 FloatArray = NDArray[np.float64]
 
 
@@ -37,7 +37,7 @@
     slope_high: float
     residual: float  # largest absolute relative residual
     straight: bool
-    exponent: float | None  # of value = factor * size ** exponent; None unless all values are > 0
+    exponent: float | None  # in value = factor * size ** exponent; None unless all values are > 0
 
 
 def fit_line(points: Sequence[Point]) -> LineFit:
--- a/limebridge/scale/measure_connections.py
+++ b/limebridge/scale/measure_connections.py
@@ -39,7 +39,7 @@
 SERVICE_TIME_S = 0.02  # time that a node takes to answer a request
 # Virtual time, several times the 3 s after which idle connections are closed.
 WARM_UP_S, MEASURED_S = 10.0, 20.0
-SAMPLE_INTERVAL_S = 0.5  # between two counts of open connections
+SAMPLE_INTERVAL_S = 0.5  # s between two counts of open connections
 MAX_SOCKETS = 16_384  # the proxy's limit, so high that it does not affect the measurement
 MIN_SERVED_SHARE = 0.99  # if a smaller share of the requests is served, the values are invalid
 MEMORY_CONNECTIONS = 3000  # connections opened to measure the memory per connection
--- a/limebridge/scale/measure_gossip.py
+++ b/limebridge/scale/measure_gossip.py
@@ -19,8 +19,8 @@
 
 SETTLE_S, REST_S = 5.0, 30.0  # virtual time before and during the measurement at rest
 DETECTION_STEP_S, MAX_DETECTION_S = 1.0, 120.0
-DATAGRAM_INTERVAL_S = 0.02  # between two received datagrams when memory is measured
-TOTAL_MEMBERS = 10_000  # in the lists of all copies: makes the memory of small fleets measurable
+DATAGRAM_INTERVAL_S = 0.02  # s between two received datagrams when memory is measured
+TOTAL_MEMBERS = 10_000  # members in the lists of all copies, to measure the memory of small fleets
 MAX_COPIES = 20
 
 
--- a/limebridge/scale/measure_judgements.py
+++ b/limebridge/scale/measure_judgements.py
@@ -26,7 +26,7 @@
 
 UNHEALTHY_NODES = (0, 1, 43, 120)  # none, one, a zone and a region of the target
 WARM_UP_S, MEASURED_S = 15.0, 20.0  # virtual time
-BATCH_INTERVAL_S = 0.05  # between two batches of requests
+BATCH_INTERVAL_S = 0.05  # s between two batches of requests
 TENANTS = 50
 OUTCOME_WEIGHT = 2.6  # decayed number of outcomes of a node, at the target's rate of requests
 LATENCY_MS, LATENCY_TARGET_MS = 20.0, 300.0
--- a/limebridge/scale/measure_list.py
+++ b/limebridge/scale/measure_list.py
@@ -23,7 +23,7 @@
 PARSE_ROUNDS = 15
 CHANGE_ROUNDS, CHANGES_PER_ROUND = 5, 8
 BATCH_DIVISOR = 5  # a batch changes one of this many nodes
-TOTAL_NODES = 9600  # in the lists of all proxies: makes the memory of small lists measurable
+TOTAL_NODES = 9600  # nodes in the lists of all proxies, to measure the memory of small lists
 MIN_COPIES, MAX_COPIES = 3, 40
 LOG_LEVEL = 50  # CRITICAL: suppresses the daemon's log
 WARM_UP_NODES = 10
--- a/limebridge/scale/measure_slow_probe.py
+++ b/limebridge/scale/measure_slow_probe.py
@@ -12,7 +12,7 @@
 from .measure_gossip import REST_S, failure_detection_s, settled_fleet, total_sent
 from .registry import Subject, Values
 
-SLOW_PROBE_S = 2.0  # between two probes that a proxy sends
+SLOW_PROBE_S = 2.0  # s between two probes that a proxy sends
 
 
 def measure(size: int) -> Values:
--- a/limebridge/scale/region_return.py
+++ b/limebridge/scale/region_return.py
@@ -27,7 +27,7 @@
 from violetroute.distribution.subscriber import Apply, InvalidateAll, SendPoll, Subscriber
 
 BATCH_S = 0.1  # interval at which a batch of purges is published
-LINK_DELAY_S = 0.04  # between the region and its control machine, one way
+LINK_DELAY_S = 0.04  # s between the region and its control machine, one way
 TICK_INTERVAL_S = 0.02  # interval at which the control machine checks its timers
 NORMAL_SERVICE_S = 5.0  # time of normal service before the cut
 KEY_BYTES = 48
@@ -46,8 +46,8 @@
     purges_missed: int  # by each proxy
     voided: int  # proxies that invalidated all objects instead of applying the missed purges
     applied_late: int  # proxies that applied all missed purges, one by one
-    caught_up_s: float  # from the return until the last proxy was fresh; infinite if one never was
-    caught_up_first_s: float  # until the first proxy was fresh
+    caught_up_s: float  # s from the return until the last proxy was fresh; infinite if one was not
+    caught_up_first_s: float  # s until the first proxy was fresh
     proxy_bytes_per_s: float  # received by one proxy
     machine_bytes_per_s: float  # sent by the control machine
     live_bytes_per_s: float  # mean of a proxy before the cut, for comparison
--- a/limebridge/scale/relay.py
+++ b/limebridge/scale/relay.py
@@ -24,7 +24,7 @@
 
 SEGMENT = 1448  # payload bytes of a full TCP segment over Ethernet
 CUT_POLL_S = 0.05  # interval at which a cut link is checked for its restoration
-MAX_QUEUED_BYTES = 4 * 1024 * 1024  # in one direction; reading pauses above it
+MAX_QUEUED_BYTES = 4 * 1024 * 1024  # bytes in one direction; reading pauses above it
 BACKLOG = 1024
 
 
--- a/limebridge/scale/run.py
+++ b/limebridge/scale/run.py
@@ -37,10 +37,10 @@
 from .time_dilation import REAL_TIME
 
 MAX_LOOP_LAG_S = 0.25  # above it the run's delays are those of an overloaded machine
-PROGRESS_INTERVAL_S = 0.5  # between two updates of the progress bar
-SESSIONS_TIMEOUT_S = 40.0  # for all proxies to open a session with a control machine
-IN_FORCE_TIMEOUT_S = 15.0  # for the last record to be in force after the measurement
-FAULT_TIME_SHARE = 1.0 / 3.0  # of the measured time that passes before faults are injected
+PROGRESS_INTERVAL_S = 0.5  # s between two updates of the progress bar
+SESSIONS_TIMEOUT_S = 40.0  # s for all proxies to open a session with a control machine
+IN_FORCE_TIMEOUT_S = 15.0  # s for the last record to be in force after the measurement
+FAULT_TIME_SHARE = 1.0 / 3.0  # share of the measured time that passes before faults are injected
 PUBLISHER_REGION = 0  # region from which records are published
 LOOP_LAG = "event loop of a host, lateness"
 
--- a/limebridge/scale/run_fleet.py
+++ b/limebridge/scale/run_fleet.py
@@ -36,7 +36,7 @@
 
 SHARED_KEY_TEXT = "a key of this scale run\n"
 DAEMON_READY_EVENT = "daemon.listens"  # logged by a daemon that is ready
-MAX_CONCURRENT_STARTS = 4  # of daemons
+MAX_CONCURRENT_STARTS = 4  # daemons that start at the same time
 
 Progress = Callable[[str], None]
 
@@ -77,7 +77,7 @@
         self.control_machines = ControlMachines(plan, folder, self.key_file)
         self.start_s = time.time()
         self.gossip_port = 0
-        self._stand_ins: list[Discovery | CacheNode] = []  # that were started
+        self._stand_ins: list[Discovery | CacheNode] = []  # the started stand-ins
 
     # --- start ---
     async def start(self) -> None:
--- a/limebridge/scale/run_load.py
+++ b/limebridge/scale/run_load.py
@@ -30,7 +30,7 @@
     published_at: float
     answered_at: float = 0.0
     answer: str = "none"  # name of the PublishStatus in the reply, or "none" without a reply
-    position: int = 0  # of the record in the log, from the reply
+    position: int = 0  # position of the record in the log, from the reply
 
     @property
     def committed(self) -> bool:
--- a/limebridge/scale/run_plan.py
+++ b/limebridge/scale/run_plan.py
@@ -21,7 +21,7 @@
 HOLLOW_PER_HOST = 330  # per process; a low soft limit of descriptors may allow fewer
 REGIONS_PER_RELAY = 3
 DESCRIPTORS_PER_HOLLOW = 4  # a UDP socket, one or two TCP connections, one to spare
-DESCRIPTORS_OF_HOST = 64  # of a host process besides those of its hollow proxies
+DESCRIPTORS_OF_HOST = 64  # descriptors of a host process besides those of its hollow proxies
 BURST_SHARE = 0.1  # length of the burst as a share of the measured time
 MB = 1_000_000
 
@@ -72,7 +72,7 @@
     probe_s: float = SharingTable().probe_s  # interval at which a proxy probes another member
     # Synthetic requests per second of each hollow proxy: input of its health reports and counts.
     requests: float = 8.0
-    failed_share: float = 0.0  # of the synthetic requests, so that there are failures to report
+    failed_share: float = 0.0  # share of the synthetic requests: failures to report
     hosts: int = 0  # processes that host hollow proxies; 0: as few as needed
     seed: int = 1
     slowdown: float = 1.0  # factor by which the clocks of all processes are slowed
--- a/limebridge/scale/run_process.py
+++ b/limebridge/scale/run_process.py
@@ -13,12 +13,12 @@
 
 from .process_usage import Usage, usage
 
-READY_TIMEOUT_S = 90.0  # for a process to become ready; many start at once
-REPLY_TIMEOUT_S = 60.0  # for the reply to a line
-STOP_TIMEOUT_S = 8.0  # for a process to exit after SIGTERM, before SIGKILL
+READY_TIMEOUT_S = 90.0  # s for a process to become ready; many start at once
+REPLY_TIMEOUT_S = 60.0  # s for the reply to a line
+STOP_TIMEOUT_S = 8.0  # s for a process to exit after SIGTERM, before SIGKILL
 MAX_STDERR_LINES = 20  # last lines of standard error that are kept
-MAX_ERROR_CHARS = 900  # of standard error in an error message
-MAX_LINE_BYTES = 1024 * 1024  # of one line of standard output
+MAX_ERROR_CHARS = 900  # characters of standard error in an error message
+MAX_LINE_BYTES = 1024 * 1024  # bytes of one line of standard output
 
 Reply = TypeVar("Reply")
 
--- a/limebridge/scale/run_report.py
+++ b/limebridge/scale/run_report.py
@@ -19,7 +19,7 @@
 
 MICROSECONDS = 1_000_000
 MAX_DELAY_S = 3600  # range of the delay histogram
-SIGNIFICANT_DIGITS = 3  # of a percentile of delays
+SIGNIFICANT_DIGITS = 3  # digits of a percentile of delays
 HUNDRED_PERCENT = 100.0
 
 
@@ -49,7 +49,7 @@
     messages_out: Percentiles
     gossip_bytes: float  # UDP payload, both directions, mean
     distribution_bytes: float  # TCP payload, both directions, mean
-    cpu_share: float  # of one core per member: CPU time of the processes / number of members
+    cpu_share: float  # share of one core per member: CPU time of the processes / number of members
     memory_mb: float  # per member
     note: str = ""
 
@@ -84,7 +84,7 @@
     position: int
     proxy: str  # the last proxy to apply it
     proxies: int  # number of late proxies
-    seconds: float | None  # from the report until `proxy` applied it; None: it never did
+    seconds: float | None  # s from the report until `proxy` applied it; None: it did not
 
 
 class InForceCheck(msgspec.Struct, frozen=True, kw_only=True):
@@ -104,7 +104,7 @@
 class RunReport(msgspec.Struct, frozen=True, kw_only=True):
     """The report of a run; its JSON is written by `save`."""
 
-    version: int = 1  # of this format
+    version: int = 1  # version of this format
     commit: str
     taken_at: str  # ISO 8601, UTC
     machine: Machine
--- a/limebridge/scale/run_sample.py
+++ b/limebridge/scale/run_sample.py
@@ -27,8 +27,8 @@
     """The traffic, CPU time and memory of all processes at one time."""
 
     at: float  # CLOCK_MONOTONIC
-    hollow: list[Traffic]  # of each hollow proxy
-    counted: dict[str, Traffic]  # of real daemons and control machines, by process name
+    hollow: list[Traffic]  # traffic of each hollow proxy
+    counted: dict[str, Traffic]  # by process name: real daemons, control machines
     use: dict[str, Usage]  # by process name
     machine_cpu_s: float  # CPU time of the whole machine
 
--- a/limebridge/scale/virtual_members.py
+++ b/limebridge/scale/virtual_members.py
@@ -24,7 +24,7 @@
 START_S = 1000.0  # initial value of the virtual clock
 WALL_CLOCK = 1.7e9  # Unix time in s at the virtual clock's 0
 FIRST_PORT = 20_000
-DATAGRAM_DELAY_S = 0.0005  # from one member to another
+DATAGRAM_DELAY_S = 0.0005  # s from one member to another
 MAX_BACKOFF_MS = 1000.0
 LOG_LEVEL = 50  # CRITICAL: suppresses the daemon's log
 KEYS = wire.Keys([b"a key of a measurement"])
--- a/limebridge/standins/cache_store.py
+++ b/limebridge/standins/cache_store.py
@@ -10,7 +10,7 @@
 from .wire import reply
 
 MAX_KEYS = 4096  # cached per node
-KEY_TTL_S = 2.0  # for which a node remembers an idempotency key
+KEY_TTL_S = 2.0  # s for which a node remembers an idempotency key
 
 
 class ReadThroughNode(CacheNode):
--- a/limebridge/standins/consul.py
+++ b/limebridge/standins/consul.py
@@ -23,7 +23,7 @@
 from .consul_catalogue import FrozenAnswer, HealthEntry, MachineFields
 from .kv import KeyValues, duration
 
-DEFAULT_WAIT_S = 300.0  # for a blocking query without a `wait` parameter
+DEFAULT_WAIT_S = 300.0  # s for a blocking query without a `wait` parameter
 MAX_BODY_BYTES = 1024 * 1024  # limit on a request's body
 
 
--- a/limebridge/standins/effects.py
+++ b/limebridge/standins/effects.py
@@ -32,7 +32,7 @@
         super().__init__()
         self.applied: list[Effect] = []
         self.highest_fence: dict[str, tuple[int, str]] = {}  # fence and nonce, by work
-        self.bodies: dict[str, bytes] = {}  # by key
+        self.bodies: dict[str, bytes] = {}  # bodies by key
         self.conflicts = 0  # requests with a known key and another body
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/limebridge/standins/kv.py
+++ b/limebridge/standins/kv.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-DEFAULT_LOCK_DELAY_S = 15.0  # for a session without LockDelay
+DEFAULT_LOCK_DELAY_S = 15.0  # s for a session without LockDelay
 MAX_VALUE_BYTES = 512 * 1024
 MAX_TXN_OPERATIONS = 128
 
--- a/limebridge/standins/large_list.py
+++ b/limebridge/standins/large_list.py
@@ -14,7 +14,7 @@
 ZONES = ("a", "b", "c", "d", "e")
 KINDS = ("fast", "standard", "small")
 FIRST_HOST = (127 << 24) + (64 << 16) + 1  # 127.64.0.1
-HOSTS_PER_BLOCK = 250  # of 256, so that no address ends with 0 or 255
+HOSTS_PER_BLOCK = 250  # less than 256, so that no address ends with 0 or 255
 
 
 def host_of(number: int) -> str:
--- a/limebridge/virtual/ledger.py
+++ b/limebridge/virtual/ledger.py
@@ -68,7 +68,7 @@
     power_failures: int = 0  # number of power failures at random times
     fail_power_at: int = 0  # number of the write at which the power fails; 0: none
     restore_disk: bool = False  # restore an older copy of the disk once, with a kill
-    faults: bool = True  # of the disk and of the endpoint
+    faults: bool = True  # whether the disk and the endpoint have faults
     clock_steps: bool = True  # steps of the wall clock
 
 
@@ -84,7 +84,7 @@
     held: Counter[tuple[int, str | None, str]] = field(default_factory=Counter)
     at_risk: int = 0  # units that were not on the disk when the process was killed
     killed: int = 0  # ends of the process by a kill or a power failure
-    writes: int = 0  # to the disk
+    writes: int = 0  # number of writes to the disk
     posts: int = 0  # requests to the endpoint
     gaps: int = 0  # times for which the ledger records that it is incomplete
     names: list[str] = field(default_factory=list)  # files on the disk at the end
--- a/limebridge/virtual/network.py
+++ b/limebridge/virtual/network.py
@@ -54,7 +54,7 @@
         self.to_check: dict[int, None] = {}
         self.packets = 0  # number of calls made by `deliver`
         self.paused: dict[str, float] = {}  # owner that gets no CPU -> end of the pause
-        self.meters: dict[str, Any] = {}  # by owner, if its CPU time is simulated; see costs.py
+        self.meters: dict[str, Any] = {}  # by owner, where CPU time is simulated; see costs.py
         self.woken = False  # a packet's arrival scheduled a callback on the loop
         self.charged_meters: list[Any] = []  # charged in this iteration of the loop
         # Additional one-way latency in s of a connection from an owner to a port.
--- a/limebridge/virtual/plan.py
+++ b/limebridge/virtual/plan.py
@@ -127,7 +127,7 @@
     faults: tuple[Fault, ...] = ()
     buffer: int = 64 * 1024  # bytes per socket and direction; small buffers split commands
     consul: bool = False  # the node list comes from Consul's catalogue
-    sources: Sources = ()  # both list sources at once, in order of precedence
+    sources: Sources = ()  # the list sources that run at once, in order of precedence
 
 
 def generate_consul(seed: int, seconds: float = 20.0) -> Plan:
--- a/limebridge/virtual/world.py
+++ b/limebridge/virtual/world.py
@@ -35,7 +35,7 @@
 CAPS = SETTINGS["caps"] | {"connectTimeoutMs": 120.0, "secondCopies": True}
 # s for which nodes remember an idempotency key; shorter than the deadline of a request.
 IDEMPOTENCY_WINDOW = 0.8
-MAX_DESCRIPTORS = 96  # of the proxy process
+MAX_DESCRIPTORS = 96  # descriptors of the proxy process
 SETTLE_TIME = 3.0  # s from the last request to the end; all requests must have ended by then
 # s without a watch of a reachable discovery service before a fault is reported.
 MAX_UNWATCHED = 6.0
--- a/violetroute/config/operator.py
+++ b/violetroute/config/operator.py
@@ -54,7 +54,7 @@
     # Client connections with a request need at most a third: each request can have two attempts at
     # once, and a client connection without a request can be closed.
     client_share: Fraction = 0.55  # fraction of the descriptors; the rest is for cache nodes
-    # Fraction of the memory beyond the program's own for values; buffers use as much.
+    # Fraction that is for values, of the memory beyond the program's own; buffers use as much.
     value_share: Fraction = 0.4
     # Fraction of the client slots that may be idle: a client with a limit on its connections needs
     # some of them for requests.
--- a/violetroute/config/platform.py
+++ b/violetroute/config/platform.py
@@ -66,7 +66,7 @@
 
 
 class _Limits(msgspec.Struct, frozen=True):
-    sockets: Number = 1024  # both are checked against minimums in `_build_config`
+    sockets: Number = 1024  # `_build_config` checks the minimum of both limits
     memory_mb: Number = 64
 
 
@@ -268,7 +268,7 @@
 
 
 class _UnreadListing(msgspec.Struct):
-    """The only check of a list that is not parsed."""
+    """A list whose entries stay unparsed: only its outer form is checked."""
 
     instances: list[msgspec.Raw]
 
--- a/violetroute/distribution/actions.py
+++ b/violetroute/distribution/actions.py
@@ -156,7 +156,7 @@
     batch_s: float = 0.1  # window in which publications are combined into one batch
     hold_s: float = 0.25  # a fetch without new data is answered after this time
     retry_s: float = 0.2  # first retry delay of a failed request; grows to 8 times this
-    timeout_s: float = 2.0  # of a request to another control machine
+    timeout_s: float = 2.0  # timeout of a request to another control machine
     # A leader without a majority releases the lease after this time.
     release_lease_after_s: float = 10.0
     stale_after_s: float = 2.8  # staleness bound of the proxies
--- a/violetroute/distribution/configuration.py
+++ b/violetroute/distribution/configuration.py
@@ -52,7 +52,7 @@
 )
 
 
-MAX_NAME_CHARACTERS = 64  # of an unknown table's name in an error text
+MAX_NAME_CHARACTERS = 64  # characters of an unknown table's name in an error
 
 
 # The published table by its name, or None to remove it.
--- a/violetroute/distribution/control_choice.py
+++ b/violetroute/distribution/control_choice.py
@@ -17,7 +17,7 @@
 
 FIRST_TRIAL_DELAY_S = 5.0  # time at a less preferred machine before the first trial
 MAX_TRIAL_DELAY_S = 60.0  # maximum time between two trials, before jitter
-TRIAL_TIMEOUT_FRACTION = 0.5  # of `timeout_s`, so that a failed trial does not make the proxy stale
+TRIAL_TIMEOUT_FRACTION = 0.5  # share of `timeout_s`: a failed trial does not make the proxy stale
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,7 +104,7 @@
         if address != self._order[self._current]:
             self._trial_failed(now)
             return
-        if self._returned_at is not None:  # it failed soon after failback: try it less often
+        if self._returned_at is not None:  # failed soon after failback: try it less often
             self._returned_at = None
             self._double_trial_delay()
         self._failures += 1
--- a/violetroute/distribution/control_file.py
+++ b/violetroute/distribution/control_file.py
@@ -60,7 +60,7 @@
 
     name: MachineName  # must be one of the names of [[machine]]
     listen: str  # "HOST:PORT"; port 0: any free port
-    folder: str  # of the log; created by `limebridge control init`
+    folder: str  # the log's folder; `limebridge control init` creates it
     key_file: str  # key shared by proxies and control machines
     machine: Annotated[
         tuple[MachineTable, ...], msgspec.Meta(min_length=1, max_length=MACHINES_MAX)
--- a/violetroute/distribution/frames.py
+++ b/violetroute/distribution/frames.py
@@ -23,7 +23,7 @@
 MAGIC = b"LBd1"
 HEADER = struct.Struct("<4sIII")
 CHECKSUMMED_BYTES = HEADER.size - 4  # bytes of the header that its own CRC covers
-MAX_BODY_BYTES = 256 * 1024 * 1024  # of one frame
+MAX_BODY_BYTES = 256 * 1024 * 1024  # bytes of one frame
 
 
 @dataclass(frozen=True, slots=True)
--- a/violetroute/distribution/http_client.py
+++ b/violetroute/distribution/http_client.py
@@ -142,7 +142,7 @@
         self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEADER_BYTES)
         self._pending = b""  # a request to send once the connection is established
         self._opened = False
-        self._signature: RequestSignature | None = None  # of the request in progress
+        self._signature: RequestSignature | None = None  # the request's, while one is open
         self._status, self._mac = 0, b""
         self._body = bytearray()
         self._stream: Stream = net.connect(address, self, timeout_s)
--- a/violetroute/distribution/http_server.py
+++ b/violetroute/distribution/http_server.py
@@ -39,16 +39,16 @@
 
 MAX_CONNECTIONS = 4096
 BACKLOG = 1024
-REQUEST_TIMEOUT_S = 10.0  # from a request's first byte, or the connection's start, to its last byte
-IDLE_TIMEOUT_S = 60.0  # between an answer and the next request
-ANSWER_TIMEOUT_S = 20.0  # for the peer to read an answer
-SWEEP_INTERVAL_S = 1.0  # between two checks of the connections' deadlines
+REQUEST_TIMEOUT_S = 10.0  # s from a request's first byte, or the connection's start, to its last
+IDLE_TIMEOUT_S = 60.0  # s between an answer and the next request
+ANSWER_TIMEOUT_S = 20.0  # s for the peer to read an answer
+SWEEP_INTERVAL_S = 1.0  # s between two checks of the connections' deadlines
 SHORT_BODY_BYTES = 16 * 1024  # only bytes beyond this count towards MAX_LONG_BODIES_BYTES
-MAX_LONG_BODIES_BYTES = 64 * 1024 * 1024  # of all long bodies that are not complete yet
-MAX_ACCEPTS_PER_ITERATION = 64  # of the event loop, so that open connections are served meanwhile
-ACCEPT_RETRY_S = 1.0  # after the process ran out of file descriptors
+MAX_LONG_BODIES_BYTES = 64 * 1024 * 1024  # bytes of all long bodies that are incomplete
+MAX_ACCEPTS_PER_ITERATION = 64  # per loop iteration, so that open ones are served meanwhile
+ACCEPT_RETRY_S = 1.0  # s until the next accept after the process ran out of file descriptors
 MAX_PATH_BYTES = 64
-PROGRESS_BYTES = 16_384  # of a body, after which its connection counts as new again
+PROGRESS_BYTES = 16_384  # bytes of a body after which its connection counts as new again
 NEVER = float("inf")
 INVALID_REQUEST = "invalid request"
 TOO_MANY_CONNECTIONS = "too many connections"
@@ -218,7 +218,7 @@
         self._server = server
         self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=HEADER_BYTES)
         self._stream: Stream | None = None
-        self._ticket = 0  # of the request that the handler is processing; 0: none
+        self._ticket = 0  # ticket of the request that the handler processes; 0: none
         self._path = ""
         self._signature: RequestSignature | None = None
         self._body = bytearray()
--- a/violetroute/distribution/log_state.py
+++ b/violetroute/distribution/log_state.py
@@ -23,7 +23,7 @@
 )
 from .messages import Batch, LogPoint, Snapshot
 
-VERSION = 1  # of the segment format
+VERSION = 1  # version of the segment format
 
 
 class InconsistentError(Exception):
--- a/violetroute/distribution/messages.py
+++ b/violetroute/distribution/messages.py
@@ -13,14 +13,14 @@
 import msgspec
 
 RECORDS_PER_BATCH = 2048
-MAX_KEY_CHARACTERS = 1024  # of a record's key
-MAX_BODY_BYTES = 16 * 1024  # of a record's body
+MAX_KEY_CHARACTERS = 1024  # characters of a record's key
+MAX_BODY_BYTES = 16 * 1024  # bytes of a record's body
 BATCHES_PER_REPLY = 512
 SESSIONS_PER_REPORT = 4096
-CONFIGURATION_KEYS = 256  # in one snapshot
-CONFIGURATION_BYTES = 1024 * 1024  # of the keys and bodies in one snapshot
-MESSAGE_BYTES = 4 * 1024 * 1024  # of an encoded request or reply
-BATCH_BYTES = 1024 * 1024  # of the records of one batch, which must fit into one reply
+CONFIGURATION_KEYS = 256  # keys in one snapshot
+CONFIGURATION_BYTES = 1024 * 1024  # bytes of the keys and bodies in one snapshot
+MESSAGE_BYTES = 4 * 1024 * 1024  # bytes of an encoded request or reply
+BATCH_BYTES = 1024 * 1024  # bytes of the records of one batch, which must fit into one reply
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 Address = Annotated[str, msgspec.Meta(max_length=64)]  # "HOST:PORT"
@@ -132,7 +132,7 @@
     """
 
     replica: Name
-    fence: Number  # of the leader that the fetch is sent to
+    fence: Number  # fence of the leader that the fetch is sent to
     last: LogPoint
     commit: Number  # known to the replica; a change of the leader's commit counts as new data
     recovering: bool = False
@@ -173,7 +173,7 @@
     name: Name
     incarnation: Name  # new at every start of the process
     region: Annotated[str, msgspec.Meta(max_length=64)]
-    position: Number  # of the last applied batch
+    position: Number  # position of the last applied batch
     refused: Annotated[tuple[tuple[Number, Reason], ...], msgspec.Meta(max_length=16)] = ()
 
 
@@ -303,7 +303,7 @@
     region: str
     position: Number
     behind_s: Annotated[float, msgspec.Meta(ge=0.0)]
-    stale: bool  # its last answer is older than the bound, so the proxy knows that it is stale
+    stale: bool  # the last answer to it is older than the bound, so it knows that it is stale
 
 
 class StatusReply(Message, frozen=True):
--- a/violetroute/distribution/poll_contents.py
+++ b/violetroute/distribution/poll_contents.py
@@ -86,7 +86,7 @@
         # Batches up to here may have been committed `stale_after_s` ago or earlier.
         self._old_position = log.commit
         self._commits: deque[_Commit] = deque(maxlen=MAX_COMMIT_TIMES)
-        self._contents: dict[tuple[int, int | None], Content] = {}  # by position and pace
+        self._contents: dict[tuple[int, int | None], Content] = {}  # answers by position and pace
         self._contents_commit = -1
 
     def commit_advanced(self, now: float, as_of: float | None) -> None:
--- a/violetroute/distribution/preparation.py
+++ b/violetroute/distribution/preparation.py
@@ -73,8 +73,8 @@
         self._prepares: dict[int, str] = {}
         self._promises: dict[str, Promise] = {}
         self._drift = settings.drift
-        self._contacts: dict[str, float] = {}  # by promising machine, as `contact_time`
-        self.contacts: tuple[float, ...] = ()  # of the promising majority, once `ready`
+        self._contacts: dict[str, float] = {}  # `contact_time` by promising machine
+        self.contacts: tuple[float, ...] = ()  # those of the promising majority, once `ready`
         self._followers: set[str] = set()
         self._copy: _Copy | None = None
         self.ready = False  # the log has all batches committed before this term
--- a/violetroute/distribution/replica.py
+++ b/violetroute/distribution/replica.py
@@ -50,7 +50,7 @@
     raw: msgspec.Raw
     size: int
     end: int  # total bytes up to and including this batch, since the start or the last `install`
-    configuration: tuple[Record, ...]  # its configuration records, for snapshots
+    configuration: tuple[Record, ...]  # the configuration records, for snapshots
 
     def __deepcopy__(self, memo: object) -> _Entry:
         return self
--- a/violetroute/distribution/roster.py
+++ b/violetroute/distribution/roster.py
@@ -42,7 +42,7 @@
         self._min_position_valid = True
         self._with_refusals: dict[SessionKey, None] = {}
         self._live_names: dict[str, int] = {}  # number of live sessions by proxy name
-        self._missing: dict[str, Missing] = {}  # by proxy name, longest missing first
+        self._missing: dict[str, Missing] = {}  # missing proxies by name, longest missing first
         self._machines: dict[str, dict[SessionKey, None]] = {}
 
     def __len__(self) -> int:
--- a/violetroute/distribution/status.py
+++ b/violetroute/distribution/status.py
@@ -14,8 +14,8 @@
     """Status of a proxy's subscription: its position, freshness and traffic."""
 
     name: str
-    incarnation: str  # of this process
-    position: int  # of the last applied batch
+    incarnation: str  # this process's incarnation
+    position: int  # position of the last applied batch
     fresh: bool
     as_of_age_s: float | None  # everything committed this long ago is applied; None: unknown
     asks: str  # address of the control machine whose poll is in flight; "" between two polls
@@ -23,7 +23,7 @@
     purges: int
     voids: int
     configurations: int
-    bytes_in: int  # of HTTP, since the start
+    bytes_in: int  # bytes of HTTP since the start
     bytes_out: int
     polls: int
     failed: int  # polls without a valid answer
@@ -35,7 +35,7 @@
     leading: bool
     connections: int  # accepted and still open
     connections_max: int
-    polls: int  # of proxies, not answered yet
+    polls: int  # open polls of proxies
     polls_max: int
-    server: Traffic  # of requests to this machine
-    client: Traffic  # of requests from this machine to other control machines
+    server: Traffic  # requests to this machine
+    client: Traffic  # requests from this machine to other control machines
--- a/violetroute/distribution/traffic.py
+++ b/violetroute/distribution/traffic.py
@@ -9,7 +9,7 @@
 READ_BYTES = 64 * 1024
 # Shared by all connections: the event loop fills it and its data is consumed in one step.
 READ_BUFFER = memoryview(bytearray(READ_BYTES))
-LOG_EVERY_S = 60.0  # between two log lines of one reason
+LOG_EVERY_S = 60.0  # s between two log lines of one reason
 
 
 @dataclass(slots=True)
@@ -19,7 +19,7 @@
     bytes_in: int = 0
     bytes_out: int = 0
     requests: int = 0  # sent by a client, or accepted by a server
-    failures: int = 0  # of a client: requests without a valid answer; of a server: refusals
+    failures: int = 0  # client: requests without a valid answer; server: refusals
 
 
 class LogThrottle:
--- a/violetroute/distribution/unauthenticated.py
+++ b/violetroute/distribution/unauthenticated.py
@@ -10,7 +10,7 @@
 
 from typing import Generic, TypeVar
 
-MAX_UNAUTHENTICATED_BYTES = 16 * 1024 * 1024  # of all their bodies; one body has at most 4 MiB
+MAX_UNAUTHENTICATED_BYTES = 16 * 1024 * 1024  # bytes of all their bodies; one has at most 4 MiB
 
 Connection = TypeVar("Connection")
 
--- a/violetroute/estimate_log.py
+++ b/violetroute/estimate_log.py
@@ -21,7 +21,7 @@
 
     def __init__(self, clock: Callable[[], float], name: Callable[[int], str]) -> None:
         self._clock, self._name = clock, name
-        self._suspected: frozenset[int] = frozenset()  # as last logged
+        self._suspected: frozenset[int] = frozenset()  # ids of the suspected nodes last logged
         self._limited = ""  # limited kinds of requests: "", kept, fetched or both
         self._logged_at: dict[str, float] = {}  # time of the last line of each kind
 
--- a/violetroute/fleet/election.py
+++ b/violetroute/fleet/election.py
@@ -23,7 +23,7 @@
 
 from .lease import MAX_FENCE, Lease, LeaseVersion, version_of
 
-RENEW_FRACTION = 1.0 / 3.0  # of hold_s, after which a renewal is sent: two of them may be lost
+RENEW_FRACTION = 1.0 / 3.0  # fraction of hold_s after which a renewal is sent: two may be lost
 JITTER = 0.2  # max fraction by which a wait is shortened
 INFINITE = float("inf")
 FIRST_BACKOFF = 0.1  # fraction of a term, after the first failed call; doubles
@@ -144,8 +144,8 @@
         self.state: Literal["waiting", "owner", "resigning"] = "waiting"
         self.is_candidate = False
         self.rank = 0  # place among the candidates; rank 0 acquires first
-        self.fence = 0  # of the current or last term
-        self.valid_until = 0.0  # end of that term
+        self.fence = 0  # fence of the current or last term
+        self.valid_until = 0.0  # end of that term (s)
         self.floor = 0  # the highest fence known from any source
         # Seconds left when a late renewal was confirmed; 0 if it was in time.
         self.late_margin_s = 0.0
--- a/violetroute/fleet/kv.py
+++ b/violetroute/fleet/kv.py
@@ -41,11 +41,11 @@
 from .store import Answer, Callback, StoreView
 from .table import FleetTable
 
-BLOCKING_WAIT_S = 30.0  # of a blocking query without a change
+BLOCKING_WAIT_S = 30.0  # s that a blocking query without a change takes
 WAIT_JITTER_DIVISOR = 16  # a server waits up to 1/16 longer
 SEGMENT_POSITIONS = 16  # positions of a log in one segment, which one call reads
 MAX_VALUE_BYTES = 512 * 1024  # the servers' default limit for a value
-MAX_BODY_BYTES = 1024 * 1024  # of a response
+MAX_BODY_BYTES = 1024 * 1024  # bytes of a response body
 # Maximum size of the response that holds one segment, in base64.
 MAX_SEGMENT_BYTES = SEGMENT_POSITIONS * (MAX_VALUE_BYTES * 4 // 3 + 1024)
 
@@ -57,7 +57,7 @@
     method: str
     target: str
     body: bytes = b""
-    extra_timeout_s: float = 0.0  # in addition to `call_s`
+    extra_timeout_s: float = 0.0  # s in addition to `call_s`
     max_bytes: int = MAX_BODY_BYTES  # limit for the response body
 
 
@@ -101,7 +101,7 @@
         self._me, self._term_s = me, table.term_s
         self.session = ""
         self.index = 0
-        self._session_by_work: dict[str, str] = {}  # that locks each lease of ours
+        self._session_by_work: dict[str, str] = {}  # id of the session that locks each own lease
 
     # --- polling ---
     def poll(self) -> Exchange:
--- a/violetroute/fleet/lease.py
+++ b/violetroute/fleet/lease.py
@@ -24,7 +24,7 @@
 
 VERSION = 1
 MAX_FENCE = 2**53  # exact in every JSON parser; increments of 1 never come near it
-MAX_LEASE_BYTES = 4096  # of a lease record
+MAX_LEASE_BYTES = 4096  # bytes of a lease record
 MAX_NAME_CHARS = 200
 NONCE_PATTERN = re.compile(r"[0-9a-z-]{1,64}")
 
@@ -40,7 +40,7 @@
     v: int
     work: str
     fence: int
-    name: str  # of the proxy, for operators
+    name: str  # the proxy's name, for operators
     nonce: str
     beat: int = 0  # incremented by every renewal, so that observers see it
     free: bool = False
--- a/violetroute/fleet/ledger_files.py
+++ b/violetroute/fleet/ledger_files.py
@@ -17,7 +17,7 @@
 
 from .settlement import Batch, ClosedThrough, Settlement, is_key
 
-# Of a batch's file: a bill of this batch alone must fit in one log record.
+# Bytes of a batch's file: a bill of this batch alone must fit in one log record.
 MAX_FILE_BYTES = 3 * 1024 * 1024
 # Unix time of the year 3000: later periods are rejected before any calendar arithmetic.
 MAX_TIME_S = 32_503_680_000
--- a/violetroute/fleet/log.py
+++ b/violetroute/fleet/log.py
@@ -26,7 +26,7 @@
 from .lease import MAX_FENCE, FenceGuard, is_nonce
 
 VERSION = 1
-MAX_RECORD_BYTES = 4 * 1024 * 1024  # of one record
+MAX_RECORD_BYTES = 4 * 1024 * 1024  # bytes of one record
 MAX_ATTEMPTS = 64  # puts that may fail since others wrote to the position
 MAX_RECORDS_PER_READ = 256
 
@@ -40,7 +40,7 @@
     nonce: str
     kind: Literal["claim", "entry"]
     body: Any = None
-    name: str = ""  # of the proxy, for operators
+    name: str = ""  # the proxy's name, for operators
 
 
 @dataclass(frozen=True, slots=True)
--- a/violetroute/fleet/make.py
+++ b/violetroute/fleet/make.py
@@ -19,7 +19,7 @@
 from .store import Store
 from .table import FleetTable
 
-SETTLE_INTERVAL_S = 1.0  # between two reads of the exported ledger files
+SETTLE_INTERVAL_S = 1.0  # s between two reads of the exported ledger files
 
 
 def make_fleet(table: FleetTable, ledger: LedgerTable, name: str, net: Network) -> Fleet:
--- a/violetroute/fleet/runner.py
+++ b/violetroute/fleet/runner.py
@@ -36,9 +36,9 @@
 from .store import Answer, Store, StoreView
 from .table import FleetTable
 
-RANK_STEP_FRACTION = 0.25  # of `look_s`: extra wait of a candidate per rank
-CLOSE_TIMEOUT_S = 2.0  # for works to stop and leases to be released
-STORE_LOG_INTERVAL_S = 30.0  # between two log lines about the same failure of the store
+RANK_STEP_FRACTION = 0.25  # extra wait of a candidate per rank, as a fraction of `look_s`
+CLOSE_TIMEOUT_S = 2.0  # s for works to stop and leases to be released
+STORE_LOG_INTERVAL_S = 30.0  # s between two log lines about the same failure of the store
 
 
 @dataclass(frozen=True, slots=True)
--- a/violetroute/fleet/settlement.py
+++ b/violetroute/fleet/settlement.py
@@ -24,7 +24,7 @@
 # for lines and bytes.
 MAX_BATCHES_PER_ENTRY = 1000
 MAX_LINES_PER_ENTRY = 5000
-MAX_BYTES_PER_ENTRY = 256 * 1024  # of the batches' files; a value in Consul has at most 512 KiB
+MAX_BYTES_PER_ENTRY = 256 * 1024  # bytes of the batches' files; Consul allows 512 KiB a value
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,7 +116,7 @@
     settled: SettledKeys = field(default_factory=SettledKeys)
     billed: dict[int, int] = field(default_factory=dict)  # units, by period
     batches: dict[str, Batch] = field(default_factory=dict)  # read and not settled, by key
-    closed_through: dict[str, ClosedThrough] = field(default_factory=dict)  # by ledger
+    closed_through: dict[str, ClosedThrough] = field(default_factory=dict)  # the latest, by ledger
     now: float = 0.0  # Unix s of the last update
 
     # --- the log ---
--- a/violetroute/fleet/table.py
+++ b/violetroute/fleet/table.py
@@ -16,8 +16,8 @@
     """`[fleet]`; `store = "off"` turns it off.  SIGHUP applies `works`, a restart the rest."""
 
     store: Literal["off", "folder", "consul"] = "off"  # where leases and logs are kept
-    folder: str = ""  # for "folder": shared by the processes of one machine
-    agents: tuple[str, ...] = ()  # for "consul": "ADDRESS:PORT"; the next after a failure
+    folder: str = ""  # for "folder": the folder that the processes of one machine share
+    agents: tuple[str, ...] = ()  # for "consul": "ADDRESS:PORT"; a failure selects the next
     prefix: str = "limebridge"  # for "consul": prefix of all keys
     token_file: str = ""
     tls_ca_file: str = ""
@@ -29,7 +29,7 @@
     # Consul's default settings.
     term_s: Annotated[float, msgspec.Meta(ge=0.2, le=86_400.0)] = 15.0
     drift: Annotated[float, msgspec.Meta(ge=0.0, le=0.2)] = 0.05  # max error of a clock's rate
-    look_s: Seconds = 1.0  # between two polls; with "consul" a poll waits for a change
+    look_s: Seconds = 1.0  # s between two polls; with "consul" a poll waits for a change
     call_s: Seconds = 3.0  # timeout of one call to the store or the endpoint
     move_s: Seconds = 60.0  # minimum time between two transfers for balance
     # Between two entries of the example work.
--- a/violetroute/ledger/accounts.py
+++ b/violetroute/ledger/accounts.py
@@ -81,24 +81,24 @@
 
     # --- decisions: records to apply and write ---
     def begin_records(self, name: str, nonce: str, now: float) -> list[Record]:
-        """A new process opens the book.  Its gap is recorded if the last one did not close it."""
+        """A new process opens the book; before that, a gap if the last one did not close it."""
         records: list[Record] = []
         if not self.closed_cleanly:  # the last process's unwritten units are lost
             records += self.gap_records(self.last_write_at, now, "its process was killed")
         return [*records, ["begin", VERSION, name, self.incarnation + 1, nonce, now]]
 
     def end_records(self, now: float) -> list[Record]:
-        """The process ends, after all its units were written."""
+        """The record that the process ends, after all its units were written."""
         return [["end", now]]
 
     def heartbeat_records(self, now: float) -> list[Record]:
-        """There were no units, and none was missed until `now`."""
+        """The record that there were no units until `now`, and that none was missed."""
         return [["alive", now]]
 
     def usage_records(
         self, now: float, units: Mapping[tuple[int, str | None, str], int]
     ) -> list[Record]:
-        """Units served since the last call, by period, tenant and class."""
+        """The record of units served since the last one, by period, tenant and class."""
         return [["count", now, [[*key, count] for key, count in units.items()]]] if units else []
 
     def batch_records(self, now: float) -> list[Record]:
@@ -152,28 +152,28 @@
         ]
 
     def sent_records(self, seq: int) -> list[Record]:
-        """The batch is being sent; no record if it was before.  KeyError for an unknown batch."""
+        """The record that the batch is being sent, unless it was before.  KeyError if unknown."""
         return [] if self.batches[seq].state == "sent" else [["sent", seq]]
 
     def confirmed_records(self, seq: int) -> list[Record]:
-        """The endpoint confirmed the batch; no record for an unknown one."""
+        """The record that the endpoint confirmed the batch; none for an unknown one."""
         return [["done", seq]] if seq in self.batches else []
 
     def held_records(self, seq: int, why: str) -> list[Record]:
-        """The batch waits for an operator because of `why`; no record for an unknown one."""
+        """The record that the batch waits for an operator because of `why`; none if unknown."""
         return [["held", seq, why]] if seq in self.batches else []
 
     def spill_records(self) -> list[Record]:
-        """Move lines of later batches to files, so that an endpoint may be down for days."""
+        """Records that move lines of later batches to files: an endpoint may be down for days."""
         waiting = [batch for batch in self.batches.values() if batch.spilled_units is None]
         return [["away", batch.seq] for batch in waiting[MAX_BATCHES_IN_MEMORY:]]
 
     def restore_records(self, seq: int, lines: Iterable[Any]) -> list[Record]:
-        """Load the lines of a batch that were in a file."""
+        """The record that loads the lines of a batch that were in a file."""
         return [["back", seq, list(lines)]]
 
     def gap_records(self, since: float, until: float, why: str) -> list[Record]:
-        """The ledger is incomplete from `since` to `until`."""
+        """The record that the ledger is incomplete from `since` to `until`."""
         return [["gap", since, until, why]]
 
     def adopt_records(self, last: str, billed: Iterable[int], now: float) -> list[Record]:
--- a/violetroute/ledger/service.py
+++ b/violetroute/ledger/service.py
@@ -78,8 +78,8 @@
         self._retry_at = 0.0
         self._keys = TlsKeys(table.tls) if table.tls_ca_file else None
         self._timer: Any = None
-        self._logged, self._logged_at = 0, 0.0  # unnamed tenants' units in the log, and when
-        self._published = 0.0  # Unix s of the last NAME.through file
+        self._logged, self._logged_at = 0, 0.0  # last "ledger.folded": total, loop time
+        self._published = 0.0  # Unix s that the last NAME.through file states
         self._open()
 
     def served(self, tenant: str, cls: str, id_: bytes) -> None:
--- a/violetroute/ledger/table.py
+++ b/violetroute/ledger/table.py
@@ -27,7 +27,7 @@
     export: Literal["off", "files", "http"] = "off"
     export_folder: str = ""  # folder of the export "files"
     formats: tuple[Literal["csv", "jsonl"], ...] = ("jsonl",)
-    closings: bool = False  # with "files": write NAME.through, the time up to which all is closed
+    closings: bool = False  # with "files": write NAME.through, until when all is closed
     endpoint: str = ""  # "ADDRESS:PORT" of the export "http", no host names
     path: str = "/v1/usage"
     compress: bool = True  # send zstd; the endpoint has to support it
--- a/violetroute/membership/consul.py
+++ b/violetroute/membership/consul.py
@@ -24,7 +24,7 @@
 CALL_TIMEOUT = 3.0  # s until the first byte, beyond the wait that was requested
 BODY_IDLE_TIMEOUT = 3.0  # s between bytes of a body
 BODY_TIMEOUT = 10.0  # s for a whole body
-# s after a request at which its confirmation may be sent, even if `least_interval_s` is longer.
+# s between a request and its confirmation, even if `least_interval_s` is longer.
 CONFIRM_INTERVAL = 0.1
 CONFIRM_TIMEOUT = 0.3  # s for a confirmation: a drain must take effect within 0.5 s
 
@@ -47,7 +47,7 @@
         self._pending = PendingUpdates()
         self._keys = TlsKeys(table.tls) if table.tls.ca else None
         self._agent = 0
-        self._last_index = 0  # index of the last answer; with another index the drains are repeated
+        self._last_index = 0  # index of the last answer; if it changes, drains are reported again
         self._requested_at = self._not_before = 0.0
         self._answered_at: float | None = None
         self._call: _AgentCall | None = None
--- a/violetroute/membership/source.py
+++ b/violetroute/membership/source.py
@@ -94,7 +94,7 @@
                 and entry.instance not in known
                 and name_by_address[entry.address] not in listed
             }
-        elif self._new_source:  # drains before its first full list, under names of any source
+        elif self._new_source:  # before its first full list: drains, under names of any source
             known = self._entries_by_name()
             name_by_address = {entry.address: name for name, entry in known.items()}
             unknown = [
@@ -112,7 +112,7 @@
                     for entry, new in zip(listing.entries, unknown, strict=True)
                 ),
             )
-        if not self._name_map:  # all names are reported as they are
+        if not self._name_map:  # no node keeps another name
             self._record(listing)
             return listing
         renamed = []
--- a/violetroute/membership/staleness.py
+++ b/violetroute/membership/staleness.py
@@ -195,7 +195,7 @@
     def collect(
         self, catalogue: CatalogueState, now: float, repeat_drains: bool = False
     ) -> tuple[bool, list[Entry]]:
-        """Whether this is the first, full list, and the entries to report.
+        """The entries to report, and before them whether they are the first (full) list.
 
         `repeat_drains`: report drains even if they are unchanged, since a new answer repeats them.
         In the meantime the node may have restarted, by another source's report, and been drained
--- a/violetroute/placement/plan_manager.py
+++ b/violetroute/placement/plan_manager.py
@@ -63,7 +63,7 @@
         self._ramp.rate = table.moved_per_s
         self._schedule_poll()
         if plan is not None and not self._accepts_version(plan):
-            plan = self._plan  # from an earlier owner: the current plan, if any, stays
+            plan = self._plan  # it is of an earlier owner: keep the current plan, if any
         self._plan = plan
         if plan is not None:
             age = (self._clock() - plan.made_at) / 3600.0
--- a/violetroute/placement/ramp.py
+++ b/violetroute/placement/ramp.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Mapping
 
-TOLERANCE = 1e-6  # fraction of the way or of the keys that counts as nothing
+TOLERANCE = 1e-6  # fractions of the way, or of the keys, below this count as 0
 
 
 def normalized(sizes: Mapping[int, float]) -> dict[int, float]:
--- a/violetroute/resp/framing.py
+++ b/violetroute/resp/framing.py
@@ -84,7 +84,7 @@
         self._buffer = bytearray()
         self._position = 0  # the data before it has been decoded
         self._body_left = -1  # bytes of a body still to decode; -1 between tokens
-        self._tail = b""  # unused
+        self._tail = b""  # not used by any method
 
     def feed(self, data: bytes | memoryview) -> None:
         """Append received bytes; they are copied."""
--- a/violetroute/sharing/budget.py
+++ b/violetroute/sharing/budget.py
@@ -11,8 +11,8 @@
 
 Loans are requested first from members that recently reported spare capacity, the greatest first,
 then from random members.  A tick sends few requests, and the interval between rounds grows while
-nobody has spare capacity.  Demand counts all requests that reach this proxy, admitted or not, so
-that a lack shows before it is met.
+no member has spare capacity.  Demand counts all requests that reach this proxy, admitted or not, so
+that a shortage shows even if no loan covers it yet.
 """
 
 from __future__ import annotations
@@ -141,7 +141,7 @@
         self._level = min(most, max(0.0, self._level + self.loans.accrued(since, now, lent)))
 
     def _wanted(self, now: float, times: float = HEADROOM_FACTOR) -> int:
-        """Authority wanted for the own demand; 0 for a trickle, which is not worth a loan."""
+        """Authority wanted for the own demand; 0 if the demand is too small to be worth a loan."""
         demand = self.demand(now)
         return int(demand * times * UNITS_PER_REQUEST) if demand >= 0.05 else 0
 
@@ -203,7 +203,7 @@
         actions: list[RequestLoan | ReturnLoan] = []
         if loans.suspended:
             return actions
-        # No lack: a lent part of the home part comes back, since its renewal is not granted.
+        # A lent part of the home part is no shortage: it comes back, as its renewal is not granted.
         lack = self._wanted(now) - max(loans.authority(now), loans.home)
         actions += self._renew(now)
         if lack < 0:
--- a/violetroute/sharing/members.py
+++ b/violetroute/sharing/members.py
@@ -17,7 +17,7 @@
 predecessor without storing anything.  If the clock was set back, it receives a rumor that it is
 dead and raises its incarnation above that one.  If two processes have one name, the one with the
 lower incarnation steps down (`duplicate`): it no longer announces itself, and resumes when the
-other one is dead.  An ack of one process is no sign of life of another one with the same name.
+other one is dead.  An ack of one process does not show that another one with its name is alive.
 
 Bounds: members, members that suspect one, queued rumors, relayed probes, datagrams sent a period.
 """
--- a/violetroute/sharing/table.py
+++ b/violetroute/sharing/table.py
@@ -34,7 +34,7 @@
     key_file: str = ""  # one line; during a rotation two lines: both verify, the first signs
     seeds: Annotated[tuple[str, ...], msgspec.Meta(max_length=64)] = ()  # permanent members
     ways: dict[Text, str] = {}  # addresses by member, which override the announced ones
-    # Most proxies that ever run.  Budgets are divided by it: no proxy may have a smaller value.
+    # Maximum of proxies that ever run.  Budgets are divided by it: no proxy may set a lower value.
     proxies: Annotated[int, msgspec.Meta(ge=1, le=4000)] = 1
     probe_s: Annotated[float, msgspec.Meta(ge=0.05, le=60.0)] = 1.0  # s between two probes
     loan_s: Annotated[float, msgspec.Meta(ge=0.2, le=60.0)] = 3.0  # duration of a loan (s)
--- a/violetroute/transport/loop_lag.py
+++ b/violetroute/transport/loop_lag.py
@@ -3,8 +3,8 @@
 A turn is one iteration of the event loop, which polls all sockets and then handles the ready ones.
 The kernel does not report when a socket became readable, but two polls bound the time.  If the
 latest poll had to sleep, the data arrived when it ended.  Otherwise it arrived after the poll
-before, and the estimate is the midpoint of both polls, which is off by half a turn at most.  The
-selector is the public place to observe this, since asyncio takes it as a parameter.
+before, and the estimate is the midpoint of both polls, which is off by half a turn at most.  A
+selector of our own measures this without private interfaces: asyncio takes it as a parameter.
 """
 
 from __future__ import annotations
@@ -84,7 +84,7 @@
             stolen = max(stolen, now - polled_at - max(0.0, timeout))
         self._cpu_at = now, cpu
         if stolen >= MIN_PAUSE:
-            # Reads count from the previous poll, after which all data arrived.
+            # All data read in this turn arrived after the previous poll, so the lag counts from it.
             self.paused_for = now - began_at
             if self.on_pause is not None:
                 self.on_pause(stolen)
