--- a/limebridge/ledger/kills.py
+++ b/limebridge/ledger/kills.py
@@ -80,6 +80,7 @@
         self.running: dict[str, _Process] = {}
         self.killed: list[_Process] = []
         self.answered_at: dict[str, float] = {}  # monotonic s, by request id
+        self.last_answer = dict.fromkeys(PROXIES, 0.0)  # monotonic s, by proxy
         self.billing, self.discovery = BillingEndpoint(), Discovery()
         self.stopping = False
         self.requests = 0
@@ -146,12 +147,18 @@
                     )
                     async with asyncio.timeout(5.0):
                         await read_answer(reader)
-                    self.answered_at[id_.decode()] = time.monotonic()
+                    self.answered_at[id_.decode()] = self.last_answer[name] = time.monotonic()
                     await asyncio.sleep(rng.expovariate(60.0))
                 writer.close()
             except (OSError, asyncio.IncompleteReadError, TimeoutError):
                 await asyncio.sleep(0.05)
 
+    async def serving(self, name: str) -> None:
+        """Waits, at most TIMEOUT_S, until a client has had an answer of the running process."""
+        process, until = self.running[name], time.monotonic() + TIMEOUT_S
+        while process.started_at > self.last_answer[name] and time.monotonic() < until:
+            await asyncio.sleep(0.01)
+
     async def kill_and_restart(self, name: str) -> None:
         """Sends SIGKILL to a proxy, waits for its end and starts it again."""
         process = self.running[name]
@@ -236,9 +243,13 @@
         clients = [
             asyncio.create_task(bed.client(name, number)) for name in PROXIES for number in range(3)
         ]
+        for name in PROXIES:
+            await bed.serving(name)
         for _ in range(kills):
             await asyncio.sleep(seconds / max(1, kills) * bed.rng.uniform(0.5, 1.5))
-            await bed.kill_and_restart(bed.rng.choice(PROXIES))
+            name = bed.rng.choice(PROXIES)
+            await bed.serving(name)
+            await bed.kill_and_restart(name)
             report.kills += 1
         await asyncio.sleep(seconds / max(1, kills))
         bed.stopping = True
