--- a/benchmarks/bad_nodes.py
+++ b/benchmarks/bad_nodes.py
@@ -28,7 +28,7 @@
 
 RATE = 2500.0  # requests per second; few of them reach a node while all nodes are faulty
 HEALTHY_RATE = 400.0  # requests per second while all nodes serve
-SETTLE_S = 10.0  # within which the daemon must close what it opened, idle connections included
+SETTLE_S = 10.0  # s within which the daemon must close what it opened, with idle connections
 
 
 class Node(CacheNode):
--- a/benchmarks/bad_peers.py
+++ b/benchmarks/bad_peers.py
@@ -25,7 +25,7 @@
 from limebridge.standins.wire import command, read_answer
 
 CONCURRENCY = 100  # faulty clients at a time
-SETTLE_S = 10.0  # within which the daemon must close their connections
+SETTLE_S = 10.0  # s within which the daemon must close their connections
 GET = command(b"OBJ.GET", b"k", b"id", b"c=lookup,t=x,d=500")
 
 
--- a/benchmarks/membership_return.py
+++ b/benchmarks/membership_return.py
@@ -25,7 +25,7 @@
 SETTLE_S = 5.0
 RESTART_WITHIN_S = 10.0
 OBSERVED_S = (5, 10, 20, 40, 60, 90)  # s after the end of the restarts
-MIN_RUN_S = 40  # likewise; the run continues only while some member does not know all others
+MIN_RUN_S = 40  # s after that; the run continues only while some member does not know all others
 NEWCOMERS, NEWCOMER_EVERY_S = 5, 1.0
 JOIN_OBSERVED_S = (5, 10, 20, 30, 40, 60, 90)  # s after a newcomer's start
 
--- a/benchmarks/mixed.py
+++ b/benchmarks/mixed.py
@@ -37,7 +37,7 @@
 # Cores and their speed, as specified for the project.
 MACHINE_KINDS = {"fast": (6, 1.3), "standard": (6, 0.97), "old": (7, 0.7)}
 SITES = ("catania-nord", "acireale", "paterno")
-WARM_UP_S = 6.0  # not counted
+WARM_UP_S = 6.0  # s at the start that are not counted
 CLASS = {"name": "lookup", "promiseMs": 300.0, "deadlineMs": 600.0, "effect": "pure", "worth": 2.0}
 
 
--- a/benchmarks/request_counts.py
+++ b/benchmarks/request_counts.py
@@ -37,7 +37,7 @@
     """The costs of the two builds under one load."""
 
     load: str
-    requests: int  # requests that the build served
+    requests: int  # requests sent to the build after the warm-up
     served: int
     same_traffic: bool  # all requests, answers, their times, and commands at the nodes
     base: Cost
--- a/limebridge/control/command.py
+++ b/limebridge/control/command.py
@@ -69,7 +69,7 @@
     """A publication that is in force."""
 
     position: int  # position in the log
-    status: StatusReply  # the leader's, after it came into force
+    status: StatusReply  # the leader's status, after it came into force
 
 
 @app.command()
--- a/limebridge/experiments/search.py
+++ b/limebridge/experiments/search.py
@@ -166,7 +166,7 @@
     if random_only or not ranked or rng.random() < FRESH_SHARE:
         return random_plan(rng, scenario)
 
-    def parent() -> Plan:  # by rank: more than half of the choices fall on the first fifth
+    def parent() -> Plan:  # drawn by rank: more than half of the draws fall on the first fifth
         return ranked[int(len(ranked) * rng.random() ** 3)].plan
 
     if rng.random() < CROSSOVER_SHARE:
--- a/limebridge/experiments/store.py
+++ b/limebridge/experiments/store.py
@@ -288,7 +288,7 @@
 
 
 def own_holder_id() -> str:
-    """Identifies this process, also against a later one with the same pid."""
+    """Identifies this process, and no later one with the same pid."""
     return f"{os.uname().nodename}/{os.getpid()}/{_start_ticks(os.getpid())}"
 
 
--- a/limebridge/experiments/tables.py
+++ b/limebridge/experiments/tables.py
@@ -21,7 +21,7 @@
 
     point: dict[str, Any]
     commit: str
-    values: dict[str, dict[int, Value]] = field(default_factory=dict)  # by measure and seed
+    values: dict[str, dict[int, Value]] = field(default_factory=dict)  # values by measure and seed
     failed: int = 0
 
     def mean(self, measure: str) -> Value:
--- a/limebridge/faults/distribution/control.py
+++ b/limebridge/faults/distribution/control.py
@@ -30,7 +30,7 @@
     from .world import World
 
 MAX_OUTGOING_REQUESTS = 64  # open requests of one machine to the others
-MAX_INCOMING_PER_REQUESTER = 4  # average over the requesters, open at one machine
+MAX_INCOMING_PER_REQUESTER = 4  # open requests at one machine, on average per requester
 
 Reply = Callable[[Message | None], None]
 
--- a/limebridge/faults/distribution/lease.py
+++ b/limebridge/faults/distribution/lease.py
@@ -47,7 +47,7 @@
         self, simulation: Simulation, rng: random.Random, candidates: Sequence[Candidate]
     ) -> None:
         self._simulation, self._rng, self._candidates = simulation, rng, candidates
-        self.fence = 0  # the last that was granted or reported by a machine
+        self.fence = 0  # the last fence that was granted or reported by a machine
         self.holder: Candidate | None = None
         self._holder_fence = 0
         self.unreachable: set[str] = set()  # machines that the network cuts off from the store
--- a/limebridge/faults/distribution/plan.py
+++ b/limebridge/faults/distribution/plan.py
@@ -17,17 +17,17 @@
 MAX_PROXIES = 12
 
 Kind = Literal[
-    # a control machine
+    # faults of a control machine
     "kill",  # the process is killed; its disk is kept
     "pause",  # the process is stopped and continued; its connections are kept
     "pause_reset",  # as "pause", but its connections are reset
     "lose_disk",  # the disk is lost, and the operator replaces the machine
-    # a proxy
+    # faults of a proxy
     "kill_proxy",
     "end_proxy",  # it ends its session, stays up for a while and is replaced by a new process
     "pause_proxy",
     "twin_proxy",  # a second process with the same name
-    # links: of one machine or one proxy with all others, between two groups, or all
+    # faults of links: of one machine or one proxy with all others, between two groups, or all
     "cut",
     "cut_out",  # only messages from the machine
     "cut_in",  # only messages to the machine
@@ -37,7 +37,7 @@
     "split_in",  # only messages to the first group
     "loss",
     "storm",  # long delays and duplicate requests
-    # the lease
+    # faults of the lease
     "second_leader",  # another machine is granted the lease; the first is notified after `seconds`
     "no_leader",  # no machine is granted the lease
     "forget_fences",  # the store restarts from fence 0
--- a/limebridge/faults/history.py
+++ b/limebridge/faults/history.py
@@ -1,6 +1,6 @@
 """The record of a run of a fault plan, and the rules that are checked on it from outside.
 
-Nothing here asks a daemon.  The rules use the effects that the endpoint applied, the contents of
+No rule queries a daemon.  The rules use the effects that the endpoint applied, the contents of
 the logs, and which fault happened when.  What the processes logged of their lease terms is shown in
 the trace and never used as evidence.
 """
--- a/limebridge/faults/plan.py
+++ b/limebridge/faults/plan.py
@@ -18,7 +18,7 @@
 from violetroute.config.tables import read_toml, to_struct
 
 FaultKind = Literal[
-    # of a process
+    # faults of a process
     "kill",  # SIGKILL, and a new start at the end of the fault
     "term",  # SIGTERM, and a new start at the end of the fault
     "stop",  # SIGSTOP, and SIGCONT at the end
@@ -27,7 +27,7 @@
     "no_files",  # it can open no new file or socket
     "no_room",  # it can write no data to files
     "twin",  # a second process is started under its name
-    # of the path between a process and the endpoint or a Consul
+    # faults of the path between a process and the endpoint or a Consul
     "cut",  # nothing passes
     "cut_there",  # nothing passes from the process
     "cut_back",  # nothing passes to the process
@@ -36,7 +36,7 @@
     "drip",  # answers arrive byte by byte
     "reset",  # all open connections are reset, once
     "twice",  # requests are sent again after their connection has ended
-    # of the endpoint and the store, which all processes share
+    # faults of the endpoint and the store, which all processes share
     "endpoint",  # the endpoint loses or repeats requests, or answers with errors
     "gone",  # the store's folder is moved away
     "older",  # the store's folder is replaced by a copy made at the start of the fault
--- a/limebridge/faults/settlement_rig.py
+++ b/limebridge/faults/settlement_rig.py
@@ -32,7 +32,7 @@
 from .rig import Rig
 
 SPEED = 240.0  # speed of the fast wall clock, relative to real time
-START_UNIX_S = 1_700_000_100.0  # at which the fast clock starts
+START_UNIX_S = 1_700_000_100.0  # first time of the fast clock
 PERIOD_MIN: Final = 5  # minutes of a billing period
 RATE = 25.0  # requests per second to each daemon
 FAST_CLOCK = """
--- a/limebridge/faults/sharing/memory.py
+++ b/limebridge/faults/sharing/memory.py
@@ -46,7 +46,7 @@
 DEMAND_RISE_S = 1.5  # s until a proxy's demand average shows a load of 1.5 times its home part
 MAX_WAIT_S = 0.2  # a client's wait that is longer is drawn anew after this time
 CHECK_INTERVAL_S = 0.02  # s between two checks of the authority of all processes
-LATENCY_S = 0.0005  # one way
+LATENCY_S = 0.0005  # s, one way
 # Share of the budget that must be spent at the end.  Below 1 because of clock drift and because
 # the simulation proceeds in steps.
 MIN_FINAL_SHARE = 0.85
--- a/limebridge/faults/sharing/plan.py
+++ b/limebridge/faults/sharing/plan.py
@@ -30,21 +30,22 @@
 ]
 
 Kind = Literal[
-    # of a process: SIGKILL, SIGTERM, SIGSTOP, a duplicate of its name; SIGKILL of all
+    # faults of a process: SIGKILL, SIGTERM, SIGSTOP, a duplicate of its name; SIGKILL of all
     "kill",
     "term",
     "stop",
     "twin",
     "all",
-    # of links: those of one process, both directions ("cut"), to it ("deaf") or from it ("mute");
-    # those between two groups ("split"); loss, or duplicates and reordering ("storm"), on all
+    # faults of links: those of one process, both directions ("cut"), to it ("deaf") or from it
+    # ("mute"); those between two groups ("split"); loss, or duplicates and reordering ("storm"),
+    # on all
     "cut",
     "deaf",
     "mute",
     "split",
     "loss",
     "storm",
-    # of the load: high at all proxies ("crowd"), or moved to other proxies
+    # faults of the load: high at all proxies ("crowd"), or moved to other proxies
     "crowd",
     "moves",
 ]
--- a/limebridge/faults/soak.py
+++ b/limebridge/faults/soak.py
@@ -40,7 +40,7 @@
         self._rng = random.Random(f"soak/{plan.seed}/run")
         self._discovery, self._nodes = Discovery(), LargeList(plan.nodes)
         self._nodes.behaviour = self._serve
-        self._out_of_service_since: dict[str, float] = {}  # by host: when that was published
+        self._out_of_service_since: dict[str, float] = {}  # time of publication, by host
         self._arrivals: dict[bytes, int] = {}  # number of arrivals of a command at the nodes, by id
         self._result = SoakResult(plan)
         self._child = Child(folder, "soak", command, on_log_line=self._on_log_line)
--- a/limebridge/ledger/kills.py
+++ b/limebridge/ledger/kills.py
@@ -63,7 +63,7 @@
     """A daemon process.  Times are monotonic, in seconds."""
 
     proxy: str
-    record: Path  # its events
+    record: Path  # the file with its events
     started_at: float
     child: asyncio.subprocess.Process
     killed_at: float = math.inf
--- a/limebridge/ledger/recorded_daemon.py
+++ b/limebridge/ledger/recorded_daemon.py
@@ -36,7 +36,7 @@
 
 
 def read_events(path: Path) -> list[Event]:
-    """The events of a record, in order; none if the process did not come as far."""
+    """The events of a record, in order; none if the process ended before the first."""
     data = path.read_bytes() if path.exists() else b""
     return [msgspec.json.decode(line, type=Event) for line in data.splitlines()]
 
--- a/limebridge/placement/conflict.py
+++ b/limebridge/placement/conflict.py
@@ -110,7 +110,7 @@
         if constraint.integral:
             middle = float(math.floor(middle) if constraint.relaxes_upwards else math.ceil(middle))
         tight, loose = (tight, middle) if suffices(middle) else (middle, loose)
-    rounded = float(f"{loose:.{DIGITS}g}")  # a value as a person would write it
+    rounded = float(f"{loose:.{DIGITS}g}")  # few digits, as in a file written by hand
     return rounded if suffices(rounded) else _rounded(loose, constraint)
 
 
--- a/limebridge/placement/fleet.py
+++ b/limebridge/placement/fleet.py
@@ -40,7 +40,7 @@
 
     clients: Share = 0.0  # share of the requests that come from here
     least: Share = 0.0  # minimal share of the keys that is served here
-    most: Share = 1.0  # maximal share
+    most: Share = 1.0  # maximal share of the keys that is served here
     nodes_least: Count = 0  # minimal number of serving nodes
     nodes_most: Count = 100_000
 
@@ -62,7 +62,7 @@
     site: str
     kind: str
     count: Annotated[int, msgspec.Meta(ge=1, le=MAX_NODES)] | None = None
-    speed: Positive | None = None  # by default that of its kind
+    speed: Positive | None = None  # None: the speed of its kind
     least: Share = 0.0  # applies only if the node serves
     most: Share = 1.0
     required: bool = False  # always serves, also with `choose`
--- a/limebridge/placement/model.py
+++ b/limebridge/placement/model.py
@@ -81,8 +81,8 @@
     goals: dict[str, dict[int, float]] = field(default_factory=dict)  # coefficients, by goal
     variable_count: int = 0
     peak: int = 0  # variable of the highest utilization
-    serving: list[int | None] = field(default_factory=list)  # by node; None: it always serves
-    moved_share: list[int] = field(default_factory=list)  # by node: absolute change of its share
+    serving: list[int | None] = field(default_factory=list)  # variable by node; None: always serves
+    moved_share: list[int] = field(default_factory=list)  # variables of the nodes' absolute changes
     groups: list[list[int]] = field(default_factory=list)  # the shares of a group must not increase
     removed_share: float = 0.0  # share in the plan in force of nodes that do not exist any more
 
--- a/limebridge/placement/publisher.py
+++ b/limebridge/placement/publisher.py
@@ -175,7 +175,7 @@
 ) -> None:
     """Publish plans until SIGTERM, SIGINT or `stop`, then release the lease.
 
-    `check_interval_s`: of the fleet file and the plan file.  `on_no_solution`: called with the
+    `check_interval_s`: s between two checks of both files.  `on_no_solution`: called with the
     reason.  `stop`: replaces the signals, which are handled only without it.
     """
     loop = asyncio.get_running_loop()
--- a/limebridge/placement/solver.py
+++ b/limebridge/placement/solver.py
@@ -1,7 +1,7 @@
 """Computes shares with HiGHS: minimizes the goals in order, keeping each at its optimum.
 
-The goals have an order and no weights: nobody can say how many crossings a machine is worth, but
-everybody can say which matters more.  Among the remaining optima the shares closest to the
+The goals have an order and no weights: an operator can say which of two goals matters more, but not
+how many crossings a machine is worth.  Among the remaining optima the shares closest to the
 capacities are chosen, with equal shares for interchangeable nodes, so that the same file gives the
 same plan.
 """
--- a/limebridge/rehearsal/__init__.py
+++ b/limebridge/rehearsal/__init__.py
@@ -1,1 +1,1 @@
-"""The crush rehearsed before a deploy: scenarios, runs on the virtual clock, scores, reports."""
+"""Rehearses a load before a deployment: scenarios, runs on the virtual clock, scores, reports."""
--- a/limebridge/rehearsal/engine.py
+++ b/limebridge/rehearsal/engine.py
@@ -59,7 +59,7 @@
         self.cross_site_commands = self.commands = 0
         self._partial, self._start = False, 0.0
         self.grace = 0.0  # s that clients wait beyond the deadline that they announce
-        self._sites: dict[str, str] = {}  # by owner of a proxy and by name of a node
+        self._sites: dict[str, str] = {}  # sites by a proxy's owner and by a node's name
         self._ports: dict[int, str] = {}  # site by port of a node
         self._busy_by_second: dict[str, list[float]] = {}
         self._slots: dict[str, int] = {}
--- a/limebridge/rehearsal/load.py
+++ b/limebridge/rehearsal/load.py
@@ -27,7 +27,7 @@
         scenario: Scenario,
         kernel: Any,  # limebridge.virtual.Kernel, or RealTimeKernel in real.py
         pools: Sequence[ClientPool],
-        sites: Mapping[str, str],  # by the name of the pool's proxy
+        sites: Mapping[str, str],  # site by the name of the pool's proxy
         keys: KeyChooser,
         database: CustomerDatabase,
         requests: list[RequestRecord],
--- a/limebridge/rehearsal/real.py
+++ b/limebridge/rehearsal/real.py
@@ -35,7 +35,7 @@
 # than the deadline that they announce, so an answer that has arrived but is unread is not lost.
 MAX_LATENESS_S = 0.05
 MAX_DAEMONS = 24  # daemons on one machine
-LIST_DELAY_S = 0.1  # allowed for a change of the node list to reach a daemon
+LIST_DELAY_S = 0.1  # s until a change of the node list must have reached a daemon
 
 
 class RealTimeKernel:
@@ -73,7 +73,7 @@
             await self._run_scenario()
         except asyncio.CancelledError:  # Ctrl-C: stop everything and report the result so far
             self._partial = True
-            self.loop.set_exception_handler(lambda *what: None)  # for the connections cut off now
+            self.loop.set_exception_handler(lambda *what: None)  # connections are cut off now
         finally:
             lateness_task.cancel()
             await asyncio.gather(*(p.kill() for p in getattr(self, "processes", [])))
--- a/limebridge/scale/applied.py
+++ b/limebridge/scale/applied.py
@@ -92,11 +92,11 @@
     def __init__(self, stale_after_s: float) -> None:
         self.stale_after_s = stale_after_s
         self._as_of: float | None = None
-        self._began_at = -NEVER  # start of the proxy's present life
+        self._began_at = -NEVER  # time of the proxy's latest start
         self.ended_periods: list[tuple[float, float]] = []
 
     def record_restart(self, now: float) -> None:
-        """Begin a new life of the proxy, which is stale until a sample has an `as_of`."""
+        """Record a restart of the proxy, which is stale until a sample has an `as_of`."""
         began = self._stale_since()
         if now > began:
             self.ended_periods.append((began, now))
@@ -112,7 +112,7 @@
         self._as_of = as_of
 
     def _stale_since(self) -> float:
-        """When the latest `as_of` becomes stale; without one, the start of the present life."""
+        """When the latest `as_of` becomes stale; without one, the latest start."""
         return self._began_at if self._as_of is None else self._as_of + self.stale_after_s
 
     def periods(self) -> tuple[tuple[float, float], ...]:
@@ -148,7 +148,7 @@
         self.stale.stale_after_s = stale_after_s
 
     def record_restart(self) -> None:
-        """Detach the ended service; the stale periods continue with a new life."""
+        """Detach the ended service; the stale periods continue after a restart."""
         self._distribution = None
         self.stale.record_restart(time.monotonic())
 
--- a/limebridge/scale/control_client.py
+++ b/limebridge/scale/control_client.py
@@ -28,10 +28,10 @@
 
 
 class ControlClient:
-    """Publishes records and reads the status at the control machine believed to be the leader.
+    """Publishes records and reads the status at the control machine that it takes for the leader.
 
-    The belief starts with the first machine, and changes with the leader that a reply names; after
-    a failed request the next machine is tried.
+    It starts with the first machine, and changes to the leader that a reply names; after a failed
+    request it tries the next machine.
     """
 
     def __init__(self, addresses: dict[str, Address], keys: Keys) -> None:
@@ -66,7 +66,7 @@
         return None
 
     async def status(self) -> StatusReply | None:
-        """The status of the machine believed to be the leader, or None without a valid reply."""
+        """The status of the machine taken for the leader, or None without a valid reply."""
         machine = self.leader
         reply = await self._request(machine, StatusRequest(0), StatusReply)
         if reply is None or reply.leader != machine:
--- a/limebridge/scale/links.py
+++ b/limebridge/scale/links.py
@@ -12,8 +12,8 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-INTRA_REGION_DELAY_S = 0.002  # one way, within a region
-MIN_INTER_REGION_DELAY_S = 0.020  # one way, between two regions
+INTRA_REGION_DELAY_S = 0.002  # s one way within a region
+MIN_INTER_REGION_DELAY_S = 0.020  # s one way between two regions
 MAX_INTER_REGION_DELAY_S = 0.120
 CUT = 1.0  # value of the IS_CUT field of a link that passes no packets
 FIELDS = 3  # per link: delay in s, share of packets lost, cut (CUT) or not (0)
--- a/limebridge/scale/region_return.py
+++ b/limebridge/scale/region_return.py
@@ -43,7 +43,7 @@
 
     proxies: int
     away_s: float  # length of the cut
-    purges_missed: int  # by each proxy
+    purges_missed: int  # purges that each proxy missed
     voided: int  # proxies that invalidated all objects instead of applying the missed purges
     applied_late: int  # proxies that applied all missed purges, one by one
     caught_up_s: float  # s from the return until the last proxy was fresh; infinite if one was not
--- a/limebridge/scale/results.py
+++ b/limebridge/scale/results.py
@@ -46,7 +46,7 @@
     slope_high: float
     residual: float  # the largest residual, relative to the measured value
     straight: bool  # False: a curve, for which the line must not be used
-    exponent: float | None = None  # of value = factor * size ** exponent; None if not fitted
+    exponent: float | None = None  # in value = factor * size ** exponent; None if not fitted
     run: str  # the command that measured it
 
     @property
--- a/limebridge/standins/cache_store.py
+++ b/limebridge/standins/cache_store.py
@@ -9,7 +9,7 @@
 from .nodes import CacheNode
 from .wire import reply
 
-MAX_KEYS = 4096  # cached per node
+MAX_KEYS = 4096  # keys cached per node
 KEY_TTL_S = 2.0  # s for which a node remembers an idempotency key
 
 
--- a/limebridge/standins/cluster.py
+++ b/limebridge/standins/cluster.py
@@ -18,7 +18,7 @@
         self.cluster = cluster
         self.redirected = 0
         self.executed: list[bytes] = []  # ids of the requests it served
-        self._asking: set[asyncio.StreamWriter] = set()  # whose last command was ASKING
+        self._asking: set[asyncio.StreamWriter] = set()  # last command was ASKING
 
     async def _answer(self, words: list[bytes], writer: asyncio.StreamWriter) -> None:
         if words[0] == b"ASKING":
--- a/limebridge/standins/fleet.py
+++ b/limebridge/standins/fleet.py
@@ -158,7 +158,7 @@
             writer.write(b"-ERR broken\r\n")
             return
         self._observer.accepted(now, self.name, id_)
-        # The group knows a key from its first arrival on, not only from its execution.
+        # A key counts as known to the group from its first arrival, not only from its execution.
         idempotency_key = _idempotency_key(words)
         is_new = not idempotency_key or self._keys.register(idempotency_key, now)
         self._busy += 1
--- a/limebridge/virtual/coverage.py
+++ b/limebridge/virtual/coverage.py
@@ -39,7 +39,7 @@
     "not heard since its start": ("proxy_killed", 0.02, 0.4),
     "silent": ("discovery_ends", 3.0, 4.0),
 }
-MAX_PAIRS = 2  # added to one plan
+MAX_PAIRS = 2  # pairs added to one plan
 
 
 class BuildCoverage(msgspec.Struct):
--- a/limebridge/virtual/explore.py
+++ b/limebridge/virtual/explore.py
@@ -23,7 +23,7 @@
 
 Pairs = Sequence[tuple[Kind, str]]
 
-MAX_SHRINK_RUNS = 120  # per plan
+MAX_SHRINK_RUNS = 120  # runs per plan
 
 
 @dataclass
--- a/limebridge/virtual/network.py
+++ b/limebridge/virtual/network.py
@@ -56,7 +56,7 @@
         self.paused: dict[str, float] = {}  # owner that gets no CPU -> end of the pause
         self.meters: dict[str, Any] = {}  # by owner, where CPU time is simulated; see costs.py
         self.woken = False  # a packet's arrival scheduled a callback on the loop
-        self.charged_meters: list[Any] = []  # charged in this iteration of the loop
+        self.charged_meters: list[Any] = []  # meters charged in this loop iteration
         # Additional one-way latency in s of a connection from an owner to a port.
         self.extra_delay: Callable[[str, int], float] = lambda owner, port: 0.0
         self.bound: dict[int, Any] = {}  # UDP sockets by port
--- a/limebridge/virtual/sockets.py
+++ b/limebridge/virtual/sockets.py
@@ -43,7 +43,7 @@
         self._received = bytearray()
         self._peer_send_times = SendTimes()  # send times of the received bytes
         self._last_arrival = 0.0  # time of the latest arrival at the peer
-        self._fin_requested = self._fin_sent = False  # our FIN
+        self._fin_requested = self._fin_sent = False  # the FIN of this side
         self._fin_received = False  # the peer's FIN
         self._reset = False
         self._closed = False
--- a/violetroute/distribution/actions.py
+++ b/violetroute/distribution/actions.py
@@ -164,7 +164,7 @@
     keep_s: float = 3600.0  # committed batches are kept for this time
     keep_bytes: int = 64 * 1024 * 1024  # maximum bytes of kept committed batches
     retention_interval_s: float = 10.0  # time between two removals of expired batches
-    max_publications: int = 1024  # uncommitted at a time; more are rejected as OVERLOADED
+    max_publications: int = 1024  # uncommitted publications; more are rejected as OVERLOADED
     unix_offset_s: float = 0.0  # Unix time minus the machine's clock, at process start
     poll_hold_s: float = 0.8  # a proxy's poll without new data is answered after this time
     spread_s: float = 0.4  # minimum time between two answers with batches to one proxy
--- a/violetroute/distribution/http_client.py
+++ b/violetroute/distribution/http_client.py
@@ -27,7 +27,7 @@
 
 # A connection is not reused after this idle time, which is less than the server's idle timeout.
 IDLE_TIMEOUT_S = 30.0
-CLIENTS_PER_ADDRESS = 8  # maximum in a pool
+CLIENTS_PER_ADDRESS = 8  # maximum of clients for one address in a pool
 OK = 200
 
 OnResponse = Callable[[bytes | None, str], None]  # the body, or None and the reason
--- a/violetroute/distribution/status.py
+++ b/violetroute/distribution/status.py
@@ -35,7 +35,7 @@
     leading: bool
     connections: int  # accepted and still open
     connections_max: int
-    polls: int  # open polls of proxies
+    polls: int  # polls of proxies that are not answered yet
     polls_max: int
     server: Traffic  # requests to this machine
     client: Traffic  # requests from this machine to other control machines
--- a/violetroute/distribution/table.py
+++ b/violetroute/distribution/table.py
@@ -33,7 +33,7 @@
     # "HOST:PORT REGION" of each control machine; the region is optional.
     controls: Annotated[tuple[str, ...], msgspec.Meta(max_length=CONTROLS_MAX)] = ()
     key_file: str = ""  # the key that proxies and control machines share, as in [sharing]
-    region: Region = ""  # region of this proxy, which prefers its control machines
+    region: Region = ""  # this proxy's region; it prefers control machines there
     # A proxy is stale unless it has applied everything committed longer ago than this.  Must be the
     # same at all proxies and all control machines.
     stale_after_s: StaleAfter = STALE_AFTER_S
