--- a/benchmarks/calibrate.py
+++ b/benchmarks/calibrate.py
@@ -111,7 +111,7 @@
     medians = {name: statistics.median(each) for name, each in samples.items()}
     write, read = socket_call_costs()
     parsing = (16.0 * medians["together"] - medians["refused"]) / 15.0
-    iteration = medians["refused"] - parsing  # a wake, a read and a write
+    iteration = medians["refused"] - parsing  # cost of a wake, a read and a write
     # A served request takes two iterations and two decisions: on its arrival and on its outcome.
     decision = (medians["served"] - parsing - 2.0 * iteration) / 2.0
     solved = {
--- a/limebridge/child.py
+++ b/limebridge/child.py
@@ -117,7 +117,7 @@
         assert process.stderr is not None
         while chunk := await process.stderr.read(65536):
             for line in chunk.decode(errors="replace").splitlines():
-                # A line that begins so gives the reason of the exit; it is not replaced.
+                # A line with this prefix gives the reason of the exit; it is not replaced.
                 if not self.last_line.startswith("violetroute:"):
                     self.last_line = line.strip()[:300] or self.last_line
                 if self._on_log_line is not None:
--- a/limebridge/child_signals.py
+++ b/limebridge/child_signals.py
@@ -24,7 +24,7 @@
     with suppress(ProcessLookupError):
         descriptor = os.pidfd_open(pid)
         try:
-            if not has_ended(pid):  # then the pid was still the child's when it was opened
+            if not has_ended(pid):  # so the descriptor is that of the child
                 signal.pidfd_send_signal(descriptor, number)
         finally:
             os.close(descriptor)
--- a/limebridge/faults/sharing/memory.py
+++ b/limebridge/faults/sharing/memory.py
@@ -324,7 +324,7 @@
 
     plan: Plan
     violations: tuple[Violation, ...]
-    admitted: int  # requests
+    admitted: int  # admitted requests
     peak: int  # most requests admitted in any window of one second
     final_share: float  # share of the budget spent in the last two seconds
     digest: str  # digest of the admissions
--- a/limebridge/placement/fleet.py
+++ b/limebridge/placement/fleet.py
@@ -31,7 +31,7 @@
 
     requests_per_s: Positive  # requests a second of the whole fleet, at the peak to plan for
     work_ms: Positive  # mean work of a request on one core of speed 1
-    headroom: Positive = 1.0  # factor on that load
+    headroom: Positive = 1.0  # factor by which the load is multiplied
     busiest: Positive = 0.8  # maximal utilization of a node
 
 
--- a/limebridge/rehearsal/command.py
+++ b/limebridge/rehearsal/command.py
@@ -53,7 +53,7 @@
 SIGNIFICANT_ERRORS = 2.0
 
 RunDict = dict[str, Any]  # as made by report.to_dict
-COMPARED_MEASURES: dict[str, Callable[[RunDict], Any]] = {  # None: not in the report
+COMPARED_MEASURES: dict[str, Callable[[RunDict], Any]] = {  # from a report; None: missing
     **{name: operator.itemgetter(name) for name in ("service", "worst", "worst_class", "total")},
     "of attainable": lambda run: (run.get("share") or {}).get("whole"),
 }
--- a/limebridge/rules/checker.py
+++ b/limebridge/rules/checker.py
@@ -12,15 +12,15 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-# s after a pause in which the process still catches up on what became due during the pause
+# s after a pause for which the process may still be late with what became due in the pause
 PAUSE_SLACK_S = 0.05
-# s; a process cannot detect a shorter pause, and what arrived in one may be answered late
+# s; a process cannot detect a shorter pause, so answers to what arrived in one may be late
 MIN_DETECTABLE_PAUSE_S = 0.1
-# s in which a new watch may repeat a drain that it has just withdrawn
+# s within which a new watch may report again a drain that it has just withdrawn
 REPEAT_WINDOW_S = 0.01
-# the source of states handed over at a restart, or reported by sources no longer followed
+# name that stands for the initial list of a restart, and for sources no longer followed
 FORMER_SOURCES = ""
-# s after the client's FIN has arrived; nothing may be sent after that, even if a pause intervened
+# s from the arrival of the client's FIN until nothing may be sent, even if a pause intervened
 CLIENT_GONE_LIMIT_S = 0.1
 # requests over a cold node's limit that random arrivals alone can cause
 COLD_LIMIT_SLACK = 6
@@ -30,7 +30,7 @@
 class RuleLimits:
     """The limits of the rules, from the platform's settings."""
 
-    effects: Mapping[str, str]  # by class: pure, token or side_effect
+    effects: Mapping[str, str]  # effect of each class: pure, token or side_effect
     grace: float = 0.5  # s from the report of a drain until nothing new may be sent
     overload: float = 3.0  # allowed load of a cold node, as a multiple of its current capacity
     window: float = 3.0  # s over which requests to a cold node are counted
@@ -67,9 +67,9 @@
 
 @dataclass
 class _Node:
-    # by source: since when the node is reported as draining or removed
+    # since when each source reports the node as draining or removed
     unavailable: dict[str, float] = field(default_factory=dict)
-    # by source: since when it had been unavailable, and when that was withdrawn
+    # for each source: since when the node had been unavailable, and when that was withdrawn
     withdrawn: dict[str, tuple[float, float]] = field(default_factory=dict)
     repeated_at: float = 0.0  # the last time a new watch repeated a withdrawn drain
     started_at: float | None = None  # None: warm
@@ -153,7 +153,7 @@
         request.gone_at = at
 
     def excuse(self, id_: str) -> None:
-        """The client's own network path was cut, so no answer could have reached it."""
+        """Require no answer: the client's own network path was cut, so none could reach it."""
         self._requests[id_].excused = True
 
     # --- the proxy's process ---
--- a/limebridge/scale/capacity_rows_proxy.py
+++ b/limebridge/scale/capacity_rows_proxy.py
@@ -10,7 +10,7 @@
 # Nodes of one region, of 1,200 in ten regions; measure_judgements.py measures with this number.
 UNHEALTHY_NODES_IN_REGION = 120
 MEGABYTE = 1e6
-BOTH_DIRECTIONS = 2.0  # sent and received
+BOTH_DIRECTIONS = 2.0  # factor for bytes sent and received
 
 
 def _gossip_bytes(figures: Figures) -> float:
--- a/limebridge/scale/hollow.py
+++ b/limebridge/scale/hollow.py
@@ -102,7 +102,7 @@
         self.net = SocketNetwork(loop, make=self.socket_factory)
         self.sharing: Sharing | None = None
         self.distribution: DistributionService | None = None
-        self._leave_task: asyncio.Task[None] | None = None  # ends the session of the previous life
+        self._leave_task: asyncio.Task[None] | None = None  # ends the session before a restart
         self.applied = AppliedTimes()
         self._random = random.Random(f"hollow/{location.number}")
         self._synthetic_timer: asyncio.TimerHandle | None = None
--- a/limebridge/standins/configuration.py
+++ b/limebridge/standins/configuration.py
@@ -72,7 +72,7 @@
 
 
 def environment(path: Path) -> dict[str, str]:
-    """Environment of a child daemon: this configuration, and no operator's file from our own.
+    """Environment of a child daemon: this configuration, without this process's operator file.
 
     The parent reads the daemon's log, which an operator's file named in the user's environment
     could turn off.
--- a/limebridge/standins/consul.py
+++ b/limebridge/standins/consul.py
@@ -275,7 +275,7 @@
         else:
             writer.write(answer)
             if status == 200 and not reader.at_eof() and reader.exception() is None:
-                self.on_answered(target, content)  # the client is still connected
+                self.on_answered(target, content)  # only for a client that is still connected
         return True
 
     def _encode(self, status: int, body: bytes, index: int | None) -> bytes:
@@ -291,7 +291,7 @@
             headers["Retry-After"] = self.retry_after
         headers |= self.headers
         text = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
-        if self._random.random() < 0.5:  # so that clients meet both framings
+        if self._random.random() < 0.5:  # half of the answers are chunked, to test both framings
             return (
                 f"HTTP/1.1 {status} X\r\n{text}Transfer-Encoding: chunked\r\n\r\n".encode()
                 + (b"%x\r\n%b\r\n" % (len(body), body) if body else b"")
--- a/limebridge/virtual/consul.py
+++ b/limebridge/virtual/consul.py
@@ -158,7 +158,7 @@
 
     def _sources_changed(self) -> None:
         super()._sources_changed()
-        self._reported_nodes.clear()  # the new reader in the proxy has no earlier response either
+        self._reported_nodes.clear()  # the proxy's new reader has no earlier response
         self._last_answer = None
 
     # --- faults of Consul ---
--- a/limebridge/virtual/received.py
+++ b/limebridge/virtual/received.py
@@ -1,8 +1,10 @@
 """Observes which list updates a process received, by parsing the bytes on its sockets.
 
-Updates are not derived from what the stand-ins sent: the rule checker would then blame the proxy
-for updates that never reached it, such as a response on a closed connection, a refused watch, or a
-list that the next one replaced at once.  Instead an h11 parser, separate from the daemon's, parses
+Updates are not derived from what the stand-ins sent: the rule checker would then report violations
+for updates that never reached the proxy, such as a response on a closed connection, a refused
+watch, or a list that the next one replaced at once.
+
+Instead an h11 parser, separate from the daemon's, parses
 both directions of each connection to a list source.  An update counts as received when the
 process's kernel has received its last byte.
 """
--- a/violetroute/clients/connection.py
+++ b/violetroute/clients/connection.py
@@ -68,7 +68,7 @@
     def received(self, count: int) -> None:
         """Decode the bytes and run the commands that are complete."""
         if self.ending:
-            return  # input after our close is discarded; reading only detects the client's close
+            return  # input after this close is discarded; reading only detects the client's close
         turns = self._listener.turns
         self._read_delay.begin_read(turns.count, self._loop.time(), turns.paused_for)
         self._decoder.feed(_read_buffer[:count])
@@ -95,7 +95,7 @@
         """Return the sent bytes to the budget; restart the linger time, or write more answers."""
         self._release_written()
         if self.lingering_since:
-            self.lingering_since = self._loop.time()  # the client can see our close only now
+            self.lingering_since = self._loop.time()  # the client can see the close only now
         self.flush()
 
     def client_left(self) -> bool:
--- a/violetroute/distribution/sessions.py
+++ b/violetroute/distribution/sessions.py
@@ -325,7 +325,7 @@
         return math.inf
 
     def _drop_inactive(self, now: float) -> None:
-        """Drop sessions that were not answered for so long that they know to be stale."""
+        """Drop sessions that were not answered for so long that their proxies know to be stale."""
         while self._sessions:
             session = next(iter(self._sessions.values()))
             if now < self._next_drop_at() or session.held is not None:
--- a/violetroute/distribution/signing.py
+++ b/violetroute/distribution/signing.py
@@ -57,7 +57,7 @@
 
 
 def verify_request(keys: Keys, request: RequestSignature, path: str, body: bytes) -> bool:
-    """Whether the signature of this path and body was made with one of our keys."""
+    """Whether the signature of this path and body was made with one of the fleet's keys."""
     return keys.verify(REQUEST_PURPOSE, _request_data(request.nonce, path, body), request.signature)
 
 
@@ -67,7 +67,7 @@
 
 
 def verify_answer(keys: Keys, request: RequestSignature, header: bytes, body: bytes) -> bool:
-    """Whether the body was signed with one of our keys as the answer to this request."""
+    """Whether the body was signed with one of the fleet's keys as the answer to this request."""
     signature = _decode(header)
     if signature is None or len(signature) != SIGNATURE_BYTES:
         return False
--- a/violetroute/fleet/assignment.py
+++ b/violetroute/fleet/assignment.py
@@ -14,7 +14,7 @@
 
 from .lease import IncarnationId
 
-MAX_RANK = 8  # shared by all further candidates: bounds the wait whatever their number
+MAX_RANK = 8  # all further candidates have this rank, which bounds their wait
 
 
 def preference_order(work: str, members: Iterable[IncarnationId]) -> list[IncarnationId]:
--- a/violetroute/fleet/folder.py
+++ b/violetroute/fleet/folder.py
@@ -77,7 +77,7 @@
         os.replace(temporary, lock_file)  # already locked: it is never visible unlocked
 
     def _is_ours(self, lock_file: Path) -> bool:
-        """False for a copy: a restored folder has a file of that name that nobody has locked."""
+        """False for a copy: a restored folder has a file of that name without a lock on it."""
         try:
             return os.path.samestat(os.stat(lock_file), os.fstat(self._lock_descriptor))
         except FileNotFoundError:
--- a/violetroute/ledger/accounts.py
+++ b/violetroute/ledger/accounts.py
@@ -181,7 +181,7 @@
 
         The disk is older than the exports (it was restored) or empty (it was lost).  `last`: the
         key of the endpoint's last batch.  `billed`: periods of its batches after the last one that
-        we know.  Our units of these periods may be in those batches, so they are held for an
+        is known here.  Units of these periods may be in those batches, so they are held for an
         operator: never billed twice, and not lost unnoticed.
         """
         billed_periods = set(billed)
--- a/violetroute/ledger/export.py
+++ b/violetroute/ledger/export.py
@@ -8,8 +8,8 @@
   422: the key was used with another body, which is a bug of the exporter; the batch is held.
 - `Ledger-After`: the key of this ledger's previous batch.  412 if the endpoint's last batch from
   this ledger is another one; the body then has that batch and the periods of the batches after
-  ours: {"last": KEY, "periods": [UNIX SECONDS, ...]}.  So a ledger whose disk was restored or lost
-  learns about its later batches before anything is billed twice.
+  the one in the header: {"last": KEY, "periods": [UNIX SECONDS, ...]}.  So a ledger whose disk was
+  restored or lost learns about its later batches before anything is billed twice.
 - 429 and 503 may have `Retry-After`.  These, any 3xx, other 4xx or 5xx, and a missing response lead
   to a later retry.  Redirects are never followed, since usage data is confidential.
 """
@@ -123,7 +123,7 @@
         except msgspec.DecodeError:
             return ExportResult("again", "412 with an invalid body", SLOW_RETRY_WAIT)
         is_plain = fork.last.isascii() and fork.last.isprintable() and '"' not in fork.last
-        if not is_plain or len(fork.last) > MAX_KEY_CHARS:  # we send it in a header
+        if not is_plain or len(fork.last) > MAX_KEY_CHARS:  # it is sent in a header
             return ExportResult("again", "412 with an invalid key", SLOW_RETRY_WAIT)
         if len(fork.periods) > MAX_FORK_PERIODS:
             return ExportResult("again", "412 with too many periods", SLOW_RETRY_WAIT)
--- a/violetroute/ledger/files.py
+++ b/violetroute/ledger/files.py
@@ -53,7 +53,7 @@
 
 
 class Folder:
-    """`Files` on a real disk, where the methods are described."""
+    """Implements `Files`, which describes the methods, on a real disk."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
--- a/violetroute/membership/native.py
+++ b/violetroute/membership/native.py
@@ -80,8 +80,8 @@
     def _end(self, reason: BaseException | str, silent: bool = False) -> None:
         """End the call and report it, whatever discovery sent and whatever handling it raised.
 
-        Without the report the list would never change again.  This also covers up our own faults,
-        so the exception's type is logged.
+        Without the report the list would never change again.  This also hides faults of the daemon
+        itself, so the exception's type is logged.
         """
         if self._closed:
             return
--- a/violetroute/sharing/anti_entropy.py
+++ b/violetroute/sharing/anti_entropy.py
@@ -300,7 +300,7 @@
         return is_bucket_count(buckets) and fine_enough
 
     def _missing_members(self, now: float, to: str, item: BucketRequest) -> tuple[Item, ...]:
-        """The members of a bucket that the requester lacks, and the hashes that we lack."""
+        """The members of a bucket that the requester lacks, and the hashes missing here."""
         if not self._is_usable_bucket_count(item.buckets) or item.index >= item.buckets:
             return ()
         if not self._sent_pacer.allows(now):
--- a/violetroute/sharing/budget.py
+++ b/violetroute/sharing/budget.py
@@ -282,7 +282,7 @@
 
     # --- changes of the fleet ---
     def set_suspended(self, on: bool, now: float) -> None:
-        """Suspend while another process has our name: no authority and an empty bucket."""
+        """Suspend while another process has the same name: no authority and an empty bucket."""
         if on != self.loans.suspended:
             self._fill(now)
             self.loans.set_suspended(on, now)
--- a/violetroute/sharing/gossip.py
+++ b/violetroute/sharing/gossip.py
@@ -161,7 +161,7 @@
     ) -> Round:
         """Run a round.  `up`: the other members; `samples`: own outcomes since the last round.
 
-        `send_nothing`: no reports, while another process has our name; peers' reports still count.
+        `send_nothing`: no reports, while another process has this name; peers' reports still count.
         """
         self._round_at = now + ROUND_S * (0.8 + 0.4 * self._random.random())
         round_, worst = Round(), 0.0
--- a/violetroute/sharing/loans.py
+++ b/violetroute/sharing/loans.py
@@ -15,7 +15,7 @@
 
 A restarted lender does not know what it had lent: it spends only `floor`, which is never lent,
 until the longest possible loan has expired.  A loan belongs to one process (`life`, a random ID),
-so nobody uses a loan of a borrower that was killed until it expires.
+so a loan of a killed borrower stays unused until it expires.
 
 The price: loans that the borrower does not use, the floors of idle proxies, and D after the start
 of each process.  Two processes with one name spend one home part twice until they learn of each
@@ -99,7 +99,7 @@
 
     def __init__(self, home: int, terms: LoanTerms, now: float) -> None:
         self.home, self._terms = home, terms
-        self.suspended = False  # another process has our name: no authority
+        self.suspended = False  # another process has the same name: no authority
         self._home_available_at = now + terms.loan_s  # loans of a previous process expire by then
         # Open requests by lender: number and time (s).
         self._requests: dict[str, tuple[int, float]] = {}
--- a/violetroute/sharing/members.py
+++ b/violetroute/sharing/members.py
@@ -71,7 +71,7 @@
         self._up, self._not_alive = self._list.up, self._list.not_alive
         self._seeds = self._list.seeds
         self.health = 0  # local health score; 0 is healthy
-        self.duplicate: Member | None = None  # a process with our name and a higher incarnation
+        self.duplicate: Member | None = None  # a process with the own name and a higher incarnation
         self._order: list[str] = []
         self._probe: Probe | None = None
         self._probe_at = now + period * random.random()
@@ -294,7 +294,7 @@
         return (self.own_rumor(), *rumors, PageEnd(page[-1] if len(following) > len(page) else ""))
 
     def _from_duplicate(self, now: float, life: str, incarnation: int, place: str) -> list[Send]:
-        """Handle a process with our name: the higher incarnation keeps the name."""
+        """Handle a process with the own name: the higher incarnation keeps the name."""
         if life == self.life:
             return []
         if incarnation > self.incarnation:
--- a/violetroute/sharing/outgoing.py
+++ b/violetroute/sharing/outgoing.py
@@ -1,4 +1,4 @@
-"""Items that one member wants to send to another.  Pure."""
+"""Items that one member is to send to another.  Pure."""
 
 from __future__ import annotations
 
--- a/violetroute/sharing/service.py
+++ b/violetroute/sharing/service.py
@@ -141,7 +141,7 @@
         return self.table.report_bytes_per_s or default_rate(self._proxies)
 
     def _envelope_size(self) -> int:
-        """Bytes of a datagram without items, to a member whose name is as long as ours."""
+        """Bytes of a datagram without items, to a member whose name is as long as this one's."""
         number, wall = 2**16, int(self._net.wall() * 1000.0)
         name, life = self.name, self.life
         return len(
--- a/violetroute/transport/lines.py
+++ b/violetroute/transport/lines.py
@@ -1,4 +1,4 @@
-"""Writes whole lines to a descriptor without blocking, even to a pipe that nobody reads."""
+"""Writes whole lines to a descriptor without blocking, even to a pipe that is not read."""
 
 from __future__ import annotations
 
--- a/violetroute/transport/loop_lag.py
+++ b/violetroute/transport/loop_lag.py
@@ -4,7 +4,7 @@
 The kernel does not report when a socket became readable, but two polls bound the time.  If the
 latest poll had to sleep, the data arrived when it ended.  Otherwise it arrived after the poll
 before, and the estimate is the midpoint of both polls, which is off by half a turn at most.  A
-selector of our own measures this without private interfaces: asyncio takes it as a parameter.
+selector of its own measures this without private interfaces: asyncio takes it as a parameter.
 """
 
 from __future__ import annotations
