--- a/limebridge/rehearsal/vary.py
+++ b/limebridge/rehearsal/vary.py
@@ -17,7 +17,7 @@
 from .scenario import Scenario, load, shipped_scenarios, validate
 
 AT_SIZE_SUFFIX = "-at-size"  # appended to a scenario's name
-# The size that the installation is expected to grow to (the brief, "Size"); descriptors per proxy.
+# The size that the installation must be able to grow to, as specified; descriptors per proxy.
 TARGET_NODES, TARGET_PROXIES, TARGET_DESCRIPTORS = 46, 710, 96
 
 
--- a/limebridge/scale/hollow.py
+++ b/limebridge/scale/hollow.py
@@ -79,7 +79,7 @@
 
 
 def life_nonce(location: ProxyLocation, restarts: int = 0) -> str:
-    """The nonce that identifies one life of a hollow proxy: the one after `restarts` restarts."""
+    """The nonce of a hollow proxy after `restarts` restarts; each start has another one."""
     return f"hollow{location.number}" + (f"/{restarts}" if restarts else "")
 
 
@@ -181,7 +181,7 @@
 
     # --- end and restart ---
     def restart(self, killed: bool) -> None:
-        """End this life, as on SIGTERM or, with `killed`, without ending the session.
+        """Stop all protocols, as on SIGTERM or, with `killed`, without ending the session.
 
         All state is dropped; the caller starts gossip and distribution again.  In both cases some
         members are notified that it leaves: the detection of killed members is measured elsewhere.
--- a/limebridge/scale/hollow_host.py
+++ b/limebridge/scale/hollow_host.py
@@ -68,7 +68,7 @@
     """
 
     members_up: tuple[int, ...]  # members that each proxy lists as alive or suspected, and itself
-    # Hollow proxies of which each proxy lists the present life; empty without restarts.
+    # Hollow proxies whose latest start each proxy has in its list; empty without restarts.
     members_current: tuple[int, ...] = ()
     membership: tuple[MembershipSample, ...] = ()
     loop_lag: tuple[float, ...]  # seconds by which a timer was late, one per LAG_INTERVAL_S
@@ -203,7 +203,7 @@
         return [proxy.sharing.members.size for proxy in self.proxies if proxy.sharing]
 
     def _current_process_counts(self) -> tuple[int, ...]:
-        """For each proxy, the number of hollow proxies whose present life it knows, with itself."""
+        """For each proxy, the number of hollow proxies whose latest start it knows, with itself."""
         present = [
             (location.name, life_nonce(location, self._restarts)) for location in self._file.fleet
         ]
--- a/limebridge/scale/run_load.py
+++ b/limebridge/scale/run_load.py
@@ -46,7 +46,7 @@
     applied: int
     in_force: int
     sessions: int  # proxies with a session
-    stale: int  # proxies of them that are stale
+    stale: int  # how many of these proxies are stale
 
 
 class PublicationLoad:
--- a/violetroute/clients/connection.py
+++ b/violetroute/clients/connection.py
@@ -121,7 +121,7 @@
     # --- commands ---
     def _pump(self) -> None:
         if self._pumping:
-            return  # reentrant: an answer that was given at once
+            return  # called again by an answer that was given at once
         if self._decoder.idle:  # an answer was written and no input is left
             self.update_state()
             return
--- a/violetroute/sharing/node_health.py
+++ b/violetroute/sharing/node_health.py
@@ -147,7 +147,7 @@
         """Replace a member's report about a node by one that is at most `age` s old."""
         node = self._nodes.get(report.node)
         if node is None or report.started != node.started:
-            return  # other list or other start of the node: either side may be outdated
+            return  # the lists or the starts of the node differ: either side may be outdated
         if member in node.rows:
             self._remove_row(report.node, member)
         elif len(node.rows) >= self._max_rows_per_node:
--- a/violetroute/sharing/own_outcomes.py
+++ b/violetroute/sharing/own_outcomes.py
@@ -13,7 +13,7 @@
 from .decaying_outcomes import MIN_WEIGHT, DecayingOutcomes
 from .ordered import OrderedEntries
 
-Turn = tuple[int, int, int]  # last report that covered the node, its place, its ID
+Turn = tuple[int, int, int]  # sort key: last report that covered the node, its place, its ID
 
 
 @dataclass(slots=True)
@@ -31,7 +31,7 @@
         self._added_count = self._reports = 0  # nodes added and reports sent so far
         self._troubled: dict[int, _Node] = {}  # nodes whose bad outcomes may not have decayed yet
         self._sound = OrderedEntries[Turn]()  # the other nodes with outcomes
-        self._turns: dict[int, Turn] = {}  # the turn of each node in `_sound`
+        self._turns: dict[int, Turn] = {}  # the entry of each node in `_sound`
 
     def add_node(self, node: int) -> None:
         """Add a node that is not known."""
