--- a/tests/snowstall/test_adapter.py
+++ b/tests/snowstall/test_adapter.py
@@ -33,7 +33,7 @@
     )
 
 
-def test_request_and_answer() -> None:
+def test_a_request_is_sent_to_the_listed_node() -> None:
     done = run_adapter(
         START
         + """batch tMs=20.0
--- a/tests/snowstall/test_large_fleet.py
+++ b/tests/snowstall/test_large_fleet.py
@@ -95,7 +95,7 @@
 def test_the_candidates_checked_for_a_hot_key_are_bounded() -> None:
     made = balancer(members(NODES))
     now = 0.0
-    for number in range(1, 200):  # one key gets all requests: W-Choices
+    for number in range(1, 200):  # one key gets all requests, so it may use all caches (W-Choices)
         now += 100.0
         made.on_request(now, request(number, now))
         made.on_outcome(now + 1.0, Outcome(number, 0, Result.OK, True, 1.0, True))
--- a/tests/snowstall/test_mechanism.py
+++ b/tests/snowstall/test_mechanism.py
@@ -70,7 +70,7 @@
     st.lists(st.floats(0.002, 0.2), min_size=1, max_size=12).filter(lambda p: sum(p) < 0.95),
     st.integers(3, 60),
 )
-def test_d_is_the_least_feasible_value(shares: list[float], n: int) -> None:
+def test_the_number_of_choices_is_the_least_feasible_one(shares: list[float], n: int) -> None:
     head = sorted(shares, reverse=True)
     start = max(2, math.ceil(head[0] * n))
     expected = next((d for d in range(start, n) if is_feasible(head, n, d, 1e-4)), n)
@@ -78,11 +78,11 @@
     assert choices == expected and (choices >= 2)
 
 
-def test_d_of_known_cases() -> None:
+def test_the_number_of_choices_in_known_cases() -> None:
     assert find_optimal_choices([], 10) == 2
     # One key with half of the traffic on ten caches needs more than half of them.
     assert 5 < find_optimal_choices([0.5], 10) <= 10
-    assert find_optimal_choices([0.9, 0.05], 4) == 4  # W-Choices
+    assert find_optimal_choices([0.9, 0.05], 4) == 4  # all caches (W-Choices)
 
 
 def test_hash_is_the_same_in_every_process() -> None:
--- a/tests/snowstall/test_overload.py
+++ b/tests/snowstall/test_overload.py
@@ -156,7 +156,7 @@
     assert served > 15  # about a sixth of 200
 
 
-def test_failures_of_an_unresponsive_cache_shed_nothing() -> None:
+def test_failures_of_an_unresponsive_cache_cause_no_load_shedding() -> None:
     driver = Driver()
     for _ in range(8):
         make_one_unresponsive(driver)
@@ -205,8 +205,8 @@
 
 
 def test_a_redirect_readmits_an_ejected_cache_too() -> None:
-    # In a cluster a node answers MOVED for keys of other nodes.  Such a node stayed ejected for
-    # ever when only served answers counted.
+    # In a cluster a node answers MOVED for keys of other nodes.  If only served answers counted,
+    # such a node would stay ejected for good.
     driver = Driver()
     cache = make_one_unresponsive(driver)
     driver.now += 1500.0
@@ -216,7 +216,8 @@
 
 
 def test_an_ejected_cache_without_probes_is_readmitted_after_a_time() -> None:
-    # With writes alone no request could be a probe, and the cache was never used again.
+    # Guards against a fault: writes cannot be probes, so with writes alone the cache stayed ejected
+    # for good.
     driver = Driver()
     cache = make_one_unresponsive(driver)
     chosen = []
@@ -241,7 +242,7 @@
     assert driver.balancer.origin_limiter._failure_share > 0.0
 
 
-def test_not_all_caches_are_ejected_however_well_one_of_them_does() -> None:
+def test_not_all_caches_are_ejected_even_if_only_one_of_them_answers() -> None:
     driver = Driver()
     for _ in range(40):
         open_requests = []
@@ -305,7 +306,8 @@
 
 
 def test_a_limit_soon_after_the_start_follows_the_rate_and_not_the_count() -> None:
-    # Two failures in the first tenth of a second limited a proxy to 13 requests a second for long.
+    # Guards against a fault: two failures in the first tenth of a second set a limit of 13 requests
+    # a second, which lasted long.
     limiter, now = make_limiter(), 0.0
     while limiter.limit == math.inf:
         now += 3.0  # 333 requests a second
@@ -316,7 +318,8 @@
 
 
 def test_a_late_hit_counts_as_a_failure_and_a_miss_late_by_its_fetch_does_not() -> None:
-    # After a deployment of the caches, late misses kept the limit low for good.
+    # Guards against a fault: after a deployment of the caches, late misses counted as failures and
+    # kept the limit low for good.
     driver, samples = Driver(), []
 
     def answered(hit: bool, latency: float) -> None:
@@ -348,7 +351,7 @@
     assert miss == 0.0 and 100.0 < took < 120.0 and hit > 0.5 and waited == 340.0
 
 
-def test_high_values_are_admitted_first_and_returns_last() -> None:
+def test_requests_of_high_value_are_admitted_first_and_returns_last() -> None:
     limiter, rng = make_limited(), random.Random(1)
     limiter.limit = 50.0
     counts = {"optout": [0, 0], "first": [0, 0], "again": [0, 0]}
@@ -367,9 +370,9 @@
     assert sum(admitted for _, admitted in counts.values()) < 1.15 * 50.0 * 20.0
 
 
-def test_a_limit_that_nothing_reaches_stays_near_the_offered_load() -> None:
-    # With failures in the baseline the limit grew without bound, so that it was far too high for
-    # the overload that followed.
+def test_a_limit_that_is_not_reached_stays_near_the_offered_load() -> None:
+    # Guards against a fault: with failures in the baseline the limit grew without bound, so it was
+    # far too high for the overload that followed.
     limiter = make_limited()
     send_with_outcome(limiter, 2_000.0, 4000, 1.0, queued=False)
     assert 1.0 < limiter.limit < 2.0 * 50.0
@@ -384,9 +387,9 @@
     assert 0.2 <= limiter.limit < 1.0
 
 
-def test_chance_refuses_few_requests_at_a_low_rate_in_a_large_fleet() -> None:
-    # 200 proxies, each with eight requests a second and a limit of ten: a burst of a single request
-    # refused two in five, though every node had capacity.
+def test_few_requests_are_refused_by_chance_at_a_low_rate_in_a_large_fleet() -> None:
+    # Guards against a fault: 200 proxies had eight requests a second and a limit of ten each.  With
+    # a token bucket of one request they refused two in five, though every node had capacity.
     limiter = AdmissionLimiter(Settings(classes=(LOOKUP,), max_attempts=3, proxies=200), 0.0)
     limiter.limit, rng, now, refused = 10.0, random.Random(4), 0.0, 0
     for number in range(4_000):
@@ -404,7 +407,8 @@
 def test_an_expected_return_counts_once_and_expires() -> None:
     limiter = make_limiter()
     limiter.record_refusal(7, 400.0, 0.0, 100.0)
-    # Another timeout is another client, for a hot key.
+    # A return is recognised by key and timeout, since a hot key has many clients: a request with
+    # another timeout comes from another client.
     assert limiter.record_request(LOOKUP, "t", 7, 330.0, 50.0) == 2.0
     assert limiter.record_request(LOOKUP, "t", 7, 401.0, 50.0) == 0.6
     assert limiter.record_request(LOOKUP, "t", 7, 400.0, 60.0) == 2.0
@@ -421,7 +425,8 @@
 
 
 def test_no_return_is_admitted_while_first_tries_exceed_the_limit() -> None:
-    # Now and then there was a token, and it went to an answer that came too late for full value.
+    # Guards against a fault: when a token was free for a moment, a return took it.  Its answer is
+    # too late for the full value.
     limiter, now, late = make_limited(), 10_000.0, 0
     limiter.limit = 50.0
     for number in range(2000):
--- a/tests/snowstall/test_ramp.py
+++ b/tests/snowstall/test_ramp.py
@@ -132,7 +132,10 @@
 def test_a_cold_node_gets_no_more_than_its_ramp_from_all_proxies_together(
     proxies: int, cold: int
 ) -> None:
-    """A hot key with a quarter of all requests appears as the nodes start (4: a whole zone)."""
+    """A hot key with a quarter of all requests appears as the nodes start.
+
+    `cold`: the number of nodes that start together; 4 are a whole zone.
+    """
     assert Fleet(proxies, cold, seed=3, hot=0.25).worst_excess() <= 2.0
 
 
--- a/tests/snowstall/test_rules.py
+++ b/tests/snowstall/test_rules.py
@@ -188,7 +188,8 @@
 
 
 def test_a_cold_cache_takes_keys_by_its_ramp() -> None:
-    # A cold cache looks idle.  Without the ramp every proxy sent it requests until it failed.
+    # Guards against a fault: a cold cache looks idle, so without the ramp every proxy sent requests
+    # to it until it failed.
     members = [Member(i) for i in range(9)] + [Member(9, started_at=30_000.0)]
 
     def taken(now: float) -> int:
@@ -206,7 +207,7 @@
 
 
 def test_a_tail_key_stays_with_one_cache() -> None:
-    # With two copies of every key the origin was overloaded.
+    # Guards against a fault: two caches fetched every key, which overloaded the origin.
     balancer = balancer_with([Member(i) for i in range(10)])
     used: dict[int, set[int]] = {}
     for number in range(400):
@@ -215,7 +216,8 @@
         assert isinstance(send, Send)
         used.setdefault(key, set()).add(send.cache_id)
         balancer.on_outcome(now, Outcome(number, 0, Result.OK, True, 10.0))
-    # With the less loaded cache chosen each time 166 of 200 stay; stickiness adds the rest.
+    # If each request chose the less loaded cache, 166 of 200 keys would stay; STICKINESS adds the
+    # rest.
     assert sum(len(caches) == 1 for caches in used.values()) >= 175
 
 
@@ -252,7 +254,8 @@
 
 
 def test_requests_beyond_a_quota_are_refused_first() -> None:
-    # One tenant sent several times its usual traffic, at the expense of the others.
+    # Guards against a fault: one tenant sent several times its usual traffic, at the expense of the
+    # others.
     tenants = (Tenant("a", 0.5, 45.0), Tenant("b", 0.5, 8.0))
     balancer = balancer_with([Member(i) for i in range(10)], tenants=tenants, over_quota_factor=0.1)
     sends = 0
@@ -309,8 +312,8 @@
     assert taken(Result.ERROR) < taken(Result.OK) / 4
 
 
-def test_a_few_failures_at_a_quiet_proxy_shed_nothing() -> None:
-    # ledger-cache-za big-1: a fifth of the requests was shed by chance while 5% failed.
+def test_a_few_failures_at_a_quiet_proxy_cause_no_load_shedding() -> None:
+    # Scenario ledger-cache-za big-1: a fifth of the requests was shed by chance while 5% failed.
     balancer = balancer_with([Member(i) for i in range(10)])
     for number in range(300):
         now = number * 500.0
@@ -334,7 +337,8 @@
 
 
 def test_a_hedge_goes_to_a_warm_cache_once_a_hit_is_overdue() -> None:
-    # ledger-cache-za: 18% of attempts timed out at overloaded caches while others were idle.
+    # Scenario ledger-cache-za: 18% of attempts timed out at overloaded caches while others were
+    # idle.
     def overdue(allowed: bool, class_name: str) -> list[Any]:
         balancer = balancer_with([Member(i) for i in range(10)], can_hedge=allowed)
         timers: list[Any] = []
@@ -358,7 +362,8 @@
 
 
 def test_a_slow_miss_gets_no_hedge() -> None:
-    # alumni-tunis quiet: overdue requests were misses, and the copies fetched them again.
+    # Scenario alumni-tunis quiet: overdue requests were misses, and their copies fetched them
+    # again.
     balancer = balancer_with([Member(i) for i in range(10)], can_hedge=True)
     timers: list[Any] = []
     for number in range(40):
@@ -371,8 +376,9 @@
 
 @pytest.mark.parametrize("result", [Result.MALFORMED, Result.RESET, Result.NO_CONNECTION])
 def test_random_broken_answers_of_all_caches_do_not_stop_the_traffic(result: Result) -> None:
-    # One answer in twenty was malformed.  Each ejected its node, which counted as cold for 23 s
-    # afterwards.  Soon all nodes did, and three requests in four failed.
+    # Guards against a fault: one answer in twenty was malformed, and each ejected its node, which
+    # counted as cold for 23 s afterwards.  Soon all nodes counted as cold, and three requests in
+    # four failed.
     balancer = balancer_with([Member(i) for i in range(10)], can_hedge=True)
     rng, sent = random.Random(4), 0
     for number in range(2_000):
@@ -391,8 +397,8 @@
 
 
 def test_no_request_is_held_while_caches_are_listed() -> None:
-    # Requests were held for half the client's time though the list was there.  They must be
-    # refused at once.
+    # Guards against a fault: requests were held for half the client's time although a list had been
+    # received.  Requests that cannot be sent must be refused at once.
     balancer = balancer_with([Member(1, started_at=1.0)], now=1.0, max_backoff=1_000.0)
     for number in range(200):
         actions = balancer.on_request(1.0, Request(number, "read", 400.0, key=number))
@@ -415,8 +421,8 @@
 
 
 def test_a_timed_out_watch_is_renewed_before_missed_changes_count_as_received() -> None:
-    # join+mass, seed 1069090332951: 3 s until the timeout and up to 5 s until the call were 2 s
-    # too long.
+    # Scenario join+mass, seed 1069090332951: 3 s until the timeout and up to 5 s until the next
+    # call exceeded the limit of 6 s by 2 s.
     waits = []
     for seed in range(200):
         balancer = balancer_with([Member(1)], seed=seed, must_subscribe=True, proxies=700)
@@ -428,11 +434,13 @@
     assert max(waits) > 0.9  # the waits are spread, so that a fleet doesn't call all at once
 
 
-# The requirement of 2026-12-02 (an earlier test wanted the second wait in a row above 8 s): after a
-# failed, refused or timed-out call too, a change counts as received 6 s after discovery had it and
-# could be reached.  Discovery may become reachable right after a call has begun.
+# Requirement of 2026-12-02: a change counts as received 6 s after discovery had it and could be
+# reached, also after a failed, refused or timed-out call.  Discovery may become reachable right
+# after a call has begun.  An earlier test required the second wait in a row to be above 8 s.
 @pytest.mark.parametrize("kind", [ListKind.FAILED, ListKind.TIMED_OUT])
-def test_after_any_number_of_failed_calls_the_next_one_fits_in_the_6_s(kind: ListKind) -> None:
+def test_after_any_number_of_failed_calls_the_next_one_meets_the_limit_of_6_s(
+    kind: ListKind,
+) -> None:
     waits = []
     for seed in range(200):
         balancer = balancer_with([], seed=seed, must_subscribe=True, proxies=700)
@@ -449,7 +457,8 @@
 
 
 def test_a_local_agent_is_called_again_within_the_grace_time_of_a_drain() -> None:
-    # What the agent has counts as received, with or without an open watch; the grace time is 0.5 s.
+    # A change counts as received once the local agent has it, whether or not a watch is open.  From
+    # then on a drain has a grace time of 0.5 s.
     for seed in range(50):
         balancer = balancer_with([], seed=seed, must_subscribe=True, proxies=700, local_agent=True)
         (timer,) = balancer.on_list(0.0, ListKind.CACHED, [Member(1)])
@@ -460,7 +469,8 @@
 
 
 def test_a_reload_applies_new_tenant_settings_and_keeps_the_limit() -> None:
-    # Found in review: if the tenants were the same, the old quotas stayed in force.
+    # Guards against a fault found in review: if the reload did not change the tenants, the old
+    # quotas stayed in force.
     tenants = (Tenant("t", 1.0, 100.0),)
     before = replace(SETTINGS, proxies=1, tenants=tenants, over_quota_factor=0.5)
     balancer, cls = Balancer(before, 1, 0.0), SETTINGS.classes[0]
@@ -472,9 +482,10 @@
     assert values == [cls.value, 0.25 * cls.value, 0.25 * cls.value] and limiter.limit == 7.0
 
 
-def test_requests_of_impatient_clients_shed_nothing() -> None:
-    # A third of the clients had shorter timeouts than an answer takes.  The limiter took that for
-    # an overload and refused nine requests in ten, while the caches were idle.
+def test_clients_with_short_timeouts_cause_no_load_shedding() -> None:
+    # Guards against a fault: a third of the clients had shorter timeouts than an answer takes.  The
+    # limiter counted that as an overload and refused nine requests in ten, while the caches were
+    # idle.
     balancer = balancer_with([Member(i) for i in range(10)])
     refused = 0
     for number in range(3_000):
--- a/tests/snowstall/test_sizes.py
+++ b/tests/snowstall/test_sizes.py
@@ -110,7 +110,7 @@
     count_by_cache = Counter(driver.send(7) for _ in range(600))
     assert 7 in driver.balancer.head and len(count_by_cache) > 1
     assert not count_by_cache[1] and not count_by_cache[2]
-    assert driver.balancer.choices == 4  # all caches that have a size: W-Choices
+    assert driver.balancer.choices == 4  # all caches that have a size (W-Choices)
 
 
 def test_a_key_without_usable_candidates_goes_to_a_warm_cache_with_a_size() -> None:
@@ -123,7 +123,7 @@
 
 
 def test_a_plan_gives_a_cold_cache_no_more_than_an_even_share() -> None:
-    # A plan that is wrong about a new cache must not overload it (rule four).
+    # Rule four limits the requests to a cold cache.  A plan with a wrong size must not break it.
     def cold_share(sizes: dict[int, float]) -> int:
         driver = Driver(*members(7), Member(8, kind="b", started_at=1e6), warm_time=1e6)
         driver.size(sizes)
