--- a/limebridge/experiments/statistics.py
+++ b/limebridge/experiments/statistics.py
@@ -17,7 +17,7 @@
 ALPHA = 0.05  # share of the statements that may be wrong
 RESAMPLES = 2_000
 MIN_PAIRS = 4  # with fewer pairs there is no verdict
-POWER_QUANTILE = 0.84  # quantile of the normal distribution for a power of 0.8: 4 of 5 found
+POWER_QUANTILE = 0.84  # normal quantile for a power of 0.8 (4 of 5 differences are found)
 MAX_SEEDS_NEEDED = 100_000  # a verdict that needs more pairs is out of reach
 CANNOT, BETTER, WORSE, SAME = "cannot tell", "better", "worse", "no difference at all"
 
--- a/limebridge/placement/solver.py
+++ b/limebridge/placement/solver.py
@@ -22,7 +22,7 @@
 
 # Tolerance by which a goal may become worse for the following goals: relative, absolute below 1.
 GOAL_TOLERANCE = 1e-6
-BOUNDARY_TOLERANCE = 1e-7  # tolerance of constraints, within which HiGHS cannot decide
+BOUNDARY_TOLERANCE = 1e-7  # tolerance of constraints where HiGHS can't decide if they can be met
 TIME_LIMIT_S = 30.0  # s for one HiGHS call, far above the time for any fleet that the file allows
 
 
