--- a/tests/violetroute/clients/test_clients.py
+++ b/tests/violetroute/clients/test_clients.py
@@ -86,15 +86,15 @@
         _, writer = await rig.client()
         writer.write(get(1))
         await wait_until(lambda: node.commands)
-        writer.write_eof()  # the protocol has no half-open clients: it has left
+        writer.write_eof()  # the proxy treats a half-closed client as one that has left
         await wait_until(lambda: not node.open and not rig.proxy.open_requests)
 
     run_case(part)
 
 
 def test_nothing_is_sent_for_a_client_that_has_left() -> None:
-    # Without this check no other test fails: the request stayed open until its deadline, and each
-    # failed attempt was retried.
+    # Without this test a fault was not detected: the request stayed open until its deadline, and
+    # each failed attempt was retried.
     async def part(rig: Rig, node: CacheNode) -> None:
         release = asyncio.Event()
 
@@ -139,7 +139,8 @@
 
 @pytest.mark.parametrize("name", BROKEN_FRAMING)
 def test_broken_framing_is_answered_and_closed_at_once(name: str) -> None:
-    # An endless line was read up to 8 KiB, and noise without a line end was kept for 15 s.
+    # Guards against a fault: an endless line was read up to 8 KiB, and data without a line end was
+    # kept for 15 s.
     async def part(rig: Rig, node: CacheNode) -> None:
         reader, writer = await rig.client()
         writer.write(get(1) + BROKEN_FRAMING[name])
@@ -185,7 +186,8 @@
 
 
 def test_the_id_of_an_open_request_is_rejected() -> None:
-    # It was sent to a node, which cannot tell the two requests apart, and could be served.
+    # Guards against a fault: the second request was sent to a node, which cannot distinguish the
+    # two, and could be served.
     async def part(rig: Rig, node: CacheNode) -> None:
         go = asyncio.Event()
 
@@ -207,7 +209,7 @@
     run_case(part)
 
 
-def test_connections_without_data_at_the_limit_lock_nobody_out() -> None:
+def test_new_connections_are_served_while_connections_without_data_fill_the_limit() -> None:
     async def part(rig: Rig, node: CacheNode) -> None:
         crowd = [await rig.client() for _ in range(2 * rig.config.client_sockets)]
         assert await rig.request(get(1)) == [b"value of id1"]
@@ -270,7 +272,8 @@
         await send_requests(1_000)
         before = objects()
         await send_requests(2_000)
-        # Fewer than one object per two of the 120 requests, once the connections have ended.
+        # At most one object is left for every two of the 120 requests, once the connections have
+        # ended.
         await wait_until(lambda: objects() < before + 60)
 
     run_case(part)
@@ -296,7 +299,7 @@
 
 
 def test_clients_that_do_not_read_use_bounded_memory() -> None:
-    # Data in the transports' own buffers was not charged to the budget.
+    # Guards against a fault: data in the transports' own buffers was not charged to the budget.
     async def part(rig: Rig, node: CacheNode) -> None:
         async def large(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             writer.write(reply(b"x" * 60_000))
@@ -323,8 +326,8 @@
 
 
 def test_idle_connections_above_their_share_are_closed() -> None:
-    # A client with a connection limit had no connection left: all were idle, although the proxy
-    # had free slots.
+    # Guards against a fault: a client with a limit of its own had no connection left, since idle
+    # ones used up its limit; the proxy kept them because it had free slots.
     async def part(rig: Rig, node: CacheNode) -> None:
         stay = []
         for number in range(rig.config.client_sockets // 2):
@@ -360,8 +363,8 @@
 
 @pytest.mark.parametrize("close", ["trim", "evict", "idle time", "drain"])
 def test_a_connection_with_an_unread_request_is_not_closed_as_idle(close: str) -> None:
-    # At the CPU limit requests were lost: after a turn longer than the idle time, a connection was
-    # closed before its unread bytes were read.
+    # Guards against a fault: with all CPU time in use, a turn took longer than the idle time, and a
+    # connection was closed before its unread request was read.
     async def part(rig: Rig, node: CacheNode) -> None:
         listener = rig.listener
         reader, _ = await idle_with_unread(rig, get(1))
@@ -412,7 +415,7 @@
 
 @pytest.mark.parametrize("drain", [False, True])
 def test_an_answer_in_a_drain_does_not_close_on_the_next_command(drain: bool) -> None:
-    # A turn handles replies of nodes first: the next command is read later in the same turn.
+    # A turn handles replies of nodes first, so the next command is read later in the same turn.
     async def part(rig: Rig, node: CacheNode) -> None:
         listener = rig.listener
         reader, writer = await idle_with_unread(rig)
--- a/tests/violetroute/clients/test_crossings.py
+++ b/tests/violetroute/clients/test_crossings.py
@@ -21,8 +21,8 @@
 from violetroute.clients.connection import ClientConnection
 from violetroute.upstream import Attempt
 
-EARLY_DECISION_MS = 100.0  # a retry has to be decided within it, to be far from its time limits
-MAX_TRIES = 10  # attempts, for a machine that is too slow for that
+EARLY_DECISION_MS = 100.0  # a retry decided within this time is far from its time limits
+MAX_TRIES = 10  # repetitions of the test, on a machine that is too slow for such a decision
 DEPARTURE_LIMIT = 0.1  # s after which nothing may be sent for a client that has left
 
 
@@ -60,8 +60,8 @@
 @pytest.mark.parametrize("end", ["closes", "resets"])
 @pytest.mark.parametrize("held_by", ["depth", "budget", "half a value"])
 def test_a_departure_is_noticed_while_the_client_is_not_read(end: str, held_by: str) -> None:
-    # Found by code review: the client's FIN is queued behind unread input and was not checked for.
-    # Its requests were still sent, retried and counted until their deadlines.
+    # Guards against a fault found by code review: the client's FIN, queued behind unread input, was
+    # not noticed, so its requests were sent, retried and counted until their deadlines.
     async def part(here: VirtualRig) -> None:
         here.nodes[0].behaviour = never
         # A connect takes 1 s, so that each request waits for one when the client leaves.
@@ -129,8 +129,8 @@
 
 
 def test_an_ended_connection_is_freed_without_garbage_collection() -> None:
-    # Found by `soak`: 3 MB more memory, since a partial command and its connection referred to each
-    # other.
+    # Guards against a fault found by `soak`: a partial command and its connection referred to each
+    # other, and were not freed, which took 3 MB more memory.
     async def run() -> None:
         async with Rig(CacheNode()) as rig:
 
@@ -189,13 +189,13 @@
         )
 
     def check(self, window_ms: float) -> None:
-        """The retry is sent if, and only if, its time was not over when `may_send` was called."""
+        """Check that the retry was sent if and only if `may_send` was called before its bound."""
         first_at, bound = self.attempts[0][0], self.bound
         assert bound - first_at <= window_ms
         if self.checked:
             ((checked_at, allowed),) = self.checked
             assert allowed == (checked_at < bound)
-        else:  # its connection was established after the timer had given it up
+        else:  # the timer gave the retry up before its connection was established
             allowed = False
             assert self.answered_at >= bound - 1.0
         assert self.sends == 1 + allowed
@@ -249,10 +249,10 @@
 @pytest.mark.parametrize("stall_s", [0.0, 0.3, 0.7])
 @pytest.mark.parametrize("cls", [b"optout", b"lookup"])
 def test_a_retry_past_its_window_or_deadline_is_not_sent(stall_s: float, cls: bytes) -> None:
-    # Found by code review: after a stall the loop handles sockets before timers, so the established
-    # connection was written to before the timer found that the window was over.  The test needs the
-    # real loop, which has this order; the process stalls right after it has begun to connect.  The
-    # time that the retry waited is read from the proxy's clock.
+    # Guards against a fault found by code review: after a stall the loop handles sockets before
+    # timers, so the retry was written to the established connection before the timer found that the
+    # window was over.  The test needs the real loop, which has this order; the process stalls right
+    # after it has begun to connect.  The time that the retry waited is read from the proxy's clock.
     keyed = cls == b"optout"
     window_ms = 400.0 if keyed else 500.0
     words = put(1) if keyed else get(1, deadline_ms=int(window_ms))
@@ -268,12 +268,11 @@
 
 # --- SIGTERM ------------------------------------------------------------------------------
 def test_a_drain_answers_what_was_read_and_sends_nothing_else() -> None:
-    # Found by code review: a drain answered none of the commands that were read but not started,
-    # behind as many as a connection may have open at once.
+    # Guards against a fault found by code review: a connection may have 128 requests open at once,
+    # and a drain did not answer the commands behind them, which were read but not started.
     async def part(here: VirtualRig) -> None:
-        here.kernel.link(
-            here.nodes[0].port
-        ).latency = 0.35  # answers arrive after the drain has begun
+        # Answers arrive after the drain has begun.
+        here.kernel.link(here.nodes[0].port).latency = 0.35
         reader, writer = await here.client()
         for number in range(170):  # 128 of them are started; all arrive in one read of 16 KiB
             writer.write(get(number))
@@ -313,8 +312,9 @@
 
 
 def test_the_linger_time_starts_when_the_kernel_has_taken_the_answer() -> None:
-    # The linger time counts from when the client can see the close, not from the decision to close:
-    # behind a closed window that is much later, and an early reset would lose the answer.
+    # The linger time counts from when the client can see the close, not from the decision to close.
+    # If the client's window is closed, that is much later, and an early reset would lose the
+    # answer.
     async def part(here: VirtualRig) -> None:
         async def large(words: list[bytes], writer: asyncio.StreamWriter) -> None:
             value = b"v" * 60_000
@@ -331,7 +331,7 @@
             assert len(await read_answer(reader)) == 60_000
         await here.wait_until(lambda: connection.lingering_since)
         assert connection._stream.unsent
-        await asyncio.sleep(2.0)  # the client takes its time
+        await asyncio.sleep(2.0)  # the client reads nothing for 2 s
         assert len(await read_answer(reader)) == 60_000
         await here.wait_until(lambda: not connection._stream.unsent)  # the kernels have the rest
         await asyncio.sleep(0.3)
@@ -345,7 +345,7 @@
     run_scenario(part)
 
 
-def test_a_fault_of_one_paused_connection_leaves_the_others_checked() -> None:
+def test_an_exception_of_one_paused_connection_does_not_stop_the_checks_of_others() -> None:
     async def part(here: VirtualRig) -> None:
         here.nodes[0].behaviour = never
         here.loop.set_exception_handler(lambda loop, context: None)
--- a/tests/violetroute/clients/test_read_delay.py
+++ b/tests/violetroute/clients/test_read_delay.py
@@ -39,15 +39,15 @@
     assert read(read_delay, 6, 10.0) == 0.0  # the first read emptied the buffer
 
 
-def test_a_pause_marks_all_data_until_the_buffer_is_empty() -> None:
+def test_all_data_until_the_buffer_is_empty_is_delayed_by_the_pause() -> None:
     read_delay = ReadDelay()
     assert read(read_delay, 5, 10.0, 16_384, emptied=False, paused_for=0.8) == pytest.approx(0.8)
     assert read(read_delay, 6, 10.01, 300) == pytest.approx(0.81)
 
 
 def test_data_behind_a_closed_window_counts_from_the_pause() -> None:
-    # Found by exploration: a read that emptied the buffer was taken for the last data of the pause,
-    # although the sender's kernel held the rest behind a closed window.
+    # Guards against a fault found by exploration: a read that emptied the buffer was taken for the
+    # last data of the pause, although the sender's kernel held the rest behind a closed window.
     read_delay = ReadDelay()
     read(read_delay, 5, 10.0, BUFFER // 4, paused_for=0.8)
     assert read(read_delay, 6, 10.01) == pytest.approx(0.81)
@@ -70,7 +70,7 @@
     assert read(read_delay, 10, 10.9) == 0.0
 
 
-def test_a_client_that_sends_more_than_is_read_is_not_marked_for_good() -> None:
+def test_data_is_not_delayed_without_bound_if_a_client_sends_more_than_is_read() -> None:
     read_delay = ReadDelay()
     read(read_delay, 5, 10.0, paused_for=0.5, count=BUFFER, emptied=False)
     read_delay.pause_reading(10.05)
