--- a/tests/violetroute/fleet/test_fleet.py
+++ b/tests/violetroute/fleet/test_fleet.py
@@ -149,7 +149,8 @@
     assert isinstance(request, Acquire)
     one.failed(1.0, request.number)
     assert one.granted(1.1, request.number, 1) == [] and one.state == "waiting"
-    one.observe(1.2, 1.2, lease(), True)  # it was granted: own record, taken over at once
+    # The call had been granted: the record is this owner's own, so it acquires the lease at once.
+    one.observe(1.2, 1.2, lease(), True)
     (retry,) = one.tick(5.0)
     assert isinstance(retry, Acquire) and retry.floor == 1
 
@@ -167,7 +168,7 @@
     assert isinstance(request, Acquire) and request.floor == 40
 
 
-def test_a_lease_is_released_after_the_work_stopped_and_then_others_come_first() -> None:
+def test_a_lease_is_released_after_the_work_stopped_and_others_may_acquire_it_first() -> None:
     one = owner()
     one.observe(0.0, 0.0, None, True)
     (request,) = one.tick(0.0)
@@ -254,7 +255,7 @@
     assert run_steps(claim(one, 1, "na", "a"), records) == Done(0)
     late = append(one, 1, "na", "a", lambda: "late")
     step = late.send(None)
-    while not isinstance(step, Put):  # suspended between the check and the put
+    while not isinstance(step, Put):  # the late owner is suspended between the check and the put
         step = late.send([])
     assert run_steps(claim(two, 2, "nb", "b"), records) == Done(1)
     assert run_steps(append(two, 2, "nb", "b", lambda: "ours"), records) == Done(2)
@@ -262,10 +263,10 @@
     with pytest.raises(StopIteration) as end:
         late.send(records[1:])
     assert end.value.value == Fenced(2)
-    assert taken == ["ours", "ours"]  # once for each reader
+    assert taken == ["ours", "ours"]  # each of the two readers took the entry once
 
 
-def test_invalid_records_are_ignored_and_block_nobody() -> None:
+def test_invalid_records_are_ignored_and_block_no_owner() -> None:
     records = [b"garbage", b"[" * 100, b'{"v":9}']
     log = FencedLog("w", lambda position, record: None)
     assert run_steps(claim(log, 1, "na", "a"), records) == Done(3)
@@ -329,7 +330,7 @@
     b.open()
     assert b.poll().members == {A, B} and b.poll().leases == {}
     (tmp_path / "f" / "alive" / "na").unlink()
-    (tmp_path / "f" / "alive" / "na").write_bytes(b"{}")  # a copy that nobody has locked
+    (tmp_path / "f" / "alive" / "na").write_bytes(b"{}")  # a copy that no process has locked
     assert "na" in b.poll().dead
     a.poll()
     assert b.poll().dead == frozenset()
@@ -387,7 +388,7 @@
         assert answer["w"].accepted
         view, _ = await call(b.poll)
         assert not view.leases["w"].free and view.members is None
-        view, _ = await call(b.poll)  # blocking query: nobody renews, so the session ends
+        view, _ = await call(b.poll)  # during the blocking query the session ends without renewals
         assert view.leases["w"].free and view.leases["w"].fence == 7
         answer, _ = await call(lambda callback: b.acquire(Acquire("w", 2, 0, None), callback))
         assert answer.accepted and answer.lease.fence == 8
@@ -457,7 +458,7 @@
     return made
 
 
-def test_a_period_is_billed_when_all_have_closed_it_or_the_wait_is_over() -> None:
+def test_a_period_is_billed_when_all_proxies_have_closed_it_or_the_wait_is_over() -> None:
     books = settlement(0.0)
     books.update(
         1400.0,
--- a/tests/violetroute/fleet/test_fleet_guards.py
+++ b/tests/violetroute/fleet/test_fleet_guards.py
@@ -88,7 +88,9 @@
     for number in range(5):
         (tmp_path / "alive" / f"Not A Mark {number}").write_bytes(b"x")
     held = [store(tmp_path, IncarnationId("c", f"c{number}")) for number in range(5)]
-    assert "zz-a" not in b.poll().dead  # beyond the members that are read, and running
+    assert (
+        "zz-a" not in b.poll().dead
+    )  # its process runs, but its file is beyond those that are read
     a._release_lock()
     assert "zz-a" in b.poll().dead
     for each in held:
@@ -225,7 +227,8 @@
             claim(FencedLog("beat-0", lambda *entry: None), 6, "na", "a")
         )
         one = start_fleet(tmp_path, "one", endpoint=server.sockets[0].getsockname()[1], term_s=6.0)
-        await until(lambda: len(posts) >= 3)  # well within a term, after which it is transferred
+        # Well within a term, after which the work would be transferred.
+        await until(lambda: len(posts) >= 3)
         assert one.owned() == {"beat-0": 7}
         one.stop()
         server.close()
--- a/tests/violetroute/ledger/test_ledger.py
+++ b/tests/violetroute/ledger/test_ledger.py
@@ -139,7 +139,7 @@
     assert other.correction_records("signed-1.json", "marta", lines) == []
 
 
-def test_the_books_memory_is_bounded() -> None:
+def test_the_memory_of_a_book_is_bounded() -> None:
     made = Book(Periods("UTC", 5), grace_s=0.0)
     decide(made, made.begin_records("p1", "n", 0.0))
     for place in range(MAX_CLOSED_PERIODS + 50):
@@ -147,7 +147,8 @@
         made.apply(["batch", place + 1, "period", place * 300, [["a", "c", 1]], f"k{place}", ""])
         made.apply(["done", place + 1])
     assert len(made.closed) == len(made.confirmed_units) == MAX_CLOSED_PERIODS
-    made.apply(["count", 5.0, [[300, "a", "c", 1]]])  # no longer remembered, so it counts as closed
+    # The book no longer remembers this period, so it counts as closed.
+    made.apply(["count", 5.0, [[300, "a", "c", 1]]])
     assert made.late_since == 5.0
 
 
--- a/tests/violetroute/ledger/test_ledger_daemon.py
+++ b/tests/violetroute/ledger/test_ledger_daemon.py
@@ -259,7 +259,8 @@
     assert report.kills == 4 and sum(report.served.values()) > 300
     assert report.uncorrected is not None and report.corrected is not None
     assert report.excess == 0
-    # A kill costs the units that are not written: half a second's at most, and a write under way's.
+    # A kill loses the units that are not yet written: those of at most half a second, and those of
+    # the write in progress.
     assert report.uncorrected.short <= report.at_risk
     assert report.longest_unwritten <= 0.5
     assert report.corrected.differences == []
--- a/tests/violetroute/membership/test_consul.py
+++ b/tests/violetroute/membership/test_consul.py
@@ -49,7 +49,7 @@
     return HealthReader(table).read(json.dumps(elements).encode())
 
 
-def test_an_instance_with_all_meta_fields() -> None:
+def test_all_meta_fields_of_an_instance_are_read() -> None:
     found = read(
         element(
             Meta={"zone": "paterno", "machine_type": "old", "cell": "3", "started_at_ms": "1700"},
@@ -85,7 +85,7 @@
     assert found.weight == (2.0 if health is Health.WARNING else 4.0)
 
 
-def test_the_drain_tag_and_a_weight_of_zero() -> None:
+def test_the_drain_tag_is_a_drain_and_a_weight_of_zero_is_critical() -> None:
     assert read(element(Tags=["draining"]))["c1"].health is Health.DRAINS
     one = element(Weights={"Passing": 4, "Warning": 0})
     one["Checks"][0]["Status"] = "warning"
@@ -268,7 +268,7 @@
 
 
 # --- query ---
-def test_the_index_follows_consuls_rules() -> None:
+def test_the_index_is_reset_as_consul_requires() -> None:
     query = BlockingQuery(ConsulTable(tag="x y", consistency="stale", datacenter="d"))
     assert query.target() == "/v1/health/service/cache?dc=d&tag=x+y&stale"
     for header, index in (
@@ -304,11 +304,13 @@
         (200, {"x-consul-results-filtered-by-acls": "true"}, "may not see", 0.0),
     ],
 )
-def test_unusable_answers(status: int, headers: dict[str, str], reason: str, wait: float) -> None:
+def test_unusable_answers_are_rejected_and_leave_the_index(
+    status: int, headers: dict[str, str], reason: str, wait: float
+) -> None:
     query = BlockingQuery(TABLE)
     refused = query.check(status, headers | {"x-consul-index": "8"})
     assert isinstance(refused, UnusableAnswer) and reason in refused.reason and refused.wait == wait
-    assert query.index == 0  # keeping such an answer's index would hide the next change
+    assert query.index == 0  # with the index of such an answer, the next change would be missed
 
 
 # --- node names ---
@@ -397,7 +399,7 @@
 
 
 def test_a_new_name_in_the_same_source_is_a_new_node_also_in_its_first_whole_list() -> None:
-    # With the old name it would be treated as a warm node.
+    # Under the old name the new node would count as warm.
     names_map = NodeNames()
     names_map.translate(Listing(1, False, (entry("s-1", 1), entry("s-2", 2))))  # the initial list
     assert names(names_map.translate(Listing(2, True, (entry("s-9", 1), entry("s-2", 2))))) == [
@@ -407,7 +409,7 @@
 
 
 # --- the Consul stand-in, checked with an independent client ---
-def test_py_consul_registers_blocks_and_sees_changes() -> None:
+def test_py_consul_registers_services_and_waits_for_changes() -> None:
     async def run() -> None:
         agent = await Consul().start()
 
@@ -463,7 +465,7 @@
     async def uses(self, *wanted: str) -> None:
         await wait_until(lambda: self.used() == set(wanted))
 
-    async def asks_again(self) -> None:
+    async def next_requests(self) -> None:
         count = sum(len(agent.requests) for agent in self.agents)
         await wait_until(lambda: sum(len(agent.requests) for agent in self.agents) > count + 1)
 
@@ -483,14 +485,14 @@
         )
         async with Rig(*nodes, operator=operator) as rig:
             setting = Setting(rig, catalogue, started)
-            # The platform's names stay: the initial list had the nodes under them.
+            # The nodes keep the platform's names, under which they are in the initial list.
             await wait_until(lambda: started[0].requests or agents > 1)
             await setting.uses("s-0", "s-1", "s-2", "s-3")
             await wait_until(
                 lambda: any("index" in request for a in started for request in a.requests)
             )
             await part(setting)
-            assert not rig.discovery.requests  # the platform's list is not requested too
+            assert not rig.discovery.requests  # no list is requested from the platform
         for agent in started:
             await agent.stop()
 
@@ -521,7 +523,7 @@
             setting.catalogue.register(f"x{number}", 1 + number, service="other")
         setting.catalogue.check("c3", "warning")
         setting.catalogue.set_maintenance("c0", True)
-        await setting.asks_again()
+        await setting.next_requests()
         assert setting.used() == {"s-0", "s-1", "s-2", "s-3"}  # a truncated answer is not used
         setting.agent.truncate_after = 0
         await setting.uses("s-1", "s-2", "s-3")
@@ -617,11 +619,11 @@
         await wait_until(
             lambda: any(request.endswith("consistent") for request in setting.agent.requests)
         )
-        await setting.asks_again()
+        await setting.next_requests()
         assert len(setting.used()) == 4
         catalogue.services.update(kept)
         catalogue.raise_index()
-        await setting.asks_again()
+        await setting.next_requests()
         # A lagging replica reports three as gone; the leader does not.
         catalogue.deregister("c1", "c2", "c3")
         setting.agent.freeze()
@@ -646,7 +648,7 @@
             "X-Consul-Index": "0"
         }  # never blocks: each request returns at once
         setting.catalogue.raise_index()
-        await setting.asks_again()
+        await setting.next_requests()
         loop = asyncio.get_running_loop()
         count, began = len(setting.agent.requests), loop.time()
         await wait_until(lambda: len(setting.agent.requests) >= count + 5)
@@ -733,7 +735,7 @@
         )
         setting.agent.canned_answers = [framed(good) + framed(forged)]
         setting.catalogue.raise_index()
-        await setting.asks_again()
+        await setting.next_requests()
         setting.catalogue.set_maintenance("c3", True)
         await setting.uses("s-0", "s-1", "s-2")
         assert set(reported_states) == {DRAINING}  # no node was gone in between
@@ -754,7 +756,7 @@
         assert setting.agent.tokens[-1] == "one"
         setting.agent.token = "two"
         setting.catalogue.raise_index()
-        await setting.asks_again()
+        await setting.next_requests()
         path.write_text("two\n")
         setting.catalogue.set_maintenance("c0", True)
         await setting.uses("s-1", "s-2", "s-3")
@@ -835,14 +837,14 @@
 
 
 def test_an_unchanged_drain_in_a_new_answer_is_reported_again() -> None:
-    # In between another source may have reported a restart, and the node was drained again.
-    def tells(again: bool) -> list[tuple[str, CacheState]]:
+    # Another source may have reported a restart in between, after which the node was drained again.
+    def collected_states(again: bool) -> list[tuple[str, CacheState]]:
         belief, pending = CatalogueState(TABLE), PendingUpdates()
         belief.apply(0.0, 1e9, some(1, Health.DRAINS) | {"x": some(2)["c1"]})
         pending.collect(belief, 0.0)
         return [(e.instance, e.state) for e in pending.collect(belief, 1.0, again)[1]]
 
-    assert tells(True) == [("c0", CacheState.DRAINING)] and tells(False) == []
+    assert collected_states(True) == [("c0", CacheState.DRAINING)] and collected_states(False) == []
 
 
 def test_drains_are_repeated_with_another_index_and_not_after_an_expired_wait() -> None:
@@ -856,7 +858,7 @@
             reported.extend(e.instance for e in listing.entries),
             taken(listing),
         )[1]
-        await setting.asks_again()  # expired waits
+        await setting.next_requests()  # blocking queries whose wait has expired
         assert reported == []
         setting.catalogue.raise_index()
         await wait_until(lambda: reported == ["s-1"])
--- a/tests/violetroute/membership/test_consul_morning.py
+++ b/tests/violetroute/membership/test_consul_morning.py
@@ -38,7 +38,7 @@
 
 
 class Seen:
-    """Collects the events that peers saw, for the checker, which needs them in order of time."""
+    """Collects the events at the proxy's peers for the checker, which needs them in time order."""
 
     def __init__(self) -> None:
         self.events: list[tuple[float, str, tuple[Any, ...]]] = []
@@ -81,9 +81,9 @@
 def test_no_request_is_lost_and_no_drain_violated_while_consul_is_unreliable(
     stall_s: float,
 ) -> None:
-    # The clients send by the clock, so after 0.7 s without CPU the process would send all missed
-    # requests at once, beyond any limit.  The clock therefore stops during a stall.  One variant
-    # forces a stall.
+    # The clients send at fixed times, so after a stall of 0.7 s without CPU time they would send
+    # all missed requests at once, beyond any limit.  The clock therefore stops during a stall.  One
+    # variant forces a stall.
     async def run() -> None:
         loop, seen, catalogue = asyncio.get_running_loop(), Seen(), Catalogue()
         agents = [await Consul(catalogue, n).start() for n in range(2)]
@@ -142,7 +142,7 @@
                     await asyncio.sleep(0.05)
                 catalogue.check("c2", "passing")
                 await wait_until(lambda: len(rig.proxy.nodes) == 4)
-                for agent in agents:  # agents stop under load, while a node dies
+                for agent in agents:  # all agents stop under load, and a node crashes
                     await agent.stop()
                 await nodes[3].crash()
                 await asyncio.sleep(0.25)
--- a/tests/violetroute/membership/test_crossings_lists.py
+++ b/tests/violetroute/membership/test_crossings_lists.py
@@ -15,9 +15,9 @@
 from violetroute.membership.list_reader import LINE_LIMIT, ObjectSplitter, WatchError
 from violetroute.membership.native import CONNECT_TIMEOUT, LINE_TIMEOUT
 
-# s after which a change counts as notified, once discovery has it and is reachable.
+# A proxy counts as notified of a change this long (s) after discovery had it and was reachable.
 NOTIFIED_WITHIN = 6.0
-GRACE = 0.5  # s that a drain may take after that
+GRACE = 0.5  # s from the notification until a drain must be in effect
 Trouble = Callable[[VirtualRig], Awaitable[None]]
 
 
@@ -143,9 +143,8 @@
             await read_answer(reader)
             await asyncio.sleep(0.01)
         assert all(at <= notified_at + GRACE for at, port, _ in here.arrivals if port == drained)
-        for each in list(
-            here.discovery.open
-        ):  # a change counts once discovery has it, with or without a watch
+        # A change counts as notified once discovery has it, whether or not a watch is open.
+        for each in list(here.discovery.open):
             each.transport.abort()
         await here.wait_until(lambda: not here.discovery.open)
         await here.wait_until(lambda: here.discovery.open, GRACE)
@@ -192,7 +191,7 @@
 
 
 def test_a_line_that_never_ends_times_out() -> None:
-    # Guards against a timeout that each byte restarted: one line could take up to 8 s.
+    # Guards against a fault: each byte restarted the timeout, so one line could take up to 8 s.
     async def part(here: VirtualRig) -> None:
         await here.wait_until(lambda: here.discovery.open)
         writer = next(iter(here.discovery.open))
--- a/tests/violetroute/membership/test_list_reader.py
+++ b/tests/violetroute/membership/test_list_reader.py
@@ -87,7 +87,10 @@
 
 
 def test_nodes_that_leave_and_return_are_not_parsed_again() -> None:
-    """Parsing a fifth of 3,200 nodes anew took a third of the turn that read their return."""
+    """Parsing returned nodes anew is expensive.
+
+    When a fifth of 3,200 nodes returned, it took a third of the turn that read the list.
+    """
     reader = ListReader()
     first = reader.read(line(*map(instance, range(5))))
     reader.read(line(*map(instance, range(4))))
--- a/tests/violetroute/membership/test_merge_whole.py
+++ b/tests/violetroute/membership/test_merge_whole.py
@@ -45,7 +45,7 @@
 
 @dataclass
 class Play:
-    """The merger and the state of the rule, side by side."""
+    """The merger, and the state from which the rule is checked."""
 
     merge: ListMerger = field(default_factory=lambda: ListMerger(SOURCES, TABLE, 0.0))
     now: float = 0.0
--- a/tests/violetroute/membership/test_sources.py
+++ b/tests/violetroute/membership/test_sources.py
@@ -71,7 +71,7 @@
 
 
 # --- selection ---
-def test_a_lower_source_is_selected_at_the_start_only_after_the_patience_of_the_first() -> None:
+def test_a_lower_source_is_selected_at_the_start_only_after_patience_s_of_the_first() -> None:
     made = ListMerger(("a", "b"), TABLE, 0.0)
     made.apply(1.0, WALL, "b", some(2))
     assert (
@@ -85,7 +85,7 @@
     assert made.current_source == "b"
 
 
-def test_an_unavailable_source_stays_current_for_its_patience_and_returns_after_settling() -> None:
+def test_an_unavailable_source_stays_current_for_patience_s_and_returns_after_settle_s() -> None:
     made = merge()
     assert made.current_source == "a" and made.next_change_at(0.0) is None
     made.apply(1.0, WALL, "b", whole(*(entry(f"n{n}") for n in (0, 1, 9))))
@@ -101,7 +101,7 @@
     made.source_failed(22.0, "a")
     made.apply(23.0, WALL, "a", some(4))
     made.tick(27.9)
-    assert made.current_source == "b"  # it was not available for five seconds without a break
+    assert made.current_source == "b"  # `a` was not available for five seconds without interruption
     made.tick(28.0)
     assert made.current_source == "a"
 
@@ -404,7 +404,9 @@
             await wait_until(lambda: current_source() == "file")
             write(1)
             await wait_until(lambda: used() == {"s-0", "s-2"})
-            path.write_text("{")  # half written: the last list stays, and the file is read again
+            path.write_text(
+                "{"
+            )  # a partial write: the last list is kept, and the file is read again
             await wait_until(lambda: rig.proxy._watch._watch._running.get("file", 1))  # type: ignore[attr-defined]
             write()
             await wait_until(lambda: used() == {"s-0", "s-1", "s-2"})
@@ -538,7 +540,7 @@
 
 
 def test_an_update_in_place_has_the_same_effect_as_apply() -> None:
-    """It leaves everything else to `apply`: another node's address, a move, a removal."""
+    """It applies nothing else: another node's address, a move or a removal is left to `apply`."""
     rng, updated = random.Random(5), 0
     fast, reference = NodeAddresses(), NodeAddresses()
     for _ in range(2000):
--- a/tests/violetroute/placement/test_placement.py
+++ b/tests/violetroute/placement/test_placement.py
@@ -289,7 +289,7 @@
             assert await spread(100) == [0, 60, 0]
             reload(None, moved_per_s=1.0)
             await asyncio.wait_for(wait_for_sizes(rig, {}), 20)
-            # s-1 is left out: its recent requests still count as load.
+            # s-1 is not checked, since its recent requests still count as load.
             assert min((await spread(200))[::2]) > 5
 
     async def wait_for_sizes(rig: Rig, target: dict[str, float]) -> None:
@@ -390,7 +390,7 @@
         assert first.fence == 1
         out.write_bytes(msgspec.json.encode(published(0)))  # replaced by another plan
         await until(lambda: load_plan(str(out)) == first)
-        ends[0].set()  # whichever of them is the owner, the other takes over
+        ends[0].set()  # either planner may be the owner; the other one takes over
         await keepers[0]
         ends[1].set()
         await keepers[1]
