--- a/tests/violetroute/distribution/test_distribution_daemon.py
+++ b/tests/violetroute/distribution/test_distribution_daemon.py
@@ -58,7 +58,8 @@
 from violetroute.transport import Address, parse_address
 from violetroute.transport.sockets import SocketNetwork
 
-INITIAL_INVALIDATIONS = 1  # each proxy starts with one: it does not know what it missed before
+# Each proxy invalidates everything once at its start, since it does not know what it missed before.
+INITIAL_INVALIDATIONS = 1
 TIMEOUT_S = 60.0  # far above what any step needs
 
 
@@ -242,7 +243,7 @@
             assert second > first
             os.kill(process.pid, signal.SIGCONT)
             position = second
-            for number in range(5):  # at any machine: the order stays the same
+            for number in range(5):  # publications at different machines keep their order
                 position = await deployment.publish(f"after {number}")
             await deployment.in_force(position)
             assert await deployment.purged(7)
@@ -346,7 +347,7 @@
             process = deployment.controls.processes[lost]
             await process.kill()
             shutil.rmtree(deployment.controls.data_folder(lost))
-            for _ in range(2):  # a failed start must not create what the next one takes for a log
+            for _ in range(2):  # a failed start must not create files that look like a log
                 with pytest.raises(UnreadyError, match="limebridge control init"):
                     await process.start()
                 assert await process.wait() == 1
@@ -363,12 +364,13 @@
                 status = await deployment.status(lost)
                 return not status.recovering and status.commit >= second
 
-            async def said_so() -> bool:  # the log line may come after the status
+            async def recovery_logged() -> bool:  # the line may be logged after the status changed
                 return bool(deployment.logged("control.recovered"))
 
             await until(recovered)
-            await until(said_so)
-            await deployment.controls.processes[leader].kill()  # it counts for a majority again
+            await until(recovery_logged)
+            # The recovered machine counts for a majority again, so the leader can be killed.
+            await deployment.controls.processes[leader].kill()
             last = await deployment.publish("after")
             await deployment.in_force(last)
             assert await deployment.purged(3)
@@ -495,7 +497,7 @@
                 await deployment.in_force(position)
                 assert await deployment.purged(reloads)
             assert not deployment.logged("daemon.fault")
-            deployment.operator(0)  # the table is restored: no restart is needed any more
+            deployment.operator(0)  # with the table restored, no restart is needed any more
             os.kill(deployment.daemons[0].pid, signal.SIGHUP)
 
             async def reloaded_again() -> bool:
@@ -598,7 +600,7 @@
     await asyncio.gather(*(hold() for _ in range(count)))
 
 
-SEGMENT_FILLERS = 12  # publications of 800 KB: together more than a segment of the log
+SEGMENT_FILLERS = 12  # publications of 800 KB, which together exceed a segment of the log
 
 
 def large_publication() -> Publish:
--- a/tests/violetroute/distribution/test_distribution_freshness.py
+++ b/tests/violetroute/distribution/test_distribution_freshness.py
@@ -92,7 +92,7 @@
         World(Plan(seed, LASTS, change_at, rates=rates, loss=0.0, faults=faults)).run()
 
 
-def test_without_faults_batches_are_in_force_early_and_proxies_fresh() -> None:
+def test_without_faults_batches_are_in_force_early_and_proxies_are_fresh() -> None:
     world = World(Plan(seed=1, lasts=20.0, loss=0.0), record_fresh_share=True)
     world.run()
     leader = world.leaders[1]
@@ -102,7 +102,7 @@
     assert median(world.fresh_share[len(world.fresh_share) // 2 :]) == 1.0
 
 
-def test_after_a_change_of_leader_batches_come_in_force_early_again() -> None:
+def test_after_a_change_of_leader_batches_are_in_force_early_again() -> None:
     world = World(Plan(seed=2, lasts=20.0, change_at=6.0, loss=0.0), record_fresh_share=True)
     world.run()
     second = world.leaders[2]
--- a/tests/violetroute/distribution/test_distribution_http.py
+++ b/tests/violetroute/distribution/test_distribution_http.py
@@ -413,7 +413,8 @@
 def test_a_request_that_races_with_the_idle_timeout_fails_exactly_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The server closes the idle connection; the client sends before its loop has read the close.
+    # The server closes the idle connection, and the client sends before its loop has read the
+    # close.
     monkeypatch.setattr(http_server, "IDLE_TIMEOUT_S", 0.1)
     monkeypatch.setattr(http_server, "SWEEP_INTERVAL_S", 0.02)
 
@@ -433,7 +434,7 @@
             (body, reason) = recorded_responses.calls[0]
             assert body is None and reason
             assert len(recorder.requests) == 1  # the server has not received the second request
-            assert await post(client) == (b"cba", "")  # at once, on a new connection
+            assert await post(client) == (b"cba", "")  # succeeds at once on a new connection
             assert len(recorded_responses.calls) == 1 and client.traffic.failures == 1
             client.close()
 
@@ -441,8 +442,9 @@
 
 
 def test_a_client_drops_an_idle_connection_long_before_the_server_closes_it() -> None:
-    # Both timeouts count from the same answer: the server's from writing it, the client's from
-    # reading it.  Unless the client's loop is late, that is later by at most the request's timeout.
+    # Both timeouts start with the same answer: the server's when it writes the answer, the client's
+    # when it reads it.  The client reads at most the request's timeout later, unless its loop is
+    # late.
     latest_answer_s = SubscriberSettings("p0", "", ()).timeout_s
     assert http_client.IDLE_TIMEOUT_S + latest_answer_s <= http_server.IDLE_TIMEOUT_S - 20.0
 
--- a/tests/violetroute/distribution/test_distribution_in_force.py
+++ b/tests/violetroute/distribution/test_distribution_in_force.py
@@ -145,7 +145,7 @@
     term.report(1.0, "a", state("p", 1), as_of=0.5)
     term.report(1.1, "b", state("new", 0), full=False, as_of=0.5)
     term.core.tick(1.2, 1.05)
-    assert term.core.in_force == 1  # the new session is answered only from position 1 on
+    assert term.core.in_force == 1  # the new session gets its first answer at position 1 or later
 
 
 # --- machines that were restarted ---
--- a/tests/violetroute/distribution/test_distribution_leader_contact.py
+++ b/tests/violetroute/distribution/test_distribution_leader_contact.py
@@ -18,7 +18,7 @@
 
 DRIFT = 0.05
 TAKEOVER_S = 1.2
-MAX_STATES, HEAL_EVERY = 900, 8  # enough states to reach a wrong age, few enough for the suite
+MAX_STATES, HEAL_EVERY = 900, 8  # enough states to find a wrong age, few enough for the suite
 
 
 def promise(contact_ms: float) -> Promise:
@@ -95,7 +95,7 @@
 def test_replaced_leader_reports_its_as_of_as_contact() -> None:
     cluster = led_by_m0()
     cluster.cut = frozenset(("m0",))
-    cluster.run(2.0)  # nobody echoes its answers, so its as_of does not advance
+    cluster.run(2.0)  # no machine echoes the leader's answers, so its as_of does not advance
     assert 1.5 < reported_contact(cluster, "m0", "m1") <= 2.5
 
 
@@ -180,7 +180,8 @@
     term.report(10.1, "a", state("p", 1), running_s=0.5)
     end = 8.8 + BOUND
     term.core.tick(end - 0.001, end)
-    assert term.core.in_force == 0  # its previous process may have answered unknown sessions
+    # The previous process of `a` may have answered sessions that the leader does not know.
+    assert term.core.in_force == 0
 
 
 def test_killed_leader_delays_in_force_by_less_than_drop_after_s() -> None:
--- a/tests/violetroute/distribution/test_distribution_log.py
+++ b/tests/violetroute/distribution/test_distribution_log.py
@@ -81,7 +81,7 @@
     assert not log.may_promise(2, "m0")
     assert not log.may_promise(3, "m1")
     assert log.promise(3, "m0") == ()
-    assert len(log.promise(4, "")) == 1  # adopted fence; its leader is not known yet
+    assert len(log.promise(4, "")) == 1  # the fence is adopted before its leader is known
     assert log.may_promise(4, "m2")
     with pytest.raises(LogConflict):
         log.promise(3, "m0")
@@ -440,9 +440,8 @@
     ticket = cluster.request("m1", Poll("p", "i", "r", "", 0))
     cluster.run(1.0)
     first = cluster.answers[ticket]
-    assert (
-        isinstance(first, PollReply) and first.status == PollStatus.SNAPSHOT
-    )  # it has just started
+    # The proxy has just started, so it gets a snapshot.
+    assert isinstance(first, PollReply) and first.status == PollStatus.SNAPSHOT
     assert first.snapshot is not None and first.snapshot.base.position == first.commit == 1
     ticket = cluster.request("m1", Poll("p", "i", "r", first.log, first.commit))
     cluster.publish("m0", "k")
--- a/tests/violetroute/distribution/test_distribution_log_faults.py
+++ b/tests/violetroute/distribution/test_distribution_log_faults.py
@@ -129,7 +129,7 @@
 
 
 def fetch_before_the_most_recent_log_is_copied() -> Cluster:
-    """A follower has batches that its leader is about to truncate and to replace."""
+    """A follower has batches that its leader will truncate and replace."""
     cluster = cluster_led_by_m0(5)
     cluster.cut = cut("m2", "m3", "m4")
     for key in ("x", "y"):
@@ -142,7 +142,7 @@
     cluster.cut = cut("m3", "m4")
     cluster.lead("m1")
     cluster.deliver_intercepted(cluster.intercept("m0", Fetch))
-    cluster.settle_until(lambda: cluster.machine("m1").replica.last.fence == 3)  # m2's log, copied
+    cluster.settle_until(lambda: cluster.machine("m1").replica.last.fence == 3)  # copied m2's log
     cluster.cut = cut("m0", "m3", "m4")
     cluster.run(1.0)
     cluster.cut = cut("m1", "m2")
--- a/tests/violetroute/distribution/test_distribution_service.py
+++ b/tests/violetroute/distribution/test_distribution_service.py
@@ -310,7 +310,8 @@
         await wait_until(lambda: logged(caplog, "distribution.fresh"))
         await wait_until(lambda: logged(caplog, "distribution.stale"))
         assert not service.status().fresh and service.status().purges == 1
-        for _ in range(4):  # the held poll was sent too long ago: its answer makes nothing fresh
+        # The held poll was sent too long ago, so the proxy is not fresh after the answer to it.
+        for _ in range(4):
             control.reply(ok(commit=1))
         await wait_until(lambda: len(logged(caplog, "distribution.fresh")) == 2)
         service.close()
--- a/tests/violetroute/distribution/test_distribution_session_end.py
+++ b/tests/violetroute/distribution/test_distribution_session_end.py
@@ -54,7 +54,7 @@
     last = sub.end()
     assert last == msgspec.structs.replace(send.poll, ends_session=True)
     assert not sub.fresh(1.2) and sub.as_of is None
-    late = answer(2, raw(2), age_ms=0.0)  # to the poll that was in flight
+    late = answer(2, raw(2), age_ms=0.0)  # the answer to the poll that was in flight
     assert sub.replied(1.3, 1.2, send.address, late) == []
     assert not sub.fresh(1.3) and sub.position == 1
     assert sub.next(1.4) == WaitUntil(math.inf) and sub.next_at == math.inf and sub.tick(9.0) == []
@@ -69,10 +69,10 @@
 
 def test_an_ended_session_is_dropped_at_once_and_included_in_the_next_report() -> None:
     machine = answered_machine(3)
-    assert machine.poll(0.5, 3) == []  # is held
+    assert machine.poll(0.5, 3) == []  # the poll is held
     held, last = end(machine)
     assert (held.reply.status, last.reply.status) == (NOT_READY, NOT_READY)
-    assert last.reply.age_ms < 0 and held.reply.age_ms < 0  # no proxy becomes fresh by these
+    assert last.reply.age_ms < 0 and held.reply.age_ms < 0  # neither answer makes a proxy fresh
     assert len(machine.sessions) == 0 and machine.sessions.held == 0
     assert machine.sessions.next_at <= 1.0 + REPORT_S
     report = machine.report(1.0 + REPORT_S)
@@ -87,12 +87,13 @@
     assert machine.report(1.6).ended == (("p", "i1"),)
 
 
-def test_an_end_while_the_report_with_the_session_is_in_flight() -> None:
+def test_the_next_report_removes_a_session_that_ended_while_its_report_was_in_flight() -> None:
     machine = Machine(3)
     assert machine.poll(0.0, 3) == []
     report = machine.report(0.1)
     end(machine)
-    assert machine.sessions.replied(1.1, report, None) == []  # lost, but the leader may have got it
+    # Without a reply the report counts as lost, but the leader may have received it.
+    assert machine.sessions.replied(1.1, report, None) == []
     again = machine.report(1.3)
     assert again.sessions == () and (again.full or again.ended == (("p", "i1"),))
 
--- a/tests/violetroute/distribution/test_distribution_sessions.py
+++ b/tests/violetroute/distribution/test_distribution_sessions.py
@@ -312,10 +312,11 @@
 def test_old_batches_are_sent_at_the_catch_up_rate() -> None:
     machine = paced_machine(100)
     machine.poll(0.0)
-    assert len(reply_of(machine.register(0.1)).batches) == 5  # at most one second's bytes
+    assert len(reply_of(machine.register(0.1)).batches) == 5  # at most the bytes of one second
     machine.poll(0.2, position=5)
-    assert len(reply_of(machine.sessions.tick(0.5)).batches) == 2  # for 0.4 s
-    assert len(reply_of(machine.poll(1.1, position=7)).batches) == 3  # for 0.6 s: a late poll
+    assert len(reply_of(machine.sessions.tick(0.5)).batches) == 2  # the bytes of 0.4 s
+    # After a late poll, the bytes of 0.6 s.
+    assert len(reply_of(machine.poll(1.1, position=7)).batches) == 3
 
 
 def test_catch_up_is_paced_until_the_proxy_has_everything() -> None:
@@ -325,7 +326,8 @@
     assert len(reply_of(machine.register(0.1)).batches) == 5
     machine.poll(0.2, position=5)
     machine.commit(0.3, 40)
-    assert len(reply_of(machine.sessions.tick(0.5)).batches) == 2  # all of the first seven
+    # The rest of the first seven batches.
+    assert len(reply_of(machine.sessions.tick(0.5)).batches) == 2
     machine.poll(0.6, position=7)
     assert len(reply_of(machine.sessions.tick(0.9)).batches) == 2
     machine.poll(1.0, position=40)
@@ -334,9 +336,9 @@
 
 
 def test_pacing_ends_although_a_commit_advances_while_the_complete_answer_is_in_flight() -> None:
-    """With a commit every 0.1 s, each poll finds the commit beyond its position.
+    """With a commit every 0.1 s, the commit is beyond the position of each poll.
 
-    Pacing must end all the same, once the proxy has applied a complete answer.
+    Pacing must still end once the proxy has applied a complete answer.
     """
     machine = paced_machine(6)
     machine.poll(0.0)
@@ -389,13 +391,13 @@
 def test_after_a_partition_commits_count_as_old_until_the_age_is_known_again() -> None:
     machine = paced_machine(0)
     machine.poll(0.0)
-    machine.register(0.1)  # as of 0.05
-    machine.commit(10.0, 60)  # the log arrives in parts
+    machine.register(0.1)  # the age is known as of 0.05
+    machine.commit(10.0, 60)  # after the partition the log is copied in parts
     machine.commit(10.1, 100)
     machine.poll(10.1, position=0, name="q")
     assert len(reply_of(machine.register(10.2)).batches) == 5
     machine.poll(10.3, position=100, name="r")
-    machine.commit(10.4, 120)  # recent: the age was known as of 10.15
+    machine.commit(10.4, 120)  # counts as recent, since the age was known as of 10.15
     assert len(reply_of(machine.register(10.5)).batches) == 20
 
 
@@ -403,7 +405,7 @@
     """Reports may be late by up to `stale_after_s`: until then no proxy considers itself stale."""
     machine = paced_machine(0)
     machine.poll(0.0)
-    machine.register(0.1)  # as of 0.05
+    machine.register(0.1)  # the age is known as of 0.05
     machine.poll(0.2)
     machine.sessions.tick(0.6)
     assert len(reply_of(machine.commit(2.84, 100)).batches) == 100
--- a/tests/violetroute/distribution/test_distribution_storage.py
+++ b/tests/violetroute/distribution/test_distribution_storage.py
@@ -172,7 +172,7 @@
         whole = max(number for number, end in enumerate(ends) if end <= length)
         assert read_stored(path) == states[whole]
         assert segment.stat().st_size == ends[whole]  # the torn tail is truncated from the file
-    for length in range(ends[0]):  # headers are written atomically: a partial one is damage
+    for length in range(ends[0]):  # headers are written atomically, so a partial one is damage
         segment.write_bytes(data[:length])
         with pytest.raises(StorageError):
             Storage(path, "c0")
@@ -366,7 +366,7 @@
     assert len(read_stored(path).batches) == 10
 
 
-def test_after_a_failed_write_nothing_is_reported(
+def test_after_a_failed_write_no_later_write_is_reported_as_persisted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = make_folder(tmp_path / "c0")
--- a/tests/violetroute/distribution/test_distribution_subscriber.py
+++ b/tests/violetroute/distribution/test_distribution_subscriber.py
@@ -301,7 +301,7 @@
     assert polled_address(sub, 1.0) != first
 
 
-def test_it_returns_to_its_first_choice() -> None:
+def test_a_proxy_returns_to_its_preferred_machine() -> None:
     sub = subscriber()
     order = [control.address for control in preference("p1", "r0", CONTROLS)]
     now, second = poll_until_answered(sub, 1.0, {order[1]})
@@ -313,7 +313,7 @@
     assert polled_address(sub, now) == order[0]
 
 
-def test_after_a_failed_trial_it_stays_and_the_next_trial_comes_later() -> None:
+def test_after_a_failed_trial_the_proxy_keeps_its_machine_and_tries_later() -> None:
     sub = subscriber()
     order = [control.address for control in preference("p1", "r0", CONTROLS)]
     now, _ = poll_until_answered(sub, 1.0, {order[1]})
--- a/tests/violetroute/distribution/test_distribution_unauthenticated.py
+++ b/tests/violetroute/distribution/test_distribution_unauthenticated.py
@@ -79,7 +79,7 @@
                 assert await post(newest) == (b"cba", "")
                 assert await read_to_end(reader) == b""  # this one was evicted, no later one
                 writer.close()
-            reader, writer = await connect(server)  # all others are authenticated: rejected
+            reader, writer = await connect(server)  # rejected, since all others are authenticated
             assert await read_to_end(reader) == b""
             writer.close()
             assert await post(first) == (b"cba", "") and first.traffic.failures == 0
