--- a/tests/violetroute/sharing/test_sharing.py
+++ b/tests/violetroute/sharing/test_sharing.py
@@ -124,7 +124,7 @@
     assert "kind" in str(wrong.value) and "\n" not in str(wrong.value)
 
 
-def test_the_checker_finds_a_second_over_budget() -> None:
+def test_the_checker_finds_a_second_in_which_the_budget_is_exceeded() -> None:
     few = Plan(0, 1.0, 2, 10.0)
     at_once = Observed([Admission(100.0 + n / 100.0, "p0") for n in range(20)])
     spread = Observed([Admission(100.0 + n / 10.0, "p0") for n in range(200)])
@@ -154,10 +154,10 @@
         borrower.spend(2.05 + n / 200.0)
     (ask,) = (a for a in borrower.tick(3.1, ["lender"]) if isinstance(a, RequestLoan))
     amount = lender.grant(3.1, "borrower/1", ask.number, ask.amount)
-    assert amount == 9_500  # all but the floor
+    assert amount == 9_500  # the home part of 10,000 less the floor
     assert borrower.accept_grant(3.1, "lender", ask.number, amount) is None
     assert lender.loans.authority(3.1) == 500 and borrower.loans.authority(3.1) == 19_500
-    # The lender waits longer, since the borrower's clock may be slow.
+    # The loan ends later at the lender, since the borrower's clock may be slow.
     assert borrower.loans.authority(4.01) == 10_000
     assert lender.loans.authority(4.05) == 500 and lender.loans.authority(4.11) == 10_000
 
@@ -171,14 +171,16 @@
     assert fair_share(0, [5]) == 0 and home_part(100.0, 7) == 14_285
 
 
-def test_a_lender_in_need_regains_its_part_when_the_loan_expires() -> None:
+def test_a_lender_with_own_demand_regains_its_part_when_the_loan_expires() -> None:
     lender = budget()
     number, at = 0, 2.0
-    while at < 3.0:  # without own demand it grants every renewal
+    while at < 3.0:  # the lender has no demand, so it grants every renewal
         number += 1
         assert lender.grant(at, "a/1", number, 9_500) == 9_500
         at += 0.25
-    while at < 6.0:  # its demand takes all it has; the borrower still requests
+    while (
+        at < 6.0
+    ):  # the lender's demand needs its whole part; the borrower still requests renewals
         number += 1
         for step in range(5):
             lender.spend(at + step / 20.0)
@@ -191,14 +193,14 @@
 def test_a_suspended_lender_renews_no_loan() -> None:
     lender = budget()
     assert lender.grant(2.0, "a/1", 1, 5_000) == 5_000
-    lender.set_suspended(True, 2.2)  # another process has the home part from now on
+    lender.set_suspended(True, 2.2)  # from now on another process has the home part
     assert lender.grant(2.5, "a/1", 2, 5_000) == 0
     assert lender.loans.lent_total(3.1) == 0
 
 
 def test_lending_continues_with_an_unbounded_number_of_borrowers() -> None:
     lender, at = budget(), 2.0
-    for life in range(MAX_BORROWERS + 10):  # a platform may assign a new name at each start
+    for life in range(MAX_BORROWERS + 10):  # a platform may give a proxy a new name at each start
         at += 2.0
         assert lender.grant(at, f"p/{life}", 1, 1_000) == 1_000
         lender.record_spare(at, f"p{life}", 500)
@@ -534,13 +536,13 @@
         for n in range(false_reporters)
     }
     assert with_reports(reports).unhealthy_nodes(1.0) == []
-    # False reports do not hide the trouble that the others see either.
+    # False reports do not hide the trouble that the other members report either.
     reports = {f"m{n}": health_of(4) for n in range(witnesses - false_reporters)}
     reports |= {f"false{n}": {4: (1e6, 0.0)} for n in range(false_reporters)}
     assert with_reports(reports).unhealthy_nodes(1.0) == [4]
 
 
-def test_own_evidence_the_own_zone_and_a_node_restart_take_precedence() -> None:
+def test_own_outcomes_the_own_zone_and_a_node_restart_override_reports() -> None:
     bad = {f"m{n}": health_of(3) for n in range(4)}
     own = with_reports(bad)
     for _ in range(5):
@@ -555,7 +557,7 @@
     restarted.add_node(3, 9.0)
     assert restarted.unhealthy_nodes(1.0) == []
     for member in bad:
-        # Of the previous start.
+        # A report about the previous start of the node does not count.
         restarted.merge_report(1.0, member, "a", HealthReport(3, 5, 0.0, 9.0), 0.0)
     assert restarted.unhealthy_nodes(1.0) == []
     for member in bad:
@@ -600,7 +602,7 @@
     hitters.add(0.0, 7)
     hitters.merge_report(0.0, "m", HeavyHitterReport("key", [9], [50.0], [0.0]), 0.0)
     hitters.merge_report(0.0, "n", HeavyHitterReport("key", [8], [40.0], [0.0]), 0.0)
-    # Invalid: the lengths differ.
+    # This report is invalid, since its lists differ in length.
     hitters.merge_report(0.0, "o", HeavyHitterReport("key", [8, 9], [40.0], [0.0]), 0.0)
     assert [key for key, _, _ in hitters.fleet_summary(0.0).top()] == [9, 8, 7]
     hitters.forget_member("n")
--- a/tests/violetroute/sharing/test_sharing_anti_entropy.py
+++ b/tests/violetroute/sharing/test_sharing_anti_entropy.py
@@ -97,7 +97,7 @@
     assert not early
 
 
-def test_members_that_disagree_on_a_death_converge_without_a_revival() -> None:
+def test_members_that_disagree_on_a_dead_member_converge_without_reviving_it() -> None:
     net = MemberNetwork()
     net.start_connected(10)
     del net.members["p9"]
--- a/tests/violetroute/sharing/test_sharing_anti_entropy_bytes.py
+++ b/tests/violetroute/sharing/test_sharing_anti_entropy_bytes.py
@@ -115,7 +115,7 @@
         for step in range(2000)
         for answer in of_kind(receive_from_p0(one, step / 1000.0, Compare(step, 200, 1)), Digests)
     ]
-    assert len(answers) == 2000  # without an answer it would look like an older build
+    assert len(answers) == 2000  # a member that does not answer would be taken for an older build
     full = sum(len(item.digests) > 0 for item in answers if isinstance(item, Digests))
     each = 4 * bucket_count(FLEET) + DATAGRAM_BYTES
     assert 1 <= full <= SENT_BYTES_S * (2.0 + BURST_S) / each + 1
--- a/tests/violetroute/sharing/test_sharing_anti_entropy_messages.py
+++ b/tests/violetroute/sharing/test_sharing_anti_entropy_messages.py
@@ -78,7 +78,7 @@
     assert answer == BucketMembers(1, 1, 0, [], b"")
 
 
-def test_a_large_list_is_not_divided_into_few_buckets() -> None:
+def test_a_comparison_with_few_buckets_of_a_large_list_is_rejected() -> None:
     one = member(*(f"p{number}" for number in range(600)))  # 64 buckets
     assert not receive_from_p0(one, 1.0, BucketRequest(1, 4, 0))
     assert receive_from_p0(one, 1.0, BucketRequest(1, 8, 0))
@@ -95,7 +95,8 @@
     (request,) = compare_with_p0(one, 1.0)
     wanted = pack_short([member_hash("me", "x", 1)])
     answer = BucketMembers(request.number, 1, 0, entries("p1"), wanted)
-    # From before a restart, or of another bucket count: merged, but no request follows.
+    # Answers from before a restart, or with another bucket count, are merged, but no request
+    # follows.
     for other in (
         BucketMembers(request.number - 1, 1, 0, entries("p2"), wanted),
         BucketMembers(request.number, 2, 0, entries("p3"), wanted),
@@ -138,10 +139,10 @@
     assert one._anti_entropy._backoff == BACKOFF_S
 
 
-def test_the_next_comparison_is_soon_after_differences_and_regular_after_equal_lists() -> None:
+def test_the_next_comparison_comes_soon_after_differences_and_else_after_its_interval() -> None:
     for has_new_members in (True, False):
         one, now = member("p0"), 1.0
-        for _ in range(6):  # no differences: the interval has doubled
+        for _ in range(6):  # the lists do not differ, so the interval doubles
             (request,) = compare_with_p0(one, now)
             receive_from_p0(one, now, BucketMembers(request.number, 1, 0, []))
             now = one._anti_entropy.compare_at
@@ -230,7 +231,8 @@
     one._anti_entropy.compare_at = 1e9
     assert len(one._anti_entropy.greeting(1.0)) == 1
     assert one._anti_entropy.greeting(1.0) == ()
-    one.tick(1.1 + ANSWER_TIMEOUT_S)  # no answer: no conclusion about a member there
+    # Without an answer, nothing follows about the member at that address.
+    one.tick(1.1 + ANSWER_TIMEOUT_S)
     assert one._anti_entropy._unanswered == 0
     compare_with_p0(one, 3.0)
     assert one._anti_entropy.greeting(3.0) == ()
@@ -274,7 +276,7 @@
     assert [rumor.name for rumor in one.rumors()] == ["p3"]
 
 
-def test_a_leaving_or_suspended_member_digests_itself_as_others_list_it() -> None:
+def test_the_digest_of_a_leaving_or_suspended_member_equals_that_of_the_others() -> None:
     one = member("p0")
     both = one._list.digests.whole
     assert both == member_hash("me", "x", 1) ^ member_hash("p0", "x", 1)
--- a/tests/violetroute/sharing/test_sharing_digest.py
+++ b/tests/violetroute/sharing/test_sharing_digest.py
@@ -123,7 +123,7 @@
     pace.spend(0.0, 700.0)
     assert not pace.allows(4.9) and pace.allows(5.1)
     pace.spend(1000.0, 199.0)
-    assert pace.allows(1000.0)  # at most the burst was saved up
+    assert pace.allows(1000.0)  # not more than the burst was saved up
     pace.spend(1000.0, 2.0)
     assert not pace.allows(1000.0)
 
--- a/tests/violetroute/sharing/test_sharing_late.py
+++ b/tests/violetroute/sharing/test_sharing_late.py
@@ -78,7 +78,7 @@
     assert not is_late(1.9 * TICK_S, 0.05)  # with a short period, jitter of a tick is not late
 
 
-def test_a_late_tick_fails_no_probe_and_an_unread_ack_counts() -> None:
+def test_no_probe_fails_by_a_late_tick_and_an_unread_ack_counts() -> None:
     one = Observer()
     number = one.until_probed()
     one.tick(STOPPED_S)
@@ -97,7 +97,7 @@
     helped = [item for out in one.tick() for item in out.items if isinstance(item, PingRequest)]
     assert [item.target for item in helped] == ["p1"]
     assert one.state() == "a"
-    one.tick(STOPPED_S)  # late again: no second postponement
+    one.tick(STOPPED_S)  # the tick is late again, but the probe is not postponed twice
     assert one.state() == "s"
 
 
@@ -152,7 +152,9 @@
 
 
 @pytest.mark.parametrize("every", [0.1, 0.5, 1.0, 4.0, 10.0])
-def test_a_member_that_is_always_late_finds_a_death_within_the_stated_bound(every: float) -> None:
+def test_a_member_that_is_always_late_finds_a_dead_one_within_the_stated_bound(
+    every: float,
+) -> None:
     """The bound is stated in docs/design/fleet-sharing.md."""
     slowest = (1 + MAX_HEALTH) * PERIOD
     # Delays of the end of the probe and of the end of the suspicion.
--- a/tests/violetroute/sharing/test_sharing_node_memory.py
+++ b/tests/violetroute/sharing/test_sharing_node_memory.py
@@ -37,7 +37,7 @@
 
 
 def many_members() -> Iterator[ReceivedReport]:
-    """As at target size: datagrams about 24 nodes, each of another member, all with trouble."""
+    """As at target size: each datagram is of another member and about 24 nodes with trouble."""
     rng = random.Random(1)
     for datagram in range(2_000):
         member = f"proxy-{rng.randrange(2_600)}"
@@ -55,7 +55,7 @@
 
 
 def measure(patterns: Iterator[ReceivedReport]) -> tuple[float, int]:
-    """Bytes taken, and number of kept reports."""
+    """The bytes that the reports take, and the number of kept reports."""
     node_health = NodeHealth("a")
     for node in range(NODES):
         node_health.add_node(node, 1.0)
@@ -88,7 +88,7 @@
 
 
 def test_rounds_without_trouble_drop_expired_reports_in_bounded_steps() -> None:
-    """Few nodes with many reports each, which all expire at one time."""
+    """A few nodes have many reports each, which all expire at the same time."""
     costs = []
     for members in (300, 1_200):
         node_health = NodeHealth("a")
@@ -110,7 +110,7 @@
 
 
 def test_in_trouble_no_expired_report_is_kept() -> None:
-    """Reports of any weight, so that later ones often expire first."""
+    """The reports have random weights, so that later ones often expire first."""
     rng, node_health, now = random.Random(1), NodeHealth("a"), 100.0
     for node in range(6):
         node_health.add_node(node, 1.0)
--- a/tests/violetroute/sharing/test_sharing_reports.py
+++ b/tests/violetroute/sharing/test_sharing_reports.py
@@ -24,7 +24,7 @@
 ENVELOPE = 160  # bytes
 BAD_REQUEST: LoadSample = (True, 1.0, 20.0, 300.0, False)
 UP = [f"m{number}" for number in range(2600)]
-# Bytes/s: all control traffic less distribution and membership.
+# Bytes/s for reports: the rate of all control traffic less that of distribution and membership.
 TARGET_RATE = 7000.0 - 3900.0 - 2250.0
 
 
@@ -63,7 +63,7 @@
     assert 0.5 * rate * 60.0 < sent <= rate * 60.0 + burst
 
 
-def test_no_kind_of_report_and_no_bad_node_starves() -> None:
+def test_each_kind_of_report_and_each_bad_node_is_reported_within_the_budget() -> None:
     budget = ReportBudget(600.0, ENVELOPE, 0.0)
     items = all_items(reports(Rounds("a", True, 0.0, random.Random(1), budget), 120, bad=120))
     assert {LoadReport, HealthReport, HeavyHitterReport} == {type(item) for item in items}
@@ -72,7 +72,7 @@
     )
 
 
-def test_a_report_of_many_unhealthy_nodes_does_not_look_isolated() -> None:
+def test_a_member_that_reports_many_unhealthy_nodes_does_not_count_as_isolated() -> None:
     found = reports(Rounds("a", True, 0.0, random.Random(1), None), 10, bad=120)
     items = [item for item in found[-2].items if isinstance(item, HealthReport)]
     assert sum(report.bad > report.good for report in items) == len(items) // 2 > 0
--- a/tests/violetroute/sharing/test_sharing_talk.py
+++ b/tests/violetroute/sharing/test_sharing_talk.py
@@ -172,17 +172,17 @@
     one.sharing.update_nodes([Member(5, CacheState.READY, started_at=1.0)])
     node = one.sharing.rounds.node_health._nodes[5]  # type: ignore[union-attr]
     one.deliver(HealthReport(5, 1, 0.0, 3.0), at=WALL + one.kernel.now - 6.0)  # too old
-    # Or from a wrong clock.
+    # The sender's clock is wrong by 600 s.
     one.deliver(HealthReport(5, 1, 0.0, 3.0), at=WALL + one.kernel.now + 600.0)
     assert not node.rows
-    one.run(3.0)  # its ack confirms the highest number received
+    one.run(3.0)  # an ack to p1 confirms the highest number received
     heard = next(e.number for e in one.sent if e.to == "p1")
     one.deliver(HealthReport(5, 1, 0.0, 3.0), heard=heard, at=0.0)
     assert list(node.rows) == ["p1"]
     one.run(6.0)
     node.rows.clear()
     one.deliver(HealthReport(5, 1, 0.0, 3.0), heard=heard, at=WALL + one.kernel.now)
-    assert not node.rows  # delayed by the network, as the own clock shows
+    assert not node.rows  # by this member's clock, the network has delayed the report
 
 
 def test_datagrams_received_per_member_and_sent_are_rate_limited() -> None:
@@ -275,12 +275,12 @@
     assert reports.end_round(21.0, (), 1.0) == []
 
 
-def test_a_round_reaches_few_normally_many_in_trouble_and_none_beside_a_duplicate() -> None:
+def test_reports_go_to_few_members_to_many_in_trouble_and_to_none_beside_a_duplicate() -> None:
     up = [f"m{number}" for number in range(100)]
     rounds = Rounds("a", True, 0.0, random.Random(1))
     rounds.update_nodes([Member(5, CacheState.READY, started_at=1.0)])
     rounds.record_attempt(1.0, 5, Result.OK)
-    rounds.record_attempt(1.0, 5, Result.FULL)  # caused by load, not by the node
+    rounds.record_attempt(1.0, 5, Result.FULL)  # load is the cause, so it is not bad for the node
     calm = rounds.run_round(1.0, up, [], {}, False)
     assert len(calm.to) == CALM_FANOUT and HealthReport(5, 1, 1.0, 0.0) in calm.items
     rounds.record_attempt(1.5, 5, Result.LATE)
@@ -300,7 +300,8 @@
     )
     assert not first.outcomes
     rounds.forget_member("m1")
-    assert rounds.run_round(4.3, up, [], {}, False).unhealthy == []  # two witnesses are left
+    # Only two witnesses are left.
+    assert rounds.run_round(4.3, up, [], {}, False).unhealthy == []
 
 
 def test_an_unhealthy_estimate_ends_with_the_trouble_and_the_proxy_is_notified() -> None:
--- a/tests/violetroute/sharing/test_sharing_up_names_cost.py
+++ b/tests/violetroute/sharing/test_sharing_up_names_cost.py
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_a_death_and_a_return_cost_no_work_per_other_member(size: int) -> None:
+def test_a_member_that_dies_or_returns_costs_no_work_per_other_member(size: int) -> None:
     draw = random.Random(size)
     names, members = filled(size, draw)
     names.names(), names.after("", 12)
