--- a/tests/limebridge/experiments/test_experiments.py
+++ b/tests/limebridge/experiments/test_experiments.py
@@ -447,7 +447,7 @@
     assert found_cells.mean("worst") is None  # the commit has no such measure
 
 
-def test_command_line(tmp_path: Path) -> None:
+def test_the_command_line_runs_shows_and_compares_experiments(tmp_path: Path) -> None:
     load_text(tmp_path, EXPERIMENT.replace("seeds = 2", "seeds = 4"))
     files = [str(tmp_path / "sweep.toml"), "--store", str(tmp_path / "s.sqlite")]
     use = CliRunner()
--- a/tests/limebridge/ledger/test_ledger_tools.py
+++ b/tests/limebridge/ledger/test_ledger_tools.py
@@ -231,7 +231,7 @@
     assert "KeyError" in run(*arguments)[1]
 
 
-def test_sketch_and_differ_commands(tmp_path: Path) -> None:
+def test_the_sketch_and_differ_commands_find_the_differences(tmp_path: Path) -> None:
     for name, data in (("a", random_ids(2000)), ("b", random_ids(2000)[5:])):
         (tmp_path / f"ids-{name}").write_bytes(data.astype("<u8").tobytes())
         assert (
--- a/tests/limebridge/rehearsal/test_rehearsal.py
+++ b/tests/limebridge/rehearsal/test_rehearsal.py
@@ -404,7 +404,7 @@
     assert meter.total_cpu_s == pytest.approx(0.05 + 0.05 + 0.03) and meter.turns == 3
 
 
-def test_command_line(tmp_path: Path) -> None:
+def test_the_command_line_lists_explains_and_creates_scenarios(tmp_path: Path) -> None:
     run = CliRunner().invoke
     assert "three-sites" in run(app, ["rehearse", "--list"]).output
     assert "46 nodes" in run(app, ["rehearse", "monday", "--explain"]).output
--- a/tests/limebridge/scale/test_scale_capacity.py
+++ b/tests/limebridge/scale/test_scale_capacity.py
@@ -85,7 +85,7 @@
 )
 
 
-def test_a_need_is_the_line_at_the_target_size_and_over_budget_if_larger() -> None:
+def test_a_need_is_the_fitted_line_at_the_target_size_compared_with_the_budget() -> None:
     [need] = compute_needs([row("a", "x", 1000.0)], TARGET, slopes_of(cost("x", 100.0, 0.5)))
     assert need.need == 100.0 + 0.5 * TARGET.proxies and need.sources == ("x",)
     assert need.ratio == need.need / 1000.0 and need.over_budget
@@ -101,7 +101,7 @@
         Figures(TARGET, slopes_of()).quoted("x")
 
 
-def test_edited_figures_and_other_slopes_are_found() -> None:
+def test_edited_figures_and_figures_of_other_slopes_are_reported() -> None:
     slopes = slopes_of(cost("x", 100.0, 0.5))
     needs = compute_needs([row("a", "x", 5000.0)], TARGET, slopes)
     page = fill_tables(PAGE, render_tables(needs, slopes))
@@ -170,7 +170,7 @@
     assert shown == ["0", "0.00123", "1.00", "10.0", "123", "1,230,000"]
 
 
-def test_the_command_writes_and_checks(tmp_path: Path) -> None:
+def test_the_command_writes_and_checks_the_page(tmp_path: Path) -> None:
     file, page = tmp_path / "slopes.json", tmp_path / "CAPACITY.md"
     save_slopes(slopes_of(cost("gossip.bytes_per_s", 100.0, 0.5)), file)
     page.write_text(PAGE)
--- a/tests/snowstall/test_mechanism.py
+++ b/tests/snowstall/test_mechanism.py
@@ -44,8 +44,8 @@
     assert table.estimate(1)[0] < 5 < 95 < table.estimate(2)[0] <= 100.0
 
 
-def test_one_occurrence_makes_no_head_key() -> None:
-    # Among few requests one occurrence has a share far above theta, but that can be chance.
+def test_a_key_with_one_occurrence_is_no_head_key() -> None:
+    # Among a few requests the share of one occurrence is far above theta, which can be chance.
     table = SpaceSaving(64)
     for key in range(20):
         table.add(key, 1.0)
--- a/tests/snowstall/test_overload.py
+++ b/tests/snowstall/test_overload.py
@@ -175,7 +175,7 @@
     assert ejected_count <= 5  # some caches are never ejected, however they fail
 
 
-def test_a_pause_of_this_process_stalls_no_cache() -> None:
+def test_no_cache_counts_as_stalled_after_a_pause_of_this_process() -> None:
     driver = Driver()
     used = {driver.send()[1] for _ in range(60)}
     assert used == set(range(6))
--- a/tests/snowstall/test_rules.py
+++ b/tests/snowstall/test_rules.py
@@ -550,12 +550,12 @@
     return sent
 
 
-def test_dropped_requests_shed_only_if_other_answers_are_late() -> None:
+def test_dropped_requests_cause_load_shedding_only_if_other_answers_are_late() -> None:
     assert sends_of_200(30.0) == 200
     assert sends_of_200(330.0) < 150, "late and dropped requests together are an overload"
 
 
-def test_an_error_of_the_last_cache_after_it_was_unlisted() -> None:
+def test_an_error_of_the_last_cache_after_its_removal_is_a_refusal() -> None:
     balancer = balancer_with([Member(1)])
     for number in range(20):
         balancer.on_request(1.0, Request(number, "read", 400.0, key=number))
--- a/tests/violetroute/clients/test_clients.py
+++ b/tests/violetroute/clients/test_clients.py
@@ -326,8 +326,8 @@
 
 
 def test_idle_connections_above_their_share_are_closed() -> None:
-    # Guards against a fault: a client with a limit of its own had no connection left, since idle
-    # ones used up its limit; the proxy kept them because it had free slots.
+    # Guards against a fault: a client with a connection limit of its own had no connection left,
+    # since all of them were idle, although the proxy had free slots.
     async def part(rig: Rig, node: CacheNode) -> None:
         stay = []
         for number in range(rig.config.client_sockets // 2):
--- a/tests/violetroute/distribution/test_distribution_storage.py
+++ b/tests/violetroute/distribution/test_distribution_storage.py
@@ -366,7 +366,7 @@
     assert len(read_stored(path).batches) == 10
 
 
-def test_after_a_failed_write_no_later_write_is_reported_as_persisted(
+def test_after_a_failed_write_no_write_is_reported_as_persisted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = make_folder(tmp_path / "c0")
--- a/tests/violetroute/fleet/test_fleet.py
+++ b/tests/violetroute/fleet/test_fleet.py
@@ -440,7 +440,7 @@
         answer, _ = await call(lambda callback: a.renew([("w", answer.lease.fence)], callback))
         assert not answer["w"].accepted
         answer, _ = await call(lambda callback: a.acquire(Acquire("w", 3, 3, None), callback))
-        assert answer.accepted and answer.lease.fence == 4  # above the floor
+        assert answer.accepted and answer.lease.fence == 4  # the fence is above the floor
         a.close()
         await consul.stop()
 
@@ -572,7 +572,8 @@
         one = fleet(tmp_path, "one", effects.port)
         await until(lambda: len(one.owned()) == 2 and len(effects.applied) > 4)
         two = fleet(tmp_path, "two", effects.port)
-        await until(lambda: len(one.owned()) == 1 and len(two.owned()) == 1)  # transferred
+        # One work is transferred.
+        await until(lambda: len(one.owned()) == 1 and len(two.owned()) == 1)
         await one.close()
         await until(lambda: len(two.owned()) == 2)
         seen = len(effects.applied)
--- a/tests/violetroute/ledger/test_ledger.py
+++ b/tests/violetroute/ledger/test_ledger.py
@@ -297,7 +297,7 @@
 
 
 # --- counters ---
-def test_a_flood_of_tenants_takes_half_of_the_places_and_the_sum_is_right() -> None:
+def test_a_flood_of_tenants_gets_half_of_the_places_and_no_unit_is_lost() -> None:
     counters = UsageCounters(10)
     for number in range(4):
         counters.add(300, f"regular{number}", "c", b"")
--- a/tests/violetroute/membership/test_sources.py
+++ b/tests/violetroute/membership/test_sources.py
@@ -494,7 +494,7 @@
     return [(member.id, member.state) for member in change.members]
 
 
-def test_of_two_nodes_at_an_address_the_later_started_has_it() -> None:
+def test_of_two_nodes_at_an_address_the_one_that_started_later_is_kept() -> None:
     places = NodeAddresses()
     assert places.apply(Member(1, started_at=5.0), HERE).placed
     early = places.apply(Member(2, started_at=4.0), HERE)
@@ -505,7 +505,9 @@
 
 
 @pytest.mark.parametrize("started", [0.0, 4.0, 5.0])
-def test_an_earlier_started_entry_for_a_draining_nodes_address_is_gone(started: float) -> None:
+def test_an_entry_started_before_a_draining_node_at_its_address_is_gone(
+    started: float,
+) -> None:
     places = NodeAddresses()
     drains = places.apply(Member(1, DRAINING, started_at=5.0), HERE)
     assert not drains.placed and 1 in drains.removed
--- a/tests/violetroute/placement/test_placement.py
+++ b/tests/violetroute/placement/test_placement.py
@@ -39,7 +39,7 @@
 
 
 @given(SIZES, SIZES, st.floats(0.01, 0.5))
-def test_a_step_moves_no_more_than_the_rate_and_stays_between(
+def test_a_step_moves_no_more_than_the_rate_and_stays_between_both_plans(
     before: Sizes, target: Sizes, rate: float
 ) -> None:
     ramp = Ramp(rate)
--- a/tests/violetroute/resp/test_resp.py
+++ b/tests/violetroute/resp/test_resp.py
@@ -77,7 +77,7 @@
 @example([([b"OBJ.GET", b"k", b"i", b"c=x,d=5"], b"")], b"", [])
 @example([([b"OBJ.SET", b"k", b"i", b"c=x,d=5", b"v\r\nw"], b"")], b"*", [30])
 @example([([b"OBJ.GET", b"k", b"i", b"c=x,d=5"], b"0")], b"", [])
-def test_fast_commands_equal_the_token_decoder(
+def test_commands_of_the_fast_path_equal_those_of_the_token_decoder(
     sent: list[tuple[list[bytes], bytes]], tail: bytes, cuts: list[int]
 ) -> None:
     data = b"".join(encoded(words, odd) for words, odd in sent) + tail
@@ -102,7 +102,7 @@
     st.integers(0, 60),
 )
 @example(b"value", b"hit", None, 60)
-def test_fast_replies_equal_the_token_decoder(
+def test_replies_of_the_fast_path_equal_those_of_the_token_decoder(
     value: bytes, outcome: bytes, report: bytes | None, cut: int
 ) -> None:
     data = (
--- a/tests/violetroute/sharing/test_sharing_talk.py
+++ b/tests/violetroute/sharing/test_sharing_talk.py
@@ -175,7 +175,7 @@
     # The sender's clock is wrong by 600 s.
     one.deliver(HealthReport(5, 1, 0.0, 3.0), at=WALL + one.kernel.now + 600.0)
     assert not node.rows
-    one.run(3.0)  # an ack to p1 confirms the highest number received
+    one.run(3.0)  # sends datagrams to p1, whose later reports confirm the number of the first one
     heard = next(e.number for e in one.sent if e.to == "p1")
     one.deliver(HealthReport(5, 1, 0.0, 3.0), heard=heard, at=0.0)
     assert list(node.rows) == ["p1"]
