--- a/tests/limebridge/experiments/test_experiments.py
+++ b/tests/limebridge/experiments/test_experiments.py
@@ -392,9 +392,8 @@
     wrong = sum(
         statistics.studentized(rng.normal(0.0, 1.0, 6), 0.05, n)[2] <= 0.05 for n in range(1000)
     )
-    assert (
-        wrong <= 70
-    )  # 50 are expected; 20 is three standard deviations of the binomial distribution
+    # 50 are expected; 20 is three standard deviations of the binomial distribution.
+    assert wrong <= 70
 
 
 @given(st.lists(st.floats(0.0, 1.0), min_size=1, max_size=20))
--- a/tests/support/distribution_checks.py
+++ b/tests/support/distribution_checks.py
@@ -25,7 +25,7 @@
 
 
 class RuleViolated(AssertionError):
-    """A rule is violated; the message says which and how."""
+    """A rule is violated; the message names the rule and the violation."""
 
 
 def batches_of(replica: Replica) -> list[Batch]:
--- a/tests/support/member_network.py
+++ b/tests/support/member_network.py
@@ -82,7 +82,7 @@
                     self._send(member, member.tick(self.now))
 
     def run_until_known(self, name: str, count: int, limit_s: float) -> float:
-        """Run until a member knows `count` members; seconds that it took, at most `limit_s`."""
+        """Run until a member knows `count` members, for at most `limit_s`; returns the seconds."""
         started_at = self.now
         while self.members[name].size < count and self.now - started_at < limit_s:
             self.run(TICK_S)
--- a/tests/violetroute/fleet/test_fleet_guards.py
+++ b/tests/violetroute/fleet/test_fleet_guards.py
@@ -88,9 +88,8 @@
     for number in range(5):
         (tmp_path / "alive" / f"Not A Mark {number}").write_bytes(b"x")
     held = [store(tmp_path, IncarnationId("c", f"c{number}")) for number in range(5)]
-    assert (
-        "zz-a" not in b.poll().dead
-    )  # its process runs, but its file is beyond those that are read
+    # The process of zz-a runs, but its file is beyond those that are read.
+    assert "zz-a" not in b.poll().dead
     a._release_lock()
     assert "zz-a" in b.poll().dead
     for each in held:
--- a/tests/violetroute/membership/test_consul.py
+++ b/tests/violetroute/membership/test_consul.py
@@ -346,7 +346,7 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_the_reported_entries_are_those_of_all_lists_together(seed: int) -> None:
-    """Merging lists is deferred; however many are pending, the entries are as if merged at once."""
+    """Merging is deferred, but the entries always equal those of all lists merged at once."""
     rng, names_map, expected = random.Random(seed), NodeNames(), dict[str, Entry]()
     for generation in range(40):
         entries = tuple(
@@ -644,9 +644,8 @@
 
 def test_the_rate_of_requests_is_limited() -> None:
     async def part(setting: Setting) -> None:
-        setting.agent.headers = {
-            "X-Consul-Index": "0"
-        }  # never blocks: each request returns at once
+        # With index 0 a request does not block, so each returns at once.
+        setting.agent.headers = {"X-Consul-Index": "0"}
         setting.catalogue.raise_index()
         await setting.next_requests()
         loop = asyncio.get_running_loop()
--- a/tests/violetroute/membership/test_sources.py
+++ b/tests/violetroute/membership/test_sources.py
@@ -404,9 +404,8 @@
             await wait_until(lambda: current_source() == "file")
             write(1)
             await wait_until(lambda: used() == {"s-0", "s-2"})
-            path.write_text(
-                "{"
-            )  # a partial write: the last list is kept, and the file is read again
+            # After a partial write the last list is kept, and the file is read again.
+            path.write_text("{")
             await wait_until(lambda: rig.proxy._watch._watch._running.get("file", 1))  # type: ignore[attr-defined]
             write()
             await wait_until(lambda: used() == {"s-0", "s-1", "s-2"})
--- a/tests/violetroute/resp/test_resp.py
+++ b/tests/violetroute/resp/test_resp.py
@@ -30,7 +30,7 @@
 
 
 def commands(data: bytes, cuts: list[int], fast: bool) -> tuple[list[list[bytes]], bool]:
-    """The arguments of all commands, and whether the framing broke; the data is fed in pieces."""
+    """Feed the data in pieces; returns the arguments of all commands, and if the framing broke."""
     decoder, found, args, body, missing = resp.Decoder(), [], [], b"", 0
     places = sorted({min(cut, len(data)) for cut in cuts} | {0, len(data)})
     pieces = [data[a:b] for a, b in itertools.pairwise(places)]
--- a/tests/violetroute/sharing/test_sharing.py
+++ b/tests/violetroute/sharing/test_sharing.py
@@ -178,9 +178,7 @@
         number += 1
         assert lender.grant(at, "a/1", number, 9_500) == 9_500
         at += 0.25
-    while (
-        at < 6.0
-    ):  # the lender's demand needs its whole part; the borrower still requests renewals
+    while at < 6.0:  # the lender needs its whole part; the borrower still requests renewals
         number += 1
         for step in range(5):
             lender.spend(at + step / 20.0)
--- a/tests/violetroute/sharing/test_sharing_anti_entropy.py
+++ b/tests/violetroute/sharing/test_sharing_anti_entropy.py
@@ -20,7 +20,7 @@
 )
 
 FLEET = 300
-JOIN_S = 15.0  # time until a new member of FLEET members knows all, with loss
+JOIN_S = 15.0  # time until a new member of FLEET members knows all, with datagram loss
 RETURN_S = 20.0  # time from the last restart of a whole fleet until all know all
 
 
--- a/tests/violetroute/upstream/test_pool.py
+++ b/tests/violetroute/upstream/test_pool.py
@@ -176,7 +176,7 @@
     world, age = World(), 0.005
 
     def reused() -> bool:
-        """Send a request at this idle time; whether it reused the connection, which then breaks."""
+        """Whether a request after this idle time reuses the connection, which then breaks."""
         world.served(1)
         handler, stream = world.streams[-1]
         world.advance(age)
