--- a/tests/violetroute/placement/test_placement.py
+++ b/tests/violetroute/placement/test_placement.py
@@ -276,21 +276,21 @@
 
             async def spread(first: int) -> list[int]:
                 before = [len(node.commands) for node in nodes]
-                for number in range(first, first + 60):
+                for number in range(first, first + 300):
                     await rig.request(get(number, b"key%d" % number))
                 return [
                     len(node.commands) - count for node, count in zip(nodes, before, strict=True)
                 ]
 
             await rig.wait_for_watch()
-            assert min(await spread(0)) > 5
+            assert min(await spread(0)) > 25
             reload({"s-0": 0.0, "s-1": 1.0, "s-2": 0.0}, moved_per_s=1.0)
             await asyncio.wait_for(wait_for_sizes(rig, {"s-0": 0.0, "s-1": 1.0, "s-2": 0.0}), 20)
-            assert await spread(100) == [0, 60, 0]
+            assert await spread(300) == [0, 300, 0]
             reload(None, moved_per_s=1.0)
             await asyncio.wait_for(wait_for_sizes(rig, {}), 20)
             # s-1 is not checked, since its recent requests still count as load.
-            assert min((await spread(200))[::2]) > 5
+            assert min((await spread(600))[::2]) > 25
 
     async def wait_for_sizes(rig: Rig, target: dict[str, float]) -> None:
         sizes = {stable_hash(name.encode()): size for name, size in target.items()}
@@ -365,7 +365,7 @@
             "fleet": {
                 "store": "folder",
                 "folder": str(tmp_path / "f"),
-                "term_s": 0.5,
+                "term_s": 3.0,  # beside other work a planner may get no CPU for 0.5 s
                 "look_s": 0.05,
             }
         },
