--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Each target sets up what it needs and may be run again.
+# Each target builds its prerequisites and can be repeated.
 .PHONY: demo test mutants sites
 
 .venv/tested-from: requirements.txt requirements-dev.txt
@@ -14,14 +14,15 @@
 	.venv/bin/python -m compileall -q snowstall violetroute limebridge
 	.venv/bin/ruff format --check . && .venv/bin/ruff check . && .venv/bin/mypy && .venv/bin/python -m pytest -q
 
-# What the bench wants beside a site's file: linked in from a folder of the bench's, never tracked.
+# Links the files that the bench requires beside a site's file.  They are in a folder of the bench
+# and must not be committed.
 SITES ?= ../given/kit/sites
 sites:
 	for name in real.json wire.json unlock.txt; do ln -sfn "$$(realpath $(SITES))/$$name" deploy/sites/$$name; done
 
-# Takes guards of one part (mutants/PART.toml) out, one by one, and tells which no test misses.  It
-# changes the files in place and puts them back, so run it in a checkout of its own; goes on where
-# it stopped.
+# Mutation tests of one part (mutants/PART.toml): removes guards of the code one at a time, and lists
+# those whose removal no test detects.  The files are changed in place and then restored, so this target
+# needs a checkout of its own.  A run that was interrupted continues where it stopped.
 PART ?= transport
 mutants: .venv/tested-from
 	.venv/bin/pip -q install cosmic-ray==8.7.0
